--- a/cmd/gaugeslip/endings_test.go
+++ b/cmd/gaugeslip/endings_test.go
@@ -164,24 +164,34 @@
 		"func TestRedToo(t *testing.T) { t.Fatal(\"another\") }\n\nfunc TestGreen(t *testing.T) {}\n")
 	script, err := filepath.Abs("../../.ci/known-red")
 	require.NoError(t, err)
+	const (
+		red    = "TestRed | go test -run TestRed . | a fault | 27\n"
+		redToo = "TestRedToo | go test -run TestRedToo . | another fault | 27\n"
+	)
 	for name, c := range map[string]struct {
 		file, want string // file "-": there is none
 		code       int
 	}{
-		"none, and a test fails":    {"-", "--- FAIL: TestRed", 1},
-		"all listed":                {"TestRed | a cause | 27\nTestRedToo | another | 27\n", "known red: TestRed | a cause | 27", 0},
-		"one not listed":            {"TestRed | a cause | 27\n", "--- FAIL: TestRedToo", 1},
-		"a listed test passes":      {"TestRed | a cause | 27\nTestRedToo | b | 27\nTestGreen | c | 27\n", "TestGreen passes: take its line out", 1},
-		"a listed test is missing":  {"TestRed | a cause | 27\nTestRedToo | b | 27\nTestGone | c | 27\n", "line 3: no test TestGone", 1},
-		"a name's part is no match": {"TestRe | a cause | 27\n", "line 1: no test TestRe", 1},
-		"two fields":                {"TestRed | a cause\n", "line 1: malformed", 1},
-		"no cause":                  {"TestRed |  | 27\n", "line 1: malformed", 1},
-		"no number":                 {"TestRed | a cause | soon\n", "line 1: malformed", 1},
-		"a pattern":                 {"TestRed | a | 27\nTest.* | b | 27\n", "line 2: malformed", 1},
-		"an empty line":             {"TestRed | a | 27\n\n", "line 2: malformed", 1},
-		"twice":                     {"TestRed | a | 27\nTestRed | a | 27\n", "line 2: TestRed is listed twice", 1},
-		"four":                      {"TestRed | a | 27\nTestRedToo | b | 27\nTestGreen | c | 27\nTestB | d | 27\n", "line 4: three at most", 1},
-		"empty":                     {"", "KNOWN-RED.txt is empty", 1},
+		"none, and a test fails": {"-", "--- FAIL: TestRed", 1},
+		"all listed": {"TestRed | go test -run TestRed . | a fault | 27\nTestRedToo | go test -run TestRedToo . -seed 4 | another | 27\n",
+			"known red: TestRed | go test -run TestRed . | a fault | 27", 0},
+		"one not listed": {red, "--- FAIL: TestRedToo", 1},
+		"a listed test passes": {red + redToo + "TestGreen | go test -run TestGreen . | c | 27\n",
+			"TestGreen passes: take its line out", 1},
+		"a listed test is missing":         {red + redToo + "TestGone | go test -run TestGone . | c | 27\n", "line 3: no test TestGone", 1},
+		"a name's part is no match":        {"TestRe | go test -run TestRe . | a fault | 27\n", "line 1: no test TestRe", 1},
+		"two fields":                       {"TestRed | a fault\n", "line 1: malformed", 1},
+		"three fields":                     {"TestRed | a fault | 27\n", "line 1: malformed", 1},
+		"no command":                       {"TestRed |  | a fault | 27\n", "line 1: malformed", 1},
+		"nothing seen":                     {"TestRed | go test -run TestRed . |  | 27\n", "line 1: malformed", 1},
+		"the command names another test":   {"TestRed | go test -run TestRedToo . | a fault | 27\n", "line 1: the command must be a go test that names TestRed", 1},
+		"the command is another program's": {"TestRed | true TestRed | a fault | 27\n", "line 1: the command must be a go test that names TestRed", 1},
+		"no number":                        {"TestRed | go test -run TestRed . | a fault | soon\n", "line 1: malformed", 1},
+		"a pattern":                        {red + "Test.* | go test . | b | 27\n", "line 2: malformed", 1},
+		"an empty line":                    {red + "\n", "line 2: malformed", 1},
+		"twice":                            {red + red, "line 2: TestRed is listed twice", 1},
+		"four":                             {red + redToo + "TestGreen | go test -run TestGreen . | c | 27\nTestB | go test -run TestB . | d | 27\n", "line 4: three at most", 1},
+		"empty":                            {"", "KNOWN-RED.txt is empty", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			os.Remove(filepath.Join(module, "KNOWN-RED.txt"))
