--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -31,61 +31,61 @@
 				Effect: Keyed, Group: GroupZone, KeyTTL: 1500 * ms}}}
 }
 
-type sentTry struct {
-	worker Worker
-	at     time.Duration
-	ends   time.Duration // when the world will end it
-	out    bool
-	harm   bool // may have run
+type sentAttempt struct {
+	worker     Worker
+	at         time.Duration
+	ends       time.Duration // when the world will end it
+	inFlight   bool
+	mayHaveRun bool // may have run
 }
 
-type owed struct {
-	class int
-	end   time.Duration
-	tries []*sentTry
-	done  bool
+type pendingJob struct {
+	class    int
+	deadline time.Duration
+	attempts []*sentAttempt
+	done     bool
 }
 
-type world struct {
-	t       *testing.T
-	cfg     Config
-	rng     *rand.Rand
-	d       *Dispatcher
-	now     time.Duration
-	jobs    map[uint64]*owed
-	ids     []uint64
-	list    map[uint32]Worker
-	toldBad map[uint32]time.Duration
-	timers  map[uint64]time.Duration
-	next    uint64
-	trace   []string
-	leaving []*owed
+type harness struct {
+	t             *testing.T
+	cfg           Config
+	rng           *rand.Rand
+	d             *Dispatcher
+	now           time.Duration
+	jobs          map[uint64]*pendingJob
+	ids           []uint64
+	list          map[uint32]Worker
+	notReadySince map[uint32]time.Duration
+	timers        map[uint64]time.Duration
+	next          uint64
+	trace         []string
+	clientsGone   []*pendingJob
 }
 
-func newWorld(t *testing.T, cfg Config, seed uint64) *world {
+func newHarness(t *testing.T, cfg Config, seed uint64) *harness {
 	d, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &world{t: t, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), d: d, now: time.Hour, jobs: map[uint64]*owed{},
-		list: map[uint32]Worker{}, toldBad: map[uint32]time.Duration{}, timers: map[uint64]time.Duration{}}
+	return &harness{t: t, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), d: d, now: time.Hour, jobs: map[uint64]*pendingJob{},
+		list: map[uint32]Worker{}, notReadySince: map[uint32]time.Duration{}, timers: map[uint64]time.Duration{}}
 }
 
-func (w *world) step(in ...Event) []Action {
+func (w *harness) step(in ...Event) []Action {
 	for _, e := range in {
 		if e.Kind == WorkerList {
 			seen := map[uint32]bool{}
 			for _, l := range e.Workers {
 				w.list[l.ID], seen[l.ID] = l, true
 				if l.State == Ready {
-					delete(w.toldBad, l.ID)
-				} else if _, ok := w.toldBad[l.ID]; !ok {
-					w.toldBad[l.ID] = w.now
+					delete(w.notReadySince, l.ID)
+				} else if _, ok := w.notReadySince[l.ID]; !ok {
+					w.notReadySince[l.ID] = w.now
 				}
 			}
 			for id := range w.list {
-				if _, ok := w.toldBad[id]; e.Whole && !seen[id] && !ok {
-					w.toldBad[id] = w.now
+				if _, ok := w.notReadySince[id]; e.Whole && !seen[id] && !ok {
+					w.notReadySince[id] = w.now
 				}
 			}
 		}
@@ -98,7 +98,7 @@
 	return acts
 }
 
-func (w *world) check(a *Action) {
+func (w *harness) check(a *Action) {
 	w.t.Helper()
 	j := w.jobs[a.Job]
 	if j == nil && (a.Kind == Cancel || a.Kind == Send) {
@@ -108,17 +108,17 @@
 	case Send:
 		c := w.cfg.Classes[j.class]
 		target, ok := w.list[a.Worker]
-		if !ok || j.done || len(j.tries) >= w.cfg.MaxAttempts {
+		if !ok || j.done || len(j.attempts) >= w.cfg.MaxAttempts {
 			w.t.Fatalf("send of %d to %d: unknown worker, answered job or one try too many", a.Job, a.Worker)
 		}
-		if told, bad := w.toldBad[a.Worker]; bad && w.now > told+w.cfg.DrainGrace {
+		if told, bad := w.notReadySince[a.Worker]; bad && w.now > told+w.cfg.DrainGrace {
 			w.t.Fatalf("send to %d, told to drain %v ago", a.Worker, w.now-told)
 		}
-		for i, o := range j.tries {
-			if o.out && !w.cfg.SecondCopies {
+		for i, o := range j.attempts {
+			if o.inFlight && !w.cfg.SecondCopies {
 				w.t.Fatalf("two tries of %d in flight", a.Job)
 			}
-			if !o.harm && !o.out || c.Effect == Repeatable {
+			if !o.mayHaveRun && !o.inFlight || c.Effect == Repeatable {
 				continue
 			}
 			if c.Effect == Unsafe {
@@ -129,15 +129,15 @@
 				w.t.Fatalf("keyed job %d sent out of its group or window", a.Job)
 			}
 		}
-		j.tries = append(j.tries, &sentTry{worker: target, at: w.now, out: true,
+		j.attempts = append(j.attempts, &sentAttempt{worker: target, at: w.now, inFlight: true,
 			ends: w.now + time.Duration(1+w.rng.IntN(1500))*ms})
 	case Refuse, Fail:
 		if j == nil || j.done {
 			w.t.Fatalf("second answer for %d", a.Job)
 		}
 		c := w.cfg.Classes[j.class]
-		for _, o := range j.tries {
-			if a.Kind == Refuse && (o.harm || o.out) && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
+		for _, o := range j.attempts {
+			if a.Kind == Refuse && (o.mayHaveRun || o.inFlight) && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
 				w.t.Fatalf("refusal of %d, which may have run", a.Job)
 			}
 		}
@@ -145,16 +145,16 @@
 	case Timer:
 		w.timers[a.Timer] = w.now + a.After
 	case Cancel:
-		if a.Attempt >= len(j.tries) {
+		if a.Attempt >= len(j.attempts) {
 			w.t.Fatalf("cancel of a try never made: %d/%d", a.Job, a.Attempt)
 		}
-		if o := j.tries[a.Attempt]; o.out {
+		if o := j.attempts[a.Attempt]; o.inFlight {
 			o.ends = min(o.ends, w.now+ms)
 		}
 	}
 }
 
-func (w *world) workers() []Worker {
+func (w *harness) randomWorkers() []Worker {
 	var all []Worker
 	for i := range 8 {
 		l := Worker{ID: uint32(1000 - i*37), Zone: i % 2, Kind: i % 3 / 2, Cell: i / 3, Scale: 1}
@@ -174,8 +174,8 @@
 }
 
 // run plays random legal events for a while, then lets every job end.
-func (w *world) run(steps int) {
-	w.step(Event{Kind: WorkerList, Whole: true, Stale: true, Workers: w.workers()})
+func (w *harness) run(steps int) {
+	w.step(Event{Kind: WorkerList, Whole: true, Stale: true, Workers: w.randomWorkers()})
 	for i := 0; i < steps || len(w.jobs) > 0; i++ {
 		if i > steps+20000 {
 			w.t.Fatalf("%d jobs never ended", len(w.jobs))
@@ -185,7 +185,7 @@
 		slices.Sort(w.ids)
 		w.ids = slices.DeleteFunc(w.ids, func(id uint64) bool { return w.jobs[id] == nil })
 		for _, id := range w.ids {
-			in = w.life(id, in)
+			in = w.advanceJob(id, in)
 		}
 		for _, id := range sortedKeys(w.timers) {
 			if w.timers[id] <= w.now {
@@ -198,16 +198,16 @@
 				w.next++
 				c := w.rng.IntN(len(w.cfg.Classes))
 				budget := time.Duration(float64(w.cfg.Classes[c].Deadline) * (0.3 + 0.7*w.rng.Float64()))
-				w.jobs[w.next] = &owed{class: c, end: w.now + budget}
+				w.jobs[w.next] = &pendingJob{class: c, deadline: w.now + budget}
 				w.ids = append(w.ids, w.next)
 				in = append(in, Event{Kind: JobArrived, Job: w.next, Class: c, Tenant: -1, Budget: budget, Slots: 1,
 					Size: time.Duration(5+w.rng.IntN(400)) * ms})
 			}
 			switch w.rng.IntN(40) {
 			case 0:
-				in = append(in, Event{Kind: WorkerList, Whole: true, Workers: w.workers()})
+				in = append(in, Event{Kind: WorkerList, Whole: true, Workers: w.randomWorkers()})
 			case 1:
-				in = append(in, Event{Kind: WorkerList, Workers: w.workers()[:2]})
+				in = append(in, Event{Kind: WorkerList, Workers: w.randomWorkers()[:2]})
 			case 2:
 				in = append(in, Event{Kind: ListLost})
 			case 3: // late news of jobs and tries that nobody knows any more
@@ -216,10 +216,10 @@
 			}
 		}
 		w.step(in...)
-		for _, j := range w.leaving {
+		for _, j := range w.clientsGone {
 			j.done = true
 		}
-		w.leaving = w.leaving[:0]
+		w.clientsGone = w.clientsGone[:0]
 	}
 }
 
@@ -232,15 +232,15 @@
 	return keys
 }
 
-// life ends due tries of a job and checks that it is answered in time.
-func (w *world) life(id uint64, in []Event) []Event {
+// advanceJob ends due tries of a job and checks that it is answered in time.
+func (w *harness) advanceJob(id uint64, in []Event) []Event {
 	j := w.jobs[id]
 	out := 0
-	for n, o := range j.tries {
-		if !o.out {
+	for n, o := range j.attempts {
+		if !o.inFlight {
 			continue
 		}
-		if w.now < o.ends && w.now < j.end {
+		if w.now < o.ends && w.now < j.deadline {
 			out++
 			if w.rng.IntN(30) == 0 {
 				in = append(in, Event{Kind: JobStarted, Job: id, Attempt: n, Worker: o.worker.ID})
@@ -251,44 +251,44 @@
 		if w.rng.IntN(3) == 0 {
 			e.Result = Result(w.rng.IntN(int(Rejected) + 1))
 		}
-		if w.now >= j.end {
+		if w.now >= j.deadline {
 			e.Result = TimedOut
 		}
 		if w.rng.IntN(2) == 0 {
 			e.HasLoad, e.Load = true, Load{FreeSlots: float64(w.rng.IntN(4)), Queue: -1, InFlight: -1, Busy: 0.5}
 		}
-		o.out, o.harm = false, e.Result != Full && e.Result != ConnectFailed && e.Result != NeverSent
+		o.inFlight, o.mayHaveRun = false, e.Result != Full && e.Result != ConnectFailed && e.Result != NeverSent
 		j.done = j.done || e.Result == OK
 		e.Finished = j.done
 		in = append(in, e)
 	}
-	if !j.done && w.now > j.end+w.cfg.AnswerGrace+40*ms { // steps are up to 20 ms, the answer comes in the next
-		w.t.Fatalf("job %d of class %d: no answer %v after its end", id, j.class, w.now-j.end)
+	if !j.done && w.now > j.deadline+w.cfg.AnswerGrace+40*ms { // steps are up to 20 ms, the answer comes in the next
+		w.t.Fatalf("job %d of class %d: no answer %v after its end", id, j.class, w.now-j.deadline)
 	}
 	if j.done && out == 0 {
 		delete(w.jobs, id)
 	} else if !j.done && w.rng.IntN(400) == 0 {
-		w.leaving = append(w.leaving, j) // the module is told in this batch: sends are wrong from the next on
+		w.clientsGone = append(w.clientsGone, j) // the module is told in this batch: sends are wrong from the next on
 		in = append(in, Event{Kind: ClientGone, Job: id})
 	}
 	return in
 }
 
-func TestRulesRandom(t *testing.T) {
+func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(30) {
 		cfg := testConfig()
 		cfg.Ask, cfg.TellsStart, cfg.Cancel = seed%2 == 0, seed%3 != 0, seed%5 != 0
 		cfg.SecondCopies, cfg.ReportInProbes = seed%4 == 0, seed%3 == 1
 		cfg.Progress = time.Duration(seed%4) * 20 * ms
-		newWorld(t, cfg, seed).run(1500)
+		newHarness(t, cfg, seed).run(1500)
 	}
 }
 
-// coldDay is many schedulers and workers of two lanes, of which those with a Since start at the day's begin. Reports are
+// coldScenario is many schedulers and workers of two lanes, of which those with a Since start at the day's begin. Reports are
 // 300 ms old.
-type coldDay struct {
+type coldScenario struct {
 	schedulers, ticks int
-	jobs              float64 // of a scheduler in a tick
+	arrivalRate       float64 // of a scheduler in a tick
 	size              func(*rand.Rand) time.Duration
 	reject            bool // cold workers turn all away
 	workers           []Worker
@@ -296,25 +296,25 @@
 
 type coldSend struct {
 	at, ends, size time.Duration
-	by             int
+	scheduler      int
 }
 
-const dayBegins = time.Hour
+const scenarioStart = time.Hour
 
-// play returns what was sent to each worker, in order, and fails where a window's sum is over a cold worker's budget.
-func (c *coldDay) play(t *testing.T, cfg Config) map[uint32][]coldSend {
+// run returns what was sent to each worker, in order, and fails where a window's sum is over a cold worker's budget.
+func (c *coldScenario) run(t *testing.T, cfg Config) map[uint32][]coldSend {
 	t.Helper()
 	const tick, late = 20 * ms, 300 * ms
 	type open struct {
 		ends time.Duration
 		end  Event
 	}
-	rng, now, cold := rand.New(rand.NewPCG(5, 5)), dayBegins, map[uint32]bool{}
+	rng, now, cold := rand.New(rand.NewPCG(5, 5)), scenarioStart, map[uint32]bool{}
 	for _, w := range c.workers {
 		cold[w.ID] = w.Since > 0
 	}
 	warmth := func(at time.Duration) float64 {
-		return cfg.ColdFrom + (1-cfg.ColdFrom)*float64(at-dayBegins)/float64(cfg.WarmUp)
+		return cfg.ColdFrom + (1-cfg.ColdFrom)*float64(at-scenarioStart)/float64(cfg.WarmUp)
 	}
 	cfg.Replicas = c.schedulers
 	ds, in, outs := make([]*Dispatcher, c.schedulers), make([][]Event, c.schedulers), make([][]open, c.schedulers)
@@ -339,7 +339,7 @@
 				}
 			}
 			outs[i] = left
-			if rng.Float64() < c.jobs {
+			if rng.Float64() < c.arrivalRate {
 				next++
 				size[next] = c.size(rng)
 				in[i] = append(in[i], Event{Kind: JobArrived, Job: next, Tenant: -1, Budget: cfg.Classes[0].Deadline, Slots: 1,
@@ -365,7 +365,7 @@
 					if cold[a.Worker] && c.reject {
 						o.ends, o.end.Result, o.end.Finished = now+tick, Full, false
 					} else {
-						if cold[a.Worker] && now < dayBegins+cfg.WarmUp {
+						if cold[a.Worker] && now < scenarioStart+cfg.WarmUp {
 							o.ends = now + time.Duration(float64(size[a.Job])/warmth(now))
 						}
 						in[i] = append(in[i], Event{Kind: JobStarted, Job: a.Job, Attempt: o.end.Attempt, Worker: a.Worker})
@@ -381,13 +381,13 @@
 		for i, first := range list {
 			sum := time.Duration(0)
 			for _, s := range list[i:] {
-				if s.at <= first.at+cfg.OverloadFor && s.at < dayBegins+cfg.WarmUp {
+				if s.at <= first.at+cfg.OverloadFor && s.at < scenarioStart+cfg.WarmUp {
 					sum += s.size
 				}
 			}
 			most := time.Duration(cfg.TipMultiple * warmth(first.at) * 2 * float64(cfg.OverloadFor))
 			if cold[id] && sum > most {
-				t.Fatalf("worker %d was sent %v of work from %v on, %v allowed", id, sum, first.at-dayBegins, most)
+				t.Fatalf("worker %d was sent %v of work from %v on, %v allowed", id, sum, first.at-scenarioStart, most)
 			}
 		}
 	}
@@ -400,17 +400,17 @@
 	for _, reject := range []bool{true, false} {
 		cfg := testConfig()
 		cfg.Probes, cfg.Zones = false, 2
-		day := coldDay{schedulers: 300, ticks: 500, jobs: 1. / 8, reject: reject, size: func(rng *rand.Rand) time.Duration {
+		day := coldScenario{schedulers: 300, ticks: 500, arrivalRate: 1. / 8, reject: reject, size: func(rng *rand.Rand) time.Duration {
 			if rng.IntN(30) == 0 {
 				return 3 * time.Second
 			}
 			return time.Duration(20+rng.IntN(150)) * ms
-		}, workers: []Worker{{ID: 7, Since: dayBegins, Scale: 2}}}
+		}, workers: []Worker{{ID: 7, Since: scenarioStart, Scale: 2}}}
 		for i := range 40 {
 			day.workers = append(day.workers, Worker{ID: uint32(100 + 13*i), Zone: i % 2, Scale: 2})
 		}
-		sent := day.play(t, cfg)[7]
-		early := slices.IndexFunc(sent, func(s coldSend) bool { return s.at >= dayBegins+cfg.WarmUp })
+		sent := day.run(t, cfg)[7]
+		early := slices.IndexFunc(sent, func(s coldSend) bool { return s.at >= scenarioStart+cfg.WarmUp })
 		if early < 0 {
 			early = len(sent)
 		}
@@ -422,26 +422,26 @@
 
 // Where lanes that are filled all at once can't push cold workers over, all of 80 schedulers that probe use them, within
 // the budget though reports are old. At ten times the rate of jobs they are still for their keepers alone.
-func TestColdWorkersAreForAllInTime(t *testing.T) {
+func TestColdWorkersOpenToAllSchedulers(t *testing.T) {
 	for _, rate := range []float64{0.012, 0.12} {
 		cfg := testConfig()
 		cfg.Zones, cfg.ReportInAnswers, cfg.ReportInProbes, cfg.PriceProbe = 1, false, true, 0.002
 		cfg.ColdFrom, cfg.WarmUp = 0.12, 24*time.Second
 		cfg.Classes = []Class{{Name: "a", OnTime: 2 * time.Second, Stretch: 2, Deadline: 9 * time.Second, Worth: 1, Kind: -1}}
-		day := coldDay{schedulers: 80, ticks: 900, jobs: rate, size: func(rng *rand.Rand) time.Duration {
+		day := coldScenario{schedulers: 80, ticks: 900, arrivalRate: rate, size: func(rng *rand.Rand) time.Duration {
 			return time.Duration(rng.ExpFloat64() * float64(700*ms))
 		}}
 		for i := range 60 {
-			day.workers = append(day.workers, Worker{ID: uint32(13 * i), Scale: 2, Since: dayBegins * time.Duration(i%2)})
+			day.workers = append(day.workers, Worker{ID: uint32(13 * i), Scale: 2, Since: scenarioStart * time.Duration(i%2)})
 		}
 		users := map[int]bool{}
-		for id, list := range day.play(t, cfg) {
+		for id, list := range day.run(t, cfg) {
 			for _, s := range list {
 				if id%26 != 0 {
-					users[s.by] = true
+					users[s.scheduler] = true
 				}
-				if id%26 != 0 && rate > 0.1 && (int(id)+s.by)%day.schedulers >= keepers {
-					t.Fatalf("scheduler %d is no keeper of %d", s.by, id)
+				if id%26 != 0 && rate > 0.1 && (int(id)+s.scheduler)%day.schedulers >= owners {
+					t.Fatalf("scheduler %d is no keeper of %d", s.scheduler, id)
 				}
 			}
 		}
@@ -452,7 +452,7 @@
 }
 
 func TestDeterminism(t *testing.T) {
-	a, b := newWorld(t, testConfig(), 7), newWorld(t, testConfig(), 7)
+	a, b := newHarness(t, testConfig(), 7), newHarness(t, testConfig(), 7)
 	a.run(800)
 	b.run(800)
 	if !slices.Equal(a.trace, b.trace) {
--- a/policy/sizemap.go
+++ b/policy/sizemap.go
@@ -6,26 +6,26 @@
 	"slices"
 )
 
-// remap moves the bound of the two size ranges (one under ten workers) to where half of the work is below.
-func (d *Dispatcher) remap(size float64) {
-	d.bound = cmp.Or(d.bound, size)
-	d.bound *= math.Exp(math.Copysign(0.05*min(size/d.meanRun, 4), size-d.bound))
+// moveBound moves the bound of the size ranges (two from ten workers on) to where half of the work is below.
+func (d *Dispatcher) moveBound(size float64) {
+	d.sizeBound = cmp.Or(d.sizeBound, size)
+	d.sizeBound *= math.Exp(math.Copysign(0.05*min(size/d.meanRun, 4), size-d.sizeBound))
 }
 
-// relist deals the workers out to their ranges, own zone and others, in this scheduler's order.
-func (d *Dispatcher) relist() {
-	d.near, d.ranges = [4][]*worker{}, min(max(len(d.order)/5, 1), 2)
-	for i, w := range d.order {
-		part := 2 * (i * d.ranges / len(d.order))
-		if w.place = w.rank; d.cfg.Replicas > keepers && d.keeps(w, keepers) && d.power(w, d.now) < w.speed {
-			w.place = -1 / (1 + w.rank) // cold and for this scheduler: others stay away
+// rebuildLists deals the workers out to their ranges, own zone and others, in this scheduler's order.
+func (d *Dispatcher) rebuildLists() {
+	d.candidates, d.ranges = [4][]*worker{}, min(max(len(d.ready)/5, 1), 2)
+	for i, w := range d.ready {
+		part := 2 * (i * d.ranges / len(d.ready))
+		if w.order = w.rank; d.cfg.Replicas > owners && d.owns(w, owners) && d.speedAt(w, d.now) < w.speed {
+			w.order = -1 / (1 + w.rank) // cold and for this scheduler: others stay away
 		} else if w.Zone != d.cfg.Zone {
 			part++
 		}
-		d.near[part] = append(d.near[part], w)
+		d.candidates[part] = append(d.candidates[part], w)
 	}
-	for _, list := range d.near {
-		slices.SortFunc(list, func(a, b *worker) int { return cmp.Compare(a.place, b.place) })
+	for _, list := range d.candidates {
+		slices.SortFunc(list, func(a, b *worker) int { return cmp.Compare(a.order, b.order) })
 	}
 }
 
@@ -37,14 +37,12 @@
 	return -math.Log(float64(h^h>>31)/(1<<64)) / max(w.Scale, 0.01)
 }
 
-// tries is how many workers of a list are looked at: few enough to be known, each by 2 or 3 jobs in 4 s.
-func (d *Dispatcher) tries() int {
-	return min(max(2, 2*len(d.order)/d.cfg.Replicas), max(1, int(8e8/d.gap)))
+// searchLimit is how many workers of a list are tried: few enough to be known, each by 2 or 3 jobs in 4 s.
+func (d *Dispatcher) searchLimit() int {
+	return min(max(2, 2*len(d.ready)/d.cfg.Replicas), max(1, int(8e8/d.meanGap)))
 }
 
-// keeps tells whether this scheduler is one of the few that share a worker, the same few for all who ask.
-func (d *Dispatcher) keeps(w *worker, few int) bool {
-	return (int(w.ID)+d.cfg.Ordinal)%d.cfg.Replicas < few
-}
+// owns tells whether this scheduler is one of the few that share a worker, the same few for all who ask.
+func (d *Dispatcher) owns(w *worker, n int) bool { return (int(w.ID)+d.cfg.Ordinal)%d.cfg.Replicas < n }
 
 func byID(w *worker, id uint32) int { return cmp.Compare(w.ID, id) }
--- a/policy/sizing/demand.go
+++ b/policy/sizing/demand.go
@@ -36,7 +36,7 @@
 	if width(candidate) > lanes {
 		return 0, false
 	}
-	d.begin(now, lanes, accepted)
+	d.reset(now, lanes, accepted)
 	placed := false
 	for _, task := range accepted {
 		if !placed && task.Deadline > candidate.Deadline {
@@ -58,8 +58,8 @@
 	return ends, ends <= candidate.Deadline
 }
 
-// begin frees all lanes at now, but for those of started tasks.
-func (d *Demand) begin(now time.Duration, lanes int, accepted []Task) {
+// reset frees all lanes at now, but for those of started tasks.
+func (d *Demand) reset(now time.Duration, lanes int, accepted []Task) {
 	d.free = slices.Grow(d.free[:0], lanes)
 	for range lanes {
 		d.free = append(d.free, now)
@@ -67,7 +67,7 @@
 	for _, task := range accepted {
 		if task.Started {
 			taken := min(width(task), lanes)
-			d.take(taken, max(now+max(task.Remaining, 0), d.free[taken-1])) // later where more runs than there are lanes
+			d.occupy(taken, max(now+max(task.Remaining, 0), d.free[taken-1])) // later where more runs than there are lanes
 		}
 	}
 }
@@ -76,12 +76,12 @@
 func (d *Demand) start(task Task) time.Duration {
 	taken := min(width(task), len(d.free))
 	end := d.free[taken-1] + max(task.Remaining, 0)
-	d.take(taken, end)
+	d.occupy(taken, end)
 	return end
 }
 
-// take keeps the first lanes until end, and the order of all.
-func (d *Demand) take(lanes int, end time.Duration) {
+// occupy keeps the first lanes until end, and the order of all.
+func (d *Demand) occupy(lanes int, end time.Duration) {
 	at := lanes
 	for at < len(d.free) && d.free[at] < end {
 		d.free[at-lanes] = d.free[at]
--- a/policy/sizing/demand_test.go
+++ b/policy/sizing/demand_test.go
@@ -27,14 +27,14 @@
 	slices.SortStableFunc(tasks, func(a, b Task) int { return cmp.Compare(a.Deadline, b.Deadline) })
 }
 
-// inSomeOrder tells whether one lane can run all tasks by their deadlines, by trying every order.
-func inSomeOrder(at time.Duration, tasks []Task) bool {
+// feasible tells whether one lane can run all tasks by their deadlines, by trying every order.
+func feasible(at time.Duration, tasks []Task) bool {
 	if len(tasks) == 0 {
 		return true
 	}
 	for i, task := range tasks {
 		end := at + task.Remaining
-		if end <= task.Deadline && inSomeOrder(end, slices.Delete(slices.Clone(tasks), i, i+1)) {
+		if end <= task.Deadline && feasible(end, slices.Delete(slices.Clone(tasks), i, i+1)) {
 			return true
 		}
 	}
@@ -42,14 +42,14 @@
 }
 
 // On one lane the test is sufficient and necessary.
-func TestDemandOfOneLaneIsExact(t *testing.T) {
+func TestDemandIsExactOnOneLane(t *testing.T) {
 	var demand Demand
-	runnable := rapid.SliceOfN(drawTask(1), 1, 7).Filter(func(tasks []Task) bool { return inSomeOrder(demandNow, tasks[1:]) })
+	runnable := rapid.SliceOfN(drawTask(1), 1, 7).Filter(func(tasks []Task) bool { return feasible(demandNow, tasks[1:]) })
 	rapid.Check(t, func(t *rapid.T) {
 		tasks := runnable.Draw(t, "tasks")
 		candidate, accepted := tasks[0], tasks[1:]
 		sortByDeadline(accepted)
-		want := inSomeOrder(demandNow, tasks)
+		want := feasible(demandNow, tasks)
 		require.Equal(t, want, demand.Passes(demandNow, 1, accepted, candidate))
 	})
 }
@@ -102,7 +102,7 @@
 }
 
 // On any lanes the test says what a run in EDF order comes to.
-func TestDemandIsARunInOrderOfDeadlines(t *testing.T) {
+func TestDemandMatchesSimulatedEDF(t *testing.T) {
 	var demand Demand
 	rapid.Check(t, func(t *rapid.T) {
 		lanes := rapid.IntRange(1, 6).Draw(t, "lanes")
@@ -122,26 +122,26 @@
 	})
 }
 
-// demandOf is one question to the demand test.
-type demandOf struct {
+// demandCase is one question to the demand test.
+type demandCase struct {
 	lanes     int
 	accepted  []Task
 	candidate Task
 }
 
-func drawDemand(t *rapid.T) demandOf {
+func drawDemand(t *rapid.T) demandCase {
 	lanes := rapid.IntRange(1, 6).Draw(t, "lanes")
 	accepted := rapid.SliceOfN(drawTask(lanes), 0, 15).Draw(t, "accepted")
 	candidate := drawTask(lanes).Draw(t, "candidate")
 	sortByDeadline(accepted)
 	startSome(t, lanes, accepted)
-	return demandOf{lanes, accepted, candidate}
+	return demandCase{lanes, accepted, candidate}
 }
 
 // What passes still passes when runs turn out shorter.
 func TestDemandHoldsForShorterRuns(t *testing.T) {
 	var demand Demand
-	passes := func(of demandOf) bool { return demand.Passes(demandNow, of.lanes, of.accepted, of.candidate) }
+	passes := func(of demandCase) bool { return demand.Passes(demandNow, of.lanes, of.accepted, of.candidate) }
 	passing := rapid.Custom(drawDemand).Filter(passes)
 	rapid.Check(t, func(t *rapid.T) {
 		of := passing.Draw(t, "demand")
--- a/policy/sizing/estimator.go
+++ b/policy/sizing/estimator.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// untaughtSlope is the share of a hint's distance from the mean hint, as logarithms, that is believed at first:
+	// initialSlope is the share of a hint's distance from the mean hint, as logarithms, that is believed at first:
 	// small rough hints are too small more often than not, large ones too large.
-	untaughtSlope = 0.5
-	// memory is how many hints or runs a mean goes back over.
-	memory = 300
-	// prior is how many runs the slope at the start weighs.
-	prior = 10
+	initialSlope = 0.5
+	// meanWindow is how many hints or runs a mean goes back over.
+	meanWindow = 300
+	// priorRuns is how many runs the slope at the start weighs.
+	priorRuns = 10
 	// shiftRate is the part of a surprise by which the whole line moves.
 	shiftRate = 0.01
 )
@@ -20,29 +20,29 @@
 // Estimator corrects the hints of one kind of task by what its runs have measured: the logarithm of the size is a line over
 // the logarithm of the hint. Which tasks share an Estimator is the caller's choice. Make one with NewEstimator.
 type Estimator struct {
-	hinted, measured float64 // how many of each
-	meanHint         float64 // of logarithms
-	shift            float64 // of the line at the mean hint
-	variance         float64 // of logarithms of hints
-	covariance       float64 // of logarithms of hints and of sizes
+	hints, runs float64 // how many of each
+	meanHint    float64 // of logarithms
+	shift       float64 // of the line at the mean hint
+	variance    float64 // of logarithms of hints
+	covariance  float64 // of logarithms of hints and of sizes
 }
 
 // NewEstimator returns an Estimator that has seen nothing.
 func NewEstimator() Estimator {
-	return Estimator{variance: 1, covariance: untaughtSlope}
+	return Estimator{variance: 1, covariance: initialSlope}
 }
 
 // Hinted takes in the hint of a task that arrives. All that arrive count, run or not: those that are run in time are smaller
 // than the mean. Call it before Size and Observe for the task.
 func (e *Estimator) Hinted(hint time.Duration) {
-	e.hinted++
-	e.meanHint += (logarithm(hint) - e.meanHint) / min(e.hinted, memory)
+	e.hints++
+	e.meanHint += (logarithm(hint) - e.meanHint) / min(e.hints, meanWindow)
 }
 
 // Observe takes in the measured length of a run and the hint that the task came with.
 func (e *Estimator) Observe(hint, measured time.Duration) {
-	e.measured++
-	rate := 1 / min(e.measured+prior, memory)
+	e.runs++
+	rate := 1 / min(e.runs+priorRuns, meanWindow)
 	size := logarithm(measured)
 	distance := logarithm(hint) - e.meanHint
 	e.shift += shiftRate * (size - e.meanHint - e.shift)
@@ -60,7 +60,7 @@
 }
 
 // Measured returns how many runs have been taken in.
-func (e *Estimator) Measured() int { return int(e.measured) }
+func (e *Estimator) Measured() int { return int(e.runs) }
 
 // logarithm takes what is not positive for the shortest time there is.
 func logarithm(d time.Duration) float64 { return math.Log(float64(max(d, 1))) }
--- a/policy/sizing/estimator_test.go
+++ b/policy/sizing/estimator_test.go
@@ -34,7 +34,7 @@
 }
 
 // No input gives a size below zero, nor panics.
-func TestEstimatorTakesAnything(t *testing.T) {
+func TestEstimatorAcceptsAnyInput(t *testing.T) {
 	durations := rapid.Map(rapid.Int64(), func(n int64) time.Duration { return time.Duration(n) })
 	rapid.Check(t, func(t *rapid.T) {
 		estimator := NewEstimator()
--- a/policy/sizing/queue.go
+++ b/policy/sizing/queue.go
@@ -20,11 +20,11 @@
 // Queue holds values earliest deadline first, those of equal deadlines in the order in which they came. Push, Pop and
 // Remove take O(log n). Make one with NewQueue.
 type Queue[T any] struct {
-	tree *btree.BTreeG[queued[T]]
-	last uint64
+	tree       *btree.BTreeG[queueItem[T]]
+	lastNumber uint64
 }
 
-type queued[T any] struct {
+type queueItem[T any] struct {
 	ticket Ticket
 	value  T
 }
@@ -34,7 +34,7 @@
 	return &Queue[T]{tree: btree.NewG(queueDegree, before[T])}
 }
 
-func before[T any](a, b queued[T]) bool {
+func before[T any](a, b queueItem[T]) bool {
 	order := cmp.Compare(a.ticket.Deadline, b.ticket.Deadline)
 	return order < 0 || order == 0 && a.ticket.number < b.ticket.number
 }
@@ -44,9 +44,9 @@
 
 // Push holds a value, and returns the ticket by which Remove finds it.
 func (q *Queue[T]) Push(deadline time.Duration, value T) Ticket {
-	q.last++
-	ticket := Ticket{Deadline: deadline, number: q.last}
-	q.tree.ReplaceOrInsert(queued[T]{ticket, value})
+	q.lastNumber++
+	ticket := Ticket{Deadline: deadline, number: q.lastNumber}
+	q.tree.ReplaceOrInsert(queueItem[T]{ticket, value})
 	return ticket
 }
 
@@ -64,14 +64,14 @@
 
 // Remove takes out a value by its ticket; false: it is held no more.
 func (q *Queue[T]) Remove(ticket Ticket) (T, bool) {
-	removed, ok := q.tree.Delete(queued[T]{ticket: ticket})
+	removed, ok := q.tree.Delete(queueItem[T]{ticket: ticket})
 	return removed.value, ok
 }
 
 // All goes through what is held, earliest deadline first, as far as the caller wants. The Queue mustn't change meanwhile.
 func (q *Queue[T]) All() iter.Seq2[Ticket, T] {
 	return func(yield func(Ticket, T) bool) {
-		q.tree.Ascend(func(held queued[T]) bool {
+		q.tree.Ascend(func(held queueItem[T]) bool {
 			return yield(held.ticket, held.value)
 		})
 	}
--- a/policy/sizing/queue_test.go
+++ b/policy/sizing/queue_test.go
@@ -11,22 +11,22 @@
 	"pgregory.net/rapid"
 )
 
-type reference struct {
+type referenceItem struct {
 	ticket Ticket
 	value  int
 }
 
 // A Queue is a slice that is sorted stably by deadline.
-func TestQueueIsASortedSlice(t *testing.T) {
+func TestQueueMatchesSortedSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queue, next := NewQueue[int](), 0
-		var want, gone []reference
+		var want, gone []referenceItem
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
 				deadline := time.Duration(rapid.IntRange(0, 20).Draw(t, "deadline"))
 				next++
-				want = append(want, reference{queue.Push(deadline, next), next})
-				slices.SortStableFunc(want, func(a, b reference) int {
+				want = append(want, referenceItem{queue.Push(deadline, next), next})
+				slices.SortStableFunc(want, func(a, b referenceItem) int {
 					return cmp.Compare(a.ticket.Deadline, b.ticket.Deadline)
 				})
 			},
@@ -34,7 +34,7 @@
 				ticket, value, ok := queue.Pop()
 				require.Equal(t, len(want) > 0, ok)
 				if ok {
-					require.Equal(t, want[0], reference{ticket, value})
+					require.Equal(t, want[0], referenceItem{ticket, value})
 					gone, want = append(gone, want[0]), want[1:]
 				}
 			},
@@ -51,18 +51,18 @@
 				gone, want = append(gone, want[at]), slices.Delete(want, at, at+1)
 			},
 			"remove what is gone": func(t *rapid.T) {
-				never := append(slices.Clone(gone), reference{ticket: Ticket{}})
+				never := append(slices.Clone(gone), referenceItem{ticket: Ticket{}})
 				_, ok := queue.Remove(rapid.SampledFrom(never).Draw(t, "gone").ticket)
 				require.False(t, ok)
 			},
 			"stop early": func(t *rapid.T) {
 				limit := rapid.IntRange(0, len(want)).Draw(t, "limit")
-				var seen []reference
+				var seen []referenceItem
 				for ticket, value := range queue.All() {
 					if len(seen) == limit {
 						break
 					}
-					seen = append(seen, reference{ticket, value})
+					seen = append(seen, referenceItem{ticket, value})
 				}
 				require.True(t, slices.Equal(want[:limit], seen), "want %v, seen %v", want[:limit], seen)
 			},
@@ -71,14 +71,14 @@
 				ticket, value, ok := queue.First()
 				require.Equal(t, len(want) > 0, ok)
 				if ok {
-					require.Equal(t, want[0], reference{ticket, value})
+					require.Equal(t, want[0], referenceItem{ticket, value})
 				}
 			},
 		})
 	})
 }
 
-func TestQueueKeepsTheOrderOfEquals(t *testing.T) {
+func TestQueueIsFIFOForEqualDeadlines(t *testing.T) {
 	queue := NewQueue[string]()
 	for _, value := range []string{"first", "second", "third"} {
 		queue.Push(time.Second, value)
--- a/policy/sizing/sizemap.go
+++ b/policy/sizing/sizemap.go
@@ -41,14 +41,14 @@
 	}
 	nanoseconds := float64(size)
 	if m.mean == 0 {
-		m.begin(nanoseconds)
+		m.initialize(nanoseconds)
 	}
 	m.mean += (nanoseconds - m.mean) * meanRate
 	m.moveBounds(nanoseconds)
-	m.countWork(m.Range(size), nanoseconds)
+	m.addWork(m.Range(size), nanoseconds)
 }
 
-func (m *Map) begin(size float64) {
+func (m *Map) initialize(size float64) {
 	m.mean = size
 	for r := range m.bounds {
 		m.bounds[r] = size
@@ -74,7 +74,7 @@
 	}
 }
 
-func (m *Map) countWork(into int, size float64) {
+func (m *Map) addWork(into int, size float64) {
 	for r := range m.work {
 		m.work[r] -= m.work[r] * shareRate
 	}
--- a/policy/sizing/sizemap_test.go
+++ b/policy/sizing/sizemap_test.go
@@ -38,7 +38,7 @@
 	})
 }
 
-func TestLayoutDealsOutAllWorkers(t *testing.T) {
+func TestLayoutAssignsAllWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := drawMap(t)
 		workers := make([]int, rapid.IntRange(0, 300).Draw(t, "workers"))
@@ -96,7 +96,7 @@
 }
 
 // Bounds settle where each range has the same part of the work, and follow when sizes change.
-func TestMapSettlesOnEqualShares(t *testing.T) {
+func TestMapConvergesToEqualShares(t *testing.T) {
 	for ranges := 2; ranges <= 4; ranges++ {
 		sizes, rng := NewMap(ranges), rand.New(rand.NewPCG(uint64(ranges), 1))
 		for _, mean := range []time.Duration{100 * time.Millisecond, 5 * time.Second} {
@@ -119,7 +119,7 @@
 
 func TestLayoutFollowsTheShares(t *testing.T) {
 	sizes := NewMap(2)
-	sizes.begin(1e9)
+	sizes.initialize(1e9)
 	sizes.work = []float64{3, 1}
 	layout := sizes.Layout(20)
 	begin, end := layout.Span(0)
