--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// place admits a job or answers it: the first worker worth enough, else the best. Worth is the chance to end
-// in time, less a hundredth a second, as long runs are lost more often; a wait behind own jobs halves it.
+// place probes the worker that pick finds, or holds the job for it until a lane is free; else it answers.
 func (d *Dispatcher) place(j *job) {
 	found := d.pick(j, j.movedFrom)
 	if found == nil && j.movedFrom != nil {
@@ -18,7 +17,7 @@
 		d.finish(j)
 		return
 	}
-	// No guesses: what 80 schedulers sent to workers they knew nothing of waited 6 s beside idle lanes.
+	// No send without a report: such sends of 80 schedulers waited 6 s while other workers had idle lanes.
 	if j.rounds++; j.rounds <= d.maxRounds(j) && d.probe(j, found) {
 		return
 	}
@@ -30,14 +29,15 @@
 	d.release(found, false)
 }
 
-// pick is place's search, leaving one worker out. A report older than a mean run tells nothing of lanes.
-func (d *Dispatcher) pick(j *job, not *worker) (found *worker) {
+// pick returns the first worker worth goodEnough, else the best, or nil, skipping exclude. Worth is the
+// chance to end in time, less 1% a second as long runs are lost more often, and halved if the job must wait.
+func (d *Dispatcher) pick(j *job, exclude *worker) (found *worker) {
 	best := 0.0
 	for k := 0; k < len(d.candidates) && best < goodEnough*j.value && j.due > d.now; k++ {
 		left := max(1, d.searchLimit()-k%2)
 		for _, w := range d.candidates[(j.firstList+k)%len(d.candidates)] {
 			late := len(w.waiters) > 0 && d.now-w.probedAt > 10*w.latency+20*time.Millisecond
-			if w == not || late || d.now < w.muteUntil || d.stale(w) && d.probeLimited(w) ||
+			if w == exclude || late || d.now < w.muteUntil || d.stale(w) && d.probeLimited(w) ||
 				len(w.held) >= 8*w.lanes || !d.allowed(j, w) ||
 				d.reportAge(w) > 1 && j.rounds >= d.maxRounds(j) {
 				continue
@@ -69,7 +69,7 @@
 	return found
 }
 
-// laneFreeTimes is when each lane frees, earliest first: by peers' lanes and backlog, then own attempts.
+// laneFreeTimes returns when each lane frees, ascending, by the load of peers and the own attempts.
 func (d *Dispatcher) laneFreeTimes(w *worker) []time.Duration {
 	base := max(d.now, w.waitAt+time.Duration(w.wait))
 	d.laneTimes = d.laneTimes[:0]
@@ -80,12 +80,12 @@
 		}
 	}
 	for _, a := range w.inFlight {
-		start := max(a.started, a.sent+w.latency) // where nothing is told, it ran from the first
+		start := max(a.started, a.sent+w.latency) // without start notices: on arrival
 		if a.started == 0 && d.cfg.TellsStart {
 			start = max(start, d.laneTimes[0])
 		}
 		end := start + time.Duration(a.job.size/d.speedAt(w, start))
-		if end < d.now { // overdue: the longer it has run the longer it will
+		if end < d.now { // overdue: a quarter of its run so far remains
 			end = d.now + (d.now-start)/4
 		}
 		d.occupy(a.job.slots, end)
@@ -100,16 +100,16 @@
 	slices.Sort(d.laneTimes)
 }
 
-// admit is the EDF demand test: by deadline, each held job and the newcomer must end in time.
+// admit is the EDF demand test: in order of deadlines, j and each held job behind it must end in time.
 func (d *Dispatcher) admit(j *job, w *worker) (ends time.Duration, ok bool) {
 	if !d.slotsKnown {
-		w.lanes = max(w.lanes, min(j.slots, 16)) // what the job needs, not any figure, until told better
+		w.lanes = max(w.lanes, min(j.slots, 16)) // assumed until slots are reported, up to 16
 	}
 	lanes := d.laneFreeTimes(w)
 	if j.slots > len(lanes) {
 		return 0, false
 	}
-	at, _ := slices.BinarySearchFunc(w.held, j.due+1, byDue) // the newcomer's place among the held
+	at, _ := slices.BinarySearchFunc(w.held, j.due+1, byDue) // j's place among the held jobs
 	d.queue = slices.Insert(append(d.queue[:0], w.held...), at, j)
 	for i, h := range d.queue {
 		k := min(h.slots, len(lanes))
@@ -123,7 +123,7 @@
 	return ends, true
 }
 
-// allowed states when a job may be sent to a worker: the drain, repeat, attempt and cold rules.
+// allowed reports whether j may be sent to w now: the drain, attempt, repeat, suspect and cold rules.
 func (d *Dispatcher) allowed(j *job, w *worker) bool {
 	c := &d.cfg.Classes[j.class]
 	if j.closed || j.inFlight > 0 || !w.listed || len(j.attempts) >= d.cfg.MaxAttempts ||
@@ -131,29 +131,29 @@
 		return false
 	}
 	if w.suspect && (d.now < w.trialAt || len(w.inFlight) > 0 || c.Effect != Repeatable) {
-		return false // a suspect gets one job, and one that may be lost
+		return false // a suspect gets one job at a time, a repeatable one
 	}
 	if a := j.mayRun; a != nil && c.Effect != Repeatable && (c.Effect == Unsafe || d.now >= a.sent+c.KeyTTL ||
 		c.Group == GroupZone && a.w.Zone != w.Zone || c.Group == GroupCell && a.w.Cell != w.Cell) {
 		return false
 	}
 	// The cold rule; see worker.coldSent. 2.2: half of a scheduler's part drains in a window of OverloadFor.
-	of, size := min(owners, d.cfg.Replicas), max(j.size, j.coldSize)
+	sharers, size := min(owners, d.cfg.Replicas), max(j.size, j.coldSize)
 	speed := d.speedAt(w, d.now-d.cfg.OverloadFor)
-	all := of == owners && d.cfg.TipMultiple*speed >= w.speed && d.reportAge(w) > 0 &&
+	open := sharers == owners && d.cfg.TipMultiple*speed >= w.speed && d.reportAge(w) > 0 &&
 		d.freeShare >= 0.15 && (d.stale(w) || w.lanes > len(w.inFlight)+int(w.busy+0.5)) &&
 		float64(d.cfg.Replicas)*3e8 < d.meanGap*float64(len(d.ready))
-	if all {
-		of = owners / 2
+	if open { // to all schedulers
+		sharers = owners / 2
 	}
-	rate := speed * cmp.Or(w.Scale, float64(w.lanes)) * d.cfg.TipMultiple / (2.2 * float64(of))
+	rate := speed * cmp.Or(w.Scale, float64(w.lanes)) * d.cfg.TipMultiple / (2.2 * float64(sharers))
 	w.coldSent, w.coldAt = max(0, w.coldSent-float64(d.now-w.coldAt)*rate), d.now
 	return d.cfg.TipMultiple <= 0 || d.speedAt(w, d.now) >= w.speed || !j.lostOnCold &&
-		(all || d.owns(w, owners)) && w.coldSent+size <= rate*float64(d.cfg.OverloadFor) &&
-		(!all || 1.2*size <= rate*float64(d.cfg.OverloadFor)) // several large ones can come at once
+		(open || d.owns(w, owners)) && w.coldSent+size <= rate*float64(d.cfg.OverloadFor) &&
+		(!open || 1.2*size <= rate*float64(d.cfg.OverloadFor)) // several large jobs may arrive at once
 }
 
-// send is the only way to a worker.
+// send is the only function that sends a job to a worker.
 func (d *Dispatcher) send(j *job, w *worker) {
 	a := &attempt{job: j, index: len(j.attempts), w: w, sent: d.now, idleLane: len(w.inFlight) < w.lanes,
 		lastLane: len(w.inFlight)+1 >= w.lanes,
--- a/policy/estimate.go
+++ b/policy/estimate.go
@@ -11,7 +11,7 @@
 
 var initialEstimator = sizeEstimator{variance: 1, covariance: 0.5}
 
-// observeHint takes in the hint of an arrival, served or not: what ends soon would shift the mean.
+// observeHint takes in the hint of every arrival, served or not: the jobs that end first are smaller.
 func (f *sizeEstimator) observeHint(x float64) {
 	f.hints++
 	f.meanHint += (x - f.meanHint) / min(f.hints, 300)
@@ -29,13 +29,13 @@
 	f.covariance += rate * (dx*(y-f.meanHint-f.shift) - f.covariance)
 }
 
-// delay is the delay by peers to expect: what was seen at the worker, fading into its zone's and kind's mean.
+// delay is the expected delay by peers: that seen at w, decaying to the mean of its zone and kind.
 func (d *Dispatcher) delay(w *worker) float64 {
 	mean := d.meanDelay[d.zoneKind(w)]
 	return mean + (w.delay-mean)*math.Exp(-float64(d.now-w.delayAt)/4e9)
 }
 
-// observeDelay learns from a delay that is not of our own making.
+// observeDelay learns from a delay that peers caused.
 func (d *Dispatcher) observeDelay(w *worker, delay float64) {
 	mean := &d.meanDelay[d.zoneKind(w)]
 	*mean = cmp.Or(*mean, delay) + (delay-cmp.Or(*mean, delay))/20
@@ -46,11 +46,11 @@
 	return (min(max(w.Zone, -1), d.cfg.Zones-1)+1)*d.cfg.Kinds + w.Kind
 }
 
-// measureRun learns size, speed and lanes from a run.
+// measureRun learns the class's sizes and the worker's speed and lanes from a run that ended.
 func (d *Dispatcher) measureRun(a *attempt) {
-	w, j, run := a.w, a.job, max(float64(d.now-cmp.Or(a.started, a.sent+a.w.latency)), 1e6) // one tick
+	w, j, run := a.w, a.job, max(float64(d.now-cmp.Or(a.started, a.sent+a.w.latency)), 1e6) // a tick at least
 	if a.started == 0 && (d.cfg.TellsStart || !a.idleLane) {
-		return // it may have waited
+		return // the time may include a wait
 	}
 	d.meanRun += (run - d.meanRun) * 0.02
 	if d.speedAt(w, a.sent) < w.speed {
@@ -63,13 +63,13 @@
 	w.speed *= math.Exp(-e / min(w.runs+3, 10))
 	w.runs++
 	d.logSpeed[w.Kind] += (math.Log(w.speed) - d.logSpeed[w.Kind]) / 20
-	// A lane more, unless told how many: only where peers leave the worker alone, or they hold it already.
+	// Assume one more lane, unless slots are reported or peers use the worker: they may hold that lane.
 	if a.lastLane && a.idleLane && !d.slotsKnown && w.lanes < int(w.Scale+0.5) && d.delay(w) < d.meanRun/50 {
 		w.lanes++
 	}
 }
 
-// observeStart learns from a start notice: what it waited beyond the way there is the backlog of peers.
+// observeStart learns from a start notice: peers caused the wait beyond the latency.
 func (d *Dispatcher) observeStart(a *attempt) {
 	w, running, took := a.w, 0, d.now-a.sent
 	a.started, w.latency = d.now, min(cmp.Or(w.latency, took), took)
@@ -85,7 +85,7 @@
 	}
 }
 
-// applyLoad takes in a load report: free slots bound the lanes that peers hold.
+// applyLoad takes in a load report. Lanes neither free nor filled by own attempts are held by peers.
 func (d *Dispatcher) applyLoad(w *worker, e *Event) {
 	if slots := int(e.Load.FreeSlots + 0.5); e.HasLoad && e.Load.FreeSlots >= 0 {
 		d.slotsKnown = true
@@ -98,23 +98,23 @@
 	}
 }
 
-// setSuspect shuts a suspect worker or opens it at a sign of life. When it is shut, held jobs go elsewhere.
-func (d *Dispatcher) setSuspect(w *worker, bad bool) {
-	if !bad {
+// setSuspect marks w suspect and moves its held jobs, or clears the mark at a sign of life if errs is 0.
+func (d *Dispatcher) setSuspect(w *worker, suspect bool) {
+	if !suspect {
 		if w.aliveAt = d.now; w.errs > 0 {
 			return
 		}
 	}
-	if bad != w.suspect {
-		verdict := map[bool]string{true: "suspected", false: "reopened"}[bad]
+	if suspect != w.suspect {
+		verdict := map[bool]string{true: "suspected", false: "reopened"}[suspect]
 		d.actions = append(d.actions, Action{Kind: Log, Text: "worker " + verdict})
 	}
-	if w.suspect, w.trialAt = bad, d.now+2*time.Second; bad {
+	if w.suspect, w.trialAt = suspect, d.now+2*time.Second; suspect {
 		d.release(w, true)
 	}
 }
 
-// speedAt is what a lane of a worker does at a time, cold start included.
+// speedAt is the speed of a lane of w at a time, reduced during a cold start.
 func (d *Dispatcher) speedAt(w *worker, at time.Duration) float64 {
 	if w.Since <= 0 || d.cfg.WarmUp <= 0 {
 		return w.speed
@@ -123,7 +123,7 @@
 	return w.speed * (d.cfg.ColdFrom + (1-d.cfg.ColdFrom)*age)
 }
 
-// reportAge is that of the last report, in mean runs: after one the lanes have other jobs. 0 without probes.
+// reportAge is the age of w's report in mean runs: beyond 1 its lanes have other jobs. 0 without reports.
 func (d *Dispatcher) reportAge(w *worker) float64 {
 	if !d.cfg.Probes || !d.cfg.ReportInProbes {
 		return 0
@@ -131,17 +131,17 @@
 	return float64(d.now-w.reportAt) / d.meanRun
 }
 
-// stale tells whether a worker is to be asked before it is sent to.
+// stale reports whether w has to be probed before a send.
 func (d *Dispatcher) stale(w *worker) bool { return d.reportAge(w) > 0.25 }
 
 // probeLimited reports whether this scheduler's part of the probes of w is used up; see Config.Questions.
 func (d *Dispatcher) probeLimited(w *worker) bool {
 	full, all := 1-d.freeShare, d.cfg.Replicas
-	of := min(all, minProbers+all*int(2*d.freeShare)) // all, where half of the answers find a lane
-	each := float64(of) * full * full * d.meanRun / (d.cfg.Questions * max(w.Scale, 1))
+	probers := min(all, minProbers+all*int(2*d.freeShare)) // all, where half of the reports have a free lane
+	interval := float64(probers) * full * full * d.meanRun / (d.cfg.Questions * max(w.Scale, 1))
 	return all > 1 && d.cfg.Questions > 0 && len(w.waiters) == 0 &&
-		(!d.owns(w, of) || float64(d.now-w.probedAt) < each)
+		(!d.owns(w, probers) || float64(d.now-w.probedAt) < interval)
 }
 
-// maxRounds is how often a job may ask: some workers at once, more as time goes by.
+// maxRounds is how often a job may probe a found worker: 8 times, and once more for each 100 ms.
 func (d *Dispatcher) maxRounds(j *job) int { return 8 + int((d.now-j.arrived)/(100*time.Millisecond)) }
--- a/policy/holding.go
+++ b/policy/holding.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// probeFirst probes the first workers of the job's range, for 0.6 points of the worth at most.
+// probeFirst probes the first workers of the job's range, for at most 0.6% of a mean job's worth.
 func (d *Dispatcher) probeFirst(j *job) {
 	left := int(0.006 / max(d.cfg.PriceProbe, 0.001))
 	for k := range 2 {
@@ -17,7 +17,7 @@
 	}
 }
 
-// probe asks a worker of which nothing is known that is new enough, and has the job wait; false: it need not.
+// probe has j wait for a probe of w. It returns false if w's report is recent or probes are limited.
 func (d *Dispatcher) probe(j *job, w *worker) bool {
 	if !d.stale(w) || d.probeLimited(w) {
 		return false
@@ -31,17 +31,17 @@
 	return true
 }
 
-// release releases held jobs, earliest deadline first, while lanes are free; a hopeless first one may move.
+// release sends held jobs by deadline while lanes are free. If move, it places a first job that is late anew.
 func (d *Dispatcher) release(w *worker, move bool) {
 	for n := len(w.held); n > 0 && len(w.held) > 0; n-- {
 		j, lanes := w.held[0], d.laneFreeTimes(w)
-		k, can := min(j.slots, len(lanes)), d.allowed(j, w) && j.slots <= len(lanes)
+		k, fits := min(j.slots, len(lanes)), d.allowed(j, w) && j.slots <= len(lanes)
 		start := max(lanes[k-1], d.now)
-		lost := !can || start+w.latency+time.Duration(j.size/d.speedAt(w, d.now)) > j.due
-		if d.wakeAt = min(d.wakeAt, start); lost && !move || !lost && start > d.now {
+		hopeless := !fits || start+w.latency+time.Duration(j.size/d.speedAt(w, d.now)) > j.due
+		if d.wakeAt = min(d.wakeAt, start); hopeless && !move || !hopeless && start > d.now {
 			return
 		}
-		if w.held, j.heldFor = w.held[1:], nil; lost ||
+		if w.held, j.heldFor = w.held[1:], nil; hopeless ||
 			d.stale(w) && (j.rounds < d.maxRounds(j) || d.reportAge(w) > 1) {
 			d.place(j)
 		} else {
@@ -50,7 +50,7 @@
 	}
 }
 
-// moveTime is when a repeatable attempt is better moved: half its slack has gone, or it doesn't move.
+// moveTime is when to move a repeatable attempt: half its slack is gone without a start, or progress is late.
 func (d *Dispatcher) moveTime(a *attempt) time.Duration {
 	switch c := &d.cfg.Classes[a.job.class]; {
 	case a.job.closed || !d.cfg.Cancel || !d.cfg.TellsStart || c.Effect != Repeatable: // never
@@ -63,12 +63,12 @@
 	return never
 }
 
-// canMove tells whether another worker would take an attempt's job now; if not, it is asked again later.
+// canMove reports whether another worker would take a's job now. If not, it is tried again after 100 ms.
 func (d *Dispatcher) canMove(a *attempt) bool {
 	a.nextMove, d.wakeAt = d.now+1e8, min(d.wakeAt, d.now+1e8)
 	a.job.inFlight--
 	found := d.pick(a.job, a.w)
-	if a.job.inFlight++; found == nil || d.probe(a.job, found) { // not for a guess
+	if a.job.inFlight++; found == nil || d.probe(a.job, found) { // not without a recent report
 		return false
 	}
 	a.job.movedFrom = a.w
--- a/policy/step.go
+++ b/policy/step.go
@@ -10,7 +10,7 @@
 
 const never, goodEnough, owners, minProbers = time.Duration(math.MaxInt64), 0.995, 4, 8
 
-// New makes the Dispatcher of one scheduler; settings that make no sense are an error.
+// New returns the Dispatcher of one scheduler. Invalid settings give an error that names the setting.
 func New(cfg Config, seed uint64) (*Dispatcher, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -22,7 +22,7 @@
 		meanDelay: make([]float64, (cfg.Zones+1)*k), zones: make([]zone, cfg.Zones+1)}, nil
 }
 
-// Step takes what happened at now and appends what to do to out.
+// Step handles the events of time now and appends the actions to carry out to out.
 func (d *Dispatcher) Step(now time.Duration, in []Event, out []Action) []Action {
 	d.now, d.actions = now, out
 	for i := range in {
@@ -35,13 +35,13 @@
 				d.close(j)
 			}
 		case AttemptEnded, JobStarted, JobProgress, AnswerBegun:
-			j := d.jobs[e.Job] // nil, or done: late news of what is over
+			j := d.jobs[e.Job] // nil or done: a late event of an attempt that is over
 			if j != nil && e.Attempt >= 0 && e.Attempt < len(j.attempts) && !j.attempts[e.Attempt].done {
 				d.attemptEvent(e, j.attempts[e.Attempt])
 			}
 		case WorkerList:
 			d.updateList(e)
-		case ListLost: // ask again, after a jittered wait that grows with each failure
+		case ListLost: // retry after a jittered wait that grows with each failure
 			d.watching, d.listFailures = false, min(d.listFailures+1, 8)
 			d.watchAt = now + time.Duration((0.5+d.rng.Float64())*float64(d.listFailures)*5e8)
 		case ProbeEnded:
@@ -55,7 +55,7 @@
 			if w.waiters = w.waiters[:0]; e.Result == OK {
 				z.silentShare -= z.silentShare / 6
 				if w.suspect && w.errs == 0 && now-w.aliveAt > d.cfg.OverloadFor || w.reportAt < z.silentAt {
-					w.Since = d.now // back from silence, its own or its zone's: cold, until a list tells
+					w.Since = d.now // it or its zone was silent: cold until a list says otherwise
 				}
 				w.reportAt = d.now
 				d.applyLoad(w, e)
@@ -63,7 +63,7 @@
 				d.observeDelay(w, float64(e.Took-w.latency))
 				d.setSuspect(w, false)
 			} else if w.muteUntil = d.now + time.Duration(d.meanRun/4); e.Result == TimedOut ||
-				e.Result == ConnectFailed { // probes do not wait behind jobs
+				e.Result == ConnectFailed { // probes don't queue behind jobs
 				if z.silentShare += (1 - z.silentShare) / 6; z.silentShare > 0.5 {
 					z.silentAt = d.now
 				}
@@ -75,7 +75,7 @@
 	return d.actions
 }
 
-// jobArrived sizes the job, sets its deadline and admits or refuses it.
+// jobArrived estimates the job's size, sets its deadline and probes for it, or places it at once.
 func (d *Dispatcher) jobArrived(e *Event) {
 	c, f := &d.cfg.Classes[e.Class], &d.estimators[e.Class]
 	j := &job{id: e.Job, class: e.Class, slots: max(e.Slots, 1), arrived: d.now,
@@ -83,8 +83,8 @@
 	d.jobs[j.id], d.maxBudget[j.class] = j, max(d.maxBudget[j.class], e.Budget)
 	f.observeHint(math.Log(j.hint))
 	j.size, j.coldSize = f.size(j.hint), j.hint*min(1, 10-f.runs)
-	// A later try has used up some of its client's time: beyond two advised waits it is short patience.
-	spent := max(0, d.maxBudget[j.class]-e.Budget-e.Waited) // to wait for its time was its own wish
+	// A retry has used part of its client's time. A budget less by over two advised waits is not a retry's.
+	spent := max(0, d.maxBudget[j.class]-e.Budget-e.Waited) // the client asked for e.Waited itself
 	if !e.Retry && spent > 2*d.cfg.MaxRetryAfter+500*time.Millisecond {
 		spent = 0
 	}
@@ -94,7 +94,7 @@
 	}
 	d.meanWorth, d.meanRun = cmp.Or(d.meanWorth, j.value), cmp.Or(d.meanRun, j.size)
 	d.meanWorth += (j.value - d.meanWorth) * 0.02
-	d.freeShare += (1 - d.freeShare) / 100 // who asks nobody any more asks all again
+	d.freeShare += (1 - d.freeShare) / 100 // without reports, probing resumes in time
 	d.meanGap, d.lastArrival = d.meanGap+(float64(d.now-cmp.Or(d.lastArrival, d.now))-d.meanGap)/20, d.now
 	if d.moveBound(j.size); d.ranges > 1 && j.size > d.sizeBound {
 		j.firstList = 2
@@ -102,7 +102,7 @@
 	d.probeFirst(j)
 }
 
-// attemptEvent is what a worker tells of an attempt that is out.
+// attemptEvent handles an event of an attempt in flight.
 func (d *Dispatcher) attemptEvent(e *Event, a *attempt) {
 	j, w := a.job, a.w
 	if e.Kind == AttemptEnded && e.Result == OK {
@@ -119,7 +119,7 @@
 	}
 	a.done, j.inFlight, j.closed = true, j.inFlight-1, j.closed || e.Finished
 	if j.mayRun == a && e.Result.NeverRan() {
-		j.mayRun = nil // proved: and no other attempt was out with it
+		j.mayRun = nil // it never ran, and no other attempt was in flight with it
 	}
 	d.applyLoad(w, e)
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(o *attempt) bool { return o == a })
@@ -131,13 +131,13 @@
 	case Full:
 		w.lanes, w.wait, w.waitAt = max(1, w.lanes-1), max(w.wait-float64(d.now-w.waitAt), d.meanRun), d.now
 		d.observeDelay(w, 4*d.meanRun)
-	case AppError: // one that fails jobs looks idle: no sign of life opens it, only jobs that end well
+	case AppError: // a worker that fails jobs looks idle: only successful jobs clear it
 		w.errs = min(w.errs+2, 4)
 		d.setSuspect(w, true)
 	case ConnectFailed, ConnectionLost:
-		j.lostOnCold = j.lostOnCold || d.speedAt(w, d.now) < w.speed // by it, maybe
+		j.lostOnCold = j.lostOnCold || d.speedAt(w, d.now) < w.speed // maybe because of it
 		d.setSuspect(w, true)
-	case Cancelled: // moved away
+	case Cancelled: // to move it to another worker
 		if a.started == 0 {
 			d.observeDelay(w, 2*float64(d.now-a.sent))
 		}
@@ -152,7 +152,7 @@
 }
 
 func (d *Dispatcher) updateList(e *Event) {
-	if d.listFailures = 0; e.Stale { // a start: hundreds at once must not all ask at once
+	if d.listFailures = 0; e.Stale { // after a restart: spreads the requests of hundreds of schedulers
 		d.watchAt = d.now + time.Duration(d.rng.Float64()*float64(min(d.cfg.Replicas, 500))*5e6)
 	}
 	for _, w := range d.ready {
@@ -174,10 +174,10 @@
 		}
 	}
 	d.ready = slices.DeleteFunc(d.ready, func(w *worker) bool { return !w.listed })
-	d.rebuildLists() // what was held for a worker that left goes elsewhere in sweep
+	d.rebuildLists() // sweep moves the jobs held for workers that left
 }
 
-// sweep judges the silent, moves the hopeless, probes, releases what can go, and sets one timer.
+// sweep ends waits for probes, moves jobs, marks silent workers suspect, releases jobs and sets one timer.
 func (d *Dispatcher) sweep() {
 	waiting := d.probing
 	d.wakeAt, d.probing = never, nil
@@ -190,14 +190,14 @@
 		if !j.closed && j.pending > 0 && d.now < j.probeDeadline {
 			d.wakeAt, d.probing = min(d.wakeAt, j.probeDeadline), append(d.probing, j)
 		} else if j.pending = 0; !j.closed && j.inFlight == 0 && j.heldFor == nil {
-			d.place(j) // it may ask again
+			d.place(j) // which may probe again
 		}
 	}
 	for _, w := range d.active {
 		for _, a := range w.inFlight {
 			took := float64(d.now - a.sent - w.latency)
 			if d.cfg.TellsStart && a.idleLane && a.started == 0 && !a.delayCounted && took > d.meanRun/2 {
-				a.delayCounted = true // one that has waited long will wait about as long again
+				a.delayCounted = true // expect it to wait as long again
 				d.observeDelay(w, 2*took)
 			}
 			if due := d.moveTime(a); d.now < due {
@@ -216,7 +216,7 @@
 			}
 		}
 	}
-	for i := 0; i < len(d.active); i++ { // it grows when a job moves
+	for i := 0; i < len(d.active); i++ { // d.active grows when a job moves
 		d.release(d.active[i], true)
 	}
 	d.active = slices.DeleteFunc(d.active, func(w *worker) bool {
@@ -230,7 +230,7 @@
 	}
 }
 
-// finish is the only way to give an answer: a refusal where a repeat is harmless, else a failure.
+// finish is the only function that answers a job: it refuses if a repeat is harmless, else it fails the job.
 func (d *Dispatcher) finish(j *job) {
 	if j.mayRun == nil || d.cfg.Classes[j.class].Harmless() {
 		d.actions = append(d.actions, Action{Kind: Refuse, Job: j.id, After: d.cfg.MaxRetryAfter})
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,8 +1,8 @@
-// Package policy decides, for one scheduler among several, which worker each job goes to and when,
-// and which jobs are held, refused or failed. It is RT-ClassBased of Gamini Abhaya, Tari and Bertok,
-// extended where a fleet with failing workers and unseen peers breaks the paper's assumptions.
+// Package policy decides, for one scheduler among several, to which worker each job is sent and when, and
+// which jobs are held, refused or failed. It implements RT-ClassBased of Gamini Abhaya, Tari and Bertok and
+// extends it for fleets with failing workers and with peers that can't be seen, which the paper excludes.
 //
-// This file is the interface: settings, events, actions. The decisions begin in step.go.
+// This file is the interface: settings, events and actions. The decisions begin in step.go.
 // A Dispatcher is single-threaded and deterministic: it reads no clock, does no I/O and starts no
 // goroutine; equal settings, seed and events give equal actions.
 package policy
@@ -13,17 +13,17 @@
 	"time"
 )
 
-// Effect says what a second execution of a job of a class would do.
+// Effect states what a second execution of a job does.
 type Effect uint8
 
-// The kinds of effect.
+// The effects.
 const (
-	Repeatable Effect = iota // may run any number of times
-	Keyed                    // workers of one group drop repeats for a while
-	Unsafe                   // must never run twice
+	Repeatable Effect = iota // a job may run any number of times
+	Keyed                    // workers of one group drop repeats for Class.KeyTTL
+	Unsafe                   // a job must never run twice
 )
 
-// Group names the workers that drop each other's repeats of a keyed job.
+// Group is the set of workers that drop each other's repeats of a keyed job.
 type Group uint8
 
 // The groups of a keyed class.
@@ -36,9 +36,9 @@
 // Class is the settings of one class of jobs.
 type Class struct {
 	Name     string
-	OnTime   time.Duration // worth something until OnTime + Stretch x size after arrival
+	OnTime   time.Duration // a job is worth something until OnTime + Stretch x size after arrival
 	Stretch  float64
-	Deadline time.Duration // what a client waits over all its tries
+	Deadline time.Duration // how long a client waits over all its tries
 	Effect   Effect
 	Group    Group
 	KeyTTL   time.Duration // how long repeats of a keyed job are dropped, from the first send
@@ -52,7 +52,7 @@
 	Quota float64
 }
 
-// Config is what a scheduler is told at its start. Zero values mean absent; New fills in defaults.
+// Config is the settings of a scheduler. Zero values mean absent; New fills in defaults.
 type Config struct {
 	Ordinal, Replicas int // this scheduler's number and how many there are
 	Zone              int // own zone
@@ -61,9 +61,9 @@
 	Classes           []Class
 	Tenants           []Tenant
 	Ask               bool          // the worker list comes only on request
-	TellsStart        bool          // workers tell when a job starts
-	Progress          time.Duration // how often they tell of progress; 0: never
-	Probes, Cancel    bool          // what the scheduler may do
+	TellsStart        bool          // workers report when a job starts
+	Progress          time.Duration // how often they report progress; 0: never
+	Probes, Cancel    bool          // whether the scheduler may probe and cancel
 	SecondCopies      bool
 	MaxAttempts       int
 	MaxRetryAfter     time.Duration
@@ -71,33 +71,33 @@
 	WorthByWork       bool
 	OverShareWorth    float64
 	PriceCross        float64 // per send that crosses zones, as a share of a mean job's worth
-	PriceWaste        float64 // per unit of work that serves no answer, likewise
-	PriceProbe        float64 // per probe, likewise
-	ReportInAnswers   bool    // load comes with answers
-	ReportInProbes    bool    // load comes with probes
+	PriceWaste        float64 // per unit of work that serves no answer, as such a share
+	PriceProbe        float64 // per probe, as such a share
+	ReportInAnswers   bool    // answers carry a load report
+	ReportInProbes    bool    // probes return a load report
 	DrainGrace        time.Duration
 	AskWithin         time.Duration
 	AnswerGrace       time.Duration
-	ColdFrom          float64 // a started worker's least share of its capacity
+	ColdFrom          float64 // share of its capacity that a worker has at its start
 	WarmUp            time.Duration
-	TipMultiple       float64 // a cold worker falls over when sent this many times its capacity
+	TipMultiple       float64 // a cold worker fails when sent this many times its capacity
 	OverloadFor       time.Duration
-	// Questions is how often all schedulers together ask a worker in the length of a run, for each standard
-	// lane, while no answer tells of a free one: eight ask then, the same whoever runs, in equal parts. The
-	// interval falls with the square of the answers' share that tells of none; up to a half, all ask in equal
-	// parts. 0: there is no bound.
+	// Questions limits the probes of a worker, as many schedulers see one freed lane and queue for it. It is
+	// how many probes all schedulers together send per mean run and standard lane while no report has a free
+	// lane. Then the same eight schedulers probe the worker, at equal rates. The interval falls with the
+	// square of the share of reports without a free lane. While half of the reports have one, all schedulers
+	// probe, at equal rates. 0: no limit.
 	Questions float64
-	KeepLanes bool // while most answers tell of no free lane, one that an own job frees is taken unasked
-	// Margin is how many times the delay that peers have caused at a worker a job's slack must be for it to
-	// be let onto that worker while no answer tells of a free lane; less in proportion where some do, half
-	// of it at least. 0: half of it, always.
+	KeepLanes bool // while most reports have no free lane, refill one that an own job freed without a probe
+	// Margin is the slack that a job needs to be admitted to a worker, as a multiple of the delay by peers
+	// there: Margin x the share of reports without a free lane + 0.5.
 	Margin float64
-	// Repeats is how many sends beyond a job's first are allowed for each first send. A scheduler begins with
-	// none and saves up one, so those of all together are at most Repeats x first sends. 0: no bound.
+	// Repeats is how many sends beyond a job's first are allowed for each first send. A scheduler starts with
+	// none and saves up one at most, so all repeats are at most Repeats x first sends. 0: no limit.
 	Repeats float64
 }
 
-// check finds settings that make no sense and fills in what is absent.
+// check returns an error for invalid settings and fills in defaults.
 func (c *Config) check() error {
 	if len(c.Classes) == 0 {
 		return errors.New("policy: Classes: no classes")
@@ -114,7 +114,7 @@
 	}
 	for _, k := range c.Classes {
 		if k.Deadline < 0 || k.OnTime < 0 || k.Stretch < 0 || k.Kind >= c.Kinds {
-			return errors.New("policy: class " + k.Name + ": a negative figure, or a kind that is not there")
+			return errors.New("policy: class " + k.Name + ": a negative figure, or an unknown kind")
 		}
 	}
 	if !(c.Questions >= 0) || math.IsInf(c.Questions, 0) {
@@ -131,13 +131,13 @@
 	return nil
 }
 
-// Load is a worker's report of itself; a field below zero was not reported.
+// Load is a worker's load report. A field below zero was not reported.
 type Load struct {
 	FreeSlots, Queue, InFlight, Busy float64
 	Latency                          time.Duration
 }
 
-// State is what the list says of a worker.
+// State is the state of a worker in the list.
 type State uint8
 
 // The states of a listed worker.
@@ -147,7 +147,7 @@
 	Gone
 )
 
-// Worker is one entry of the list. Since is when its process started, 0: long ago.
+// Worker is one entry of the list. Since is when its process started; 0: long ago.
 type Worker struct {
 	ID         uint32
 	Zone, Kind int
@@ -170,41 +170,41 @@
 	ConnectionLost
 	Cancelled
 	NeverSent
-	Rejected // the worker will not take a job like this one, which says nothing about the worker
+	Rejected // the worker doesn't accept such a job; this isn't the worker's fault
 )
 
-// NeverRan tells whether a result proves that the job did not run.
+// NeverRan reports whether a result proves that the job did not run.
 func (r Result) NeverRan() bool { return r == Full || r == ConnectFailed || r == NeverSent }
 
-// Harmless tells whether a repeat of a job does no harm though it may have run.
+// Harmless reports whether a job of the class may be repeated although it may have run.
 func (c *Class) Harmless() bool {
 	return c.Effect == Repeatable || c.Effect == Keyed && c.Group == GroupAll
 }
 
-// EventKind says which fields of an Event count.
+// EventKind is the kind of an Event and determines which of its fields are used.
 type EventKind uint8
 
 // The events.
 const (
 	JobArrived   EventKind = iota // Job, Class, Tenant, Budget, Waited, Size (0: no hint), Slots, Retry
-	ClientGone                    // Job: nothing is owed any more
+	ClientGone                    // Job: it needs no answer any more
 	AttemptEnded                  // Job, Attempt, Worker, Result, Took, Finished, Load
 	JobStarted                    // Job, Attempt, Worker
 	JobProgress                   // Job, Attempt, Worker, Share
 	AnswerBegun                   // Job, Attempt, Worker: the attempt now belongs to the client
-	WorkerList                    // Workers, Whole (else changes), Stale (a copy from before a restart)
+	WorkerList                    // Workers, Whole (else only changes), Stale (a copy from before a restart)
 	ListLost                      // a call for the list failed or the subscription broke
 	ProbeEnded                    // Worker, Result, Took, Load
 	TimerFired                    // Timer
 )
 
-// Event is one thing that the scheduler saw. Events of a Step happened at its time, in order.
+// Event is one event that the scheduler observed. The events of a Step happened at its time, in order.
 type Event struct {
 	Kind          EventKind
 	Job           uint64
 	Class, Tenant int // Tenant -1: none
 	Budget, Size  time.Duration
-	Waited        time.Duration // of its client's time, spent by the client's own wish
+	Waited        time.Duration // part of its client's time that the client asked to wait
 	Slots         int
 	Retry         bool
 	Attempt       int
@@ -220,22 +220,22 @@
 	Timer         uint64
 }
 
-// ActionKind says which fields of an Action count.
+// ActionKind is the kind of an Action and determines which of its fields are used.
 type ActionKind uint8
 
 // The actions.
 const (
 	Send   ActionKind = iota // Job, Worker, After (time-out; 0: until the client gives up)
 	Cancel                   // Job, Attempt
-	Refuse                   // Job, After (advice to stay away): trying again is harmless
-	Fail                     // Job: promises nothing
+	Refuse                   // Job, After (advised wait): a retry is harmless
+	Fail                     // Job: it may have run
 	Probe                    // Worker
-	Timer                    // After, Timer: give back a TimerFired
-	Watch                    // ask for the list and its changes
+	Timer                    // After, Timer: pass a TimerFired after that time
+	Watch                    // request the list and its changes
 	Log                      // Text
 )
 
-// Action is one thing for the scheduler to do, in the order given, at the time of the Step.
+// Action is one action for the scheduler to carry out, in the order given, at the time of the Step.
 type Action struct {
 	Kind    ActionKind
 	Job     uint64
--- a/policy/view.go
+++ b/policy/view.go
@@ -1,9 +1,9 @@
 package policy
 
-// What others may read of a Dispatcher's state between Steps. Reading decides nothing and changes nothing.
+// This file has the accessors of a Dispatcher's state. They may be called between Steps and change nothing.
 
-// Suspect tells whether this scheduler keeps away from a worker by its own judgement: it failed jobs, lost
-// connections or left a probe unanswered, and has given no sign of life since.
+// Suspect reports whether this scheduler suspects a listed worker: the worker failed jobs, refused or lost a connection,
+// left a probe unanswered or was silent about an attempt for too long, and has not recovered since.
 func (d *Dispatcher) Suspect(id uint32) bool {
 	w := d.workers[id]
 	return w != nil && w.listed && w.suspect
