--- a/policy/sizing/demand.go
+++ b/policy/sizing/demand.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Task is a task as the demand test sees it.
+// Task is a task in a demand test.
 type Task struct {
-	Remaining time.Duration // of its run, once it runs
+	Remaining time.Duration // length of its run, or what remains of it if it has started
 	Deadline  time.Duration
-	Lanes     int  // that it takes at once; under one counts as one
-	Started   bool // it has its lanes, and keeps them until it ends
+	Lanes     int  // lanes that it takes at once; less than one counts as one
+	Started   bool // it holds its lanes until it ends
 }
 
-// Demand is the EDF demand test of one set of lanes. The zero value is ready; it keeps room for the lanes between calls, so
-// use one for many tests.
+// Demand is the EDF demand test for a set of lanes. The zero value is ready for use. It keeps its buffer between calls, so
+// reuse one for many tests.
 type Demand struct {
-	free []time.Duration // when each lane is free, ascending
+	free []time.Duration // when each lane becomes free, ascending
 }
 
-// Passes tells whether the new task, and each accepted one that it delays, ends by its deadline. See Ends.
+// Passes reports whether the candidate and each accepted task that it delays ends by its deadline. See Ends.
 func (d *Demand) Passes(now time.Duration, lanes int, accepted []Task, candidate Task) bool {
 	_, ok := d.Ends(now, lanes, accepted, candidate)
 	return ok
 }
 
-// Ends tells when a new task ends if it is let onto the lanes, and whether it and each accepted one that it delays ends by
-// its deadline. Counted from now, started tasks run on, and the others start by deadline, the new one behind its equals, none
-// before the one ahead of it. Accepted tasks are sorted by deadline. Those ahead of the new one are not judged: it doesn't
-// delay them.
+// Ends returns when the candidate ends if it is accepted, and whether it and each accepted task that it delays ends by its
+// deadline. The accepted tasks must be sorted by deadline. From now on, started tasks keep running. The others start in order
+// of deadlines, the candidate after those of an equal deadline, and none starts before the one ahead of it. Tasks ahead of the
+// candidate are not tested, as it doesn't delay them.
 //
-// The answer holds, too, if runs turn out shorter than told. With one lane a set that fails can't be run in time in any other
-// order either. A test takes O(len(accepted) x lanes), and doesn't allocate but for more lanes than ever before.
+// The result still holds if runs turn out shorter. On one lane, a set that fails can't meet its deadlines in any other order
+// either. A test takes O(len(accepted) x lanes) and allocates only for more lanes than in any test before.
 func (d *Demand) Ends(now time.Duration, lanes int, accepted []Task, candidate Task) (ends time.Duration, ok bool) {
 	if width(candidate) > lanes {
 		return 0, false
@@ -58,7 +58,7 @@
 	return ends, ends <= candidate.Deadline
 }
 
-// reset frees all lanes at now, but for those of started tasks.
+// reset makes all lanes free at now, except those of started tasks.
 func (d *Demand) reset(now time.Duration, lanes int, accepted []Task) {
 	d.free = slices.Grow(d.free[:0], lanes)
 	for range lanes {
@@ -67,12 +67,12 @@
 	for _, task := range accepted {
 		if task.Started {
 			taken := min(width(task), lanes)
-			d.occupy(taken, max(now+max(task.Remaining, 0), d.free[taken-1])) // later where more runs than there are lanes
+			d.occupy(taken, max(now+max(task.Remaining, 0), d.free[taken-1])) // later if more tasks run than there are lanes
 		}
 	}
 }
 
-// start runs a task on the lanes that are free first, and returns when it ends.
+// start runs a task on the lanes that become free first and returns when it ends.
 func (d *Demand) start(task Task) time.Duration {
 	taken := min(width(task), len(d.free))
 	end := d.free[taken-1] + max(task.Remaining, 0)
@@ -80,7 +80,7 @@
 	return end
 }
 
-// occupy keeps the first lanes until end, and the order of all.
+// occupy takes the first lanes until end and keeps all lanes sorted.
 func (d *Demand) occupy(lanes int, end time.Duration) {
 	at := lanes
 	for at < len(d.free) && d.free[at] < end {
--- a/policy/sizing/estimator.go
+++ b/policy/sizing/estimator.go
@@ -6,40 +6,40 @@
 )
 
 const (
-	// initialSlope is the share of a hint's distance from the mean hint, as logarithms, that is believed at first:
-	// small rough hints are too small more often than not, large ones too large.
+	// initialSlope is the share of a hint's distance from the mean hint, as logarithms, that counts before runs are
+	// measured: small rough hints are too small more often than not, and large ones too large.
 	initialSlope = 0.5
 	// meanWindow is how many hints or runs a mean goes back over.
 	meanWindow = 300
 	// priorRuns is how many runs the slope at the start weighs.
 	priorRuns = 10
-	// shiftRate is the part of a surprise by which the whole line moves.
+	// shiftRate is the share of an error by which the whole line moves.
 	shiftRate = 0.01
 )
 
-// Estimator corrects the hints of one kind of task by what its runs have measured: the logarithm of the size is a line over
-// the logarithm of the hint. Which tasks share an Estimator is the caller's choice. Make one with NewEstimator.
+// Estimator corrects the hints of one kind of task by the measured lengths of its runs: the logarithm of the size is a linear
+// function of the logarithm of the hint. The caller chooses which tasks share an Estimator. Make one with NewEstimator.
 type Estimator struct {
-	hints, runs float64 // how many of each
-	meanHint    float64 // of logarithms
+	hints, runs float64 // number of each observed
+	meanHint    float64 // mean logarithm of hints
 	shift       float64 // of the line at the mean hint
 	variance    float64 // of logarithms of hints
 	covariance  float64 // of logarithms of hints and of sizes
 }
 
-// NewEstimator returns an Estimator that has seen nothing.
+// NewEstimator returns an Estimator without observations.
 func NewEstimator() Estimator {
 	return Estimator{variance: 1, covariance: initialSlope}
 }
 
-// Hinted takes in the hint of a task that arrives. All that arrive count, run or not: those that are run in time are smaller
-// than the mean. Call it before Size and Observe for the task.
+// Hinted adds the hint of a task that arrives. All arriving tasks count, run or not: those that run in time are smaller than
+// the mean. Call it before Size and Observe for the task.
 func (e *Estimator) Hinted(hint time.Duration) {
 	e.hints++
 	e.meanHint += (logarithm(hint) - e.meanHint) / min(e.hints, meanWindow)
 }
 
-// Observe takes in the measured length of a run and the hint that the task came with.
+// Observe adds the measured length of a run and the hint of its task.
 func (e *Estimator) Observe(hint, measured time.Duration) {
 	e.runs++
 	rate := 1 / min(e.runs+priorRuns, meanWindow)
@@ -50,7 +50,7 @@
 	e.covariance += rate * (distance*(size-e.meanHint-e.shift) - e.covariance)
 }
 
-// Size returns the size to expect of a task with this hint; one that isn't positive stands for the mean hint.
+// Size returns the expected size of a task with this hint. A hint that isn't positive stands for the mean hint.
 func (e *Estimator) Size(hint time.Duration) time.Duration {
 	distance := 0.0
 	if hint > 0 {
@@ -59,13 +59,13 @@
 	return duration(math.Exp(e.meanHint + e.shift + e.covariance/e.variance*distance))
 }
 
-// Measured returns how many runs have been taken in.
+// Measured returns the number of runs observed.
 func (e *Estimator) Measured() int { return int(e.runs) }
 
-// logarithm takes what is not positive for the shortest time there is.
+// logarithm treats a duration that isn't positive as 1 ns.
 func logarithm(d time.Duration) float64 { return math.Log(float64(max(d, 1))) }
 
-// duration returns nanoseconds as a time.Duration, the longest there is for more.
+// duration returns nanoseconds as a time.Duration, at most the longest one.
 func duration(nanoseconds float64) time.Duration {
 	if nanoseconds >= math.MaxInt64 {
 		return math.MaxInt64
--- a/policy/sizing/layout.go
+++ b/policy/sizing/layout.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// Layout deals a number of workers out to the ranges of a Map: each range has a contiguous part of the sorted workers, in
-// proportion to its share of the work, one at least. Every scheduler that knows the same workers and shares has the same.
-// A Layout doesn't change; make another with Map.Layout when workers come or go, or when the shares have moved.
+// Layout assigns workers to the ranges of a Map: each range has a contiguous part of the sorted workers, in proportion to its
+// share of the work, at least one. Schedulers that know the same workers and shares have equal Layouts.
+// A Layout is immutable: make a new one with Map.Layout when the workers or the shares have changed.
 type Layout struct {
-	ends   []int   // behind the last worker of each range
-	orders [][]int // for each range, all ranges by distance
+	ends   []int   // index after the last worker of each range
+	orders [][]int // for each range, all ranges by distance from it
 }
 
-// Layout returns the ranges of so many workers: one range for all while there are under WorkersPerRange for each.
+// Layout returns the Layout of a number of workers. All share one range if there are under WorkersPerRange for each range.
 func (m *Map) Layout(workers int) Layout {
 	workers = max(workers, 0)
 	ranges := m.Ranges()
@@ -30,8 +30,8 @@
 	return layout
 }
 
-// byDistance returns all ranges from the own one outwards. Of two as far the one of larger tasks comes first: they have more
-// time to spare.
+// byDistance returns all ranges from its own outwards. Of two at equal distance, the one of larger tasks comes first: larger
+// tasks have more slack.
 func byDistance(own, ranges int) []int {
 	order := []int{own}
 	for distance := 1; distance < ranges; distance++ {
@@ -45,16 +45,16 @@
 	return order
 }
 
-// Ranges returns how many ranges the workers are dealt out to: those of the Map, or one.
+// Ranges returns the number of ranges to which workers are assigned: that of the Map, or one.
 func (l Layout) Ranges() int { return len(l.ends) }
 
-// Order returns the ranges in which to look for a worker for a task of range r of the Map: its own, then the others by
-// distance. The caller mustn't change it.
+// Order returns the ranges in which to search for a worker for a task of range r of the Map: its own, then the others by
+// distance. The caller must not modify the result.
 func (l Layout) Order(r int) []int {
 	return l.orders[min(r, len(l.orders)-1)]
 }
 
-// Span returns where the workers of range r of the Map begin and end among the sorted ones, the end not included.
+// Span returns the half-open interval of the sorted workers that belongs to range r of the Map.
 func (l Layout) Span(r int) (begin, end int) {
 	r = min(r, len(l.ends)-1)
 	if r > 0 {
@@ -63,7 +63,7 @@
 	return begin, l.ends[r]
 }
 
-// Workers returns the part of the sorted workers that range r has, of as many as the Layout was made for.
+// Workers returns the workers of range r. The sorted workers must be as many as the Layout was made for.
 func Workers[W any](l Layout, r int, sorted []W) []W {
 	begin, end := l.Span(r)
 	return sorted[begin:end:end]
--- a/policy/sizing/queue.go
+++ b/policy/sizing/queue.go
@@ -8,17 +8,17 @@
 	"github.com/google/btree"
 )
 
-// queueDegree is the degree of the tree that a Queue is.
+// queueDegree is the degree of a Queue's B-tree.
 const queueDegree = 16
 
-// Ticket names what a Queue holds: its deadline, and its number among all that were pushed.
+// Ticket identifies a value in a Queue by its deadline and its number among all values pushed.
 type Ticket struct {
 	Deadline time.Duration
 	number   uint64
 }
 
-// Queue holds values earliest deadline first, those of equal deadlines in the order in which they came. Push, Pop and
-// Remove take O(log n). Make one with NewQueue.
+// Queue holds values in order of deadlines, and those of equal deadlines in the order of Push. Push, Pop and Remove take
+// O(log n). Make one with NewQueue.
 type Queue[T any] struct {
 	tree       *btree.BTreeG[queueItem[T]]
 	lastNumber uint64
@@ -39,10 +39,10 @@
 	return order < 0 || order == 0 && a.ticket.number < b.ticket.number
 }
 
-// Len returns how many values are held.
+// Len returns the number of values held.
 func (q *Queue[T]) Len() int { return q.tree.Len() }
 
-// Push holds a value, and returns the ticket by which Remove finds it.
+// Push adds a value and returns the ticket by which Remove finds it.
 func (q *Queue[T]) Push(deadline time.Duration, value T) Ticket {
 	q.lastNumber++
 	ticket := Ticket{Deadline: deadline, number: q.lastNumber}
@@ -50,25 +50,25 @@
 	return ticket
 }
 
-// First returns what has the earliest deadline; false: nothing is held.
+// First returns the value with the earliest deadline; false if the Queue is empty.
 func (q *Queue[T]) First() (Ticket, T, bool) {
 	first, ok := q.tree.Min()
 	return first.ticket, first.value, ok
 }
 
-// Pop takes out what has the earliest deadline; false: nothing is held.
+// Pop removes the value with the earliest deadline and returns it; false if the Queue is empty.
 func (q *Queue[T]) Pop() (Ticket, T, bool) {
 	first, ok := q.tree.DeleteMin()
 	return first.ticket, first.value, ok
 }
 
-// Remove takes out a value by its ticket; false: it is held no more.
+// Remove removes the value of a ticket and returns it; false if the Queue no longer holds it.
 func (q *Queue[T]) Remove(ticket Ticket) (T, bool) {
 	removed, ok := q.tree.Delete(queueItem[T]{ticket: ticket})
 	return removed.value, ok
 }
 
-// All goes through what is held, earliest deadline first, as far as the caller wants. The Queue mustn't change meanwhile.
+// All iterates over the values, earliest deadline first. The Queue must not change meanwhile.
 func (q *Queue[T]) All() iter.Seq2[Ticket, T] {
 	return func(yield func(Ticket, T) bool) {
 		q.tree.Ascend(func(held queueItem[T]) bool {
--- a/policy/sizing/sizemap.go
+++ b/policy/sizing/sizemap.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// WorkersPerRange is how many workers a Layout needs for each range; with fewer all share one range.
+	// WorkersPerRange is the number of workers that a Layout needs for each range. With fewer, all share one range.
 	WorkersPerRange = 5
-	// boundStep is how far the bounds move for a task of mean size, as logarithms and all together: the more ranges, the
-	// finer they have to lie.
+	// boundStep is how far the bounds move for a task of mean size, as logarithms, summed over all bounds: with more ranges
+	// each bound has to be more precise.
 	boundStep = 0.2
-	// largestWeight is the most that one task weighs, in mean sizes.
+	// largestWeight limits the weight of one task, in mean sizes.
 	largestWeight = 4
 	// meanRate and shareRate are the weights of a new task in the mean size and in the shares of the work.
 	meanRate, shareRate = 0.02, 0.005
 )
 
-// Map splits sizes into ranges of which each has about the same part of all work: the bounds follow the tasks observed.
+// Map divides sizes into ranges with about equal shares of all work. The bounds follow the tasks observed.
 // Make one with NewMap.
 type Map struct {
 	bounds []float64 // in nanoseconds, ascending: bounds[r] is between range r and r+1
-	work   []float64 // moving mean of the work that comes to each range with a task
-	mean   float64   // size, in nanoseconds; 0 before the first task
+	work   []float64 // moving mean, per task, of the work that arrives in each range
+	mean   float64   // mean size, in nanoseconds; 0 before the first task
 }
 
-// NewMap returns a Map of so many ranges, one at least.
+// NewMap returns a Map with the given number of ranges, at least one.
 func NewMap(ranges int) *Map {
 	ranges = max(ranges, 1)
 	return &Map{bounds: make([]float64, ranges-1), work: make([]float64, ranges)}
@@ -34,7 +34,7 @@
 // Ranges returns the number of ranges.
 func (m *Map) Ranges() int { return len(m.work) }
 
-// Observe takes in the size of a task that arrives. A size that isn't positive is passed over.
+// Observe adds the size of a task that arrives. A size that isn't positive is ignored.
 func (m *Map) Observe(size time.Duration) {
 	if size <= 0 {
 		return
@@ -58,8 +58,8 @@
 	}
 }
 
-// moveBounds moves each bound towards the size that has its part of the work below it: where parts above and below balance,
-// the steps up and down by what comes cancel out.
+// moveBounds moves each bound towards the size that has its share of the work below it. At that size the steps up and down
+// cancel out.
 func (m *Map) moveBounds(size float64) {
 	weight := boundStep / float64(len(m.work)) * min(size/m.mean, largestWeight)
 	lowest := 0.0
@@ -91,7 +91,7 @@
 	return len(m.bounds)
 }
 
-// Bound returns the greatest size of a range; the last range has none, and gives the longest duration there is.
+// Bound returns the largest size of range r. The last range is unbounded: its bound is the longest duration.
 func (m *Map) Bound(r int) time.Duration {
 	if r >= len(m.bounds) {
 		return math.MaxInt64
@@ -99,7 +99,7 @@
 	return duration(m.bounds[r])
 }
 
-// Share returns the part of the work observed of late that is in a range; all shares sum up to 1.
+// Share returns the share of the recently observed work that is in range r. All shares add up to 1.
 func (m *Map) Share(r int) float64 {
 	sum := 0.0
 	for _, work := range m.work {
