--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkStep plays one scheduler of a fleet: each Step is an arrival, or the start and the end of a job sent before.
+// BenchmarkStep runs one scheduler of a fleet. Each Step handles an arrival, or the start and the end of a job sent before.
 func BenchmarkStep(b *testing.B) {
 	for _, fleet := range []struct{ workers, schedulers int }{{16, 3}, {16, 40}, {230, 400}} {
 		b.Run(fmt.Sprintf("%dworkers_%dschedulers", fleet.workers, fleet.schedulers), func(b *testing.B) {
--- a/policy/estimate_sizing_test.go
+++ b/policy/estimate_sizing_test.go
@@ -11,7 +11,8 @@
 	"gaugeslip/policy/sizing"
 )
 
-// The dispatchers' estimate and that of package sizing are one rule: told the same, they say the same, to the nanosecond.
+// The estimators of this package and of package sizing implement one rule: equal observations give equal sizes, to the
+// nanosecond.
 func TestEstimatorMatchesPackageSizing(t *testing.T) {
 	duration := rapid.Map(rapid.Int64Range(1, int64(time.Hour)), func(n int64) time.Duration { return time.Duration(n) })
 	rapid.Check(t, func(t *rapid.T) {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,10 +7,10 @@
 	"gaugeslip/policy"
 )
 
-// A scheduler keeps one Dispatcher. It calls Step with its clock and what has happened, carries out the
-// actions in order, and gives back a TimerFired when a Timer is due. Each Send ends in one AttemptEnded,
-// a TimedOut at the client's deadline at the latest; the first OK is the client's answer, and Finished
-// is set from then on. The rules stay kept only if every list change and every outcome is passed on.
+// A scheduler has one Dispatcher. It calls Step with the time of its clock and the events since the last call,
+// carries out the actions in order, and passes a TimerFired when a Timer is due. Each Send ends in one
+// AttemptEnded, at the latest a TimedOut at the client's deadline. The first OK is the client's answer, and
+// Finished is set from then on. The rules hold only if every list change and every result is passed on.
 func Example() {
 	d, err := policy.New(policy.Config{Replicas: 1, Zones: 1, Kinds: 1, MaxAttempts: 2, WorthByWork: true,
 		Classes: []policy.Class{{Name: "render", OnTime: 200 * time.Millisecond, Stretch: 2,
@@ -37,7 +37,7 @@
 	now += 90 * time.Millisecond
 	step(policy.Event{Kind: policy.AttemptEnded, Job: 1, Worker: 7, Result: policy.OK, Finished: true,
 		Took: 90 * time.Millisecond})
-	// A second try with little time left: its aim has passed, and it is refused at once.
+	// A retry with little time left: the job would be late, so it is refused at once.
 	step(policy.Event{Kind: policy.JobArrived, Job: 2, Tenant: -1, Budget: time.Second, Size: 100 * time.Millisecond,
 		Retry: true})
 	// Output:
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The rules, stated once more and independently of the module: this file plays random but legal events
-// to a Dispatcher and checks each action against what the rules allow.
+// This file states the rules again, independently of the module: it passes random but legal events to a Dispatcher and
+// checks that the rules allow each action.
 
 const ms = time.Millisecond
 
@@ -34,9 +34,9 @@
 type sentAttempt struct {
 	worker     Worker
 	at         time.Duration
-	ends       time.Duration // when the world will end it
+	ends       time.Duration // when the harness will end it
 	inFlight   bool
-	mayHaveRun bool // may have run
+	mayHaveRun bool
 }
 
 type pendingJob struct {
@@ -71,100 +71,100 @@
 		list: map[uint32]Worker{}, notReadySince: map[uint32]time.Duration{}, timers: map[uint64]time.Duration{}}
 }
 
-func (w *harness) step(in ...Event) []Action {
+func (h *harness) step(in ...Event) []Action {
 	for _, e := range in {
 		if e.Kind == WorkerList {
 			seen := map[uint32]bool{}
 			for _, l := range e.Workers {
-				w.list[l.ID], seen[l.ID] = l, true
+				h.list[l.ID], seen[l.ID] = l, true
 				if l.State == Ready {
-					delete(w.notReadySince, l.ID)
-				} else if _, ok := w.notReadySince[l.ID]; !ok {
-					w.notReadySince[l.ID] = w.now
+					delete(h.notReadySince, l.ID)
+				} else if _, ok := h.notReadySince[l.ID]; !ok {
+					h.notReadySince[l.ID] = h.now
 				}
 			}
-			for id := range w.list {
-				if _, ok := w.notReadySince[id]; e.Whole && !seen[id] && !ok {
-					w.notReadySince[id] = w.now
+			for id := range h.list {
+				if _, ok := h.notReadySince[id]; e.Whole && !seen[id] && !ok {
+					h.notReadySince[id] = h.now
 				}
 			}
 		}
 	}
-	acts := w.d.Step(w.now, in, nil)
-	w.trace = append(w.trace, fmt.Sprint(w.now, acts))
+	acts := h.d.Step(h.now, in, nil)
+	h.trace = append(h.trace, fmt.Sprint(h.now, acts))
 	for i := range acts {
-		w.check(&acts[i])
+		h.check(&acts[i])
 	}
 	return acts
 }
 
-func (w *harness) check(a *Action) {
-	w.t.Helper()
-	j := w.jobs[a.Job]
+func (h *harness) check(a *Action) {
+	h.t.Helper()
+	j := h.jobs[a.Job]
 	if j == nil && (a.Kind == Cancel || a.Kind == Send) {
-		w.t.Fatalf("action %v for a job long ended", *a)
+		h.t.Fatalf("action %v for a job that has ended", *a)
 	}
 	switch a.Kind {
 	case Send:
-		c := w.cfg.Classes[j.class]
-		target, ok := w.list[a.Worker]
-		if !ok || j.done || len(j.attempts) >= w.cfg.MaxAttempts {
-			w.t.Fatalf("send of %d to %d: unknown worker, answered job or one try too many", a.Job, a.Worker)
+		c := h.cfg.Classes[j.class]
+		target, ok := h.list[a.Worker]
+		if !ok || j.done || len(j.attempts) >= h.cfg.MaxAttempts {
+			h.t.Fatalf("send of %d to %d: unknown worker, answered job or too many attempts", a.Job, a.Worker)
 		}
-		if told, bad := w.notReadySince[a.Worker]; bad && w.now > told+w.cfg.DrainGrace {
-			w.t.Fatalf("send to %d, told to drain %v ago", a.Worker, w.now-told)
+		if since, bad := h.notReadySince[a.Worker]; bad && h.now > since+h.cfg.DrainGrace {
+			h.t.Fatalf("send to %d, which was listed as not ready %v ago", a.Worker, h.now-since)
 		}
 		for i, o := range j.attempts {
-			if o.inFlight && !w.cfg.SecondCopies {
-				w.t.Fatalf("two tries of %d in flight", a.Job)
+			if o.inFlight && !h.cfg.SecondCopies {
+				h.t.Fatalf("two attempts of %d in flight", a.Job)
 			}
 			if !o.mayHaveRun && !o.inFlight || c.Effect == Repeatable {
 				continue
 			}
 			if c.Effect == Unsafe {
-				w.t.Fatalf("unsafe job %d sent again after try %d", a.Job, i)
+				h.t.Fatalf("unsafe job %d sent again after attempt %d", a.Job, i)
 			}
-			if w.now > o.at+c.KeyTTL || c.Group == GroupCell && o.worker.Cell != target.Cell ||
+			if h.now > o.at+c.KeyTTL || c.Group == GroupCell && o.worker.Cell != target.Cell ||
 				c.Group == GroupZone && o.worker.Zone != target.Zone {
-				w.t.Fatalf("keyed job %d sent out of its group or window", a.Job)
+				h.t.Fatalf("keyed job %d sent out of its group or window", a.Job)
 			}
 		}
-		j.attempts = append(j.attempts, &sentAttempt{worker: target, at: w.now, inFlight: true,
-			ends: w.now + time.Duration(1+w.rng.IntN(1500))*ms})
+		j.attempts = append(j.attempts, &sentAttempt{worker: target, at: h.now, inFlight: true,
+			ends: h.now + time.Duration(1+h.rng.IntN(1500))*ms})
 	case Refuse, Fail:
 		if j == nil || j.done {
-			w.t.Fatalf("second answer for %d", a.Job)
+			h.t.Fatalf("second answer for %d", a.Job)
 		}
-		c := w.cfg.Classes[j.class]
+		c := h.cfg.Classes[j.class]
 		for _, o := range j.attempts {
 			if a.Kind == Refuse && (o.mayHaveRun || o.inFlight) && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
-				w.t.Fatalf("refusal of %d, which may have run", a.Job)
+				h.t.Fatalf("refusal of %d, which may have run", a.Job)
 			}
 		}
 		j.done = true
 	case Timer:
-		w.timers[a.Timer] = w.now + a.After
+		h.timers[a.Timer] = h.now + a.After
 	case Cancel:
 		if a.Attempt >= len(j.attempts) {
-			w.t.Fatalf("cancel of a try never made: %d/%d", a.Job, a.Attempt)
+			h.t.Fatalf("cancel of an attempt never made: %d/%d", a.Job, a.Attempt)
 		}
 		if o := j.attempts[a.Attempt]; o.inFlight {
-			o.ends = min(o.ends, w.now+ms)
+			o.ends = min(o.ends, h.now+ms)
 		}
 	}
 }
 
-func (w *harness) randomWorkers() []Worker {
+func (h *harness) randomWorkers() []Worker {
 	var all []Worker
 	for i := range 8 {
 		l := Worker{ID: uint32(1000 - i*37), Zone: i % 2, Kind: i % 3 / 2, Cell: i / 3, Scale: 1}
-		switch w.rng.IntN(10) {
+		switch h.rng.IntN(10) {
 		case 0:
 			l.State = Draining
 		case 1:
 			l.State = Gone
 		case 2:
-			l.Since = w.now - time.Duration(w.rng.IntN(4000))*ms
+			l.Since = h.now - time.Duration(h.rng.IntN(4000))*ms
 		case 3:
 			continue
 		}
@@ -173,53 +173,53 @@
 	return all
 }
 
-// run plays random legal events for a while, then lets every job end.
-func (w *harness) run(steps int) {
-	w.step(Event{Kind: WorkerList, Whole: true, Stale: true, Workers: w.randomWorkers()})
-	for i := 0; i < steps || len(w.jobs) > 0; i++ {
+// run passes random legal events for a number of steps, then lets every job end.
+func (h *harness) run(steps int) {
+	h.step(Event{Kind: WorkerList, Whole: true, Stale: true, Workers: h.randomWorkers()})
+	for i := 0; i < steps || len(h.jobs) > 0; i++ {
 		if i > steps+20000 {
-			w.t.Fatalf("%d jobs never ended", len(w.jobs))
+			h.t.Fatalf("%d jobs never ended", len(h.jobs))
 		}
-		w.now += time.Duration(1+w.rng.IntN(20)) * ms
+		h.now += time.Duration(1+h.rng.IntN(20)) * ms
 		var in []Event
-		slices.Sort(w.ids)
-		w.ids = slices.DeleteFunc(w.ids, func(id uint64) bool { return w.jobs[id] == nil })
-		for _, id := range w.ids {
-			in = w.advanceJob(id, in)
+		slices.Sort(h.ids)
+		h.ids = slices.DeleteFunc(h.ids, func(id uint64) bool { return h.jobs[id] == nil })
+		for _, id := range h.ids {
+			in = h.advanceJob(id, in)
 		}
-		for _, id := range sortedKeys(w.timers) {
-			if w.timers[id] <= w.now {
-				delete(w.timers, id)
+		for _, id := range sortedKeys(h.timers) {
+			if h.timers[id] <= h.now {
+				delete(h.timers, id)
 				in = append(in, Event{Kind: TimerFired, Timer: id})
 			}
 		}
 		if i < steps {
-			for range w.rng.IntN(3) {
-				w.next++
-				c := w.rng.IntN(len(w.cfg.Classes))
-				budget := time.Duration(float64(w.cfg.Classes[c].Deadline) * (0.3 + 0.7*w.rng.Float64()))
-				w.jobs[w.next] = &pendingJob{class: c, deadline: w.now + budget}
-				w.ids = append(w.ids, w.next)
-				in = append(in, Event{Kind: JobArrived, Job: w.next, Class: c, Tenant: -1, Budget: budget, Slots: 1,
-					Size: time.Duration(5+w.rng.IntN(400)) * ms})
+			for range h.rng.IntN(3) {
+				h.next++
+				c := h.rng.IntN(len(h.cfg.Classes))
+				budget := time.Duration(float64(h.cfg.Classes[c].Deadline) * (0.3 + 0.7*h.rng.Float64()))
+				h.jobs[h.next] = &pendingJob{class: c, deadline: h.now + budget}
+				h.ids = append(h.ids, h.next)
+				in = append(in, Event{Kind: JobArrived, Job: h.next, Class: c, Tenant: -1, Budget: budget, Slots: 1,
+					Size: time.Duration(5+h.rng.IntN(400)) * ms})
 			}
-			switch w.rng.IntN(40) {
+			switch h.rng.IntN(40) {
 			case 0:
-				in = append(in, Event{Kind: WorkerList, Whole: true, Workers: w.randomWorkers()})
+				in = append(in, Event{Kind: WorkerList, Whole: true, Workers: h.randomWorkers()})
 			case 1:
-				in = append(in, Event{Kind: WorkerList, Workers: w.randomWorkers()[:2]})
+				in = append(in, Event{Kind: WorkerList, Workers: h.randomWorkers()[:2]})
 			case 2:
 				in = append(in, Event{Kind: ListLost})
-			case 3: // late news of jobs and tries that nobody knows any more
-				in = append(in, Event{Kind: AttemptEnded, Job: 1 << 40}, Event{Kind: JobStarted, Job: w.next, Attempt: 9},
+			case 3: // late events of unknown jobs and attempts
+				in = append(in, Event{Kind: AttemptEnded, Job: 1 << 40}, Event{Kind: JobStarted, Job: h.next, Attempt: 9},
 					Event{Kind: ClientGone, Job: 1 << 41}, Event{Kind: ProbeEnded, Worker: 5})
 			}
 		}
-		w.step(in...)
-		for _, j := range w.clientsGone {
+		h.step(in...)
+		for _, j := range h.clientsGone {
 			j.done = true
 		}
-		w.clientsGone = w.clientsGone[:0]
+		h.clientsGone = h.clientsGone[:0]
 	}
 }
 
@@ -232,43 +232,43 @@
 	return keys
 }
 
-// advanceJob ends due tries of a job and checks that it is answered in time.
-func (w *harness) advanceJob(id uint64, in []Event) []Event {
-	j := w.jobs[id]
+// advanceJob ends due attempts of a job and checks that it is answered in time.
+func (h *harness) advanceJob(id uint64, in []Event) []Event {
+	j := h.jobs[id]
 	out := 0
 	for n, o := range j.attempts {
 		if !o.inFlight {
 			continue
 		}
-		if w.now < o.ends && w.now < j.deadline {
+		if h.now < o.ends && h.now < j.deadline {
 			out++
-			if w.rng.IntN(30) == 0 {
+			if h.rng.IntN(30) == 0 {
 				in = append(in, Event{Kind: JobStarted, Job: id, Attempt: n, Worker: o.worker.ID})
 			}
 			continue
 		}
-		e := Event{Kind: AttemptEnded, Job: id, Attempt: n, Worker: o.worker.ID, Took: w.now - o.at, Result: OK}
-		if w.rng.IntN(3) == 0 {
-			e.Result = Result(w.rng.IntN(int(Rejected) + 1))
+		e := Event{Kind: AttemptEnded, Job: id, Attempt: n, Worker: o.worker.ID, Took: h.now - o.at, Result: OK}
+		if h.rng.IntN(3) == 0 {
+			e.Result = Result(h.rng.IntN(int(Rejected) + 1))
 		}
-		if w.now >= j.deadline {
+		if h.now >= j.deadline {
 			e.Result = TimedOut
 		}
-		if w.rng.IntN(2) == 0 {
-			e.HasLoad, e.Load = true, Load{FreeSlots: float64(w.rng.IntN(4)), Queue: -1, InFlight: -1, Busy: 0.5}
+		if h.rng.IntN(2) == 0 {
+			e.HasLoad, e.Load = true, Load{FreeSlots: float64(h.rng.IntN(4)), Queue: -1, InFlight: -1, Busy: 0.5}
 		}
 		o.inFlight, o.mayHaveRun = false, e.Result != Full && e.Result != ConnectFailed && e.Result != NeverSent
 		j.done = j.done || e.Result == OK
 		e.Finished = j.done
 		in = append(in, e)
 	}
-	if !j.done && w.now > j.deadline+w.cfg.AnswerGrace+40*ms { // steps are up to 20 ms, the answer comes in the next
-		w.t.Fatalf("job %d of class %d: no answer %v after its end", id, j.class, w.now-j.deadline)
+	if !j.done && h.now > j.deadline+h.cfg.AnswerGrace+40*ms { // a step takes up to 20 ms; the answer comes in the next one
+		h.t.Fatalf("job %d of class %d: no answer %v after its end", id, j.class, h.now-j.deadline)
 	}
 	if j.done && out == 0 {
-		delete(w.jobs, id)
-	} else if !j.done && w.rng.IntN(400) == 0 {
-		w.clientsGone = append(w.clientsGone, j) // the module is told in this batch: sends are wrong from the next on
+		delete(h.jobs, id)
+	} else if !j.done && h.rng.IntN(400) == 0 {
+		h.clientsGone = append(h.clientsGone, j) // the event is in this batch: sends are wrong from the next one on
 		in = append(in, Event{Kind: ClientGone, Job: id})
 	}
 	return in
@@ -284,13 +284,13 @@
 	}
 }
 
-// coldScenario is many schedulers and workers of two lanes, of which those with a Since start at the day's begin. Reports are
+// coldScenario has many schedulers and workers of two lanes. Workers with a Since start when the scenario starts. Reports are
 // 300 ms old.
 type coldScenario struct {
 	schedulers, ticks int
-	arrivalRate       float64 // of a scheduler in a tick
+	arrivalRate       float64 // jobs per scheduler and tick
 	size              func(*rand.Rand) time.Duration
-	reject            bool // cold workers turn all away
+	reject            bool // cold workers turn all jobs away
 	workers           []Worker
 }
 
@@ -301,7 +301,7 @@
 
 const scenarioStart = time.Hour
 
-// run returns what was sent to each worker, in order, and fails where a window's sum is over a cold worker's budget.
+// run returns the sends to each worker, in order. It fails if the work sent in any window exceeds a cold worker's budget.
 func (c *coldScenario) run(t *testing.T, cfg Config) map[uint32][]coldSend {
 	t.Helper()
 	const tick, late = 20 * ms, 300 * ms
@@ -387,15 +387,15 @@
 			}
 			most := time.Duration(cfg.TipMultiple * warmth(first.at) * 2 * float64(cfg.OverloadFor))
 			if cold[id] && sum > most {
-				t.Fatalf("worker %d was sent %v of work from %v on, %v allowed", id, sum, first.at-scenarioStart, most)
+				t.Fatalf("worker %d was sent %v of work in the window from %v on, limit %v", id, sum, first.at-scenarioStart, most)
 			}
 		}
 	}
 	return sent
 }
 
-// Hundreds of schedulers share one cold worker: together they never send it more than the rule allows in any window, all
-// of it turned away or none, jobs larger than a part included; and they do use it before it is warm.
+// Hundreds of schedulers share one cold worker. Together they never send it more than the rule allows in any window, whether
+// it turns all jobs away or none, also with jobs larger than one scheduler's part. They do use it before it is warm.
 func TestColdWorkerSharedByHundreds(t *testing.T) {
 	for _, reject := range []bool{true, false} {
 		cfg := testConfig()
@@ -420,8 +420,8 @@
 	}
 }
 
-// Where lanes that are filled all at once can't push cold workers over, all of 80 schedulers that probe use them, within
-// the budget though reports are old. At ten times the rate of jobs they are still for their keepers alone.
+// Where cold workers can't be overloaded even if all their lanes are filled at once, all of 80 schedulers that probe use them,
+// within the budget although reports are old. At ten times the arrival rate only the owners of a cold worker use it.
 func TestColdWorkersOpenToAllSchedulers(t *testing.T) {
 	for _, rate := range []float64{0.012, 0.12} {
 		cfg := testConfig()
@@ -441,7 +441,7 @@
 					users[s.scheduler] = true
 				}
 				if id%26 != 0 && rate > 0.1 && (int(id)+s.scheduler)%day.schedulers >= owners {
-					t.Fatalf("scheduler %d is no keeper of %d", s.scheduler, id)
+					t.Fatalf("scheduler %d sent to the cold worker %d, which it does not own", s.scheduler, id)
 				}
 			}
 		}
@@ -456,6 +456,6 @@
 	a.run(800)
 	b.run(800)
 	if !slices.Equal(a.trace, b.trace) {
-		t.Fatal("equal events gave different actions")
+		t.Fatal("equal settings, seeds and events gave different actions")
 	}
 }
--- a/policy/sizing/demand_test.go
+++ b/policy/sizing/demand_test.go
@@ -27,7 +27,7 @@
 	slices.SortStableFunc(tasks, func(a, b Task) int { return cmp.Compare(a.Deadline, b.Deadline) })
 }
 
-// feasible tells whether one lane can run all tasks by their deadlines, by trying every order.
+// feasible reports whether one lane can run all tasks by their deadlines. It tries every order.
 func feasible(at time.Duration, tasks []Task) bool {
 	if len(tasks) == 0 {
 		return true
@@ -41,7 +41,7 @@
 	return false
 }
 
-// On one lane the test is sufficient and necessary.
+// On one lane the test is both sufficient and necessary.
 func TestDemandIsExactOnOneLane(t *testing.T) {
 	var demand Demand
 	runnable := rapid.SliceOfN(drawTask(1), 1, 7).Filter(func(tasks []Task) bool { return feasible(demandNow, tasks[1:]) })
@@ -54,7 +54,7 @@
 	})
 }
 
-// simulate runs tasks in the order given, tick by tick, none before the one ahead of it, and returns when each ends.
+// simulate runs tasks in the given order, tick by tick, and returns when each ends. None starts before the one ahead of it.
 func simulate(lanes int, tasks []Task) []time.Duration {
 	ends, next := make([]time.Duration, len(tasks)), 0
 	for now := demandNow; next < len(tasks); now++ {
@@ -73,7 +73,8 @@
 	return ends
 }
 
-// edfOrder is the order in which tasks start: those started already, then by deadline, the candidate behind its equals.
+// edfOrder returns the order in which tasks start: started ones, then by deadline, the candidate after equal deadlines. at is
+// the candidate's index.
 func edfOrder(accepted []Task, candidate Task) (order []Task, at int) {
 	var waiting []Task
 	for _, task := range accepted {
@@ -91,7 +92,7 @@
 	return append(order, slices.Insert(waiting, place, candidate)...), at
 }
 
-// startSome marks tasks as started as long as there are lanes for them.
+// startSome marks some tasks as started while there are lanes for them.
 func startSome(t *rapid.T, lanes int, tasks []Task) {
 	for i := range tasks {
 		if need := max(tasks[i].Lanes, 1); need <= lanes && rapid.Bool().Draw(t, "started") {
@@ -101,7 +102,7 @@
 	}
 }
 
-// On any lanes the test says what a run in EDF order comes to.
+// On any number of lanes the test agrees with a simulated run in EDF order.
 func TestDemandMatchesSimulatedEDF(t *testing.T) {
 	var demand Demand
 	rapid.Check(t, func(t *rapid.T) {
@@ -122,7 +123,7 @@
 	})
 }
 
-// demandCase is one question to the demand test.
+// demandCase is one input of the demand test.
 type demandCase struct {
 	lanes     int
 	accepted  []Task
@@ -138,7 +139,7 @@
 	return demandCase{lanes, accepted, candidate}
 }
 
-// What passes still passes when runs turn out shorter.
+// A set that passes still passes if runs turn out shorter.
 func TestDemandHoldsForShorterRuns(t *testing.T) {
 	var demand Demand
 	passes := func(of demandCase) bool { return demand.Passes(demandNow, of.lanes, of.accepted, of.candidate) }
@@ -160,13 +161,13 @@
 	brief := Task{Remaining: second, Deadline: 2 * second}
 	assert.False(t, demand.Passes(0, 0, nil, brief), "no lanes")
 	assert.True(t, demand.Passes(0, 1, nil, brief), "an idle lane")
-	assert.False(t, demand.Passes(0, 1, []Task{long}, brief), "behind what runs, whatever its deadline")
-	assert.True(t, demand.Passes(0, 2, []Task{long}, brief), "beside what runs")
-	assert.False(t, demand.Passes(0, 1, nil, Task{Remaining: second, Deadline: 9 * second, Lanes: 2}), "wider than the lanes")
+	assert.False(t, demand.Passes(0, 1, []Task{long}, brief), "behind a started task, whatever its deadline")
+	assert.True(t, demand.Passes(0, 2, []Task{long}, brief), "beside a started task")
+	assert.False(t, demand.Passes(0, 1, nil, Task{Remaining: second, Deadline: 9 * second, Lanes: 2}), "needs more lanes than there are")
 	assert.True(t, demand.Passes(0, 1, []Task{late}, Task{Remaining: second, Deadline: 9 * second}),
-		"one that is lost already keeps nobody out")
+		"an accepted task that is late already does not block others")
 	assert.True(t, demand.Passes(0, 1, []Task{{Remaining: second, Deadline: 5 * second, Started: true, Lanes: 3}}, brief),
-		"a lane less than what runs")
+		"fewer lanes than the started task has")
 }
 
 func BenchmarkDemand(b *testing.B) {
--- a/policy/sizing/estimator.go
+++ b/policy/sizing/estimator.go
@@ -9,9 +9,9 @@
 	// initialSlope is the share of a hint's distance from the mean hint, as logarithms, that counts before runs are
 	// measured: small rough hints are too small more often than not, and large ones too large.
 	initialSlope = 0.5
-	// meanWindow is how many hints or runs a mean goes back over.
+	// meanWindow is the number of hints or runs over which a mean extends.
 	meanWindow = 300
-	// priorRuns is how many runs the slope at the start weighs.
+	// priorRuns is the weight of the initial slope, in runs.
 	priorRuns = 10
 	// shiftRate is the share of an error by which the whole line moves.
 	shiftRate = 0.01
--- a/policy/sizing/estimator_test.go
+++ b/policy/sizing/estimator_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever power of its hint a task's size is, the Estimator finds it.
+// If a task's size is a power of its hint times a factor, the Estimator finds both.
 func TestEstimatorConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		factor := rapid.Float64Range(0.2, 5).Draw(t, "factor")
@@ -33,7 +33,7 @@
 	})
 }
 
-// No input gives a size below zero, nor panics.
+// No input gives a negative size or a panic.
 func TestEstimatorAcceptsAnyInput(t *testing.T) {
 	durations := rapid.Map(rapid.Int64(), func(n int64) time.Duration { return time.Duration(n) })
 	rapid.Check(t, func(t *rapid.T) {
@@ -51,8 +51,8 @@
 func TestEstimatorBeforeAnyRun(t *testing.T) {
 	estimator := NewEstimator()
 	estimator.Hinted(time.Second)
-	assert.InDelta(t, time.Second, estimator.Size(time.Second), 10, "a hint is believed")
-	assert.InDelta(t, time.Second, estimator.Size(0), 10, "no hint stands for the mean one")
-	assert.InDelta(t, 2*time.Second, estimator.Size(4*time.Second), 10, "half of its distance from the mean, as logarithms")
+	assert.InDelta(t, time.Second, estimator.Size(time.Second), 10, "the mean hint is its own size")
+	assert.InDelta(t, time.Second, estimator.Size(0), 10, "no hint stands for the mean hint")
+	assert.InDelta(t, 2*time.Second, estimator.Size(4*time.Second), 10, "half of the distance from the mean counts, as logarithms")
 	assert.Zero(t, estimator.Measured())
 }
--- a/policy/sizing/queue_test.go
+++ b/policy/sizing/queue_test.go
@@ -16,7 +16,7 @@
 	value  int
 }
 
-// A Queue is a slice that is sorted stably by deadline.
+// A Queue behaves like a slice that is sorted stably by deadline.
 func TestQueueMatchesSortedSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queue, next := NewQueue[int](), 0
@@ -41,7 +41,7 @@
 			"remove": func(t *rapid.T) {
 				if len(want) == 0 {
 					_, ok := queue.Remove(Ticket{})
-					require.False(t, ok, "nothing is held")
+					require.False(t, ok, "the queue is empty")
 					return
 				}
 				at := rapid.IntRange(0, len(want)-1).Draw(t, "at")
@@ -50,7 +50,7 @@
 				require.Equal(t, want[at].value, value)
 				gone, want = append(gone, want[at]), slices.Delete(want, at, at+1)
 			},
-			"remove what is gone": func(t *rapid.T) {
+			"remove absent": func(t *rapid.T) {
 				never := append(slices.Clone(gone), referenceItem{ticket: Ticket{}})
 				_, ok := queue.Remove(rapid.SampledFrom(never).Draw(t, "gone").ticket)
 				require.False(t, ok)
--- a/policy/sizing/sizemap_test.go
+++ b/policy/sizing/sizemap_test.go
@@ -60,10 +60,10 @@
 			}
 			requireByDistance(t, r, layout)
 		}
-		require.True(t, slices.Equal(workers, all), "contiguous, disjoint, none left out: %v", all)
+		require.True(t, slices.Equal(workers, all), "want contiguous, disjoint parts with all workers: %v", all)
 		requireInProportion(t, sizes, layout, len(workers))
 		last := sizes.Ranges() - 1
-		require.Equal(t, layout.Order(layout.Ranges()-1), layout.Order(last), "every range of the map has its order")
+		require.Equal(t, layout.Order(layout.Ranges()-1), layout.Order(last), "every range of the map has an order")
 	})
 }
 
@@ -80,7 +80,7 @@
 	require.Len(t, order, layout.Ranges())
 }
 
-// requireInProportion checks that each cut is where the shares have it, but for what the least of one worker asks for.
+// requireInProportion checks that each boundary is in proportion to the shares, except where each range needs one worker.
 func requireInProportion(t *rapid.T, sizes *Map, layout Layout, workers int) {
 	if layout.Ranges() == 1 {
 		return
@@ -95,7 +95,7 @@
 	}
 }
 
-// Bounds settle where each range has the same part of the work, and follow when sizes change.
+// The bounds converge to equal shares of the work for all ranges, and follow when sizes change.
 func TestMapConvergesToEqualShares(t *testing.T) {
 	for ranges := 2; ranges <= 4; ranges++ {
 		sizes, rng := NewMap(ranges), rand.New(rand.NewPCG(uint64(ranges), 1))
