--- a/policy/sizing/sizemap_test.go
+++ b/policy/sizing/sizemap_test.go
@@ -38,7 +38,7 @@
 	})
 }
 
-func TestLayoutDealsOutAllWorkers(t *testing.T) {
+func TestLayoutAssignsAllWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := drawMap(t)
 		workers := make([]int, rapid.IntRange(0, 300).Draw(t, "workers"))
@@ -60,10 +60,10 @@
 			}
 			requireByDistance(t, r, layout)
 		}
-		require.True(t, slices.Equal(workers, all), "contiguous, disjoint, none left out: %v", all)
+		require.True(t, slices.Equal(workers, all), "want contiguous, disjoint parts with all workers: %v", all)
 		requireInProportion(t, sizes, layout, len(workers))
 		last := sizes.Ranges() - 1
-		require.Equal(t, layout.Order(layout.Ranges()-1), layout.Order(last), "every range of the map has its order")
+		require.Equal(t, layout.Order(layout.Ranges()-1), layout.Order(last), "every range of the map has an order")
 	})
 }
 
@@ -80,7 +80,7 @@
 	require.Len(t, order, layout.Ranges())
 }
 
-// requireInProportion checks that each cut is where the shares have it, but for what the least of one worker asks for.
+// requireInProportion checks that each boundary is in proportion to the shares, except where each range needs one worker.
 func requireInProportion(t *rapid.T, sizes *Map, layout Layout, workers int) {
 	if layout.Ranges() == 1 {
 		return
@@ -95,8 +95,8 @@
 	}
 }
 
-// Bounds settle where each range has the same part of the work, and follow when sizes change.
-func TestMapSettlesOnEqualShares(t *testing.T) {
+// The bounds converge to equal shares of the work for all ranges, and follow when sizes change.
+func TestMapConvergesToEqualShares(t *testing.T) {
 	for ranges := 2; ranges <= 4; ranges++ {
 		sizes, rng := NewMap(ranges), rand.New(rand.NewPCG(uint64(ranges), 1))
 		for _, mean := range []time.Duration{100 * time.Millisecond, 5 * time.Second} {
@@ -119,7 +119,7 @@
 
 func TestLayoutFollowsTheShares(t *testing.T) {
 	sizes := NewMap(2)
-	sizes.begin(1e9)
+	sizes.initialize(1e9)
 	sizes.work = []float64{3, 1}
 	layout := sizes.Layout(20)
 	begin, end := layout.Span(0)
