--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// place probes the worker that pick finds, or holds the job for it until a lane is free; else it answers.
+// place probes the worker that pick finds, or holds the job for it. Without a worker it answers the job.
 func (d *Dispatcher) place(j *job) {
 	found := d.pick(j, j.movedFrom)
 	if found == nil && j.movedFrom != nil {
@@ -137,7 +137,7 @@
 		c.Group == GroupZone && a.w.Zone != w.Zone || c.Group == GroupCell && a.w.Cell != w.Cell) {
 		return false
 	}
-	// The cold rule; see worker.coldSent. 2.2: half of a scheduler's part drains in a window of OverloadFor.
+	// The cold rule; see worker.coldSent. 2.2: a window can see a full budget and its refill.
 	sharers, size := min(owners, d.cfg.Replicas), max(j.size, j.coldSize)
 	speed := d.speedAt(w, d.now-d.cfg.OverloadFor)
 	open := sharers == owners && d.cfg.TipMultiple*speed >= w.speed && d.reportAge(w) > 0 &&
--- a/policy/estimate.go
+++ b/policy/estimate.go
@@ -11,7 +11,7 @@
 
 var initialEstimator = sizeEstimator{variance: 1, covariance: 0.5}
 
-// observeHint takes in the hint of every arrival, served or not: the jobs that end first are smaller.
+// observeHint takes in the hint of every arrival, served or not: jobs served in time are smaller.
 func (f *sizeEstimator) observeHint(x float64) {
 	f.hints++
 	f.meanHint += (x - f.meanHint) / min(f.hints, 300)
--- a/policy/holding.go
+++ b/policy/holding.go
@@ -31,7 +31,7 @@
 	return true
 }
 
-// release sends held jobs by deadline while lanes are free. If move, it places a first job that is late anew.
+// release sends held jobs by deadline while lanes are free. If move, a first job that is late is placed anew.
 func (d *Dispatcher) release(w *worker, move bool) {
 	for n := len(w.held); n > 0 && len(w.held) > 0; n-- {
 		j, lanes := w.held[0], d.laneFreeTimes(w)
--- a/policy/sizemap.go
+++ b/policy/sizemap.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// moveBound moves the bound of the two size ranges (one under ten workers) to half of the work below it.
+// moveBound moves the bound of the size ranges (one under ten workers) so that half of the work is below it.
 func (d *Dispatcher) moveBound(size float64) {
 	d.sizeBound = cmp.Or(d.sizeBound, size)
 	d.sizeBound *= math.Exp(math.Copysign(0.05*min(size/d.meanRun, 4), size-d.sizeBound))
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,6 +1,6 @@
 // Package policy decides, for one scheduler among several, to which worker each job is sent and when, and
 // which jobs are held, refused or failed. It implements RT-ClassBased of Gamini Abhaya, Tari and Bertok and
-// extends it for fleets with failing workers and with peers that can't be seen, which the paper excludes.
+// extends it for fleets with failing workers and unseen peers, which break the paper's assumptions.
 //
 // This file is the interface: settings, events and actions. The decisions begin in step.go.
 // A Dispatcher is single-threaded and deterministic: it reads no clock, does no I/O and starts no
@@ -89,8 +89,8 @@
 	// probe, at equal rates. 0: no limit.
 	Questions float64
 	KeepLanes bool // while most reports have no free lane, refill one that an own job freed without a probe
-	// Margin is the slack that a job needs to be admitted to a worker, as a multiple of the delay by peers
-	// there: Margin x the share of reports without a free lane + 0.5.
+	// Margin sets the slack that a job needs to be admitted to a worker: the expected delay by peers there
+	// times (0.5 + Margin x the share of reports without a free lane).
 	Margin float64
 	// Repeats is how many sends beyond a job's first are allowed for each first send. A scheduler starts with
 	// none and saves up one at most, so all repeats are at most Repeats x first sends. 0: no limit.
