--- a/internal/system/clusterconfig/check.go
+++ b/internal/system/clusterconfig/check.go
@@ -14,7 +14,7 @@
 	places := make(map[[2]string]int, len(config.Routes))
 	for index := range config.Routes {
 		route := &config.Routes[index]
-		checkPlace(index, route, places, found)
+		checkMatchRule(index, route, places, found)
 		checkName(index, route, names, found)
 		if _, known := services[route.Backend]; !known {
 			found.Add(findings.Item("routes", index, "backend"), "unknown service %q", route.Backend)
@@ -38,7 +38,7 @@
 	return seen
 }
 
-func checkPlace(index int, route *Route, places map[[2]string]int, found *findings.Findings) {
+func checkMatchRule(index int, route *Route, places map[[2]string]int, found *findings.Findings) {
 	if route.Host == "" {
 		found.Add(findings.Item("routes", index, "host"), "is empty")
 	}
--- a/internal/system/clusterconfig/parse.go
+++ b/internal/system/clusterconfig/parse.go
@@ -94,10 +94,10 @@
 		Type:          wire.Type,
 		Timeout:       r.timeout(at, wire.TimeoutMs),
 		TargetLatency: r.milliseconds(at, "targetLatencyMs", wire.TargetLatencyMs),
-		Priority:      int(r.whole(at, "priority", wire.Priority)),
+		Priority:      int(r.wholeNumber(at, "priority", wire.Priority)),
 		Backend:       wire.Backend,
-		MaxRetries:    int(r.whole(at, "maxRetries", wire.MaxRetries)),
-		Extension:     r.figure(at, "extension", wire.Extension),
+		MaxRetries:    int(r.wholeNumber(at, "maxRetries", wire.MaxRetries)),
+		Extension:     r.nonNegative(at, "extension", wire.Extension),
 		Tenant:        wire.Tenant,
 	}
 }
@@ -107,7 +107,7 @@
 	return Service{
 		Name:           wire.Name,
 		HealthCheck:    wire.HealthCheck,
-		MaxConnections: int(r.whole(at, "maxConnections", wire.MaxConnections)),
+		MaxConnections: int(r.wholeNumber(at, "maxConnections", wire.MaxConnections)),
 		Protocol:       wire.Protocol,
 		TLS:            wire.TLS,
 		Preconditions:  wire.Preconditions,
@@ -117,8 +117,8 @@
 func (r *reader) limits(wire *wireLimits) Limits {
 	at := item{list: "limits", index: noIndex}
 	limits := Limits{
-		MaxHeaderBytes: r.whole(at, "maxHeaderBytes", wire.MaxHeaderBytes),
-		MaxBodyBytes:   r.whole(at, "maxBodyBytes", wire.MaxBodyBytes),
+		MaxHeaderBytes: r.wholeNumber(at, "maxHeaderBytes", wire.MaxHeaderBytes),
+		MaxBodyBytes:   r.wholeNumber(at, "maxBodyBytes", wire.MaxBodyBytes),
 		HeaderTimeout:  r.milliseconds(at, "headerTimeoutMs", wire.HeaderTimeoutMs),
 		IdleTimeout:    r.milliseconds(at, "idleTimeoutMs", wire.IdleTimeoutMs),
 	}
@@ -138,18 +138,18 @@
 }
 
 func (r *reader) milliseconds(at item, field string, figure float64) time.Duration {
-	return quantity.Milliseconds(r.figure(at, field, figure))
+	return quantity.Milliseconds(r.nonNegative(at, field, figure))
 }
 
-func (r *reader) whole(at item, field string, figure float64) int64 {
-	whole, ok := quantity.Whole(math.Max(0, r.figure(at, field, figure)))
+func (r *reader) wholeNumber(at item, field string, figure float64) int64 {
+	whole, ok := quantity.Whole(math.Max(0, r.nonNegative(at, field, figure)))
 	if !ok {
 		r.found.Add(at.place(field), "%v is not a whole number", figure)
 	}
 	return whole
 }
 
-func (r *reader) figure(at item, field string, figure float64) float64 {
+func (r *reader) nonNegative(at item, field string, figure float64) float64 {
 	if figure < 0 {
 		r.found.Add(at.place(field), "%v is negative", figure)
 	}
--- a/internal/system/clusterconfig/parse_test.go
+++ b/internal/system/clusterconfig/parse_test.go
@@ -16,7 +16,7 @@
 	"gaugeslip/internal/system/findings"
 )
 
-const good = `{
+const validConfig = `{
 	"version": 12,
 	"routes": [
 		{"name":"q1","host":"Jobs.Example:80","pathPrefix":"/alpha/","type":"idempotent","timeoutMs":2500,"targetLatencyMs":750,"priority":1,"backend":"render","maxRetries":3,"extension":2.5},
@@ -31,7 +31,7 @@
 }`
 
 func TestAWholeConfigurationIsRead(t *testing.T) {
-	config, err := Parse([]byte(good))
+	config, err := Parse([]byte(validConfig))
 	require.NoError(t, err)
 	assert.Equal(t, &Config{
 		Version: 12,
@@ -56,7 +56,7 @@
 	}, config)
 }
 
-func TestWhatIsNotCalledInvalidIsTaken(t *testing.T) {
+func TestUnusualValidConfigurationsAreAccepted(t *testing.T) {
 	route := `{"host":"h","pathPrefix":"/a","timeoutMs":1,"backend":"s"}`
 	for name, body := range map[string]string{
 		"nothing but a version":       `{"version":1}`,
@@ -139,13 +139,13 @@
 	}
 }
 
-func TestWhatCannotBeReadInFullIsRefused(t *testing.T) {
+func TestUnreadableConfigurationsAreRejected(t *testing.T) {
 	for _, body := range []string{
 		"", "null", "[]", "7", `"x"`, "{", `{"version":1`, `{"version":1}}`, `{"version":1} x`, `{"version":1,}`, `{"version":01}`,
 		`{"version":1,"routes":{}}`, `{"version":1,"routes":[7]}`, `{"version":1,"routes":[{"host":7}]}`,
 		`{"version":1,"routes":[{"timeoutMs":"5"}]}`, `{"version":1,"services":"s"}`, `{"version":1,"limits":[]}`,
 		`{"version":1,"routes":[{"timeoutMs":1e999}]}`, `{"version":1,"x":[}`, `{"version":1,"x":nil}`, `{"version":{}}`,
-		good[:len(good)/2], good[:len(good)-1], good + good,
+		validConfig[:len(validConfig)/2], validConfig[:len(validConfig)-1], validConfig + validConfig,
 	} {
 		config, err := Parse([]byte(body))
 		assert.Nil(t, config, "%q", body)
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestAllFindingsComeTogether(t *testing.T) {
+func TestAllFindingsAreReported(t *testing.T) {
 	_, err := Parse([]byte(`{"routes":[{"host":"","pathPrefix":"x","timeoutMs":0,"backend":"s"}]}`))
 	var found findings.Findings
 	require.True(t, errors.As(err, &found))
@@ -173,7 +173,7 @@
 }
 
 func TestAServiceIsFoundByName(t *testing.T) {
-	config, err := Parse([]byte(good))
+	config, err := Parse([]byte(validConfig))
 	require.NoError(t, err)
 	service, ok := config.Service("build")
 	require.True(t, ok)
@@ -194,7 +194,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	const pieces = `{}[]",:0-.eE+tfn\` + "\x00\xff "
 	for range rounds {
-		body := []byte(good)
+		body := []byte(validConfig)
 		for damage := 1 + random.IntN(4); damage > 0 && len(body) > 0; damage-- {
 			at := random.IntN(len(body))
 			switch random.IntN(3) {
--- a/internal/system/clusterconfig/quotas.go
+++ b/internal/system/clusterconfig/quotas.go
@@ -7,8 +7,8 @@
 	"gaugeslip/internal/system/quota"
 )
 
-// shareSlack is how far from a whole number of millionths a share may be: what the nearest float64 is off.
-const shareSlack = 1e-6
+// shareTolerance is how far from a whole number of millionths a share may be: what the nearest float64 is off.
+const shareTolerance = 1e-6
 
 // Plan is what the quotas promise, as the ledger of all tenants takes it.
 func (q *Quotas) Plan() quota.Plan {
@@ -37,7 +37,7 @@
 	shares := int64(0)
 	for index := range wire.Tenants {
 		tenant := &wire.Tenants[index]
-		promised, millionths := r.promised(index, tenant, &quotas)
+		promised, millionths := r.tenantAccelerators(index, tenant, &quotas)
 		quotas.Tenants[index] = Tenant{Name: tenant.Name, Accelerators: promised}
 		shares += millionths
 	}
@@ -47,8 +47,8 @@
 	return quotas
 }
 
-// promised reads one tenant's figure, and gives its share in millionths if that is what it has.
-func (r *reader) promised(index int, tenant *wireTenant, quotas *Quotas) (accelerators, millionths int64) {
+// tenantAccelerators reads one tenant's figure, and gives its share in millionths if that is what it has.
+func (r *reader) tenantAccelerators(index int, tenant *wireTenant, quotas *Quotas) (accelerators, millionths int64) {
 	switch {
 	case tenant.Share != nil && tenant.Accelerators != nil:
 		r.found.Add(findings.Item("tenants", index, ""), "has both a share and accelerators")
@@ -72,7 +72,7 @@
 		return 0
 	}
 	millionths := math.Round(figure * quota.Millionths)
-	if math.Abs(figure*quota.Millionths-millionths) > shareSlack {
+	if math.Abs(figure*quota.Millionths-millionths) > shareTolerance {
 		r.found.Add(place, "%v has more than six digits after the point", figure)
 	}
 	return int64(millionths)
@@ -84,15 +84,15 @@
 		r.found.Add(place, "%v is negative", figure)
 		return 0
 	}
-	if figure > mostAccelerators || figure != math.Trunc(figure) {
-		r.found.Add(place, "%v is not a whole number up to %d", figure, int64(mostAccelerators))
+	if figure > maxAccelerators || figure != math.Trunc(figure) {
+		r.found.Add(place, "%v is not a whole number up to %d", figure, int64(maxAccelerators))
 		return 0
 	}
 	return int64(figure)
 }
 
-// mostAccelerators bounds a figure, so that sums of them can't overflow.
-const mostAccelerators = 1 << 40
+// maxAccelerators bounds a figure, so that sums of them can't overflow.
+const maxAccelerators = 1 << 40
 
 // checkTenants takes note of what tenants have to be to each other and to the pool, and gives their names.
 func checkTenants(quotas *Quotas, found *findings.Findings) map[string]int {
--- a/internal/system/clusterconfig/router_test.go
+++ b/internal/system/clusterconfig/router_test.go
@@ -10,12 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func routed(routes ...Route) *Router {
+func routerOf(routes ...Route) *Router {
 	return NewRouter(&Config{Version: 1, Routes: routes, Services: []Service{{Name: "s"}}})
 }
 
 func TestTheLongestPrefixWins(t *testing.T) {
-	router := routed(
+	router := routerOf(
 		Route{Name: "all", Host: "a.example", PathPrefix: "/"},
 		Route{Name: "short", Host: "a.example", PathPrefix: "/jobs/"},
 		Route{Name: "long", Host: "a.example", PathPrefix: "/jobs/deep/"},
@@ -37,7 +37,7 @@
 }
 
 func TestNoRoute(t *testing.T) {
-	router := routed(Route{Host: "a.example", PathPrefix: "/jobs/"})
+	router := routerOf(Route{Host: "a.example", PathPrefix: "/jobs/"})
 	for _, request := range [][2]string{
 		{"b.example", "/jobs/7"}, {"a.example", "/other/7"}, {"a.example", ""}, {"", "/jobs/7"}, {"a.example.", "/jobs/7"},
 	} {
@@ -56,7 +56,7 @@
 }
 
 func TestTheRouterKnowsServices(t *testing.T) {
-	router := routed()
+	router := routerOf()
 	service, ok := router.Service("s")
 	require.True(t, ok)
 	assert.Equal(t, "s", service.Name)
@@ -66,7 +66,7 @@
 }
 
 func TestAMatchAllocatesNothing(t *testing.T) {
-	router := routed(Route{Host: "a.example", PathPrefix: "/jobs/"})
+	router := routerOf(Route{Host: "a.example", PathPrefix: "/jobs/"})
 	allocations := testing.AllocsPerRun(100, func() { router.Match("a.example:8080", "/jobs/3fa9d10b7c26e858") })
 	assert.Zero(t, allocations)
 }
@@ -88,7 +88,7 @@
 				longest, exists = max(longest, len(route.PathPrefix)), true
 			}
 		}
-		route, rest, ok := routed(routes...).Match(host, path)
+		route, rest, ok := routerOf(routes...).Match(host, path)
 		require.Equal(t, exists, ok)
 		if ok {
 			require.Len(t, route.PathPrefix, longest)
--- a/internal/system/findings/findings.go
+++ b/internal/system/findings/findings.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// mostShown bounds the findings that the text of an error names; the rest are counted.
-const mostShown = 20
+// maxShown bounds the findings that the text of an error names; the rest are counted.
+const maxShown = 20
 
 // Finding is one thing that is wrong with a document.
 type Finding struct {
@@ -48,7 +48,7 @@
 	if len(f) == 1 {
 		return f[0].String()
 	}
-	shown := f[:min(len(f), mostShown)]
+	shown := f[:min(len(f), maxShown)]
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d findings", len(f))
 	separator := ": "
--- a/internal/system/findings/findings_test.go
+++ b/internal/system/findings/findings_test.go
@@ -34,12 +34,12 @@
 
 func TestManyFindingsAreCounted(t *testing.T) {
 	var found Findings
-	for index := range mostShown + 3 {
+	for index := range maxShown + 3 {
 		found.Add(Item("routes", index, ""), "is empty")
 	}
 	text := found.Error()
 	assert.True(t, strings.HasSuffix(text, "; and 3 more"), text)
-	assert.NotContains(t, text, fmt.Sprintf("routes[%d]", mostShown))
+	assert.NotContains(t, text, fmt.Sprintf("routes[%d]", maxShown))
 }
 
 func TestFindingsAreFoundInAWrappedError(t *testing.T) {
--- a/internal/system/findings/jsonread/jsonread_test.go
+++ b/internal/system/findings/jsonread/jsonread_test.go
@@ -47,7 +47,7 @@
 	assert.Equal(t, "byte 20", found[1].Place)
 }
 
-func TestWhatIsNoObjectIsFound(t *testing.T) {
+func TestNonObjectsAreReported(t *testing.T) {
 	for _, body := range []string{"", "  ", "null", "[]", `"{}"`, "7", "{", `{"left":1`, `{"left":1}x`, `{"left":1} {}`, `{"left" 1}`} {
 		var got pair
 		assert.NotEmpty(t, Object([]byte(body), &got), "%q", body)
--- a/internal/system/jobspec/names_test.go
+++ b/internal/system/jobspec/names_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestNamesAreReadBack(t *testing.T) {
+func TestNamesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		task := drawTask(t)
 		name := task.String()
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestRandomNamesAreThoseThatAreWritten(t *testing.T) {
+func TestAcceptedNamesAreCanonical(t *testing.T) {
 	name := rapid.OneOf(rapid.String(), rapid.StringMatching(`[0-9a-f]{16}(\.[0-9]{1,11}){3}`))
 	rapid.Check(t, func(t *rapid.T) {
 		text := name.Draw(t, "name")
@@ -74,10 +74,10 @@
 }
 
 func TestNamesAreReadAndAppendedWithoutAllocation(t *testing.T) {
-	buffer := make([]byte, 0, mostTaskName)
+	buffer := make([]byte, 0, maxTaskNameLength)
 	task := Task{Job: 1 << 63, Time: 1<<32 - 1, Step: 1<<32 - 1, Index: 1<<32 - 1}
 	name := task.String()
-	assert.Len(t, name, mostTaskName)
+	assert.Len(t, name, maxTaskNameLength)
 	assert.Zero(t, testing.AllocsPerRun(100, func() {
 		task.Append(buffer)
 		ParseTask(name)
--- a/internal/system/jobspec/parse.go
+++ b/internal/system/jobspec/parse.go
@@ -9,8 +9,8 @@
 	"gaugeslip/internal/system/findings/quantity"
 )
 
-// mostTime is the latest time since 1970 that a time of a job may fall due at.
-const mostTime = 250 * 365 * 24 * time.Hour
+// maxDueTime is the latest time since 1970 that a time of a job may fall due at.
+const maxDueTime = 250 * 365 * 24 * time.Hour
 
 // Parse reads and checks a job. The error holds findings.Findings, all of them. Members that it doesn't know are skipped.
 func Parse(body []byte) (*Spec, error) {
@@ -36,17 +36,17 @@
 		r.found.Add("spec", "has %d bytes, more than %d", len(wire.Spec), MaxSpecBytes)
 	}
 	spec := &Spec{Text: wire.Spec}
-	r.times(spec, wire)
+	r.schedule(spec, wire)
 	r.stages(spec, wire)
 	return spec
 }
 
-func (r *reader) times(spec *Spec, wire *wireSpec) {
-	spec.Repetitions = r.whole(job, "repetitions", wire.Repetitions, MaxRepetitions)
-	spec.FirstRun = r.milliseconds(job, "firstRunMs", wire.FirstRunMs)
-	spec.Interval = r.milliseconds(job, "intervalMs", wire.IntervalMs)
+func (r *reader) schedule(spec *Spec, wire *wireSpec) {
+	spec.Repetitions = r.wholeNumber(noStage, "repetitions", wire.Repetitions, MaxRepetitions)
+	spec.FirstRun = r.milliseconds(noStage, "firstRunMs", wire.FirstRunMs)
+	spec.Interval = r.milliseconds(noStage, "intervalMs", wire.IntervalMs)
 	last := spec.FirstRun.Seconds() + float64(spec.Times()-1)*spec.Interval.Seconds()
-	if last > mostTime.Seconds() {
+	if last > maxDueTime.Seconds() {
 		r.found.Add("firstRunMs", "the last time falls due too late")
 	}
 }
@@ -68,7 +68,7 @@
 }
 
 func (r *reader) stage(index int, stage *Stage, wire *wireStage) {
-	stage.Count = r.whole(index, "count", wire.Count, MaxTasks)
+	stage.Count = r.wholeNumber(index, "count", wire.Count, MaxTasks)
 	stage.CPU = r.amount(index, "cpu", wire.CPU)
 	stage.MemoryMb = r.amount(index, "memMb", wire.MemoryMb)
 	stage.GPUs = r.amount(index, "gpus", wire.GPUs)
@@ -101,8 +101,8 @@
 	return slices.Compact(steps)
 }
 
-// whole reads a whole number of at most so much.
-func (r *reader) whole(index int, field string, figure float64, most int) int {
+// wholeNumber reads a whole number of at most so much.
+func (r *reader) wholeNumber(index int, field string, figure float64, most int) int {
 	if figure < 0 {
 		r.found.Add(place(index, field), "%v is negative", figure)
 		return 0
@@ -120,14 +120,14 @@
 
 // amount reads a demand; a fraction counts as the next whole number, so that what is set aside always suffices.
 func (r *reader) amount(index int, field string, figure float64) int64 {
-	return quantity.AtLeast(r.figure(index, field, figure), MostAmount)
+	return quantity.AtLeast(r.nonNegative(index, field, figure), MostAmount)
 }
 
 func (r *reader) milliseconds(index int, field string, figure float64) time.Duration {
-	return quantity.Milliseconds(r.figure(index, field, figure))
+	return quantity.Milliseconds(r.nonNegative(index, field, figure))
 }
 
-func (r *reader) figure(index int, field string, figure float64) float64 {
+func (r *reader) nonNegative(index int, field string, figure float64) float64 {
 	if figure < 0 {
 		r.found.Add(place(index, field), "%v is negative", figure)
 		return 0
@@ -135,11 +135,11 @@
 	return figure
 }
 
-// job stands for the job itself where a step's number is asked for.
-const job = -1
+// noStage stands for the job itself where a step's number is asked for.
+const noStage = -1
 
 func place(index int, field string) string {
-	if index == job {
+	if index == noStage {
 		return field
 	}
 	return findings.Item("stages", index, field)
--- a/internal/system/jobspec/parse_test.go
+++ b/internal/system/jobspec/parse_test.go
@@ -16,7 +16,7 @@
 	"gaugeslip/internal/system/findings"
 )
 
-const full = `{
+const fullJob = `{
 	"spec": "render é\n",
 	"stages": [
 		{"count":4,"cpu":500,"memMb":256,"estimatedMs":900.5,"colocation":"rack-3","antiAffinity":2,"requirements":"gold"},
@@ -28,7 +28,7 @@
 }`
 
 func TestAWholeJobIsRead(t *testing.T) {
-	spec, err := Parse([]byte(full))
+	spec, err := Parse([]byte(fullJob))
 	require.NoError(t, err)
 	assert.Equal(t, &Spec{
 		Text: "render é\n",
@@ -52,7 +52,7 @@
 	assert.Equal(t, 1_700_000_003*time.Second, spec.DueAt(2))
 }
 
-func TestAJobThatLeavesThingsOutIsRead(t *testing.T) {
+func TestOmittedMembersGetDefaults(t *testing.T) {
 	for _, body := range []string{
 		`{}`, `{"spec":"x"}`, `{"stages":[]}`, `{"stages":null}`, `{"stages":[{}]}`, `{"stages":[{"count":0}]}`,
 		`{"stages":[{"requirements":""}]}`, `{"stages":[{"requirements":[]}]}`, `{"stages":[{"requirements":null}]}`,
@@ -78,7 +78,7 @@
 	assert.True(t, spec.Stages[1].LongRunning)
 }
 
-func TestTooLargeDemandsAreCut(t *testing.T) {
+func TestLargeDemandsAreClamped(t *testing.T) {
 	spec, err := Parse([]byte(`{"stages":[{"cpu":1e300,"memMb":1e20,"gpus":0.1,"estimatedMs":1e200,"antiAffinity":1e100}]}`))
 	require.NoError(t, err)
 	stage := spec.Stages[0]
@@ -89,7 +89,7 @@
 	assert.EqualValues(t, MostAmount, stage.AntiAffinity)
 }
 
-func TestTheLimitsThemselvesAreTaken(t *testing.T) {
+func TestLimitsAreInclusive(t *testing.T) {
 	for name, body := range map[string]string{
 		"text":  `{"spec":"` + strings.Repeat("x", MaxSpecBytes) + `"}`,
 		"steps": `{"stages":[` + strings.Repeat("{},", MaxStages-1) + `{}]}`,
@@ -143,7 +143,7 @@
 	for _, body := range []string{
 		"", "null", "[]", "{", `{"spec":7}`, `{"spec":"x"`, `{"stages":{}}`, `{"stages":[7]}`, `{"stages":[{"count":"4"}]}`,
 		`{"stages":[{"requirements":7}]}`, `{"stages":[{"requirements":["a",7]}]}`, `{"stages":[{"requirements":["a"}]}`,
-		`{"stages":[{"dependsOn":0}]}`, `{"stages":[{"gang":1}]}`, `{"stages":[{"cpu":1e999}]}`, `{} {}`, full[:len(full)-1],
+		`{"stages":[{"dependsOn":0}]}`, `{"stages":[{"gang":1}]}`, `{"stages":[{"cpu":1e999}]}`, `{} {}`, fullJob[:len(fullJob)-1],
 	} {
 		spec, err := Parse([]byte(body))
 		assert.Nil(t, spec, "%q", body)
@@ -159,7 +159,7 @@
 	assert.Len(t, found, 4)
 }
 
-func TestWhatIsEncodedIsReadBack(t *testing.T) {
+func TestEncodedJobsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := drawSpec(t)
 		body, err := spec.Encode()
@@ -182,7 +182,7 @@
 	random := rand.New(rand.NewPCG(5, 6))
 	const pieces = `{}[]",:0-.eE+tfn\` + "\x00\xff "
 	for range rounds {
-		body := []byte(full)
+		body := []byte(fullJob)
 		for damage := 1 + random.IntN(4); damage > 0 && len(body) > 0; damage-- {
 			at := random.IntN(len(body))
 			switch random.IntN(3) {
@@ -268,7 +268,7 @@
 }
 
 func BenchmarkParse(b *testing.B) {
-	body := []byte(full)
+	body := []byte(fullJob)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := Parse(body); err != nil {
--- a/internal/system/jobspec/task.go
+++ b/internal/system/jobspec/task.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// mostTaskName is room for the longest name of a task: the ID and three numbers of ten digits, each behind a dot.
-const mostTaskName = idDigits + 3*(1+10)
+// maxTaskNameLength is room for the longest name of a task: the ID and three numbers of ten digits, each behind a dot.
+const maxTaskNameLength = idDigits + 3*(1+10)
 
 // Task names one task of a job. It may be the key of a map.
 type Task struct {
@@ -38,7 +38,7 @@
 
 // String writes the name of the task, ID.TIME.STEP.INDEX.
 func (t Task) String() string {
-	var name [mostTaskName]byte
+	var name [maxTaskNameLength]byte
 	return string(t.Append(name[:0]))
 }
 
--- a/internal/system/jobspec/work_test.go
+++ b/internal/system/jobspec/work_test.go
@@ -35,7 +35,7 @@
 	assert.InDelta(t, 2*0.5*1000+1*1*2000+3*10*5000, spec.Work(), 1e-6)
 }
 
-func TestChainsMeetInEveryStep(t *testing.T) {
+func TestPathsMeetInEveryStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := drawSpec(t)
 		longest, upTo, from := spec.LongestChain(), spec.ChainsUpTo(), spec.ChainsFrom()
--- a/internal/system/quota/desk.go
+++ b/internal/system/quota/desk.go
@@ -61,13 +61,13 @@
 
 // outstanding is what is proposed on the account that bounds a tenant.
 func (d *Desk) outstanding(tenant string) int64 {
-	bounding := d.ledger.bounding(tenant)
+	bounding := d.ledger.boundingAccount(tenant)
 	if bounding.named {
 		return d.proposed[tenant]
 	}
 	sum := int64(0)
 	for other, proposed := range d.proposed {
-		if d.ledger.bounding(other) == bounding {
+		if d.ledger.boundingAccount(other) == bounding {
 			sum += proposed
 		}
 	}
--- a/internal/system/quota/desk_test.go
+++ b/internal/system/quota/desk_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestADeskCountsWhatItHasProposed(t *testing.T) {
+func TestReservationsCountAgainstTheShare(t *testing.T) {
 	ledger := NewLedger()
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 4}})
 	desk := NewDesk(ledger)
@@ -22,7 +22,7 @@
 	assert.EqualValues(t, 1, desk.Room("teff"))
 }
 
-func TestProposalsOfAllWithoutAShareCountTogether(t *testing.T) {
+func TestReservationsOfUnnamedTenantsCountTogether(t *testing.T) {
 	ledger := NewLedger()
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 4}, Pool: 10, Pooled: true})
 	desk := NewDesk(ledger)
@@ -35,7 +35,7 @@
 	assert.EqualValues(t, 0, desk.Room("gone"))
 }
 
-func TestADeskTellsWhenSomeoneMayTakeMore(t *testing.T) {
+func TestFreedCapacityIsReportedOnce(t *testing.T) {
 	ledger := NewLedger()
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 4}})
 	desk := NewDesk(ledger)
--- a/internal/system/quota/ledger.go
+++ b/internal/system/quota/ledger.go
@@ -42,14 +42,14 @@
 	l.inForce = plan.InForce()
 	l.releases++
 	for tenant, promised := range plan.Promised {
-		l.open(tenant).limit = promised
+		l.ensureAccount(tenant).limit = promised
 	}
 	l.rest = account{limit: plan.Rest()}
 	for tenant, a := range l.accounts {
 		_, a.named = plan.Promised[tenant]
 		if !a.named {
 			l.rest.used += a.used
-			l.forget(tenant, a)
+			l.dropUnused(tenant, a)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 	if !l.inForce {
 		return Unlimited
 	}
-	return l.bounding(tenant).free()
+	return l.boundingAccount(tenant).free()
 }
 
 // Limit is how many accelerators a tenant may take, all in all.
@@ -75,7 +75,7 @@
 	if !l.inForce {
 		return Unlimited
 	}
-	return l.bounding(tenant).limit
+	return l.boundingAccount(tenant).limit
 }
 
 // Used is how many accelerators those runs of a tenant take that may exist.
@@ -89,14 +89,14 @@
 // Charge takes note of a run that may exist from now on. It doesn't ask whether it fits.
 func (l *Ledger) Charge(tenant string, need int64) {
 	if need > 0 {
-		l.move(tenant, need)
+		l.adjust(tenant, need)
 	}
 }
 
 // Release takes note that a run doesn't exist any more.
 func (l *Ledger) Release(tenant string, need int64) {
 	if need > 0 {
-		l.move(tenant, -need)
+		l.adjust(tenant, -need)
 		l.releases++
 	}
 }
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// bounding is the account that bounds a tenant.
-func (l *Ledger) bounding(tenant string) *account {
+// boundingAccount is the account that bounds a tenant.
+func (l *Ledger) boundingAccount(tenant string) *account {
 	if a := l.accounts[tenant]; a != nil && a.named {
 		return a
 	}
@@ -151,7 +151,7 @@
 	return a.limit - a.used
 }
 
-func (l *Ledger) open(tenant string) *account {
+func (l *Ledger) ensureAccount(tenant string) *account {
 	a := l.accounts[tenant]
 	if a == nil {
 		a = &account{}
@@ -160,17 +160,17 @@
 	return a
 }
 
-func (l *Ledger) move(tenant string, change int64) {
-	a := l.open(tenant)
+func (l *Ledger) adjust(tenant string, change int64) {
+	a := l.ensureAccount(tenant)
 	a.used += change
 	if !a.named {
 		l.rest.used += change
-		l.forget(tenant, a)
+		l.dropUnused(tenant, a)
 	}
 }
 
-// forget drops an account that tells nothing.
-func (l *Ledger) forget(tenant string, a *account) {
+// dropUnused drops an account that tells nothing.
+func (l *Ledger) dropUnused(tenant string, a *account) {
 	if !a.named && a.used == 0 {
 		delete(l.accounts, tenant)
 	}
--- a/internal/system/quota/ledger_test.go
+++ b/internal/system/quota/ledger_test.go
@@ -33,7 +33,7 @@
 	assert.Equal(t, Unlimited, ledger.Limit(""))
 }
 
-func TestAShareIsHeld(t *testing.T) {
+func TestShareIsEnforced(t *testing.T) {
 	ledger := NewLedger()
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 4, "none": 0}})
 	assert.True(t, ledger.Fits("teff", 4))
@@ -48,7 +48,7 @@
 	assert.True(t, ledger.Fits("stranger", 1000), "no pool was stated")
 }
 
-func TestASmallerShareStartsNothingUntilEnoughHasEnded(t *testing.T) {
+func TestReducedShareBlocksStartsUntilUsageFalls(t *testing.T) {
 	ledger := NewLedger()
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 8}})
 	ledger.Charge("teff", 8)
@@ -61,7 +61,7 @@
 	assert.True(t, ledger.Fits("teff", 1))
 }
 
-func TestThoseWithoutAShareHaveWhatNobodyWasPromised(t *testing.T) {
+func TestUnnamedTenantsShareTheRemainder(t *testing.T) {
 	ledger := NewLedger()
 	ledger.Charge("gone", 2)
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 6}, Pool: 10, Pooled: true})
@@ -77,7 +77,7 @@
 	}, ledger.Accounts())
 }
 
-func TestADifferenceIsFound(t *testing.T) {
+func TestCheckReportsDifferences(t *testing.T) {
 	ledger := NewLedger()
 	ledger.Charge("teff", 2)
 	require.NoError(t, ledger.Check(map[string]int64{"teff": 2}))
@@ -93,13 +93,13 @@
 	assert.EqualError(t, &OversizeError{Stage: 0, Need: 64, Limit: 32}, "stages[0] needs 64 accelerators at once, and its queue may take 32")
 }
 
-// book is the ledger's plain counterpart.
-type book struct {
+// plainLedger is the ledger's plain counterpart.
+type plainLedger struct {
 	plan Plan
 	used map[string]int64
 }
 
-func (b *book) free(tenant string) int64 {
+func (b *plainLedger) free(tenant string) int64 {
 	if !b.plan.InForce() {
 		return Unlimited
 	}
@@ -132,9 +132,9 @@
 	return plan
 }
 
-func TestTheLedgerAgreesWithAPlainCount(t *testing.T) {
+func TestLedgerAgreesWithPlainCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ledger, plain := NewLedger(), &book{used: map[string]int64{}}
+		ledger, plain := NewLedger(), &plainLedger{used: map[string]int64{}}
 		tenant := rapid.SampledFrom([]string{"", "0", "1", "2", "3"})
 		t.Repeat(map[string]func(*rapid.T){
 			"configure": func(t *rapid.T) {
--- a/internal/system/state/admission_test.go
+++ b/internal/system/state/admission_test.go
@@ -13,14 +13,14 @@
 	"gaugeslip/internal/system/state"
 )
 
-func (w *admitters) submit() {
+func (w *admissionSim) submit() {
 	held := 0
 	for _, job := range w.machine.Jobs() {
 		if !job.State.Over() {
 			held++
 		}
 	}
-	if held >= mostHeldJobs {
+	if held >= maxUnfinishedJobs {
 		return
 	}
 	w.jobs++
@@ -34,7 +34,7 @@
 }
 
 // cancel cancels a job; what runs of it goes on until it has ended.
-func (w *admitters) cancel() {
+func (w *admissionSim) cancel() {
 	if w.jobs > 0 {
 		id := state.JobID(1 + w.random.IntN(w.jobs))
 		w.commit(proposal{command: state.Command{Kind: state.KindJobCancelled, JobCancelled: &state.JobCancelled{ID: id}}})
@@ -42,7 +42,7 @@
 }
 
 // end lets a run end.
-func (w *admitters) end() {
+func (w *admissionSim) end() {
 	worker := fmt.Sprint("w", w.random.IntN(workerCount))
 	record := w.machine.Worker(worker)
 	if record == nil || len(record.Runs) == 0 {
@@ -55,12 +55,12 @@
 		TasksEnded: &state.TasksEnded{Worker: worker, Ends: []state.End{end}}}})
 }
 
-func (w *admitters) loseWorker() {
+func (w *admissionSim) loseWorker() {
 	w.commit(proposal{command: state.Command{Kind: state.KindWorkerLost, WorkerLost: fmt.Sprint("w", w.random.IntN(workerCount))}})
 }
 
 // reconfigure promises other accelerators to other tenants, or none at all.
-func (w *admitters) reconfigure() {
+func (w *admissionSim) reconfigure() {
 	plan := quota.Plan{Promised: map[string]int64{}, Pooled: w.random.IntN(2) == 0}
 	body, sum := "", int64(0)
 	for _, tenant := range tenantNames[1:] {
@@ -87,9 +87,9 @@
 	require.Equal(w.t, state.Applied, result.Outcome)
 }
 
-// act does one thing that may happen.
-func (w *admitters) act() {
-	a := w.each[w.random.IntN(admitterCount)]
+// step does one thing that may happen.
+func (w *admissionSim) step() {
+	a := w.replicas[w.random.IntN(replicaCount)]
 	switch draw := w.random.IntN(100); {
 	case draw < 10:
 		w.submit()
@@ -98,7 +98,7 @@
 	case draw < 60:
 		w.deliver()
 	case draw < 80:
-		w.learn(a, 1+w.random.IntN(8))
+		w.applyEntries(a, 1+w.random.IntN(8))
 	case draw < 92:
 		w.end()
 	case draw < 94:
@@ -108,21 +108,21 @@
 	case draw < 98:
 		w.reconfigure()
 	default:
-		w.takeover(w.random.IntN(admitterCount))
+		w.replaceReplica(w.random.IntN(replicaCount))
 	}
 }
 
-// settleDown lets all that is under way come to its end while all replicas admit at the same time.
-func (w *admitters) settleDown() {
+// drain lets all that is under way come to its end while all replicas admit at the same time.
+func (w *admissionSim) drain() {
 	for range 1000 {
-		for len(w.sent) > 0 {
+		for len(w.proposals) > 0 {
 			w.deliver()
 		}
 		proposed := false
-		for _, a := range w.each {
-			w.learn(a, len(w.chain))
+		for _, a := range w.replicas {
+			w.applyEntries(a, len(w.chain))
 		}
-		for _, a := range w.each {
+		for _, a := range w.replicas {
 			proposed = w.admit(a) || proposed
 		}
 		if !proposed {
@@ -132,9 +132,9 @@
 	require.Fail(w.t, "it doesn't settle")
 }
 
-// checkIdle looks for a held task that fits the free room and its tenant's share.
-func (w *admitters) checkIdle() {
-	used := use(w.machine)
+// checkNothingStartable looks for a held task that fits the free room and its tenant's share.
+func (w *admissionSim) checkNothingStartable() {
+	used := usedByTenant(w.machine)
 	eachTask(w.machine, func(job *state.Job, name state.TaskName, task *state.Task) {
 		next := state.Start{Run: state.Run{Task: name, Attempt: 1}}
 		if task != nil {
@@ -143,15 +143,15 @@
 		if !w.machine.MayStart(&next) || job.Spec.Stages[name.Step].Speculative && task != nil && len(task.Placements) > 0 {
 			return
 		}
-		if stage := &job.Spec.Stages[name.Step]; stage.Gang && w.gangRuns(job, name) || !w.roomFor(job, name) {
+		if stage := &job.Spec.Stages[name.Step]; stage.Gang && w.gangRuns(job, name) || !w.hasCapacityFor(job, name) {
 			return
 		}
-		require.Greater(w.t, needOf(job, name), free(w.plan, used, job.Tenant), "%v of tenant %q is held", name, job.Tenant)
+		require.Greater(w.t, needOf(job, name), available(w.plan, used, job.Tenant), "%v of tenant %q is held", name, job.Tenant)
 	})
 }
 
 // gangRuns tells whether some member of a gang runs, so that the others must wait for its end.
-func (w *admitters) gangRuns(job *state.Job, name state.TaskName) bool {
+func (w *admissionSim) gangRuns(job *state.Job, name state.TaskName) bool {
 	for index := range job.Spec.Stages[name.Step].Count {
 		name.Index = uint32(index)
 		if task := job.Task(name); task != nil && len(task.Placements) > 0 {
@@ -161,53 +161,53 @@
 	return false
 }
 
-func (w *admitters) roomFor(job *state.Job, name state.TaskName) bool {
+func (w *admissionSim) hasCapacityFor(job *state.Job, name state.TaskName) bool {
 	stage := &job.Spec.Stages[name.Step]
 	wanted := 1
 	if stage.Gang {
 		wanted = stage.Count
 	}
-	for worker, room := range w.room {
+	for worker, room := range w.capacity {
 		if stage.GPUs == 0 {
 			return true
 		}
-		wanted -= int((room - w.taken(w.machine, worker)) / stage.GPUs)
+		wanted -= int((room - w.usedOn(w.machine, worker)) / stage.GPUs)
 	}
 	return wanted <= 0
 }
 
-// play lets things happen, and looks four times at what there is when all has come to rest.
-func (w *admitters) play() {
+// run lets things happen, and looks four times at what there is when all has come to rest.
+func (w *admissionSim) run() {
 	w.reconfigure()
 	for range 4 {
 		for range 80 {
-			w.act()
+			w.step()
 		}
-		w.settleDown()
-		w.checkIdle()
+		w.drain()
+		w.checkNothingStartable()
 	}
-	for _, a := range w.each {
+	for _, a := range w.replicas {
 		require.Equal(w.t, w.machine.Snapshot(), a.machine.Snapshot())
 	}
 }
 
-// seeds is how many random histories are played.
-const seeds = 150
+// seedCount is how many random histories are played.
+const seedCount = 150
 
-// TestSharesHoldWhoeverAdmits has several replicas admit at the same time, each by a copy of the state that trails, with takeovers,
+// TestSharesHoldWithConcurrentAdmission has several replicas admit at the same time, each by a copy of the state that trails, with takeovers,
 // refusals by workers, losses, cancelled jobs and other configurations in between: no share is ever exceeded, no start is refused
 // while its share stands unused, and when all has come to rest nothing is held that fits.
-func TestSharesHoldWhoeverAdmits(t *testing.T) {
+func TestSharesHoldWithConcurrentAdmission(t *testing.T) {
 	started, refused := 0, 0
-	for seed := range uint64(seeds) {
+	for seed := range uint64(seedCount) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			w := newAdmitters(t, seed)
-			w.play()
+			w := newAdmissionSim(t, seed)
+			w.run()
 			started += w.started
-			refused += w.refused
+			refused += w.rejected
 		})
 	}
 	t.Logf("%d starts held, %d were refused for their share", started, refused)
-	assert.Greater(t, started, 20*seeds)
-	assert.Greater(t, refused, seeds, "the replicas have hardly raced")
+	assert.Greater(t, started, 20*seedCount)
+	assert.Greater(t, refused, seedCount, "the replicas have hardly raced")
 }
--- a/internal/system/state/audit_test.go
+++ b/internal/system/state/audit_test.go
@@ -9,19 +9,19 @@
 	"pgregory.net/rapid"
 )
 
-// audited is a state with its audit, fed entry by entry.
-type audited struct {
+// auditedMachine is a state with its audit, fed entry by entry.
+type auditedMachine struct {
 	*Machine
 	audit *Audit
 	index uint64
 }
 
-func newAudited(index uint64) *audited {
-	return &audited{Machine: New(), audit: NewAudit(index), index: index}
+func newAuditedMachine(index uint64) *auditedMachine {
+	return &auditedMachine{Machine: New(), audit: NewAudit(index), index: index}
 }
 
-// feed applies a command; nil is an empty entry.
-func (a *audited) feed(command *Command) (digest uint64, due bool) {
+// apply applies a command; nil is an empty entry.
+func (a *auditedMachine) apply(command *Command) (digest uint64, due bool) {
 	a.index++
 	if command == nil {
 		return a.audit.Applied(a.index, nil, nil, a.Machine)
@@ -32,17 +32,17 @@
 }
 
 // restored is the same state by way of a snapshot.
-func (a *audited) restored(t require.TestingT) *audited {
-	other := newAudited(a.index)
+func (a *auditedMachine) restored(t require.TestingT) *auditedMachine {
+	other := newAuditedMachine(a.index)
 	require.NoError(t, other.Restore(a.Snapshot()))
 	return other
 }
 
 // Two replicas with the same entries have the same digests, also where one of them has its state from a snapshot.
-func TestDigestsOfTheSameStateAreTheSame(t *testing.T) {
+func TestEqualStatesHaveEqualDigests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := newAudited(0)
-		var other *audited
+		a := newAuditedMachine(0)
+		var other *auditedMachine
 		from := rapid.IntRange(0, 2*AuditEvery).Draw(t, "from")
 		compared := 0
 		for i := range 4 * AuditEvery {
@@ -50,12 +50,12 @@
 				other = a.restored(t)
 			}
 			command := drawCommand(t)
-			digest, due := a.feed(&command)
+			digest, due := a.apply(&command)
 			require.Equal(t, (i+1)%AuditEvery == 0, due)
 			if other == nil {
 				continue
 			}
-			if again, due := other.feed(&command); due {
+			if again, due := other.apply(&command); due {
 				require.Equal(t, digest, again, "at %d", i+1)
 				compared++
 			}
@@ -65,27 +65,27 @@
 }
 
 // populated is a state with so many jobs, of which each has a task that runs.
-func populated(jobs int) *audited {
-	a := newAudited(0)
+func populated(jobs int) *auditedMachine {
+	a := newAuditedMachine(0)
 	for id := range jobs {
-		a.feed(&Command{Kind: KindJobAccepted, JobAccepted: &JobAccepted{ID: JobID(id + 1), Route: "r", MaxRetries: 2,
+		a.apply(&Command{Kind: KindJobAccepted, JobAccepted: &JobAccepted{ID: JobID(id + 1), Route: "r", MaxRetries: 2,
 			Body: []byte(`{"spec":"x","stages":[{"count":2,"cpu":100}]}`)}})
-		a.feed(&Command{Kind: KindTasksStarting, TasksStarting: []Start{{Run: Run{Task: TaskName{Job: JobID(id + 1)}, Attempt: 1},
+		a.apply(&Command{Kind: KindTasksStarting, TasksStarting: []Start{{Run: Run{Task: TaskName{Job: JobID(id + 1)}, Attempt: 1},
 			Worker: fmt.Sprint("w", id%50)}}})
 	}
 	return a
 }
 
-// found tells whether two states are told apart within as many digests as look at all of a state of that size.
-func found(t *testing.T, one, other *audited) bool {
+// differenceFound tells whether two states are told apart within as many digests as look at all of a state of that size.
+func differenceFound(t *testing.T, one, other *auditedMachine) bool {
 	t.Helper()
 	turns := 1
-	for jobs := len(one.jobs); jobs >= auditJobs; jobs /= 2 {
+	for jobs := len(one.jobs); jobs >= jobsPerDigest; jobs /= 2 {
 		turns *= 2
 	}
 	for range (turns + 2) * AuditEvery {
-		digest, due := one.feed(nil)
-		again, dueToo := other.feed(nil)
+		digest, due := one.apply(nil)
+		again, dueToo := other.apply(nil)
 		require.True(t, due == dueToo || !dueToo)
 		if due && dueToo && digest != again {
 			return true
@@ -94,7 +94,7 @@
 	return false
 }
 
-func TestAnyDifferenceOfTheStateIsFound(t *testing.T) {
+func TestAuditDetectsStateDifferences(t *testing.T) {
 	changes := map[string]func(m *Machine){
 		"nothing":              func(*Machine) {},
 		"a job's state":        func(m *Machine) { m.jobs[77].State = Completed },
@@ -119,41 +119,41 @@
 		for name, change := range changes {
 			t.Run(fmt.Sprint(name, "/", jobs), func(t *testing.T) {
 				one := populated(jobs)
-				one.feed(&Command{Kind: KindConfigReplaced, ConfigReplaced: &ConfigReplaced{Version: 1, Body: []byte("{ }")}})
+				one.apply(&Command{Kind: KindConfigReplaced, ConfigReplaced: &ConfigReplaced{Version: 1, Body: []byte("{ }")}})
 				other := one.restored(t)
 				change(other.Machine)
-				assert.Equal(t, name != "nothing", found(t, one, other))
+				assert.Equal(t, name != "nothing", differenceFound(t, one, other))
 			})
 		}
 	}
 }
 
 // The same entries must come to the same also where it leaves no trace in the state.
-func TestADifferenceOfEntriesOrOutcomesIsFound(t *testing.T) {
+func TestAuditDetectsEntryAndOutcomeDifferences(t *testing.T) {
 	cancel := Command{Kind: KindJobCancelled, JobCancelled: &JobCancelled{ID: 9}}
 	lose := Command{Kind: KindWorkerLost, WorkerLost: "none"}
-	run := func(last func(a *audited)) uint64 {
-		a := newAudited(0)
+	run := func(last func(a *auditedMachine)) uint64 {
+		a := newAuditedMachine(0)
 		for range AuditEvery - 2 {
-			a.feed(nil)
+			a.apply(nil)
 		}
 		last(a)
-		digest, due := a.feed(nil)
+		digest, due := a.apply(nil)
 		require.True(t, due)
 		return digest
 	}
-	plain := run(func(a *audited) { a.feed(&cancel) })
-	assert.Equal(t, plain, run(func(a *audited) { a.feed(&cancel) }))
-	assert.NotEqual(t, plain, run(func(a *audited) { a.feed(&lose) }), "another entry")
-	assert.NotEqual(t, plain, run(func(a *audited) { a.feed(nil) }), "no entry")
-	assert.NotEqual(t, plain, run(func(a *audited) {
+	plain := run(func(a *auditedMachine) { a.apply(&cancel) })
+	assert.Equal(t, plain, run(func(a *auditedMachine) { a.apply(&cancel) }))
+	assert.NotEqual(t, plain, run(func(a *auditedMachine) { a.apply(&lose) }), "another entry")
+	assert.NotEqual(t, plain, run(func(a *auditedMachine) { a.apply(nil) }), "no entry")
+	assert.NotEqual(t, plain, run(func(a *auditedMachine) {
 		a.index++
 		result := a.Apply(cancel)
 		result.Outcome = Repeated
 		a.audit.Applied(a.index, cancel.Encode(), &result, a.Machine)
 	}), "another outcome")
 	touched := func(state JobState) uint64 {
-		return run(func(a *audited) {
+		return run(func(a *auditedMachine) {
 			a.index++
 			job := &Job{JobAccepted: JobAccepted{ID: 1}, State: state}
 			a.audit.Applied(a.index, cancel.Encode(), &Result{Jobs: []*Job{job}}, a.Machine)
@@ -163,7 +163,7 @@
 }
 
 // A digest of which entries are missing can't be compared, and isn't given.
-func TestADigestNeedsAllItsEntries(t *testing.T) {
+func TestNoDigestWithMissingEntries(t *testing.T) {
 	m := New()
 	for _, start := range []uint64{0, 1, AuditEvery - 1, AuditEvery} {
 		a := NewAudit(start)
@@ -183,11 +183,11 @@
 }
 
 // What goes into a digest must not change under the same format: replicas of two versions would take each other for broken.
-func TestTheFormatOfDigestsIsPinned(t *testing.T) {
+func TestDigestFormatIsPinned(t *testing.T) {
 	a := populated(40)
 	var digest uint64
 	for due := false; !due; {
-		digest, due = a.feed(nil)
+		digest, due = a.apply(nil)
 	}
 	require.Equal(t, 1, AuditFormat)
 	require.Equal(t, uint64(0xaf1f1d266b237885), digest, "raise AuditFormat, then pin the new digest")
@@ -196,6 +196,6 @@
 func BenchmarkAudit(b *testing.B) {
 	a := populated(20_000)
 	for b.Loop() {
-		a.feed(nil)
+		a.apply(nil)
 	}
 }
--- a/internal/system/state/capture_test.go
+++ b/internal/system/state/capture_test.go
@@ -8,7 +8,7 @@
 )
 
 // Whatever commands come while a capture is under way, it is the state of its moment.
-func TestCaptureIsTheStateOfItsMoment(t *testing.T) {
+func TestCaptureEqualsSnapshotAtItsStart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
 		for range rapid.IntRange(0, 40).Draw(t, "before") {
@@ -29,7 +29,7 @@
 }
 
 // A worker's end is told by its name alone; the jobs of its runs are written before.
-func TestCaptureKeepsTheRunsOfALostWorker(t *testing.T) {
+func TestCaptureSavesJobsOfALostWorker(t *testing.T) {
 	m := New()
 	m.Apply(Command{Kind: KindJobAccepted, JobAccepted: &JobAccepted{ID: 1, Body: []byte(`{"stages":[{"count":1}]}`)}})
 	run := Run{Task: TaskName{Job: 1}, Attempt: 1}
--- a/internal/system/state/codec.go
+++ b/internal/system/state/codec.go
@@ -124,8 +124,8 @@
 	return TaskName{Job: JobID(r.fixed()), Time: uint32(r.uint()), Step: uint32(r.uint()), Index: uint32(r.uint())}
 }
 
-// done reports a fault, also for bytes that are left over.
-func (r *reader) done() error {
+// finish reports a fault, also for bytes that are left over.
+func (r *reader) finish() error {
 	if r.failed || len(r.data) > 0 {
 		return ErrCorrupt
 	}
--- a/internal/system/state/command.go
+++ b/internal/system/state/command.go
@@ -102,14 +102,14 @@
 	Alone  // it waited too long for the others of its gang
 )
 
-var howNames = map[How]string{Done: "done", Failed: "failed", Stopped: "stopped", Lapsed: "lapsed", Broken: "broken", Alone: "alone"}
+var endReasonNames = map[How]string{Done: "done", Failed: "failed", Stopped: "stopped", Lapsed: "lapsed", Broken: "broken", Alone: "alone"}
 
 // String gives the word that workers use.
-func (h How) String() string { return howNames[h] }
+func (h How) String() string { return endReasonNames[h] }
 
 // ParseHow reads the word that workers use; a word that isn't known counts as Stopped, which spends no attempt.
 func ParseHow(word string) How {
-	for how, name := range howNames {
+	for how, name := range endReasonNames {
 		if name == word {
 			return how
 		}
@@ -130,7 +130,7 @@
 		if c.JobAccepted.Tenant != "" {
 			w.string(c.JobAccepted.Tenant)
 		}
-		w.accepted(c.JobAccepted)
+		w.jobAccepted(c.JobAccepted)
 	case KindJobCancelled:
 		w.fixed(uint64(c.JobCancelled.ID))
 		w.int(c.JobCancelled.AtMs)
@@ -142,7 +142,7 @@
 			w.run(run)
 		}
 	case KindTasksEnded:
-		w.ended(c.TasksEnded)
+		w.tasksEnded(c.TasksEnded)
 	case KindWorkerLost:
 		w.string(c.WorkerLost)
 	case KindWorkerForgotten:
@@ -201,7 +201,7 @@
 
 func (r *reader) run() Run { return Run{Task: r.task(), Attempt: uint32(r.uint())} }
 
-func (w *writer) accepted(job *JobAccepted) {
+func (w *writer) jobAccepted(job *JobAccepted) {
 	w.fixed(uint64(job.ID))
 	w.string(job.Route)
 	w.string(job.Service)
@@ -213,7 +213,7 @@
 	w.bytes(job.Body)
 }
 
-func (r *reader) accepted() *JobAccepted {
+func (r *reader) jobAccepted() *JobAccepted {
 	return &JobAccepted{ID: JobID(r.fixed()), Route: r.string(), Service: r.string(), Priority: int(r.int()),
 		MaxRetries: int(r.int()), Extension: r.float(), TargetLatencyMs: r.float(), AcceptedMs: r.int(), Body: r.bytes()}
 }
@@ -235,7 +235,7 @@
 	return starts
 }
 
-func (w *writer) ended(ended *TasksEnded) {
+func (w *writer) tasksEnded(ended *TasksEnded) {
 	w.string(ended.Worker)
 	w.uint(uint64(len(ended.Ends)))
 	for i := range ended.Ends {
@@ -247,7 +247,7 @@
 	}
 }
 
-func (r *reader) ended() *TasksEnded {
+func (r *reader) tasksEnded() *TasksEnded {
 	ended := &TasksEnded{Worker: r.string(), Ends: make([]End, r.count())}
 	for i := range ended.Ends {
 		ended.Ends[i] = End{Run: r.run(), Number: r.uint(), How: How(r.byte()), Checkpoint: r.string()}
@@ -263,10 +263,10 @@
 	case KindConfigReplaced:
 		c.ConfigReplaced = &ConfigReplaced{Base: r.uint(), Version: r.uint(), Body: r.bytes()}
 	case KindJobAccepted:
-		c.JobAccepted = r.accepted()
+		c.JobAccepted = r.jobAccepted()
 	case kindTenantJobAccepted:
 		tenant := r.string()
-		c.Kind, c.JobAccepted = KindJobAccepted, r.accepted()
+		c.Kind, c.JobAccepted = KindJobAccepted, r.jobAccepted()
 		c.JobAccepted.Tenant = tenant
 	case KindJobCancelled:
 		c.JobCancelled = &JobCancelled{ID: JobID(r.fixed()), AtMs: r.int()}
@@ -278,7 +278,7 @@
 			c.StartsVoided[i] = r.run()
 		}
 	case KindTasksEnded:
-		c.TasksEnded = r.ended()
+		c.TasksEnded = r.tasksEnded()
 	case KindWorkerLost:
 		c.WorkerLost = r.string()
 	case KindWorkerForgotten:
@@ -291,7 +291,7 @@
 	default:
 		r.fail()
 	}
-	if err := r.done(); err != nil {
+	if err := r.finish(); err != nil {
 		return Command{}, fmt.Errorf("command of kind %d: %w", c.Kind, err)
 	}
 	return c, nil
--- a/internal/system/state/config.go
+++ b/internal/system/state/config.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// keptVersions bounds how many configurations that were in force are remembered, so that a repeated order is known. A state that
+// historyLimit bounds how many configurations that were in force are remembered, so that a repeated order is known. A state that
 // remembers as many may have forgotten older ones, which snapshots don't tell in any other way: the number is part of their form.
-const keptVersions = 1024
+const historyLimit = 1024
 
 // Config is the configuration in force; Version 0 means none yet.
 type Config struct {
@@ -15,8 +15,8 @@
 	Body    []byte
 }
 
-// taken is a configuration that was in force once.
-type taken struct {
+// appliedVersion is a configuration that was in force once.
+type appliedVersion struct {
 	version uint64
 	sum     uint64
 }
@@ -25,7 +25,7 @@
 // be known any more is Forgotten.
 func (m *Machine) CheckConfig(next *ConfigReplaced) Outcome {
 	switch {
-	case m.wasTaken(next):
+	case m.wasApplied(next):
 		return Repeated
 	case m.mayBeForgotten(next):
 		return Forgotten
@@ -37,9 +37,9 @@
 	return Applied
 }
 
-// wasTaken tells whether that very configuration is in force or was, as far as is remembered.
-func (m *Machine) wasTaken(next *ConfigReplaced) bool {
-	at, found := slices.BinarySearchFunc(m.history, next.Version, func(before taken, version uint64) int {
+// wasApplied tells whether that very configuration is in force or was, as far as is remembered.
+func (m *Machine) wasApplied(next *ConfigReplaced) bool {
+	at, found := slices.BinarySearchFunc(m.history, next.Version, func(before appliedVersion, version uint64) int {
 		return cmp.Compare(before.version, version)
 	})
 	return found && m.history[at].sum == checksum(next.Body)
@@ -48,7 +48,7 @@
 // mayBeForgotten tells whether a configuration may have been in force before all that is remembered. Versions only rise, from base
 // to version too: one with a version above the oldest remembered one would be remembered, one that doesn't rise was never taken.
 func (m *Machine) mayBeForgotten(next *ConfigReplaced) bool {
-	if len(m.history) < keptVersions {
+	if len(m.history) < historyLimit {
 		return false
 	}
 	return next.Base < next.Version && next.Version < m.history[0].version
@@ -60,10 +60,10 @@
 		return outcome
 	}
 	m.config = Config{Version: next.Version, Body: next.Body}
-	m.history = append(m.history, taken{version: next.Version, sum: checksum(next.Body)})
-	if len(m.history) > keptVersions {
-		m.history = m.history[len(m.history)-keptVersions:]
+	m.history = append(m.history, appliedVersion{version: next.Version, sum: checksum(next.Body)})
+	if len(m.history) > historyLimit {
+		m.history = m.history[len(m.history)-historyLimit:]
 	}
-	m.promise()
+	m.configureQuotas()
 	return Applied
 }
--- a/internal/system/state/config_test.go
+++ b/internal/system/state/config_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// register is the configuration as a plain list of all that was ever in force: what a machine's answers are held against.
-type register struct{ taken []Config }
+// modelRegister is the configuration as a plain list of all that was ever in force: what a machine's answers are held against.
+type modelRegister struct{ applied []Config }
 
-func (r *register) current() uint64 {
-	if len(r.taken) == 0 {
+func (r *modelRegister) current() uint64 {
+	if len(r.applied) == 0 {
 		return 0
 	}
-	return r.taken[len(r.taken)-1].Version
+	return r.applied[len(r.applied)-1].Version
 }
 
-func (r *register) has(order *ConfigReplaced) bool {
-	for _, before := range r.taken {
+func (r *modelRegister) has(order *ConfigReplaced) bool {
+	for _, before := range r.applied {
 		if before.Version == order.Version && string(before.Body) == string(order.Body) {
 			return true
 		}
@@ -29,11 +29,11 @@
 }
 
 // allows tells whether an answer to an order is one that may be given now, and carries the order out.
-func (r *register) allows(order *ConfigReplaced, outcome Outcome) bool {
+func (r *modelRegister) allows(order *ConfigReplaced, outcome Outcome) bool {
 	switch outcome {
 	case Applied:
 		fits := order.Base == r.current() && order.Version > r.current() && !r.has(order)
-		r.taken = append(r.taken, Config{Version: order.Version, Body: order.Body})
+		r.applied = append(r.applied, Config{Version: order.Version, Body: order.Body})
 		return fits
 	case Repeated:
 		return r.has(order)
@@ -42,13 +42,13 @@
 	case Stale:
 		return !r.has(order) && order.Version <= r.current()
 	case Forgotten:
-		return len(r.taken) >= keptVersions && order.Version < r.taken[len(r.taken)-keptVersions].Version
+		return len(r.applied) >= historyLimit && order.Version < r.applied[len(r.applied)-historyLimit].Version
 	}
 	return false
 }
 
-// fill puts that many configurations in force, with gaps between their versions.
-func fill(machine *Machine, register *register, count int) {
+// applyConfigs puts that many configurations in force, with gaps between their versions.
+func applyConfigs(machine *Machine, register *modelRegister, count int) {
 	for range count {
 		base := register.current()
 		order := &ConfigReplaced{Base: base, Version: base + 1 + base%3, Body: fmt.Appendf(nil, "body %d", base)}
@@ -58,16 +58,16 @@
 	}
 }
 
-// drawOrder draws orders round what is in force, old ones sent again, and other changes under their numbers.
-func drawOrder(t *rapid.T, register *register) *ConfigReplaced {
+// drawConfigChange draws orders round what is in force, old ones sent again, and other changes under their numbers.
+func drawConfigChange(t *rapid.T, register *modelRegister) *ConfigReplaced {
 	body := []byte(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "body"))
 	old := Config{Version: 1}
 	base := uint64(0)
-	if n := len(register.taken); n > 0 {
+	if n := len(register.applied); n > 0 {
 		at := rapid.IntRange(0, n-1).Draw(t, "at")
-		old = register.taken[at]
+		old = register.applied[at]
 		if at > 0 {
-			base = register.taken[at-1].Version
+			base = register.applied[at-1].Version
 		}
 	}
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
@@ -86,12 +86,12 @@
 }
 
 // The configuration is one register with conditional writes, whatever was forgotten and however often the state was restored.
-func TestTheConfigurationIsOneRegister(t *testing.T) {
+func TestConfigurationIsOneRegister(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		machine, register := New(), &register{}
-		fill(machine, register, rapid.SampledFrom([]int{0, 1, 5, keptVersions - 2, keptVersions, keptVersions + 40}).Draw(t, "before"))
+		machine, register := New(), &modelRegister{}
+		applyConfigs(machine, register, rapid.SampledFrom([]int{0, 1, 5, historyLimit - 2, historyLimit, historyLimit + 40}).Draw(t, "before"))
 		for range rapid.IntRange(1, 60).Draw(t, "orders") {
-			order := drawOrder(t, register)
+			order := drawConfigChange(t, register)
 			expected := machine.CheckConfig(order)
 			outcome := machine.Apply(Command{Kind: KindConfigReplaced, ConfigReplaced: order}).Outcome
 			require.Equal(t, expected, outcome)
@@ -106,75 +106,75 @@
 	})
 }
 
-// checkOrder holds what an order would come to.
-func checkOrder(t *testing.T, machine *Machine, base, version uint64, body string, expected Outcome) {
+// requireOutcome holds what an order would come to.
+func requireOutcome(t *testing.T, machine *Machine, base, version uint64, body string, expected Outcome) {
 	t.Helper()
 	order := &ConfigReplaced{Base: base, Version: version, Body: []byte(body)}
 	assert.Equal(t, expected, machine.CheckConfig(order), "base %d, version %d, body %q", base, version, body)
 }
 
-func TestOfTwoChangesOnTheSameVersionOneWins(t *testing.T) {
+func TestOneOfTwoChangesToTheSameVersionWins(t *testing.T) {
 	machine := New()
 	for _, order := range []*ConfigReplaced{{Base: 0, Version: 3, Body: []byte("first")}, {Base: 3, Version: 7, Body: []byte("winner")}} {
 		require.Equal(t, Applied, machine.replaceConfig(order))
 	}
-	checkOrder(t, machine, 3, 7, "loser", Conflict)
-	checkOrder(t, machine, 3, 9, "loser", Conflict)
-	checkOrder(t, machine, 5, 9, "on a version that never was", Conflict)
-	checkOrder(t, machine, 8, 9, "on a version that isn't yet", Conflict)
-	checkOrder(t, machine, 7, 7, "same number", Stale)
-	checkOrder(t, machine, 7, 6, "lower number", Stale)
-	checkOrder(t, machine, 3, 7, "winner", Repeated)
-	checkOrder(t, machine, 0, 3, "first", Repeated)
-	checkOrder(t, machine, 7, 9, "next", Applied)
+	requireOutcome(t, machine, 3, 7, "loser", Conflict)
+	requireOutcome(t, machine, 3, 9, "loser", Conflict)
+	requireOutcome(t, machine, 5, 9, "on a version that never was", Conflict)
+	requireOutcome(t, machine, 8, 9, "on a version that isn't yet", Conflict)
+	requireOutcome(t, machine, 7, 7, "same number", Stale)
+	requireOutcome(t, machine, 7, 6, "lower number", Stale)
+	requireOutcome(t, machine, 3, 7, "winner", Repeated)
+	requireOutcome(t, machine, 0, 3, "first", Repeated)
+	requireOutcome(t, machine, 7, 9, "next", Applied)
 }
 
 // An order that was taken is never refused. What surely wasn't taken still is, also against all that is forgotten.
-func TestForgottenOrdersAreNotRefused(t *testing.T) {
-	machine, register := New(), &register{}
+func TestForgottenChangesAreNotRejected(t *testing.T) {
+	machine, register := New(), &modelRegister{}
 	const forgotten = 50
-	fill(machine, register, keptVersions+forgotten)
-	for at, before := range register.taken {
+	applyConfigs(machine, register, historyLimit+forgotten)
+	for at, before := range register.applied {
 		base := uint64(0)
 		if at > 0 {
-			base = register.taken[at-1].Version
+			base = register.applied[at-1].Version
 		}
 		expected := Repeated
 		if at < forgotten {
 			expected = Forgotten
 		}
-		checkOrder(t, machine, base, before.Version, string(before.Body), expected)
+		requireOutcome(t, machine, base, before.Version, string(before.Body), expected)
 	}
-	oldest, before := register.taken[forgotten].Version, register.taken[forgotten-1].Version
-	checkOrder(t, machine, before, oldest, "under the oldest number that is remembered", Conflict)
-	checkOrder(t, machine, before, oldest+100000, "on the newest version that is forgotten", Conflict)
-	checkOrder(t, machine, before, before, "not higher than its base", Conflict)
-	checkOrder(t, machine, 0, before, "any that may have been taken", Forgotten)
-	checkOrder(t, machine, register.current(), before, "on the version in force, with a lower number", Stale)
-	checkOrder(t, machine, register.current(), register.current()+1, "next", Applied)
+	oldest, before := register.applied[forgotten].Version, register.applied[forgotten-1].Version
+	requireOutcome(t, machine, before, oldest, "under the oldest number that is remembered", Conflict)
+	requireOutcome(t, machine, before, oldest+100000, "on the newest version that is forgotten", Conflict)
+	requireOutcome(t, machine, before, before, "not higher than its base", Conflict)
+	requireOutcome(t, machine, 0, before, "any that may have been taken", Forgotten)
+	requireOutcome(t, machine, register.current(), before, "on the version in force, with a lower number", Stale)
+	requireOutcome(t, machine, register.current(), register.current()+1, "next", Applied)
 	for range 3 {
-		fill(machine, register, 1)
-		assert.Len(t, machine.history, keptVersions)
-		checkOrder(t, machine, 0, register.taken[0].Version, string(register.taken[0].Body), Forgotten)
+		applyConfigs(machine, register, 1)
+		assert.Len(t, machine.history, historyLimit)
+		requireOutcome(t, machine, 0, register.applied[0].Version, string(register.applied[0].Body), Forgotten)
 	}
 }
 
 // While nothing is forgotten, nothing is left unclear.
-func TestNothingIsLeftUnclearBeforeTheHistoryIsFull(t *testing.T) {
+func TestNothingIsForgottenBeforeTheHistoryIsFull(t *testing.T) {
 	machine := New()
 	require.Equal(t, Applied, machine.replaceConfig(&ConfigReplaced{Base: 0, Version: 5, Body: []byte("first")}))
-	checkOrder(t, machine, 0, 2, "lost the race for the first", Conflict)
+	requireOutcome(t, machine, 0, 2, "lost the race for the first", Conflict)
 }
 
 // A restored state knows what was taken as the one before did, also what it has forgotten.
-func TestARestoredStateKnowsWhatWasTaken(t *testing.T) {
-	machine, register := New(), &register{}
-	fill(machine, register, keptVersions+3)
+func TestRestoredStateKeepsTheConfigHistory(t *testing.T) {
+	machine, register := New(), &modelRegister{}
+	applyConfigs(machine, register, historyLimit+3)
 	restored := New()
 	require.NoError(t, restored.Restore(machine.Snapshot()))
-	last := register.taken[len(register.taken)-2]
-	checkOrder(t, restored, 0, last.Version, string(last.Body), Repeated)
-	checkOrder(t, restored, 0, last.Version, "another under that number", Conflict)
-	checkOrder(t, restored, 0, register.taken[0].Version, string(register.taken[0].Body), Forgotten)
-	checkOrder(t, restored, register.current(), register.current()+1, "next", Applied)
+	last := register.applied[len(register.applied)-2]
+	requireOutcome(t, restored, 0, last.Version, string(last.Body), Repeated)
+	requireOutcome(t, restored, 0, last.Version, "another under that number", Conflict)
+	requireOutcome(t, restored, 0, register.applied[0].Version, string(register.applied[0].Body), Forgotten)
+	requireOutcome(t, restored, register.current(), register.current()+1, "next", Applied)
 }
--- a/internal/system/state/describe.go
+++ b/internal/system/state/describe.go
@@ -43,11 +43,11 @@
 	case KindJobCancelled:
 		return fmt.Sprintf("job %s", c.JobCancelled.ID)
 	case KindTasksStarting:
-		return summary(c.TasksStarting, func(s Start) string { return fmt.Sprintf("%s#%d on %s", s.Task, s.Attempt, s.Worker) })
+		return summarize(c.TasksStarting, func(s Start) string { return fmt.Sprintf("%s#%d on %s", s.Task, s.Attempt, s.Worker) })
 	case KindStartsVoided:
-		return summary(c.StartsVoided, func(r Run) string { return fmt.Sprintf("%s#%d", r.Task, r.Attempt) })
+		return summarize(c.StartsVoided, func(r Run) string { return fmt.Sprintf("%s#%d", r.Task, r.Attempt) })
 	case KindTasksEnded:
-		return c.TasksEnded.Worker + ": " + summary(c.TasksEnded.Ends, func(e End) string {
+		return c.TasksEnded.Worker + ": " + summarize(c.TasksEnded.Ends, func(e End) string {
 			return fmt.Sprintf("%s#%d %s (%d)", e.Task, e.Attempt, e.How, e.Number)
 		})
 	case KindWorkerLost:
@@ -55,19 +55,19 @@
 	case KindWorkerForgotten:
 		return c.WorkerForgotten
 	case KindJobsForgotten:
-		return summary(c.JobsForgotten, func(id JobID) string { return id.String() })
+		return summarize(c.JobsForgotten, func(id JobID) string { return id.String() })
 	}
 	return ""
 }
 
-// mostSummed is how many items a summary names; the rest are counted.
-const mostSummed = 3
+// maxSummaryItems is how many items a summary names; the rest are counted.
+const maxSummaryItems = 3
 
-func summary[T any](items []T, describe func(T) string) string {
+func summarize[T any](items []T, describe func(T) string) string {
 	text := ""
 	for i, item := range items {
-		if i == mostSummed {
-			return fmt.Sprintf("%s, and %d more", text, len(items)-mostSummed)
+		if i == maxSummaryItems {
+			return fmt.Sprintf("%s, and %d more", text, len(items)-maxSummaryItems)
 		}
 		if i > 0 {
 			text += ", "
--- a/internal/system/state/ends.go
+++ b/internal/system/state/ends.go
@@ -1,7 +1,7 @@
 package state
 
-func (m *Machine) end(ended *TasksEnded, result *Result) {
-	worker := m.openWorker(ended.Worker)
+func (m *Machine) recordEnds(ended *TasksEnded, result *Result) {
+	worker := m.ensureWorker(ended.Worker)
 	for i := range ended.Ends {
 		end := &ended.Ends[i]
 		if end.Number <= worker.LastSeen {
@@ -9,14 +9,14 @@
 		}
 		worker.LastSeen = end.Number
 		if job := m.jobs[end.Task.Job]; job != nil {
-			m.endRun(job, end, result)
-			result.touch(job)
+			m.recordEnd(job, end, result)
+			result.addJob(job)
 		}
 	}
 }
 
-// endRun takes note of one end.
-func (m *Machine) endRun(job *Job, end *End, result *Result) {
+// recordEnd takes note of one end.
+func (m *Machine) recordEnd(job *Job, end *End, result *Result) {
 	task := job.Task(end.Task)
 	if task == nil || end.Attempt > task.Attempt {
 		return
@@ -25,26 +25,26 @@
 		task.Checkpoint = end.Checkpoint
 	}
 	if !job.State.Over() {
-		m.count(job, task, end, result)
+		m.applyEnd(job, task, end, result)
 	}
 	m.removePlacement(job, end.Run)
 }
 
-// count takes an end's effect on its task and job, while the job isn't over.
-func (m *Machine) count(job *Job, task *Task, end *End, result *Result) {
+// applyEnd takes an end's effect on its task and job, while the job isn't over.
+func (m *Machine) applyEnd(job *Job, task *Task, end *End, result *Result) {
 	stage := &job.Spec.Stages[end.Task.Step]
 	if stage.LongRunning {
 		return
 	}
 	switch end.How {
 	case Done:
-		m.taskDone(job, end, stage.Gang, result)
+		m.completeTask(job, end, stage.Gang, result)
 	case Failed:
 		if task.Done {
 			return
 		}
 		if failures := countFailure(job, task, end, stage.Gang); failures >= uint32(max(job.MaxRetries, 1)) {
-			m.finish(job, JobFailed, job.AcceptedMs, result)
+			m.finishJob(job, JobFailed, job.AcceptedMs, result)
 		}
 	}
 }
@@ -63,9 +63,9 @@
 	return step.GangFailures
 }
 
-func (m *Machine) taskDone(job *Job, end *End, gang bool, result *Result) {
-	time := job.Times[end.Task.Time]
-	step := &time.Steps[end.Task.Step]
+func (m *Machine) completeTask(job *Job, end *End, gang bool, result *Result) {
+	repetition := job.Times[end.Task.Time]
+	step := &repetition.Steps[end.Task.Step]
 	if gang {
 		for i := range step.Tasks {
 			step.markDone(i)
@@ -73,7 +73,7 @@
 	} else {
 		step.markDone(int(end.Task.Index))
 	}
-	m.advance(job, result)
+	m.completeIfDone(job, result)
 }
 
 func (s *Step) markDone(index int) {
@@ -84,17 +84,17 @@
 	s.Open--
 }
 
-// advance completes a job all of whose tasks are done.
-func (m *Machine) advance(job *Job, result *Result) {
+// completeIfDone completes a job all of whose tasks are done.
+func (m *Machine) completeIfDone(job *Job, result *Result) {
 	if uint32(len(job.Times)) < job.TimeCount() {
 		return
 	}
-	for _, time := range job.Times {
-		for i := range time.Steps {
-			if time.Steps[i].Open > 0 {
+	for _, repetition := range job.Times {
+		for i := range repetition.Steps {
+			if repetition.Steps[i].Open > 0 {
 				return
 			}
 		}
 	}
-	m.finish(job, Completed, job.AcceptedMs, result)
+	m.finishJob(job, Completed, job.AcceptedMs, result)
 }
--- a/internal/system/state/job.go
+++ b/internal/system/state/job.go
@@ -81,11 +81,11 @@
 
 // Task gives a task's record, nil while nothing of its due time was started or when there is no such task.
 func (j *Job) Task(name TaskName) *Task {
-	time := j.Times[name.Time]
-	if time == nil || int(name.Step) >= len(time.Steps) || int(name.Index) >= len(time.Steps[name.Step].Tasks) {
+	repetition := j.Times[name.Time]
+	if repetition == nil || int(name.Step) >= len(repetition.Steps) || int(name.Index) >= len(repetition.Steps[name.Step].Tasks) {
 		return nil
 	}
-	return &time.Steps[name.Step].Tasks[name.Index]
+	return &repetition.Steps[name.Step].Tasks[name.Index]
 }
 
 // StepDone tells whether all tasks of a step have ended done at due time k.
@@ -93,8 +93,8 @@
 	if j.Spec.Stages[step].Count == 0 {
 		return true
 	}
-	time := j.Times[k]
-	return time != nil && time.Steps[step].Open == 0
+	repetition := j.Times[k]
+	return repetition != nil && repetition.Steps[step].Open == 0
 }
 
 // StepReady tells whether all steps that a step depends on are done at due time k.
@@ -120,29 +120,29 @@
 	return j.Spec.DueAt(k).Milliseconds()
 }
 
-// openTime gives due time k, made when it is first asked for.
-func (j *Job) openTime(k uint32) *Time {
-	if time := j.Times[k]; time != nil {
-		return time
+// ensureRepetition gives due time k, made when it is first asked for.
+func (j *Job) ensureRepetition(k uint32) *Time {
+	if repetition := j.Times[k]; repetition != nil {
+		return repetition
 	}
-	time := &Time{Steps: make([]Step, len(j.Spec.Stages)), open: len(j.Spec.Stages)}
-	for i := range time.Steps {
+	repetition := &Time{Steps: make([]Step, len(j.Spec.Stages)), open: len(j.Spec.Stages)}
+	for i := range repetition.Steps {
 		count := j.Spec.Stages[i].Count
-		time.Steps[i] = Step{Tasks: make([]Task, count), Open: count}
+		repetition.Steps[i] = Step{Tasks: make([]Task, count), Open: count}
 	}
-	j.Times[k] = time
-	return time
+	j.Times[k] = repetition
+	return repetition
 }
 
 // finish moves the job into a final state; only the machine calls it.
 func (j *Job) finish(state JobState, atMs int64) {
 	j.State = state
 	j.OverMs = atMs
-	j.release()
+	j.releaseMemory()
 }
 
-// release drops what only a job that runs needs.
-func (j *Job) release() {
+// releaseMemory drops what only a job that runs needs.
+func (j *Job) releaseMemory() {
 	if !j.State.Over() || j.Runs > 0 {
 		return
 	}
--- a/internal/system/state/machine.go
+++ b/internal/system/state/machine.go
@@ -13,14 +13,14 @@
 // Machine is the replicated state.
 type Machine struct {
 	config  Config
-	history []taken // by version
+	history []appliedVersion // by version
 	jobs    map[JobID]*Job
 	workers map[string]*Worker
 	pending map[string]int // jobs that aren't over, by route
 	quotas  *quota.Ledger
 	capture *Capture // under way, nil if there is none
 
-	snapshotBytes int // length of the last snapshot, to make room for the next at once
+	lastSnapshotLength int // length of the last snapshot, to make room for the next at once
 }
 
 // Worker is what is replicated of one life of a worker.
@@ -90,33 +90,33 @@
 // Apply carries out one command of the chain.
 func (m *Machine) Apply(command Command) Result {
 	result := Result{Command: command}
-	m.capture.before(&command)
+	m.capture.saveAffected(&command)
 	switch command.Kind {
 	case KindConfigReplaced:
 		result.Outcome = m.replaceConfig(command.ConfigReplaced)
 	case KindJobAccepted:
-		m.accept(command.JobAccepted, &result)
+		m.acceptJob(command.JobAccepted, &result)
 	case KindJobCancelled:
-		m.cancel(command.JobCancelled, &result)
+		m.cancelJob(command.JobCancelled, &result)
 	case KindTasksStarting:
-		m.start(command.TasksStarting, &result)
+		m.startTasks(command.TasksStarting, &result)
 	case KindStartsVoided:
-		m.void(command.StartsVoided, &result)
+		m.voidStarts(command.StartsVoided, &result)
 	case KindTasksEnded:
-		m.end(command.TasksEnded, &result)
+		m.recordEnds(command.TasksEnded, &result)
 	case KindWorkerLost:
-		m.lose(command.WorkerLost, &result)
+		m.loseWorker(command.WorkerLost, &result)
 	case KindWorkerForgotten:
 		m.forgetWorker(command.WorkerForgotten, &result)
 	case KindJobsForgotten:
-		m.forget(command.JobsForgotten)
+		m.forgetJobs(command.JobsForgotten)
 	default:
 		result.Outcome = Malformed
 	}
 	return result
 }
 
-func (m *Machine) accept(accepted *JobAccepted, result *Result) {
+func (m *Machine) acceptJob(accepted *JobAccepted, result *Result) {
 	if job := m.jobs[accepted.ID]; job != nil {
 		result.Outcome = Repeated
 		result.Jobs = append(result.Jobs, job)
@@ -132,11 +132,11 @@
 	m.pending[job.Route]++
 	result.Jobs = append(result.Jobs, job)
 	if spec.Tasks() == 0 {
-		m.finish(job, Completed, accepted.AcceptedMs, result)
+		m.finishJob(job, Completed, accepted.AcceptedMs, result)
 	}
 }
 
-func (m *Machine) cancel(cancelled *JobCancelled, result *Result) {
+func (m *Machine) cancelJob(cancelled *JobCancelled, result *Result) {
 	job := m.jobs[cancelled.ID]
 	if job == nil {
 		result.Outcome = Unknown
@@ -147,16 +147,16 @@
 		result.Outcome = Repeated
 		return
 	}
-	m.finish(job, Cancelled, cancelled.AtMs, result)
+	m.finishJob(job, Cancelled, cancelled.AtMs, result)
 }
 
-// finish moves a job into a final state.
-func (m *Machine) finish(job *Job, state JobState, atMs int64, result *Result) {
+// finishJob moves a job into a final state.
+func (m *Machine) finishJob(job *Job, state JobState, atMs int64, result *Result) {
 	if job.State.Over() {
-		result.breaks("job %s, %s, is finished as %s", job.ID, job.State, state)
+		result.recordViolation("job %s, %s, is finished as %s", job.ID, job.State, state)
 	}
 	if m.pending[job.Route] <= 0 {
-		result.breaks("job %s ends, and its queue %q counts %d", job.ID, job.Route, m.pending[job.Route])
+		result.recordViolation("job %s ends, and its queue %q counts %d", job.ID, job.Route, m.pending[job.Route])
 	}
 	if m.pending[job.Route]--; m.pending[job.Route] <= 0 {
 		delete(m.pending, job.Route)
@@ -165,21 +165,21 @@
 	result.Finished = append(result.Finished, job)
 }
 
-// breaks takes note of the first thing that a command has broken.
-func (r *Result) breaks(format string, arguments ...any) {
+// recordViolation takes note of the first thing that a command has broken.
+func (r *Result) recordViolation(format string, arguments ...any) {
 	if r.Broken == "" {
 		r.Broken = fmt.Sprintf(format, arguments...)
 	}
 }
 
-func (r *Result) touch(job *Job) {
+func (r *Result) addJob(job *Job) {
 	if n := len(r.Jobs); n > 0 && r.Jobs[n-1] == job {
 		return
 	}
 	r.Jobs = append(r.Jobs, job)
 }
 
-func (m *Machine) openWorker(instance string) *Worker {
+func (m *Machine) ensureWorker(instance string) *Worker {
 	worker := m.workers[instance]
 	if worker == nil {
 		worker = &Worker{Runs: map[Run]struct{}{}}
@@ -188,7 +188,7 @@
 	return worker
 }
 
-func (m *Machine) lose(instance string, result *Result) {
+func (m *Machine) loseWorker(instance string, result *Result) {
 	worker := m.workers[instance]
 	if worker == nil {
 		result.Outcome = Unknown
@@ -197,7 +197,7 @@
 	for run := range worker.Runs {
 		if job := m.jobs[run.Task.Job]; job != nil {
 			m.removePlacement(job, run)
-			result.touch(job)
+			result.addJob(job)
 		}
 	}
 	clear(worker.Runs)
@@ -213,7 +213,7 @@
 	delete(m.workers, instance)
 }
 
-func (m *Machine) forget(ids []JobID) {
+func (m *Machine) forgetJobs(ids []JobID) {
 	for _, id := range ids {
 		if job := m.jobs[id]; job != nil && job.State.Over() && job.Runs == 0 {
 			delete(m.jobs, id)
@@ -237,16 +237,16 @@
 	if held != runs {
 		return fmt.Errorf("workers hold %d runs, jobs have %d", held, runs)
 	}
-	return m.quotas.Check(m.countAccelerators())
+	return m.quotas.Check(m.recountAccelerators())
 }
 
 func (j *Job) check() error {
 	placements := 0
-	for k, time := range j.Times {
-		for s := range time.Steps {
+	for k, repetition := range j.Times {
+		for s := range repetition.Steps {
 			open := 0
-			for i := range time.Steps[s].Tasks {
-				task := &time.Steps[s].Tasks[i]
+			for i := range repetition.Steps[s].Tasks {
+				task := &repetition.Steps[s].Tasks[i]
 				placements += len(task.Placements)
 				if !task.Done {
 					open++
@@ -255,8 +255,8 @@
 					return fmt.Errorf("task %d.%d.%d has %d runs", k, s, i, len(task.Placements))
 				}
 			}
-			if open != time.Steps[s].Open {
-				return fmt.Errorf("step %d.%d: %d open, counted %d", k, s, open, time.Steps[s].Open)
+			if open != repetition.Steps[s].Open {
+				return fmt.Errorf("step %d.%d: %d open, counted %d", k, s, open, repetition.Steps[s].Open)
 			}
 		}
 	}
--- a/internal/system/state/machine_test.go
+++ b/internal/system/state/machine_test.go
@@ -52,7 +52,7 @@
 	return rapid.SampledFrom([]string{"i-1", "i-2", "i-3"}).Draw(t, "worker")
 }
 
-func drawText(t *rapid.T) string { return rapid.StringN(0, 4, 16).Draw(t, "checkpoint") }
+func drawCheckpoint(t *rapid.T) string { return rapid.StringN(0, 4, 16).Draw(t, "checkpoint") }
 
 // drawCommand draws any command; most concern the few jobs and workers that there are.
 func drawCommand(t *rapid.T) Command {
@@ -78,7 +78,7 @@
 	case KindTasksStarting:
 		starts := make([]Start, rapid.IntRange(1, 6).Draw(t, "starts"))
 		for i := range starts {
-			starts[i] = Start{Run: drawRun(t), Worker: drawWorker(t), Checkpoint: drawText(t)}
+			starts[i] = Start{Run: drawRun(t), Worker: drawWorker(t), Checkpoint: drawCheckpoint(t)}
 		}
 		return Command{Kind: kind, TasksStarting: starts}
 	case KindStartsVoided:
@@ -88,7 +88,7 @@
 		for i := range ended.Ends {
 			how := How(rapid.IntRange(int(Done), int(Alone)).Draw(t, "how"))
 			number := rapid.Uint64Range(1, 60).Draw(t, "number")
-			ended.Ends[i] = End{Run: drawRun(t), Number: number, How: how, Checkpoint: drawText(t)}
+			ended.Ends[i] = End{Run: drawRun(t), Number: number, How: how, Checkpoint: drawCheckpoint(t)}
 		}
 		return Command{Kind: kind, TasksEnded: ended}
 	case KindWorkerLost:
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestCommandsKeepTheInvariantsAndSnapshotsTheState(t *testing.T) {
+func TestCommandsKeepInvariantsAndSnapshotsRestoreState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := New()
 		for range rapid.IntRange(1, 80).Draw(t, "commands") {
@@ -145,7 +145,7 @@
 }
 
 // A worker out of reach may come back and list ends that were counted before its loss: a failure counts once.
-func TestEndsCountOnceThoughTheWorkerWasLostBetween(t *testing.T) {
+func TestEndsCountOnceAcrossWorkerLoss(t *testing.T) {
 	machine := New()
 	body := []byte(`{"spec":"x","stages":[{"count":1,"cpu":100}]}`)
 	machine.Apply(Command{Kind: KindJobAccepted, JobAccepted: &JobAccepted{ID: 1, Route: "r", MaxRetries: 2, Body: body}})
@@ -161,7 +161,7 @@
 	require.Nil(t, machine.Worker("i-1"))
 }
 
-func TestStepsBehindAnEmptyOneStart(t *testing.T) {
+func TestStepAfterEmptyStepIsReady(t *testing.T) {
 	machine := New()
 	body := []byte(`{"spec":"x","stages":[{"count":0},{"count":1,"cpu":100,"dependsOn":[0]}]}`)
 	machine.Apply(Command{Kind: KindJobAccepted, JobAccepted: &JobAccepted{ID: 1, Route: "r", MaxRetries: 2, Body: body}})
@@ -169,7 +169,7 @@
 }
 
 // The same ID is sent again after a lost answer, to any dispatcher and by any head: it remains one job, as it first came.
-func TestAJobThatIsHandedInAgainRemainsOne(t *testing.T) {
+func TestResubmittedJobStaysOneJob(t *testing.T) {
 	machine := New()
 	first := []byte(`{"spec":"x","stages":[{"count":1,"cpu":100}]}`)
 	other := []byte(`{"spec":"y","stages":[{"count":2,"cpu":100}]}`)
--- a/internal/system/state/quotas.go
+++ b/internal/system/state/quotas.go
@@ -24,15 +24,15 @@
 	}
 	limit := m.quotas.Limit(job.Tenant)
 	for index := range spec.Stages {
-		if need := atOnce(&spec.Stages[index]); need > limit {
+		if need := acceleratorsAtOnce(&spec.Stages[index]); need > limit {
 			return &quota.OversizeError{Tenant: job.Tenant, Stage: index, Need: need, Limit: limit}
 		}
 	}
 	return nil
 }
 
-// atOnce is how many accelerators of a step are taken together or not at all.
-func atOnce(stage *jobspec.Stage) int64 {
+// acceleratorsAtOnce is how many accelerators of a step are taken together or not at all.
+func acceleratorsAtOnce(stage *jobspec.Stage) int64 {
 	switch {
 	case stage.Count == 0:
 		return 0
@@ -42,9 +42,9 @@
 	return stage.GPUs
 }
 
-// promise puts in force what the present configuration promises. It depends on that configuration's body alone, as the state does that
+// configureQuotas puts in force what the present configuration promises. It depends on that configuration's body alone, as the state does that
 // is restored from a snapshot; a body that can't be read promises nothing.
-func (m *Machine) promise() {
+func (m *Machine) configureQuotas() {
 	plan := quota.Plan{}
 	if config, err := clusterconfig.Parse(m.config.Body); err == nil {
 		plan = config.Quotas.Plan()
@@ -55,8 +55,8 @@
 // accelerators is what one run of a step takes.
 func (j *Job) accelerators(step uint32) int64 { return j.Spec.Stages[step].GPUs }
 
-// together is how many of the first starts hold only together, as far as shares go: the members of a gang, or one.
-func (m *Machine) together(starts []Start) int {
+// startGroupSize is how many of the first starts hold only together, as far as shares go: the members of a gang, or one.
+func (m *Machine) startGroupSize(starts []Start) int {
 	first := &starts[0]
 	job := m.jobs[first.Task.Job]
 	if job == nil || job.Spec == nil || int(first.Task.Step) >= len(job.Spec.Stages) || !job.Spec.Stages[first.Task.Step].Gang {
@@ -87,11 +87,11 @@
 	return need == 0 || m.quotas.Fits(m.jobs[starts[0].Task.Job].Tenant, need)
 }
 
-// chargeAll takes all runs of a job that may exist into its tenant's account.
-func (m *Machine) chargeAll(job *Job) {
-	for _, time := range job.Times {
-		for step := range time.Steps {
-			m.quotas.Charge(job.Tenant, time.Steps[step].placements()*job.accelerators(uint32(step)))
+// chargeRuns takes all runs of a job that may exist into its tenant's account.
+func (m *Machine) chargeRuns(job *Job) {
+	for _, repetition := range job.Times {
+		for step := range repetition.Steps {
+			m.quotas.Charge(job.Tenant, repetition.Steps[step].placements()*job.accelerators(uint32(step)))
 		}
 	}
 }
@@ -104,13 +104,13 @@
 	return int64(count)
 }
 
-// countAccelerators counts anew what each tenant uses.
-func (m *Machine) countAccelerators() map[string]int64 {
+// recountAccelerators counts anew what each tenant uses.
+func (m *Machine) recountAccelerators() map[string]int64 {
 	used := make(map[string]int64)
 	for _, job := range m.jobs {
-		for _, time := range job.Times {
-			for step := range time.Steps {
-				used[job.Tenant] += time.Steps[step].placements() * job.accelerators(uint32(step))
+		for _, repetition := range job.Times {
+			for step := range repetition.Steps {
+				used[job.Tenant] += repetition.Steps[step].placements() * job.accelerators(uint32(step))
 			}
 		}
 	}
--- a/internal/system/state/quotas_bench_test.go
+++ b/internal/system/state/quotas_bench_test.go
@@ -16,9 +16,9 @@
 	benchAccelerator = 2600
 )
 
-// crowded is a state with 160 tenants and 20,000 runs that may exist, 15 accelerators of each tenant's 16 in use, and one more task
+// machineWithManyRuns is a state with 160 tenants and 20,000 runs that may exist, 15 accelerators of each tenant's 16 in use, and one more task
 // of each tenant that takes one.
-func crowded(b *testing.B, quotas bool) *state.Machine {
+func machineWithManyRuns(b *testing.B, quotas bool) *state.Machine {
 	b.Helper()
 	m := state.New()
 	var tenants []string
@@ -49,7 +49,7 @@
 func BenchmarkStart(b *testing.B) {
 	for _, quotas := range []bool{false, true} {
 		b.Run(fmt.Sprintf("quotas=%v", quotas), func(b *testing.B) {
-			m := crowded(b, quotas)
+			m := machineWithManyRuns(b, quotas)
 			b.ReportAllocs()
 			attempt := uint32(0)
 			for b.Loop() {
@@ -66,7 +66,7 @@
 
 // BenchmarkRefusedStart commits a start that its tenant's share has no room for.
 func BenchmarkRefusedStart(b *testing.B) {
-	m := crowded(b, true)
+	m := machineWithManyRuns(b, true)
 	for index := range state.JobID(benchTenants) {
 		require.Len(b, start(m, startOf(index, 15, 1)), 1)
 	}
@@ -83,7 +83,7 @@
 
 // BenchmarkReconfigure puts another configuration of all tenants in force while 20,000 runs may exist.
 func BenchmarkReconfigure(b *testing.B) {
-	m := crowded(b, true)
+	m := machineWithManyRuns(b, true)
 	body := string(m.Config().Body)
 	b.ReportAllocs()
 	version := m.Config().Version
--- a/internal/system/state/quotas_test.go
+++ b/internal/system/state/quotas_test.go
@@ -36,7 +36,7 @@
 	return m.ApplyBytes(state.Command{Kind: state.KindTasksStarting, TasksStarting: starts}.Encode()).Started
 }
 
-func TestJobsOfNobodyKeepTheOldForm(t *testing.T) {
+func TestJobsWithoutTenantKeepOldEncoding(t *testing.T) {
 	data, err := hex.DecodeString(oldAccepted)
 	require.NoError(t, err)
 	command, err := state.Decode(data)
@@ -50,7 +50,7 @@
 	assert.Equal(t, command, again)
 }
 
-func TestOldSnapshotsAreReadAndWrittenWhereNobodyHasATenant(t *testing.T) {
+func TestOldSnapshotFormatIsUsedWithoutTenants(t *testing.T) {
 	data, err := hex.DecodeString(oldSnapshot)
 	require.NoError(t, err)
 	m := state.New()
@@ -60,7 +60,7 @@
 	assert.Equal(t, data, m.Snapshot())
 }
 
-func TestASnapshotKeepsTenantsAndShares(t *testing.T) {
+func TestSnapshotKeepsTenantsAndShares(t *testing.T) {
 	m := state.New()
 	require.Equal(t, state.Applied, configure(m, 1, `"accelerators":10,"tenants":[{"name":"teff","share":0.5}]`))
 	accept(m, 1, "teff", `{"count":4,"gpus":2}`)
@@ -75,7 +75,7 @@
 	assert.Empty(t, start(restored, startOf(1, 2, 1)))
 }
 
-func TestAStartBeyondTheShareDoesNotHold(t *testing.T) {
+func TestStartBeyondTheShareIsRejected(t *testing.T) {
 	m := state.New()
 	configure(m, 1, `"tenants":[{"name":"teff","accelerators":4}]`)
 	accept(m, 1, "teff", `{"count":3,"gpus":2},{"count":1}`)
@@ -92,7 +92,7 @@
 	require.NoError(t, m.Check())
 }
 
-func TestEveryWayInWhichARunGoesFreesItsShare(t *testing.T) {
+func TestEveryRunRemovalFreesItsShare(t *testing.T) {
 	run := startOf(1, 0, 1)
 	ways := map[string]state.Command{
 		"void": {Kind: state.KindStartsVoided, StartsVoided: []state.Run{run.Run}},
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestAGangHoldsWholeOrNotAtAll(t *testing.T) {
+func TestGangStartsTogetherOrNotAtAll(t *testing.T) {
 	m := state.New()
 	configure(m, 1, `"tenants":[{"name":"teff","accelerators":6}]`)
 	accept(m, 1, "teff", `{"count":3,"gpus":2,"gang":true}`)
@@ -131,7 +131,7 @@
 	assert.Equal(t, gang, start(m, gang...))
 }
 
-func TestALaterConfigurationCountsFromItsCommit(t *testing.T) {
+func TestNewConfigurationAppliesFromItsCommit(t *testing.T) {
 	m := state.New()
 	configure(m, 1, `"tenants":[{"name":"teff","accelerators":4}]`)
 	accept(m, 1, "teff", `{"count":9,"gpus":1}`)
@@ -148,7 +148,7 @@
 	assert.False(t, m.Quotas().InForce())
 }
 
-func TestAJobLargerThanItsShareIsFound(t *testing.T) {
+func TestCheckShareReportsOversizeJobs(t *testing.T) {
 	m := state.New()
 	configure(m, 1, `"accelerators":8,"tenants":[{"name":"teff","accelerators":6}]`)
 	check := func(tenant, stages string) error {
--- a/internal/system/state/snapshot.go
+++ b/internal/system/state/snapshot.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	leastSnapshot = 1 << 16
-	// snapshotGrowth: room is made for a snapshot that is longer by this part than the one before.
-	snapshotGrowth = 8
+	minSnapshotCapacity = 1 << 16
+	// snapshotHeadroomDivisor: room is made for a snapshot that is longer by this part than the one before.
+	snapshotHeadroomDivisor = 8
 )
 
-var sumTable = crc64.MakeTable(crc64.ECMA)
+var crcTable = crc64.MakeTable(crc64.ECMA)
 
-func checksum(body []byte) uint64 { return crc64.Checksum(body, sumTable) }
+func checksum(body []byte) uint64 { return crc64.Checksum(body, crcTable) }
 
 // Snapshot gives the whole state, the same bytes for the same state.
 func (m *Machine) Snapshot() []byte {
-	w := &writer{data: make([]byte, 0, max(leastSnapshot, m.snapshotBytes+m.snapshotBytes/snapshotGrowth))}
+	w := &writer{data: make([]byte, 0, max(minSnapshotCapacity, m.lastSnapshotLength+m.lastSnapshotLength/snapshotHeadroomDivisor))}
 	format := m.snapshotFormat()
-	m.writeStart(w, format)
+	m.writeHeader(w, format)
 	for _, id := range slices.SortedFunc(maps.Keys(m.jobs), cmp.Compare[JobID]) {
 		m.writeJob(w, m.jobs[id], format)
 	}
-	m.writeEnd(w)
-	m.snapshotBytes = len(w.data)
+	m.writeTrailer(w)
+	m.lastSnapshotLength = len(w.data)
 	return w.data
 }
 
-// writeStart writes what comes before the jobs.
-func (m *Machine) writeStart(w *writer, format byte) {
+// writeHeader writes what comes before the jobs.
+func (m *Machine) writeHeader(w *writer, format byte) {
 	w.byte(format)
 	w.uint(m.config.Version)
 	w.bytes(m.config.Body)
@@ -59,8 +59,8 @@
 	}
 }
 
-// writeEnd writes what comes after the jobs.
-func (m *Machine) writeEnd(w *writer) {
+// writeTrailer writes what comes after the jobs.
+func (m *Machine) writeTrailer(w *writer) {
 	w.uint(uint64(len(m.workers)))
 	for _, instance := range slices.Sorted(maps.Keys(m.workers)) {
 		w.string(instance)
@@ -78,7 +78,7 @@
 }
 
 func (w *writer) job(job *Job) {
-	w.accepted(&job.JobAccepted)
+	w.jobAccepted(&job.JobAccepted)
 	w.byte(byte(job.State))
 	w.int(job.OverMs)
 	w.uint(uint64(len(job.Times)))
@@ -116,9 +116,9 @@
 	}
 	next := New()
 	next.config = Config{Version: r.uint(), Body: r.bytes()}
-	next.history = make([]taken, r.count())
+	next.history = make([]appliedVersion, r.count())
 	for i := range next.history {
-		next.history[i] = taken{version: r.uint(), sum: r.fixed()}
+		next.history[i] = appliedVersion{version: r.uint(), sum: r.fixed()}
 	}
 	for range r.count() {
 		if err := next.readJob(r, format); err != nil {
@@ -126,19 +126,19 @@
 		}
 	}
 	for range r.count() {
-		next.openWorker(r.string()).LastSeen = r.uint()
+		next.ensureWorker(r.string()).LastSeen = r.uint()
 	}
-	if err := r.done(); err != nil {
+	if err := r.finish(); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	next.promise()
-	next.snapshotBytes = len(snapshot)
+	next.configureQuotas()
+	next.lastSnapshotLength = len(snapshot)
 	*m = *next
 	return nil
 }
 
 func (m *Machine) readJob(r *reader, format byte) error {
-	job := &Job{JobAccepted: *r.accepted(), State: JobState(r.byte()), OverMs: r.int()}
+	job := &Job{JobAccepted: *r.jobAccepted(), State: JobState(r.byte()), OverMs: r.int()}
 	times := r.count()
 	if len(job.Body) > 0 {
 		spec, err := jobspec.Parse(job.Body)
@@ -151,12 +151,12 @@
 		if job.Spec == nil {
 			return fmt.Errorf("snapshot's job %s has due times without a body: %w", job.ID, ErrCorrupt)
 		}
-		m.readTime(r, job, uint32(r.uint()))
+		m.readRepetition(r, job, uint32(r.uint()))
 	}
 	if format == tenantSnapshotFormat {
 		job.Tenant = r.string()
 	}
-	m.chargeAll(job)
+	m.chargeRuns(job)
 	m.jobs[job.ID] = job
 	if !job.State.Over() {
 		m.pending[job.Route]++
@@ -164,10 +164,10 @@
 	return nil
 }
 
-func (m *Machine) readTime(r *reader, job *Job, k uint32) {
-	time := job.openTime(k)
-	for s := range time.Steps {
-		step := &time.Steps[s]
+func (m *Machine) readRepetition(r *reader, job *Job, k uint32) {
+	repetition := job.ensureRepetition(k)
+	for s := range repetition.Steps {
+		step := &repetition.Steps[s]
 		step.GangFailures, step.GangFailed = uint32(r.uint()), uint32(r.uint())
 		for i := range step.Tasks {
 			task := &step.Tasks[i]
@@ -181,7 +181,7 @@
 				name := TaskName{Job: job.ID, Time: k, Step: uint32(s), Index: uint32(i)}
 				task.Placements = append(task.Placements, placement)
 				job.Runs++
-				m.openWorker(placement.Worker).Runs[Run{Task: name, Attempt: placement.Attempt}] = struct{}{}
+				m.ensureWorker(placement.Worker).Runs[Run{Task: name, Attempt: placement.Attempt}] = struct{}{}
 			}
 		}
 	}
--- a/internal/system/state/snapshot_bench_test.go
+++ b/internal/system/state/snapshot_bench_test.go
@@ -10,8 +10,8 @@
 	"gaugeslip/internal/system/state"
 )
 
-// large is a state whose snapshot has about as many bytes as asked for: jobs with a body of a kilobyte, 100 tasks and a run of each.
-func large(b *testing.B, bytes int) *state.Machine {
+// machineWithSnapshotOf is a state whose snapshot has about as many bytes as asked for: jobs with a body of a kilobyte, 100 tasks and a run of each.
+func machineWithSnapshotOf(b *testing.B, bytes int) *state.Machine {
 	b.Helper()
 	const tasks, bytesOfOne = 100, 4500
 	m := state.New()
@@ -31,7 +31,7 @@
 
 // BenchmarkSnapshot and BenchmarkRestore tell what a learner's snapshot costs its giver and its taker; MB/s is of the snapshot's bytes.
 func BenchmarkSnapshot(b *testing.B) {
-	m := large(b, 50<<20)
+	m := machineWithSnapshotOf(b, 50<<20)
 	b.SetBytes(int64(len(m.Snapshot())))
 	for b.Loop() {
 		m.Snapshot()
@@ -39,7 +39,7 @@
 }
 
 func BenchmarkRestore(b *testing.B) {
-	snapshot := large(b, 50<<20).Snapshot()
+	snapshot := machineWithSnapshotOf(b, 50<<20).Snapshot()
 	b.SetBytes(int64(len(snapshot)))
 	for b.Loop() {
 		require.NoError(b, state.New().Restore(snapshot))
--- a/internal/system/state/starts.go
+++ b/internal/system/state/starts.go
@@ -17,9 +17,9 @@
 	return !task.Done && start.Attempt > task.Attempt && (len(task.Placements) == 0 || stage.Speculative)
 }
 
-func (m *Machine) start(starts []Start, result *Result) {
+func (m *Machine) startTasks(starts []Start, result *Result) {
 	for len(starts) > 0 {
-		group := starts[:m.together(starts)]
+		group := starts[:m.startGroupSize(starts)]
 		if m.withinShare(group) {
 			m.startGroup(group, result)
 		}
@@ -30,15 +30,15 @@
 func (m *Machine) startGroup(starts []Start, result *Result) {
 	for i := range starts {
 		if start := &starts[i]; m.MayStart(start) {
-			m.place(start, result)
+			m.placeRun(start, result)
 		}
 	}
 }
 
-// place takes note of a run that may exist from now on.
-func (m *Machine) place(start *Start, result *Result) {
+// placeRun takes note of a run that may exist from now on.
+func (m *Machine) placeRun(start *Start, result *Result) {
 	job := m.jobs[start.Task.Job]
-	job.openTime(start.Task.Time)
+	job.ensureRepetition(start.Task.Time)
 	task := job.Task(start.Task)
 	task.Attempt = start.Attempt
 	task.Checkpoint = start.Checkpoint
@@ -47,17 +47,17 @@
 	if job.State == Pending {
 		job.State = Running
 	}
-	m.openWorker(start.Worker).Runs[start.Run] = struct{}{}
+	m.ensureWorker(start.Worker).Runs[start.Run] = struct{}{}
 	m.quotas.Charge(job.Tenant, job.accelerators(start.Task.Step))
 	result.Started = append(result.Started, *start)
-	result.touch(job)
+	result.addJob(job)
 }
 
-func (m *Machine) void(runs []Run, result *Result) {
+func (m *Machine) voidStarts(runs []Run, result *Result) {
 	for _, run := range runs {
 		if job := m.jobs[run.Task.Job]; job != nil {
 			m.removePlacement(job, run)
-			result.touch(job)
+			result.addJob(job)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 		if worker := m.workers[placement.Worker]; worker != nil {
 			delete(worker.Runs, run)
 		}
-		job.release()
+		job.releaseMemory()
 		return
 	}
 }
--- a/internal/system/state/touched_test.go
+++ b/internal/system/state/touched_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// snapshots gives each job's part of a snapshot.
-func (m *Machine) snapshots() map[JobID]string {
+// jobSnapshots gives each job's part of a snapshot.
+func (m *Machine) jobSnapshots() map[JobID]string {
 	all := map[JobID]string{}
 	for id, job := range m.jobs {
 		var w writer
@@ -19,16 +19,16 @@
 }
 
 // A command changes, adds and takes away no other jobs than those that it tells of.
-func TestACommandTouchesWhatItChanges(t *testing.T) {
+func TestCommandReportsAffectedJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
-			before := m.snapshots()
+			before := m.jobSnapshots()
 			command := drawCommand(t)
 			touched := map[JobID]bool{}
 			all := command.Touched(func(id JobID) { touched[id] = true })
 			m.Apply(command)
-			after := m.snapshots()
+			after := m.jobSnapshots()
 			for id := range before {
 				require.True(t, all || touched[id] || before[id] == after[id], "kind %d changes job %d", command.Kind, id)
 			}
