--- a/internal/system/state/audit.go
+++ b/internal/system/state/audit.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// AuditEvery is after how many entries of the chain a digest is taken.
+	// AuditEvery is the number of chain entries from one digest to the next.
 	AuditEvery = 64
-	// AuditFormat stands for what goes into a digest and how. It has to be raised with any change of that, so that replicas of two versions
-	// don't compare what can't be the same.
+	// AuditFormat is the version of the digest's definition. It must be raised whenever the content or the computation of a digest changes,
+	// so that replicas of different versions don't compare digests that can't be equal.
 	AuditFormat = 1
-	// jobsPerDigest is about how many jobs a digest looks at, so that it costs the same in a large state as in a small one.
+	// jobsPerDigest is about the number of jobs that one digest covers, so that its cost doesn't grow with the state.
 	jobsPerDigest = 128
 )
 
-// Audit sums up what entries come to, so that replicas can compare. Digests are taken after each AuditEvery entries, over those entries, the
-// outcome of each, and a part of the state after the last; as many digests in a row as there are parts cover the whole state. It belongs
-// to one goroutine.
+// Audit computes digests of the applied entries and of the state, so that replicas can compare them. A digest is due after every
+// AuditEvery entries. It covers these entries, the outcome of each, and one part of the state after the last of them. As many consecutive
+// digests as there are parts cover the whole state. An Audit must be used by one goroutine only.
 type Audit struct {
-	nextIndex  uint64 // the index that follows
-	sum        uint64 // over the entries since the last multiple of AuditEvery
-	incomplete bool   // not all of those were seen
+	nextIndex  uint64 // index of the next entry
+	sum        uint64 // digest of the entries since the last multiple of AuditEvery
+	incomplete bool   // some of those entries were not seen
 }
 
-// NewAudit follows a state after all entries up to an index.
+// NewAudit returns the audit of a state that holds all entries up to index.
 func NewAudit(index uint64) *Audit {
 	return &Audit{nextIndex: index + 1, incomplete: index%AuditEvery != 0}
 }
 
-// Applied takes in the next entry and what it came to; an empty entry has no result. It gives the digest where one is due; none is given
-// for a run of entries of which not all were seen.
+// Applied adds an applied entry and its result; result is nil for an empty entry. due is true if a digest is due after this entry.
+// There is no digest for an interval of which some entries were not seen.
 func (a *Audit) Applied(index uint64, data []byte, result *Result, machine *Machine) (digest uint64, due bool) {
 	a.incomplete = a.incomplete || index != a.nextIndex
 	a.nextIndex = index + 1
@@ -47,11 +47,11 @@
 	return digest, due
 }
 
-// addResult adds what a command changed.
+// addResult adds the effect of a command.
 func (a *Audit) addResult(result *Result) {
 	a.add(uint64(result.Outcome))
 	a.add(uint64(len(result.Started))<<32 | uint64(len(result.Finished)))
-	if len(result.Jobs) != 1 { // several may come in any order, and more than once
+	if len(result.Jobs) != 1 { // the order of several jobs isn't defined, and one may occur more than once
 		return
 	}
 	job := result.Jobs[0]
@@ -61,7 +61,7 @@
 
 func (a *Audit) add(value uint64) { a.sum = mix(a.sum ^ value) }
 
-// mix spreads each bit of a value over all others (the finish of MurmurHash3).
+// mix spreads each bit of a value over all others (the finalizer of MurmurHash3).
 func mix(v uint64) uint64 {
 	v += 0x9e3779b97f4a7c15
 	v ^= v >> 33
@@ -71,7 +71,8 @@
 	return v ^ v>>33
 }
 
-// digest sums up the configuration, the counts and one part of jobs and workers, in whatever order they come: at each turn the next part.
+// digest returns a digest of the configuration, the counts, and one part of the jobs and workers; turn selects the part. Map order doesn't
+// matter, since the sums of the elements are added.
 func (m *Machine) digest(turn uint64) uint64 {
 	parts := uint64(1) << bits.Len(uint(len(m.jobs)/jobsPerDigest))
 	part := turn % parts
@@ -94,7 +95,7 @@
 	return sum
 }
 
-// digestGlobals sums up what there is once: the configuration, those before it, and how many jobs wait.
+// digestGlobals returns a digest of the configuration, its history, and the numbers of jobs, workers and unfinished jobs by route.
 func (m *Machine) digestGlobals(w *writer) uint64 {
 	w.uint(m.config.Version)
 	w.fixed(checksum(m.config.Body))
--- a/internal/system/state/capture.go
+++ b/internal/system/state/capture.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// Capture is a snapshot of one moment that is made bit by bit while commands go on to be applied: a job that a command may change is
-// written before that. It belongs to the machine's goroutine. Restore ends it.
+// Capture is a snapshot of one moment that is written in slices while further commands are applied. A job that a command may change is
+// saved before the command is applied. A Capture belongs to the goroutine of its Machine. Restore ends it.
 type Capture struct {
 	machine      *Machine
 	format       byte
 	ids          []JobID
-	writtenCount int              // of ids
-	saved        map[JobID][]byte // jobs that were written out of their order
+	writtenCount int              // number of ids that are in output
+	saved        map[JobID][]byte // encoded jobs that a command was about to change before their turn
 	output       writer
-	trailer      []byte // what comes after the jobs
+	trailer      []byte // the part of the snapshot that follows the jobs
 }
 
-// Capture begins a snapshot of this moment. One that is under way is given up.
+// Capture starts a snapshot of the current state. It abandons a capture that is in progress.
 func (m *Machine) Capture() *Capture {
 	c := &Capture{machine: m, format: m.snapshotFormat(), saved: map[JobID][]byte{}}
 	c.ids = slices.SortedFunc(maps.Keys(m.jobs), cmp.Compare[JobID])
@@ -30,7 +30,7 @@
 	return c
 }
 
-// Continue writes so many bytes of jobs at least, and tells whether the snapshot is whole.
+// Continue writes at least the given number of bytes of jobs, and reports whether the snapshot is complete.
 func (c *Capture) Continue(bytes int) bool {
 	for target := len(c.output.data) + bytes; c.writtenCount < len(c.ids) && len(c.output.data) < target; c.writtenCount++ {
 		id := c.ids[c.writtenCount]
@@ -51,10 +51,10 @@
 	return true
 }
 
-// Bytes gives the snapshot once it is whole, the same as Snapshot gave at the moment of Capture.
+// Bytes returns the snapshot once it is complete. It equals what Snapshot would have returned when Capture was called.
 func (c *Capture) Bytes() []byte { return c.output.data }
 
-// saveAffected writes the jobs that a command may change.
+// saveAffected saves the jobs that a command may change.
 func (c *Capture) saveAffected(command *Command) {
 	if c == nil {
 		return
@@ -72,7 +72,7 @@
 	}
 }
 
-// saveJob writes a job that was there at the moment of Capture and hasn't been written yet.
+// saveJob saves a job that existed when Capture was called and that is not written yet.
 func (c *Capture) saveJob(id JobID) {
 	at, found := slices.BinarySearch(c.ids, id)
 	if _, kept := c.saved[id]; !found || kept || at < c.writtenCount {
--- a/internal/system/state/codec.go
+++ b/internal/system/state/codec.go
@@ -6,10 +6,10 @@
 	"math"
 )
 
-// ErrCorrupt is returned for bytes that are no command or no snapshot of this version.
+// ErrCorrupt is returned for data that is not a valid command or snapshot of this version.
 var ErrCorrupt = errors.New("state: corrupt encoding")
 
-// writer appends values in a compact binary form.
+// writer appends values in a compact binary encoding.
 type writer struct{ data []byte }
 
 func (w *writer) byte(v byte)   { w.data = append(w.data, v) }
@@ -35,7 +35,7 @@
 	w.byte(0)
 }
 
-// reader reads what a writer wrote; the first fault stays in failed and all later reads give zero values.
+// reader reads what a writer has written. After the first fault failed stays set and all reads return zero values.
 type reader struct {
 	data   []byte
 	failed bool
@@ -87,7 +87,7 @@
 
 func (r *reader) bool() bool { return r.byte() == 1 }
 
-// bytes returns a copy, so that the command's buffer isn't kept alive by it.
+// bytes returns a copy, so that the result doesn't keep the command's buffer alive.
 func (r *reader) bytes() []byte {
 	n := r.uint()
 	if n > uint64(len(r.data)) {
@@ -110,7 +110,7 @@
 	return v
 }
 
-// count reads a length and bounds it by what is left, since each element takes a byte at least.
+// count reads a length. The remaining bytes bound it, since each element takes at least one byte.
 func (r *reader) count() int {
 	n := r.uint()
 	if n > uint64(len(r.data)) {
@@ -124,7 +124,7 @@
 	return TaskName{Job: JobID(r.fixed()), Time: uint32(r.uint()), Step: uint32(r.uint()), Index: uint32(r.uint())}
 }
 
-// finish reports a fault, also for bytes that are left over.
+// finish returns ErrCorrupt if a read failed or if bytes are left over.
 func (r *reader) finish() error {
 	if r.failed || len(r.data) > 0 {
 		return ErrCorrupt
--- a/internal/system/state/command.go
+++ b/internal/system/state/command.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Kind tells which command an entry of the chain holds.
+// Kind is the type of a command in a chain entry.
 type Kind byte
 
-// The kinds of command.
+// The kinds of commands. Their numbers are part of the encoding.
 const (
 	KindConfigReplaced Kind = iota + 1
 	KindJobAccepted
@@ -15,13 +15,13 @@
 	KindTasksEnded
 	KindWorkerLost
 	KindJobsForgotten
-	// kindTenantJobAccepted is on the wire what KindJobAccepted is for a job of a tenant. Jobs of nobody keep the older form, so that
-	// replicas which know no tenants read everything as long as the configuration names none.
+	// kindTenantJobAccepted is the encoded form of KindJobAccepted for a job with a tenant. A job without a tenant keeps the older
+	// form, so that replicas that do not know tenants can read every entry while the configuration names no tenant.
 	kindTenantJobAccepted
 	KindWorkerForgotten
 )
 
-// Command is one change of the replicated state; exactly the field that Kind names is set.
+// Command is one change of the replicated state. Exactly the field that Kind names is set.
 type Command struct {
 	Kind           Kind
 	ConfigReplaced *ConfigReplaced
@@ -30,19 +30,19 @@
 	TasksStarting  []Start
 	StartsVoided   []Run
 	TasksEnded     *TasksEnded
-	WorkerLost     string // the worker's instance: nothing runs there any more of what may have
-	// WorkerForgotten is the instance of a life that is over for good: its record is dropped, with the number of its last end.
+	WorkerLost     string // instance ID of the worker; none of the runs recorded for it exists any longer
+	// WorkerForgotten is the instance ID of a worker that will not return. Its record, including LastSeen, is deleted.
 	WorkerForgotten string
 	JobsForgotten   []JobID
 }
 
-// ConfigReplaced puts a whole configuration in the place of version Base.
+// ConfigReplaced replaces the configuration of version Base by a complete new one.
 type ConfigReplaced struct {
 	Base, Version uint64
 	Body          []byte
 }
 
-// JobAccepted takes a job into custody, with what its queue said at that time.
+// JobAccepted accepts a job, with the settings that its route had at that time.
 type JobAccepted struct {
 	ID              JobID
 	Route, Service  string
@@ -50,38 +50,38 @@
 	MaxRetries      int
 	Extension       float64
 	TargetLatencyMs float64
-	AcceptedMs      int64 // time of day, milliseconds since 1970
+	AcceptedMs      int64 // Unix time in milliseconds
 	Body            []byte
-	// Tenant names whose share of accelerators the job's runs count against; empty when it is nobody's.
+	// Tenant is the tenant whose accelerator share the job's runs count against; empty if the job has no tenant.
 	Tenant string
 }
 
-// JobCancelled ends a job on its client's wish.
+// JobCancelled ends a job at its client's request.
 type JobCancelled struct {
 	ID   JobID
 	AtMs int64
 }
 
-// Start is the intent to start one run of a task on a worker; it is sent only once this is committed.
+// Start is the intent to start one run of a task on a worker. The start order is sent only after the intent is committed.
 type Start struct {
 	Run
 	Worker     string
 	Checkpoint string
 }
 
-// Run names one run of a task.
+// Run identifies one run of a task.
 type Run struct {
 	Task    TaskName
 	Attempt uint32
 }
 
-// TasksEnded are ends that a worker has listed, in the order of their numbers.
+// TasksEnded holds ends that a worker has listed, in the order of their numbers.
 type TasksEnded struct {
 	Worker string
 	Ends   []End
 }
 
-// End is one end that a worker has listed.
+// End is the end of one run, as a worker has listed it.
 type End struct {
 	Run
 	Number     uint64
@@ -89,25 +89,25 @@
 	Checkpoint string
 }
 
-// How tells in which way a run ended.
+// How is the reason why a run ended.
 type How byte
 
-// The ways in which a run ends.
+// The reasons why a run ends.
 const (
 	Done How = iota + 1
 	Failed
 	Stopped
 	Lapsed
 	Broken // another member of its gang ended
-	Alone  // it waited too long for the others of its gang
+	Alone  // it waited too long for the other members of its gang
 )
 
 var endReasonNames = map[How]string{Done: "done", Failed: "failed", Stopped: "stopped", Lapsed: "lapsed", Broken: "broken", Alone: "alone"}
 
-// String gives the word that workers use.
+// String returns the word that workers use.
 func (h How) String() string { return endReasonNames[h] }
 
-// ParseHow reads the word that workers use; a word that isn't known counts as Stopped, which spends no attempt.
+// ParseHow parses the word that workers use. An unknown word counts as Stopped, which does not count as a failure.
 func ParseHow(word string) How {
 	for how, name := range endReasonNames {
 		if name == word {
@@ -117,7 +117,7 @@
 	return Stopped
 }
 
-// Encode gives the command's bytes for the chain.
+// Encode returns the encoded command for the chain.
 func (c Command) Encode() []byte {
 	w := &writer{data: make([]byte, 0, 128)}
 	w.byte(byte(c.wireKind()))
@@ -156,8 +156,8 @@
 	return w.data
 }
 
-// Touched calls touch with each job that the command may change, some of them more than once. all is true where any job may be
-// among them, as that depends on the state; it isn't called then.
+// Touched calls touch for each job that the command may change, possibly more than once per job. It returns true, without calling
+// touch, if the affected jobs depend on the state, so that any job may be among them.
 func (c *Command) Touched(touch func(JobID)) (all bool) {
 	switch c.Kind {
 	case KindJobAccepted:
@@ -186,7 +186,7 @@
 	return false
 }
 
-// wireKind is the kind that the command's bytes begin with.
+// wireKind returns the kind that is written at the start of the encoded command.
 func (c Command) wireKind() Kind {
 	if c.Kind == KindJobAccepted && c.JobAccepted.Tenant != "" {
 		return kindTenantJobAccepted
@@ -255,7 +255,7 @@
 	return ended
 }
 
-// Decode reads a command; bytes that are none give an error that wraps ErrCorrupt.
+// Decode decodes a command. If the data is not a valid command, the error wraps ErrCorrupt.
 func Decode(data []byte) (Command, error) {
 	r := &reader{data: data}
 	c := Command{Kind: Kind(r.byte())}
--- a/internal/system/state/config.go
+++ b/internal/system/state/config.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// historyLimit bounds how many configurations that were in force are remembered, so that a repeated order is known. A state that
-// remembers as many may have forgotten older ones, which snapshots don't tell in any other way: the number is part of their form.
+// historyLimit bounds how many past configurations are remembered to recognize a repeated change. A full history may have lost older
+// versions, and a snapshot shows this only by the history's length. The limit is therefore part of the snapshot format.
 const historyLimit = 1024
 
-// Config is the configuration in force; Version 0 means none yet.
+// Config is the configuration in force. Version 0 means that there is none yet.
 type Config struct {
 	Version uint64
 	Body    []byte
 }
 
-// appliedVersion is a configuration that was in force once.
+// appliedVersion identifies a configuration that is or was in force.
 type appliedVersion struct {
 	version uint64
 	sum     uint64
 }
 
-// CheckConfig tells what a configuration would come to now. Conflict and Stale say that it surely was never in force; what can't
-// be known any more is Forgotten.
+// CheckConfig returns the outcome that a configuration change would have now. Conflict and Stale mean that the change was certainly never
+// in force. If that can't be determined any more, the outcome is Forgotten.
 func (m *Machine) CheckConfig(next *ConfigReplaced) Outcome {
 	switch {
 	case m.wasApplied(next):
@@ -37,7 +37,7 @@
 	return Applied
 }
 
-// wasApplied tells whether that very configuration is in force or was, as far as is remembered.
+// wasApplied reports whether exactly this configuration is in force or was in force, as far as the history reaches.
 func (m *Machine) wasApplied(next *ConfigReplaced) bool {
 	at, found := slices.BinarySearchFunc(m.history, next.Version, func(before appliedVersion, version uint64) int {
 		return cmp.Compare(before.version, version)
@@ -45,8 +45,8 @@
 	return found && m.history[at].sum == checksum(next.Body)
 }
 
-// mayBeForgotten tells whether a configuration may have been in force before all that is remembered. Versions only rise, from base
-// to version too: one with a version above the oldest remembered one would be remembered, one that doesn't rise was never taken.
+// mayBeForgotten reports whether a configuration may have been in force before the oldest remembered one. Versions only rise, also from
+// base to version. So a version above the oldest remembered one would be in the history, and one not above its base was never applied.
 func (m *Machine) mayBeForgotten(next *ConfigReplaced) bool {
 	if len(m.history) < historyLimit {
 		return false
--- a/internal/system/state/describe.go
+++ b/internal/system/state/describe.go
@@ -14,7 +14,7 @@
 	KindJobsForgotten:   "jobs-forgotten",
 }
 
-// String gives the kind's name, as operators see it.
+// String returns the kind's name as shown to operators.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) && kindNames[k] != "" {
 		return kindNames[k]
@@ -25,7 +25,7 @@
 var outcomeNames = [...]string{Applied: "applied", Repeated: "repeated", Conflict: "conflict", Stale: "stale", Unknown: "unknown",
 	Malformed: "malformed"}
 
-// String gives the outcome's name, as operators see it.
+// String returns the outcome's name as shown to operators.
 func (o Outcome) String() string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("outcome-%d", byte(o))
 }
 
-// Summary tells in a few words what the command changes.
+// Summary returns a short description of what the command changes.
 func (c Command) Summary() string {
 	switch c.Kind {
 	case KindConfigReplaced:
@@ -60,7 +60,7 @@
 	return ""
 }
 
-// maxSummaryItems is how many items a summary names; the rest are counted.
+// maxSummaryItems is the number of items that a summary names. It only counts the others.
 const maxSummaryItems = 3
 
 func summarize[T any](items []T, describe func(T) string) string {
--- a/internal/system/state/ends.go
+++ b/internal/system/state/ends.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// recordEnd takes note of one end.
+// recordEnd records the end of one run.
 func (m *Machine) recordEnd(job *Job, end *End, result *Result) {
 	task := job.Task(end.Task)
 	if task == nil || end.Attempt > task.Attempt {
@@ -30,7 +30,7 @@
 	m.removePlacement(job, end.Run)
 }
 
-// applyEnd takes an end's effect on its task and job, while the job isn't over.
+// applyEnd updates the task and the job for the end of a run. The job must not be finished.
 func (m *Machine) applyEnd(job *Job, task *Task, end *End, result *Result) {
 	stage := &job.Spec.Stages[end.Task.Step]
 	if stage.LongRunning {
@@ -49,7 +49,7 @@
 	}
 }
 
-// countFailure counts a failed run, one for a whole gang, and gives how many there are.
+// countFailure counts a failed run, once for all members of a gang's attempt, and returns the number of failures.
 func countFailure(job *Job, task *Task, end *End, gang bool) uint32 {
 	if !gang {
 		task.Failures++
@@ -84,7 +84,7 @@
 	s.Open--
 }
 
-// completeIfDone completes a job all of whose tasks are done.
+// completeIfDone completes a job if all its tasks are done.
 func (m *Machine) completeIfDone(job *Job, result *Result) {
 	if uint32(len(job.Times)) < job.TimeCount() {
 		return
--- a/internal/system/state/job.go
+++ b/internal/system/state/job.go
@@ -2,13 +2,13 @@
 
 import "gaugeslip/internal/system/jobspec"
 
-// JobID and TaskName are the names that clients and workers use.
+// JobID and TaskName are the identifiers that clients and workers use.
 type (
 	JobID    = jobspec.ID
 	TaskName = jobspec.Task
 )
 
-// JobState is what clients are shown of a job.
+// JobState is the state of a job that clients see.
 type JobState byte
 
 // The states of a job.
@@ -22,7 +22,7 @@
 
 var jobStateNames = [...]string{Pending: "pending", Running: "running", Completed: "completed", JobFailed: "failed", Cancelled: "cancelled"}
 
-// String gives the word that clients are answered with.
+// String returns the word that is sent to clients.
 func (s JobState) String() string {
 	if int(s) < len(jobStateNames) {
 		return jobStateNames[s]
@@ -30,40 +30,40 @@
 	return "unknown"
 }
 
-// Over tells whether the job starts nothing any more.
+// Over reports whether the state is final: the job starts no more runs.
 func (s JobState) Over() bool { return s >= Completed }
 
 // Job is an accepted job.
 type Job struct {
 	JobAccepted
-	Spec  *jobspec.Spec // nil once the job is over and nothing of it runs
+	Spec  *jobspec.Spec // nil once the job is finished and none of its runs may exist
 	State JobState
-	// OverMs is the time of day at which it was over, as the command that ended it told or, failing that, when it was accepted.
+	// OverMs is the Unix time in milliseconds at which a job was cancelled, and AcceptedMs for a job that completed or failed.
 	OverMs int64
-	// Times holds each due time of which something was started, by its number.
+	// Times holds the repetitions of which a run was started, by their number.
 	Times map[uint32]*Time
-	// Runs is how many runs may exist on workers.
+	// Runs is the number of runs that may exist on workers.
 	Runs int
 }
 
-// Time is one run through the steps of a job.
+// Time is one repetition of the steps of a job.
 type Time struct {
 	Steps []Step
 	open  int
 }
 
-// Step is the tasks of one step.
+// Step holds the tasks of one step.
 type Step struct {
 	Tasks []Task
-	// Open is how many tasks aren't done yet.
+	// Open is the number of tasks that aren't done.
 	Open int
-	// GangFailures is how many runs of the gang have failed; GangFailed is the last that was counted.
+	// GangFailures is the number of failed attempts of the gang. GangFailed is the last attempt that was counted.
 	GangFailures, GangFailed uint32
 }
 
-// Task is one task of a step.
+// Task is the state of one task of a step.
 type Task struct {
-	Attempt    uint32 // the highest that was started
+	Attempt    uint32 // the highest attempt that was started
 	Failures   uint32
 	Done       bool
 	Placements []Placement // runs that may exist
@@ -76,10 +76,10 @@
 	Worker  string
 }
 
-// Time gives due time k, nil while nothing of it was started.
+// Time returns repetition k, or nil if none of its runs was ever started.
 func (j *Job) Time(k uint32) *Time { return j.Times[k] }
 
-// Task gives a task's record, nil while nothing of its due time was started or when there is no such task.
+// Task returns the state of a task. It returns nil if no run of its repetition was ever started, or if there is no such task.
 func (j *Job) Task(name TaskName) *Task {
 	repetition := j.Times[name.Time]
 	if repetition == nil || int(name.Step) >= len(repetition.Steps) || int(name.Index) >= len(repetition.Steps[name.Step].Tasks) {
@@ -88,7 +88,7 @@
 	return &repetition.Steps[name.Step].Tasks[name.Index]
 }
 
-// StepDone tells whether all tasks of a step have ended done at due time k.
+// StepDone reports whether all tasks of a step are done in repetition k.
 func (j *Job) StepDone(k, step uint32) bool {
 	if j.Spec.Stages[step].Count == 0 {
 		return true
@@ -97,7 +97,7 @@
 	return repetition != nil && repetition.Steps[step].Open == 0
 }
 
-// StepReady tells whether all steps that a step depends on are done at due time k.
+// StepReady reports whether all steps that a step depends on are done in repetition k.
 func (j *Job) StepReady(k, step uint32) bool {
 	for _, earlier := range j.Spec.Stages[step].DependsOn {
 		if !j.StepDone(k, uint32(earlier)) {
@@ -107,12 +107,12 @@
 	return true
 }
 
-// TimeCount is how many due times the job has, one if it isn't timed.
+// TimeCount returns the number of repetitions of the job, 1 if it has no schedule.
 func (j *Job) TimeCount() uint32 {
 	return uint32(j.Spec.Times())
 }
 
-// DueMs is the time of day, in milliseconds since 1970, before which due time k must not start; 0 if the job isn't timed.
+// DueMs returns the Unix time in milliseconds before which repetition k must not start, or 0 if the job has no schedule.
 func (j *Job) DueMs(k uint32) int64 {
 	if !j.Spec.Timed() {
 		return 0
@@ -120,7 +120,7 @@
 	return j.Spec.DueAt(k).Milliseconds()
 }
 
-// ensureRepetition gives due time k, made when it is first asked for.
+// ensureRepetition returns repetition k and creates it if necessary.
 func (j *Job) ensureRepetition(k uint32) *Time {
 	if repetition := j.Times[k]; repetition != nil {
 		return repetition
@@ -134,14 +134,14 @@
 	return repetition
 }
 
-// finish moves the job into a final state; only the machine calls it.
+// finish moves the job into a final state. Only Machine.finishJob calls it.
 func (j *Job) finish(state JobState, atMs int64) {
 	j.State = state
 	j.OverMs = atMs
 	j.releaseMemory()
 }
 
-// releaseMemory drops what only a job that runs needs.
+// releaseMemory drops the spec, body and tasks of a finished job once none of its runs may exist.
 func (j *Job) releaseMemory() {
 	if !j.State.Over() || j.Runs > 0 {
 		return
--- a/internal/system/state/machine.go
+++ b/internal/system/state/machine.go
@@ -1,6 +1,6 @@
-// Package state is the replicated state of the system: the operator's configuration, accepted jobs, and every run of a task that may
-// exist on a worker. Commands come in the order of the chain; their effect depends on nothing else, so that all replicas agree.
-// It does no I/O, reads no clock and starts no goroutine, and belongs to one goroutine.
+// Package state is the replicated state machine of the system. It holds the operator's configuration, the accepted jobs, and every run of
+// a task that may exist on a worker. Commands are applied in chain order, and their effect depends on nothing else, so that all replicas
+// agree. The package does no I/O, reads no clock and starts no goroutines. A Machine must be used by one goroutine only.
 package state
 
 import (
@@ -13,69 +13,69 @@
 // Machine is the replicated state.
 type Machine struct {
 	config  Config
-	history []appliedVersion // by version
+	history []appliedVersion // sorted by version
 	jobs    map[JobID]*Job
 	workers map[string]*Worker
-	pending map[string]int // jobs that aren't over, by route
+	pending map[string]int // number of unfinished jobs by route
 	quotas  *quota.Ledger
-	capture *Capture // under way, nil if there is none
+	capture *Capture // the capture in progress, nil if there is none
 
-	lastSnapshotLength int // length of the last snapshot, to make room for the next at once
+	lastSnapshotLength int // used to allocate the buffer of the next snapshot at once
 }
 
-// Worker is what is replicated of one life of a worker.
+// Worker is the replicated record of one worker instance.
 type Worker struct {
-	LastSeen uint64
-	Runs     map[Run]struct{} // that may exist there
+	LastSeen uint64           // number of the last recorded end
+	Runs     map[Run]struct{} // runs that may exist on the worker
 }
 
-// Outcome tells what a command came to.
+// Outcome is the result code of a command.
 type Outcome byte
 
 // The outcomes of a command.
 const (
 	Applied   Outcome = iota
-	Repeated          // it was in effect already
-	Conflict          // a configuration that builds on another version than the current one
-	Stale             // a configuration whose version isn't higher than the current one
-	Forgotten         // a configuration that may have been in force before all that is remembered; it isn't taken now
-	Unknown           // the job isn't known
-	Malformed         // the command can't be read; nothing was changed
+	Repeated          // the command was already in effect
+	Conflict          // the configuration's base is not the current version
+	Stale             // the configuration's version is not higher than the current one
+	Forgotten         // the configuration may have been in force before the oldest remembered one; it is not applied now
+	Unknown           // there is no such job or worker
+	Malformed         // the command can't be decoded; the state is unchanged
 )
 
-// Result is what a command has changed.
+// Result describes the effect of a command.
 type Result struct {
 	Command Command
 	Outcome Outcome
-	// Jobs are those that the command touched.
+	// Jobs are the jobs that the command concerned.
 	Jobs []*Job
-	// Started are those of the intents that hold; the others must not be sent.
+	// Started are the starts that took effect. The other starts of the command must not be sent to workers.
 	Started []Start
-	// Finished are jobs that this command moved into a final state.
+	// Finished are the jobs that this command moved into a final state.
 	Finished []*Job
-	// Broken tells what the command has broken that must always hold; empty: nothing.
+	// Broken describes the first invariant that the command violated; empty if there is none.
 	Broken string
 }
 
-// New gives an empty state.
+// New returns an empty state.
 func New() *Machine {
 	return &Machine{jobs: map[JobID]*Job{}, workers: map[string]*Worker{}, pending: map[string]int{},
 		quotas: quota.NewLedger()}
 }
 
-// Config gives the configuration in force.
+// Config returns the configuration in force.
 func (m *Machine) Config() Config { return m.config }
 
-// Job gives an accepted job, nil if there is none of that name.
+// Job returns an accepted job, or nil if there is no job with that ID.
 func (m *Machine) Job(id JobID) *Job { return m.jobs[id] }
 
-// Jobs gives all jobs by name; it must not be changed.
+// Jobs returns all jobs by ID. The caller must not modify the map.
 func (m *Machine) Jobs() map[JobID]*Job { return m.jobs }
 
-// Worker gives what is known of one life of a worker, nil if nothing is.
+// Worker returns the record of a worker instance, or nil if there is none.
 func (m *Machine) Worker(instance string) *Worker { return m.workers[instance] }
 
-// Workers gives all lives of workers by name; it must not be changed.
+// Workers returns the records of all worker instances. The caller must not modify the map.
 func (m *Machine) Workers() map[string]*Worker { return m.workers }
 
 // ApplyBytes decodes a command and applies it.
@@ -87,7 +87,7 @@
 	return m.Apply(command)
 }
 
-// Apply carries out one command of the chain.
+// Apply applies one command of the chain.
 func (m *Machine) Apply(command Command) Result {
 	result := Result{Command: command}
 	m.capture.saveAffected(&command)
@@ -153,10 +153,10 @@
 // finishJob moves a job into a final state.
 func (m *Machine) finishJob(job *Job, state JobState, atMs int64, result *Result) {
 	if job.State.Over() {
-		result.recordViolation("job %s, %s, is finished as %s", job.ID, job.State, state)
+		result.recordViolation("job %s is already %s and can't become %s", job.ID, job.State, state)
 	}
 	if m.pending[job.Route] <= 0 {
-		result.recordViolation("job %s ends, and its queue %q counts %d", job.ID, job.Route, m.pending[job.Route])
+		result.recordViolation("job %s finishes, but the unfinished jobs of route %q are counted as %d", job.ID, job.Route, m.pending[job.Route])
 	}
 	if m.pending[job.Route]--; m.pending[job.Route] <= 0 {
 		delete(m.pending, job.Route)
@@ -165,7 +165,7 @@
 	result.Finished = append(result.Finished, job)
 }
 
-// recordViolation takes note of the first thing that a command has broken.
+// recordViolation records the first invariant that a command violates.
 func (r *Result) recordViolation(format string, arguments ...any) {
 	if r.Broken == "" {
 		r.Broken = fmt.Sprintf(format, arguments...)
@@ -203,8 +203,8 @@
 	clear(worker.Runs)
 }
 
-// forgetWorker drops the record of a life that is over for good. A life that was only out of reach keeps its record: it may come back and
-// list ends that were counted before.
+// forgetWorker deletes the record of a worker instance that will not return. An instance that was only unreachable keeps its record,
+// since it may come back and list ends that were already counted.
 func (m *Machine) forgetWorker(instance string, result *Result) {
 	if worker := m.workers[instance]; worker == nil || len(worker.Runs) > 0 {
 		result.Outcome = Unknown
@@ -221,7 +221,7 @@
 	}
 }
 
-// Check looks for broken invariants and tells the first.
+// Check verifies the invariants of the state and returns an error for the first violation.
 func (m *Machine) Check() error {
 	runs := 0
 	for id, job := range m.jobs {
@@ -252,16 +252,16 @@
 					open++
 				}
 				if len(task.Placements) > 1 && !j.Spec.Stages[s].Speculative {
-					return fmt.Errorf("task %d.%d.%d has %d runs", k, s, i, len(task.Placements))
+					return fmt.Errorf("task %d.%d.%d is not speculative and has %d runs", k, s, i, len(task.Placements))
 				}
 			}
 			if open != repetition.Steps[s].Open {
-				return fmt.Errorf("step %d.%d: %d open, counted %d", k, s, open, repetition.Steps[s].Open)
+				return fmt.Errorf("step %d.%d has %d open tasks, counted %d", k, s, open, repetition.Steps[s].Open)
 			}
 		}
 	}
 	if placements != j.Runs {
-		return fmt.Errorf("%d placements, counted %d", placements, j.Runs)
+		return fmt.Errorf("tasks have %d placements, the job counts %d", placements, j.Runs)
 	}
 	return nil
 }
--- a/internal/system/state/quotas.go
+++ b/internal/system/state/quotas.go
@@ -8,12 +8,12 @@
 	"gaugeslip/internal/system/quota"
 )
 
-// Quotas is the account of all tenants' accelerators; it must not be changed. A Restore puts another in its place.
+// Quotas returns the ledger of all tenants' accelerators. The caller must not modify it. Restore replaces it.
 func (m *Machine) Quotas() *quota.Ledger { return m.quotas }
 
-// CheckShare tells whether a job could run within its tenant's share, were all of that free: if not, the error is a
-// *quota.OversizeError. A job that was accepted before its tenant's share became too small for it waits until the share has grown.
-// While no tenant is named it looks at nothing.
+// CheckShare checks whether a job could run if its tenant's whole share were free. If not, the error is a *quota.OversizeError. A job that
+// was accepted before its tenant's share became too small waits until the share is large enough again. While the configuration names no
+// tenant, CheckShare returns nil without parsing the job.
 func (m *Machine) CheckShare(job *JobAccepted) error {
 	if !m.quotas.InForce() {
 		return nil
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// acceleratorsAtOnce is how many accelerators of a step are taken together or not at all.
+// acceleratorsAtOnce returns the number of accelerators of a step that can only be taken together: those of a whole gang or of one task.
 func acceleratorsAtOnce(stage *jobspec.Stage) int64 {
 	switch {
 	case stage.Count == 0:
@@ -42,8 +42,8 @@
 	return stage.GPUs
 }
 
-// configureQuotas puts in force what the present configuration promises. It depends on that configuration's body alone, as the state does that
-// is restored from a snapshot; a body that can't be read promises nothing.
+// configureQuotas applies the quotas of the current configuration. It depends on the body of that configuration alone, since Restore calls
+// it too. A body that can't be parsed sets no quotas.
 func (m *Machine) configureQuotas() {
 	plan := quota.Plan{}
 	if config, err := clusterconfig.Parse(m.config.Body); err == nil {
@@ -52,10 +52,10 @@
 	m.quotas.Configure(plan)
 }
 
-// accelerators is what one run of a step takes.
+// accelerators returns the number of accelerators that one run of a step takes.
 func (j *Job) accelerators(step uint32) int64 { return j.Spec.Stages[step].GPUs }
 
-// startGroupSize is how many of the first starts hold only together, as far as shares go: the members of a gang, or one.
+// startGroupSize returns how many of the first starts the share must admit together: all members of a gang, or one.
 func (m *Machine) startGroupSize(starts []Start) int {
 	first := &starts[0]
 	job := m.jobs[first.Task.Job]
@@ -73,7 +73,7 @@
 	return a.Task.Job == b.Task.Job && a.Task.Time == b.Task.Time && a.Task.Step == b.Task.Step && a.Attempt == b.Attempt
 }
 
-// withinShare tells whether all of the starts that hold otherwise fit into their tenant's share. They are of one job.
+// withinShare reports whether the otherwise valid starts fit into their tenant's share together. All starts must belong to one job.
 func (m *Machine) withinShare(starts []Start) bool {
 	if !m.quotas.InForce() {
 		return true
@@ -87,7 +87,7 @@
 	return need == 0 || m.quotas.Fits(m.jobs[starts[0].Task.Job].Tenant, need)
 }
 
-// chargeRuns takes all runs of a job that may exist into its tenant's account.
+// chargeRuns charges all runs of a job that may exist to its tenant's account.
 func (m *Machine) chargeRuns(job *Job) {
 	for _, repetition := range job.Times {
 		for step := range repetition.Steps {
@@ -104,7 +104,7 @@
 	return int64(count)
 }
 
-// recountAccelerators counts anew what each tenant uses.
+// recountAccelerators counts from the tasks how many accelerators each tenant uses.
 func (m *Machine) recountAccelerators() map[string]int64 {
 	used := make(map[string]int64)
 	for _, job := range m.jobs {
--- a/internal/system/state/snapshot.go
+++ b/internal/system/state/snapshot.go
@@ -10,7 +10,7 @@
 	"gaugeslip/internal/system/jobspec"
 )
 
-// The formats of a snapshot. The first is still written where no job has a tenant, so that replicas which know no tenants read it.
+// The snapshot formats. snapshotFormat is still written while no job has a tenant, so that replicas that do not know tenants can read it.
 const (
 	snapshotFormat       = 1
 	tenantSnapshotFormat = 2 // each job is followed by its tenant
@@ -18,7 +18,7 @@
 
 const (
 	minSnapshotCapacity = 1 << 16
-	// snapshotHeadroomDivisor: room is made for a snapshot that is longer by this part than the one before.
+	// snapshotHeadroomDivisor gives the headroom of the buffer for the next snapshot: 1/8 of the length of the last one.
 	snapshotHeadroomDivisor = 8
 )
 
@@ -26,7 +26,7 @@
 
 func checksum(body []byte) uint64 { return crc64.Checksum(body, crcTable) }
 
-// Snapshot gives the whole state, the same bytes for the same state.
+// Snapshot returns the encoded state. Equal states have equal snapshots.
 func (m *Machine) Snapshot() []byte {
 	w := &writer{data: make([]byte, 0, max(minSnapshotCapacity, m.lastSnapshotLength+m.lastSnapshotLength/snapshotHeadroomDivisor))}
 	format := m.snapshotFormat()
@@ -39,7 +39,7 @@
 	return w.data
 }
 
-// writeHeader writes what comes before the jobs.
+// writeHeader writes everything that precedes the jobs.
 func (m *Machine) writeHeader(w *writer, format byte) {
 	w.byte(format)
 	w.uint(m.config.Version)
@@ -59,7 +59,7 @@
 	}
 }
 
-// writeTrailer writes what comes after the jobs.
+// writeTrailer writes everything that follows the jobs.
 func (m *Machine) writeTrailer(w *writer) {
 	w.uint(uint64(len(m.workers)))
 	for _, instance := range slices.Sorted(maps.Keys(m.workers)) {
@@ -107,12 +107,12 @@
 	}
 }
 
-// Restore puts a snapshot in the place of the whole state; on an error the state is unchanged.
+// Restore replaces the whole state by a snapshot. On an error the state is unchanged.
 func (m *Machine) Restore(snapshot []byte) error {
 	r := &reader{data: snapshot}
 	format := r.byte()
 	if format != snapshotFormat && format != tenantSnapshotFormat {
-		return fmt.Errorf("snapshot's format: %w", ErrCorrupt)
+		return fmt.Errorf("snapshot format: %w", ErrCorrupt)
 	}
 	next := New()
 	next.config = Config{Version: r.uint(), Body: r.bytes()}
@@ -143,13 +143,13 @@
 	if len(job.Body) > 0 {
 		spec, err := jobspec.Parse(job.Body)
 		if err != nil {
-			return fmt.Errorf("snapshot's job %s: %w", job.ID, err)
+			return fmt.Errorf("snapshot: job %s: %w", job.ID, err)
 		}
 		job.Spec, job.Times = spec, map[uint32]*Time{}
 	}
 	for range times {
 		if job.Spec == nil {
-			return fmt.Errorf("snapshot's job %s has due times without a body: %w", job.ID, ErrCorrupt)
+			return fmt.Errorf("snapshot: job %s has repetitions but no body: %w", job.ID, ErrCorrupt)
 		}
 		m.readRepetition(r, job, uint32(r.uint()))
 	}
--- a/internal/system/state/starts.go
+++ b/internal/system/state/starts.go
@@ -1,6 +1,6 @@
 package state
 
-// MayStart tells whether the intent to start a run holds in the present state, but for its tenant's share.
+// MayStart reports whether a start is valid in the current state. It does not check the tenant's share.
 func (m *Machine) MayStart(start *Start) bool {
 	job := m.jobs[start.Task.Job]
 	if job == nil || job.State.Over() || int(start.Task.Step) >= len(job.Spec.Stages) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// placeRun takes note of a run that may exist from now on.
+// placeRun records a run that may exist from now on.
 func (m *Machine) placeRun(start *Start, result *Result) {
 	job := m.jobs[start.Task.Job]
 	job.ensureRepetition(start.Task.Time)
@@ -62,7 +62,7 @@
 	}
 }
 
-// removePlacement takes away a run that doesn't exist (any more).
+// removePlacement removes a run that doesn't exist, or no longer exists, on its worker.
 func (m *Machine) removePlacement(job *Job, run Run) {
 	task := job.Task(run.Task)
 	if task == nil {
