--- a/internal/system/clusterconfig/check.go
+++ b/internal/system/clusterconfig/check.go
@@ -6,7 +6,7 @@
 	"gaugeslip/internal/system/findings"
 )
 
-// check takes note of what the parts of a configuration have to be to each other.
+// check verifies the references and the uniqueness rules between the parts of a configuration.
 func check(config *Config, found *findings.Findings) {
 	services := checkServices(config.Services, found)
 	tenants := checkTenants(&config.Quotas, found)
--- a/internal/system/clusterconfig/parse.go
+++ b/internal/system/clusterconfig/parse.go
@@ -11,8 +11,8 @@
 	"gaugeslip/internal/system/findings/quantity"
 )
 
-// Parse reads and checks a whole configuration. The error holds findings.Findings, all of them. Members that it doesn't know
-// are skipped: who has to hand the configuration out again unchanged keeps the body.
+// Parse decodes and checks a complete configuration. Unknown members are skipped, so a caller that passes the configuration on must keep
+// the body. The error holds all findings as findings.Findings.
 func Parse(body []byte) (*Config, error) {
 	var wire wireConfig
 	found := jsonread.Object(body, &wire)
@@ -31,8 +31,7 @@
 	return config, nil
 }
 
-// CheckNext checks that next may follow current, which is nil when there is no configuration yet. The error holds
-// findings.Findings.
+// CheckNext checks that next may replace current; current is nil if there is no configuration yet. The error holds findings.Findings.
 func CheckNext(current, next *Config) error {
 	if current == nil || next.Version > current.Version {
 		return nil
@@ -42,7 +41,7 @@
 	return found
 }
 
-// reader turns what the operator wrote into the types that the programs use, and takes note of the figures that can't be.
+// reader converts the decoded JSON values to Go types and collects the findings.
 type reader struct {
 	found findings.Findings
 }
@@ -163,7 +162,7 @@
 	return value
 }
 
-// item is an item of a list of the document, or a single object when it has no index.
+// item identifies an item of a list of the document, or a single object if index is noIndex.
 type item struct {
 	list  string
 	index int
--- a/internal/system/clusterconfig/parse_test.go
+++ b/internal/system/clusterconfig/parse_test.go
@@ -210,7 +210,7 @@
 	}
 }
 
-// checkParse checks what holds for every body: one outcome, findings with text, and only what is JSON is taken.
+// checkParse checks what must hold for any body: Parse returns either a configuration or findings with text, and accepts only valid JSON.
 func checkParse(t require.TestingT, body []byte) {
 	config, err := Parse(body)
 	if err == nil {
--- a/internal/system/clusterconfig/quotas.go
+++ b/internal/system/clusterconfig/quotas.go
@@ -7,10 +7,10 @@
 	"gaugeslip/internal/system/quota"
 )
 
-// shareTolerance is how far from a whole number of millionths a share may be: what the nearest float64 is off.
+// shareTolerance is the permitted distance of a share from a whole number of millionths. It covers the rounding error of float64.
 const shareTolerance = 1e-6
 
-// Plan is what the quotas promise, as the ledger of all tenants takes it.
+// Plan converts the quotas to a plan for the quota ledger.
 func (q *Quotas) Plan() quota.Plan {
 	plan := quota.Plan{Pool: q.Pool, Pooled: q.Pooled}
 	if len(q.Tenants) == 0 {
@@ -23,7 +23,7 @@
 	return plan
 }
 
-// quotas reads what tenants are promised.
+// quotas converts the quotas of all tenants.
 func (r *reader) quotas(wire *wireConfig) Quotas {
 	quotas := Quotas{}
 	if wire.Accelerators != nil {
@@ -47,7 +47,7 @@
 	return quotas
 }
 
-// tenantAccelerators reads one tenant's figure, and gives its share in millionths if that is what it has.
+// tenantAccelerators returns the accelerators promised to a tenant, and its share in millionths if the configuration sets a share.
 func (r *reader) tenantAccelerators(index int, tenant *wireTenant, quotas *Quotas) (accelerators, millionths int64) {
 	switch {
 	case tenant.Share != nil && tenant.Accelerators != nil:
@@ -57,7 +57,7 @@
 	case tenant.Share == nil:
 		r.found.Add(findings.Item("tenants", index, ""), "has neither a share nor accelerators")
 	case !quotas.Pooled:
-		r.found.Add(findings.Item("tenants", index, "share"), "is a share of nothing: the configuration states no accelerators")
+		r.found.Add(findings.Item("tenants", index, "share"), "needs a pool: the configuration doesn't set accelerators")
 	default:
 		millionths = r.share(findings.Item("tenants", index, "share"), *tenant.Share)
 		return quota.ShareOf(millionths, quotas.Pool), millionths
@@ -65,7 +65,7 @@
 	return 0, 0
 }
 
-// share reads a part of the whole, in millionths.
+// share converts a share between 0 and 1 to millionths.
 func (r *reader) share(place string, figure float64) int64 {
 	if figure < 0 || figure > 1 {
 		r.found.Add(place, "%v is not from 0 to 1", figure)
@@ -78,7 +78,7 @@
 	return int64(millionths)
 }
 
-// accelerators reads a whole number of them.
+// accelerators converts a number of accelerators.
 func (r *reader) accelerators(place string, figure float64) int64 {
 	if figure < 0 {
 		r.found.Add(place, "%v is negative", figure)
@@ -91,10 +91,10 @@
 	return int64(figure)
 }
 
-// maxAccelerators bounds a figure, so that sums of them can't overflow.
+// maxAccelerators bounds each number of accelerators, so that sums can't overflow.
 const maxAccelerators = 1 << 40
 
-// checkTenants takes note of what tenants have to be to each other and to the pool, and gives their names.
+// checkTenants checks that tenant names are unique and that the pool covers all promises. It returns the index of each name.
 func checkTenants(quotas *Quotas, found *findings.Findings) map[string]int {
 	seen := make(map[string]int, len(quotas.Tenants))
 	sum := int64(0)
@@ -112,7 +112,7 @@
 		seen[tenant.Name] = index
 	}
 	if quotas.Pooled && sum > quotas.Pool {
-		found.Add("tenants", "are promised %d accelerators of %d", sum, quotas.Pool)
+		found.Add("tenants", "are promised %d accelerators, more than the pool of %d", sum, quotas.Pool)
 	}
 	return seen
 }
--- a/internal/system/clusterconfig/router.go
+++ b/internal/system/clusterconfig/router.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Router finds routes and services of one configuration. It never changes and may be used by any number of goroutines.
+// Router finds the routes and services of one configuration. It is immutable and safe for concurrent use.
 type Router struct {
 	config   *Config
 	hosts    map[string][]*Route
 	services map[string]*Service
 }
 
-// NewRouter makes the router of a configuration.
+// NewRouter returns the router for a configuration.
 func NewRouter(config *Config) *Router {
 	router := &Router{
 		config:   config,
@@ -34,11 +34,11 @@
 	return router
 }
 
-// Config is the configuration that the router was made of.
+// Config returns the configuration of the router.
 func (r *Router) Config() *Config { return r.config }
 
-// Match finds the route of a request: the one of the host (in any case, with or without a port) with the longest prefix with
-// which the path begins. The rest is what follows the prefix. ok is false when there is no such route.
+// Match returns the route of a request: among the routes of the host (in any case, with or without a port), the one with the longest prefix
+// of the path. rest is the part of the path after the prefix. ok is false if no route matches.
 func (r *Router) Match(host, path string) (route *Route, rest string, ok bool) {
 	for _, candidate := range r.hosts[NormalizeHost(host)] {
 		if after, begins := strings.CutPrefix(path, candidate.PathPrefix); begins {
@@ -48,14 +48,14 @@
 	return nil, "", false
 }
 
-// Service finds a service by its name; ok is false when there is none.
+// Service returns the service with the given name; ok is false if there is none.
 func (r *Router) Service(name string) (service *Service, ok bool) {
 	service, ok = r.services[name]
 	return service, ok
 }
 
-// NormalizeHost is the host of a Host header as routes are compared by it: in lower case and without a port. It allocates
-// only when there is a letter to be changed.
+// NormalizeHost converts a Host header to the form in which routes are compared: in lower case and without a port. It allocates only if
+// the host has upper-case letters.
 func NormalizeHost(host string) string {
 	return strings.ToLower(withoutPort(host))
 }
--- a/internal/system/clusterconfig/router_test.go
+++ b/internal/system/clusterconfig/router_test.go
@@ -71,7 +71,7 @@
 	assert.Zero(t, allocations)
 }
 
-// The router agrees with a search through all routes.
+// Compares the router with a linear search through all routes.
 func TestMatchesAreTheLongestPrefixOfTheHost(t *testing.T) {
 	const rounds = 2000
 	random := rand.New(rand.NewPCG(3, 4))
--- a/internal/system/clusterconfig/wire.go
+++ b/internal/system/clusterconfig/wire.go
@@ -4,7 +4,7 @@
 
 //go:generate easyjson -no_std_marshalers wire.go
 
-// wireConfig is the configuration as the operator writes it: figures with or without a fraction, nothing checked.
+// wireConfig is the JSON form of a configuration. Numbers may have a fraction, and nothing is checked.
 //
 //easyjson:json
 type wireConfig struct {
@@ -12,12 +12,12 @@
 	Routes   []wireRoute         `json:"routes"`
 	Services []wireService       `json:"services"`
 	Limits   wireLimits          `json:"limits"`
-	// Accelerators is the pool of which shares are taken; absent when there is none.
+	// Accelerators is the size of the pool that shares refer to; nil if it isn't set.
 	Accelerators *float64     `json:"accelerators"`
 	Tenants      []wireTenant `json:"tenants"`
 }
 
-// wireTenant has one of the two figures.
+// wireTenant sets either Share or Accelerators.
 //
 //easyjson:json
 type wireTenant struct {
--- a/internal/system/findings/findings.go
+++ b/internal/system/findings/findings.go
@@ -1,4 +1,4 @@
-// Package findings collects what is wrong with a document, each with its place, so that all of it is reported at once.
+// Package findings collects the errors in a document, each with its place, so that all of them can be reported together.
 package findings
 
 import (
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// maxShown bounds the findings that the text of an error names; the rest are counted.
+// maxShown is the number of findings that an error text lists. It only counts the others.
 const maxShown = 20
 
-// Finding is one thing that is wrong with a document.
+// Finding is one error in a document.
 type Finding struct {
-	// Place is where it stands, such as `routes[2].backend` or `line 3, column 5`.
+	// Place locates it, such as `routes[2].backend` or `line 3, column 5`.
 	Place string
-	// Text says what is wrong there.
+	// Text describes the error.
 	Text string
 }
 
-// String puts the place before the text.
+// String returns the place and the text.
 func (f Finding) String() string {
 	if f.Place == "" {
 		return f.Text
@@ -26,16 +26,16 @@
 	return f.Place + ": " + f.Text
 }
 
-// Findings is everything that is wrong with one document, in the order in which it was found. It is the error of the
-// packages that read documents: errors.As finds it in what they return.
+// Findings holds all errors in one document in the order in which they were found. It is the error type of the packages that read
+// documents; errors.As extracts it from the errors that they return.
 type Findings []Finding
 
-// Add takes note of one finding; the text is formatted as by fmt.Sprintf.
+// Add appends a finding. The text is formatted as by fmt.Sprintf.
 func (f *Findings) Add(place, format string, args ...any) {
 	*f = append(*f, Finding{Place: place, Text: fmt.Sprintf(format, args...)})
 }
 
-// Err is nil when nothing was found, and the findings otherwise.
+// Err returns the findings as an error, or nil if there are none.
 func (f Findings) Err() error {
 	if len(f) == 0 {
 		return nil
@@ -43,7 +43,7 @@
 	return f
 }
 
-// Error names the first findings and counts the rest.
+// Error lists the first findings and counts the others.
 func (f Findings) Error() string {
 	if len(f) == 1 {
 		return f[0].String()
@@ -63,7 +63,7 @@
 	return text.String()
 }
 
-// Item is the place of a field of an item of a list: `list[index].field`, or the item itself when field is empty.
+// Item returns the place of a field of a list item, `list[index].field`, or of the item itself if field is empty.
 func Item(list string, index int, field string) string {
 	item := list + "[" + strconv.Itoa(index) + "]"
 	if field == "" {
--- a/internal/system/findings/jsonread/jsonread.go
+++ b/internal/system/findings/jsonread/jsonread.go
@@ -1,4 +1,4 @@
-// Package jsonread reads one JSON object into a value with generated code, and reports everything that can't be read in it.
+// Package jsonread decodes one JSON object with easyjson's generated code and reports everything that can't be decoded.
 package jsonread
 
 import (
@@ -10,8 +10,8 @@
 	"gaugeslip/internal/system/findings"
 )
 
-// Object reads the body, which has to be one JSON object with nothing but white space round it. Members that the value
-// doesn't name are skipped. A member of a wrong type is a finding and doesn't hide the next one.
+// Object decodes body into value. The body must be one JSON object; only white space may surround it. Unknown members are skipped. A member
+// of the wrong type is a finding, and decoding continues with the next member.
 func Object(body []byte, value easyjson.Unmarshaler) findings.Findings {
 	var found findings.Findings
 	if !startsObject(body) {
--- a/internal/system/findings/jsonread/jsonread_test.go
+++ b/internal/system/findings/jsonread/jsonread_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair is a value with two members, as generated code would read it.
+// pair is a value with two members. Its decoder works like the generated code.
 type pair struct {
 	left, right int
 }
--- a/internal/system/findings/quantity/quantity.go
+++ b/internal/system/findings/quantity/quantity.go
@@ -1,5 +1,5 @@
-// Package quantity turns figures as documents write them (with or without a fraction, in milliseconds or seconds) into the
-// types that the programs count with. Nothing here overflows: what is too large becomes the largest.
+// Package quantity converts the numbers of documents (with or without a fraction, in milliseconds or seconds) to Go types. The conversions
+// never overflow: they clamp values that are too large.
 package quantity
 
 import (
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// MostWhole is the largest whole number up to which every whole number has a float64 of its own.
+// MostWhole is the largest number up to which float64 represents every integer exactly.
 const MostWhole = 1 << 53
 
-// Milliseconds is the duration of so many milliseconds.
+// Milliseconds converts a number of milliseconds to a duration.
 func Milliseconds(figure float64) time.Duration {
 	return duration(figure, time.Millisecond)
 }
 
-// Seconds is the duration of so many seconds.
+// Seconds converts a number of seconds to a duration.
 func Seconds(figure float64) time.Duration {
 	return duration(figure, time.Second)
 }
 
-// Whole is the whole number that the figure is; ok is false when it has a fraction or is too large to be told from its
-// neighbours.
+// Whole converts a number to an integer. ok is false if the number has a fraction, or if it is so large that float64 can't tell it from
+// its neighbours.
 func Whole(figure float64) (number int64, ok bool) {
 	if figure != math.Trunc(figure) || math.Abs(figure) > MostWhole {
 		return 0, false
@@ -29,7 +29,7 @@
 	return int64(figure), true
 }
 
-// AtLeast is the smallest whole number that isn't below the figure, and most at the most.
+// AtLeast rounds up to the next integer, and clamps the result to most.
 func AtLeast(figure float64, most int64) int64 {
 	if figure >= float64(most) {
 		return most
@@ -37,7 +37,7 @@
 	return int64(math.Ceil(figure))
 }
 
-// duration multiplies the whole part apart from the fraction: as one float64, a time since 1970 would lose its last digits.
+// duration converts the whole part and the fraction separately. As one float64, a Unix time would lose its last digits.
 func duration(figure float64, unit time.Duration) time.Duration {
 	whole, fraction := math.Modf(figure)
 	if most := float64(math.MaxInt64 / unit); whole >= most {
--- a/internal/system/invariant/invariant.go
+++ b/internal/system/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package invariant counts violations of what must always hold in a running process. A violation is a fault of the program, whatever has
-// happened around it: it is counted by name, reported to the log, and never ends the process by itself.
+// Package invariant counts violations of invariants in a running process. A violation is always a bug in the program, whatever happened
+// around it. It is counted by name and logged, and never ends the process by itself.
 //
-// Code that is given no Set, as in tests, panics at the first violation.
+// On a nil Set, as in tests, the first violation panics.
 package invariant
 
 import (
@@ -12,10 +12,10 @@
 	"gaugeslip/internal/system/figures"
 )
 
-// Name names an invariant; it is the label of its counter and the word in the log.
+// Name is the name of an invariant. It is the label value of its counter and appears in the log.
 type Name string
 
-// Set counts the violations of one process. It is safe for concurrent use.
+// Set counts the violations in one process. It is safe for concurrent use.
 type Set struct {
 	report func(Name, string)
 
@@ -23,8 +23,8 @@
 	counts map[Name]uint64
 }
 
-// NewSet makes a set that counts the named invariants. report is told of the first violation of each name and, from then on, of every one
-// whose number is a power of two, so that a fault that repeats doesn't fill the log.
+// NewSet returns a set that counts the named invariants. It calls report for the first violation of each name, and then for each violation
+// whose number is a power of two, so that a repeated violation doesn't flood the log.
 func NewSet(report func(name Name, detail string), names ...Name) *Set {
 	s := &Set{report: report, counts: make(map[Name]uint64, len(names))}
 	for _, name := range names {
@@ -33,7 +33,7 @@
 	return s
 }
 
-// Broken takes note of a violation. On a nil Set it panics.
+// Broken records a violation. On a nil Set it panics.
 func (s *Set) Broken(name Name, format string, arguments ...any) {
 	detail := fmt.Sprintf(format, arguments...)
 	if s == nil {
@@ -48,13 +48,13 @@
 	}
 }
 
-// Count is how often one invariant was violated.
+// Count is the number of violations of one invariant.
 type Count struct {
 	Name       Name
 	Violations uint64
 }
 
-// Counts gives all invariants by name.
+// Counts returns the counts of all invariants, sorted by name.
 func (s *Set) Counts() []Count {
 	if s == nil {
 		return nil
@@ -74,15 +74,15 @@
 	return counts
 }
 
-// Write writes the counts as figures.
+// Write writes the counts as metrics.
 func (s *Set) Write(w *figures.Writer) {
 	counts := s.Counts()
 	labelled := make([]figures.Labelled, len(counts))
 	for i, count := range counts {
 		labelled[i] = figures.Labelled{Label: string(count.Name), Value: float64(count.Violations)}
 	}
-	w.Counters("invariant_violations_total", "Violations of what must always hold; each is a fault of the program.", "invariant", labelled)
+	w.Counters("invariant_violations_total", "Violated invariants. Each violation is a bug in the program.", "invariant", labelled)
 }
 
-// LogMessage is the message under which violations are logged.
+// LogMessage is the log message of a violation.
 const LogMessage = "invariant broken"
--- a/internal/system/jobspec/encode.go
+++ b/internal/system/jobspec/encode.go
@@ -7,7 +7,7 @@
 	"github.com/mailru/easyjson"
 )
 
-// Encode writes the job in the form that Parse reads; what Parse left out stays out.
+// Encode encodes the job in the form that Parse reads. Members that Parse skipped are not written.
 func (s *Spec) Encode() ([]byte, error) {
 	wire := wireSpec{
 		Spec:        s.Text,
--- a/internal/system/jobspec/id.go
+++ b/internal/system/jobspec/id.go
@@ -1,15 +1,15 @@
 package jobspec
 
-// idDigits is how many hex digits an ID is written with.
+// idDigits is the number of hex digits of an encoded ID.
 const idDigits = 16
 
 const hexDigits = "0123456789abcdef"
 
-// ID names a job. Clients choose it.
+// ID identifies a job. Clients choose it.
 type ID uint64
 
-// ParseID reads 16 hex digits in lower case; ok is false for anything else. Capital letters are refused, since a task's name
-// has to carry the ID as the client wrote it.
+// ParseID parses 16 lower-case hex digits; ok is false for anything else. Upper-case letters are refused, since task names must contain
+// the ID exactly as the client wrote it.
 func ParseID(text string) (id ID, ok bool) {
 	if len(text) != idDigits {
 		return 0, false
@@ -24,13 +24,13 @@
 	return id, true
 }
 
-// String writes the 16 hex digits.
+// String returns the ID as 16 hex digits.
 func (id ID) String() string {
 	var digits [idDigits]byte
 	return string(id.Append(digits[:0]))
 }
 
-// Append writes the 16 hex digits behind the text.
+// Append appends the 16 hex digits to text.
 func (id ID) Append(text []byte) []byte {
 	for shift := 4 * (idDigits - 1); shift >= 0; shift -= 4 {
 		text = append(text, hexDigits[id>>shift&0xf])
--- a/internal/system/jobspec/parse.go
+++ b/internal/system/jobspec/parse.go
@@ -9,10 +9,10 @@
 	"gaugeslip/internal/system/findings/quantity"
 )
 
-// maxDueTime is the latest time since 1970 that a time of a job may fall due at.
+// maxDueTime is the latest due time of a job's last repetition, as the time since 1970.
 const maxDueTime = 250 * 365 * 24 * time.Hour
 
-// Parse reads and checks a job. The error holds findings.Findings, all of them. Members that it doesn't know are skipped.
+// Parse decodes and checks a job. Unknown members are skipped. The error holds all findings as findings.Findings.
 func Parse(body []byte) (*Spec, error) {
 	var wire wireSpec
 	if found := jsonread.Object(body, &wire); len(found) > 0 {
@@ -26,7 +26,7 @@
 	return spec, nil
 }
 
-// reader turns what the client wrote into the types that the programs use, and takes note of all that can't be.
+// reader converts the decoded JSON values to Go types and collects the findings.
 type reader struct {
 	found findings.Findings
 }
@@ -47,13 +47,13 @@
 	spec.Interval = r.milliseconds(noStage, "intervalMs", wire.IntervalMs)
 	last := spec.FirstRun.Seconds() + float64(spec.Times()-1)*spec.Interval.Seconds()
 	if last > maxDueTime.Seconds() {
-		r.found.Add("firstRunMs", "the last time falls due too late")
+		r.found.Add("firstRunMs", "the last repetition is due too late")
 	}
 }
 
 func (r *reader) stages(spec *Spec, wire *wireSpec) {
 	if len(wire.Stages) > MaxStages {
-		r.found.Add("stages", "are %d, more than %d", len(wire.Stages), MaxStages)
+		r.found.Add("stages", "has %d stages, more than %d", len(wire.Stages), MaxStages)
 		return
 	}
 	spec.Stages = make([]Stage, len(wire.Stages))
@@ -101,7 +101,7 @@
 	return slices.Compact(steps)
 }
 
-// wholeNumber reads a whole number of at most so much.
+// wholeNumber converts a non-negative integer that must not exceed most.
 func (r *reader) wholeNumber(index int, field string, figure float64, most int) int {
 	if figure < 0 {
 		r.found.Add(place(index, field), "%v is negative", figure)
@@ -118,7 +118,7 @@
 	return int(whole)
 }
 
-// amount reads a demand; a fraction counts as the next whole number, so that what is set aside always suffices.
+// amount converts a resource demand. It rounds up to an integer, so that the reserved amount always suffices.
 func (r *reader) amount(index int, field string, figure float64) int64 {
 	return quantity.AtLeast(r.nonNegative(index, field, figure), MostAmount)
 }
@@ -135,7 +135,7 @@
 	return figure
 }
 
-// noStage stands for the job itself where a step's number is asked for.
+// noStage is passed as the stage index for the members of the job itself.
 const noStage = -1
 
 func place(index int, field string) string {
--- a/internal/system/jobspec/spec.go
+++ b/internal/system/jobspec/spec.go
@@ -1,81 +1,81 @@
-// Package jobspec reads and checks a job as clients hand it in, and names jobs and their tasks.
+// Package jobspec decodes and checks the jobs that clients submit, and defines the names of jobs and tasks.
 package jobspec
 
 import "time"
 
-// What a job may be at the most.
+// Limits of a job.
 const (
 	MaxSpecBytes   = 4000
 	MaxStages      = 1000
-	MaxTasks       = 100_000 // of one step
-	MaxTotalTasks  = 200_000 // of all steps, at one time
+	MaxTasks       = 100_000 // in one stage
+	MaxTotalTasks  = 200_000 // in all stages together, in one repetition
 	MaxRepetitions = 1_000_000
 )
 
-// MostAmount is what a larger demand for processor, memory or GPUs is cut to; no worker has as much.
+// MostAmount is the value to which larger demands for CPU, memory or GPUs are clamped. No worker has as much.
 const MostAmount = 1 << 40
 
-// MostEstimate is what a longer guess of a task's time is cut to.
+// MostEstimate is the value to which longer estimates of a task's duration are clamped.
 const MostEstimate = 1_000_000 * time.Second
 
-// GPUCores is how many cores a GPU counts for.
+// GPUCores is the number of cores that one GPU counts as.
 const GPUCores = 8
 
-// Spec is one checked job. It is never changed after Parse has returned it.
+// Spec is a checked job. It must not be modified after Parse has returned it.
 type Spec struct {
-	// Text is what each start carries; it means nothing to the scheduler.
+	// Text is sent to the worker with each start. The scheduler doesn't interpret it.
 	Text string
-	// Stages are the steps, in the order in which dependsOn counts them. A job without steps has nothing to do.
+	// Stages are the steps of the job; DependsOn refers to them by index. A job without stages has nothing to do.
 	Stages []Stage
-	// Repetitions is how often the steps are run at times of their own; 0 means once, at once.
+	// Repetitions is how often the stages run, each time at a scheduled due time. 0 means that they run once, immediately.
 	Repetitions int
-	// FirstRun is the time since 1970 at which time 0 falls due; Interval lies between one time and the next.
+	// FirstRun is the due time of repetition 0, as the time since 1970. Interval is the time between two consecutive due times.
 	FirstRun, Interval time.Duration
 }
 
-// Stage is one step of a job: tasks that are alike.
+// Stage is one step of a job: a number of equal tasks.
 type Stage struct {
-	// Count is the number of its tasks; it may be 0.
+	// Count is the number of tasks; it may be 0.
 	Count int
-	// CPU is what each task takes, in thousandths of a core.
+	// CPU is the demand of each task in thousandths of a core.
 	CPU int64
-	// MemoryMb is in megabytes.
+	// MemoryMb is the demand of each task in megabytes.
 	MemoryMb int64
 	GPUs     int64
-	// Estimated is a rough guess of a task's time.
+	// Estimated is a rough estimate of a task's duration.
 	Estimated time.Duration
-	// DependsOn are the earlier steps all of whose tasks have to be done first, rising, each once.
+	// DependsOn are the indexes of earlier stages whose tasks must all be done first, in rising order without duplicates.
 	DependsOn []int
-	// Requirements are labels that the worker must have, all of them.
+	// Requirements are labels, all of which the worker must have.
 	Requirements []string
-	// Colocation names the rack that holds the data; empty when it lies nowhere.
+	// Colocation is the name of the rack that holds the data; empty if the stage has no preferred rack.
 	Colocation string
-	// AntiAffinity is how many of its tasks (of one time) one worker may hold; 0 means any number.
+	// AntiAffinity is the maximum number of tasks of one repetition on one worker; 0 means no limit.
 	AntiAffinity int
-	// Checkpoints says that tasks keep the progress that they have made.
+	// Checkpoints is true if tasks save their progress.
 	Checkpoints bool
-	// Gang says that the tasks work only together.
+	// Gang is true if all tasks must run at the same time.
 	Gang bool
-	// SameRack says that the tasks take longer when they are spread over racks.
+	// SameRack is true if the tasks run longer when they are spread over several racks.
 	SameRack bool
-	// Speculative says that copies of a task may run at the same time.
+	// Speculative is true if several copies of a task may run at the same time.
 	Speculative bool
-	// LongRunning says that the tasks run until the job is cancelled.
+	// LongRunning is true if the tasks run until the job is cancelled.
 	LongRunning bool
 }
 
-// Times is how often the steps are run: at least once.
+// Times returns how often the stages run: at least once.
 func (s *Spec) Times() int { return max(1, s.Repetitions) }
 
-// Timed says that the job runs at times of its own.
+// Timed reports whether the job runs at scheduled due times.
 func (s *Spec) Timed() bool { return s.Repetitions > 0 }
 
-// DueAt is the time since 1970 at which that time of a timed job falls due.
+// DueAt returns the due time of a repetition of a scheduled job, as the time since 1970.
 func (s *Spec) DueAt(number uint32) time.Duration {
 	return s.FirstRun + time.Duration(number)*s.Interval
 }
 
-// Tasks is the number of tasks of all steps, at one time.
+// Tasks returns the number of tasks of all stages in one repetition.
 func (s *Spec) Tasks() int {
 	tasks := 0
 	for index := range s.Stages {
@@ -84,7 +84,7 @@
 	return tasks
 }
 
-// LongRunning says that some step runs until the job is cancelled.
+// LongRunning reports whether some stage runs until the job is cancelled.
 func (s *Spec) LongRunning() bool {
 	for index := range s.Stages {
 		if s.Stages[index].LongRunning {
--- a/internal/system/jobspec/task.go
+++ b/internal/system/jobspec/task.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// maxTaskNameLength is room for the longest name of a task: the ID and three numbers of ten digits, each behind a dot.
+// maxTaskNameLength is the length of the longest task name: the ID and three numbers of ten digits, each preceded by a dot.
 const maxTaskNameLength = idDigits + 3*(1+10)
 
-// Task names one task of a job. It may be the key of a map.
+// Task identifies one task of a job. It can be used as a map key.
 type Task struct {
 	Job ID
-	// Time is the number of the job's time (0 when it has none), Step that of the step, Index that of the task in it.
+	// Time is the number of the repetition (0 for a job without a schedule), Step the index of the stage, Index that of the task in it.
 	Time, Step, Index uint32
 }
 
-// ParseTask reads the name of a task, ID.TIME.STEP.INDEX; ok is false for anything that String doesn't write.
+// ParseTask parses a task name of the form ID.TIME.STEP.INDEX. ok is false for anything that String doesn't produce.
 func ParseTask(name string) (task Task, ok bool) {
 	id, rest, _ := strings.Cut(name, ".")
 	time, rest, _ := strings.Cut(rest, ".")
@@ -36,13 +36,13 @@
 	return task, true
 }
 
-// String writes the name of the task, ID.TIME.STEP.INDEX.
+// String returns the task name in the form ID.TIME.STEP.INDEX.
 func (t Task) String() string {
 	var name [maxTaskNameLength]byte
 	return string(t.Append(name[:0]))
 }
 
-// Append writes the name of the task behind the text.
+// Append appends the task name to text.
 func (t Task) Append(text []byte) []byte {
 	text = t.Job.Append(text)
 	text = appendNumber(text, t.Time)
--- a/internal/system/jobspec/wire.go
+++ b/internal/system/jobspec/wire.go
@@ -7,7 +7,7 @@
 
 //go:generate easyjson -no_std_marshalers wire.go
 
-// wireSpec is the job as clients write it: figures with or without a fraction, nothing checked.
+// wireSpec is the JSON form of a job. Numbers may have a fraction, and nothing is checked.
 //
 //easyjson:json
 type wireSpec struct {
@@ -16,7 +16,7 @@
 	Repetitions float64     `json:"repetitions,omitempty"`
 	FirstRunMs  float64     `json:"firstRunMs,omitempty"`
 	IntervalMs  float64     `json:"intervalMs,omitempty"`
-	// LongRunning counts for all steps; a step may have it for itself.
+	// LongRunning applies to all stages. A stage can also set its own.
 	LongRunning bool `json:"longRunning,omitempty"`
 }
 
@@ -38,10 +38,10 @@
 	LongRunning  bool       `json:"longRunning,omitempty"`
 }
 
-// wireLabels is one label or a list of them. Empty labels ask for nothing and are left out.
+// wireLabels is one label or a list of labels. Empty labels are dropped, since they require nothing.
 type wireLabels []string
 
-// UnmarshalEasyJSON reads a text or a list of texts.
+// UnmarshalEasyJSON decodes a string or a list of strings.
 func (l *wireLabels) UnmarshalEasyJSON(in *jlexer.Lexer) {
 	*l = nil
 	if !in.IsDelim('[') {
@@ -56,7 +56,7 @@
 	in.Delim(']')
 }
 
-// MarshalEasyJSON writes one label as a text and several as a list.
+// MarshalEasyJSON encodes one label as a string and several as a list.
 func (l wireLabels) MarshalEasyJSON(out *jwriter.Writer) {
 	if len(l) == 1 {
 		out.String(l[0])
@@ -72,7 +72,7 @@
 	out.RawByte(']')
 }
 
-// IsDefined says that there is a label to be written.
+// IsDefined reports whether there are labels to encode.
 func (l wireLabels) IsDefined() bool { return len(l) > 0 }
 
 func (l *wireLabels) add(label string) {
--- a/internal/system/jobspec/work.go
+++ b/internal/system/jobspec/work.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// milliCores is how many thousandths of a core a core has.
+// milliCores is the number of thousandths in one core.
 const milliCores = 1000
 
-// Cores is what one task takes, in cores; a GPU counts as GPUCores of them.
+// Cores returns the CPU demand of one task in cores. A GPU counts as GPUCores cores.
 func (s *Stage) Cores() float64 {
 	return float64(s.CPU)/milliCores + float64(s.GPUs)*GPUCores
 }
 
-// Work is the estimated work of one task, in core-milliseconds.
+// Work returns the estimated work of one task in core-milliseconds.
 func (s *Stage) Work() float64 {
 	return s.Cores() * milliseconds(s.Estimated)
 }
 
-// Work is the estimated work of all tasks, at one time, in core-milliseconds.
+// Work returns the estimated work of all tasks of one repetition in core-milliseconds.
 func (s *Spec) Work() float64 {
 	work := 0.0
 	for index := range s.Stages {
@@ -25,7 +25,7 @@
 	return work
 }
 
-// LongestChain is the estimated time of the longest chain of steps that wait for one another, one task of each.
+// LongestChain returns the estimated duration of the longest chain of dependent stages, with one task of each.
 func (s *Spec) LongestChain() time.Duration {
 	longest := time.Duration(0)
 	for _, chain := range s.ChainsUpTo() {
@@ -34,7 +34,7 @@
 	return longest
 }
 
-// ChainsUpTo gives for each step the longest chain that ends with it, its own estimate included.
+// ChainsUpTo returns, for each stage, the duration of the longest chain that ends with it, including its own estimate.
 func (s *Spec) ChainsUpTo() []time.Duration {
 	chains := make([]time.Duration, len(s.Stages))
 	for index := range s.Stages {
@@ -48,7 +48,7 @@
 	return chains
 }
 
-// ChainsFrom gives for each step the longest chain that begins with it, its own estimate included.
+// ChainsFrom returns, for each stage, the duration of the longest chain that begins with it, including its own estimate.
 func (s *Spec) ChainsFrom() []time.Duration {
 	chains := make([]time.Duration, len(s.Stages))
 	for index := len(s.Stages) - 1; index >= 0; index-- {
--- a/internal/system/jobspec/work_test.go
+++ b/internal/system/jobspec/work_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// diamond is two branches between a first and a last step; the second branch is the longer one.
+// diamond returns a spec with two parallel branches between a first and a last stage. The second branch takes longer.
 func diamond() *Spec {
 	return &Spec{Stages: []Stage{
 		{Count: 2, CPU: 500, Estimated: 1 * time.Second},
--- a/internal/system/quota/desk.go
+++ b/internal/system/quota/desk.go
@@ -1,22 +1,22 @@
 package quota
 
-// Desk is what one admitting replica goes by when it proposes starts: the ledger as far as this replica has seen the chain, and on top
-// of it what it has proposed and not seen committed or refused. It keeps a replica from proposing what can't hold; that no share is
-// exceeded rests on the ledger alone. A new head begins with a new Desk, since the intents of its predecessors are either in the ledger
-// by then or never will be. Make one with NewDesk.
+// Desk tracks the outstanding proposals of one admitting replica. It combines the ledger, as far as this replica has applied the chain,
+// with the starts that the replica has proposed and whose result it has not seen. It keeps the replica from proposing starts that would be
+// rejected; only the ledger guarantees that no share is exceeded. A new head begins with a new Desk, since by then the starts that its
+// predecessors proposed either are in the ledger or will never be. Create one with NewDesk.
 type Desk struct {
 	ledger   *Ledger
 	proposed map[string]int64
 	seen     uint64
-	returned bool // some proposal came to nothing since Moved was asked
+	returned bool // a proposed start was rejected since the last call of Moved
 }
 
-// NewDesk gives a desk with nothing proposed.
+// NewDesk returns a Desk without outstanding proposals.
 func NewDesk(ledger *Ledger) *Desk {
 	return &Desk{ledger: ledger, proposed: make(map[string]int64), seen: ledger.Releases()}
 }
 
-// Room is how many more accelerators may be proposed for a tenant now; it may be below 0.
+// Room returns how many more accelerators may be proposed for a tenant now. It may be negative.
 func (d *Desk) Room(tenant string) int64 {
 	free := d.ledger.Free(tenant)
 	if free == Unlimited {
@@ -25,20 +25,20 @@
 	return free - d.outstanding(tenant)
 }
 
-// Fits tells whether so many accelerators may be proposed for a tenant now. What takes none always fits.
+// Fits reports whether the needed accelerators may be proposed for a tenant now. A need of 0 always fits.
 func (d *Desk) Fits(tenant string, need int64) bool {
 	return need <= 0 || need <= d.Room(tenant)
 }
 
-// Propose takes note of a start that was proposed, which the caller has found to fit.
+// Propose records a proposed start. The caller must have checked with Fits that it fits.
 func (d *Desk) Propose(tenant string, need int64) {
 	if need > 0 {
 		d.proposed[tenant] += need
 	}
 }
 
-// Settle takes note that a start of this desk came back from the chain, after it was applied. One that holds is in the ledger by now.
-// The need is that with which it was proposed: the caller keeps it, since the job may be over and gone by then.
+// Settle records that a proposed start came back from the chain and was applied. If it took effect, the ledger holds it by now. need must be
+// the value given to Propose; the caller keeps it, since the job may have finished and been deleted by then.
 func (d *Desk) Settle(tenant string, need int64, holds bool) {
 	if need <= 0 {
 		return
@@ -51,15 +51,15 @@
 	}
 }
 
-// Moved tells whether some tenant may take more than when this was asked last: then held tasks that were kept back by a share are to
-// be tried again.
+// Moved reports whether some tenant may take more accelerators than at the last call. The caller should then retry the tasks that were held
+// back by a share.
 func (d *Desk) Moved() bool {
 	moved := d.returned || d.seen != d.ledger.Releases()
 	d.returned, d.seen = false, d.ledger.Releases()
 	return moved
 }
 
-// outstanding is what is proposed on the account that bounds a tenant.
+// outstanding returns the proposed accelerators that count against the account that bounds a tenant.
 func (d *Desk) outstanding(tenant string) int64 {
 	bounding := d.ledger.boundingAccount(tenant)
 	if bounding.named {
--- a/internal/system/quota/ledger.go
+++ b/internal/system/quota/ledger.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Ledger is the account of all tenants. Make one with NewLedger.
+// Ledger holds the accelerator accounts of all tenants. Create one with NewLedger.
 type Ledger struct {
 	accounts map[string]*account
 	// rest is the common account of all tenants that the plan doesn't name.
@@ -15,29 +15,29 @@
 	releases uint64
 }
 
-// account is what one tenant may take and takes.
+// account holds the limit and the usage of one tenant, in accelerators.
 type account struct {
 	limit, used int64
-	named       bool // by the plan
+	named       bool // the plan names the tenant
 }
 
-// Account is what the staff is shown of one tenant.
+// Account is the public view of one tenant's account, as shown to operators.
 type Account struct {
-	// Tenant is its name; empty for those without one.
+	// Tenant is the tenant's name; empty for jobs without a tenant.
 	Tenant string
-	// Named tells whether the plan names it; if not, Limit is what all those share that it doesn't name.
+	// Named is true if the plan names the tenant. If not, Limit is the common limit of all tenants that it doesn't name.
 	Named bool
-	// Limit and Used are in accelerators; Limit is Unlimited where nothing bounds the tenant.
+	// Limit and Used are in accelerators. Limit is Unlimited if nothing bounds the tenant.
 	Limit, Used int64
 }
 
-// NewLedger gives a ledger without a plan, in which nothing is used.
+// NewLedger returns an empty ledger without a plan.
 func NewLedger() *Ledger {
 	return &Ledger{accounts: make(map[string]*account), rest: account{limit: Unlimited}}
 }
 
-// Configure puts another plan in force. What runs stays, also where it is more than the tenant may take from now on: then nothing
-// of it starts until enough has ended.
+// Configure replaces the plan. Existing runs stay charged, even if a tenant then uses more than its new limit. Such a tenant can start
+// nothing that needs accelerators until enough of its runs have ended.
 func (l *Ledger) Configure(plan Plan) {
 	l.inForce = plan.InForce()
 	l.releases++
@@ -54,15 +54,15 @@
 	}
 }
 
-// InForce tells whether a plan bounds anybody.
+// InForce reports whether the plan bounds any tenant.
 func (l *Ledger) InForce() bool { return l.inForce }
 
-// Fits tells whether a tenant may take so many more accelerators. What takes none always fits.
+// Fits reports whether a tenant may take the needed accelerators now. A need of 0 always fits.
 func (l *Ledger) Fits(tenant string, need int64) bool {
 	return need <= 0 || need <= l.Free(tenant)
 }
 
-// Free is how many more accelerators a tenant may take; it is below 0 where the tenant's share has become smaller than what it uses.
+// Free returns how many more accelerators a tenant may take. It is negative if the tenant uses more than its current limit.
 func (l *Ledger) Free(tenant string) int64 {
 	if !l.inForce {
 		return Unlimited
@@ -70,7 +70,7 @@
 	return l.boundingAccount(tenant).free()
 }
 
-// Limit is how many accelerators a tenant may take, all in all.
+// Limit returns the total number of accelerators that a tenant may take.
 func (l *Ledger) Limit(tenant string) int64 {
 	if !l.inForce {
 		return Unlimited
@@ -78,7 +78,7 @@
 	return l.boundingAccount(tenant).limit
 }
 
-// Used is how many accelerators those runs of a tenant take that may exist.
+// Used returns the number of accelerators taken by a tenant's runs that may exist.
 func (l *Ledger) Used(tenant string) int64 {
 	if a := l.accounts[tenant]; a != nil {
 		return a.used
@@ -86,14 +86,14 @@
 	return 0
 }
 
-// Charge takes note of a run that may exist from now on. It doesn't ask whether it fits.
+// Charge adds a run that may exist from now on. It doesn't check whether the run fits.
 func (l *Ledger) Charge(tenant string, need int64) {
 	if need > 0 {
 		l.adjust(tenant, need)
 	}
 }
 
-// Release takes note that a run doesn't exist any more.
+// Release removes a run that no longer exists.
 func (l *Ledger) Release(tenant string, need int64) {
 	if need > 0 {
 		l.adjust(tenant, -need)
@@ -101,10 +101,10 @@
 	}
 }
 
-// Releases rises whenever some tenant may take more than before.
+// Releases returns a counter that increases whenever some tenant may take more accelerators than before.
 func (l *Ledger) Releases() uint64 { return l.releases }
 
-// Accounts are all tenants that the plan names or that use something, by name.
+// Accounts returns the accounts of all tenants that the plan names or that use accelerators, sorted by name.
 func (l *Ledger) Accounts() []Account {
 	accounts := make([]Account, 0, len(l.accounts))
 	for tenant, a := range l.accounts {
@@ -114,7 +114,7 @@
 	return accounts
 }
 
-// Check compares the ledger with what each tenant uses by another count, and tells the first difference.
+// Check compares the ledger with an independent count of each tenant's usage and returns an error for the first difference.
 func (l *Ledger) Check(used map[string]int64) error {
 	rest := int64(0)
 	for tenant, a := range l.accounts {
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// boundingAccount is the account that bounds a tenant.
+// boundingAccount returns the account whose limit applies to a tenant.
 func (l *Ledger) boundingAccount(tenant string) *account {
 	if a := l.accounts[tenant]; a != nil && a.named {
 		return a
@@ -169,7 +169,7 @@
 	}
 }
 
-// dropUnused drops an account that tells nothing.
+// dropUnused deletes the account of a tenant that the plan doesn't name and that uses nothing.
 func (l *Ledger) dropUnused(tenant string, a *account) {
 	if !a.named && a.used == 0 {
 		delete(l.accounts, tenant)
--- a/internal/system/quota/plan.go
+++ b/internal/system/quota/plan.go
@@ -1,11 +1,11 @@
-// Package quota keeps each tenant's promised share of the accelerators.
+// Package quota enforces each tenant's share of the accelerators.
 //
-// A Ledger says how many accelerators each tenant was promised and how many its runs take that may exist. It is part of the
-// replicated state: it follows from the commands of the chain alone, so that it is the same on every replica, whichever admits. A
-// start that doesn't fit there doesn't hold, however many replicas have proposed starts at the same time. A Desk is what one admitting
-// replica keeps besides: what it has proposed itself and hasn't seen committed yet.
+// A Ledger holds how many accelerators each tenant was promised, and how many are taken by its runs that may exist. It is part of the
+// replicated state: it is derived from the commands of the chain alone, so that it is the same on every replica, whichever one admits. A
+// start that doesn't fit there is rejected, however many replicas have proposed starts at the same time. A Desk additionally tracks what one
+// admitting replica has proposed and not yet seen committed.
 //
-// Nothing here does I/O, reads a clock or starts a goroutine; a Ledger and its Desks belong to one goroutine.
+// The package does no I/O, reads no clock and starts no goroutines. A Ledger and its Desks must be used by one goroutine only.
 package quota
 
 import (
@@ -13,27 +13,27 @@
 	"math/bits"
 )
 
-// Millionths is how many parts a whole has of which shares are counted.
+// Millionths is the number of parts into which the whole pool is divided to express shares.
 const Millionths = 1_000_000
 
-// Unlimited is what a tenant may take that nothing bounds.
+// Unlimited is the limit of a tenant that nothing bounds.
 const Unlimited int64 = 1<<63 - 1
 
-// Plan is what one configuration promises. The zero Plan promises nothing and bounds nobody.
+// Plan holds the accelerators that one configuration promises to tenants. The zero Plan bounds no tenant.
 type Plan struct {
-	// Promised are the accelerators of each tenant, by its name; it is never changed once a Ledger has it. A plan that names no
-	// tenant bounds nobody.
+	// Promised is the number of accelerators of each tenant, by name. It must not be modified once a Ledger has the plan. A plan that names
+	// no tenant bounds no tenant.
 	Promised map[string]int64
-	// Pool is how many accelerators there are to be promised; Pooled tells that it was stated. All who aren't named share what of
-	// it nobody was promised. Where it isn't stated they take what they find.
+	// Pool is the total number of accelerators, if Pooled is true. All tenants that the plan doesn't name share the part of the pool that is
+	// promised to nobody. Without a pool, they are unlimited.
 	Pool   int64
 	Pooled bool
 }
 
-// InForce tells whether the plan bounds anybody.
+// InForce reports whether the plan bounds any tenant.
 func (p *Plan) InForce() bool { return len(p.Promised) > 0 }
 
-// Rest is what all tenants together may take that the plan doesn't name.
+// Rest returns the number of accelerators that all tenants that the plan doesn't name may take together.
 func (p *Plan) Rest() int64 {
 	if !p.InForce() || !p.Pooled {
 		return Unlimited
@@ -45,8 +45,8 @@
 	return max(0, rest)
 }
 
-// ShareOf is how many whole accelerators so many millionths of a pool are. It rounds down, so that what is promised is never more
-// than there is, and no tenant's part falls while the pool grows.
+// ShareOf returns the number of whole accelerators in a share of the pool, given in millionths. It rounds down, so that shares never add
+// up to more than the pool, and a tenant's part never falls when the pool grows.
 func ShareOf(millionths, pool int64) int64 {
 	if millionths <= 0 || pool <= 0 {
 		return 0
@@ -59,15 +59,15 @@
 	return int64(whole)
 }
 
-// OversizeError tells of a job that can't run within its tenant's share, were all of that free.
+// OversizeError reports a job that couldn't run within its tenant's share even if the whole share were free.
 type OversizeError struct {
 	Tenant string
-	// Stage is the number of the step; Need is what its largest part takes that has to start at once, Limit what there is.
+	// Stage is the index of the stage. Need is the number of accelerators that must start at once there, Limit the tenant's limit.
 	Stage       int
 	Need, Limit int64
 }
 
-// Error names the step, its need and the share.
+// Error names the stage, its need and the limit.
 func (e *OversizeError) Error() string {
 	if e.Tenant == "" {
 		return fmt.Sprintf("stages[%d] needs %d accelerators at once, and its queue may take %d", e.Stage, e.Need, e.Limit)
