--- a/internal/system/clusterconfig/parse_test.go
+++ b/internal/system/clusterconfig/parse_test.go
@@ -59,15 +59,15 @@
 func TestUnusualValidConfigurationsAreAccepted(t *testing.T) {
 	route := `{"host":"h","pathPrefix":"/a","timeoutMs":1,"backend":"s"}`
 	for name, body := range map[string]string{
-		"nothing but a version":       `{"version":1}`,
-		"empty lists":                 `{"version":1,"routes":[],"services":[],"limits":{}}`,
-		"nulls":                       `{"version":1,"routes":null,"services":null,"limits":null}`,
-		"unused service":              `{"version":1,"services":[{"name":"s"}]}`,
-		"routes without names":        `{"version":1,"services":[{"name":"s"}],"routes":[` + route + `,{"host":"h","pathPrefix":"/b","timeoutMs":1,"backend":"s"}]}`,
-		"same prefix, other host":     `{"version":1,"services":[{"name":"s"}],"routes":[` + route + `,{"host":"i","pathPrefix":"/a","timeoutMs":1,"backend":"s"}]}`,
-		"figures with fractions":      `{"version":1.0,"services":[{"name":"s","maxConnections":64.0}],"routes":[{"host":"h","pathPrefix":"/a","timeoutMs":1e3,"priority":2.0,"maxRetries":3.0,"backend":"s"}]}`,
-		"a version beyond a fraction": `{"version":9007199254740993}`,
-		"the prefix of everything":    `{"version":1,"services":[{"name":"s"}],"routes":[{"host":"h","pathPrefix":"/","timeoutMs":1,"backend":"s"}]}`,
+		"nothing but a version":            `{"version":1}`,
+		"empty lists":                      `{"version":1,"routes":[],"services":[],"limits":{}}`,
+		"nulls":                            `{"version":1,"routes":null,"services":null,"limits":null}`,
+		"unused service":                   `{"version":1,"services":[{"name":"s"}]}`,
+		"routes without names":             `{"version":1,"services":[{"name":"s"}],"routes":[` + route + `,{"host":"h","pathPrefix":"/b","timeoutMs":1,"backend":"s"}]}`,
+		"same prefix, other host":          `{"version":1,"services":[{"name":"s"}],"routes":[` + route + `,{"host":"i","pathPrefix":"/a","timeoutMs":1,"backend":"s"}]}`,
+		"numbers with a zero fraction":     `{"version":1.0,"services":[{"name":"s","maxConnections":64.0}],"routes":[{"host":"h","pathPrefix":"/a","timeoutMs":1e3,"priority":2.0,"maxRetries":3.0,"backend":"s"}]}`,
+		"version beyond float64 precision": `{"version":9007199254740993}`,
+		"root prefix":                      `{"version":1,"services":[{"name":"s"}],"routes":[{"host":"h","pathPrefix":"/","timeoutMs":1,"backend":"s"}]}`,
 	} {
 		_, err := Parse([]byte(body))
 		assert.NoError(t, err, name)
@@ -102,8 +102,8 @@
 		"null version":          {`{"version":null}`, "version: is missing"},
 		"version 0":             {`{"version":0}`, "version: 0 is not above 0"},
 		"negative version":      {`{"version":-4}`, "version: -4 is not above 0"},
-		"broken version":        {`{"version":4.5}`, "version: 4.5 is not a whole number"},
-		"version in a text":     {`{"version":"4"}`, `version: "4" is not a whole number`},
+		"fractional version":    {`{"version":4.5}`, "version: 4.5 is not a whole number"},
+		"version as a string":   {`{"version":"4"}`, `version: "4" is not a whole number`},
 		"version too large":     {`{"version":1e30}`, "version: 1e30 is not a whole number"},
 		"unknown service":       {route(`"backend":"x"`), `routes[0].backend: unknown service "x"`},
 		"no service":            {`{"version":1,"routes":[{"host":"h","pathPrefix":"/","timeoutMs":1}]}`, `routes[0].backend: unknown service ""`},
@@ -115,9 +115,9 @@
 		"no timeout":            {`{"version":1,` + service + `,"routes":[{"host":"h","pathPrefix":"/","backend":"s"}]}`, "routes[0].timeoutMs: 0 is not above 0"},
 		"negative latency":      {route(`"targetLatencyMs":-1`), "routes[0].targetLatencyMs: -1 is negative"},
 		"negative priority":     {route(`"priority":-1`), "routes[0].priority: -1 is negative"},
-		"broken priority":       {route(`"priority":1.5`), "routes[0].priority: 1.5 is not a whole number"},
+		"fractional priority":   {route(`"priority":1.5`), "routes[0].priority: 1.5 is not a whole number"},
 		"negative retries":      {route(`"maxRetries":-1`), "routes[0].maxRetries: -1 is negative"},
-		"broken retries":        {route(`"maxRetries":0.5`), "routes[0].maxRetries: 0.5 is not a whole number"},
+		"fractional retries":    {route(`"maxRetries":0.5`), "routes[0].maxRetries: 0.5 is not a whole number"},
 		"negative extension":    {route(`"extension":-2.2`), "routes[0].extension: -2.2 is negative"},
 		"no host":               {route(`"host":""`), "routes[0].host: is empty"},
 		"no prefix":             {route(`"pathPrefix":""`), `routes[0].pathPrefix: "" doesn't begin with a slash`},
--- a/internal/system/quota/bench_test.go
+++ b/internal/system/quota/bench_test.go
@@ -22,7 +22,7 @@
 		tenant := names[index%len(names)]
 		index++
 		if !desk.Fits(tenant, 1) {
-			b.Fatal("it doesn't fit")
+			b.Fatal("1 accelerator does not fit")
 		}
 		desk.Propose(tenant, 1)
 		ledger.Charge(tenant, 1)
--- a/internal/system/quota/desk_test.go
+++ b/internal/system/quota/desk_test.go
@@ -14,10 +14,10 @@
 	assert.EqualValues(t, 1, desk.Room("teff"))
 	assert.False(t, desk.Fits("teff", 2))
 	assert.True(t, desk.Fits("teff", 0))
-	assert.True(t, desk.Fits("stranger", 100))
+	assert.True(t, desk.Fits("unnamed", 100))
 
 	ledger.Charge("teff", 3)
-	assert.EqualValues(t, -2, desk.Room("teff"), "between the commit and the word of it, it counts twice")
+	assert.EqualValues(t, -2, desk.Room("teff"), "between commit and Settle the start counts twice")
 	desk.Settle("teff", 3, true)
 	assert.EqualValues(t, 1, desk.Room("teff"))
 }
@@ -31,7 +31,7 @@
 	desk.Propose("teff", 4)
 	assert.EqualValues(t, 1, desk.Room("another"))
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 4, "gone": 3}, Pool: 10, Pooled: true})
-	assert.EqualValues(t, 1, desk.Room(""), "the plan moved both the share and what was proposed on it")
+	assert.EqualValues(t, 1, desk.Room(""), "the new plan moves both the promise and the proposal to an account of its own")
 	assert.EqualValues(t, 0, desk.Room("gone"))
 }
 
@@ -44,12 +44,12 @@
 	desk.Propose("teff", 2)
 	ledger.Charge("teff", 2)
 	desk.Settle("teff", 2, true)
-	assert.False(t, desk.Moved(), "a start that holds frees nothing")
+	assert.False(t, desk.Moved(), "a start that took effect frees nothing")
 
 	desk.Propose("teff", 2)
 	desk.Settle("teff", 2, false)
 	assert.True(t, desk.Moved())
-	assert.False(t, desk.Moved(), "it tells once")
+	assert.False(t, desk.Moved(), "a change is reported once")
 
 	ledger.Release("teff", 1)
 	assert.True(t, desk.Moved())
--- a/internal/system/quota/ledger_test.go
+++ b/internal/system/quota/ledger_test.go
@@ -45,7 +45,7 @@
 	assert.True(t, ledger.Fits("teff", 2))
 	assert.False(t, ledger.Fits("none", 1))
 	assert.True(t, ledger.Fits("none", 0))
-	assert.True(t, ledger.Fits("stranger", 1000), "no pool was stated")
+	assert.True(t, ledger.Fits("unnamed", 1000), "unnamed tenants are unlimited without a pool")
 }
 
 func TestReducedShareBlocksStartsUntilUsageFalls(t *testing.T) {
@@ -54,7 +54,7 @@
 	ledger.Charge("teff", 8)
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 4}})
 	assert.EqualValues(t, -4, ledger.Free("teff"))
-	assert.True(t, ledger.Fits("teff", 0), "what takes none starts all the same")
+	assert.True(t, ledger.Fits("teff", 0), "a need of 0 always fits")
 	ledger.Release("teff", 4)
 	assert.False(t, ledger.Fits("teff", 1))
 	ledger.Release("teff", 1)
@@ -68,9 +68,9 @@
 	assert.EqualValues(t, 2, ledger.Free(""))
 	ledger.Charge("", 2)
 	assert.False(t, ledger.Fits("gone", 1))
-	assert.True(t, ledger.Fits("teff", 6), "they can't take what another was promised")
+	assert.True(t, ledger.Fits("teff", 6), "unnamed tenants can't take what another was promised")
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 6, "gone": 2}, Pool: 10, Pooled: true})
-	assert.EqualValues(t, 0, ledger.Free("gone"), "what ran before counts against the new share")
+	assert.EqualValues(t, 0, ledger.Free("gone"), "runs started before count against the new promise")
 	assert.EqualValues(t, 0, ledger.Free(""))
 	assert.Equal(t, []Account{
 		{Tenant: "", Limit: 2, Used: 2}, {Tenant: "gone", Named: true, Limit: 2, Used: 2}, {Tenant: "teff", Named: true, Limit: 6},
@@ -93,7 +93,7 @@
 	assert.EqualError(t, &OversizeError{Stage: 0, Need: 64, Limit: 32}, "stages[0] needs 64 accelerators at once, and its queue may take 32")
 }
 
-// plainLedger is the ledger's plain counterpart.
+// plainLedger is the reference model: it sums up the usage of all tenants for each query.
 type plainLedger struct {
 	plan Plan
 	used map[string]int64
@@ -142,24 +142,24 @@
 				ledger.Configure(plain.plan)
 			},
 			"charge": func(t *rapid.T) {
-				who, need := tenant.Draw(t, "tenant"), rapid.Int64Range(0, 5).Draw(t, "need")
-				if ledger.Fits(who, need) {
-					ledger.Charge(who, need)
-					plain.used[who] += need
+				name, need := tenant.Draw(t, "tenant"), rapid.Int64Range(0, 5).Draw(t, "need")
+				if ledger.Fits(name, need) {
+					ledger.Charge(name, need)
+					plain.used[name] += need
 				}
 			},
 			"release": func(t *rapid.T) {
-				who := tenant.Draw(t, "tenant")
-				amount := rapid.Int64Range(0, plain.used[who]).Draw(t, "amount")
+				name := tenant.Draw(t, "tenant")
+				amount := rapid.Int64Range(0, plain.used[name]).Draw(t, "amount")
 				before := ledger.Releases()
-				ledger.Release(who, amount)
-				plain.used[who] -= amount
+				ledger.Release(name, amount)
+				plain.used[name] -= amount
 				require.Equal(t, amount > 0, ledger.Releases() > before)
 			},
 			"": func(t *rapid.T) {
 				require.NoError(t, ledger.Check(plain.used))
-				for _, who := range []string{"", "0", "1", "2", "3", "4"} {
-					require.Equal(t, plain.free(who), ledger.Free(who), "tenant %q", who)
+				for _, name := range []string{"", "0", "1", "2", "3", "4"} {
+					require.Equal(t, plain.free(name), ledger.Free(name), "tenant %q", name)
 				}
 			},
 		})
--- a/internal/system/state/admission_test.go
+++ b/internal/system/state/admission_test.go
@@ -33,7 +33,7 @@
 	w.commit(proposal{command: state.Command{Kind: state.KindJobAccepted, JobAccepted: job}})
 }
 
-// cancel cancels a job; what runs of it goes on until it has ended.
+// cancel cancels a random job. Its runs go on until they have ended.
 func (w *admissionSim) cancel() {
 	if w.jobs > 0 {
 		id := state.JobID(1 + w.random.IntN(w.jobs))
@@ -41,7 +41,7 @@
 	}
 }
 
-// end lets a run end.
+// end ends a random run.
 func (w *admissionSim) end() {
 	worker := fmt.Sprint("w", w.random.IntN(workerCount))
 	record := w.machine.Worker(worker)
@@ -59,7 +59,7 @@
 	w.commit(proposal{command: state.Command{Kind: state.KindWorkerLost, WorkerLost: fmt.Sprint("w", w.random.IntN(workerCount))}})
 }
 
-// reconfigure promises other accelerators to other tenants, or none at all.
+// reconfigure commits a configuration with random promises, or without tenants.
 func (w *admissionSim) reconfigure() {
 	plan := quota.Plan{Promised: map[string]int64{}, Pooled: w.random.IntN(2) == 0}
 	body, sum := "", int64(0)
@@ -87,7 +87,7 @@
 	require.Equal(w.t, state.Applied, result.Outcome)
 }
 
-// step does one thing that may happen.
+// step performs one random action.
 func (w *admissionSim) step() {
 	a := w.replicas[w.random.IntN(replicaCount)]
 	switch draw := w.random.IntN(100); {
@@ -112,7 +112,7 @@
 	}
 }
 
-// drain lets all that is under way come to its end while all replicas admit at the same time.
+// drain lets everything in flight finish while all replicas keep admitting concurrently.
 func (w *admissionSim) drain() {
 	for range 1000 {
 		for len(w.proposals) > 0 {
@@ -129,10 +129,10 @@
 			return
 		}
 	}
-	require.Fail(w.t, "it doesn't settle")
+	require.Fail(w.t, "replicas still propose starts after 1000 rounds")
 }
 
-// checkNothingStartable looks for a held task that fits the free room and its tenant's share.
+// checkNothingStartable checks that no waiting task fits both the free capacity and its tenant's share.
 func (w *admissionSim) checkNothingStartable() {
 	used := usedByTenant(w.machine)
 	eachTask(w.machine, func(job *state.Job, name state.TaskName, task *state.Task) {
@@ -146,11 +146,11 @@
 		if stage := &job.Spec.Stages[name.Step]; stage.Gang && w.gangRuns(job, name) || !w.hasCapacityFor(job, name) {
 			return
 		}
-		require.Greater(w.t, needOf(job, name), available(w.plan, used, job.Tenant), "%v of tenant %q is held", name, job.Tenant)
+		require.Greater(w.t, needOf(job, name), available(w.plan, used, job.Tenant), "%v of tenant %q fits but waits", name, job.Tenant)
 	})
 }
 
-// gangRuns tells whether some member of a gang runs, so that the others must wait for its end.
+// gangRuns reports whether some member of a gang runs, so that the others must wait for its end.
 func (w *admissionSim) gangRuns(job *state.Job, name state.TaskName) bool {
 	for index := range job.Spec.Stages[name.Step].Count {
 		name.Index = uint32(index)
@@ -176,7 +176,7 @@
 	return wanted <= 0
 }
 
-// run lets things happen, and looks four times at what there is when all has come to rest.
+// run performs random actions, and drains and checks the system four times.
 func (w *admissionSim) run() {
 	w.reconfigure()
 	for range 4 {
@@ -191,12 +191,12 @@
 	}
 }
 
-// seedCount is how many random histories are played.
+// seedCount is the number of random histories.
 const seedCount = 150
 
-// TestSharesHoldWithConcurrentAdmission has several replicas admit at the same time, each by a copy of the state that trails, with takeovers,
-// refusals by workers, losses, cancelled jobs and other configurations in between: no share is ever exceeded, no start is refused
-// while its share stands unused, and when all has come to rest nothing is held that fits.
+// TestSharesHoldWithConcurrentAdmission has several replicas admit concurrently, each from its own lagging copy of the state, with
+// takeovers, rejections by workers, worker losses, cancelled jobs and new configurations in between. No share may ever be exceeded, no
+// start may be rejected while its share has room, and after draining no waiting task may fit.
 func TestSharesHoldWithConcurrentAdmission(t *testing.T) {
 	started, refused := 0, 0
 	for seed := range uint64(seedCount) {
@@ -207,7 +207,7 @@
 			refused += w.rejected
 		})
 	}
-	t.Logf("%d starts held, %d were refused for their share", started, refused)
+	t.Logf("%d starts took effect, %d were rejected for their share", started, refused)
 	assert.Greater(t, started, 20*seedCount)
-	assert.Greater(t, refused, seedCount, "the replicas have hardly raced")
+	assert.Greater(t, refused, seedCount, "too few starts were rejected: the replicas hardly raced")
 }
--- a/internal/system/state/admitters_test.go
+++ b/internal/system/state/admitters_test.go
@@ -14,28 +14,28 @@
 	"gaugeslip/internal/system/state"
 )
 
-// proposal is a command on its way to the chain; from is nil when nobody waits for it any more.
+// proposal is a command on its way to the chain. from is nil if its sender no longer waits for it.
 type proposal struct {
 	from    *simReplica
 	command state.Command
 }
 
-// simReplica is a replica that admits: its copy of the state trails the chain, and it counts its own proposals.
+// simReplica is an admitting replica. Its copy of the state lags behind the chain, and it tracks its own proposals.
 type simReplica struct {
 	machine          *state.Machine
-	applied          int // entries of the chain that it has applied
+	applied          int // number of chain entries that it has applied
 	desk             *quota.Desk
-	inFlight         map[state.TaskName]int64  // what its own proposals need: the chain may have ended their jobs meanwhile
+	inFlight         map[state.TaskName]int64  // needs of its own proposals; the chain may have ended their jobs meanwhile
 	reservedOnWorker map[string]int64          // accelerators of its own proposals, by worker
-	blocked          map[state.TaskName]string // tasks that their share kept back, until that may have changed
+	blocked          map[state.TaskName]string // tasks held back by their tenant's share until that may have changed
 }
 
-// admissionSim is a chain with several replicas that all admit, and workers that refuse what they have no room for.
+// admissionSim is a chain with several replicas that all admit, and workers that reject starts beyond their capacity.
 type admissionSim struct {
 	t         *testing.T
 	random    *rand.Rand
 	chain     []proposal
-	machine   *state.Machine // with all of the chain applied
+	machine   *state.Machine // state after the whole chain
 	proposals []proposal
 	replicas  []*simReplica
 	capacity  map[string]int64
@@ -70,7 +70,7 @@
 		reservedOnWorker: map[string]int64{}, blocked: map[state.TaskName]string{}}
 }
 
-// usedByTenant is what each tenant's runs take that may exist, counted from the tasks alone.
+// usedByTenant counts, from the tasks alone, the accelerators of each tenant's runs that may exist.
 func usedByTenant(m *state.Machine) map[string]int64 {
 	used := map[string]int64{}
 	eachTask(m, func(job *state.Job, name state.TaskName, task *state.Task) {
@@ -81,7 +81,7 @@
 	return used
 }
 
-// eachTask visits all tasks of jobs of which something may run, in order.
+// eachTask visits the tasks of all jobs that still have a spec, in order.
 func eachTask(m *state.Machine, visit func(*state.Job, state.TaskName, *state.Task)) {
 	for _, id := range slices.SortedFunc(maps.Keys(m.Jobs()), cmp.Compare[state.JobID]) {
 		job := m.Job(id)
@@ -97,7 +97,7 @@
 	}
 }
 
-// available is what a tenant may take more by the plan.
+// available returns how many more accelerators a tenant may take under the plan.
 func available(plan quota.Plan, used map[string]int64, tenant string) int64 {
 	if !plan.InForce() {
 		return quota.Unlimited
@@ -117,7 +117,7 @@
 	return rest
 }
 
-// commit appends a command to the chain and checks what it has done.
+// commit appends a command to the chain, applies it, and checks its effect.
 func (w *admissionSim) commit(sent proposal) state.Result {
 	w.chain = append(w.chain, sent)
 	result := w.machine.ApplyBytes(sent.command.Encode())
@@ -129,7 +129,7 @@
 	return result
 }
 
-// checkStarts looks for a share that is exceeded, and for a start that was refused though its share stands unused.
+// checkStarts checks that no share is exceeded and that no start was rejected while its share had room.
 func (w *admissionSim) checkStarts(starts, held []state.Start) {
 	used := usedByTenant(w.machine)
 	w.started += len(held)
@@ -149,7 +149,7 @@
 	}
 }
 
-// needOf is what has to start at once with a task.
+// needOf returns the number of accelerators that must start together with a task.
 func needOf(job *state.Job, name state.TaskName) int64 {
 	stage := &job.Spec.Stages[name.Step]
 	if stage.Gang {
@@ -158,7 +158,7 @@
 	return stage.GPUs
 }
 
-// rejectOverCapacity has workers refuse what they have no room for.
+// rejectOverCapacity proposes to void the starts for which their worker has no capacity.
 func (w *admissionSim) rejectOverCapacity(held []state.Start) {
 	for i := range held {
 		if w.usedOn(w.machine, held[i].Worker) > w.capacity[held[i].Worker] {
@@ -177,7 +177,7 @@
 	return taken
 }
 
-// deliver commits one proposal: any that isn't behind another of its sender.
+// deliver commits one random proposal. Proposals of one sender stay in order.
 func (w *admissionSim) deliver() {
 	if len(w.proposals) == 0 {
 		return
@@ -189,7 +189,7 @@
 	w.commit(next)
 }
 
-// applyEntries lets a replica apply so many more entries.
+// applyEntries has a replica apply the given number of further entries.
 func (w *admissionSim) applyEntries(a *simReplica, entries int) {
 	for range min(entries, len(w.chain)-a.applied) {
 		entry := w.chain[a.applied]
@@ -212,7 +212,7 @@
 	}
 }
 
-// admit proposes what a replica thinks may start. A task that its share has kept back is tried again only when the desk says so.
+// admit proposes the starts that a replica considers valid. A task that its share held back is retried only after Moved returned true.
 func (w *admissionSim) admit(a *simReplica) bool {
 	if a.desk.Moved() {
 		clear(a.blocked)
@@ -231,7 +231,7 @@
 	return true
 }
 
-// admitTask gives the starts of a task, or of its whole gang; none if it may not start or must wait.
+// admitTask returns the starts of a task or of its whole gang, or nil if it may not start or must wait.
 func (w *admissionSim) admitTask(a *simReplica, job *state.Job, name state.TaskName) []state.Start {
 	names := []state.TaskName{name}
 	if stage := &job.Spec.Stages[name.Step]; stage.Gang {
@@ -250,7 +250,7 @@
 	return w.propose(a, job, starts)
 }
 
-// nextStarts names the next run of each task; nil if one of them may not start now.
+// nextStarts returns the next start of each task, or nil if one of them may not start now.
 func (a *simReplica) nextStarts(job *state.Job, names []state.TaskName) []state.Start {
 	attempt := uint32(0)
 	for _, name := range names {
@@ -275,7 +275,7 @@
 	return starts
 }
 
-// propose sets room aside for the starts; nil if there is none.
+// propose assigns the starts to workers and reserves capacity, or returns nil if there isn't enough.
 func (w *admissionSim) propose(a *simReplica, job *state.Job, starts []state.Start) []state.Start {
 	need := job.Spec.Stages[starts[0].Task.Step].GPUs
 	taken := map[string]int64{}
@@ -301,7 +301,7 @@
 	return starts
 }
 
-// replaceReplica puts another replica in the place of one that is gone. What that one had sent may still be committed, in part.
+// replaceReplica replaces a replica by a new one. Part of the proposals of the old one may still be committed.
 func (w *admissionSim) replaceReplica(index int) {
 	gone := w.replicas[index]
 	kept := w.random.IntN(len(w.proposals) + 1)
--- a/internal/system/state/audit_test.go
+++ b/internal/system/state/audit_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// auditedMachine is a state with its audit, fed entry by entry.
+// auditedMachine is a state with its audit.
 type auditedMachine struct {
 	*Machine
 	audit *Audit
@@ -20,7 +20,7 @@
 	return &auditedMachine{Machine: New(), audit: NewAudit(index), index: index}
 }
 
-// apply applies a command; nil is an empty entry.
+// apply applies a command. A nil command is an empty entry.
 func (a *auditedMachine) apply(command *Command) (digest uint64, due bool) {
 	a.index++
 	if command == nil {
@@ -31,14 +31,14 @@
 	return a.audit.Applied(a.index, data, &result, a.Machine)
 }
 
-// restored is the same state by way of a snapshot.
+// restored returns a copy of the state, made by way of a snapshot.
 func (a *auditedMachine) restored(t require.TestingT) *auditedMachine {
 	other := newAuditedMachine(a.index)
 	require.NoError(t, other.Restore(a.Snapshot()))
 	return other
 }
 
-// Two replicas with the same entries have the same digests, also where one of them has its state from a snapshot.
+// Replicas with the same entries have the same digests, also if one of them started from a snapshot.
 func TestEqualStatesHaveEqualDigests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newAuditedMachine(0)
@@ -55,8 +55,8 @@
 			if other == nil {
 				continue
 			}
-			if again, due := other.apply(&command); due {
-				require.Equal(t, digest, again, "at %d", i+1)
+			if otherDigest, due := other.apply(&command); due {
+				require.Equal(t, digest, otherDigest, "at %d", i+1)
 				compared++
 			}
 		}
@@ -64,7 +64,7 @@
 	})
 }
 
-// populated is a state with so many jobs, of which each has a task that runs.
+// populated returns a state with the given number of jobs, each with one running task.
 func populated(jobs int) *auditedMachine {
 	a := newAuditedMachine(0)
 	for id := range jobs {
@@ -76,7 +76,7 @@
 	return a
 }
 
-// differenceFound tells whether two states are told apart within as many digests as look at all of a state of that size.
+// differenceFound reports whether the digests of two states differ within the number of digests that cover the whole state.
 func differenceFound(t *testing.T, one, other *auditedMachine) bool {
 	t.Helper()
 	turns := 1
@@ -85,9 +85,9 @@
 	}
 	for range (turns + 2) * AuditEvery {
 		digest, due := one.apply(nil)
-		again, dueToo := other.apply(nil)
-		require.True(t, due == dueToo || !dueToo)
-		if due && dueToo && digest != again {
+		otherDigest, otherDue := other.apply(nil)
+		require.True(t, due == otherDue || !otherDue)
+		if due && otherDue && digest != otherDigest {
 			return true
 		}
 	}
@@ -96,24 +96,24 @@
 
 func TestAuditDetectsStateDifferences(t *testing.T) {
 	changes := map[string]func(m *Machine){
-		"nothing":              func(*Machine) {},
-		"a job's state":        func(m *Machine) { m.jobs[77].State = Completed },
-		"a job's limit":        func(m *Machine) { m.jobs[77].MaxRetries ^= 1 },
-		"a job's body":         func(m *Machine) { m.jobs[77].Body[3] ^= 1 },
-		"a job's tenant":       func(m *Machine) { m.jobs[77].Tenant = "other" },
-		"a task's attempt":     func(m *Machine) { m.jobs[77].Times[0].Steps[0].Tasks[0].Attempt++ },
-		"a task that is done":  func(m *Machine) { m.jobs[77].Times[0].Steps[0].Tasks[1].Done = true },
-		"a run's place":        func(m *Machine) { m.jobs[77].Times[0].Steps[0].Tasks[0].Placements[0].Worker = "w1x" },
-		"a count of runs":      func(m *Machine) { m.jobs[77].Runs++ },
-		"a job that is gone":   func(m *Machine) { delete(m.jobs, 77) },
-		"a job too many":       func(m *Machine) { m.jobs[1e6] = &Job{JobAccepted: JobAccepted{ID: 1e6}, State: Completed} },
-		"a worker's number":    func(m *Machine) { m.workers["w7"].LastSeen ^= 1 << 40 },
-		"a worker's run":       func(m *Machine) { m.workers["w7"].Runs[Run{Attempt: 99}] = struct{}{} },
-		"a worker that's gone": func(m *Machine) { delete(m.workers, "w7") },
-		"the configuration":    func(m *Machine) { m.config.Body = []byte("{}") },
-		"its version":          func(m *Machine) { m.config.Version ^= 1 },
-		"a version before":     func(m *Machine) { m.history[0].sum ^= 1 },
-		"a count of jobs":      func(m *Machine) { m.pending["r"]++ },
+		"nothing":             func(*Machine) {},
+		"a job's state":       func(m *Machine) { m.jobs[77].State = Completed },
+		"a job's retry limit": func(m *Machine) { m.jobs[77].MaxRetries ^= 1 },
+		"a job's body":        func(m *Machine) { m.jobs[77].Body[3] ^= 1 },
+		"a job's tenant":      func(m *Machine) { m.jobs[77].Tenant = "other" },
+		"a task's attempt":    func(m *Machine) { m.jobs[77].Times[0].Steps[0].Tasks[0].Attempt++ },
+		"a done task":         func(m *Machine) { m.jobs[77].Times[0].Steps[0].Tasks[1].Done = true },
+		"a run's worker":      func(m *Machine) { m.jobs[77].Times[0].Steps[0].Tasks[0].Placements[0].Worker = "w1x" },
+		"a job's run count":   func(m *Machine) { m.jobs[77].Runs++ },
+		"a missing job":       func(m *Machine) { delete(m.jobs, 77) },
+		"an extra job":        func(m *Machine) { m.jobs[1e6] = &Job{JobAccepted: JobAccepted{ID: 1e6}, State: Completed} },
+		"a worker's last end": func(m *Machine) { m.workers["w7"].LastSeen ^= 1 << 40 },
+		"a worker's run":      func(m *Machine) { m.workers["w7"].Runs[Run{Attempt: 99}] = struct{}{} },
+		"a missing worker":    func(m *Machine) { delete(m.workers, "w7") },
+		"the configuration":   func(m *Machine) { m.config.Body = []byte("{}") },
+		"the version":         func(m *Machine) { m.config.Version ^= 1 },
+		"an earlier version":  func(m *Machine) { m.history[0].sum ^= 1 },
+		"a route's job count": func(m *Machine) { m.pending["r"]++ },
 	}
 	for _, jobs := range []int{100, 2000} {
 		for name, change := range changes {
@@ -128,7 +128,7 @@
 	}
 }
 
-// The same entries must come to the same also where it leaves no trace in the state.
+// Differences must show in the digest even if they leave no trace in the state.
 func TestAuditDetectsEntryAndOutcomeDifferences(t *testing.T) {
 	cancel := Command{Kind: KindJobCancelled, JobCancelled: &JobCancelled{ID: 9}}
 	lose := Command{Kind: KindWorkerLost, WorkerLost: "none"}
@@ -162,7 +162,7 @@
 	assert.NotEqual(t, touched(Pending), touched(Running), "another effect on a job")
 }
 
-// A digest of which entries are missing can't be compared, and isn't given.
+// A digest with missing entries can't be compared and must not be due.
 func TestNoDigestWithMissingEntries(t *testing.T) {
 	m := New()
 	for _, start := range []uint64{0, 1, AuditEvery - 1, AuditEvery} {
@@ -182,7 +182,7 @@
 	}
 }
 
-// What goes into a digest must not change under the same format: replicas of two versions would take each other for broken.
+// The digest's definition must not change without a new AuditFormat: replicas of two versions would report each other as broken.
 func TestDigestFormatIsPinned(t *testing.T) {
 	a := populated(40)
 	var digest uint64
--- a/internal/system/state/backlog_bench_test.go
+++ b/internal/system/state/backlog_bench_test.go
@@ -9,14 +9,14 @@
 	"gaugeslip/internal/system/jobspec"
 )
 
-// The backlog that is applied: jobs of two steps, each task started and ended by itself, as it is at a head that commits often.
+// Size of the backlog: jobs of two steps. Each start and each end is an entry of its own, as at a head that commits often.
 const (
 	backlogJobs    = 8000
 	backlogTasks   = 3
 	backlogWorkers = 350
 )
 
-// backlogEntries gives the commands of the jobs, in the order in which a head commits them.
+// backlogEntries returns the commands of the jobs in the order in which a head commits them.
 func backlogEntries(b *testing.B) [][]byte {
 	b.Helper()
 	spec := jobspec.Spec{Text: "cut the reed, bind it, carry it to the barn", Stages: []jobspec.Stage{{Count: 1, CPU: 1}, {Count: backlogTasks - 1, CPU: 2, DependsOn: []int{0}}}}
@@ -38,7 +38,7 @@
 	return entries
 }
 
-// BenchmarkBacklog is what a replica does that has just started.
+// BenchmarkBacklog measures how fast a replica that has just started applies a backlog.
 func BenchmarkBacklog(b *testing.B) {
 	entries := backlogEntries(b)
 	b.ReportAllocs()
--- a/internal/system/state/capture_test.go
+++ b/internal/system/state/capture_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever commands come while a capture is under way, it is the state of its moment.
+// A capture equals the state at its start, whatever commands are applied meanwhile.
 func TestCaptureEqualsSnapshotAtItsStart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
@@ -28,7 +28,7 @@
 	})
 }
 
-// A worker's end is told by its name alone; the jobs of its runs are written before.
+// KindWorkerLost names only the worker. The jobs of its runs must be saved before it is applied.
 func TestCaptureSavesJobsOfALostWorker(t *testing.T) {
 	m := New()
 	m.Apply(Command{Kind: KindJobAccepted, JobAccepted: &JobAccepted{ID: 1, Body: []byte(`{"stages":[{"count":1}]}`)}})
--- a/internal/system/state/config_test.go
+++ b/internal/system/state/config_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// modelRegister is the configuration as a plain list of all that was ever in force: what a machine's answers are held against.
+// modelRegister is the reference model: a plain list of all configurations that were ever in force.
 type modelRegister struct{ applied []Config }
 
 func (r *modelRegister) current() uint64 {
@@ -19,46 +19,46 @@
 	return r.applied[len(r.applied)-1].Version
 }
 
-func (r *modelRegister) has(order *ConfigReplaced) bool {
+func (r *modelRegister) has(change *ConfigReplaced) bool {
 	for _, before := range r.applied {
-		if before.Version == order.Version && string(before.Body) == string(order.Body) {
+		if before.Version == change.Version && string(before.Body) == string(change.Body) {
 			return true
 		}
 	}
 	return false
 }
 
-// allows tells whether an answer to an order is one that may be given now, and carries the order out.
-func (r *modelRegister) allows(order *ConfigReplaced, outcome Outcome) bool {
+// allows reports whether the outcome of a change is permitted now, and adds the change to the model if it was applied.
+func (r *modelRegister) allows(change *ConfigReplaced, outcome Outcome) bool {
 	switch outcome {
 	case Applied:
-		fits := order.Base == r.current() && order.Version > r.current() && !r.has(order)
-		r.applied = append(r.applied, Config{Version: order.Version, Body: order.Body})
+		fits := change.Base == r.current() && change.Version > r.current() && !r.has(change)
+		r.applied = append(r.applied, Config{Version: change.Version, Body: change.Body})
 		return fits
 	case Repeated:
-		return r.has(order)
+		return r.has(change)
 	case Conflict:
-		return !r.has(order) && order.Base != r.current()
+		return !r.has(change) && change.Base != r.current()
 	case Stale:
-		return !r.has(order) && order.Version <= r.current()
+		return !r.has(change) && change.Version <= r.current()
 	case Forgotten:
-		return len(r.applied) >= historyLimit && order.Version < r.applied[len(r.applied)-historyLimit].Version
+		return len(r.applied) >= historyLimit && change.Version < r.applied[len(r.applied)-historyLimit].Version
 	}
 	return false
 }
 
-// applyConfigs puts that many configurations in force, with gaps between their versions.
+// applyConfigs applies the given number of configurations, with gaps between their versions.
 func applyConfigs(machine *Machine, register *modelRegister, count int) {
 	for range count {
 		base := register.current()
-		order := &ConfigReplaced{Base: base, Version: base + 1 + base%3, Body: fmt.Appendf(nil, "body %d", base)}
-		if !register.allows(order, machine.replaceConfig(order)) {
-			panic(fmt.Sprintf("a configuration on top of version %d isn't taken", base))
+		change := &ConfigReplaced{Base: base, Version: base + 1 + base%3, Body: fmt.Appendf(nil, "body %d", base)}
+		if !register.allows(change, machine.replaceConfig(change)) {
+			panic(fmt.Sprintf("a configuration based on version %d is not applied", base))
 		}
 	}
 }
 
-// drawConfigChange draws orders round what is in force, old ones sent again, and other changes under their numbers.
+// drawConfigChange draws changes near the version in force, repeated old changes, and different bodies under old versions.
 func drawConfigChange(t *rapid.T, register *modelRegister) *ConfigReplaced {
 	body := []byte(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "body"))
 	old := Config{Version: 1}
@@ -85,17 +85,17 @@
 	return &ConfigReplaced{Base: register.current(), Version: register.current() + rapid.Uint64Range(0, 3).Draw(t, "step"), Body: body}
 }
 
-// The configuration is one register with conditional writes, whatever was forgotten and however often the state was restored.
+// The configuration behaves as one register with conditional writes, however much history is lost and however often the state is restored.
 func TestConfigurationIsOneRegister(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine, register := New(), &modelRegister{}
 		applyConfigs(machine, register, rapid.SampledFrom([]int{0, 1, 5, historyLimit - 2, historyLimit, historyLimit + 40}).Draw(t, "before"))
-		for range rapid.IntRange(1, 60).Draw(t, "orders") {
-			order := drawConfigChange(t, register)
-			expected := machine.CheckConfig(order)
-			outcome := machine.Apply(Command{Kind: KindConfigReplaced, ConfigReplaced: order}).Outcome
+		for range rapid.IntRange(1, 60).Draw(t, "changes") {
+			change := drawConfigChange(t, register)
+			expected := machine.CheckConfig(change)
+			outcome := machine.Apply(Command{Kind: KindConfigReplaced, ConfigReplaced: change}).Outcome
 			require.Equal(t, expected, outcome)
-			require.True(t, register.allows(order, outcome), "order %+v, outcome %d, version in force %d", order, outcome, register.current())
+			require.True(t, register.allows(change, outcome), "change %+v, outcome %d, version in force %d", change, outcome, register.current())
 			require.Equal(t, register.current(), machine.Config().Version)
 			if rapid.IntRange(0, 20).Draw(t, "restore") == 0 {
 				restored := New()
@@ -106,30 +106,30 @@
 	})
 }
 
-// requireOutcome holds what an order would come to.
+// requireOutcome checks the outcome that a change would have now.
 func requireOutcome(t *testing.T, machine *Machine, base, version uint64, body string, expected Outcome) {
 	t.Helper()
-	order := &ConfigReplaced{Base: base, Version: version, Body: []byte(body)}
-	assert.Equal(t, expected, machine.CheckConfig(order), "base %d, version %d, body %q", base, version, body)
+	change := &ConfigReplaced{Base: base, Version: version, Body: []byte(body)}
+	assert.Equal(t, expected, machine.CheckConfig(change), "base %d, version %d, body %q", base, version, body)
 }
 
 func TestOneOfTwoChangesToTheSameVersionWins(t *testing.T) {
 	machine := New()
-	for _, order := range []*ConfigReplaced{{Base: 0, Version: 3, Body: []byte("first")}, {Base: 3, Version: 7, Body: []byte("winner")}} {
-		require.Equal(t, Applied, machine.replaceConfig(order))
+	for _, change := range []*ConfigReplaced{{Base: 0, Version: 3, Body: []byte("first")}, {Base: 3, Version: 7, Body: []byte("winner")}} {
+		require.Equal(t, Applied, machine.replaceConfig(change))
 	}
 	requireOutcome(t, machine, 3, 7, "loser", Conflict)
 	requireOutcome(t, machine, 3, 9, "loser", Conflict)
-	requireOutcome(t, machine, 5, 9, "on a version that never was", Conflict)
-	requireOutcome(t, machine, 8, 9, "on a version that isn't yet", Conflict)
-	requireOutcome(t, machine, 7, 7, "same number", Stale)
-	requireOutcome(t, machine, 7, 6, "lower number", Stale)
+	requireOutcome(t, machine, 5, 9, "on a version that never existed", Conflict)
+	requireOutcome(t, machine, 8, 9, "on a future version", Conflict)
+	requireOutcome(t, machine, 7, 7, "same version", Stale)
+	requireOutcome(t, machine, 7, 6, "lower version", Stale)
 	requireOutcome(t, machine, 3, 7, "winner", Repeated)
 	requireOutcome(t, machine, 0, 3, "first", Repeated)
 	requireOutcome(t, machine, 7, 9, "next", Applied)
 }
 
-// An order that was taken is never refused. What surely wasn't taken still is, also against all that is forgotten.
+// A change that was applied is never rejected. One that certainly wasn't applied still is, even against lost history.
 func TestForgottenChangesAreNotRejected(t *testing.T) {
 	machine, register := New(), &modelRegister{}
 	const forgotten = 50
@@ -146,11 +146,11 @@
 		requireOutcome(t, machine, base, before.Version, string(before.Body), expected)
 	}
 	oldest, before := register.applied[forgotten].Version, register.applied[forgotten-1].Version
-	requireOutcome(t, machine, before, oldest, "under the oldest number that is remembered", Conflict)
-	requireOutcome(t, machine, before, oldest+100000, "on the newest version that is forgotten", Conflict)
+	requireOutcome(t, machine, before, oldest, "another body under the oldest remembered version", Conflict)
+	requireOutcome(t, machine, before, oldest+100000, "on the newest forgotten version", Conflict)
 	requireOutcome(t, machine, before, before, "not higher than its base", Conflict)
-	requireOutcome(t, machine, 0, before, "any that may have been taken", Forgotten)
-	requireOutcome(t, machine, register.current(), before, "on the version in force, with a lower number", Stale)
+	requireOutcome(t, machine, 0, before, "may have been applied", Forgotten)
+	requireOutcome(t, machine, register.current(), before, "on the version in force, with a lower version", Stale)
 	requireOutcome(t, machine, register.current(), register.current()+1, "next", Applied)
 	for range 3 {
 		applyConfigs(machine, register, 1)
@@ -159,14 +159,14 @@
 	}
 }
 
-// While nothing is forgotten, nothing is left unclear.
+// While the history is complete, no outcome is uncertain.
 func TestNothingIsForgottenBeforeTheHistoryIsFull(t *testing.T) {
 	machine := New()
 	require.Equal(t, Applied, machine.replaceConfig(&ConfigReplaced{Base: 0, Version: 5, Body: []byte("first")}))
-	requireOutcome(t, machine, 0, 2, "lost the race for the first", Conflict)
+	requireOutcome(t, machine, 0, 2, "lost the race for the first version", Conflict)
 }
 
-// A restored state knows what was taken as the one before did, also what it has forgotten.
+// A restored state has the same history and the same knowledge of its limit.
 func TestRestoredStateKeepsTheConfigHistory(t *testing.T) {
 	machine, register := New(), &modelRegister{}
 	applyConfigs(machine, register, historyLimit+3)
@@ -174,7 +174,7 @@
 	require.NoError(t, restored.Restore(machine.Snapshot()))
 	last := register.applied[len(register.applied)-2]
 	requireOutcome(t, restored, 0, last.Version, string(last.Body), Repeated)
-	requireOutcome(t, restored, 0, last.Version, "another under that number", Conflict)
+	requireOutcome(t, restored, 0, last.Version, "another body under that version", Conflict)
 	requireOutcome(t, restored, 0, register.applied[0].Version, string(register.applied[0].Body), Forgotten)
 	requireOutcome(t, restored, register.current(), register.current()+1, "next", Applied)
 }
--- a/internal/system/state/guards_test.go
+++ b/internal/system/state/guards_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// machineWithJob is a state with one job, number 1.
+// machineWithJob returns a state with one job, whose ID is 1.
 func machineWithJob(t *testing.T, retries int, stages string) *Machine {
 	machine := New()
 	body := []byte(`{"spec":"x","stages":[` + stages + `]}`)
@@ -19,7 +19,7 @@
 	return Run{Task: TaskName{Job: 1, Step: step, Index: index}, Attempt: attempt}
 }
 
-// startRuns has runs started on a worker and tells how many of the intents hold.
+// startRuns starts runs on a worker and returns how many of the starts took effect.
 func (m *Machine) startRuns(worker string, runs ...Run) int {
 	starts := make([]Start, len(runs))
 	for i, run := range runs {
--- a/internal/system/state/machine_test.go
+++ b/internal/system/state/machine_test.go
@@ -54,7 +54,7 @@
 
 func drawCheckpoint(t *rapid.T) string { return rapid.StringN(0, 4, 16).Draw(t, "checkpoint") }
 
-// drawCommand draws any command; most concern the few jobs and workers that there are.
+// drawCommand draws any command. Most commands concern one of a few jobs and workers.
 func drawCommand(t *rapid.T) Command {
 	kinds := []Kind{
 		KindConfigReplaced, KindJobAccepted, KindJobCancelled, KindTasksStarting, KindStartsVoided, KindTasksEnded, KindWorkerLost,
@@ -144,7 +144,7 @@
 	})
 }
 
-// A worker out of reach may come back and list ends that were counted before its loss: a failure counts once.
+// An unreachable worker may come back and list ends that were counted before its loss. A failure must count only once.
 func TestEndsCountOnceAcrossWorkerLoss(t *testing.T) {
 	machine := New()
 	body := []byte(`{"spec":"x","stages":[{"count":1,"cpu":100}]}`)
@@ -168,7 +168,7 @@
 	require.True(t, machine.Job(1).StepReady(0, 1))
 }
 
-// The same ID is sent again after a lost answer, to any dispatcher and by any head: it remains one job, as it first came.
+// A client repeats a submission after a lost answer, to any dispatcher or head. It must remain one job, with the first body.
 func TestResubmittedJobStaysOneJob(t *testing.T) {
 	machine := New()
 	first := []byte(`{"spec":"x","stages":[{"count":1,"cpu":100}]}`)
--- a/internal/system/state/quotas_bench_test.go
+++ b/internal/system/state/quotas_bench_test.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	benchTenants     = 160
-	benchPlacements  = 20_000
-	benchAccelerator = 2600
+	benchTenants    = 160
+	benchPlacements = 20_000
+	benchPool       = 2600
 )
 
-// machineWithManyRuns is a state with 160 tenants and 20,000 runs that may exist, 15 accelerators of each tenant's 16 in use, and one more task
-// of each tenant that takes one.
+// machineWithManyRuns returns a state with 160 tenants and 20,000 runs that may exist. Each tenant uses 15 of its 16 accelerators and has
+// two more tasks that take one each.
 func machineWithManyRuns(b *testing.B, quotas bool) *state.Machine {
 	b.Helper()
 	m := state.New()
@@ -26,13 +26,13 @@
 		tenants = append(tenants, fmt.Sprintf(`{"name":"team-%03d","share":0.00625}`, index))
 	}
 	if quotas {
-		require.Equal(b, state.Applied, configure(m, 1, fmt.Sprintf(`"accelerators":%d,"tenants":[%s]`, benchAccelerator, strings.Join(tenants, ","))))
+		require.Equal(b, state.Applied, configure(m, 1, fmt.Sprintf(`"accelerators":%d,"tenants":[%s]`, benchPool, strings.Join(tenants, ","))))
 	}
-	const withAccelerator, each = 15, benchPlacements / benchTenants
+	const withAccelerator, runsPerTenant = 15, benchPlacements / benchTenants
 	for index := range benchTenants {
 		id := state.JobID(index)
-		accept(m, id, fmt.Sprintf("team-%03d", index), fmt.Sprintf(`{"count":%d,"gpus":1},{"count":%d}`, withAccelerator+2, each-withAccelerator))
-		starts := make([]state.Start, each)
+		accept(m, id, fmt.Sprintf("team-%03d", index), fmt.Sprintf(`{"count":%d,"gpus":1},{"count":%d}`, withAccelerator+2, runsPerTenant-withAccelerator))
+		starts := make([]state.Start, runsPerTenant)
 		for number := range starts {
 			starts[number] = startOf(id, uint32(number), 1)
 			if number >= withAccelerator {
@@ -40,12 +40,12 @@
 			}
 			starts[number].Worker = fmt.Sprint("w", (index+number)%325)
 		}
-		require.Len(b, start(m, starts...), each)
+		require.Len(b, start(m, starts...), runsPerTenant)
 	}
 	return m
 }
 
-// BenchmarkStart commits the start of a task and that it came to nothing.
+// BenchmarkStart commits a start and then voids it.
 func BenchmarkStart(b *testing.B) {
 	for _, quotas := range []bool{false, true} {
 		b.Run(fmt.Sprintf("quotas=%v", quotas), func(b *testing.B) {
@@ -54,18 +54,18 @@
 			attempt := uint32(0)
 			for b.Loop() {
 				attempt++
-				begun := startOf(state.JobID(attempt%benchTenants), 15, attempt)
-				if got := m.Apply(state.Command{Kind: state.KindTasksStarting, TasksStarting: []state.Start{begun}}); len(got.Started) != 1 {
-					b.Fatal("the start doesn't hold")
+				next := startOf(state.JobID(attempt%benchTenants), 15, attempt)
+				if got := m.Apply(state.Command{Kind: state.KindTasksStarting, TasksStarting: []state.Start{next}}); len(got.Started) != 1 {
+					b.Fatal("the start was rejected")
 				}
-				m.Apply(state.Command{Kind: state.KindStartsVoided, StartsVoided: []state.Run{begun.Run}})
+				m.Apply(state.Command{Kind: state.KindStartsVoided, StartsVoided: []state.Run{next.Run}})
 			}
 		})
 	}
 }
 
-// BenchmarkRefusedStart commits a start that its tenant's share has no room for.
-func BenchmarkRefusedStart(b *testing.B) {
+// BenchmarkRejectedStart commits a start that exceeds its tenant's share.
+func BenchmarkRejectedStart(b *testing.B) {
 	m := machineWithManyRuns(b, true)
 	for index := range state.JobID(benchTenants) {
 		require.Len(b, start(m, startOf(index, 15, 1)), 1)
@@ -74,14 +74,14 @@
 	attempt := uint32(0)
 	for b.Loop() {
 		attempt++
-		begun := startOf(state.JobID(attempt%benchTenants), 16, 1)
-		if got := m.Apply(state.Command{Kind: state.KindTasksStarting, TasksStarting: []state.Start{begun}}); len(got.Started) != 0 {
-			b.Fatal("the start holds")
+		next := startOf(state.JobID(attempt%benchTenants), 16, 1)
+		if got := m.Apply(state.Command{Kind: state.KindTasksStarting, TasksStarting: []state.Start{next}}); len(got.Started) != 0 {
+			b.Fatal("the start was not rejected")
 		}
 	}
 }
 
-// BenchmarkReconfigure puts another configuration of all tenants in force while 20,000 runs may exist.
+// BenchmarkReconfigure replaces the configuration of all tenants while 20,000 runs may exist.
 func BenchmarkReconfigure(b *testing.B) {
 	m := machineWithManyRuns(b, true)
 	body := string(m.Config().Body)
@@ -91,7 +91,7 @@
 		next := &state.ConfigReplaced{Base: version, Version: version + 1, Body: []byte(body)}
 		version++
 		if m.Apply(state.Command{Kind: state.KindConfigReplaced, ConfigReplaced: next}).Outcome != state.Applied {
-			b.Fatal("the configuration isn't taken")
+			b.Fatal("the configuration was not applied")
 		}
 	}
 }
--- a/internal/system/state/quotas_test.go
+++ b/internal/system/state/quotas_test.go
@@ -12,7 +12,7 @@
 	"gaugeslip/internal/system/state"
 )
 
-// What replicas wrote before there were tenants: an accepted job, and the snapshot of a state with that job and one run.
+// Encodings from before tenants were introduced: an accepted job, and the snapshot of a state with that job and one run.
 const (
 	oldAccepted = "02f8364bd9217a0e5c01720173020600000000000004400000000000708740f6a1abfef962477b2273706563223a2278222c22737461676573223a5b7b22636f756e74223a322c22637075223a3130302c2267707573223a342c22657374696d617465644d73223a35307d5d7d"
 	oldSnapshot = "01030d7b2276657273696f6e223a337d0103c062add944609edf01f8364bd9217a0e5c01720173020600000000000004400000000000708740f6a1abfef962477b2273706563223a2278222c22737461676573223a5b7b22636f756e74223a322c22637075223a3130302c2267707573223a342c22657374696d617465644d73223a35307d5d7d0100010000000000000000010000000101017701017700"
@@ -82,9 +82,9 @@
 	accept(m, 2, "rye", `{"count":1,"gpus":100}`)
 	held := start(m, startOf(1, 0, 1), startOf(1, 1, 1), startOf(1, 2, 1), startOf(2, 0, 1))
 	assert.Equal(t, []state.Start{startOf(1, 0, 1), startOf(1, 1, 1), startOf(2, 0, 1)}, held)
-	withoutAny := startOf(1, 0, 1)
-	withoutAny.Task.Step = 1
-	assert.Len(t, start(m, withoutAny), 1)
+	withoutAccelerators := startOf(1, 0, 1)
+	withoutAccelerators.Task.Step = 1
+	assert.Len(t, start(m, withoutAccelerators), 1)
 	assert.Empty(t, start(m, startOf(1, 2, 1)))
 
 	m.Apply(state.Command{Kind: state.KindStartsVoided, StartsVoided: []state.Run{startOf(1, 0, 1).Run}})
@@ -109,7 +109,7 @@
 			if cancelled {
 				m.Apply(state.Command{Kind: state.KindJobCancelled, JobCancelled: &state.JobCancelled{ID: 1}})
 			}
-			assert.EqualValues(t, 4, m.Quotas().Used("teff"), "what is being stopped still counts")
+			assert.EqualValues(t, 4, m.Quotas().Used("teff"), "a run counts until its end is committed")
 			m.Apply(way)
 			assert.Zero(t, m.Quotas().Used("teff"), "%s, cancelled %v", name, cancelled)
 			m.Apply(way)
@@ -137,12 +137,12 @@
 	accept(m, 1, "teff", `{"count":9,"gpus":1}`)
 	require.Len(t, start(m, startOf(1, 0, 1), startOf(1, 1, 1), startOf(1, 2, 1), startOf(1, 3, 1), startOf(1, 4, 1)), 4)
 	configure(m, 2, `"tenants":[{"name":"teff","accelerators":2}]`)
-	assert.EqualValues(t, 4, m.Quotas().Used("teff"), "what runs isn't touched")
+	assert.EqualValues(t, 4, m.Quotas().Used("teff"), "existing runs stay")
 	assert.Empty(t, start(m, startOf(1, 4, 1)))
 	configure(m, 3, `"tenants":[{"name":"teff","accelerators":5}]`)
 	assert.Len(t, start(m, startOf(1, 4, 1), startOf(1, 5, 1)), 1)
 	configure(m, 4, `"routes":[]`)
-	assert.Len(t, start(m, startOf(1, 5, 1)), 1, "without tenants nothing is bounded")
+	assert.Len(t, start(m, startOf(1, 5, 1)), 1, "without tenants there is no limit")
 	assert.Equal(t, state.Applied, m.Apply(state.Command{Kind: state.KindConfigReplaced,
 		ConfigReplaced: &state.ConfigReplaced{Base: 4, Version: 5, Body: []byte("{")}}).Outcome)
 	assert.False(t, m.Quotas().InForce())
@@ -164,5 +164,5 @@
 	assert.Error(t, check("", `{"count":1,"gpus":3}`))
 	assert.ErrorContains(t, check("teff", `7`), "byte")
 	configure(m, 2, `"accelerators":8`)
-	assert.NoError(t, check("teff", `{"count":1,"gpus":1000000}`), "without tenants nothing is bounded")
+	assert.NoError(t, check("teff", `{"count":1,"gpus":1000000}`), "without tenants there is no limit")
 }
--- a/internal/system/state/snapshot_bench_test.go
+++ b/internal/system/state/snapshot_bench_test.go
@@ -10,13 +10,14 @@
 	"gaugeslip/internal/system/state"
 )
 
-// machineWithSnapshotOf is a state whose snapshot has about as many bytes as asked for: jobs with a body of a kilobyte, 100 tasks and a run of each.
+// machineWithSnapshotOf returns a state with a snapshot of about the given length. Each job has a body of about 1 kB, 100 tasks and a run of
+// each task.
 func machineWithSnapshotOf(b *testing.B, bytes int) *state.Machine {
 	b.Helper()
-	const tasks, bytesOfOne = 100, 4500
+	const tasks, bytesPerJob = 100, 4500
 	m := state.New()
 	note := strings.Repeat("x", 900)
-	for index := range bytes / bytesOfOne {
+	for index := range bytes / bytesPerJob {
 		id := state.JobID(index + 1)
 		accept(m, id, "team", fmt.Sprintf(`{"count":%d,"note":%q}`, tasks, note))
 		starts := make([]state.Start, tasks)
@@ -29,7 +30,7 @@
 	return m
 }
 
-// BenchmarkSnapshot and BenchmarkRestore tell what a learner's snapshot costs its giver and its taker; MB/s is of the snapshot's bytes.
+// BenchmarkSnapshot and BenchmarkRestore measure the cost of a snapshot to its sender and to the learner. MB/s refers to its length.
 func BenchmarkSnapshot(b *testing.B) {
 	m := machineWithSnapshotOf(b, 50<<20)
 	b.SetBytes(int64(len(m.Snapshot())))
--- a/internal/system/state/touched_test.go
+++ b/internal/system/state/touched_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// jobSnapshots gives each job's part of a snapshot.
+// jobSnapshots returns the encoded form of each job.
 func (m *Machine) jobSnapshots() map[JobID]string {
 	all := map[JobID]string{}
 	for id, job := range m.jobs {
@@ -18,7 +18,7 @@
 	return all
 }
 
-// A command changes, adds and takes away no other jobs than those that it tells of.
+// A command must change, add and delete only the jobs that Touched reports.
 func TestCommandReportsAffectedJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
@@ -30,10 +30,10 @@
 			m.Apply(command)
 			after := m.jobSnapshots()
 			for id := range before {
-				require.True(t, all || touched[id] || before[id] == after[id], "kind %d changes job %d", command.Kind, id)
+				require.True(t, all || touched[id] || before[id] == after[id], "command of kind %d changes job %d, which Touched does not report", command.Kind, id)
 			}
 			for id := range after {
-				require.True(t, all || touched[id] || before[id] == after[id], "kind %d changes job %d", command.Kind, id)
+				require.True(t, all || touched[id] || before[id] == after[id], "command of kind %d changes job %d, which Touched does not report", command.Kind, id)
 			}
 		}
 	})
