--- a/internal/system/clusterconfig/parse.go
+++ b/internal/system/clusterconfig/parse.go
@@ -63,17 +63,17 @@
 	return config
 }
 
-func (r *reader) version(written []byte) int64 {
-	if len(written) == 0 || string(written) == "null" {
+func (r *reader) version(raw []byte) int64 {
+	if len(raw) == 0 || string(raw) == "null" {
 		r.found.Add("version", "is missing")
 		return 0
 	}
-	version, err := strconv.ParseInt(string(written), 10, 64)
+	version, err := strconv.ParseInt(string(raw), 10, 64)
 	if err != nil {
-		figure, notFigure := strconv.ParseFloat(string(written), 64)
-		whole, ok := quantity.Whole(figure)
-		if notFigure != nil || !ok {
-			r.found.Add("version", "%.40s is not a whole number", written)
+		value, parseErr := strconv.ParseFloat(string(raw), 64)
+		whole, ok := quantity.Whole(value)
+		if parseErr != nil || !ok {
+			r.found.Add("version", "%.40s is not a whole number", raw)
 			return 0
 		}
 		version = whole
@@ -128,36 +128,36 @@
 	return limits
 }
 
-func (r *reader) timeout(at item, figure float64) time.Duration {
-	if figure <= 0 {
-		r.found.Add(at.place("timeoutMs"), "%v is not above 0", figure)
+func (r *reader) timeout(at item, value float64) time.Duration {
+	if value <= 0 {
+		r.found.Add(at.place("timeoutMs"), "%v is not above 0", value)
 		return 0
 	}
-	return max(1, quantity.Milliseconds(figure))
+	return max(1, quantity.Milliseconds(value))
 }
 
-func (r *reader) milliseconds(at item, field string, figure float64) time.Duration {
-	return quantity.Milliseconds(r.nonNegative(at, field, figure))
+func (r *reader) milliseconds(at item, field string, value float64) time.Duration {
+	return quantity.Milliseconds(r.nonNegative(at, field, value))
 }
 
-func (r *reader) wholeNumber(at item, field string, figure float64) int64 {
-	whole, ok := quantity.Whole(math.Max(0, r.nonNegative(at, field, figure)))
+func (r *reader) wholeNumber(at item, field string, value float64) int64 {
+	whole, ok := quantity.Whole(math.Max(0, r.nonNegative(at, field, value)))
 	if !ok {
-		r.found.Add(at.place(field), "%v is not a whole number", figure)
+		r.found.Add(at.place(field), "%v is not a whole number", value)
 	}
 	return whole
 }
 
-func (r *reader) nonNegative(at item, field string, figure float64) float64 {
-	if figure < 0 {
-		r.found.Add(at.place(field), "%v is negative", figure)
+func (r *reader) nonNegative(at item, field string, value float64) float64 {
+	if value < 0 {
+		r.found.Add(at.place(field), "%v is negative", value)
 	}
-	return figure
+	return value
 }
 
-func orDefault[T int64 | time.Duration](value, otherwise T) T {
+func orDefault[T int64 | time.Duration](value, defaultValue T) T {
 	if value == 0 {
-		return otherwise
+		return defaultValue
 	}
 	return value
 }
--- a/internal/system/clusterconfig/quotas.go
+++ b/internal/system/clusterconfig/quotas.go
@@ -66,29 +66,29 @@
 }
 
 // share converts a share between 0 and 1 to millionths.
-func (r *reader) share(place string, figure float64) int64 {
-	if figure < 0 || figure > 1 {
-		r.found.Add(place, "%v is not from 0 to 1", figure)
+func (r *reader) share(place string, value float64) int64 {
+	if value < 0 || value > 1 {
+		r.found.Add(place, "%v is not from 0 to 1", value)
 		return 0
 	}
-	millionths := math.Round(figure * quota.Millionths)
-	if math.Abs(figure*quota.Millionths-millionths) > shareTolerance {
-		r.found.Add(place, "%v has more than six digits after the point", figure)
+	millionths := math.Round(value * quota.Millionths)
+	if math.Abs(value*quota.Millionths-millionths) > shareTolerance {
+		r.found.Add(place, "%v has more than six digits after the point", value)
 	}
 	return int64(millionths)
 }
 
 // accelerators converts a number of accelerators.
-func (r *reader) accelerators(place string, figure float64) int64 {
-	if figure < 0 {
-		r.found.Add(place, "%v is negative", figure)
+func (r *reader) accelerators(place string, value float64) int64 {
+	if value < 0 {
+		r.found.Add(place, "%v is negative", value)
 		return 0
 	}
-	if figure > maxAccelerators || figure != math.Trunc(figure) {
-		r.found.Add(place, "%v is not a whole number up to %d", figure, int64(maxAccelerators))
+	if value > maxAccelerators || value != math.Trunc(value) {
+		r.found.Add(place, "%v is not a whole number up to %d", value, int64(maxAccelerators))
 		return 0
 	}
-	return int64(figure)
+	return int64(value)
 }
 
 // maxAccelerators bounds each number of accelerators, so that sums can't overflow.
@@ -105,7 +105,7 @@
 			found.Add(findings.Item("tenants", index, "name"), "is empty")
 			continue
 		}
-		if first, double := seen[tenant.Name]; double {
+		if first, duplicate := seen[tenant.Name]; duplicate {
 			found.Add(findings.Item("tenants", index, "name"), "%q is also the name of tenants[%d]", tenant.Name, first)
 			continue
 		}
--- a/internal/system/findings/quantity/quantity.go
+++ b/internal/system/findings/quantity/quantity.go
@@ -11,35 +11,35 @@
 const MostWhole = 1 << 53
 
 // Milliseconds converts a number of milliseconds to a duration.
-func Milliseconds(figure float64) time.Duration {
-	return duration(figure, time.Millisecond)
+func Milliseconds(value float64) time.Duration {
+	return duration(value, time.Millisecond)
 }
 
 // Seconds converts a number of seconds to a duration.
-func Seconds(figure float64) time.Duration {
-	return duration(figure, time.Second)
+func Seconds(value float64) time.Duration {
+	return duration(value, time.Second)
 }
 
 // Whole converts a number to an integer. ok is false if the number has a fraction, or if it is so large that float64 can't tell it from
 // its neighbours.
-func Whole(figure float64) (number int64, ok bool) {
-	if figure != math.Trunc(figure) || math.Abs(figure) > MostWhole {
+func Whole(value float64) (number int64, ok bool) {
+	if value != math.Trunc(value) || math.Abs(value) > MostWhole {
 		return 0, false
 	}
-	return int64(figure), true
+	return int64(value), true
 }
 
-// AtLeast rounds up to the next integer, and clamps the result to most.
-func AtLeast(figure float64, most int64) int64 {
-	if figure >= float64(most) {
-		return most
+// AtLeast rounds up to the next integer, and clamps the result to limit.
+func AtLeast(value float64, limit int64) int64 {
+	if value >= float64(limit) {
+		return limit
 	}
-	return int64(math.Ceil(figure))
+	return int64(math.Ceil(value))
 }
 
 // duration converts the whole part and the fraction separately. As one float64, a Unix time would lose its last digits.
-func duration(figure float64, unit time.Duration) time.Duration {
-	whole, fraction := math.Modf(figure)
+func duration(value float64, unit time.Duration) time.Duration {
+	whole, fraction := math.Modf(value)
 	if most := float64(math.MaxInt64 / unit); whole >= most {
 		return math.MaxInt64
 	} else if whole <= -most {
--- a/internal/system/jobspec/parse.go
+++ b/internal/system/jobspec/parse.go
@@ -84,15 +84,15 @@
 	stage.LongRunning = wire.LongRunning
 }
 
-func (r *reader) dependsOn(index int, written []float64) []int {
-	if len(written) == 0 {
+func (r *reader) dependsOn(index int, raw []float64) []int {
+	if len(raw) == 0 {
 		return nil
 	}
-	steps := make([]int, 0, len(written))
-	for _, figure := range written {
-		step, ok := quantity.Whole(figure)
+	steps := make([]int, 0, len(raw))
+	for _, value := range raw {
+		step, ok := quantity.Whole(value)
 		if !ok || step < 0 || step >= int64(index) {
-			r.found.Add(place(index, "dependsOn"), "%v is not the number of an earlier step", figure)
+			r.found.Add(place(index, "dependsOn"), "%v is not the number of an earlier step", value)
 			continue
 		}
 		steps = append(steps, int(step))
@@ -101,38 +101,38 @@
 	return slices.Compact(steps)
 }
 
-// wholeNumber converts a non-negative integer that must not exceed most.
-func (r *reader) wholeNumber(index int, field string, figure float64, most int) int {
-	if figure < 0 {
-		r.found.Add(place(index, field), "%v is negative", figure)
+// wholeNumber converts a non-negative integer that must not exceed limit.
+func (r *reader) wholeNumber(index int, field string, value float64, limit int) int {
+	if value < 0 {
+		r.found.Add(place(index, field), "%v is negative", value)
 		return 0
 	}
-	if figure > float64(most) {
-		r.found.Add(place(index, field), "%.12g is more than %d", figure, most)
+	if value > float64(limit) {
+		r.found.Add(place(index, field), "%.12g is more than %d", value, limit)
 		return 0
 	}
-	whole, ok := quantity.Whole(figure)
+	whole, ok := quantity.Whole(value)
 	if !ok {
-		r.found.Add(place(index, field), "%v is not a whole number", figure)
+		r.found.Add(place(index, field), "%v is not a whole number", value)
 	}
 	return int(whole)
 }
 
 // amount converts a resource demand. It rounds up to an integer, so that the reserved amount always suffices.
-func (r *reader) amount(index int, field string, figure float64) int64 {
-	return quantity.AtLeast(r.nonNegative(index, field, figure), MostAmount)
+func (r *reader) amount(index int, field string, value float64) int64 {
+	return quantity.AtLeast(r.nonNegative(index, field, value), MostAmount)
 }
 
-func (r *reader) milliseconds(index int, field string, figure float64) time.Duration {
-	return quantity.Milliseconds(r.nonNegative(index, field, figure))
+func (r *reader) milliseconds(index int, field string, value float64) time.Duration {
+	return quantity.Milliseconds(r.nonNegative(index, field, value))
 }
 
-func (r *reader) nonNegative(index int, field string, figure float64) float64 {
-	if figure < 0 {
-		r.found.Add(place(index, field), "%v is negative", figure)
+func (r *reader) nonNegative(index int, field string, value float64) float64 {
+	if value < 0 {
+		r.found.Add(place(index, field), "%v is negative", value)
 		return 0
 	}
-	return figure
+	return value
 }
 
 // noStage is passed as the stage index for the members of the job itself.
--- a/internal/system/state/audit.go
+++ b/internal/system/state/audit.go
@@ -99,9 +99,9 @@
 func (m *Machine) digestGlobals(w *writer) uint64 {
 	w.uint(m.config.Version)
 	w.fixed(checksum(m.config.Body))
-	for _, before := range m.history {
-		w.uint(before.version)
-		w.fixed(before.sum)
+	for _, past := range m.history {
+		w.uint(past.version)
+		w.fixed(past.sum)
 	}
 	w.uint(uint64(len(m.jobs)))
 	w.uint(uint64(len(m.workers)))
--- a/internal/system/state/config.go
+++ b/internal/system/state/config.go
@@ -39,8 +39,8 @@
 
 // wasApplied reports whether exactly this configuration is in force or was in force, as far as the history reaches.
 func (m *Machine) wasApplied(next *ConfigReplaced) bool {
-	at, found := slices.BinarySearchFunc(m.history, next.Version, func(before appliedVersion, version uint64) int {
-		return cmp.Compare(before.version, version)
+	at, found := slices.BinarySearchFunc(m.history, next.Version, func(past appliedVersion, version uint64) int {
+		return cmp.Compare(past.version, version)
 	})
 	return found && m.history[at].sum == checksum(next.Body)
 }
--- a/internal/system/state/snapshot.go
+++ b/internal/system/state/snapshot.go
@@ -45,9 +45,9 @@
 	w.uint(m.config.Version)
 	w.bytes(m.config.Body)
 	w.uint(uint64(len(m.history)))
-	for _, before := range m.history {
-		w.uint(before.version)
-		w.fixed(before.sum)
+	for _, past := range m.history {
+		w.uint(past.version)
+		w.fixed(past.sum)
 	}
 	w.uint(uint64(len(m.jobs)))
 }
