--- a/internal/system/jobspec/parse.go
+++ b/internal/system/jobspec/parse.go
@@ -9,7 +9,7 @@
 	"gaugeslip/internal/system/findings/quantity"
 )
 
-// maxDueTime is the latest due time of a job's last repetition, as the time since 1970.
+// maxDueTime is the latest due time of a job's last occurrence, as the time since 1970.
 const maxDueTime = 250 * 365 * 24 * time.Hour
 
 // Parse decodes and checks a job. Unknown members are skipped. The error holds all findings as findings.Findings.
--- a/internal/system/jobspec/spec.go
+++ b/internal/system/jobspec/spec.go
@@ -8,7 +8,7 @@
 	MaxSpecBytes   = 4000
 	MaxStages      = 1000
 	MaxTasks       = 100_000 // in one stage
-	MaxTotalTasks  = 200_000 // in all stages together, in one repetition
+	MaxTotalTasks  = 200_000 // in all stages together, in one occurrence
 	MaxRepetitions = 1_000_000
 )
 
@@ -29,7 +29,7 @@
 	Stages []Stage
 	// Repetitions is how often the stages run, each time at a scheduled due time. 0 means that they run once, immediately.
 	Repetitions int
-	// FirstRun is the due time of repetition 0, as the time since 1970. Interval is the time between two consecutive due times.
+	// FirstRun is the due time of occurrence 0, as the time since 1970. Interval is the time between two consecutive due times.
 	FirstRun, Interval time.Duration
 }
 
@@ -50,7 +50,7 @@
 	Requirements []string
 	// Colocation is the name of the rack that holds the data; empty if the stage has no preferred rack.
 	Colocation string
-	// AntiAffinity is the maximum number of tasks of one repetition on one worker; 0 means no limit.
+	// AntiAffinity is the maximum number of tasks of one occurrence on one worker; 0 means no limit.
 	AntiAffinity int
 	// Checkpoints is true if tasks save their progress.
 	Checkpoints bool
@@ -70,12 +70,12 @@
 // Timed reports whether the job runs at scheduled due times.
 func (s *Spec) Timed() bool { return s.Repetitions > 0 }
 
-// DueAt returns the due time of a repetition of a scheduled job, as the time since 1970.
+// DueAt returns the due time of an occurrence of a scheduled job, as the time since 1970.
 func (s *Spec) DueAt(number uint32) time.Duration {
 	return s.FirstRun + time.Duration(number)*s.Interval
 }
 
-// Tasks returns the number of tasks of all stages in one repetition.
+// Tasks returns the number of tasks of all stages in one occurrence.
 func (s *Spec) Tasks() int {
 	tasks := 0
 	for index := range s.Stages {
--- a/internal/system/jobspec/task.go
+++ b/internal/system/jobspec/task.go
@@ -12,7 +12,7 @@
 // Task identifies one task of a job. It can be used as a map key.
 type Task struct {
 	Job ID
-	// Time is the number of the repetition (0 for a job without a schedule), Step the index of the stage, Index that of the task in it.
+	// Time is the number of the occurrence (0 for a job without a schedule), Step the index of the stage, Index that of the task in it.
 	Time, Step, Index uint32
 }
 
--- a/internal/system/jobspec/work.go
+++ b/internal/system/jobspec/work.go
@@ -15,7 +15,7 @@
 	return s.Cores() * milliseconds(s.Estimated)
 }
 
-// Work returns the estimated work of all tasks of one repetition in core-milliseconds.
+// Work returns the estimated work of all tasks of one occurrence in core-milliseconds.
 func (s *Spec) Work() float64 {
 	work := 0.0
 	for index := range s.Stages {
--- a/internal/system/state/ends.go
+++ b/internal/system/state/ends.go
@@ -64,8 +64,8 @@
 }
 
 func (m *Machine) completeTask(job *Job, end *End, gang bool, result *Result) {
-	repetition := job.Times[end.Task.Time]
-	step := &repetition.Steps[end.Task.Step]
+	occurrence := job.Times[end.Task.Time]
+	step := &occurrence.Steps[end.Task.Step]
 	if gang {
 		for i := range step.Tasks {
 			step.markDone(i)
@@ -89,9 +89,9 @@
 	if uint32(len(job.Times)) < job.TimeCount() {
 		return
 	}
-	for _, repetition := range job.Times {
-		for i := range repetition.Steps {
-			if repetition.Steps[i].Open > 0 {
+	for _, occurrence := range job.Times {
+		for i := range occurrence.Steps {
+			if occurrence.Steps[i].Open > 0 {
 				return
 			}
 		}
--- a/internal/system/state/job.go
+++ b/internal/system/state/job.go
@@ -40,13 +40,13 @@
 	State JobState
 	// OverMs is the Unix time in milliseconds at which a job was cancelled, and AcceptedMs for a job that completed or failed.
 	OverMs int64
-	// Times holds the repetitions of which a run was started, by their number.
+	// Times holds the occurrences of which a run was started, by their number.
 	Times map[uint32]*Time
 	// Runs is the number of runs that may exist on workers.
 	Runs int
 }
 
-// Time is one repetition of the steps of a job.
+// Time is one occurrence of a job: one pass through its steps at one due time.
 type Time struct {
 	Steps []Step
 	open  int
@@ -76,28 +76,28 @@
 	Worker  string
 }
 
-// Time returns repetition k, or nil if none of its runs was ever started.
+// Time returns occurrence k, or nil if none of its runs was ever started.
 func (j *Job) Time(k uint32) *Time { return j.Times[k] }
 
-// Task returns the state of a task. It returns nil if no run of its repetition was ever started, or if there is no such task.
+// Task returns the state of a task. It returns nil if no run of its occurrence was ever started, or if there is no such task.
 func (j *Job) Task(name TaskName) *Task {
-	repetition := j.Times[name.Time]
-	if repetition == nil || int(name.Step) >= len(repetition.Steps) || int(name.Index) >= len(repetition.Steps[name.Step].Tasks) {
+	occurrence := j.Times[name.Time]
+	if occurrence == nil || int(name.Step) >= len(occurrence.Steps) || int(name.Index) >= len(occurrence.Steps[name.Step].Tasks) {
 		return nil
 	}
-	return &repetition.Steps[name.Step].Tasks[name.Index]
+	return &occurrence.Steps[name.Step].Tasks[name.Index]
 }
 
-// StepDone reports whether all tasks of a step are done in repetition k.
+// StepDone reports whether all tasks of a step are done in occurrence k.
 func (j *Job) StepDone(k, step uint32) bool {
 	if j.Spec.Stages[step].Count == 0 {
 		return true
 	}
-	repetition := j.Times[k]
-	return repetition != nil && repetition.Steps[step].Open == 0
+	occurrence := j.Times[k]
+	return occurrence != nil && occurrence.Steps[step].Open == 0
 }
 
-// StepReady reports whether all steps that a step depends on are done in repetition k.
+// StepReady reports whether all steps that a step depends on are done in occurrence k.
 func (j *Job) StepReady(k, step uint32) bool {
 	for _, earlier := range j.Spec.Stages[step].DependsOn {
 		if !j.StepDone(k, uint32(earlier)) {
@@ -107,12 +107,12 @@
 	return true
 }
 
-// TimeCount returns the number of repetitions of the job, 1 if it has no schedule.
+// TimeCount returns the number of occurrences of the job, 1 if it has no schedule.
 func (j *Job) TimeCount() uint32 {
 	return uint32(j.Spec.Times())
 }
 
-// DueMs returns the Unix time in milliseconds before which repetition k must not start, or 0 if the job has no schedule.
+// DueMs returns the Unix time in milliseconds before which occurrence k must not start, or 0 if the job has no schedule.
 func (j *Job) DueMs(k uint32) int64 {
 	if !j.Spec.Timed() {
 		return 0
@@ -120,18 +120,18 @@
 	return j.Spec.DueAt(k).Milliseconds()
 }
 
-// ensureRepetition returns repetition k and creates it if necessary.
-func (j *Job) ensureRepetition(k uint32) *Time {
-	if repetition := j.Times[k]; repetition != nil {
-		return repetition
+// ensureOccurrence returns occurrence k and creates it if necessary.
+func (j *Job) ensureOccurrence(k uint32) *Time {
+	if occurrence := j.Times[k]; occurrence != nil {
+		return occurrence
 	}
-	repetition := &Time{Steps: make([]Step, len(j.Spec.Stages)), open: len(j.Spec.Stages)}
-	for i := range repetition.Steps {
+	occurrence := &Time{Steps: make([]Step, len(j.Spec.Stages)), open: len(j.Spec.Stages)}
+	for i := range occurrence.Steps {
 		count := j.Spec.Stages[i].Count
-		repetition.Steps[i] = Step{Tasks: make([]Task, count), Open: count}
+		occurrence.Steps[i] = Step{Tasks: make([]Task, count), Open: count}
 	}
-	j.Times[k] = repetition
-	return repetition
+	j.Times[k] = occurrence
+	return occurrence
 }
 
 // finish moves the job into a final state. Only Machine.finishJob calls it.
--- a/internal/system/state/machine.go
+++ b/internal/system/state/machine.go
@@ -242,11 +242,11 @@
 
 func (j *Job) check() error {
 	placements := 0
-	for k, repetition := range j.Times {
-		for s := range repetition.Steps {
+	for k, occurrence := range j.Times {
+		for s := range occurrence.Steps {
 			open := 0
-			for i := range repetition.Steps[s].Tasks {
-				task := &repetition.Steps[s].Tasks[i]
+			for i := range occurrence.Steps[s].Tasks {
+				task := &occurrence.Steps[s].Tasks[i]
 				placements += len(task.Placements)
 				if !task.Done {
 					open++
@@ -255,8 +255,8 @@
 					return fmt.Errorf("task %d.%d.%d is not speculative and has %d runs", k, s, i, len(task.Placements))
 				}
 			}
-			if open != repetition.Steps[s].Open {
-				return fmt.Errorf("step %d.%d has %d open tasks, counted %d", k, s, open, repetition.Steps[s].Open)
+			if open != occurrence.Steps[s].Open {
+				return fmt.Errorf("step %d.%d has %d open tasks, counted %d", k, s, open, occurrence.Steps[s].Open)
 			}
 		}
 	}
--- a/internal/system/state/quotas.go
+++ b/internal/system/state/quotas.go
@@ -89,9 +89,9 @@
 
 // chargeRuns charges all runs of a job that may exist to its tenant's account.
 func (m *Machine) chargeRuns(job *Job) {
-	for _, repetition := range job.Times {
-		for step := range repetition.Steps {
-			m.quotas.Charge(job.Tenant, repetition.Steps[step].placements()*job.accelerators(uint32(step)))
+	for _, occurrence := range job.Times {
+		for step := range occurrence.Steps {
+			m.quotas.Charge(job.Tenant, occurrence.Steps[step].placements()*job.accelerators(uint32(step)))
 		}
 	}
 }
@@ -108,9 +108,9 @@
 func (m *Machine) recountAccelerators() map[string]int64 {
 	used := make(map[string]int64)
 	for _, job := range m.jobs {
-		for _, repetition := range job.Times {
-			for step := range repetition.Steps {
-				used[job.Tenant] += repetition.Steps[step].placements() * job.accelerators(uint32(step))
+		for _, occurrence := range job.Times {
+			for step := range occurrence.Steps {
+				used[job.Tenant] += occurrence.Steps[step].placements() * job.accelerators(uint32(step))
 			}
 		}
 	}
--- a/internal/system/state/snapshot.go
+++ b/internal/system/state/snapshot.go
@@ -149,9 +149,9 @@
 	}
 	for range times {
 		if job.Spec == nil {
-			return fmt.Errorf("snapshot: job %s has repetitions but no body: %w", job.ID, ErrCorrupt)
+			return fmt.Errorf("snapshot: job %s has occurrences but no body: %w", job.ID, ErrCorrupt)
 		}
-		m.readRepetition(r, job, uint32(r.uint()))
+		m.readOccurrence(r, job, uint32(r.uint()))
 	}
 	if format == tenantSnapshotFormat {
 		job.Tenant = r.string()
@@ -164,10 +164,10 @@
 	return nil
 }
 
-func (m *Machine) readRepetition(r *reader, job *Job, k uint32) {
-	repetition := job.ensureRepetition(k)
-	for s := range repetition.Steps {
-		step := &repetition.Steps[s]
+func (m *Machine) readOccurrence(r *reader, job *Job, k uint32) {
+	occurrence := job.ensureOccurrence(k)
+	for s := range occurrence.Steps {
+		step := &occurrence.Steps[s]
 		step.GangFailures, step.GangFailed = uint32(r.uint()), uint32(r.uint())
 		for i := range step.Tasks {
 			task := &step.Tasks[i]
--- a/internal/system/state/starts.go
+++ b/internal/system/state/starts.go
@@ -38,7 +38,7 @@
 // placeRun records a run that may exist from now on.
 func (m *Machine) placeRun(start *Start, result *Result) {
 	job := m.jobs[start.Task.Job]
-	job.ensureRepetition(start.Task.Time)
+	job.ensureOccurrence(start.Task.Time)
 	task := job.Task(start.Task)
 	task.Attempt = start.Attempt
 	task.Checkpoint = start.Checkpoint
