--- a/internal/system/findings/quantity/quantity_test.go
+++ b/internal/system/findings/quantity/quantity_test.go
@@ -20,14 +20,14 @@
 }
 
 func TestWhole(t *testing.T) {
-	for _, figure := range []float64{0, 1, -3, 100_000, MostWhole} {
-		number, ok := Whole(figure)
+	for _, value := range []float64{0, 1, -3, 100_000, MostWhole} {
+		number, ok := Whole(value)
 		assert.True(t, ok)
-		assert.Equal(t, int64(figure), number)
+		assert.Equal(t, int64(value), number)
 	}
-	for _, figure := range []float64{0.5, -1.25, 2 * MostWhole, math.Inf(1), math.NaN()} {
-		_, ok := Whole(figure)
-		assert.False(t, ok, "%v", figure)
+	for _, value := range []float64{0.5, -1.25, 2 * MostWhole, math.Inf(1), math.NaN()} {
+		_, ok := Whole(value)
+		assert.False(t, ok, "%v", value)
 	}
 }
 
@@ -40,8 +40,8 @@
 
 func TestMoreIsNeverShorter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		figures := rapid.SliceOfN(rapid.Float64(), 2, 2).Draw(t, "figures")
-		less, more := min(figures[0], figures[1]), max(figures[0], figures[1])
+		numbers := rapid.SliceOfN(rapid.Float64(), 2, 2).Draw(t, "numbers")
+		less, more := min(numbers[0], numbers[1]), max(numbers[0], numbers[1])
 		assert.LessOrEqual(t, Milliseconds(less), Milliseconds(more))
 		assert.LessOrEqual(t, Seconds(less), Seconds(more))
 	})
--- a/internal/system/quota/bench_test.go
+++ b/internal/system/quota/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkDesk asks for room, proposes, charges and settles one start, and ends it, for one of 160 tenants.
-func BenchmarkDesk(b *testing.B) {
+// BenchmarkProposalTracker checks, proposes, charges, settles and releases one start for one of 160 tenants.
+func BenchmarkProposalTracker(b *testing.B) {
 	plan := Plan{Promised: map[string]int64{}, Pool: 2600, Pooled: true}
 	names := make([]string, 160)
 	for index := range names {
@@ -15,18 +15,18 @@
 	}
 	ledger := NewLedger()
 	ledger.Configure(plan)
-	desk := NewDesk(ledger)
+	tracker := NewDesk(ledger)
 	b.ReportAllocs()
 	index := 0
 	for b.Loop() {
 		tenant := names[index%len(names)]
 		index++
-		if !desk.Fits(tenant, 1) {
+		if !tracker.Fits(tenant, 1) {
 			b.Fatal("1 accelerator does not fit")
 		}
-		desk.Propose(tenant, 1)
+		tracker.Propose(tenant, 1)
 		ledger.Charge(tenant, 1)
-		desk.Settle(tenant, 1, true)
+		tracker.Settle(tenant, 1, true)
 		ledger.Release(tenant, 1)
 	}
 }
--- a/internal/system/state/admitters_test.go
+++ b/internal/system/state/admitters_test.go
@@ -24,7 +24,7 @@
 type simReplica struct {
 	machine          *state.Machine
 	applied          int // number of chain entries that it has applied
-	desk             *quota.Desk
+	tracker          *quota.Desk
 	inFlight         map[state.TaskName]int64  // needs of its own proposals; the chain may have ended their jobs meanwhile
 	reservedOnWorker map[string]int64          // accelerators of its own proposals, by worker
 	blocked          map[state.TaskName]string // tasks held back by their tenant's share until that may have changed
@@ -55,18 +55,18 @@
 var tenantNames = []string{"", "teff", "rye", "oat", "none"}
 
 func newAdmissionSim(t *testing.T, seed uint64) *admissionSim {
-	w := &admissionSim{t: t, random: rand.New(rand.NewPCG(seed, 1)), machine: state.New(), capacity: map[string]int64{}}
+	s := &admissionSim{t: t, random: rand.New(rand.NewPCG(seed, 1)), machine: state.New(), capacity: map[string]int64{}}
 	for index := range workerCount {
-		w.capacity[fmt.Sprint("w", index)] = workerCapacity
+		s.capacity[fmt.Sprint("w", index)] = workerCapacity
 	}
 	for range replicaCount {
-		w.replicas = append(w.replicas, newSimReplica(state.New(), 0))
+		s.replicas = append(s.replicas, newSimReplica(state.New(), 0))
 	}
-	return w
+	return s
 }
 
-func newSimReplica(machine *state.Machine, seen int) *simReplica {
-	return &simReplica{machine: machine, applied: seen, desk: quota.NewDesk(machine.Quotas()), inFlight: map[state.TaskName]int64{},
+func newSimReplica(machine *state.Machine, applied int) *simReplica {
+	return &simReplica{machine: machine, applied: applied, tracker: quota.NewDesk(machine.Quotas()), inFlight: map[state.TaskName]int64{},
 		reservedOnWorker: map[string]int64{}, blocked: map[state.TaskName]string{}}
 }
 
@@ -118,34 +118,34 @@
 }
 
 // commit appends a command to the chain, applies it, and checks its effect.
-func (w *admissionSim) commit(sent proposal) state.Result {
-	w.chain = append(w.chain, sent)
-	result := w.machine.ApplyBytes(sent.command.Encode())
-	require.NoError(w.t, w.machine.Check())
-	if sent.command.Kind == state.KindTasksStarting {
-		w.checkStarts(sent.command.TasksStarting, result.Started)
-		w.rejectOverCapacity(result.Started)
+func (s *admissionSim) commit(next proposal) state.Result {
+	s.chain = append(s.chain, next)
+	result := s.machine.ApplyBytes(next.command.Encode())
+	require.NoError(s.t, s.machine.Check())
+	if next.command.Kind == state.KindTasksStarting {
+		s.checkStarts(next.command.TasksStarting, result.Started)
+		s.rejectOverCapacity(result.Started)
 	}
 	return result
 }
 
 // checkStarts checks that no share is exceeded and that no start was rejected while its share had room.
-func (w *admissionSim) checkStarts(starts, held []state.Start) {
-	used := usedByTenant(w.machine)
-	w.started += len(held)
-	for i := range held {
-		job := w.machine.Job(held[i].Task.Job)
-		if job.Spec.Stages[held[i].Task.Step].GPUs > 0 {
-			require.GreaterOrEqual(w.t, available(w.plan, used, job.Tenant), int64(0), "tenant %q of %v", job.Tenant, w.plan)
+func (s *admissionSim) checkStarts(starts, started []state.Start) {
+	used := usedByTenant(s.machine)
+	s.started += len(started)
+	for i := range started {
+		job := s.machine.Job(started[i].Task.Job)
+		if job.Spec.Stages[started[i].Task.Step].GPUs > 0 {
+			require.GreaterOrEqual(s.t, available(s.plan, used, job.Tenant), int64(0), "tenant %q of %v", job.Tenant, s.plan)
 		}
 	}
 	for i := range starts {
-		if slices.Contains(held, starts[i]) || !w.machine.MayStart(&starts[i]) {
+		if slices.Contains(started, starts[i]) || !s.machine.MayStart(&starts[i]) {
 			continue
 		}
-		w.rejected++
-		job := w.machine.Job(starts[i].Task.Job)
-		require.Greater(w.t, needOf(job, starts[i].Task), available(w.plan, used, job.Tenant), "tenant %q of %v", job.Tenant, w.plan)
+		s.rejected++
+		job := s.machine.Job(starts[i].Task.Job)
+		require.Greater(s.t, needOf(job, starts[i].Task), available(s.plan, used, job.Tenant), "tenant %q of %v", job.Tenant, s.plan)
 	}
 }
 
@@ -159,99 +159,99 @@
 }
 
 // rejectOverCapacity proposes to void the starts for which their worker has no capacity.
-func (w *admissionSim) rejectOverCapacity(held []state.Start) {
-	for i := range held {
-		if w.usedOn(w.machine, held[i].Worker) > w.capacity[held[i].Worker] {
-			w.proposals = append(w.proposals, proposal{command: state.Command{Kind: state.KindStartsVoided, StartsVoided: []state.Run{held[i].Run}}})
+func (s *admissionSim) rejectOverCapacity(started []state.Start) {
+	for i := range started {
+		if s.usedOn(s.machine, started[i].Worker) > s.capacity[started[i].Worker] {
+			s.proposals = append(s.proposals, proposal{command: state.Command{Kind: state.KindStartsVoided, StartsVoided: []state.Run{started[i].Run}}})
 		}
 	}
 }
 
-func (w *admissionSim) usedOn(m *state.Machine, worker string) int64 {
-	taken := int64(0)
+func (s *admissionSim) usedOn(m *state.Machine, worker string) int64 {
+	used := int64(0)
 	if record := m.Worker(worker); record != nil {
 		for run := range record.Runs {
-			taken += m.Job(run.Task.Job).Spec.Stages[run.Task.Step].GPUs
+			used += m.Job(run.Task.Job).Spec.Stages[run.Task.Step].GPUs
 		}
 	}
-	return taken
+	return used
 }
 
 // deliver commits one random proposal. Proposals of one sender stay in order.
-func (w *admissionSim) deliver() {
-	if len(w.proposals) == 0 {
+func (s *admissionSim) deliver() {
+	if len(s.proposals) == 0 {
 		return
 	}
-	from := w.proposals[w.random.IntN(len(w.proposals))].from
-	at := slices.IndexFunc(w.proposals, func(p proposal) bool { return p.from == from })
-	next := w.proposals[at]
-	w.proposals = slices.Delete(w.proposals, at, at+1)
-	w.commit(next)
+	from := s.proposals[s.random.IntN(len(s.proposals))].from
+	at := slices.IndexFunc(s.proposals, func(p proposal) bool { return p.from == from })
+	next := s.proposals[at]
+	s.proposals = slices.Delete(s.proposals, at, at+1)
+	s.commit(next)
 }
 
 // applyEntries has a replica apply the given number of further entries.
-func (w *admissionSim) applyEntries(a *simReplica, entries int) {
-	for range min(entries, len(w.chain)-a.applied) {
-		entry := w.chain[a.applied]
-		a.applied++
-		result := a.machine.ApplyBytes(entry.command.Encode())
-		if entry.from == a {
-			a.settle(entry.command.TasksStarting, result.Started)
+func (s *admissionSim) applyEntries(r *simReplica, entries int) {
+	for range min(entries, len(s.chain)-r.applied) {
+		entry := s.chain[r.applied]
+		r.applied++
+		result := r.machine.ApplyBytes(entry.command.Encode())
+		if entry.from == r {
+			r.settle(entry.command.TasksStarting, result.Started)
 		}
 	}
 }
 
-func (a *simReplica) settle(starts, held []state.Start) {
+func (r *simReplica) settle(starts, started []state.Start) {
 	for i := range starts {
 		name := starts[i].Task
-		job := a.machine.Job(name.Job)
-		need := a.inFlight[name]
-		delete(a.inFlight, name)
-		a.desk.Settle(job.Tenant, need, slices.Contains(held, starts[i]))
-		a.reservedOnWorker[starts[i].Worker] -= need
+		job := r.machine.Job(name.Job)
+		need := r.inFlight[name]
+		delete(r.inFlight, name)
+		r.tracker.Settle(job.Tenant, need, slices.Contains(started, starts[i]))
+		r.reservedOnWorker[starts[i].Worker] -= need
 	}
 }
 
 // admit proposes the starts that a replica considers valid. A task that its share held back is retried only after Moved returned true.
-func (w *admissionSim) admit(a *simReplica) bool {
-	if a.desk.Moved() {
-		clear(a.blocked)
+func (s *admissionSim) admit(r *simReplica) bool {
+	if r.tracker.Moved() {
+		clear(r.blocked)
 	}
 	var starts []state.Start
-	eachTask(a.machine, func(job *state.Job, name state.TaskName, task *state.Task) {
+	eachTask(r.machine, func(job *state.Job, name state.TaskName, task *state.Task) {
 		if stage := &job.Spec.Stages[name.Step]; stage.Gang && name.Index > 0 {
 			return
 		}
-		starts = append(starts, w.admitTask(a, job, name)...)
+		starts = append(starts, s.admitTask(r, job, name)...)
 	})
 	if len(starts) == 0 {
 		return false
 	}
-	w.proposals = append(w.proposals, proposal{from: a, command: state.Command{Kind: state.KindTasksStarting, TasksStarting: starts}})
+	s.proposals = append(s.proposals, proposal{from: r, command: state.Command{Kind: state.KindTasksStarting, TasksStarting: starts}})
 	return true
 }
 
 // admitTask returns the starts of a task or of its whole gang, or nil if it may not start or must wait.
-func (w *admissionSim) admitTask(a *simReplica, job *state.Job, name state.TaskName) []state.Start {
+func (s *admissionSim) admitTask(r *simReplica, job *state.Job, name state.TaskName) []state.Start {
 	names := []state.TaskName{name}
 	if stage := &job.Spec.Stages[name.Step]; stage.Gang {
 		for index := 1; index < stage.Count; index++ {
 			names = append(names, state.TaskName{Job: name.Job, Time: name.Time, Step: name.Step, Index: uint32(index)})
 		}
 	}
-	starts := a.nextStarts(job, names)
+	starts := r.nextStarts(job, names)
 	if starts == nil {
 		return nil
 	}
-	if need := needOf(job, name); !a.desk.Fits(job.Tenant, need) {
-		a.blocked[name] = job.Tenant
+	if need := needOf(job, name); !r.tracker.Fits(job.Tenant, need) {
+		r.blocked[name] = job.Tenant
 		return nil
 	}
-	return w.propose(a, job, starts)
+	return s.propose(r, job, starts)
 }
 
 // nextStarts returns the next start of each task, or nil if one of them may not start now.
-func (a *simReplica) nextStarts(job *state.Job, names []state.TaskName) []state.Start {
+func (r *simReplica) nextStarts(job *state.Job, names []state.TaskName) []state.Start {
 	attempt := uint32(0)
 	for _, name := range names {
 		task := job.Task(name)
@@ -266,9 +266,9 @@
 	starts := make([]state.Start, len(names))
 	for i, name := range names {
 		starts[i] = state.Start{Run: state.Run{Task: name, Attempt: attempt + 1}}
-		_, kept := a.blocked[name]
-		_, flies := a.inFlight[name]
-		if kept || flies || !a.machine.MayStart(&starts[i]) {
+		_, blocked := r.blocked[name]
+		_, inFlight := r.inFlight[name]
+		if blocked || inFlight || !r.machine.MayStart(&starts[i]) {
 			return nil
 		}
 	}
@@ -276,14 +276,14 @@
 }
 
 // propose assigns the starts to workers and reserves capacity, or returns nil if there isn't enough.
-func (w *admissionSim) propose(a *simReplica, job *state.Job, starts []state.Start) []state.Start {
+func (s *admissionSim) propose(r *simReplica, job *state.Job, starts []state.Start) []state.Start {
 	need := job.Spec.Stages[starts[0].Task.Step].GPUs
-	taken := map[string]int64{}
+	reserved := map[string]int64{}
 	for i := range starts {
-		for _, worker := range slices.Sorted(maps.Keys(w.capacity)) {
-			if w.usedOn(a.machine, worker)+a.reservedOnWorker[worker]+taken[worker]+need <= w.capacity[worker] {
+		for _, worker := range slices.Sorted(maps.Keys(s.capacity)) {
+			if s.usedOn(r.machine, worker)+r.reservedOnWorker[worker]+reserved[worker]+need <= s.capacity[worker] {
 				starts[i].Worker = worker
-				taken[worker] += need
+				reserved[worker] += need
 				break
 			}
 		}
@@ -291,31 +291,31 @@
 			return nil
 		}
 	}
-	for worker, amount := range taken {
-		a.reservedOnWorker[worker] += amount
+	for worker, amount := range reserved {
+		r.reservedOnWorker[worker] += amount
 	}
 	for i := range starts {
-		a.inFlight[starts[i].Task] = need
-		a.desk.Propose(job.Tenant, need)
+		r.inFlight[starts[i].Task] = need
+		r.tracker.Propose(job.Tenant, need)
 	}
 	return starts
 }
 
 // replaceReplica replaces a replica by a new one. Part of the proposals of the old one may still be committed.
-func (w *admissionSim) replaceReplica(index int) {
-	gone := w.replicas[index]
-	kept := w.random.IntN(len(w.proposals) + 1)
-	var sent []proposal
-	for i, p := range w.proposals {
-		if p.from != gone {
-			sent = append(sent, p)
-		} else if i < kept {
-			sent = append(sent, proposal{command: p.command})
+func (s *admissionSim) replaceReplica(index int) {
+	old := s.replicas[index]
+	keptCount := s.random.IntN(len(s.proposals) + 1)
+	var remaining []proposal
+	for i, p := range s.proposals {
+		if p.from != old {
+			remaining = append(remaining, p)
+		} else if i < keptCount {
+			remaining = append(remaining, proposal{command: p.command})
 		}
 	}
-	w.proposals = sent
+	s.proposals = remaining
 	machine := state.New()
-	require.NoError(w.t, machine.Restore(gone.machine.Snapshot()))
-	require.Equal(w.t, gone.machine.Quotas().Accounts(), machine.Quotas().Accounts())
-	w.replicas[index] = newSimReplica(machine, gone.applied)
+	require.NoError(s.t, machine.Restore(old.machine.Snapshot()))
+	require.Equal(s.t, old.machine.Quotas().Accounts(), machine.Quotas().Accounts())
+	s.replicas[index] = newSimReplica(machine, old.applied)
 }
