--- a/internal/system/clusterconfig/parse.go
+++ b/internal/system/clusterconfig/parse.go
@@ -11,8 +11,8 @@
 	"gaugeslip/internal/system/findings/quantity"
 )
 
-// Parse reads and checks a whole configuration. The error holds findings.Findings, all of them. Members that it doesn't know
-// are skipped: who has to hand the configuration out again unchanged keeps the body.
+// Parse decodes and checks a complete configuration. Unknown members are skipped, so a caller that passes the configuration on must keep
+// the body. The error holds all findings as findings.Findings.
 func Parse(body []byte) (*Config, error) {
 	var wire wireConfig
 	found := jsonread.Object(body, &wire)
@@ -31,8 +31,7 @@
 	return config, nil
 }
 
-// CheckNext checks that next may follow current, which is nil when there is no configuration yet. The error holds
-// findings.Findings.
+// CheckNext checks that next may replace current; current is nil if there is no configuration yet. The error holds findings.Findings.
 func CheckNext(current, next *Config) error {
 	if current == nil || next.Version > current.Version {
 		return nil
@@ -42,7 +41,7 @@
 	return found
 }
 
-// reader turns what the operator wrote into the types that the programs use, and takes note of the figures that can't be.
+// reader converts the decoded JSON values to Go types and collects the findings.
 type reader struct {
 	found findings.Findings
 }
@@ -64,17 +63,17 @@
 	return config
 }
 
-func (r *reader) version(written []byte) int64 {
-	if len(written) == 0 || string(written) == "null" {
+func (r *reader) version(raw []byte) int64 {
+	if len(raw) == 0 || string(raw) == "null" {
 		r.found.Add("version", "is missing")
 		return 0
 	}
-	version, err := strconv.ParseInt(string(written), 10, 64)
+	version, err := strconv.ParseInt(string(raw), 10, 64)
 	if err != nil {
-		figure, notFigure := strconv.ParseFloat(string(written), 64)
-		whole, ok := quantity.Whole(figure)
-		if notFigure != nil || !ok {
-			r.found.Add("version", "%.40s is not a whole number", written)
+		value, parseErr := strconv.ParseFloat(string(raw), 64)
+		whole, ok := quantity.Whole(value)
+		if parseErr != nil || !ok {
+			r.found.Add("version", "%.40s is not a whole number", raw)
 			return 0
 		}
 		version = whole
@@ -94,10 +93,10 @@
 		Type:          wire.Type,
 		Timeout:       r.timeout(at, wire.TimeoutMs),
 		TargetLatency: r.milliseconds(at, "targetLatencyMs", wire.TargetLatencyMs),
-		Priority:      int(r.whole(at, "priority", wire.Priority)),
+		Priority:      int(r.wholeNumber(at, "priority", wire.Priority)),
 		Backend:       wire.Backend,
-		MaxRetries:    int(r.whole(at, "maxRetries", wire.MaxRetries)),
-		Extension:     r.figure(at, "extension", wire.Extension),
+		MaxRetries:    int(r.wholeNumber(at, "maxRetries", wire.MaxRetries)),
+		Extension:     r.nonNegative(at, "extension", wire.Extension),
 		Tenant:        wire.Tenant,
 	}
 }
@@ -107,7 +106,7 @@
 	return Service{
 		Name:           wire.Name,
 		HealthCheck:    wire.HealthCheck,
-		MaxConnections: int(r.whole(at, "maxConnections", wire.MaxConnections)),
+		MaxConnections: int(r.wholeNumber(at, "maxConnections", wire.MaxConnections)),
 		Protocol:       wire.Protocol,
 		TLS:            wire.TLS,
 		Preconditions:  wire.Preconditions,
@@ -117,8 +116,8 @@
 func (r *reader) limits(wire *wireLimits) Limits {
 	at := item{list: "limits", index: noIndex}
 	limits := Limits{
-		MaxHeaderBytes: r.whole(at, "maxHeaderBytes", wire.MaxHeaderBytes),
-		MaxBodyBytes:   r.whole(at, "maxBodyBytes", wire.MaxBodyBytes),
+		MaxHeaderBytes: r.wholeNumber(at, "maxHeaderBytes", wire.MaxHeaderBytes),
+		MaxBodyBytes:   r.wholeNumber(at, "maxBodyBytes", wire.MaxBodyBytes),
 		HeaderTimeout:  r.milliseconds(at, "headerTimeoutMs", wire.HeaderTimeoutMs),
 		IdleTimeout:    r.milliseconds(at, "idleTimeoutMs", wire.IdleTimeoutMs),
 	}
@@ -129,41 +128,41 @@
 	return limits
 }
 
-func (r *reader) timeout(at item, figure float64) time.Duration {
-	if figure <= 0 {
-		r.found.Add(at.place("timeoutMs"), "%v is not above 0", figure)
+func (r *reader) timeout(at item, value float64) time.Duration {
+	if value <= 0 {
+		r.found.Add(at.place("timeoutMs"), "%v is not above 0", value)
 		return 0
 	}
-	return max(1, quantity.Milliseconds(figure))
+	return max(1, quantity.Milliseconds(value))
 }
 
-func (r *reader) milliseconds(at item, field string, figure float64) time.Duration {
-	return quantity.Milliseconds(r.figure(at, field, figure))
+func (r *reader) milliseconds(at item, field string, value float64) time.Duration {
+	return quantity.Milliseconds(r.nonNegative(at, field, value))
 }
 
-func (r *reader) whole(at item, field string, figure float64) int64 {
-	whole, ok := quantity.Whole(math.Max(0, r.figure(at, field, figure)))
+func (r *reader) wholeNumber(at item, field string, value float64) int64 {
+	whole, ok := quantity.Whole(math.Max(0, r.nonNegative(at, field, value)))
 	if !ok {
-		r.found.Add(at.place(field), "%v is not a whole number", figure)
+		r.found.Add(at.place(field), "%v is not a whole number", value)
 	}
 	return whole
 }
 
-func (r *reader) figure(at item, field string, figure float64) float64 {
-	if figure < 0 {
-		r.found.Add(at.place(field), "%v is negative", figure)
+func (r *reader) nonNegative(at item, field string, value float64) float64 {
+	if value < 0 {
+		r.found.Add(at.place(field), "%v is negative", value)
 	}
-	return figure
+	return value
 }
 
-func orDefault[T int64 | time.Duration](value, otherwise T) T {
+func orDefault[T int64 | time.Duration](value, defaultValue T) T {
 	if value == 0 {
-		return otherwise
+		return defaultValue
 	}
 	return value
 }
 
-// item is an item of a list of the document, or a single object when it has no index.
+// item identifies an item of a list of the document, or a single object if index is noIndex.
 type item struct {
 	list  string
 	index int
--- a/internal/system/clusterconfig/parse_test.go
+++ b/internal/system/clusterconfig/parse_test.go
@@ -16,7 +16,7 @@
 	"gaugeslip/internal/system/findings"
 )
 
-const good = `{
+const validConfig = `{
 	"version": 12,
 	"routes": [
 		{"name":"q1","host":"Jobs.Example:80","pathPrefix":"/alpha/","type":"idempotent","timeoutMs":2500,"targetLatencyMs":750,"priority":1,"backend":"render","maxRetries":3,"extension":2.5},
@@ -31,7 +31,7 @@
 }`
 
 func TestAWholeConfigurationIsRead(t *testing.T) {
-	config, err := Parse([]byte(good))
+	config, err := Parse([]byte(validConfig))
 	require.NoError(t, err)
 	assert.Equal(t, &Config{
 		Version: 12,
@@ -56,18 +56,18 @@
 	}, config)
 }
 
-func TestWhatIsNotCalledInvalidIsTaken(t *testing.T) {
+func TestUnusualValidConfigurationsAreAccepted(t *testing.T) {
 	route := `{"host":"h","pathPrefix":"/a","timeoutMs":1,"backend":"s"}`
 	for name, body := range map[string]string{
-		"nothing but a version":       `{"version":1}`,
-		"empty lists":                 `{"version":1,"routes":[],"services":[],"limits":{}}`,
-		"nulls":                       `{"version":1,"routes":null,"services":null,"limits":null}`,
-		"unused service":              `{"version":1,"services":[{"name":"s"}]}`,
-		"routes without names":        `{"version":1,"services":[{"name":"s"}],"routes":[` + route + `,{"host":"h","pathPrefix":"/b","timeoutMs":1,"backend":"s"}]}`,
-		"same prefix, other host":     `{"version":1,"services":[{"name":"s"}],"routes":[` + route + `,{"host":"i","pathPrefix":"/a","timeoutMs":1,"backend":"s"}]}`,
-		"figures with fractions":      `{"version":1.0,"services":[{"name":"s","maxConnections":64.0}],"routes":[{"host":"h","pathPrefix":"/a","timeoutMs":1e3,"priority":2.0,"maxRetries":3.0,"backend":"s"}]}`,
-		"a version beyond a fraction": `{"version":9007199254740993}`,
-		"the prefix of everything":    `{"version":1,"services":[{"name":"s"}],"routes":[{"host":"h","pathPrefix":"/","timeoutMs":1,"backend":"s"}]}`,
+		"nothing but a version":            `{"version":1}`,
+		"empty lists":                      `{"version":1,"routes":[],"services":[],"limits":{}}`,
+		"nulls":                            `{"version":1,"routes":null,"services":null,"limits":null}`,
+		"unused service":                   `{"version":1,"services":[{"name":"s"}]}`,
+		"routes without names":             `{"version":1,"services":[{"name":"s"}],"routes":[` + route + `,{"host":"h","pathPrefix":"/b","timeoutMs":1,"backend":"s"}]}`,
+		"same prefix, other host":          `{"version":1,"services":[{"name":"s"}],"routes":[` + route + `,{"host":"i","pathPrefix":"/a","timeoutMs":1,"backend":"s"}]}`,
+		"numbers with a zero fraction":     `{"version":1.0,"services":[{"name":"s","maxConnections":64.0}],"routes":[{"host":"h","pathPrefix":"/a","timeoutMs":1e3,"priority":2.0,"maxRetries":3.0,"backend":"s"}]}`,
+		"version beyond float64 precision": `{"version":9007199254740993}`,
+		"root prefix":                      `{"version":1,"services":[{"name":"s"}],"routes":[{"host":"h","pathPrefix":"/","timeoutMs":1,"backend":"s"}]}`,
 	} {
 		_, err := Parse([]byte(body))
 		assert.NoError(t, err, name)
@@ -102,8 +102,8 @@
 		"null version":          {`{"version":null}`, "version: is missing"},
 		"version 0":             {`{"version":0}`, "version: 0 is not above 0"},
 		"negative version":      {`{"version":-4}`, "version: -4 is not above 0"},
-		"broken version":        {`{"version":4.5}`, "version: 4.5 is not a whole number"},
-		"version in a text":     {`{"version":"4"}`, `version: "4" is not a whole number`},
+		"fractional version":    {`{"version":4.5}`, "version: 4.5 is not a whole number"},
+		"version as a string":   {`{"version":"4"}`, `version: "4" is not a whole number`},
 		"version too large":     {`{"version":1e30}`, "version: 1e30 is not a whole number"},
 		"unknown service":       {route(`"backend":"x"`), `routes[0].backend: unknown service "x"`},
 		"no service":            {`{"version":1,"routes":[{"host":"h","pathPrefix":"/","timeoutMs":1}]}`, `routes[0].backend: unknown service ""`},
@@ -115,9 +115,9 @@
 		"no timeout":            {`{"version":1,` + service + `,"routes":[{"host":"h","pathPrefix":"/","backend":"s"}]}`, "routes[0].timeoutMs: 0 is not above 0"},
 		"negative latency":      {route(`"targetLatencyMs":-1`), "routes[0].targetLatencyMs: -1 is negative"},
 		"negative priority":     {route(`"priority":-1`), "routes[0].priority: -1 is negative"},
-		"broken priority":       {route(`"priority":1.5`), "routes[0].priority: 1.5 is not a whole number"},
+		"fractional priority":   {route(`"priority":1.5`), "routes[0].priority: 1.5 is not a whole number"},
 		"negative retries":      {route(`"maxRetries":-1`), "routes[0].maxRetries: -1 is negative"},
-		"broken retries":        {route(`"maxRetries":0.5`), "routes[0].maxRetries: 0.5 is not a whole number"},
+		"fractional retries":    {route(`"maxRetries":0.5`), "routes[0].maxRetries: 0.5 is not a whole number"},
 		"negative extension":    {route(`"extension":-2.2`), "routes[0].extension: -2.2 is negative"},
 		"no host":               {route(`"host":""`), "routes[0].host: is empty"},
 		"no prefix":             {route(`"pathPrefix":""`), `routes[0].pathPrefix: "" doesn't begin with a slash`},
@@ -139,13 +139,13 @@
 	}
 }
 
-func TestWhatCannotBeReadInFullIsRefused(t *testing.T) {
+func TestUnreadableConfigurationsAreRejected(t *testing.T) {
 	for _, body := range []string{
 		"", "null", "[]", "7", `"x"`, "{", `{"version":1`, `{"version":1}}`, `{"version":1} x`, `{"version":1,}`, `{"version":01}`,
 		`{"version":1,"routes":{}}`, `{"version":1,"routes":[7]}`, `{"version":1,"routes":[{"host":7}]}`,
 		`{"version":1,"routes":[{"timeoutMs":"5"}]}`, `{"version":1,"services":"s"}`, `{"version":1,"limits":[]}`,
 		`{"version":1,"routes":[{"timeoutMs":1e999}]}`, `{"version":1,"x":[}`, `{"version":1,"x":nil}`, `{"version":{}}`,
-		good[:len(good)/2], good[:len(good)-1], good + good,
+		validConfig[:len(validConfig)/2], validConfig[:len(validConfig)-1], validConfig + validConfig,
 	} {
 		config, err := Parse([]byte(body))
 		assert.Nil(t, config, "%q", body)
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestAllFindingsComeTogether(t *testing.T) {
+func TestAllFindingsAreReported(t *testing.T) {
 	_, err := Parse([]byte(`{"routes":[{"host":"","pathPrefix":"x","timeoutMs":0,"backend":"s"}]}`))
 	var found findings.Findings
 	require.True(t, errors.As(err, &found))
@@ -173,7 +173,7 @@
 }
 
 func TestAServiceIsFoundByName(t *testing.T) {
-	config, err := Parse([]byte(good))
+	config, err := Parse([]byte(validConfig))
 	require.NoError(t, err)
 	service, ok := config.Service("build")
 	require.True(t, ok)
@@ -194,7 +194,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	const pieces = `{}[]",:0-.eE+tfn\` + "\x00\xff "
 	for range rounds {
-		body := []byte(good)
+		body := []byte(validConfig)
 		for damage := 1 + random.IntN(4); damage > 0 && len(body) > 0; damage-- {
 			at := random.IntN(len(body))
 			switch random.IntN(3) {
@@ -210,7 +210,7 @@
 	}
 }
 
-// checkParse checks what holds for every body: one outcome, findings with text, and only what is JSON is taken.
+// checkParse checks what must hold for any body: Parse returns either a configuration or findings with text, and accepts only valid JSON.
 func checkParse(t require.TestingT, body []byte) {
 	config, err := Parse(body)
 	if err == nil {
--- a/internal/system/findings/quantity/quantity.go
+++ b/internal/system/findings/quantity/quantity.go
@@ -1,5 +1,5 @@
-// Package quantity turns figures as documents write them (with or without a fraction, in milliseconds or seconds) into the
-// types that the programs count with. Nothing here overflows: what is too large becomes the largest.
+// Package quantity converts the numbers of documents (with or without a fraction, in milliseconds or seconds) to Go types. The conversions
+// never overflow: they clamp values that are too large.
 package quantity
 
 import (
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// MostWhole is the largest whole number up to which every whole number has a float64 of its own.
+// MostWhole is the largest number up to which float64 represents every integer exactly.
 const MostWhole = 1 << 53
 
-// Milliseconds is the duration of so many milliseconds.
-func Milliseconds(figure float64) time.Duration {
-	return duration(figure, time.Millisecond)
+// Milliseconds converts a number of milliseconds to a duration.
+func Milliseconds(value float64) time.Duration {
+	return duration(value, time.Millisecond)
 }
 
-// Seconds is the duration of so many seconds.
-func Seconds(figure float64) time.Duration {
-	return duration(figure, time.Second)
+// Seconds converts a number of seconds to a duration.
+func Seconds(value float64) time.Duration {
+	return duration(value, time.Second)
 }
 
-// Whole is the whole number that the figure is; ok is false when it has a fraction or is too large to be told from its
-// neighbours.
-func Whole(figure float64) (number int64, ok bool) {
-	if figure != math.Trunc(figure) || math.Abs(figure) > MostWhole {
+// Whole converts a number to an integer. ok is false if the number has a fraction, or if it is so large that float64 can't tell it from
+// its neighbours.
+func Whole(value float64) (number int64, ok bool) {
+	if value != math.Trunc(value) || math.Abs(value) > MostWhole {
 		return 0, false
 	}
-	return int64(figure), true
+	return int64(value), true
 }
 
-// AtLeast is the smallest whole number that isn't below the figure, and most at the most.
-func AtLeast(figure float64, most int64) int64 {
-	if figure >= float64(most) {
-		return most
+// AtLeast rounds up to the next integer, and clamps the result to limit.
+func AtLeast(value float64, limit int64) int64 {
+	if value >= float64(limit) {
+		return limit
 	}
-	return int64(math.Ceil(figure))
+	return int64(math.Ceil(value))
 }
 
-// duration multiplies the whole part apart from the fraction: as one float64, a time since 1970 would lose its last digits.
-func duration(figure float64, unit time.Duration) time.Duration {
-	whole, fraction := math.Modf(figure)
+// duration converts the whole part and the fraction separately. As one float64, a Unix time would lose its last digits.
+func duration(value float64, unit time.Duration) time.Duration {
+	whole, fraction := math.Modf(value)
 	if most := float64(math.MaxInt64 / unit); whole >= most {
 		return math.MaxInt64
 	} else if whole <= -most {
--- a/internal/system/jobspec/parse.go
+++ b/internal/system/jobspec/parse.go
@@ -9,10 +9,10 @@
 	"gaugeslip/internal/system/findings/quantity"
 )
 
-// mostTime is the latest time since 1970 that a time of a job may fall due at.
-const mostTime = 250 * 365 * 24 * time.Hour
+// maxDueTime is the latest due time of a job's last occurrence, as the time since 1970.
+const maxDueTime = 250 * 365 * 24 * time.Hour
 
-// Parse reads and checks a job. The error holds findings.Findings, all of them. Members that it doesn't know are skipped.
+// Parse decodes and checks a job. Unknown members are skipped. The error holds all findings as findings.Findings.
 func Parse(body []byte) (*Spec, error) {
 	var wire wireSpec
 	if found := jsonread.Object(body, &wire); len(found) > 0 {
@@ -26,7 +26,7 @@
 	return spec, nil
 }
 
-// reader turns what the client wrote into the types that the programs use, and takes note of all that can't be.
+// reader converts the decoded JSON values to Go types and collects the findings.
 type reader struct {
 	found findings.Findings
 }
@@ -36,24 +36,24 @@
 		r.found.Add("spec", "has %d bytes, more than %d", len(wire.Spec), MaxSpecBytes)
 	}
 	spec := &Spec{Text: wire.Spec}
-	r.times(spec, wire)
+	r.schedule(spec, wire)
 	r.stages(spec, wire)
 	return spec
 }
 
-func (r *reader) times(spec *Spec, wire *wireSpec) {
-	spec.Repetitions = r.whole(job, "repetitions", wire.Repetitions, MaxRepetitions)
-	spec.FirstRun = r.milliseconds(job, "firstRunMs", wire.FirstRunMs)
-	spec.Interval = r.milliseconds(job, "intervalMs", wire.IntervalMs)
+func (r *reader) schedule(spec *Spec, wire *wireSpec) {
+	spec.Repetitions = r.wholeNumber(noStage, "repetitions", wire.Repetitions, MaxRepetitions)
+	spec.FirstRun = r.milliseconds(noStage, "firstRunMs", wire.FirstRunMs)
+	spec.Interval = r.milliseconds(noStage, "intervalMs", wire.IntervalMs)
 	last := spec.FirstRun.Seconds() + float64(spec.Times()-1)*spec.Interval.Seconds()
-	if last > mostTime.Seconds() {
-		r.found.Add("firstRunMs", "the last time falls due too late")
+	if last > maxDueTime.Seconds() {
+		r.found.Add("firstRunMs", "the last repetition is due too late")
 	}
 }
 
 func (r *reader) stages(spec *Spec, wire *wireSpec) {
 	if len(wire.Stages) > MaxStages {
-		r.found.Add("stages", "are %d, more than %d", len(wire.Stages), MaxStages)
+		r.found.Add("stages", "has %d stages, more than %d", len(wire.Stages), MaxStages)
 		return
 	}
 	spec.Stages = make([]Stage, len(wire.Stages))
@@ -68,7 +68,7 @@
 }
 
 func (r *reader) stage(index int, stage *Stage, wire *wireStage) {
-	stage.Count = r.whole(index, "count", wire.Count, MaxTasks)
+	stage.Count = r.wholeNumber(index, "count", wire.Count, MaxTasks)
 	stage.CPU = r.amount(index, "cpu", wire.CPU)
 	stage.MemoryMb = r.amount(index, "memMb", wire.MemoryMb)
 	stage.GPUs = r.amount(index, "gpus", wire.GPUs)
@@ -84,15 +84,15 @@
 	stage.LongRunning = wire.LongRunning
 }
 
-func (r *reader) dependsOn(index int, written []float64) []int {
-	if len(written) == 0 {
+func (r *reader) dependsOn(index int, raw []float64) []int {
+	if len(raw) == 0 {
 		return nil
 	}
-	steps := make([]int, 0, len(written))
-	for _, figure := range written {
-		step, ok := quantity.Whole(figure)
+	steps := make([]int, 0, len(raw))
+	for _, value := range raw {
+		step, ok := quantity.Whole(value)
 		if !ok || step < 0 || step >= int64(index) {
-			r.found.Add(place(index, "dependsOn"), "%v is not the number of an earlier step", figure)
+			r.found.Add(place(index, "dependsOn"), "%v is not the number of an earlier step", value)
 			continue
 		}
 		steps = append(steps, int(step))
@@ -101,45 +101,45 @@
 	return slices.Compact(steps)
 }
 
-// whole reads a whole number of at most so much.
-func (r *reader) whole(index int, field string, figure float64, most int) int {
-	if figure < 0 {
-		r.found.Add(place(index, field), "%v is negative", figure)
+// wholeNumber converts a non-negative integer that must not exceed limit.
+func (r *reader) wholeNumber(index int, field string, value float64, limit int) int {
+	if value < 0 {
+		r.found.Add(place(index, field), "%v is negative", value)
 		return 0
 	}
-	if figure > float64(most) {
-		r.found.Add(place(index, field), "%.12g is more than %d", figure, most)
+	if value > float64(limit) {
+		r.found.Add(place(index, field), "%.12g is more than %d", value, limit)
 		return 0
 	}
-	whole, ok := quantity.Whole(figure)
+	whole, ok := quantity.Whole(value)
 	if !ok {
-		r.found.Add(place(index, field), "%v is not a whole number", figure)
+		r.found.Add(place(index, field), "%v is not a whole number", value)
 	}
 	return int(whole)
 }
 
-// amount reads a demand; a fraction counts as the next whole number, so that what is set aside always suffices.
-func (r *reader) amount(index int, field string, figure float64) int64 {
-	return quantity.AtLeast(r.figure(index, field, figure), MostAmount)
+// amount converts a resource demand. It rounds up to an integer, so that the reserved amount always suffices.
+func (r *reader) amount(index int, field string, value float64) int64 {
+	return quantity.AtLeast(r.nonNegative(index, field, value), MostAmount)
 }
 
-func (r *reader) milliseconds(index int, field string, figure float64) time.Duration {
-	return quantity.Milliseconds(r.figure(index, field, figure))
+func (r *reader) milliseconds(index int, field string, value float64) time.Duration {
+	return quantity.Milliseconds(r.nonNegative(index, field, value))
 }
 
-func (r *reader) figure(index int, field string, figure float64) float64 {
-	if figure < 0 {
-		r.found.Add(place(index, field), "%v is negative", figure)
+func (r *reader) nonNegative(index int, field string, value float64) float64 {
+	if value < 0 {
+		r.found.Add(place(index, field), "%v is negative", value)
 		return 0
 	}
-	return figure
+	return value
 }
 
-// job stands for the job itself where a step's number is asked for.
-const job = -1
+// noStage is passed as the stage index for the members of the job itself.
+const noStage = -1
 
 func place(index int, field string) string {
-	if index == job {
+	if index == noStage {
 		return field
 	}
 	return findings.Item("stages", index, field)
--- a/internal/system/jobspec/parse_test.go
+++ b/internal/system/jobspec/parse_test.go
@@ -16,7 +16,7 @@
 	"gaugeslip/internal/system/findings"
 )
 
-const full = `{
+const fullJob = `{
 	"spec": "render é\n",
 	"stages": [
 		{"count":4,"cpu":500,"memMb":256,"estimatedMs":900.5,"colocation":"rack-3","antiAffinity":2,"requirements":"gold"},
@@ -28,7 +28,7 @@
 }`
 
 func TestAWholeJobIsRead(t *testing.T) {
-	spec, err := Parse([]byte(full))
+	spec, err := Parse([]byte(fullJob))
 	require.NoError(t, err)
 	assert.Equal(t, &Spec{
 		Text: "render é\n",
@@ -52,7 +52,7 @@
 	assert.Equal(t, 1_700_000_003*time.Second, spec.DueAt(2))
 }
 
-func TestAJobThatLeavesThingsOutIsRead(t *testing.T) {
+func TestOmittedMembersGetDefaults(t *testing.T) {
 	for _, body := range []string{
 		`{}`, `{"spec":"x"}`, `{"stages":[]}`, `{"stages":null}`, `{"stages":[{}]}`, `{"stages":[{"count":0}]}`,
 		`{"stages":[{"requirements":""}]}`, `{"stages":[{"requirements":[]}]}`, `{"stages":[{"requirements":null}]}`,
@@ -78,7 +78,7 @@
 	assert.True(t, spec.Stages[1].LongRunning)
 }
 
-func TestTooLargeDemandsAreCut(t *testing.T) {
+func TestLargeDemandsAreClamped(t *testing.T) {
 	spec, err := Parse([]byte(`{"stages":[{"cpu":1e300,"memMb":1e20,"gpus":0.1,"estimatedMs":1e200,"antiAffinity":1e100}]}`))
 	require.NoError(t, err)
 	stage := spec.Stages[0]
@@ -89,7 +89,7 @@
 	assert.EqualValues(t, MostAmount, stage.AntiAffinity)
 }
 
-func TestTheLimitsThemselvesAreTaken(t *testing.T) {
+func TestLimitsAreInclusive(t *testing.T) {
 	for name, body := range map[string]string{
 		"text":  `{"spec":"` + strings.Repeat("x", MaxSpecBytes) + `"}`,
 		"steps": `{"stages":[` + strings.Repeat("{},", MaxStages-1) + `{}]}`,
@@ -104,30 +104,30 @@
 func TestEveryFinding(t *testing.T) {
 	stage := func(members string) string { return `{"stages":[{},{` + members + `}]}` }
 	for name, test := range map[string]struct{ body, finding string }{
-		"text too long":       {`{"spec":"` + strings.Repeat("x", MaxSpecBytes+1) + `"}`, "spec: has 4001 bytes, more than 4000"},
-		"text too long, é":    {`{"spec":"` + strings.Repeat("é", MaxSpecBytes/2+1) + `"}`, "spec: has 4002 bytes, more than 4000"},
-		"too many steps":      {`{"stages":[` + strings.Repeat("{},", MaxStages) + `{}]}`, "stages: are 1001, more than 1000"},
-		"too many tasks":      {stage(`"count":100001`), "stages[1].count: 100001 is more than 100000"},
-		"far too many tasks":  {stage(`"count":1e300`), "stages[1].count: 1e+300 is more than 100000"},
-		"too many in all":     {`{"stages":[{"count":100000},{"count":100000},{"count":1}]}`, "stages: have 200001 tasks, more than 200000"},
-		"broken count":        {stage(`"count":2.5`), "stages[1].count: 2.5 is not a whole number"},
-		"negative count":      {stage(`"count":-1`), "stages[1].count: -1 is negative"},
-		"negative cpu":        {stage(`"cpu":-1`), "stages[1].cpu: -1 is negative"},
-		"negative memory":     {stage(`"memMb":-1`), "stages[1].memMb: -1 is negative"},
-		"negative gpus":       {stage(`"gpus":-1`), "stages[1].gpus: -1 is negative"},
-		"negative estimate":   {stage(`"estimatedMs":-0.5`), "stages[1].estimatedMs: -0.5 is negative"},
-		"negative apart":      {stage(`"antiAffinity":-1`), "stages[1].antiAffinity: -1 is negative"},
-		"depends on itself":   {stage(`"dependsOn":[1]`), "stages[1].dependsOn: 1 is not the number of an earlier step"},
-		"depends on a later":  {stage(`"dependsOn":[0,7]`), "stages[1].dependsOn: 7 is not the number of an earlier step"},
-		"depends on none":     {stage(`"dependsOn":[-1]`), "stages[1].dependsOn: -1 is not the number of an earlier step"},
-		"depends on a part":   {stage(`"dependsOn":[0.5]`), "stages[1].dependsOn: 0.5 is not the number of an earlier step"},
-		"negative times":      {`{"repetitions":-1}`, "repetitions: -1 is negative"},
-		"broken times":        {`{"repetitions":1.5}`, "repetitions: 1.5 is not a whole number"},
-		"too many times":      {`{"repetitions":1000001}`, "repetitions: 1000001 is more than 1000000"},
-		"negative first time": {`{"firstRunMs":-1}`, "firstRunMs: -1 is negative"},
-		"negative interval":   {`{"intervalMs":-1}`, "intervalMs: -1 is negative"},
-		"first time too late": {`{"repetitions":1,"firstRunMs":1e300}`, "firstRunMs: the last time falls due too late"},
-		"last time too late":  {`{"repetitions":1000000,"intervalMs":1e12}`, "firstRunMs: the last time falls due too late"},
+		"text too long":           {`{"spec":"` + strings.Repeat("x", MaxSpecBytes+1) + `"}`, "spec: has 4001 bytes, more than 4000"},
+		"text too long, é":        {`{"spec":"` + strings.Repeat("é", MaxSpecBytes/2+1) + `"}`, "spec: has 4002 bytes, more than 4000"},
+		"too many steps":          {`{"stages":[` + strings.Repeat("{},", MaxStages) + `{}]}`, "stages: has 1001 stages, more than 1000"},
+		"too many tasks":          {stage(`"count":100001`), "stages[1].count: 100001 is more than 100000"},
+		"far too many tasks":      {stage(`"count":1e300`), "stages[1].count: 1e+300 is more than 100000"},
+		"too many tasks in total": {`{"stages":[{"count":100000},{"count":100000},{"count":1}]}`, "stages: have 200001 tasks, more than 200000"},
+		"fractional count":        {stage(`"count":2.5`), "stages[1].count: 2.5 is not a whole number"},
+		"negative count":          {stage(`"count":-1`), "stages[1].count: -1 is negative"},
+		"negative cpu":            {stage(`"cpu":-1`), "stages[1].cpu: -1 is negative"},
+		"negative memory":         {stage(`"memMb":-1`), "stages[1].memMb: -1 is negative"},
+		"negative gpus":           {stage(`"gpus":-1`), "stages[1].gpus: -1 is negative"},
+		"negative estimate":       {stage(`"estimatedMs":-0.5`), "stages[1].estimatedMs: -0.5 is negative"},
+		"negative antiAffinity":   {stage(`"antiAffinity":-1`), "stages[1].antiAffinity: -1 is negative"},
+		"depends on itself":       {stage(`"dependsOn":[1]`), "stages[1].dependsOn: 1 is not the number of an earlier step"},
+		"depends on a later":      {stage(`"dependsOn":[0,7]`), "stages[1].dependsOn: 7 is not the number of an earlier step"},
+		"depends on a negative":   {stage(`"dependsOn":[-1]`), "stages[1].dependsOn: -1 is not the number of an earlier step"},
+		"depends on a fraction":   {stage(`"dependsOn":[0.5]`), "stages[1].dependsOn: 0.5 is not the number of an earlier step"},
+		"negative repetitions":    {`{"repetitions":-1}`, "repetitions: -1 is negative"},
+		"fractional repetitions":  {`{"repetitions":1.5}`, "repetitions: 1.5 is not a whole number"},
+		"too many repetitions":    {`{"repetitions":1000001}`, "repetitions: 1000001 is more than 1000000"},
+		"negative first run":      {`{"firstRunMs":-1}`, "firstRunMs: -1 is negative"},
+		"negative interval":       {`{"intervalMs":-1}`, "intervalMs: -1 is negative"},
+		"first run too late":      {`{"repetitions":1,"firstRunMs":1e300}`, "firstRunMs: the last repetition is due too late"},
+		"last run too late":       {`{"repetitions":1000000,"intervalMs":1e12}`, "firstRunMs: the last repetition is due too late"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			spec, err := Parse([]byte(test.body))
@@ -143,7 +143,7 @@
 	for _, body := range []string{
 		"", "null", "[]", "{", `{"spec":7}`, `{"spec":"x"`, `{"stages":{}}`, `{"stages":[7]}`, `{"stages":[{"count":"4"}]}`,
 		`{"stages":[{"requirements":7}]}`, `{"stages":[{"requirements":["a",7]}]}`, `{"stages":[{"requirements":["a"}]}`,
-		`{"stages":[{"dependsOn":0}]}`, `{"stages":[{"gang":1}]}`, `{"stages":[{"cpu":1e999}]}`, `{} {}`, full[:len(full)-1],
+		`{"stages":[{"dependsOn":0}]}`, `{"stages":[{"gang":1}]}`, `{"stages":[{"cpu":1e999}]}`, `{} {}`, fullJob[:len(fullJob)-1],
 	} {
 		spec, err := Parse([]byte(body))
 		assert.Nil(t, spec, "%q", body)
@@ -159,7 +159,7 @@
 	assert.Len(t, found, 4)
 }
 
-func TestWhatIsEncodedIsReadBack(t *testing.T) {
+func TestEncodedJobsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := drawSpec(t)
 		body, err := spec.Encode()
@@ -182,7 +182,7 @@
 	random := rand.New(rand.NewPCG(5, 6))
 	const pieces = `{}[]",:0-.eE+tfn\` + "\x00\xff "
 	for range rounds {
-		body := []byte(full)
+		body := []byte(fullJob)
 		for damage := 1 + random.IntN(4); damage > 0 && len(body) > 0; damage-- {
 			at := random.IntN(len(body))
 			switch random.IntN(3) {
@@ -198,7 +198,7 @@
 	}
 }
 
-// checkParse checks what holds for every body: one outcome, and whatever is taken keeps to the limits.
+// checkParse checks what must hold for any body: Parse returns either a spec or findings, and an accepted spec is within the limits.
 func checkParse(t require.TestingT, body []byte) {
 	spec, err := Parse(body)
 	if err != nil {
@@ -268,7 +268,7 @@
 }
 
 func BenchmarkParse(b *testing.B) {
-	body := []byte(full)
+	body := []byte(fullJob)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := Parse(body); err != nil {
--- a/internal/system/quota/desk_test.go
+++ b/internal/system/quota/desk_test.go
@@ -6,53 +6,53 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestADeskCountsWhatItHasProposed(t *testing.T) {
+func TestReservationsCountAgainstTheShare(t *testing.T) {
 	ledger := NewLedger()
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 4}})
-	desk := NewDesk(ledger)
-	desk.Propose("teff", 3)
-	assert.EqualValues(t, 1, desk.Room("teff"))
-	assert.False(t, desk.Fits("teff", 2))
-	assert.True(t, desk.Fits("teff", 0))
-	assert.True(t, desk.Fits("stranger", 100))
+	tracker := NewDesk(ledger)
+	tracker.Propose("teff", 3)
+	assert.EqualValues(t, 1, tracker.Room("teff"))
+	assert.False(t, tracker.Fits("teff", 2))
+	assert.True(t, tracker.Fits("teff", 0))
+	assert.True(t, tracker.Fits("unnamed", 100))
 
 	ledger.Charge("teff", 3)
-	assert.EqualValues(t, -2, desk.Room("teff"), "between the commit and the word of it, it counts twice")
-	desk.Settle("teff", 3, true)
-	assert.EqualValues(t, 1, desk.Room("teff"))
+	assert.EqualValues(t, -2, tracker.Room("teff"), "between commit and Settle the start counts twice")
+	tracker.Settle("teff", 3, true)
+	assert.EqualValues(t, 1, tracker.Room("teff"))
 }
 
-func TestProposalsOfAllWithoutAShareCountTogether(t *testing.T) {
+func TestReservationsOfUnnamedTenantsCountTogether(t *testing.T) {
 	ledger := NewLedger()
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 4}, Pool: 10, Pooled: true})
-	desk := NewDesk(ledger)
-	desk.Propose("", 2)
-	desk.Propose("gone", 3)
-	desk.Propose("teff", 4)
-	assert.EqualValues(t, 1, desk.Room("another"))
+	tracker := NewDesk(ledger)
+	tracker.Propose("", 2)
+	tracker.Propose("gone", 3)
+	tracker.Propose("teff", 4)
+	assert.EqualValues(t, 1, tracker.Room("another"))
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 4, "gone": 3}, Pool: 10, Pooled: true})
-	assert.EqualValues(t, 1, desk.Room(""), "the plan moved both the share and what was proposed on it")
-	assert.EqualValues(t, 0, desk.Room("gone"))
+	assert.EqualValues(t, 1, tracker.Room(""), "the new plan moves both the promise and the proposal to an account of its own")
+	assert.EqualValues(t, 0, tracker.Room("gone"))
 }
 
-func TestADeskTellsWhenSomeoneMayTakeMore(t *testing.T) {
+func TestFreedCapacityIsReportedOnce(t *testing.T) {
 	ledger := NewLedger()
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 4}})
-	desk := NewDesk(ledger)
-	assert.False(t, desk.Moved())
+	tracker := NewDesk(ledger)
+	assert.False(t, tracker.Moved())
 
-	desk.Propose("teff", 2)
+	tracker.Propose("teff", 2)
 	ledger.Charge("teff", 2)
-	desk.Settle("teff", 2, true)
-	assert.False(t, desk.Moved(), "a start that holds frees nothing")
+	tracker.Settle("teff", 2, true)
+	assert.False(t, tracker.Moved(), "a start that took effect frees nothing")
 
-	desk.Propose("teff", 2)
-	desk.Settle("teff", 2, false)
-	assert.True(t, desk.Moved())
-	assert.False(t, desk.Moved(), "it tells once")
+	tracker.Propose("teff", 2)
+	tracker.Settle("teff", 2, false)
+	assert.True(t, tracker.Moved())
+	assert.False(t, tracker.Moved(), "a change is reported once")
 
 	ledger.Release("teff", 1)
-	assert.True(t, desk.Moved())
+	assert.True(t, tracker.Moved())
 	ledger.Configure(Plan{})
-	assert.True(t, desk.Moved())
+	assert.True(t, tracker.Moved())
 }
--- a/internal/system/state/admitters_test.go
+++ b/internal/system/state/admitters_test.go
@@ -14,64 +14,64 @@
 	"gaugeslip/internal/system/state"
 )
 
-// proposal is a command on its way to the chain; from is nil when nobody waits for it any more.
+// proposal is a command on its way to the chain. from is nil if its sender no longer waits for it.
 type proposal struct {
-	from    *admitter
+	from    *simReplica
 	command state.Command
 }
 
-// admitter is a replica that admits: its copy of the state trails the chain, and it counts its own proposals.
-type admitter struct {
-	machine *state.Machine
-	seen    int // entries of the chain that it has applied
-	desk    *quota.Desk
-	flying  map[state.TaskName]int64  // what its own proposals need: the chain may have ended their jobs meanwhile
-	placed  map[string]int64          // accelerators of its own proposals, by worker
-	held    map[state.TaskName]string // tasks that their share kept back, until that may have changed
+// simReplica is an admitting replica. Its copy of the state lags behind the chain, and it tracks its own proposals.
+type simReplica struct {
+	machine          *state.Machine
+	applied          int // number of chain entries that it has applied
+	tracker          *quota.Desk
+	inFlight         map[state.TaskName]int64  // needs of its own proposals; the chain may have ended their jobs meanwhile
+	reservedOnWorker map[string]int64          // accelerators of its own proposals, by worker
+	blocked          map[state.TaskName]string // tasks held back by their tenant's share until that may have changed
 }
 
-// admitters is a chain with several replicas that all admit, and workers that refuse what they have no room for.
-type admitters struct {
-	t       *testing.T
-	random  *rand.Rand
-	chain   []proposal
-	machine *state.Machine // with all of the chain applied
-	sent    []proposal
-	each    []*admitter
-	room    map[string]int64
-	plan    quota.Plan
-	jobs    int
-	refused int
-	started int
+// admissionSim is a chain with several replicas that all admit, and workers that reject starts beyond their capacity.
+type admissionSim struct {
+	t         *testing.T
+	random    *rand.Rand
+	chain     []proposal
+	machine   *state.Machine // state after the whole chain
+	proposals []proposal
+	replicas  []*simReplica
+	capacity  map[string]int64
+	plan      quota.Plan
+	jobs      int
+	rejected  int
+	started   int
 }
 
 const (
-	admitterCount = 3
-	workerCount   = 4
-	workerRoom    = 6
-	mostHeldJobs  = 12
+	replicaCount      = 3
+	workerCount       = 4
+	workerCapacity    = 6
+	maxUnfinishedJobs = 12
 )
 
 var tenantNames = []string{"", "teff", "rye", "oat", "none"}
 
-func newAdmitters(t *testing.T, seed uint64) *admitters {
-	w := &admitters{t: t, random: rand.New(rand.NewPCG(seed, 1)), machine: state.New(), room: map[string]int64{}}
+func newAdmissionSim(t *testing.T, seed uint64) *admissionSim {
+	s := &admissionSim{t: t, random: rand.New(rand.NewPCG(seed, 1)), machine: state.New(), capacity: map[string]int64{}}
 	for index := range workerCount {
-		w.room[fmt.Sprint("w", index)] = workerRoom
+		s.capacity[fmt.Sprint("w", index)] = workerCapacity
 	}
-	for range admitterCount {
-		w.each = append(w.each, newAdmitter(state.New(), 0))
+	for range replicaCount {
+		s.replicas = append(s.replicas, newSimReplica(state.New(), 0))
 	}
-	return w
+	return s
 }
 
-func newAdmitter(machine *state.Machine, seen int) *admitter {
-	return &admitter{machine: machine, seen: seen, desk: quota.NewDesk(machine.Quotas()), flying: map[state.TaskName]int64{},
-		placed: map[string]int64{}, held: map[state.TaskName]string{}}
+func newSimReplica(machine *state.Machine, applied int) *simReplica {
+	return &simReplica{machine: machine, applied: applied, tracker: quota.NewDesk(machine.Quotas()), inFlight: map[state.TaskName]int64{},
+		reservedOnWorker: map[string]int64{}, blocked: map[state.TaskName]string{}}
 }
 
-// use is what each tenant's runs take that may exist, counted from the tasks alone.
-func use(m *state.Machine) map[string]int64 {
+// usedByTenant counts, from the tasks alone, the accelerators of each tenant's runs that may exist.
+func usedByTenant(m *state.Machine) map[string]int64 {
 	used := map[string]int64{}
 	eachTask(m, func(job *state.Job, name state.TaskName, task *state.Task) {
 		if task != nil {
@@ -81,7 +81,7 @@
 	return used
 }
 
-// eachTask visits all tasks of jobs of which something may run, in order.
+// eachTask visits the tasks of all jobs that still have a spec, in order.
 func eachTask(m *state.Machine, visit func(*state.Job, state.TaskName, *state.Task)) {
 	for _, id := range slices.SortedFunc(maps.Keys(m.Jobs()), cmp.Compare[state.JobID]) {
 		job := m.Job(id)
@@ -97,8 +97,8 @@
 	}
 }
 
-// free is what a tenant may take more by the plan.
-func free(plan quota.Plan, used map[string]int64, tenant string) int64 {
+// available returns how many more accelerators a tenant may take under the plan.
+func available(plan quota.Plan, used map[string]int64, tenant string) int64 {
 	if !plan.InForce() {
 		return quota.Unlimited
 	}
@@ -117,39 +117,39 @@
 	return rest
 }
 
-// commit appends a command to the chain and checks what it has done.
-func (w *admitters) commit(sent proposal) state.Result {
-	w.chain = append(w.chain, sent)
-	result := w.machine.ApplyBytes(sent.command.Encode())
-	require.NoError(w.t, w.machine.Check())
-	if sent.command.Kind == state.KindTasksStarting {
-		w.checkStarts(sent.command.TasksStarting, result.Started)
-		w.refuseOverfull(result.Started)
+// commit appends a command to the chain, applies it, and checks its effect.
+func (s *admissionSim) commit(next proposal) state.Result {
+	s.chain = append(s.chain, next)
+	result := s.machine.ApplyBytes(next.command.Encode())
+	require.NoError(s.t, s.machine.Check())
+	if next.command.Kind == state.KindTasksStarting {
+		s.checkStarts(next.command.TasksStarting, result.Started)
+		s.rejectOverCapacity(result.Started)
 	}
 	return result
 }
 
-// checkStarts looks for a share that is exceeded, and for a start that was refused though its share stands unused.
-func (w *admitters) checkStarts(starts, held []state.Start) {
-	used := use(w.machine)
-	w.started += len(held)
-	for i := range held {
-		job := w.machine.Job(held[i].Task.Job)
-		if job.Spec.Stages[held[i].Task.Step].GPUs > 0 {
-			require.GreaterOrEqual(w.t, free(w.plan, used, job.Tenant), int64(0), "tenant %q of %v", job.Tenant, w.plan)
+// checkStarts checks that no share is exceeded and that no start was rejected while its share had room.
+func (s *admissionSim) checkStarts(starts, started []state.Start) {
+	used := usedByTenant(s.machine)
+	s.started += len(started)
+	for i := range started {
+		job := s.machine.Job(started[i].Task.Job)
+		if job.Spec.Stages[started[i].Task.Step].GPUs > 0 {
+			require.GreaterOrEqual(s.t, available(s.plan, used, job.Tenant), int64(0), "tenant %q of %v", job.Tenant, s.plan)
 		}
 	}
 	for i := range starts {
-		if slices.Contains(held, starts[i]) || !w.machine.MayStart(&starts[i]) {
+		if slices.Contains(started, starts[i]) || !s.machine.MayStart(&starts[i]) {
 			continue
 		}
-		w.refused++
-		job := w.machine.Job(starts[i].Task.Job)
-		require.Greater(w.t, needOf(job, starts[i].Task), free(w.plan, used, job.Tenant), "tenant %q of %v", job.Tenant, w.plan)
+		s.rejected++
+		job := s.machine.Job(starts[i].Task.Job)
+		require.Greater(s.t, needOf(job, starts[i].Task), available(s.plan, used, job.Tenant), "tenant %q of %v", job.Tenant, s.plan)
 	}
 }
 
-// needOf is what has to start at once with a task.
+// needOf returns the number of accelerators that must start together with a task.
 func needOf(job *state.Job, name state.TaskName) int64 {
 	stage := &job.Spec.Stages[name.Step]
 	if stage.Gang {
@@ -158,100 +158,100 @@
 	return stage.GPUs
 }
 
-// refuseOverfull has workers refuse what they have no room for.
-func (w *admitters) refuseOverfull(held []state.Start) {
-	for i := range held {
-		if w.taken(w.machine, held[i].Worker) > w.room[held[i].Worker] {
-			w.sent = append(w.sent, proposal{command: state.Command{Kind: state.KindStartsVoided, StartsVoided: []state.Run{held[i].Run}}})
+// rejectOverCapacity proposes to void the starts for which their worker has no capacity.
+func (s *admissionSim) rejectOverCapacity(started []state.Start) {
+	for i := range started {
+		if s.usedOn(s.machine, started[i].Worker) > s.capacity[started[i].Worker] {
+			s.proposals = append(s.proposals, proposal{command: state.Command{Kind: state.KindStartsVoided, StartsVoided: []state.Run{started[i].Run}}})
 		}
 	}
 }
 
-func (w *admitters) taken(m *state.Machine, worker string) int64 {
-	taken := int64(0)
+func (s *admissionSim) usedOn(m *state.Machine, worker string) int64 {
+	used := int64(0)
 	if record := m.Worker(worker); record != nil {
 		for run := range record.Runs {
-			taken += m.Job(run.Task.Job).Spec.Stages[run.Task.Step].GPUs
+			used += m.Job(run.Task.Job).Spec.Stages[run.Task.Step].GPUs
 		}
 	}
-	return taken
+	return used
 }
 
-// deliver commits one proposal: any that isn't behind another of its sender.
-func (w *admitters) deliver() {
-	if len(w.sent) == 0 {
+// deliver commits one random proposal. Proposals of one sender stay in order.
+func (s *admissionSim) deliver() {
+	if len(s.proposals) == 0 {
 		return
 	}
-	from := w.sent[w.random.IntN(len(w.sent))].from
-	at := slices.IndexFunc(w.sent, func(p proposal) bool { return p.from == from })
-	next := w.sent[at]
-	w.sent = slices.Delete(w.sent, at, at+1)
-	w.commit(next)
+	from := s.proposals[s.random.IntN(len(s.proposals))].from
+	at := slices.IndexFunc(s.proposals, func(p proposal) bool { return p.from == from })
+	next := s.proposals[at]
+	s.proposals = slices.Delete(s.proposals, at, at+1)
+	s.commit(next)
 }
 
-// learn lets a replica apply so many more entries.
-func (w *admitters) learn(a *admitter, entries int) {
-	for range min(entries, len(w.chain)-a.seen) {
-		entry := w.chain[a.seen]
-		a.seen++
-		result := a.machine.ApplyBytes(entry.command.Encode())
-		if entry.from == a {
-			a.settle(entry.command.TasksStarting, result.Started)
+// applyEntries has a replica apply the given number of further entries.
+func (s *admissionSim) applyEntries(r *simReplica, entries int) {
+	for range min(entries, len(s.chain)-r.applied) {
+		entry := s.chain[r.applied]
+		r.applied++
+		result := r.machine.ApplyBytes(entry.command.Encode())
+		if entry.from == r {
+			r.settle(entry.command.TasksStarting, result.Started)
 		}
 	}
 }
 
-func (a *admitter) settle(starts, held []state.Start) {
+func (r *simReplica) settle(starts, started []state.Start) {
 	for i := range starts {
 		name := starts[i].Task
-		job := a.machine.Job(name.Job)
-		need := a.flying[name]
-		delete(a.flying, name)
-		a.desk.Settle(job.Tenant, need, slices.Contains(held, starts[i]))
-		a.placed[starts[i].Worker] -= need
+		job := r.machine.Job(name.Job)
+		need := r.inFlight[name]
+		delete(r.inFlight, name)
+		r.tracker.Settle(job.Tenant, need, slices.Contains(started, starts[i]))
+		r.reservedOnWorker[starts[i].Worker] -= need
 	}
 }
 
-// admit proposes what a replica thinks may start. A task that its share has kept back is tried again only when the desk says so.
-func (w *admitters) admit(a *admitter) bool {
-	if a.desk.Moved() {
-		clear(a.held)
+// admit proposes the starts that a replica considers valid. A task that its share held back is retried only after Moved returned true.
+func (s *admissionSim) admit(r *simReplica) bool {
+	if r.tracker.Moved() {
+		clear(r.blocked)
 	}
 	var starts []state.Start
-	eachTask(a.machine, func(job *state.Job, name state.TaskName, task *state.Task) {
+	eachTask(r.machine, func(job *state.Job, name state.TaskName, task *state.Task) {
 		if stage := &job.Spec.Stages[name.Step]; stage.Gang && name.Index > 0 {
 			return
 		}
-		starts = append(starts, w.admitTask(a, job, name)...)
+		starts = append(starts, s.admitTask(r, job, name)...)
 	})
 	if len(starts) == 0 {
 		return false
 	}
-	w.sent = append(w.sent, proposal{from: a, command: state.Command{Kind: state.KindTasksStarting, TasksStarting: starts}})
+	s.proposals = append(s.proposals, proposal{from: r, command: state.Command{Kind: state.KindTasksStarting, TasksStarting: starts}})
 	return true
 }
 
-// admitTask gives the starts of a task, or of its whole gang; none if it may not start or must wait.
-func (w *admitters) admitTask(a *admitter, job *state.Job, name state.TaskName) []state.Start {
+// admitTask returns the starts of a task or of its whole gang, or nil if it may not start or must wait.
+func (s *admissionSim) admitTask(r *simReplica, job *state.Job, name state.TaskName) []state.Start {
 	names := []state.TaskName{name}
 	if stage := &job.Spec.Stages[name.Step]; stage.Gang {
 		for index := 1; index < stage.Count; index++ {
 			names = append(names, state.TaskName{Job: name.Job, Time: name.Time, Step: name.Step, Index: uint32(index)})
 		}
 	}
-	starts := a.nextStarts(job, names)
+	starts := r.nextStarts(job, names)
 	if starts == nil {
 		return nil
 	}
-	if need := needOf(job, name); !a.desk.Fits(job.Tenant, need) {
-		a.held[name] = job.Tenant
+	if need := needOf(job, name); !r.tracker.Fits(job.Tenant, need) {
+		r.blocked[name] = job.Tenant
 		return nil
 	}
-	return w.propose(a, job, starts)
+	return s.propose(r, job, starts)
 }
 
-// nextStarts names the next run of each task; nil if one of them may not start now.
-func (a *admitter) nextStarts(job *state.Job, names []state.TaskName) []state.Start {
+// nextStarts returns the next start of each task, or nil if one of them may not start now.
+func (r *simReplica) nextStarts(job *state.Job, names []state.TaskName) []state.Start {
 	attempt := uint32(0)
 	for _, name := range names {
 		task := job.Task(name)
@@ -266,24 +266,24 @@
 	starts := make([]state.Start, len(names))
 	for i, name := range names {
 		starts[i] = state.Start{Run: state.Run{Task: name, Attempt: attempt + 1}}
-		_, kept := a.held[name]
-		_, flies := a.flying[name]
-		if kept || flies || !a.machine.MayStart(&starts[i]) {
+		_, blocked := r.blocked[name]
+		_, inFlight := r.inFlight[name]
+		if blocked || inFlight || !r.machine.MayStart(&starts[i]) {
 			return nil
 		}
 	}
 	return starts
 }
 
-// propose sets room aside for the starts; nil if there is none.
-func (w *admitters) propose(a *admitter, job *state.Job, starts []state.Start) []state.Start {
+// propose assigns the starts to workers and reserves capacity, or returns nil if there isn't enough.
+func (s *admissionSim) propose(r *simReplica, job *state.Job, starts []state.Start) []state.Start {
 	need := job.Spec.Stages[starts[0].Task.Step].GPUs
-	taken := map[string]int64{}
+	reserved := map[string]int64{}
 	for i := range starts {
-		for _, worker := range slices.Sorted(maps.Keys(w.room)) {
-			if w.taken(a.machine, worker)+a.placed[worker]+taken[worker]+need <= w.room[worker] {
+		for _, worker := range slices.Sorted(maps.Keys(s.capacity)) {
+			if s.usedOn(r.machine, worker)+r.reservedOnWorker[worker]+reserved[worker]+need <= s.capacity[worker] {
 				starts[i].Worker = worker
-				taken[worker] += need
+				reserved[worker] += need
 				break
 			}
 		}
@@ -291,31 +291,31 @@
 			return nil
 		}
 	}
-	for worker, amount := range taken {
-		a.placed[worker] += amount
+	for worker, amount := range reserved {
+		r.reservedOnWorker[worker] += amount
 	}
 	for i := range starts {
-		a.flying[starts[i].Task] = need
-		a.desk.Propose(job.Tenant, need)
+		r.inFlight[starts[i].Task] = need
+		r.tracker.Propose(job.Tenant, need)
 	}
 	return starts
 }
 
-// takeover puts another replica in the place of one that is gone. What that one had sent may still be committed, in part.
-func (w *admitters) takeover(index int) {
-	gone := w.each[index]
-	kept := w.random.IntN(len(w.sent) + 1)
-	var sent []proposal
-	for i, p := range w.sent {
-		if p.from != gone {
-			sent = append(sent, p)
-		} else if i < kept {
-			sent = append(sent, proposal{command: p.command})
+// replaceReplica replaces a replica by a new one. Part of the proposals of the old one may still be committed.
+func (s *admissionSim) replaceReplica(index int) {
+	old := s.replicas[index]
+	keptCount := s.random.IntN(len(s.proposals) + 1)
+	var remaining []proposal
+	for i, p := range s.proposals {
+		if p.from != old {
+			remaining = append(remaining, p)
+		} else if i < keptCount {
+			remaining = append(remaining, proposal{command: p.command})
 		}
 	}
-	w.sent = sent
+	s.proposals = remaining
 	machine := state.New()
-	require.NoError(w.t, machine.Restore(gone.machine.Snapshot()))
-	require.Equal(w.t, gone.machine.Quotas().Accounts(), machine.Quotas().Accounts())
-	w.each[index] = newAdmitter(machine, gone.seen)
+	require.NoError(s.t, machine.Restore(old.machine.Snapshot()))
+	require.Equal(s.t, old.machine.Quotas().Accounts(), machine.Quotas().Accounts())
+	s.replicas[index] = newSimReplica(machine, old.applied)
 }
--- a/internal/system/state/config.go
+++ b/internal/system/state/config.go
@@ -5,27 +5,27 @@
 	"slices"
 )
 
-// keptVersions bounds how many configurations that were in force are remembered, so that a repeated order is known. A state that
-// remembers as many may have forgotten older ones, which snapshots don't tell in any other way: the number is part of their form.
-const keptVersions = 1024
+// historyLimit bounds how many past configurations are remembered to recognize a repeated change. A full history may have lost older
+// versions, and a snapshot shows this only by the history's length. The limit is therefore part of the snapshot format.
+const historyLimit = 1024
 
-// Config is the configuration in force; Version 0 means none yet.
+// Config is the configuration in force. Version 0 means that there is none yet.
 type Config struct {
 	Version uint64
 	Body    []byte
 }
 
-// taken is a configuration that was in force once.
-type taken struct {
+// appliedVersion identifies a configuration that is or was in force.
+type appliedVersion struct {
 	version uint64
 	sum     uint64
 }
 
-// CheckConfig tells what a configuration would come to now. Conflict and Stale say that it surely was never in force; what can't
-// be known any more is Forgotten.
+// CheckConfig returns the outcome that a configuration change would have now. Conflict and Stale mean that the change was certainly never
+// in force. If that can't be determined any more, the outcome is Forgotten.
 func (m *Machine) CheckConfig(next *ConfigReplaced) Outcome {
 	switch {
-	case m.wasTaken(next):
+	case m.wasApplied(next):
 		return Repeated
 	case m.mayBeForgotten(next):
 		return Forgotten
@@ -37,18 +37,18 @@
 	return Applied
 }
 
-// wasTaken tells whether that very configuration is in force or was, as far as is remembered.
-func (m *Machine) wasTaken(next *ConfigReplaced) bool {
-	at, found := slices.BinarySearchFunc(m.history, next.Version, func(before taken, version uint64) int {
-		return cmp.Compare(before.version, version)
+// wasApplied reports whether exactly this configuration is in force or was in force, as far as the history reaches.
+func (m *Machine) wasApplied(next *ConfigReplaced) bool {
+	at, found := slices.BinarySearchFunc(m.history, next.Version, func(past appliedVersion, version uint64) int {
+		return cmp.Compare(past.version, version)
 	})
 	return found && m.history[at].sum == checksum(next.Body)
 }
 
-// mayBeForgotten tells whether a configuration may have been in force before all that is remembered. Versions only rise, from base
-// to version too: one with a version above the oldest remembered one would be remembered, one that doesn't rise was never taken.
+// mayBeForgotten reports whether a configuration may have been in force before the oldest remembered one. Versions only rise, also from
+// base to version. So a version above the oldest remembered one would be in the history, and one not above its base was never applied.
 func (m *Machine) mayBeForgotten(next *ConfigReplaced) bool {
-	if len(m.history) < keptVersions {
+	if len(m.history) < historyLimit {
 		return false
 	}
 	return next.Base < next.Version && next.Version < m.history[0].version
@@ -60,10 +60,10 @@
 		return outcome
 	}
 	m.config = Config{Version: next.Version, Body: next.Body}
-	m.history = append(m.history, taken{version: next.Version, sum: checksum(next.Body)})
-	if len(m.history) > keptVersions {
-		m.history = m.history[len(m.history)-keptVersions:]
+	m.history = append(m.history, appliedVersion{version: next.Version, sum: checksum(next.Body)})
+	if len(m.history) > historyLimit {
+		m.history = m.history[len(m.history)-historyLimit:]
 	}
-	m.promise()
+	m.configureQuotas()
 	return Applied
 }
--- a/internal/system/state/touched_test.go
+++ b/internal/system/state/touched_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// snapshots gives each job's part of a snapshot.
-func (m *Machine) snapshots() map[JobID]string {
+// jobSnapshots returns the encoded form of each job.
+func (m *Machine) jobSnapshots() map[JobID]string {
 	all := map[JobID]string{}
 	for id, job := range m.jobs {
 		var w writer
@@ -18,22 +18,22 @@
 	return all
 }
 
-// A command changes, adds and takes away no other jobs than those that it tells of.
-func TestACommandTouchesWhatItChanges(t *testing.T) {
+// A command must change, add and delete only the jobs that Touched reports.
+func TestCommandReportsAffectedJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
-			before := m.snapshots()
+			before := m.jobSnapshots()
 			command := drawCommand(t)
 			touched := map[JobID]bool{}
 			all := command.Touched(func(id JobID) { touched[id] = true })
 			m.Apply(command)
-			after := m.snapshots()
+			after := m.jobSnapshots()
 			for id := range before {
-				require.True(t, all || touched[id] || before[id] == after[id], "kind %d changes job %d", command.Kind, id)
+				require.True(t, all || touched[id] || before[id] == after[id], "command of kind %d changes job %d, which Touched does not report", command.Kind, id)
 			}
 			for id := range after {
-				require.True(t, all || touched[id] || before[id] == after[id], "kind %d changes job %d", command.Kind, id)
+				require.True(t, all || touched[id] || before[id] == after[id], "command of kind %d changes job %d, which Touched does not report", command.Kind, id)
 			}
 		}
 	})
