--- a/coord/chain/chain.go
+++ b/coord/chain/chain.go
@@ -17,11 +17,11 @@
 
 // Timings. They are short against the bounds by which the head drops a member.
 const (
-	helloEvery    = 60 * time.Millisecond
-	transferStall = 300 * time.Millisecond
-	probeAfter    = 100 * time.Millisecond
-	commitDelay   = 5 * time.Millisecond
-	rehelloAfter  = 20 * time.Millisecond
+	helloInterval          = 60 * time.Millisecond
+	transferTimeout        = 300 * time.Millisecond
+	probeAfter             = 100 * time.Millisecond
+	commitNoticeDelay      = 5 * time.Millisecond
+	sessionRestartInterval = 20 * time.Millisecond
 )
 
 // sessionBits is the number of low bits of a session that count; the rest is the life.
@@ -65,35 +65,35 @@
 
 // Chain is one replica's part.
 type Chain struct {
-	cfg       Config
-	env       Environment
-	log       Log
-	synced    uint64 // last index on disk
-	marks     []mark // what is on its way to disk
-	committed uint64
-	delivered uint64
-
-	active   bool
-	role     Role
-	inStep   bool // this epoch's log has been settled with the predecessor
-	down     *link
-	learners []*link
-
-	session  uint64 // with the predecessor
-	sessions uint64
-	opened   bool
-	helloAt  time.Duration
-	target   uint64 // to be in step
-	ackSent  uint64
-	owed     int      // bytes taken since the last Ack
-	incoming incoming // the snapshot that comes in
-
-	noteAt time.Duration // when to send the commit index by itself; 0: not
-	snap   *Snapshot     // for learners
-}
-
-// mark says that the log up to last is on disk once the records of token are.
-type mark struct {
+	cfg          Config
+	env          Environment
+	log          Log
+	synced       uint64        // last index on disk
+	pendingSyncs []pendingSync // what is on its way to disk
+	committed    uint64
+	delivered    uint64
+
+	active     bool
+	role       Role
+	inStep     bool // this epoch's log has been settled with the predecessor
+	downstream *link
+	learners   []*link
+
+	session         uint64 // with the predecessor
+	sessionCounter  uint64
+	sessionOpen     bool
+	helloTimerStart time.Duration
+	target          uint64 // to be in step
+	ackSent         uint64
+	unackedBytes    int              // bytes taken since the last Ack
+	incoming        incomingSnapshot // the snapshot that comes in
+
+	commitNoticeAt  time.Duration // when to send the commit index by itself; 0: not
+	offeredSnapshot *Snapshot     // for learners
+}
+
+// pendingSync says that the log up to last is on disk once the records of token are.
+type pendingSync struct {
 	token uint64
 	last  uint64
 }
@@ -124,9 +124,9 @@
 
 // Leave stops all work on the present view.
 func (c *Chain) Leave() {
-	c.active, c.inStep, c.opened = false, false, false
-	c.down, c.learners = nil, nil
-	c.noteAt = 0
+	c.active, c.inStep, c.sessionOpen = false, false, false
+	c.downstream, c.learners = nil, nil
+	c.commitNoticeAt = 0
 }
 
 // Enter takes a place in a view. The view has to be on disk.
@@ -136,11 +136,11 @@
 	c.active, c.inStep = true, role.Head
 	c.ackSent = 0
 	if role.Downstream != nil {
-		c.down = &link{peer: *role.Downstream, quietSince: now, heardAt: now}
-		c.send(c.down.peer, &Body{Probe: &Probe{Last: c.log.Last()}})
+		c.downstream = &link{peer: *role.Downstream, lastActivityAt: now, heardAt: now}
+		c.send(c.downstream.peer, &Body{Probe: &Probe{Last: c.log.Last()}})
 	}
 	if !role.Head {
-		c.hello(now)
+		c.startSession(now)
 	}
 }
 
@@ -152,25 +152,25 @@
 	}
 	entries, _ := c.log.Slice(first, int(^uint(0)>>1))
 	c.env.Store(entries)
-	c.pumpAll(now)
+	c.sendEntriesToAll(now)
 	return first
 }
 
 // Mark says that what has been stored so far will be on disk with this token.
 func (c *Chain) Mark(token uint64) {
-	c.marks = append(c.marks, mark{token, c.log.Last()})
+	c.pendingSyncs = append(c.pendingSyncs, pendingSync{token, c.log.Last()})
 }
 
 // SyncedTo takes word that the records of all tokens up to this one are on disk.
 func (c *Chain) SyncedTo(now time.Duration, token uint64) {
 	done := 0
-	for done < len(c.marks) && c.marks[done].token <= token {
-		c.synced = max(c.synced, c.marks[done].last)
+	for done < len(c.pendingSyncs) && c.pendingSyncs[done].token <= token {
+		c.synced = max(c.synced, c.pendingSyncs[done].last)
 		done++
 	}
-	c.marks = append(c.marks[:0], c.marks[done:]...)
+	c.pendingSyncs = append(c.pendingSyncs[:0], c.pendingSyncs[done:]...)
 	c.acknowledge(now)
-	if c.opened && c.owed >= windowBytes/4 {
+	if c.sessionOpen && c.unackedBytes >= windowBytes/4 {
 		c.sendAck(c.Acked())
 	}
 }
@@ -187,16 +187,16 @@
 	c.log.Truncate(index)
 	c.env.StoreTruncate(index)
 	c.capSynced(index)
-	if c.down != nil {
-		c.down.cut(index)
-		c.send(c.down.peer, &Body{Probe: &Probe{Last: index}})
+	if c.downstream != nil {
+		c.downstream.invalidateAfter(index)
+		c.send(c.downstream.peer, &Body{Probe: &Probe{Last: index}})
 	}
 }
 
 func (c *Chain) capSynced(index uint64) {
 	c.synced = min(c.synced, index)
-	for i := range c.marks {
-		c.marks[i].last = min(c.marks[i].last, index)
+	for i := range c.pendingSyncs {
+		c.pendingSyncs[i].last = min(c.pendingSyncs[i].last, index)
 	}
 }
 
@@ -205,10 +205,10 @@
 	if c.role.Downstream == nil {
 		return c.synced
 	}
-	if c.down == nil {
+	if c.downstream == nil {
 		return 0
 	}
-	return min(c.synced, c.down.acked)
+	return min(c.synced, c.downstream.acked)
 }
 
 // Commit moves the head's committed index up to what all have; the caller holds the lease.
@@ -225,8 +225,8 @@
 		return
 	}
 	c.committed = index
-	if c.noteAt == 0 {
-		c.noteAt = now + commitDelay
+	if c.commitNoticeAt == 0 {
+		c.commitNoticeAt = now + commitNoticeDelay
 	}
 	c.deliver()
 }
--- a/coord/chain/downstream.go
+++ b/coord/chain/downstream.go
@@ -7,10 +7,10 @@
 	"gaugeslip/coord/view"
 )
 
-// linkOf finds the link to a replica.
-func (c *Chain) linkOf(id view.ReplicaID) *link {
-	if c.down != nil && c.down.peer.ID == id {
-		return c.down
+// findLink finds the link to a replica.
+func (c *Chain) findLink(id view.ReplicaID) *link {
+	if c.downstream != nil && c.downstream.peer.ID == id {
+		return c.downstream
 	}
 	for _, l := range c.learners {
 		if l.peer.ID == id {
@@ -22,7 +22,7 @@
 
 // Learner tells how much a learner has on disk and when it was heard last.
 func (c *Chain) Learner(id view.ReplicaID) (acked uint64, heardAt time.Duration, ok bool) {
-	if l := c.linkOf(id); l != nil && l != c.down && l.session != 0 && l.transfer == nil && !l.wants {
+	if l := c.findLink(id); l != nil && l != c.downstream && l.session != 0 && l.transfer == nil && !l.needsSnapshot {
 		return l.acked, l.heardAt, true
 	}
 	return 0, 0, false
@@ -38,7 +38,7 @@
 	if !c.active || !c.role.Head {
 		return
 	}
-	if l := c.linkOf(member.ID); l != nil {
+	if l := c.findLink(member.ID); l != nil {
 		l.heardAt = now
 		return
 	}
@@ -46,7 +46,7 @@
 }
 
 func (c *Chain) onHello(now time.Duration, from view.Member, m *Hello) {
-	l := c.linkOf(from.ID)
+	l := c.findLink(from.ID)
 	if l == nil {
 		if !c.role.Head {
 			return
@@ -57,28 +57,28 @@
 	if l.stale(m.Session) || (l.session == m.Session && l.transfer != nil) {
 		return
 	}
-	if l != c.down {
+	if l != c.downstream {
 		l.peer, l.acked = from, 0
 	}
 	if !c.inStep {
-		l.early = m
+		l.pendingHello = m
 		return
 	}
-	c.welcome(now, l, m)
+	c.answerHello(now, l, m)
 }
 
-// welcome answers a Hello: from where the logs part, or with a snapshot.
-func (c *Chain) welcome(now time.Duration, l *link, m *Hello) {
+// answerHello answers a Hello: from where the logs part, or with a snapshot.
+func (c *Chain) answerHello(now time.Duration, l *link, m *Hello) {
 	match, ok := c.log.Match(m.Runs)
 	if !ok {
 		l.open(now, m, 0)
-		l.wants = true
-		c.offer(now, l)
+		l.needsSnapshot = true
+		c.startTransfer(now, l)
 		return
 	}
 	l.open(now, m, match)
 	c.sendBatch(now, l, true)
-	c.pump(now, l)
+	c.sendEntries(now, l)
 }
 
 // sendBatch sends the next entries, which may be none.
@@ -87,19 +87,19 @@
 	epoch, _ := c.log.EpochAt(prev)
 	entries, bytes := c.log.Slice(l.next, batchBytes)
 	m := &Append{Session: l.session, Start: start, Prev: prev, PrevEpoch: epoch, Commit: c.committed, Entries: entries}
-	l.commitSent = c.committed
+	l.sentCommit = c.committed
 	if start {
 		m.Target = c.log.Last()
 	}
 	if len(entries) > 0 {
-		l.sent(now, entries[len(entries)-1].Index, bytes)
+		l.recordBatch(now, entries[len(entries)-1].Index, bytes)
 	}
 	c.send(l.peer, &Body{Append: m})
 }
 
-// pump sends what the window lets through.
-func (c *Chain) pump(now time.Duration, l *link) {
-	if l.session == 0 || l.transfer != nil || l.wants {
+// sendEntries sends what the window lets through.
+func (c *Chain) sendEntries(now time.Duration, l *link) {
+	if l.session == 0 || l.transfer != nil || l.needsSnapshot {
 		return
 	}
 	if l.next <= c.log.Base() {
@@ -107,34 +107,34 @@
 		c.send(l.peer, &Body{Probe: &Probe{Last: c.log.Last()}})
 		return
 	}
-	for l.next <= c.log.Last() && l.flying < windowBytes {
+	for l.next <= c.log.Last() && l.inFlightBytes < windowBytes {
 		c.sendBatch(now, l, false)
 	}
 }
 
-func (c *Chain) pumpAll(now time.Duration) {
-	if c.down != nil {
-		c.pump(now, c.down)
+func (c *Chain) sendEntriesToAll(now time.Duration) {
+	if c.downstream != nil {
+		c.sendEntries(now, c.downstream)
 	}
 	for _, l := range c.learners {
-		c.pump(now, l)
+		c.sendEntries(now, l)
 	}
 }
 
 func (c *Chain) onAck(now time.Duration, from view.Member, m *Ack) {
-	l := c.linkOf(from.ID)
+	l := c.findLink(from.ID)
 	if l == nil || l.session != m.Session || m.Session == 0 {
 		return
 	}
-	l.ack(now, m)
-	c.pump(now, l)
+	l.handleAck(now, m)
+	c.sendEntries(now, l)
 	c.acknowledge(now)
 }
 
 // WantsSnapshot tells whether a learner waits for a snapshot that isn't there.
 func (c *Chain) WantsSnapshot() bool {
 	for _, l := range c.learners {
-		if l.wants {
+		if l.needsSnapshot {
 			return true
 		}
 	}
@@ -147,23 +147,23 @@
 	if !ok || index > c.delivered {
 		return
 	}
-	c.snap = &Snapshot{Index: index, Epoch: epoch, Data: data}
+	c.offeredSnapshot = &Snapshot{Index: index, Epoch: epoch, Data: data}
 	for _, l := range c.learners {
-		c.offer(now, l)
+		c.startTransfer(now, l)
 	}
-	c.snap = nil
+	c.offeredSnapshot = nil
 }
 
-func (c *Chain) offer(now time.Duration, l *link) {
-	if !l.wants || c.snap == nil {
+func (c *Chain) startTransfer(now time.Duration, l *link) {
+	if !l.needsSnapshot || c.offeredSnapshot == nil {
 		return
 	}
-	l.wants = false
-	l.transfer = &transfer{snapshot: c.snap, sum: snapshotSum(c.snap.Data), at: now}
-	c.pumpChunks(now, l)
+	l.needsSnapshot = false
+	l.transfer = &transfer{snapshot: c.offeredSnapshot, sum: snapshotChecksum(c.offeredSnapshot.Data), lastProgressAt: now}
+	c.sendChunks(now, l)
 }
 
-func (c *Chain) pumpChunks(now time.Duration, l *link) {
+func (c *Chain) sendChunks(now time.Duration, l *link) {
 	t := l.transfer
 	total := len(t.snapshot.Data)
 	for t.sent < total && t.sent-t.acked < chunksInFlight*chunkBytes {
@@ -172,7 +172,7 @@
 	if total == 0 {
 		c.sendChunk(l, 0, 0)
 	}
-	t.at = now
+	t.lastProgressAt = now
 }
 
 func (c *Chain) sendChunk(l *link, from, to int) {
@@ -183,13 +183,13 @@
 }
 
 func (c *Chain) onChunkAck(now time.Duration, from view.Member, m *ChunkAck) {
-	l := c.linkOf(from.ID)
+	l := c.findLink(from.ID)
 	if l == nil || l.session != m.Session || l.transfer == nil || l.transfer.snapshot.Index != m.Index {
 		return
 	}
 	l.heardAt = now
 	if m.Offset > l.transfer.acked {
 		l.transfer.acked = m.Offset
-		c.pumpChunks(now, l)
+		c.sendChunks(now, l)
 	}
 }
--- a/coord/chain/link.go
+++ b/coord/chain/link.go
@@ -16,19 +16,19 @@
 
 // link is the sending side towards a successor or a learner.
 type link struct {
-	peer       view.Member
-	session    uint64 // 0: none
-	early      *Hello // came before this replica was in step itself
-	next       uint64
-	match      uint64 // the peer's log was found to be the same up to here
-	acked      uint64
-	flying     int // bytes not yet acknowledged
-	batches    []batch
-	commitSent uint64
-	quietSince time.Duration // last sending or acknowledgement
-	heardAt    time.Duration
-	transfer   *transfer
-	wants      bool // a snapshot
+	peer           view.Member
+	session        uint64 // 0: none
+	pendingHello   *Hello // came before this replica was in step itself
+	next           uint64
+	match          uint64 // the peer's log was found to be the same up to here
+	acked          uint64
+	inFlightBytes  int // bytes not yet acknowledged
+	batches        []batch
+	sentCommit     uint64
+	lastActivityAt time.Duration // last sending or acknowledgement
+	heardAt        time.Duration
+	transfer       *transfer
+	needsSnapshot  bool // a snapshot
 }
 
 type batch struct {
@@ -38,18 +38,18 @@
 
 // transfer is a snapshot on its way.
 type transfer struct {
-	snapshot *Snapshot
-	sum      uint64
-	acked    int
-	sent     int
-	at       time.Duration
+	snapshot       *Snapshot
+	sum            uint64
+	acked          int
+	sent           int
+	lastProgressAt time.Duration
 }
 
-// owes tells whether the peer has something to acknowledge.
-func (l *link) owes() bool { return l.session != 0 && l.next > l.acked+1 }
+// hasUnacknowledged tells whether the peer has something to acknowledge.
+func (l *link) hasUnacknowledged() bool { return l.session != 0 && l.next > l.acked+1 }
 
-// has is up to where the peer has the log, or will have it with the snapshot that is on its way.
-func (l *link) has() uint64 {
+// coveredIndex is up to where the peer has the log, or will have it with the snapshot that is on its way.
+func (l *link) coveredIndex() uint64 {
 	if l.transfer != nil {
 		return l.transfer.snapshot.Index
 	}
@@ -61,16 +61,16 @@
 	l.session = hello.Session
 	l.next, l.match = match+1, match
 	l.acked = max(l.acked, min(hello.Acked, match))
-	l.flying = 0
+	l.inFlightBytes = 0
 	l.batches = l.batches[:0]
-	l.commitSent = 0
-	l.quietSince, l.heardAt = now, now
-	l.transfer, l.wants = nil, false
+	l.sentCommit = 0
+	l.lastActivityAt, l.heardAt = now, now
+	l.transfer, l.needsSnapshot = nil, false
 }
 
-// cut ends the session because all after index has been dropped here: the peer will drop it too, so that what it
+// invalidateAfter ends the session because all after index has been dropped here: the peer will drop it too, so that what it
 // had acknowledged of that doesn't count any more.
-func (l *link) cut(index uint64) {
+func (l *link) invalidateAfter(index uint64) {
 	l.close()
 	l.acked = min(l.acked, index)
 }
@@ -78,27 +78,27 @@
 // close ends the session.
 func (l *link) close() {
 	l.session = 0
-	l.flying = 0
+	l.inFlightBytes = 0
 	l.batches = l.batches[:0]
 	l.transfer = nil
 }
 
-// sent notes a batch.
-func (l *link) sent(now time.Duration, last uint64, bytes int) {
+// recordBatch notes a batch.
+func (l *link) recordBatch(now time.Duration, last uint64, bytes int) {
 	l.next = last + 1
-	l.flying += bytes
+	l.inFlightBytes += bytes
 	l.batches = append(l.batches, batch{last, bytes})
-	l.quietSince = now
+	l.lastActivityAt = now
 }
 
-// ack notes an acknowledgement.
-func (l *link) ack(now time.Duration, m *Ack) {
-	l.heardAt, l.quietSince = now, now
+// handleAck notes an acknowledgement.
+func (l *link) handleAck(now time.Duration, m *Ack) {
+	l.heardAt, l.lastActivityAt = now, now
 	l.acked = max(l.acked, min(m.Index, l.next-1))
 	stored := max(m.Index, m.Stored)
 	done := 0
 	for done < len(l.batches) && l.batches[done].last <= stored {
-		l.flying -= l.batches[done].bytes
+		l.inFlightBytes -= l.batches[done].bytes
 		done++
 	}
 	l.batches = append(l.batches[:0], l.batches[done:]...)
--- a/coord/chain/log_test.go
+++ b/coord/chain/log_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// grow appends entries whose epochs never fall.
-func grow(t *rapid.T, l *Log, label string) {
+// appendRandomEntries appends entries whose epochs never fall.
+func appendRandomEntries(t *rapid.T, l *Log, label string) {
 	epoch := l.LastEpoch()
 	for range rapid.IntRange(0, 12).Draw(t, label) {
 		epoch += uint64(rapid.IntRange(0, 1).Draw(t, label+"-step"))
@@ -20,13 +20,13 @@
 func TestMatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a, b Log
-		grow(t, &a, "common")
+		appendRandomEntries(t, &a, "common")
 		common := a.Last()
 		entries, _ := a.Slice(1, 1<<30)
 		for _, e := range entries {
 			b.Append(e)
 		}
-		grow(t, &a, "a")
+		appendRandomEntries(t, &a, "a")
 		for i, last := 0, rapid.IntRange(0, 5).Draw(t, "b"); i < last; i++ {
 			b.Append(Entry{Index: b.Last() + 1, Epoch: 1000}) // an epoch that a hasn't got
 		}
@@ -42,13 +42,13 @@
 	})
 }
 
-func TestLogKeepsItsFigures(t *testing.T) {
+func TestLogTracksSizeAndRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Log
-		grow(t, &l, "grow")
+		appendRandomEntries(t, &l, "grow")
 		l.Truncate(uint64(rapid.IntRange(0, 15).Draw(t, "truncate")))
 		l.Drop(uint64(rapid.IntRange(0, 15).Draw(t, "drop")))
-		grow(t, &l, "more")
+		appendRandomEntries(t, &l, "more")
 		bytes := 0
 		for i := l.Base() + 1; i <= l.Last(); i++ {
 			one, size := l.Slice(i, 1)
@@ -64,7 +64,7 @@
 }
 
 // What was handed out stays as it was when the log is cut and goes on otherwise.
-func TestCutLeavesWhatWasHandedOut(t *testing.T) {
+func TestTruncateDoesNotChangeReturnedSlices(t *testing.T) {
 	var l Log
 	for i := uint64(1); i <= 4; i++ {
 		l.Append(Entry{Index: i, Epoch: 1})
--- a/coord/chain/messages.go
+++ b/coord/chain/messages.go
@@ -49,7 +49,7 @@
 	Epoch   uint64
 	Offset  int
 	Total   int
-	Sum     uint64 // of the whole snapshot's data, see snapshotSum; 0: not given
+	Sum     uint64 // of the whole snapshot's data, see snapshotChecksum; 0: not given
 	Data    []byte
 }
 
--- a/coord/chain/prev_test.go
+++ b/coord/chain/prev_test.go
@@ -7,17 +7,17 @@
 )
 
 // Within a session both logs are the same up to Prev; where they aren't, what follows must not be taken.
-func TestEntriesThatFollowAnotherEpochAreRefused(t *testing.T) {
-	r := follower(t, false, entriesOf(1, 1)...)
-	r.starts(2, 3, 3, 3, entry(3, 5))
+func TestEntriesAfterMismatchedPrevEpochAreRefused(t *testing.T) {
+	r := newFollower(t, false, entriesWithEpochs(1, 1)...)
+	r.receiveStart(2, 3, 3, 3, entry(3, 5))
 	assert.ErrorIs(t, r.fault, ErrDiverged)
 	assert.Equal(t, uint64(2), r.Log().Last())
 	assert.Zero(t, r.Committed())
 	assert.Empty(t, r.stored)
 
-	r = follower(t, false, entriesOf(1, 1)...)
-	r.starts(2, 1, 2, 0)
-	r.continues(2, 4, 3, entry(3, 5))
+	r = newFollower(t, false, entriesWithEpochs(1, 1)...)
+	r.receiveStart(2, 1, 2, 0)
+	r.receiveAppend(2, 4, 3, entry(3, 5))
 	assert.ErrorIs(t, r.fault, ErrDiverged)
 	assert.Zero(t, r.Committed())
 }
--- a/coord/chain/rig_test.go
+++ b/coord/chain/rig_test.go
@@ -11,13 +11,13 @@
 	"gaugeslip/coord/view"
 )
 
-// rig is one chain whose environment only takes notes: what it sends waits to be looked at or carried by hand.
-type rig struct {
+// testReplica is one chain whose environment only takes notes: what it sends waits to be looked at or carried by hand.
+type testReplica struct {
 	*Chain
 	t         *testing.T
 	self      view.Member
 	now       time.Duration
-	sent      []posted
+	sent      []sentMessage
 	stored    []Entry
 	truncated []uint64
 	snapshots []Snapshot
@@ -26,7 +26,7 @@
 	fault     error
 }
 
-type posted struct {
+type sentMessage struct {
 	to   view.ReplicaID
 	body *Body
 }
@@ -37,27 +37,29 @@
 	learnerMember = view.Member{ID: "learner", Address: "learner:1"}
 )
 
-func (r *rig) Send(to view.Member, body *Body)   { r.sent = append(r.sent, posted{to.ID, body}) }
-func (r *rig) Store(entries []Entry)             { r.stored = append(r.stored, entries...) }
-func (r *rig) StoreTruncate(index uint64)        { r.truncated = append(r.truncated, index) }
-func (r *rig) StoreSnapshot(snapshot Snapshot)   { r.snapshots = append(r.snapshots, snapshot) }
-func (r *rig) Deliver(entries []Entry)           { r.delivered = append(r.delivered, entries...) }
-func (r *rig) Install(snapshot Snapshot)         { r.installed = append(r.installed, snapshot) }
-func (r *rig) Fail(err error)                    { r.fault = errors.Join(r.fault, err) }
-func (r *rig) take() (sent []posted)             { sent, r.sent = r.sent, nil; return sent }
-func (r *rig) after(d time.Duration)             { r.now += d; r.Tick(r.now) }
-func (r *rig) gets(from view.Member, body *Body) { r.Receive(r.now, from, body) }
-func (r *rig) sync(token uint64)                 { r.Mark(token); r.SyncedTo(r.now, token) }
-func (r *rig) write(data ...string) (last uint64) {
+func (r *testReplica) Send(to view.Member, body *Body) {
+	r.sent = append(r.sent, sentMessage{to.ID, body})
+}
+func (r *testReplica) Store(entries []Entry)                    { r.stored = append(r.stored, entries...) }
+func (r *testReplica) StoreTruncate(index uint64)               { r.truncated = append(r.truncated, index) }
+func (r *testReplica) StoreSnapshot(snapshot Snapshot)          { r.snapshots = append(r.snapshots, snapshot) }
+func (r *testReplica) Deliver(entries []Entry)                  { r.delivered = append(r.delivered, entries...) }
+func (r *testReplica) Install(snapshot Snapshot)                { r.installed = append(r.installed, snapshot) }
+func (r *testReplica) Fail(err error)                           { r.fault = errors.Join(r.fault, err) }
+func (r *testReplica) takeSent() (sent []sentMessage)           { sent, r.sent = r.sent, nil; return sent }
+func (r *testReplica) advance(d time.Duration)                  { r.now += d; r.Tick(r.now) }
+func (r *testReplica) receiveFrom(from view.Member, body *Body) { r.Receive(r.now, from, body) }
+func (r *testReplica) syncAll(token uint64)                     { r.Mark(token); r.SyncedTo(r.now, token) }
+func (r *testReplica) write(data ...string) (last uint64) {
 	for _, d := range data {
 		last = r.Append(r.now, [][]byte{[]byte(d)})
 	}
 	return last
 }
 
-// newRig is a replica with these entries on disk, which keeps everything in memory unless told otherwise.
-func newRig(t *testing.T, self view.Member, life uint64, entries ...Entry) *rig {
-	r := &rig{t: t, self: self, now: time.Second}
+// newTestReplica is a replica with these entries on disk, which keeps everything in memory unless told otherwise.
+func newTestReplica(t *testing.T, self view.Member, life uint64, entries ...Entry) *testReplica {
+	r := &testReplica{t: t, self: self, now: time.Second}
 	var log Log
 	for _, e := range entries {
 		log.Append(e)
@@ -70,8 +72,8 @@
 	return Entry{Index: index, Epoch: epoch, Data: []byte{byte(index), byte(epoch)}}
 }
 
-// entriesOf gives entries from 1 on with these epochs.
-func entriesOf(epochs ...uint64) []Entry {
+// entriesWithEpochs gives entries from 1 on with these epochs.
+func entriesWithEpochs(epochs ...uint64) []Entry {
 	var entries []Entry
 	for i, epoch := range epochs {
 		entries = append(entries, entry(uint64(i+1), epoch))
@@ -79,50 +81,50 @@
 	return entries
 }
 
-// trimmedHead is a head of epoch 2 that has committed so many entries and keeps none of them.
-func trimmedHead(t *testing.T, count int) *rig {
-	head := newRig(t, headMember, 1)
+// newTrimmedHead is a head of epoch 2 that has committed so many entries and keeps none of them.
+func newTrimmedHead(t *testing.T, count int) *testReplica {
+	head := newTestReplica(t, headMember, 1)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 0, 0
 	head.Enter(head.now, Role{Epoch: 2, Head: true})
 	for range count {
 		head.write("x")
 	}
-	head.sync(1)
+	head.syncAll(1)
 	head.Commit(head.now)
 	require.Equal(t, uint64(count), head.Log().Base())
 	return head
 }
 
 // newLearner is a replica with an empty disk that has been asked by the head of an epoch to begin.
-func newLearner(t *testing.T, epoch uint64) *rig {
-	learner := newRig(t, learnerMember, 7)
+func newLearner(t *testing.T, epoch uint64) *testReplica {
+	learner := newTestReplica(t, learnerMember, 7)
 	learner.Enter(learner.now, Role{Epoch: epoch, Upstream: headMember})
 	return learner
 }
 
-// carry hands over what one has sent to the other and tells how many messages those were; keep says which get through.
-func carry(from, to *rig, keep func(*Body) bool) int {
+// forwardMessages hands over what one has sent to the other and tells how many messages those were; keep says which get through.
+func forwardMessages(from, to *testReplica, keep func(*Body) bool) int {
 	carried := 0
-	for _, m := range from.take() {
+	for _, m := range from.takeSent() {
 		if m.to == to.self.ID && (keep == nil || keep(m.body)) {
-			to.gets(from.self, m.body)
+			to.receiveFrom(from.self, m.body)
 			carried++
 		}
 	}
 	return carried
 }
 
-// settleDown carries messages both ways until both are silent.
-func settleDown(a, b *rig) {
+// exchangeUntilIdle carries messages both ways until both are silent.
+func exchangeUntilIdle(a, b *testReplica) {
 	for range 10_000 {
-		if carry(a, b, nil)+carry(b, a, nil) == 0 {
+		if forwardMessages(a, b, nil)+forwardMessages(b, a, nil) == 0 {
 			return
 		}
 	}
 	a.t.Fatal("they never fall silent")
 }
 
-func bodies[T any](sent []posted, pick func(*Body) *T) []*T {
+func bodies[T any](sent []sentMessage, pick func(*Body) *T) []*T {
 	var found []*T
 	for _, m := range sent {
 		if part := pick(m.body); part != nil {
@@ -132,23 +134,29 @@
 	return found
 }
 
-func hellosOf(sent []posted) []*Hello { return bodies(sent, func(b *Body) *Hello { return b.Hello }) }
+func hellosOf(sent []sentMessage) []*Hello {
+	return bodies(sent, func(b *Body) *Hello { return b.Hello })
+}
 
-func state(fill byte, size int) []byte { return slices.Repeat([]byte{fill}, size) }
+func filledBytes(fill byte, size int) []byte { return slices.Repeat([]byte{fill}, size) }
 
-func acksOf(sent []posted) []*Ack { return bodies(sent, func(b *Body) *Ack { return b.Ack }) }
+func acksOf(sent []sentMessage) []*Ack { return bodies(sent, func(b *Body) *Ack { return b.Ack }) }
 
-func appendsOf(sent []posted) []*Append {
+func appendsOf(sent []sentMessage) []*Append {
 	return bodies(sent, func(b *Body) *Append { return b.Append })
 }
 
-func chunksOf(sent []posted) []*Chunk { return bodies(sent, func(b *Body) *Chunk { return b.Chunk }) }
+func chunksOf(sent []sentMessage) []*Chunk {
+	return bodies(sent, func(b *Body) *Chunk { return b.Chunk })
+}
 
-func probesOf(sent []posted) []*Probe { return bodies(sent, func(b *Body) *Probe { return b.Probe }) }
+func probesOf(sent []sentMessage) []*Probe {
+	return bodies(sent, func(b *Body) *Probe { return b.Probe })
+}
 
-// follower is a replica with these entries on disk that has entered epoch 5 behind the head, with a successor or without.
-func follower(t *testing.T, successor bool, entries ...Entry) *rig {
-	r := newRig(t, middleMember, 3, entries...)
+// newFollower is a replica with these entries on disk that has entered epoch 5 behind the head, with a successor or without.
+func newFollower(t *testing.T, successor bool, entries ...Entry) *testReplica {
+	r := newTestReplica(t, middleMember, 3, entries...)
 	role := Role{Epoch: 5, Upstream: headMember}
 	if successor {
 		role.Downstream = &learnerMember
@@ -157,23 +165,23 @@
 	return r
 }
 
-// starts opens the session of a follower, as its predecessor does.
-func (r *rig) starts(prev, prevEpoch, target, commit uint64, entries ...Entry) {
-	r.gets(headMember, &Body{Append: &Append{Session: r.session, Start: true, Target: target, Prev: prev, PrevEpoch: prevEpoch,
+// receiveStart opens the session of a follower, as its predecessor does.
+func (r *testReplica) receiveStart(prev, prevEpoch, target, commit uint64, entries ...Entry) {
+	r.receiveFrom(headMember, &Body{Append: &Append{Session: r.session, Start: true, Target: target, Prev: prev, PrevEpoch: prevEpoch,
 		Commit: commit, Entries: entries}})
 }
 
-// continues is a later message of the session.
-func (r *rig) continues(prev, prevEpoch, commit uint64, entries ...Entry) {
-	r.gets(headMember, &Body{Append: &Append{Session: r.session, Prev: prev, PrevEpoch: prevEpoch, Commit: commit, Entries: entries}})
+// receiveAppend is a later message of the session.
+func (r *testReplica) receiveAppend(prev, prevEpoch, commit uint64, entries ...Entry) {
+	r.receiveFrom(headMember, &Body{Append: &Append{Session: r.session, Prev: prev, PrevEpoch: prevEpoch, Commit: commit, Entries: entries}})
 }
 
-// opensBehind opens the session of a successor with a log of these runs.
-func (r *rig) opensBehind(session, acked uint64, runs ...Run) {
-	r.gets(learnerMember, &Body{Hello: &Hello{Session: session, Runs: runs, Acked: acked}})
+// receiveSuccessorHello opens the session of a successor with a log of these runs.
+func (r *testReplica) receiveSuccessorHello(session, acked uint64, runs ...Run) {
+	r.receiveFrom(learnerMember, &Body{Hello: &Hello{Session: session, Runs: runs, Acked: acked}})
 }
 
-// ackedBehind is a successor's word on what it has on disk.
-func (r *rig) ackedBehind(session, index uint64) {
-	r.gets(learnerMember, &Body{Ack: &Ack{Session: session, Index: index, Stored: index}})
+// receiveSuccessorAck is a successor's word on what it has on disk.
+func (r *testReplica) receiveSuccessorAck(session, index uint64) {
+	r.receiveFrom(learnerMember, &Body{Ack: &Ack{Session: session, Index: index, Stored: index}})
 }
--- a/coord/chain/snapshot_test.go
+++ b/coord/chain/snapshot_test.go
@@ -12,28 +12,28 @@
 // A learner is cut off in the midst of a transfer for longer than the head remembers it, and the head goes on: the learner must not
 // put the second half of a newer snapshot behind the first half of the older one.
 func TestSnapshotsAreNeverMixed(t *testing.T) {
-	head, learner := trimmedHead(t, 10), newLearner(t, 2)
-	carry(learner, head, nil)
+	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
+	forwardMessages(learner, head, nil)
 	require.True(t, head.WantsSnapshot())
 	const size = 8 * chunkBytes
-	head.Offer(head.now, 10, state('a', size))
+	head.Offer(head.now, 10, filledBytes('a', size))
 	for range 2 { // a part of it gets through
-		carry(head, learner, nil)
-		carry(learner, head, nil)
+		forwardMessages(head, learner, nil)
+		forwardMessages(learner, head, nil)
 	}
 	require.Zero(t, len(learner.installed))
-	head.take()
+	head.takeSent()
 
-	head.after(learnerSilence + time.Millisecond)
-	learner.after(learnerSilence + time.Millisecond)
-	head.take()
+	head.advance(learnerTimeout + time.Millisecond)
+	learner.advance(learnerTimeout + time.Millisecond)
+	head.takeSent()
 	head.write("x", "x")
-	head.sync(2)
+	head.syncAll(2)
 	head.Commit(head.now)
-	carry(learner, head, nil)
+	forwardMessages(learner, head, nil)
 	require.True(t, head.WantsSnapshot())
-	head.Offer(head.now, 12, state('b', size))
-	settleDown(head, learner)
+	head.Offer(head.now, 12, filledBytes('b', size))
+	exchangeUntilIdle(head, learner)
 	require.NoError(t, learner.fault)
 	require.Equal(t, 1, len(learner.installed))
 	got := learner.installed[0]
@@ -47,19 +47,19 @@
 	var chunks []*Chunk
 	for from := 0; from < len(data); from += chunkBytes {
 		to := min(from+chunkBytes, len(data))
-		chunks = append(chunks, &Chunk{Session: session, Index: index, Epoch: 2, Offset: from, Total: len(data), Sum: snapshotSum(data),
+		chunks = append(chunks, &Chunk{Session: session, Index: index, Epoch: 2, Offset: from, Total: len(data), Sum: snapshotChecksum(data),
 			Data: data[from:to]})
 	}
 	return chunks
 }
 
-func TestChunksMayComeTwiceAndOutOfOrder(t *testing.T) {
+func TestChunksMayBeDuplicatedAndReordered(t *testing.T) {
 	learner := newLearner(t, 2)
-	data := append(state('a', chunkBytes), state('b', chunkBytes)...)
+	data := append(filledBytes('a', chunkBytes), filledBytes('b', chunkBytes)...)
 	data = append(data, 'c')
 	chunks := chunksFor(learner.session, 10, data)
 	for _, at := range []int{1, 0, 2, 0, 1, 0, 2} {
-		learner.gets(headMember, &Body{Chunk: chunks[at]})
+		learner.receiveFrom(headMember, &Body{Chunk: chunks[at]})
 	}
 	require.NoError(t, learner.fault)
 	require.Equal(t, 1, len(learner.installed))
@@ -69,70 +69,70 @@
 	assert.Equal(t, uint64(10), learner.Committed())
 }
 
-func TestChunksOfAnotherSessionOrAnOlderSnapshotCountForNothing(t *testing.T) {
+func TestChunksOfAnotherSessionOrAnOlderSnapshotAreIgnored(t *testing.T) {
 	learner := newLearner(t, 2)
-	newer := chunksFor(learner.session, 12, state('b', 2*chunkBytes))
-	older := chunksFor(learner.session, 10, state('a', 2*chunkBytes))
-	foreign := chunksFor(learner.session+1, 12, state('b', 2*chunkBytes))
-	learner.gets(headMember, &Body{Chunk: foreign[0]})
-	learner.gets(headMember, &Body{Chunk: newer[0]})
-	learner.take()
-	learner.gets(headMember, &Body{Chunk: older[0]})
-	learner.gets(headMember, &Body{Chunk: older[1]})
-	learner.gets(headMember, &Body{Chunk: foreign[1]})
-	assert.Zero(t, len(learner.take()), "what is of no use isn't acknowledged")
-	learner.gets(headMember, &Body{Chunk: newer[1]})
+	newer := chunksFor(learner.session, 12, filledBytes('b', 2*chunkBytes))
+	older := chunksFor(learner.session, 10, filledBytes('a', 2*chunkBytes))
+	foreign := chunksFor(learner.session+1, 12, filledBytes('b', 2*chunkBytes))
+	learner.receiveFrom(headMember, &Body{Chunk: foreign[0]})
+	learner.receiveFrom(headMember, &Body{Chunk: newer[0]})
+	learner.takeSent()
+	learner.receiveFrom(headMember, &Body{Chunk: older[0]})
+	learner.receiveFrom(headMember, &Body{Chunk: older[1]})
+	learner.receiveFrom(headMember, &Body{Chunk: foreign[1]})
+	assert.Zero(t, len(learner.takeSent()), "what is of no use isn't acknowledged")
+	learner.receiveFrom(headMember, &Body{Chunk: newer[1]})
 	require.Equal(t, 1, len(learner.installed))
 	assert.Equal(t, uint64(12), learner.installed[0].Index)
 }
 
 func TestADamagedSnapshotIsNotInstalled(t *testing.T) {
 	learner := newLearner(t, 2)
-	chunks := chunksFor(learner.session, 10, state('a', chunkBytes+1))
+	chunks := chunksFor(learner.session, 10, filledBytes('a', chunkBytes+1))
 	damaged := *chunks[1]
 	damaged.Data = []byte{'b'}
-	learner.gets(headMember, &Body{Chunk: chunks[0]})
-	learner.take()
-	learner.gets(headMember, &Body{Chunk: &damaged})
+	learner.receiveFrom(headMember, &Body{Chunk: chunks[0]})
+	learner.takeSent()
+	learner.receiveFrom(headMember, &Body{Chunk: &damaged})
 	require.Zero(t, len(learner.installed))
 	require.Zero(t, len(learner.snapshots))
-	hellos := hellosOf(learner.take())
+	hellos := hellosOf(learner.takeSent())
 	require.Equal(t, 1, len(hellos), "it asks anew")
-	for _, chunk := range chunksFor(hellos[0].Session, 10, state('a', chunkBytes+1)) {
-		learner.gets(headMember, &Body{Chunk: chunk})
+	for _, chunk := range chunksFor(hellos[0].Session, 10, filledBytes('a', chunkBytes+1)) {
+		learner.receiveFrom(headMember, &Body{Chunk: chunk})
 	}
 	assert.Equal(t, 1, len(learner.installed))
 }
 
 // A head of an older version gives no sum.
-func TestASnapshotWithoutASumIsInstalled(t *testing.T) {
+func TestSnapshotWithoutChecksumIsInstalled(t *testing.T) {
 	learner := newLearner(t, 2)
-	for _, chunk := range chunksFor(learner.session, 10, state('a', chunkBytes+1)) {
+	for _, chunk := range chunksFor(learner.session, 10, filledBytes('a', chunkBytes+1)) {
 		chunk.Sum = 0
-		learner.gets(headMember, &Body{Chunk: chunk})
+		learner.receiveFrom(headMember, &Body{Chunk: chunk})
 	}
 	assert.Equal(t, 1, len(learner.installed))
 }
 
-func TestASnapshotOfLessThanIsCommittedIsRefused(t *testing.T) {
-	learner := newRig(t, learnerMember, 7, entriesOf(1, 1, 1)...)
+func TestSnapshotBelowCommittedIndexIsRefused(t *testing.T) {
+	learner := newTestReplica(t, learnerMember, 7, entriesWithEpochs(1, 1, 1)...)
 	learner.Enter(learner.now, Role{Epoch: 2, Upstream: headMember})
-	learner.gets(headMember, &Body{Append: &Append{Session: learner.session, Start: true, Target: 3, Prev: 3, PrevEpoch: 1, Commit: 3}})
+	learner.receiveFrom(headMember, &Body{Append: &Append{Session: learner.session, Start: true, Target: 3, Prev: 3, PrevEpoch: 1, Commit: 3}})
 	require.Equal(t, uint64(3), learner.Committed())
 	learner.Enter(learner.now, Role{Epoch: 3, Upstream: headMember})
-	learner.gets(headMember, &Body{Chunk: chunksFor(learner.session, 2, state('a', 1))[0]})
+	learner.receiveFrom(headMember, &Body{Chunk: chunksFor(learner.session, 2, filledBytes('a', 1))[0]})
 	assert.ErrorIs(t, learner.fault, ErrDiverged)
 	assert.Zero(t, len(learner.installed)+len(learner.snapshots))
 	assert.Equal(t, uint64(3), learner.Log().Last())
 }
 
 // What stands on the disk of the log that a snapshot replaces says nothing about the snapshot.
-func TestASnapshotIsAcknowledgedOnceItIsOnDisk(t *testing.T) {
-	learner := newRig(t, learnerMember, 7, entriesOf(1, 1, 1)...)
+func TestSnapshotIsAcknowledgedOnlyOnceOnDisk(t *testing.T) {
+	learner := newTestReplica(t, learnerMember, 7, entriesWithEpochs(1, 1, 1)...)
 	learner.Enter(learner.now, Role{Epoch: 2, Upstream: headMember})
-	learner.gets(headMember, &Body{Chunk: chunksFor(learner.session, 10, state('a', 1))[0]})
+	learner.receiveFrom(headMember, &Body{Chunk: chunksFor(learner.session, 10, filledBytes('a', 1))[0]})
 	assert.Zero(t, learner.Synced())
-	assert.Zero(t, hellosOf(learner.take())[1].Acked)
+	assert.Zero(t, hellosOf(learner.takeSent())[1].Acked)
 	learner.Mark(5)
 	learner.SyncedTo(learner.now, 4)
 	assert.Zero(t, learner.Synced())
@@ -141,23 +141,23 @@
 }
 
 // The head writes more during a transfer than it keeps of its log: the entries after the snapshot stay until the learner has them.
-func TestALearnerNeedsOneSnapshotAlsoWhereTheLogIsTrimmedMeanwhile(t *testing.T) {
-	head, learner := trimmedHead(t, 10), newLearner(t, 2)
+func TestLearnerNeedsOneSnapshotWhileTheLogIsTrimmed(t *testing.T) {
+	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 10, 1<<20
-	carry(learner, head, nil)
+	forwardMessages(learner, head, nil)
 	token, offers := uint64(1), 0
 	for range 40 {
 		if head.WantsSnapshot() {
 			offers++
-			head.Offer(head.now, head.Committed(), state('a', 8*chunkBytes))
+			head.Offer(head.now, head.Committed(), filledBytes('a', 8*chunkBytes))
 		}
-		carry(head, learner, nil)
+		forwardMessages(head, learner, nil)
 		token++
-		learner.sync(token)
-		carry(learner, head, nil)
+		learner.syncAll(token)
+		forwardMessages(learner, head, nil)
 		if offers > 0 && head.Log().Last() < 60 {
 			head.write("x", "x", "x", "x", "x")
-			head.sync(token)
+			head.syncAll(token)
 			head.Commit(head.now)
 		}
 	}
@@ -169,88 +169,88 @@
 }
 
 // A learner that is slow or gone must not have the head keep its log without bound.
-func TestWhatIsKeptForALearnerIsBounded(t *testing.T) {
-	head, learner := trimmedHead(t, 10), newLearner(t, 2)
+func TestEntriesKeptForALearnerAreBounded(t *testing.T) {
+	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 10, 1<<20
-	carry(learner, head, nil)
-	head.Offer(head.now, 10, state('a', 8*chunkBytes))
+	forwardMessages(learner, head, nil)
+	head.Offer(head.now, 10, filledBytes('a', 8*chunkBytes))
 	for token := range uint64(400) {
 		head.write("x")
-		head.sync(token + 2)
+		head.syncAll(token + 2)
 		head.Commit(head.now)
 		held := head.Committed() - head.Log().Base()
-		require.LessOrEqual(t, held, uint64(transferKeeps*10))
-		require.GreaterOrEqual(t, held, min(head.Committed()-10, uint64(transferKeeps*10)))
+		require.LessOrEqual(t, held, uint64(transferRetentionFactor*10))
+		require.GreaterOrEqual(t, held, min(head.Committed()-10, uint64(transferRetentionFactor*10)))
 	}
-	head.after(learnerSilence + time.Millisecond)
+	head.advance(learnerTimeout + time.Millisecond)
 	head.write("x")
-	head.sync(1000)
+	head.syncAll(1000)
 	head.Commit(head.now)
 	assert.Equal(t, uint64(10), head.Committed()-head.Log().Base(), "nobody needs it any more")
 }
 
 // A Hello that comes late or twice, after the head has forgotten the learner, has it send a snapshot in a session in which the learner
 // takes entries already: it asks in another one, and is in step again.
-func TestASnapshotInAnOpenedSessionIsAskedForAnew(t *testing.T) {
-	head, learner := trimmedHead(t, 10), newLearner(t, 2)
-	old := learner.take()
+func TestChunkInAnOpenSessionStartsANewSession(t *testing.T) {
+	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
+	old := learner.takeSent()
 	for _, p := range old {
-		head.gets(learnerMember, p.body)
+		head.receiveFrom(learnerMember, p.body)
 	}
-	head.Offer(head.now, 10, state('a', 10))
-	settleDown(head, learner)
+	head.Offer(head.now, 10, filledBytes('a', 10))
+	exchangeUntilIdle(head, learner)
 	require.Equal(t, 1, len(learner.installed))
 	var late []*Body
-	learner.hello(learner.now)
-	for _, p := range learner.take() {
+	learner.startSession(learner.now)
+	for _, p := range learner.takeSent() {
 		late = append(late, p.body)
-		head.gets(learnerMember, p.body)
+		head.receiveFrom(learnerMember, p.body)
 	}
-	settleDown(head, learner)
+	exchangeUntilIdle(head, learner)
 
-	head.after(learnerSilence + time.Millisecond) // it is forgotten, and the log goes on without it
+	head.advance(learnerTimeout + time.Millisecond) // it is forgotten, and the log goes on without it
 	head.write("x", "x")
-	head.sync(2)
+	head.syncAll(2)
 	head.Commit(head.now)
 	head.log.Drop(12)
-	head.take()
+	head.takeSent()
 	for _, body := range late {
-		head.gets(learnerMember, body)
+		head.receiveFrom(learnerMember, body)
 	}
 	require.True(t, head.WantsSnapshot())
-	head.Offer(head.now, 12, state('b', 10))
-	learner.after(rehelloAfter)
+	head.Offer(head.now, 12, filledBytes('b', 10))
+	learner.advance(sessionRestartInterval)
 	for range 4 {
-		carry(head, learner, nil)
-		carry(learner, head, nil)
-		head.Offer(head.now, 12, state('b', 10))
+		forwardMessages(head, learner, nil)
+		forwardMessages(learner, head, nil)
+		head.Offer(head.now, 12, filledBytes('b', 10))
 	}
 	require.NoError(t, learner.fault)
 	require.Equal(t, 2, len(learner.installed))
 	assert.Equal(t, uint64(12), learner.installed[1].Index)
 }
 
-func TestALateChunkDoesNotReplaceAnOpenedLog(t *testing.T) {
-	r := follower(t, false, entriesOf(1)...)
-	r.starts(1, 1, 1, 0)
-	r.gets(headMember, &Body{Chunk: chunksFor(r.session, 10, state('a', 1))[0]})
+func TestLateChunkDoesNotReplaceALogInUse(t *testing.T) {
+	r := newFollower(t, false, entriesWithEpochs(1)...)
+	r.receiveStart(1, 1, 1, 0)
+	r.receiveFrom(headMember, &Body{Chunk: chunksFor(r.session, 10, filledBytes('a', 1))[0]})
 	assert.Zero(t, len(r.installed))
 	assert.Equal(t, uint64(1), r.Log().Last())
 }
 
 // The head changes in the midst of a transfer: what the one before sends late counts for nothing, and the new one's snapshot is installed whole.
-func TestAHeadThatChangesDuringATransferBeginsAnew(t *testing.T) {
+func TestHeadChangeDuringATransferRestartsIt(t *testing.T) {
 	learner := newLearner(t, 2)
-	before := chunksFor(learner.session, 12, state('a', 2*chunkBytes))
-	learner.gets(headMember, &Body{Chunk: before[0]})
+	before := chunksFor(learner.session, 12, filledBytes('a', 2*chunkBytes))
+	learner.receiveFrom(headMember, &Body{Chunk: before[0]})
 	learner.Enter(learner.now, Role{Epoch: 3, Upstream: middleMember})
-	learner.take()
-	after := chunksFor(learner.session, 11, state('b', 2*chunkBytes))
-	learner.gets(headMember, &Body{Chunk: before[1]})
-	learner.gets(middleMember, &Body{Chunk: before[1]})
-	assert.Zero(t, len(learner.take()))
+	learner.takeSent()
+	after := chunksFor(learner.session, 11, filledBytes('b', 2*chunkBytes))
+	learner.receiveFrom(headMember, &Body{Chunk: before[1]})
+	learner.receiveFrom(middleMember, &Body{Chunk: before[1]})
+	assert.Zero(t, len(learner.takeSent()))
 	for _, chunk := range after {
-		learner.gets(middleMember, &Body{Chunk: chunk})
+		learner.receiveFrom(middleMember, &Body{Chunk: chunk})
 	}
 	require.Equal(t, 1, len(learner.installed))
 	assert.Equal(t, uint64(11), learner.installed[0].Index)
@@ -259,24 +259,24 @@
 
 // While a snapshot comes in the head goes on; the learner then gets what was written meanwhile, and all of it once.
 func TestWritesDuringATransferFollowTheSnapshot(t *testing.T) {
-	head, learner := trimmedHead(t, 10), newLearner(t, 2)
+	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 100, 1<<20
-	carry(learner, head, nil)
-	head.Offer(head.now, 10, state('a', 3*chunkBytes))
+	forwardMessages(learner, head, nil)
+	head.Offer(head.now, 10, filledBytes('a', 3*chunkBytes))
 	head.write("b", "c")
-	head.sync(2)
+	head.syncAll(2)
 	head.Commit(head.now)
-	settleDown(head, learner)
-	learner.sync(1)
-	settleDown(head, learner)
+	exchangeUntilIdle(head, learner)
+	learner.syncAll(1)
+	exchangeUntilIdle(head, learner)
 	require.NoError(t, learner.fault)
 	require.Equal(t, 1, len(learner.installed))
 	assert.Equal(t, uint64(12), learner.Synced())
 	acked, _, ok := head.Learner(learnerMember.ID)
 	assert.True(t, ok)
 	assert.Equal(t, uint64(12), acked)
-	head.after(commitDelay)
-	settleDown(head, learner)
+	head.advance(commitNoticeDelay)
+	exchangeUntilIdle(head, learner)
 	var data []string
 	for _, e := range learner.delivered {
 		data = append(data, string(e.Data))
--- a/coord/chain/timers.go
+++ b/coord/chain/timers.go
@@ -11,9 +11,9 @@
 // never is a time that doesn't come.
 const never = time.Duration(math.MaxInt64)
 
-// learnerSilence is after which silence a learner is forgotten. Reading a large snapshot takes a learner seconds, in which it says nothing
+// learnerTimeout is after which silence a learner is forgotten. Reading a large snapshot takes a learner seconds, in which it says nothing
 // and still needs the log kept.
-const learnerSilence = 10 * time.Second
+const learnerTimeout = 10 * time.Second
 
 // Receive takes a message of the present epoch.
 func (c *Chain) Receive(now time.Duration, from view.Member, body *Body) {
@@ -42,15 +42,15 @@
 	if !c.active {
 		return
 	}
-	if !c.role.Head && !c.opened && now >= c.helloDue() {
-		c.repeatHello(now)
+	if !c.role.Head && !c.sessionOpen && now >= c.helloDue() {
+		c.sendHello(now)
 	}
-	if c.noteAt != 0 && now >= c.noteAt {
-		c.noteAt = 0
-		c.eachLink(func(l *link) { c.note(now, l) })
+	if c.commitNoticeAt != 0 && now >= c.commitNoticeAt {
+		c.commitNoticeAt = 0
+		c.forEachLink(func(l *link) { c.sendCommitNotice(now, l) })
 	}
-	c.eachLink(func(l *link) { c.nudge(now, l) })
-	c.learners = slices.DeleteFunc(c.learners, func(l *link) bool { return now-l.heardAt > learnerSilence })
+	c.forEachLink(func(l *link) { c.retransmit(now, l) })
+	c.learners = slices.DeleteFunc(c.learners, func(l *link) bool { return now-l.heardAt > learnerTimeout })
 }
 
 // Wake is when Tick has something to do.
@@ -59,59 +59,59 @@
 		return never
 	}
 	at := never
-	if !c.role.Head && !c.opened {
+	if !c.role.Head && !c.sessionOpen {
 		at = c.helloDue()
 	}
-	if c.noteAt != 0 {
-		at = min(at, c.noteAt)
+	if c.commitNoticeAt != 0 {
+		at = min(at, c.commitNoticeAt)
 	}
-	c.eachLink(func(l *link) { at = min(at, nudgeDue(l)) })
+	c.forEachLink(func(l *link) { at = min(at, retransmitDue(l)) })
 	return at
 }
 
 func (c *Chain) helloDue() time.Duration {
-	if c.incoming.begun() {
-		return c.helloAt + 2*transferStall
+	if c.incoming.hasData() {
+		return c.helloTimerStart + 2*transferTimeout
 	}
-	return c.helloAt + helloEvery
+	return c.helloTimerStart + helloInterval
 }
 
-func (c *Chain) eachLink(do func(*link)) {
-	if c.down != nil {
-		do(c.down)
+func (c *Chain) forEachLink(do func(*link)) {
+	if c.downstream != nil {
+		do(c.downstream)
 	}
 	for _, l := range c.learners {
 		do(l)
 	}
 }
 
-// note tells the commit index where no entries did.
-func (c *Chain) note(now time.Duration, l *link) {
-	if l.session != 0 && l.transfer == nil && !l.wants && l.commitSent < c.committed && l.next > c.log.Base() {
+// sendCommitNotice tells the commit index where no entries did.
+func (c *Chain) sendCommitNotice(now time.Duration, l *link) {
+	if l.session != 0 && l.transfer == nil && !l.needsSnapshot && l.sentCommit < c.committed && l.next > c.log.Base() {
 		c.sendBatch(now, l, false)
 	}
 }
 
-func nudgeDue(l *link) time.Duration {
+func retransmitDue(l *link) time.Duration {
 	switch {
 	case l.transfer != nil:
-		return l.transfer.at + transferStall
-	case l.owes():
-		return l.quietSince + probeAfter
+		return l.transfer.lastProgressAt + transferTimeout
+	case l.hasUnacknowledged():
+		return l.lastActivityAt + probeAfter
 	}
 	return never
 }
 
-// nudge repeats what seems to be lost.
-func (c *Chain) nudge(now time.Duration, l *link) {
-	if now < nudgeDue(l) {
+// retransmit repeats what seems to be lost.
+func (c *Chain) retransmit(now time.Duration, l *link) {
+	if now < retransmitDue(l) {
 		return
 	}
 	if l.transfer != nil {
 		l.transfer.sent = l.transfer.acked
-		c.pumpChunks(now, l)
+		c.sendChunks(now, l)
 		return
 	}
-	l.quietSince = now
+	l.lastActivityAt = now
 	c.send(l.peer, &Body{Probe: &Probe{Session: l.session, Last: l.next - 1}})
 }
--- a/coord/view/cutoff_test.go
+++ b/coord/view/cutoff_test.go
@@ -10,7 +10,7 @@
 
 func ballot(round uint64, owner ReplicaID) Ballot { return Ballot{Round: round, Owner: owner, Life: 1} }
 
-func TestBallotsOfTwoLivesDiffer(t *testing.T) {
+func TestBallotsOfTwoIncarnationsDiffer(t *testing.T) {
 	first, second := Ballot{Owner: "a", Life: 1}, Ballot{Owner: "a", Life: 2}
 	assert.NotZero(t, first.Compare(second))
 	assert.Negative(t, ballot(1, "b").Compare(ballot(2, "a")))
@@ -37,7 +37,7 @@
 	assert.False(t, a.Accept(ballot(1, "a"), View{}))
 }
 
-func TestProposerTakesTheHighestFound(t *testing.T) {
+func TestProposerAdoptsTheHighestAcceptedValue(t *testing.T) {
 	low, high := View{Epoch: 1, Chain: members("low")}, View{Epoch: 1, Chain: members("high")}
 	for _, order := range [][]ReplicaID{{"b", "c"}, {"c", "b"}} {
 		p := NewProposer("a", 1)
@@ -78,13 +78,13 @@
 }
 
 // A proposer that asks anew forgets who had promised before, and takes a ballot above what was in its way.
-func TestNewBallotBeginsAnew(t *testing.T) {
+func TestNewBallotDropsEarlierPromises(t *testing.T) {
 	p := NewProposer("a", 1)
 	p.Prepare(1, nil)
 	first := p.Ballot
 	p.Promised(1, "b", &Promise{Ballot: first, OK: true}, 2)
-	outbid := p.Promised(1, "c", &Promise{Ballot: first, Promised: ballot(7, "c")}, 2)
-	require.True(t, outbid)
+	preempted := p.Promised(1, "c", &Promise{Ballot: first, Promised: ballot(7, "c")}, 2)
+	require.True(t, preempted)
 	p.Prepare(2, nil)
 	require.Positive(t, p.Ballot.Compare(ballot(7, "c")))
 	p.Promised(2, "c", &Promise{Ballot: p.Ballot, OK: true}, 2)
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestLeaseStandsOnTheMajoritysOldest(t *testing.T) {
+func TestLeaseCountsFromTheOldestGrantOfAMajority(t *testing.T) {
 	v := View{Voters: members("a", "b", "c", "d", "e")}
 	l := NewLease(time.Second, 0)
 	for i, id := range []ReplicaID{"a", "b", "c", "d"} {
@@ -115,11 +115,11 @@
 }
 
 // A number that was given out so long ago that its time isn't kept any more doesn't count as the one that has its place.
-func TestForgottenHeartbeatDoesNotCount(t *testing.T) {
+func TestUntrackedHeartbeatDoesNotCount(t *testing.T) {
 	v := View{Voters: members("a")}
 	l := NewLease(time.Second, 100)
 	old := l.Sent(time.Second)
-	for range heartbeatsKept {
+	for range trackedHeartbeats {
 		l.Sent(time.Minute)
 	}
 	l.Granted("a", old)
@@ -128,11 +128,11 @@
 	assert.NotZero(t, l.Until(v))
 }
 
-func TestNumbersThatWereNotGivenOutDontCount(t *testing.T) {
+func TestUnknownHeartbeatNumbersDoNotCount(t *testing.T) {
 	v := View{Voters: members("a")}
 	l := NewLease(time.Second, 100)
 	l.Sent(time.Minute)
-	for _, number := range []uint64{0, 100, 102, 101 + heartbeatsKept} {
+	for _, number := range []uint64{0, 100, 102, 101 + trackedHeartbeats} {
 		l.Granted("a", number)
 		require.Zero(t, l.Until(v), "%d", number)
 	}
--- a/coord/view/proposer.go
+++ b/coord/view/proposer.go
@@ -15,44 +15,46 @@
 
 // Proposer is a proposer's part of one instance.
 type Proposer struct {
-	Phase    Phase
-	Ballot   Ballot
-	Value    *View         // the one to be accepted; before that the one wished for, if any
-	Began    time.Duration // this ballot
-	Majority time.Duration // when a majority had promised; zero before
-	self     ReplicaID
-	life     uint64
-	round    uint64 // highest seen
-	answered map[ReplicaID]bool
-	voted    map[ReplicaID]bool
-	leaving  map[ReplicaID]bool
-	adopted  Ballot
-	found    *View
+	Phase        Phase
+	Ballot       Ballot
+	Value        *View         // the one to be accepted; before that the one wished for, if any
+	Began        time.Duration // this ballot
+	Majority     time.Duration // when a majority had promised; zero before
+	self         ReplicaID
+	incarnation  uint64
+	highestRound uint64 // highest seen
+	answered     map[ReplicaID]bool
+	voted        map[ReplicaID]bool
+	leaving      map[ReplicaID]bool
+	foundBallot  Ballot
+	found        *View
 }
 
 // NewProposer makes an idle proposer; life differs between the lives of a replica.
-func NewProposer(self ReplicaID, life uint64) Proposer { return Proposer{self: self, life: life} }
+func NewProposer(self ReplicaID, incarnation uint64) Proposer {
+	return Proposer{self: self, incarnation: incarnation}
+}
 
 // Reset goes to the next instance.
-func (p *Proposer) Reset() { *p = NewProposer(p.self, p.life) }
+func (p *Proposer) Reset() { *p = NewProposer(p.self, p.incarnation) }
 
 // Active tells whether an instance is being worked on.
 func (p *Proposer) Active() bool { return p.Phase != Idle }
 
-// Prepare begins a ballot above all that were seen. A wish of an earlier ballot is kept unless another is given.
-func (p *Proposer) Prepare(now time.Duration, wish *View) {
-	if wish != nil {
-		p.Value = wish
+// Prepare begins a ballot above all that were seen. A proposal of an earlier ballot is kept unless another is given.
+func (p *Proposer) Prepare(now time.Duration, proposal *View) {
+	if proposal != nil {
+		p.Value = proposal
 	}
-	p.round++
-	p.begin(now, Preparing, Ballot{Round: p.round, Owner: p.self, Life: p.life})
-	p.adopted, p.found = Ballot{}, nil
+	p.highestRound++
+	p.begin(now, Preparing, Ballot{Round: p.highestRound, Owner: p.self, Life: p.incarnation})
+	p.foundBallot, p.found = Ballot{}, nil
 }
 
 // AcceptAtOnce begins the ballot of round 0, which is the head's alone and needs no promises.
 func (p *Proposer) AcceptAtOnce(now time.Duration, value *View) {
 	p.Value = value
-	p.begin(now, Accepting, Ballot{Owner: p.self, Life: p.life})
+	p.begin(now, Accepting, Ballot{Owner: p.self, Life: p.incarnation})
 }
 
 // Accept goes on to the second phase.
@@ -70,18 +72,18 @@
 }
 
 // Promised takes an answer to Prepare and tells whether a higher ballot is in the way.
-func (p *Proposer) Promised(now time.Duration, from ReplicaID, m *Promise, majority int) (outbid bool) {
+func (p *Proposer) Promised(now time.Duration, from ReplicaID, m *Promise, majority int) (preempted bool) {
 	if p.Phase != Preparing || m.Ballot != p.Ballot {
 		return false
 	}
 	p.answered[from] = true
 	p.leaving[from] = m.Leaving
 	if !m.OK {
-		return p.saw(m.Promised)
+		return p.observe(m.Promised)
 	}
 	p.voted[from] = true
-	if m.Value != nil && m.Accepted.Compare(p.adopted) > 0 {
-		p.adopted, p.found = m.Accepted, m.Value
+	if m.Value != nil && m.Accepted.Compare(p.foundBallot) > 0 {
+		p.foundBallot, p.found = m.Accepted, m.Value
 	}
 	if len(p.voted) >= majority && p.Majority == 0 {
 		p.Majority = now
@@ -90,21 +92,21 @@
 }
 
 // Accepted takes an answer to Accept and tells whether the value is decided, or a higher ballot in the way.
-func (p *Proposer) Accepted(from ReplicaID, m *Accepted, majority int) (decided, outbid bool) {
+func (p *Proposer) Accepted(from ReplicaID, m *Accepted, majority int) (decided, preempted bool) {
 	if p.Phase != Accepting || m.Ballot != p.Ballot {
 		return false, false
 	}
 	p.answered[from] = true
 	if !m.OK {
-		return false, p.saw(m.Promised)
+		return false, p.observe(m.Promised)
 	}
 	p.voted[from] = true
 	return len(p.voted) >= majority, false
 }
 
-// saw notes a ballot and tells whether it is above the present one.
-func (p *Proposer) saw(b Ballot) bool {
-	p.round = max(p.round, b.Round)
+// observe notes a ballot and tells whether it is above the present one.
+func (p *Proposer) observe(b Ballot) bool {
+	p.highestRound = max(p.highestRound, b.Round)
 	return b.Compare(p.Ballot) > 0
 }
 
--- a/coord/view/view.go
+++ b/coord/view/view.go
@@ -64,11 +64,11 @@
 	return slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
 }
 
-// Without is the list without the replicas that gone tells of, in a new slice.
-func Without(members []Member, gone func(ReplicaID) bool) []Member {
+// Without is the list without the replicas that excluded tells of, in a new slice.
+func Without(members []Member, excluded func(ReplicaID) bool) []Member {
 	kept := make([]Member, 0, len(members))
 	for _, member := range members {
-		if !gone(member.ID) {
+		if !excluded(member.ID) {
 			kept = append(kept, member)
 		}
 	}
--- a/coord/view/view_test.go
+++ b/coord/view/view_test.go
@@ -17,7 +17,7 @@
 	return list
 }
 
-func TestMajorityAndPlaces(t *testing.T) {
+func TestMajorityAndPositions(t *testing.T) {
 	v := View{Epoch: 3, Voters: members("a", "b", "c", "d"), Chain: members("b", "a")}
 	assert.Equal(t, 3, v.Majority())
 	assert.Equal(t, ReplicaID("b"), v.Head().ID)
@@ -48,7 +48,7 @@
 }
 
 // Random prepares and accepts, in any order and any number of times: at most one value is ever chosen.
-func TestOneValueIsChosen(t *testing.T) {
+func TestAtMostOneValueIsChosen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		voters := members("a", "b", "c")
 		v := View{Voters: voters}
@@ -74,11 +74,11 @@
 				}
 				p.Promised(1, to, m, v.Majority())
 				if p.Majority != 0 {
-					wish := p.Value
+					proposal := p.Value
 					if p.Found() != nil {
-						wish = p.Found()
+						proposal = p.Found()
 					}
-					p.Accept(1, wish)
+					p.Accept(1, proposal)
 				}
 			default:
 				m := &Accepted{Ballot: p.Ballot, Promised: a.Promised}
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestLeaseCountsFromTheSending(t *testing.T) {
+func TestLeaseCountsFromWhenTheHeartbeatWasSent(t *testing.T) {
 	const grant = time.Second
 	v := View{Voters: members("a", "b", "c")}
 	l := NewLease(grant, 100)
@@ -116,7 +116,7 @@
 	assert.Equal(t, 11*time.Second+grant*9/10, l.Until(v), "answers to what this life hasn't sent don't count")
 }
 
-func TestPromisedAway(t *testing.T) {
+func TestPromisedToAnotherReplica(t *testing.T) {
 	var a Acceptor
 	assert.False(t, a.PromisedAway("a"))
 	require.True(t, a.Prepare(Ballot{Round: 2, Owner: "b"}))
--- a/coord/wal/example_test.go
+++ b/coord/wal/example_test.go
@@ -9,12 +9,12 @@
 
 // A log is opened, written to, synced, and read back after a restart.
 func Example() {
-	folder, err := os.MkdirTemp("", "wal")
+	dir, err := os.MkdirTemp("", "wal")
 	if err != nil {
 		panic(err)
 	}
-	defer os.RemoveAll(folder)
-	disk, err := wal.OSDisk(folder)
+	defer os.RemoveAll(dir)
+	disk, err := wal.OSDisk(dir)
 	if err != nil {
 		panic(err)
 	}
--- a/coord/wal/generation.go
+++ b/coord/wal/generation.go
@@ -106,14 +106,14 @@
 
 // parseContents reads a generation's file; ok is false if the generation isn't complete.
 func parseContents(generation uint64, file []byte) (contents, bool) {
-	head, ok := parseHeader(file)
-	if !ok || head.generation != generation {
+	hdr, ok := parseHeader(file)
+	if !ok || hdr.generation != generation {
 		return contents{}, false
 	}
-	records, size := validRecords(file[headerBytes:], head.salt())
-	if uint64(size) < head.baseBytes {
+	records, size := validRecords(file[headerBytes:], hdr.salt())
+	if uint64(size) < hdr.baseBytes {
 		return contents{}, false
 	}
 	total := headerBytes + size
-	return contents{header: head, records: records, size: int64(total), torn: total < len(file)}, true
+	return contents{header: hdr, records: records, size: int64(total), torn: total < len(file)}, true
 }
--- a/coord/wal/guards_test.go
+++ b/coord/wal/guards_test.go
@@ -10,8 +10,8 @@
 	"gaugeslip/coord/wal/simdisk"
 )
 
-// put makes a file with a content.
-func put(t *testing.T, disk wal.Disk, name string, content []byte) {
+// writeFile makes a file with a content.
+func writeFile(t *testing.T, disk wal.Disk, name string, content []byte) {
 	t.Helper()
 	file, err := disk.Create(name)
 	require.NoError(t, err)
@@ -20,11 +20,11 @@
 	require.NoError(t, file.Sync())
 }
 
-// contentOf is the file of a log that was made with one record and got another later.
-func contentOf(t *testing.T) []byte {
+// rewrittenLogFile is the file of a log that was made with one record and got another later.
+func rewrittenLogFile(t *testing.T) []byte {
 	t.Helper()
 	disk := simdisk.New(1)
-	log, _ := reopened(t, disk.Process())
+	log, _ := openLog(t, disk.Process())
 	require.NoError(t, log.Rewrite([]wal.Record{record("base")}))
 	require.NoError(t, log.Append(record("more")))
 	content, err := disk.Process().ReadFile("test-000002.log")
@@ -33,29 +33,29 @@
 }
 
 // A header whose numbers are damaged so that all else fits must not count.
-func TestAHeaderThatWasDamagedIsNone(t *testing.T) {
+func TestDamagedHeaderIsRejected(t *testing.T) {
 	const baseBytesAt = 8 + 8 + 8
-	content := contentOf(t)
+	content := rewrittenLogFile(t)
 	binary.LittleEndian.PutUint64(content[baseBytesAt:], 0)
 	disk := simdisk.New(1)
-	put(t, disk.Process(), "test-000002.log", content)
-	_, found := reopened(t, disk.Process())
+	writeFile(t, disk.Process(), "test-000002.log", content)
+	_, found := openLog(t, disk.Process())
 	require.Empty(t, found)
 }
 
-func TestAFileOfAnotherGenerationDoesNotCount(t *testing.T) {
+func TestFileOfAnotherGenerationIsRejected(t *testing.T) {
 	disk := simdisk.New(1)
-	put(t, disk.Process(), "test-000007.log", contentOf(t))
-	_, found := reopened(t, disk.Process())
+	writeFile(t, disk.Process(), "test-000007.log", rewrittenLogFile(t))
+	_, found := openLog(t, disk.Process())
 	require.Empty(t, found)
 }
 
 // An incomplete generation may turn up again after a loss of power, so that its number must not be given to another.
-func TestNumbersOfGenerationsAreNeverUsedTwice(t *testing.T) {
+func TestGenerationNumbersAreNeverReused(t *testing.T) {
 	disk := simdisk.New(1)
-	content := contentOf(t)
-	put(t, disk.Process(), "test-000002.log", content[:len(content)/3])
-	log, _ := reopened(t, disk.Process())
+	content := rewrittenLogFile(t)
+	writeFile(t, disk.Process(), "test-000002.log", content[:len(content)/3])
+	log, _ := openLog(t, disk.Process())
 	require.NoError(t, log.Append(record("new")))
 	require.NoError(t, log.Sync())
 	files, err := disk.Process().List()
@@ -66,7 +66,7 @@
 // After a rewrite that failed the old content or the new one may be found: nothing may be appended to either.
 func TestAFailedRewriteFailsTheLog(t *testing.T) {
 	disk := simdisk.New(1)
-	log, _ := reopened(t, disk.Process())
+	log, _ := openLog(t, disk.Process())
 	disk.SetFaults(simdisk.Faults{Sync: 1})
 	require.ErrorIs(t, log.Rewrite([]wal.Record{record("a")}), wal.ErrFailed)
 	disk.SetFaults(simdisk.Faults{})
@@ -74,6 +74,6 @@
 	require.ErrorIs(t, log.Sync(), wal.ErrFailed)
 	require.NoError(t, log.Rewrite([]wal.Record{record("c")}))
 	require.NoError(t, log.Append(record("d")))
-	_, found := reopened(t, disk.Process())
+	_, found := openLog(t, disk.Process())
 	require.Equal(t, []string{"c", "d"}, found)
 }
--- a/coord/wal/log.go
+++ b/coord/wal/log.go
@@ -30,18 +30,18 @@
 	disk Disk
 	name string
 
-	// syncing is held by whoever syncs or replaces the file. It is taken before mu.
-	syncing sync.Mutex
-
-	mu       sync.Mutex
-	state    logState
-	cause    error
-	file     File
-	header   header
-	salt     uint32
-	highest  uint64
-	buffer   []byte
-	obsolete []uint64
+	// syncMu is held by whoever syncs or replaces the file. It is taken before mu.
+	syncMu sync.Mutex
+
+	mu                sync.Mutex
+	state             logState
+	cause             error
+	file              File
+	header            header
+	salt              uint32
+	highestGeneration uint64
+	buffer            []byte
+	obsolete          []uint64
 
 	size atomic.Int64
 }
@@ -54,7 +54,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return err
 	}
 	if len(records) == 0 {
@@ -64,9 +64,9 @@
 	for _, record := range records {
 		buffer = appendRecord(buffer, l.salt, record)
 	}
-	l.keepBuffer(buffer)
+	l.retainBuffer(buffer)
 	if _, err := l.file.Write(buffer); err != nil {
-		return l.fail(fmt.Errorf("append to %s: %w", l.name, err))
+		return l.markFailed(fmt.Errorf("append to %s: %w", l.name, err))
 	}
 	l.size.Add(int64(len(buffer)))
 	return nil
@@ -74,8 +74,8 @@
 
 // Sync returns once all records last whose Append returned before Sync was called.
 func (l *Log) Sync() error {
-	l.syncing.Lock()
-	defer l.syncing.Unlock()
+	l.syncMu.Lock()
+	defer l.syncMu.Unlock()
 	file, err := l.current()
 	if err != nil {
 		return err
@@ -83,7 +83,7 @@
 	if err := file.Sync(); err != nil {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.fail(fmt.Errorf("sync %s: %w", l.name, err))
+		return l.markFailed(fmt.Errorf("sync %s: %w", l.name, err))
 	}
 	return nil
 }
@@ -95,8 +95,8 @@
 
 // Close gives the file back. It syncs nothing; a second Close does nothing.
 func (l *Log) Close() error {
-	l.syncing.Lock()
-	defer l.syncing.Unlock()
+	l.syncMu.Lock()
+	defer l.syncMu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.state == logClosed {
@@ -110,13 +110,13 @@
 func (l *Log) current() (File, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return nil, err
 	}
 	return l.file, nil
 }
 
-func (l *Log) usable() error {
+func (l *Log) checkUsable() error {
 	switch l.state {
 	case logFailed:
 		return fmt.Errorf("%w: %w", ErrFailed, l.cause)
@@ -127,8 +127,8 @@
 	}
 }
 
-// fail is the change from ready to failed; the first cause stays. The caller holds mu.
-func (l *Log) fail(cause error) error {
+// markFailed is the change from ready to failed; the first cause stays. The caller holds mu.
+func (l *Log) markFailed(cause error) error {
 	if l.state == logReady {
 		l.state = logFailed
 		l.cause = cause
@@ -136,8 +136,8 @@
 	return fmt.Errorf("%w: %w", ErrFailed, cause)
 }
 
-func (l *Log) keepBuffer(buffer []byte) {
-	if cap(buffer) <= maxKeptBuffer {
+func (l *Log) retainBuffer(buffer []byte) {
+	if cap(buffer) <= maxRetainedBuffer {
 		l.buffer = buffer
 	}
 }
--- a/coord/wal/log_test.go
+++ b/coord/wal/log_test.go
@@ -18,7 +18,7 @@
 	return wal.Record{Kind: byte(len(text)), Data: []byte(text)}
 }
 
-func texts(records []wal.Record) []string {
+func recordTexts(records []wal.Record) []string {
 	found := []string{}
 	for _, entry := range records {
 		found = append(found, string(entry.Data))
@@ -26,25 +26,25 @@
 	return found
 }
 
-func reopened(t *testing.T, disk wal.Disk) (*wal.Log, []string) {
+func openLog(t *testing.T, disk wal.Disk) (*wal.Log, []string) {
 	t.Helper()
 	log, records, err := wal.Open(disk, "test")
 	require.NoError(t, err)
-	return log, texts(records)
+	return log, recordTexts(records)
 }
 
-func TestRecordsOfTheRealDiskAreReadBack(t *testing.T) {
-	folder := filepath.Join(t.TempDir(), "made", "here")
-	disk, err := wal.OSDisk(folder)
+func TestRecordsAreReadBackFromARealDisk(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "made", "here")
+	disk, err := wal.OSDisk(dir)
 	require.NoError(t, err)
 
-	log, found := reopened(t, disk)
+	log, found := openLog(t, disk)
 	require.Empty(t, found)
 	require.NoError(t, log.Append(record("a"), record(""), record("ccc")))
 	require.NoError(t, log.Sync())
 	require.NoError(t, log.Close())
 
-	log, found = reopened(t, disk)
+	log, found = openLog(t, disk)
 	require.Equal(t, []string{"a", "", "ccc"}, found)
 	require.NoError(t, log.Rewrite([]wal.Record{record("whole")}))
 	require.NoError(t, log.Append(record("more")))
@@ -54,7 +54,7 @@
 	files, err := disk.List()
 	require.NoError(t, err)
 	require.Equal(t, []string{"test-000002.log"}, files)
-	information, err := os.Stat(filepath.Join(folder, files[0]))
+	information, err := os.Stat(filepath.Join(dir, files[0]))
 	require.NoError(t, err)
 	require.Equal(t, information.Size(), size)
 
@@ -65,7 +65,7 @@
 	require.NoError(t, log.Close())
 }
 
-func TestLogsOfOneFolderAreApart(t *testing.T) {
+func TestLogsInOneDirectoryAreSeparate(t *testing.T) {
 	disk := simdisk.New(1)
 	first, _, err := wal.Open(disk.Process(), "a")
 	require.NoError(t, err)
@@ -77,12 +77,12 @@
 
 	_, records, err := wal.Open(disk.Process(), "a")
 	require.NoError(t, err)
-	require.Equal(t, []string{"first"}, texts(records))
+	require.Equal(t, []string{"first"}, recordTexts(records))
 }
 
-func TestEveryCutAndEveryFlippedByteLeavesAPrefix(t *testing.T) {
+func TestAnyTruncationOrFlippedByteLeavesAPrefix(t *testing.T) {
 	disk := simdisk.New(1)
-	log, _ := reopened(t, disk.Process())
+	log, _ := openLog(t, disk.Process())
 	all := []string{"one", "two", "three", "four"}
 	for _, text := range all {
 		require.NoError(t, log.Append(record(text)))
@@ -107,17 +107,17 @@
 	_, err = file.Write(content)
 	require.NoError(t, err)
 
-	log, found := reopened(t, disk.Process())
+	log, found := openLog(t, disk.Process())
 	require.Less(t, len(found), len(all))
 	require.Equal(t, all[:len(found)], found)
 	require.NoError(t, log.Append(record("after")))
-	_, again := reopened(t, disk.Process())
+	_, again := openLog(t, disk.Process())
 	require.Equal(t, append(found, "after"), again)
 }
 
-func TestStaleBytesOfAnOlderFileAreNoRecords(t *testing.T) {
+func TestStaleBytesOfAnOlderFileAreNotRead(t *testing.T) {
 	disk := simdisk.New(1)
-	log, _ := reopened(t, disk.Process())
+	log, _ := openLog(t, disk.Process())
 	empty := log.Size()
 	require.NoError(t, log.Append(record("stale")))
 	old, err := disk.Process().ReadFile("test-000001.log")
@@ -128,13 +128,13 @@
 	require.NoError(t, err)
 	_, err = file.Write(old[empty:])
 	require.NoError(t, err)
-	_, found := reopened(t, disk.Process())
+	_, found := openLog(t, disk.Process())
 	require.Empty(t, found)
 }
 
-func TestAFailedLogTakesNothingUntilItIsRewritten(t *testing.T) {
+func TestFailedLogRefusesCallsUntilRewritten(t *testing.T) {
 	disk := simdisk.New(3)
-	log, _ := reopened(t, disk.Process())
+	log, _ := openLog(t, disk.Process())
 	require.NoError(t, log.Append(record("kept")))
 	disk.SetCapacity(int(log.Size()) + 12)
 	err := log.Append(record("does not fit"))
@@ -150,13 +150,13 @@
 	require.NoError(t, log.Append(record("next")))
 	require.NoError(t, log.Sync())
 	disk.PowerLoss()
-	_, found := reopened(t, disk.Process())
+	_, found := openLog(t, disk.Process())
 	require.Equal(t, []string{"new", "next"}, found)
 }
 
 func TestAFailedSyncFailsTheLog(t *testing.T) {
 	disk := simdisk.New(1)
-	log, _ := reopened(t, disk.Process())
+	log, _ := openLog(t, disk.Process())
 	require.NoError(t, log.Append(record("a")))
 	disk.SetFaults(simdisk.Faults{Sync: 1})
 	require.ErrorIs(t, log.Sync(), simdisk.ErrStalled)
@@ -166,7 +166,7 @@
 }
 
 func TestClosedLogAndOversizeRecordsAreRefused(t *testing.T) {
-	log, _ := reopened(t, simdisk.New(1).Process())
+	log, _ := openLog(t, simdisk.New(1).Process())
 	huge := wal.Record{Data: make([]byte, wal.MaxRecordBytes+1)}
 	require.ErrorIs(t, log.Append(huge), wal.ErrTooLarge)
 	require.ErrorIs(t, log.Rewrite([]wal.Record{huge}), wal.ErrTooLarge)
@@ -180,7 +180,7 @@
 
 func TestARewriteOfManyChunksIsReadBack(t *testing.T) {
 	disk := simdisk.New(1)
-	log, _ := reopened(t, disk.Process())
+	log, _ := openLog(t, disk.Process())
 	const count, size = 40, 100_000
 	var records []wal.Record
 	for number := range count {
@@ -193,9 +193,9 @@
 	require.Equal(t, records, found)
 }
 
-func TestAppendsSyncsAndRewritesMayGoOnAtOnce(t *testing.T) {
+func TestConcurrentAppendsAndSyncs(t *testing.T) {
 	disk := simdisk.New(1)
-	log, _ := reopened(t, disk.Process())
+	log, _ := openLog(t, disk.Process())
 	const writers, each = 4, 100
 	var group sync.WaitGroup
 	for writer := range writers {
@@ -214,11 +214,11 @@
 	})
 	group.Wait()
 	disk.PowerLoss()
-	_, found := reopened(t, disk.Process())
+	_, found := openLog(t, disk.Process())
 	require.Len(t, found, writers*each)
 }
 
-func TestARemovedLogIsEmptyAndOthersStay(t *testing.T) {
+func TestRemoveDeletesOnlyTheNamedLog(t *testing.T) {
 	disk := simdisk.New(1)
 	for _, name := range []string{"test", "other"} {
 		log, _, err := wal.Open(disk.Process(), name)
@@ -227,11 +227,11 @@
 		require.NoError(t, log.Close())
 	}
 	require.NoError(t, wal.Remove(disk.Process(), "test"))
-	_, found := reopened(t, disk.Process())
+	_, found := openLog(t, disk.Process())
 	require.Empty(t, found)
 	_, records, err := wal.Open(disk.Process(), "other")
 	require.NoError(t, err)
-	require.Equal(t, []string{"other"}, texts(records))
+	require.Equal(t, []string{"other"}, recordTexts(records))
 	disk.StopAfter(1)
 	require.ErrorIs(t, wal.Remove(disk.Process(), "other"), simdisk.ErrNoPower)
 	require.ErrorIs(t, wal.Remove(disk.Process(), "other"), simdisk.ErrNoPower)
--- a/coord/wal/open.go
+++ b/coord/wal/open.go
@@ -13,13 +13,13 @@
 	}
 	log := &Log{disk: disk, name: name}
 	if len(generations) > 0 {
-		log.highest = generations[0]
+		log.highestGeneration = generations[0]
 	}
 	found, complete, err := newestComplete(disk, name, generations)
 	if err != nil {
 		return nil, nil, err
 	}
-	log.obsolete = otherThan(found.header.generation, generations)
+	log.obsolete = generationsExcept(found.header.generation, generations)
 	if complete && !found.torn {
 		err = log.adopt(found)
 	} else {
@@ -53,15 +53,15 @@
 	if err != nil {
 		return err
 	}
-	if err := syncWithFolder(l.disk, file); err != nil {
+	if err := syncFileAndDir(l.disk, file); err != nil {
 		_ = file.Close()
 		return err
 	}
-	l.use(file, found.header, found.size)
+	l.switchTo(file, found.header, found.size)
 	return nil
 }
 
-func otherThan(kept uint64, generations []uint64) []uint64 {
+func generationsExcept(kept uint64, generations []uint64) []uint64 {
 	var others []uint64
 	for _, generation := range generations {
 		if generation != kept {
--- a/coord/wal/osdisk.go
+++ b/coord/wal/osdisk.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	folderMode = 0o755
-	fileMode   = 0o644
+	dirMode  = 0o755
+	fileMode = 0o644
 )
 
 type osDisk struct {
-	folder string
+	dir string
 }
 
-// OSDisk returns the folder of the operating system at the path; it is made if it is missing.
-func OSDisk(folder string) (Disk, error) {
-	if err := os.MkdirAll(folder, folderMode); err != nil {
+// OSDisk returns the dir of the operating system at the path; it is made if it is missing.
+func OSDisk(dir string) (Disk, error) {
+	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return nil, err
 	}
-	return osDisk{folder: folder}, nil
+	return osDisk{dir: dir}, nil
 }
 
 func (d osDisk) path(name string) string {
-	return filepath.Join(d.folder, name)
+	return filepath.Join(d.dir, name)
 }
 
 func (d osDisk) List() ([]string, error) {
-	entries, err := os.ReadDir(d.folder)
+	entries, err := os.ReadDir(d.dir)
 	if err != nil {
 		return nil, err
 	}
@@ -70,9 +70,9 @@
 }
 
 func (d osDisk) SyncFolder() error {
-	folder, err := os.Open(d.folder)
+	dir, err := os.Open(d.dir)
 	if err != nil {
 		return err
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return errors.Join(dir.Sync(), dir.Close())
 }
--- a/coord/wal/read_test.go
+++ b/coord/wal/read_test.go
@@ -9,7 +9,7 @@
 	"gaugeslip/coord/wal/simdisk"
 )
 
-func TestReadShowsWhatOpenWouldAndChangesNothing(t *testing.T) {
+func TestReadReturnsWhatOpenWouldAndChangesNothing(t *testing.T) {
 	disk := simdisk.New(1)
 	_, err := wal.Read(disk.Process(), "test")
 	require.ErrorIs(t, err, wal.ErrNoLog)
@@ -22,19 +22,19 @@
 	require.NoError(t, log.Append(record("a"), record("bb")))
 	reading, err := wal.Read(disk.Process(), "test")
 	require.NoError(t, err)
-	require.Equal(t, []string{"a", "bb"}, texts(reading.Records))
+	require.Equal(t, []string{"a", "bb"}, recordTexts(reading.Records))
 	require.Equal(t, log.Size(), reading.Bytes)
 	require.False(t, reading.Torn)
 
 	require.NoError(t, log.Rewrite([]wal.Record{record("whole")}))
 	rewritten, err := wal.Read(disk.Process(), "test")
 	require.NoError(t, err)
-	require.Equal(t, []string{"whole"}, texts(rewritten.Records))
+	require.Equal(t, []string{"whole"}, recordTexts(rewritten.Records))
 	require.Greater(t, rewritten.Generation, reading.Generation)
 	require.NotEqual(t, reading.File, rewritten.File)
 }
 
-func TestReadTellsOfATornEnd(t *testing.T) {
+func TestReadReportsATornEnd(t *testing.T) {
 	disk := simdisk.New(2)
 	log, _, err := wal.Open(disk.Process(), "test")
 	require.NoError(t, err)
@@ -49,5 +49,5 @@
 	torn, err := wal.Read(disk.Process(), "test")
 	require.NoError(t, err)
 	require.True(t, torn.Torn)
-	require.Equal(t, []string{"a"}, texts(torn.Records))
+	require.Equal(t, []string{"a"}, recordTexts(torn.Records))
 }
--- a/coord/wal/record.go
+++ b/coord/wal/record.go
@@ -10,12 +10,12 @@
 
 // A record on disk: length of the data (4 bytes), kind (1), CRC-32C over the file's salt, length, kind and data (4), data.
 const (
-	lengthBytes      = 4
-	kindOffset       = lengthBytes
-	checksumOffset   = kindOffset + 1
-	recordHeadBytes  = checksumOffset + 4
-	maxKeptBuffer    = 1 << 20
-	rewriteChunkSize = 256 << 10
+	lengthBytes       = 4
+	kindOffset        = lengthBytes
+	checksumOffset    = kindOffset + 1
+	recordHeaderBytes = checksumOffset + 4
+	maxRetainedBuffer = 1 << 20
+	rewriteChunkSize  = 256 << 10
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -29,7 +29,7 @@
 func encodedBytes(records []Record) int {
 	total := 0
 	for _, record := range records {
-		total += recordHeadBytes + len(record.Data)
+		total += recordHeaderBytes + len(record.Data)
 	}
 	return total
 }
@@ -52,15 +52,15 @@
 // nextRecord reads the record at the start of the content. The record shares the content's memory; ok is false if there
 // is no whole, valid record.
 func nextRecord(content []byte, salt uint32) (record Record, size int, ok bool) {
-	if len(content) < recordHeadBytes {
+	if len(content) < recordHeaderBytes {
 		return Record{}, 0, false
 	}
 	length := binary.LittleEndian.Uint32(content)
-	if length > MaxRecordBytes || int(length) > len(content)-recordHeadBytes {
+	if length > MaxRecordBytes || int(length) > len(content)-recordHeaderBytes {
 		return Record{}, 0, false
 	}
-	size = recordHeadBytes + int(length)
-	data := content[recordHeadBytes:size:size]
+	size = recordHeaderBytes + int(length)
+	data := content[recordHeaderBytes:size:size]
 	checksum := binary.LittleEndian.Uint32(content[checksumOffset:])
 	if checksum != recordChecksum(salt, content[:checksumOffset], data) {
 		return Record{}, 0, false
--- a/coord/wal/rewrite.go
+++ b/coord/wal/rewrite.go
@@ -14,8 +14,8 @@
 	if err := checkSizes(records); err != nil {
 		return err
 	}
-	l.syncing.Lock()
-	defer l.syncing.Unlock()
+	l.syncMu.Lock()
+	defer l.syncMu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.state == logClosed {
@@ -24,7 +24,7 @@
 	old := l.file
 	replaced := l.header.generation
 	if err := l.startGeneration(records); err != nil {
-		return l.fail(fmt.Errorf("rewrite %s: %w", l.name, err))
+		return l.markFailed(fmt.Errorf("rewrite %s: %w", l.name, err))
 	}
 	_ = old.Close()
 	l.obsolete = append(l.obsolete, replaced)
@@ -35,19 +35,19 @@
 // startGeneration makes the next generation with the records, lasting, and goes on with it. On an error the log's file
 // stays what it was.
 func (l *Log) startGeneration(records []Record) error {
-	l.highest++
-	head := header{generation: l.highest, nonce: rand.Uint64(), baseBytes: uint64(encodedBytes(records))}
-	file, err := l.disk.Create(generationName(l.name, head.generation))
+	l.highestGeneration++
+	hdr := header{generation: l.highestGeneration, nonce: rand.Uint64(), baseBytes: uint64(encodedBytes(records))}
+	file, err := l.disk.Create(generationName(l.name, hdr.generation))
 	if err != nil {
 		return err
 	}
-	outcome, err := l.writeGeneration(file, head, records)
+	outcome, err := l.writeGeneration(file, hdr, records)
 	if err != nil {
 		_ = file.Close()
-		l.abandon(head.generation, outcome)
+		l.abandon(hdr.generation, outcome)
 		return err
 	}
-	l.use(file, head, int64(headerBytes)+int64(head.baseBytes))
+	l.switchTo(file, hdr, int64(headerBytes)+int64(hdr.baseBytes))
 	return nil
 }
 
@@ -55,47 +55,47 @@
 type writeOutcome uint8
 
 const (
-	surelyIncomplete writeOutcome = iota
+	knownIncomplete writeOutcome = iota
 	maybeComplete
 )
 
 // writeGeneration writes and syncs a new generation's file, in chunks.
-func (l *Log) writeGeneration(file File, head header, records []Record) (writeOutcome, error) {
-	salt := head.salt()
-	buffer := head.appendTo(l.buffer[:0])
+func (l *Log) writeGeneration(file File, hdr header, records []Record) (writeOutcome, error) {
+	salt := hdr.salt()
+	buffer := hdr.appendTo(l.buffer[:0])
 	for _, record := range records {
 		if len(buffer) >= rewriteChunkSize {
 			if _, err := file.Write(buffer); err != nil {
-				return surelyIncomplete, err
+				return knownIncomplete, err
 			}
 			buffer = buffer[:0]
 		}
 		buffer = appendRecord(buffer, salt, record)
 	}
-	l.keepBuffer(buffer)
+	l.retainBuffer(buffer)
 	if _, err := file.Write(buffer); err != nil {
 		return maybeComplete, err
 	}
-	return maybeComplete, syncWithFolder(l.disk, file)
+	return maybeComplete, syncFileAndDir(l.disk, file)
 }
 
 // abandon gives the room of an unfinished generation back. One that may be complete must stay: its removal may be lost
 // after the log has gone on with an older one, and it would then hide what was appended there.
 func (l *Log) abandon(generation uint64, outcome writeOutcome) {
 	l.obsolete = append(l.obsolete, generation)
-	if outcome == surelyIncomplete {
+	if outcome == knownIncomplete {
 		_ = l.disk.Remove(generationName(l.name, generation))
 	}
 }
 
-// use is the change to ready, with a lasting file of a complete generation.
-func (l *Log) use(file File, head header, size int64) {
+// switchTo is the change to ready, with a lasting file of a complete generation.
+func (l *Log) switchTo(file File, hdr header, size int64) {
 	l.state = logReady
 	l.cause = nil
 	l.file = file
-	l.header = head
-	l.salt = head.salt()
-	l.highest = max(l.highest, head.generation)
+	l.header = hdr
+	l.salt = hdr.salt()
+	l.highestGeneration = max(l.highestGeneration, hdr.generation)
 	l.size.Store(size)
 }
 
@@ -112,8 +112,8 @@
 	l.obsolete = kept
 }
 
-// syncWithFolder makes a file and its name last.
-func syncWithFolder(disk Disk, file File) error {
+// syncFileAndDir makes a file and its name last.
+func syncFileAndDir(disk Disk, file File) error {
 	if err := file.Sync(); err != nil {
 		return err
 	}
--- a/coord/wal/simdisk/disk.go
+++ b/coord/wal/simdisk/disk.go
@@ -38,25 +38,25 @@
 
 // Disk is the simulated disk, which outlasts the processes that use it. It is safe for concurrent use.
 type Disk struct {
-	mu       sync.Mutex
-	random   *rand.Rand
-	faults   Faults
-	capacity int
-	stopIn   int
-	life     int
-	live     map[string]*inode
-	lasting  map[string]*inode
-	changes  []nameChange
+	mu          sync.Mutex
+	random      *rand.Rand
+	faults      Faults
+	capacity    int
+	callsLeft   int
+	incarnation int
+	live        map[string]*inode
+	durable     map[string]*inode
+	changes     []nameChange
 }
 
 // New returns an empty disk without faults or bounds.
 func New(seed uint64) *Disk {
 	return &Disk{
-		random:   rand.New(rand.NewPCG(seed, 0)),
-		capacity: unlimited,
-		stopIn:   neverStop,
-		live:     map[string]*inode{},
-		lasting:  map[string]*inode{},
+		random:    rand.New(rand.NewPCG(seed, 0)),
+		capacity:  unlimited,
+		callsLeft: neverStop,
+		live:      map[string]*inode{},
+		durable:   map[string]*inode{},
 	}
 }
 
@@ -65,7 +65,7 @@
 func (d *Disk) Process() wal.Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return &process{disk: d, life: d.life}
+	return &process{disk: d, incarnation: d.incarnation}
 }
 
 // SetFaults sets the chances of failures from now on.
@@ -88,14 +88,14 @@
 func (d *Disk) StopAfter(calls int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stopIn = calls
+	d.callsLeft = calls
 }
 
 // Restart is the end of the process: open files are gone, what was written stays.
 func (d *Disk) Restart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.nextLife()
+	d.endProcess()
 }
 
 // PowerLoss is a loss of power of the machine.
@@ -104,9 +104,9 @@
 	defer d.mu.Unlock()
 	const allGone = 0.25
 	loseAll := d.random.Float64() < allGone
-	d.settleNames(loseAll)
-	d.settleContents(loseAll)
-	d.nextLife()
+	d.resolveNames(loseAll)
+	d.resolveContents(loseAll)
+	d.endProcess()
 }
 
 // Wipe is the loss of the disk: an empty one takes its place.
@@ -114,28 +114,28 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	clear(d.live)
-	clear(d.lasting)
+	clear(d.durable)
 	d.changes = nil
-	d.nextLife()
+	d.endProcess()
 }
 
-func (d *Disk) nextLife() {
-	d.life++
-	d.stopIn = neverStop
+func (d *Disk) endProcess() {
+	d.incarnation++
+	d.callsLeft = neverStop
 }
 
-// powered counts one call. The caller holds mu.
-func (d *Disk) powered() bool {
-	switch d.stopIn {
+// admitCall counts one call. The caller holds mu.
+func (d *Disk) admitCall() bool {
+	switch d.callsLeft {
 	case neverStop:
 		return true
 	case stopped:
 		return false
 	case 0:
-		d.stopIn = stopped
+		d.callsLeft = stopped
 		return false
 	default:
-		d.stopIn--
+		d.callsLeft--
 		return true
 	}
 }
--- a/coord/wal/simdisk/disk_test.go
+++ b/coord/wal/simdisk/disk_test.go
@@ -21,13 +21,13 @@
 	return file
 }
 
-// outcomes runs a story on disks of many seeds and counts what is read of a file after a loss of power.
-func outcomes(t *testing.T, name string, story func(disk *simdisk.Disk)) map[string]int {
+// contentsAfterPowerLoss runs a script on disks of many seeds and counts what is read of a file after a loss of power.
+func contentsAfterPowerLoss(t *testing.T, name string, script func(disk *simdisk.Disk)) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
 	for seed := range uint64(seeds) {
 		disk := simdisk.New(seed)
-		story(disk)
+		script(disk)
 		disk.PowerLoss()
 		content, err := disk.Process().ReadFile(name)
 		if err != nil {
@@ -40,15 +40,15 @@
 	return counts
 }
 
-func TestSyncedFilesLastWithTheirNames(t *testing.T) {
-	counts := outcomes(t, "a", func(disk *simdisk.Disk) {
+func TestSyncedFilesAndTheirNamesAreDurable(t *testing.T) {
+	counts := contentsAfterPowerLoss(t, "a", func(disk *simdisk.Disk) {
 		require.NoError(t, create(t, disk, "a", "synced").Sync())
 	})
 	require.Equal(t, map[string]int{"synced": seeds}, counts)
 }
 
-func TestLaterWritesAreThereMissingOrTorn(t *testing.T) {
-	counts := outcomes(t, "a", func(disk *simdisk.Disk) {
+func TestUnsyncedWritesAreKeptLostOrTorn(t *testing.T) {
+	counts := contentsAfterPowerLoss(t, "a", func(disk *simdisk.Disk) {
 		file := create(t, disk, "a", "synced")
 		require.NoError(t, file.Sync())
 		_, err := file.Write([]byte("XY"))
@@ -61,20 +61,20 @@
 }
 
 func TestUnsyncedNamesAreKeptOrLost(t *testing.T) {
-	made := outcomes(t, "a", func(disk *simdisk.Disk) {
+	made := contentsAfterPowerLoss(t, "a", func(disk *simdisk.Disk) {
 		create(t, disk, "a", "")
 	})
 	require.Positive(t, made["no file"])
 	require.Positive(t, made[""])
 
-	removed := outcomes(t, "a", func(disk *simdisk.Disk) {
+	removed := contentsAfterPowerLoss(t, "a", func(disk *simdisk.Disk) {
 		require.NoError(t, create(t, disk, "a", "old").Sync())
 		require.NoError(t, disk.Process().Remove("a"))
 	})
 	require.Positive(t, removed["no file"])
 	require.Positive(t, removed["old"])
 
-	renamed := outcomes(t, "a", func(disk *simdisk.Disk) {
+	renamed := contentsAfterPowerLoss(t, "a", func(disk *simdisk.Disk) {
 		require.NoError(t, create(t, disk, "a", "old").Sync())
 		require.NoError(t, create(t, disk, "b", "new").Sync())
 		require.NoError(t, disk.Process().Rename("b", "a"))
@@ -84,8 +84,8 @@
 	require.Zero(t, renamed["no file"])
 }
 
-func TestSyncOfTheFolderMakesNamesLast(t *testing.T) {
-	counts := outcomes(t, "a", func(disk *simdisk.Disk) {
+func TestSyncDirMakesNamesDurable(t *testing.T) {
+	counts := contentsAfterPowerLoss(t, "a", func(disk *simdisk.Disk) {
 		require.NoError(t, create(t, disk, "a", "old").Sync())
 		require.NoError(t, create(t, disk, "b", "new").Sync())
 		require.NoError(t, disk.Process().Rename("b", "a"))
@@ -94,7 +94,7 @@
 	require.Equal(t, map[string]int{"new": seeds}, counts)
 }
 
-func TestRestartKeepsAllThatWasWritten(t *testing.T) {
+func TestRestartKeepsWrittenData(t *testing.T) {
 	disk := simdisk.New(1)
 	file := create(t, disk, "a", "unsynced")
 	disk.Restart()
@@ -116,7 +116,7 @@
 	require.Empty(t, names)
 }
 
-func TestAFullDiskTakesAPart(t *testing.T) {
+func TestWriteToAFullDiskIsCutShort(t *testing.T) {
 	disk := simdisk.New(1)
 	disk.SetCapacity(5)
 	file := create(t, disk, "a", "123")
@@ -127,7 +127,7 @@
 	create(t, disk, "b", "12345")
 }
 
-func TestStopAfterLetsThatManyCallsThrough(t *testing.T) {
+func TestStopAfterAllowsThatManyCalls(t *testing.T) {
 	disk := simdisk.New(1)
 	disk.StopAfter(2)
 	create(t, disk, "a", "b")
--- a/coord/wal/simdisk/file.go
+++ b/coord/wal/simdisk/file.go
@@ -9,15 +9,15 @@
 // inode is a file apart from its names: what reads see, what lasts, and the changes in between.
 type inode struct {
 	content []byte
-	lasting []byte
+	durable []byte
 	changes []contentChange
 }
 
 // contentChange is a write, or a cut to no length, that doesn't last yet.
 type contentChange struct {
-	cut    bool
-	offset int
-	data   []byte
+	truncate bool
+	offset   int
+	data     []byte
 }
 
 func (f *inode) append(data []byte) {
@@ -26,47 +26,47 @@
 }
 
 func (f *inode) truncate() {
-	f.changes = append(f.changes, contentChange{cut: true})
+	f.changes = append(f.changes, contentChange{truncate: true})
 	f.content = nil
 }
 
 func (f *inode) sync() {
-	f.lasting = slices.Clone(f.content)
+	f.durable = slices.Clone(f.content)
 	f.changes = nil
 }
 
-// put writes data at an offset; a gap before it is filled with zeros.
-func (f *inode) put(offset int, data []byte) {
-	if end := offset + len(data); end > len(f.lasting) {
-		f.lasting = append(f.lasting, make([]byte, end-len(f.lasting))...)
+// writeDurable writes data at an offset; a gap before it is filled with zeros.
+func (f *inode) writeDurable(offset int, data []byte) {
+	if end := offset + len(data); end > len(f.durable) {
+		f.durable = append(f.durable, make([]byte, end-len(f.durable))...)
 	}
-	copy(f.lasting[offset:], data)
+	copy(f.durable[offset:], data)
 }
 
-// settleContents decides at a loss of power what is left of the writes. Names are settled before.
-func (d *Disk) settleContents(loseAll bool) {
+// resolveContents decides at a loss of power what is left of the writes. Names are settled before.
+func (d *Disk) resolveContents(loseAll bool) {
 	names := make([]string, 0, len(d.live))
 	for name := range d.live {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		d.settleFile(d.live[name], loseAll)
+		d.resolveFile(d.live[name], loseAll)
 	}
 }
 
-func (d *Disk) settleFile(file *inode, loseAll bool) {
+func (d *Disk) resolveFile(file *inode, loseAll bool) {
 	for _, change := range file.changes {
 		if !loseAll {
-			d.settleChange(file, change)
+			d.resolveWrite(file, change)
 		}
 	}
 	file.changes = nil
-	file.content = slices.Clone(file.lasting)
+	file.content = slices.Clone(file.durable)
 }
 
-// settleChange keeps, loses or tears one write.
-func (d *Disk) settleChange(file *inode, change contentChange) {
+// resolveWrite keeps, loses or tears one write.
+func (d *Disk) resolveWrite(file *inode, change contentChange) {
 	const (
 		kept = iota
 		torn
@@ -76,41 +76,41 @@
 	outcome := d.random.IntN(outcomes)
 	switch {
 	case outcome == lost:
-	case change.cut:
-		file.lasting = nil
+	case change.truncate:
+		file.durable = nil
 	case outcome == kept:
-		file.put(change.offset, change.data)
+		file.writeDurable(change.offset, change.data)
 	default:
-		d.putTorn(file, change)
+		d.writeTorn(file, change)
 	}
 }
 
-// putTorn writes the first or the last part of a write, or the first part and zeros in place of the rest.
-func (d *Disk) putTorn(file *inode, change contentChange) {
+// writeTorn writes the first or the last part of a write, or the first part and zeros in place of the rest.
+func (d *Disk) writeTorn(file *inode, change contentChange) {
 	cut := d.random.IntN(len(change.data) + 1)
 	switch d.random.IntN(3) {
 	case 0:
-		file.put(change.offset, change.data[:cut])
+		file.writeDurable(change.offset, change.data[:cut])
 	case 1:
-		file.put(change.offset+cut, change.data[cut:])
+		file.writeDurable(change.offset+cut, change.data[cut:])
 	default:
 		zeroed := slices.Clone(change.data)
 		clear(zeroed[cut:])
-		file.put(change.offset, zeroed)
+		file.writeDurable(change.offset, zeroed)
 	}
 }
 
 // handle is an open file.
 type handle struct {
-	disk *Disk
-	file *inode
-	life int
+	disk        *Disk
+	file        *inode
+	incarnation int
 }
 
 var _ wal.File = (*handle)(nil)
 
 func (h *handle) alive() bool {
-	return h.life == h.disk.life
+	return h.incarnation == h.disk.incarnation
 }
 
 // Write implements wal.File.
@@ -118,14 +118,14 @@
 	d := h.disk
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !h.alive() || d.stopIn == stopped {
+	if !h.alive() || d.callsLeft == stopped {
 		return 0, ErrNoPower
 	}
-	if !d.powered() {
-		return 0, d.partly(h.file, data, ErrNoPower)
+	if !d.admitCall() {
+		return 0, d.appendPart(h.file, data, ErrNoPower)
 	}
 	if d.happens(d.faults.Write) {
-		return 0, d.partly(h.file, data, ErrStalled)
+		return 0, d.appendPart(h.file, data, ErrStalled)
 	}
 	if room := d.capacity - d.usedBytes(); d.capacity >= 0 && len(data) > room {
 		room = max(room, 0)
@@ -136,8 +136,8 @@
 	return len(data), nil
 }
 
-// partly appends a part of the data, from nothing to all of it.
-func (d *Disk) partly(file *inode, data []byte, err error) error {
+// appendPart appends a part of the data, from nothing to all of it.
+func (d *Disk) appendPart(file *inode, data []byte, err error) error {
 	file.append(data[:d.random.IntN(len(data)+1)])
 	return err
 }
@@ -147,7 +147,7 @@
 	d := h.disk
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !h.alive() || !d.powered() {
+	if !h.alive() || !d.admitCall() {
 		return ErrNoPower
 	}
 	failed := d.happens(d.faults.Sync)
--- a/coord/wal/simdisk/names.go
+++ b/coord/wal/simdisk/names.go
@@ -5,8 +5,8 @@
 type nameChangeKind uint8
 
 const (
-	nameMade nameChangeKind = iota
-	nameChanged
+	nameCreated nameChangeKind = iota
+	nameRenamed
 	nameRemoved
 )
 
@@ -20,14 +20,14 @@
 
 // applyTo does the change to the names that last.
 func (c nameChange) applyTo(names map[string]*inode) {
-	if c.kind == nameMade {
+	if c.kind == nameCreated {
 		names[c.name] = c.file
 		return
 	}
 	if names[c.name] == c.file {
 		delete(names, c.name)
 	}
-	if c.kind == nameChanged {
+	if c.kind == nameRenamed {
 		names[c.newName] = c.file
 	}
 }
@@ -35,7 +35,7 @@
 // syncNames makes all changes of names last.
 func (d *Disk) syncNames() {
 	for _, change := range d.changes {
-		change.applyTo(d.lasting)
+		change.applyTo(d.durable)
 	}
 	d.changes = d.changes[:0]
 }
@@ -44,8 +44,8 @@
 func (d *Disk) syncNewName(file *inode) {
 	kept := d.changes[:0]
 	for _, change := range d.changes {
-		if change.kind == nameMade && change.file == file {
-			change.applyTo(d.lasting)
+		if change.kind == nameCreated && change.file == file {
+			change.applyTo(d.durable)
 			continue
 		}
 		kept = append(kept, change)
@@ -53,13 +53,13 @@
 	d.changes = kept
 }
 
-// settleNames decides at a loss of power which changes of names are kept.
-func (d *Disk) settleNames(loseAll bool) {
+// resolveNames decides at a loss of power which changes of names are kept.
+func (d *Disk) resolveNames(loseAll bool) {
 	for _, change := range d.changes {
 		if !loseAll && d.evenChance() {
-			change.applyTo(d.lasting)
+			change.applyTo(d.durable)
 		}
 	}
 	d.changes = nil
-	d.live = maps.Clone(d.lasting)
+	d.live = maps.Clone(d.durable)
 }
--- a/coord/wal/simdisk/process.go
+++ b/coord/wal/simdisk/process.go
@@ -10,21 +10,21 @@
 
 // process is the disk in one life of the process that uses it.
 type process struct {
-	disk *Disk
-	life int
+	disk        *Disk
+	incarnation int
 }
 
 var _ wal.Disk = (*process)(nil)
 
 // alive tells whether the process hasn't ended. The caller holds the disk's mu.
-func (p *process) alive() bool { return p.life == p.disk.life }
+func (p *process) alive() bool { return p.incarnation == p.disk.incarnation }
 
 // call makes one call on the disk for a process, unless that has ended or the disk has no power.
 func call[T any](p *process, do func(d *Disk) (T, error)) (result T, err error) {
 	d := p.disk
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !p.alive() || !d.powered() {
+	if !p.alive() || !d.admitCall() {
 		return result, ErrNoPower
 	}
 	return do(d)
@@ -53,7 +53,7 @@
 	return call(p, func(d *Disk) ([]byte, error) {
 		file, found := d.live[name]
 		if !found {
-			return nil, missing("read", name)
+			return nil, notExist("read", name)
 		}
 		return slices.Clone(file.content), nil
 	})
@@ -68,9 +68,9 @@
 		} else {
 			file = &inode{}
 			d.live[name] = file
-			d.changes = append(d.changes, nameChange{kind: nameMade, name: name, file: file})
+			d.changes = append(d.changes, nameChange{kind: nameCreated, name: name, file: file})
 		}
-		return &handle{disk: d, file: file, life: p.life}, nil
+		return &handle{disk: d, file: file, incarnation: p.incarnation}, nil
 	})
 }
 
@@ -79,9 +79,9 @@
 	return call(p, func(d *Disk) (wal.File, error) {
 		file, found := d.live[name]
 		if !found {
-			return nil, missing("open", name)
+			return nil, notExist("open", name)
 		}
-		return &handle{disk: d, file: file, life: p.life}, nil
+		return &handle{disk: d, file: file, incarnation: p.incarnation}, nil
 	})
 }
 
@@ -90,11 +90,11 @@
 	return p.change(func(d *Disk) error {
 		file, found := d.live[oldName]
 		if !found {
-			return missing("rename", oldName)
+			return notExist("rename", oldName)
 		}
 		delete(d.live, oldName)
 		d.live[newName] = file
-		d.changes = append(d.changes, nameChange{kind: nameChanged, name: oldName, newName: newName, file: file})
+		d.changes = append(d.changes, nameChange{kind: nameRenamed, name: oldName, newName: newName, file: file})
 		return nil
 	})
 }
@@ -104,7 +104,7 @@
 	return p.change(func(d *Disk) error {
 		file, found := d.live[name]
 		if !found {
-			return missing("remove", name)
+			return notExist("remove", name)
 		}
 		delete(d.live, name)
 		d.changes = append(d.changes, nameChange{kind: nameRemoved, name: name, file: file})
@@ -126,6 +126,6 @@
 	})
 }
 
-func missing(operation, name string) error {
+func notExist(operation, name string) error {
 	return fmt.Errorf("%s %s: %w", operation, name, fs.ErrNotExist)
 }
--- a/coord/wal/snapshot_bench_test.go
+++ b/coord/wal/snapshot_bench_test.go
@@ -10,9 +10,9 @@
 
 // BenchmarkLargeRecord appends one record of 50 MB, as the snapshot that a learner gets is, and syncs it.
 func BenchmarkLargeRecord(b *testing.B) {
-	folder, err := wal.OSDisk(b.TempDir())
+	dir, err := wal.OSDisk(b.TempDir())
 	require.NoError(b, err)
-	log, _, err := wal.Open(folder, "log")
+	log, _, err := wal.Open(dir, "log")
 	require.NoError(b, err)
 	defer log.Close()
 	record := wal.Record{Kind: 3, Data: make([]byte, 50<<20)}
