--- a/coord/chain/chain.go
+++ b/coord/chain/chain.go
@@ -1,10 +1,11 @@
-// Package chain replicates a log of opaque entries along the chain of one view: the head appends, every member
-// forwards to its successor at once and stores, and acknowledges what is on its own disk and acknowledged by its
-// successor. It brings neighbours into step at a new view and lets learners catch up, by entries or by a snapshot.
+// Package chain replicates a log of opaque entries along the chain of one view. The head appends. Every member
+// forwards entries to its successor at once, stores them, and acknowledges what is on its own disk and acknowledged
+// by its successor. At a new view the package reconciles the logs of neighbours. It lets learners catch up by entries
+// or by a snapshot.
 //
-// A Chain does no I/O, reads no clock and starts no goroutine; the Environment is told what to send and to store.
-// A predecessor's log is right for its successor: every member of a chain holds all that is committed, so what a
-// predecessor hasn't got can be dropped.
+// A Chain does no I/O, reads no clock and starts no goroutine; it passes what to send and to store to the Environment.
+// The predecessor's log is authoritative for its successor: every member of a chain holds all committed entries, so
+// a successor may drop any entry that its predecessor does not hold.
 package chain
 
 import (
@@ -15,7 +16,7 @@
 	"gaugeslip/coord/view"
 )
 
-// Timings. They are short against the bounds by which the head drops a member.
+// Timings. They are short compared with the time after which the head removes a member from the chain.
 const (
 	helloInterval          = 60 * time.Millisecond
 	transferTimeout        = 300 * time.Millisecond
@@ -24,112 +25,114 @@
 	sessionRestartInterval = 20 * time.Millisecond
 )
 
-// sessionBits is the number of low bits of a session that count; the rest is the life.
+// sessionBits is the number of low bits of a session number that hold the session counter; the higher bits hold the
+// incarnation.
 const sessionBits = 20
 
-// ErrDiverged says that a log contradicts what has been committed: the replica must not go on.
-var ErrDiverged = errors.New("log contradicts what is committed")
+// ErrDiverged reports that a log contradicts committed entries. The replica must stop.
+var ErrDiverged = errors.New("log contradicts committed entries")
 
-// Environment carries out what a Chain decides.
+// Environment carries out the decisions of a Chain.
 type Environment interface {
-	// Send hands a message to a neighbour. It may get lost.
+	// Send sends a message to a neighbour. The message may be lost.
 	Send(to view.Member, body *Body)
-	// Store puts entries on disk; entries held from the first one's index on are replaced.
+	// Store writes entries to disk. They replace all stored entries from the first one's index on.
 	Store(entries []Entry)
-	// StoreTruncate drops all after index from disk.
+	// StoreTruncate removes all entries after index from disk.
 	StoreTruncate(index uint64)
 	// StoreSnapshot replaces the whole log on disk.
 	StoreSnapshot(snapshot Snapshot)
-	// Deliver gives committed entries, each once and in order.
+	// Deliver passes on committed entries, each once and in order.
 	Deliver(entries []Entry)
-	// Install replaces the state machine by a snapshot.
+	// Install replaces the state of the state machine with a snapshot.
 	Install(snapshot Snapshot)
-	// Fail reports that an invariant is broken.
+	// Fail reports a violated invariant.
 	Fail(err error)
 }
 
-// Config holds the figures of a Chain.
+// Config holds the parameters of a Chain.
 type Config struct {
-	Life        uint64 // differs between the lives of a replica
-	KeepEntries int    // delivered entries kept in memory
-	KeepBytes   int
+	Life        uint64 // the replica's incarnation, different after each restart
+	KeepEntries int    // number of delivered entries kept in memory
+	KeepBytes   int    // bytes of delivered entries kept in memory
 }
 
-// Role is a replica's place in a view.
+// Role is a replica's position in a view.
 type Role struct {
 	Epoch      uint64
 	Head       bool
-	Upstream   view.Member  // predecessor; for a learner the head
-	Downstream *view.Member // successor, nil at the tail and at a learner
+	Upstream   view.Member  // the predecessor; for a learner the head
+	Downstream *view.Member // the successor; nil at the tail and at a learner
 }
 
-// Chain is one replica's part.
+// Chain is one replica's part of the replication protocol. It is not safe for concurrent use.
 type Chain struct {
 	cfg          Config
 	env          Environment
 	log          Log
 	synced       uint64        // last index on disk
-	pendingSyncs []pendingSync // what is on its way to disk
+	pendingSyncs []pendingSync // stored, but not yet reported as on disk
 	committed    uint64
 	delivered    uint64
 
 	active     bool
 	role       Role
-	inStep     bool // this epoch's log has been settled with the predecessor
+	inStep     bool // holds all that the predecessor held when the session of this epoch opened
 	downstream *link
 	learners   []*link
 
-	session         uint64 // with the predecessor
+	session         uint64 // current session with the predecessor
 	sessionCounter  uint64
-	sessionOpen     bool
-	helloTimerStart time.Duration
-	target          uint64 // to be in step
-	ackSent         uint64
-	unackedBytes    int              // bytes taken since the last Ack
-	incoming        incomingSnapshot // the snapshot that comes in
+	sessionOpen     bool             // the predecessor has sent the Append with Start
+	helloTimerStart time.Duration    // when the last Hello was sent or the last chunk received
+	target          uint64           // last index that this replica must hold to be in step
+	ackSent         uint64           // index of the last Ack sent
+	unackedBytes    int              // bytes appended since the last Ack
+	incoming        incomingSnapshot // the snapshot being received
 
-	commitNoticeAt  time.Duration // when to send the commit index by itself; 0: not
-	offeredSnapshot *Snapshot     // for learners
+	commitNoticeAt  time.Duration // when to send the commit index without entries; 0: not scheduled
+	offeredSnapshot *Snapshot     // set only while Offer runs
 }
 
-// pendingSync says that the log up to last is on disk once the records of token are.
+// pendingSync records that the log up to last is on disk once the records of token are.
 type pendingSync struct {
 	token uint64
 	last  uint64
 }
 
-// New makes a chain from a log whose entries are all on disk; its base is applied already.
+// New returns a Chain that starts with the given log. All entries of the log must be on disk, and the state machine must
+// have applied everything up to the log's base.
 func New(cfg Config, env Environment, log Log) *Chain {
 	return &Chain{cfg: cfg, env: env, log: log, synced: log.Last(), committed: log.Base(), delivered: log.Base()}
 }
 
-// Resume takes the disk's word on how far the log is committed and delivers that much. What is committed never changes, whatever view is
-// in force by now.
+// Resume restores the commit index that was read from disk and delivers the entries up to it. Committed entries never change, so this is
+// valid whatever view is in force by now.
 func (c *Chain) Resume(committed uint64) {
 	c.committed = max(c.committed, min(committed, c.log.Last()))
 	c.deliver()
 }
 
-// Log gives the log to read from.
+// Log returns the log. The caller may only read from it.
 func (c *Chain) Log() *Log { return &c.log }
 
-// Committed is the last index known to be committed.
+// Committed returns the last index known to be committed.
 func (c *Chain) Committed() uint64 { return c.committed }
 
-// Synced is the last index on the disk here.
+// Synced returns the last index on this replica's disk.
 func (c *Chain) Synced() uint64 { return c.synced }
 
-// InStep tells whether the log has been settled with the predecessor in this epoch.
+// InStep reports whether this replica is the head, or in this epoch has received all that its predecessor held when their session opened.
 func (c *Chain) InStep() bool { return c.active && c.inStep }
 
-// Leave stops all work on the present view.
+// Leave stops all work on the current view.
 func (c *Chain) Leave() {
 	c.active, c.inStep, c.sessionOpen = false, false, false
 	c.downstream, c.learners = nil, nil
 	c.commitNoticeAt = 0
 }
 
-// Enter takes a place in a view. The view has to be on disk.
+// Enter starts work in a view with the given role. The view must be on disk.
 func (c *Chain) Enter(now time.Duration, role Role) {
 	c.Leave()
 	c.role = role
@@ -144,7 +147,7 @@
 	}
 }
 
-// Append adds entries at the head and gives the first one's index.
+// Append adds entries at the head and returns the index of the first one.
 func (c *Chain) Append(now time.Duration, data [][]byte) uint64 {
 	first := c.log.Last() + 1
 	for _, d := range data {
@@ -156,12 +159,12 @@
 	return first
 }
 
-// Mark says that what has been stored so far will be on disk with this token.
+// Mark assigns a token to everything stored so far: it is on disk once SyncedTo is called with this token or a later one.
 func (c *Chain) Mark(token uint64) {
 	c.pendingSyncs = append(c.pendingSyncs, pendingSync{token, c.log.Last()})
 }
 
-// SyncedTo takes word that the records of all tokens up to this one are on disk.
+// SyncedTo notes that the records of all tokens up to this one are on disk.
 func (c *Chain) SyncedTo(now time.Duration, token uint64) {
 	done := 0
 	for done < len(c.pendingSyncs) && c.pendingSyncs[done].token <= token {
@@ -175,13 +178,13 @@
 	}
 }
 
-// truncate drops all after index.
+// truncate drops all entries after index. It reports ErrDiverged instead of dropping committed entries.
 func (c *Chain) truncate(now time.Duration, index uint64) {
 	if index >= c.log.Last() {
 		return
 	}
 	if index < c.committed {
-		c.env.Fail(fmt.Errorf("cut to %d below committed %d in epoch %d: %w", index, c.committed, c.role.Epoch, ErrDiverged))
+		c.env.Fail(fmt.Errorf("truncate to %d below committed index %d in epoch %d: %w", index, c.committed, c.role.Epoch, ErrDiverged))
 		return
 	}
 	c.log.Truncate(index)
@@ -193,6 +196,8 @@
 	}
 }
 
+// capSynced lowers the synced index and all pending syncs to index: a dropped entry must not count as on disk when another
+// entry takes its index.
 func (c *Chain) capSynced(index uint64) {
 	c.synced = min(c.synced, index)
 	for i := range c.pendingSyncs {
@@ -200,7 +205,8 @@
 	}
 }
 
-// Acked is the last index on disk here and at all successors, as far as known.
+// Acked returns the last index known to be on disk here and at all successors. It is 0 where a successor is configured but there is no
+// link to it.
 func (c *Chain) Acked() uint64 {
 	if c.role.Downstream == nil {
 		return c.synced
@@ -211,7 +217,7 @@
 	return min(c.synced, c.downstream.acked)
 }
 
-// Commit moves the head's committed index up to what all have; the caller holds the lease.
+// Commit advances the head's commit index to the last index that all members have on disk. The caller must hold the lease.
 func (c *Chain) Commit(now time.Duration) {
 	if !c.active || !c.role.Head {
 		return
--- a/coord/chain/downstream.go
+++ b/coord/chain/downstream.go
@@ -7,7 +7,7 @@
 	"gaugeslip/coord/view"
 )
 
-// findLink finds the link to a replica.
+// findLink returns the link to a replica, or nil if there is none.
 func (c *Chain) findLink(id view.ReplicaID) *link {
 	if c.downstream != nil && c.downstream.peer.ID == id {
 		return c.downstream
@@ -20,7 +20,8 @@
 	return nil
 }
 
-// Learner tells how much a learner has on disk and when it was heard last.
+// Learner returns the last index that a learner has on disk and when the last message from it arrived. It reports false for a replica that
+// is not a learner, has no session, or waits for or is receiving a snapshot.
 func (c *Chain) Learner(id view.ReplicaID) (acked uint64, heardAt time.Duration, ok bool) {
 	if l := c.findLink(id); l != nil && l != c.downstream && l.session != 0 && l.transfer == nil && !l.needsSnapshot {
 		return l.acked, l.heardAt, true
@@ -28,12 +29,12 @@
 	return 0, 0, false
 }
 
-// Forget drops a learner.
+// Forget removes a learner.
 func (c *Chain) Forget(id view.ReplicaID) {
 	c.learners = slices.DeleteFunc(c.learners, func(l *link) bool { return l.peer.ID == id })
 }
 
-// Invite takes a learner's word that it is there, and asks it to begin where it isn't known.
+// Invite notes that a learner is alive. If there is no link to the learner, it probes it so that it opens a session.
 func (c *Chain) Invite(now time.Duration, member view.Member) {
 	if !c.active || !c.role.Head {
 		return
@@ -67,7 +68,8 @@
 	c.answerHello(now, l, m)
 }
 
-// answerHello answers a Hello: from where the logs part, or with a snapshot.
+// answerHello opens the session that a Hello asks for. It sends the entries after the point up to which both logs agree, or a snapshot if
+// this log no longer reaches back that far.
 func (c *Chain) answerHello(now time.Duration, l *link, m *Hello) {
 	match, ok := c.log.Match(m.Runs)
 	if !ok {
@@ -81,7 +83,7 @@
 	c.sendEntries(now, l)
 }
 
-// sendBatch sends the next entries, which may be none.
+// sendBatch sends the next entries and the commit index. There may be no entries to send.
 func (c *Chain) sendBatch(now time.Duration, l *link, start bool) {
 	prev := l.next - 1
 	epoch, _ := c.log.EpochAt(prev)
@@ -97,13 +99,13 @@
 	c.send(l.peer, &Body{Append: m})
 }
 
-// sendEntries sends what the window lets through.
+// sendEntries sends pending entries as far as the window allows.
 func (c *Chain) sendEntries(now time.Duration, l *link) {
 	if l.session == 0 || l.transfer != nil || l.needsSnapshot {
 		return
 	}
 	if l.next <= c.log.Base() {
-		l.close() // trimmed meanwhile: it has to come again
+		l.close() // the next entry has been trimmed: the peer must open a new session
 		c.send(l.peer, &Body{Probe: &Probe{Last: c.log.Last()}})
 		return
 	}
@@ -131,7 +133,7 @@
 	c.acknowledge(now)
 }
 
-// WantsSnapshot tells whether a learner waits for a snapshot that isn't there.
+// WantsSnapshot reports whether a learner waits for a snapshot to be offered.
 func (c *Chain) WantsSnapshot() bool {
 	for _, l := range c.learners {
 		if l.needsSnapshot {
@@ -141,7 +143,8 @@
 	return false
 }
 
-// Offer gives the state after all delivered entries up to index, for those that are too far behind.
+// Offer provides a snapshot, the state after all delivered entries up to index, for learners that are too far behind to catch up by
+// entries. It ignores a snapshot beyond the delivered index or at an index whose epoch is no longer known.
 func (c *Chain) Offer(now time.Duration, index uint64, data []byte) {
 	epoch, ok := c.log.EpochAt(index)
 	if !ok || index > c.delivered {
--- a/coord/chain/incoming.go
+++ b/coord/chain/incoming.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// maxPreallocatedBytes bounds the memory that is set aside at the word of a snapshot's first chunk, in bytes.
+// maxPreallocatedBytes bounds the memory that is allocated up front for the size that a snapshot's first chunk announces, in bytes.
 const maxPreallocatedBytes = 64 << 20
 
 var checksumTable = crc64.MakeTable(crc64.ECMA)
 
-// snapshotChecksum is the checksum of a snapshot's data; it is never 0, which stands for none.
+// snapshotChecksum returns the checksum of a snapshot's data. It is never 0, which means that no checksum is given.
 func snapshotChecksum(data []byte) uint64 { return max(crc64.Checksum(data, checksumTable), 1) }
 
-// incomingSnapshot is a snapshot of which parts have come, from its start on. Chunks of another snapshot are never put behind them.
+// incomingSnapshot is a partly received snapshot. Its data is a prefix of the whole; chunks of another snapshot are never appended to it.
 type incomingSnapshot struct {
 	index  uint64
 	epoch  uint64
@@ -24,35 +24,35 @@
 	active bool
 }
 
-// hasData tells whether anything has come.
+// hasData reports whether any data has been received.
 func (i *incomingSnapshot) hasData() bool { return len(i.data) > 0 }
 
-// matches tells whether a chunk belongs to this snapshot.
+// matches reports whether a chunk belongs to this snapshot.
 func (i *incomingSnapshot) matches(m *Chunk) bool {
 	return i.active && i.index == m.Index && i.epoch == m.Epoch && i.total == m.Total && i.sum == m.Sum
 }
 
-// supersedes tells whether a chunk is of a snapshot before this one, and so has been overtaken.
+// supersedes reports whether a chunk belongs to an older snapshot than this one.
 func (i *incomingSnapshot) supersedes(m *Chunk) bool { return i.active && m.Index < i.index }
 
-// addChunk takes a chunk that continues what has come; others change nothing.
+// addChunk appends a chunk that starts where the received data ends, and ignores any other.
 func (i *incomingSnapshot) addChunk(m *Chunk) {
 	if m.Offset == len(i.data) && len(m.Data) <= i.total-m.Offset {
 		i.data = append(i.data, m.Data...)
 	}
 }
 
-// complete tells whether all has come.
+// complete reports whether all data has been received.
 func (i *incomingSnapshot) complete() bool { return len(i.data) == i.total }
 
-// checksumValid tells whether what has come is what was sent.
+// checksumValid reports whether the data matches the checksum, or no checksum was given.
 func (i *incomingSnapshot) checksumValid() bool {
 	return i.sum == 0 || i.sum == snapshotChecksum(i.data)
 }
 
-// onChunk takes a part of a snapshot. The head may begin with another one in the same session, when it has forgotten this replica
-// meanwhile: then what has come of the one before is dropped. Where entries had begun to come in this session, a Hello that was late or
-// doubled has told the head too little: another session tells it anew.
+// onChunk handles a part of a snapshot. The head may start another snapshot in the same session if it has forgotten this replica
+// meanwhile; the data received of the earlier snapshot is then dropped. If the session has already opened with entries, the head acted on
+// a late or duplicated Hello that understates this log; a new session tells the head what this replica holds.
 func (c *Chain) onChunk(now time.Duration, m *Chunk) {
 	if m.Session != c.session || !c.sessionOpen && c.incoming.supersedes(m) {
 		return
@@ -73,7 +73,7 @@
 	}
 }
 
-// finishSnapshot installs a snapshot of which all has come, or asks anew where it isn't what was sent.
+// finishSnapshot installs a completely received snapshot, or starts a new session if its checksum is wrong.
 func (c *Chain) finishSnapshot(now time.Duration) {
 	whole := c.incoming
 	if !whole.checksumValid() {
@@ -83,11 +83,12 @@
 	c.installSnapshot(now, Snapshot{Index: whole.index, Epoch: whole.epoch, Data: whole.data})
 }
 
-// installSnapshot replaces log and state machine, then opens a new session to go on from there.
+// installSnapshot replaces the log and the state machine, then starts a new session to continue from the snapshot. It reports ErrDiverged
+// instead if the snapshot is older than the commit index.
 func (c *Chain) installSnapshot(now time.Duration, snapshot Snapshot) {
 	if snapshot.Index < c.committed {
 		c.incoming = incomingSnapshot{}
-		c.env.Fail(fmt.Errorf("snapshot at %d below committed %d: %w", snapshot.Index, c.committed, ErrDiverged))
+		c.env.Fail(fmt.Errorf("snapshot at index %d below committed index %d: %w", snapshot.Index, c.committed, ErrDiverged))
 		return
 	}
 	c.log.Reset(snapshot.Index, snapshot.Epoch)
--- a/coord/chain/link.go
+++ b/coord/chain/link.go
@@ -6,7 +6,7 @@
 	"gaugeslip/coord/view"
 )
 
-// Bounds of what is sent and not yet acknowledged.
+// Limits on the data that is sent but not yet acknowledged.
 const (
 	batchBytes     = 256 << 10
 	windowBytes    = 4 << 20
@@ -14,21 +14,21 @@
 	chunksInFlight = 2
 )
 
-// link is the sending side towards a successor or a learner.
+// link is the sending side of the connection to a successor or a learner.
 type link struct {
 	peer           view.Member
 	session        uint64 // 0: none
-	pendingHello   *Hello // came before this replica was in step itself
+	pendingHello   *Hello // arrived before this replica was in step; answered once it is
 	next           uint64
-	match          uint64 // the peer's log was found to be the same up to here
+	match          uint64 // last index up to which the peer's log was found to be the same
 	acked          uint64
-	inFlightBytes  int // bytes not yet acknowledged
+	inFlightBytes  int // sent, but not yet reported as stored by the peer
 	batches        []batch
 	sentCommit     uint64
-	lastActivityAt time.Duration // last sending or acknowledgement
+	lastActivityAt time.Duration // last sending of entries or probes, or last acknowledgement
 	heardAt        time.Duration
 	transfer       *transfer
-	needsSnapshot  bool // a snapshot
+	needsSnapshot  bool // the peer needs a snapshot, and none has been offered yet
 }
 
 type batch struct {
@@ -36,7 +36,7 @@
 	bytes int
 }
 
-// transfer is a snapshot on its way.
+// transfer is a snapshot that is being sent. The offsets acked and sent are in bytes.
 type transfer struct {
 	snapshot       *Snapshot
 	sum            uint64
@@ -45,10 +45,10 @@
 	lastProgressAt time.Duration
 }
 
-// hasUnacknowledged tells whether the peer has something to acknowledge.
+// hasUnacknowledged reports whether entries were sent that the peer has not acknowledged.
 func (l *link) hasUnacknowledged() bool { return l.session != 0 && l.next > l.acked+1 }
 
-// coveredIndex is up to where the peer has the log, or will have it with the snapshot that is on its way.
+// coveredIndex returns the index up to which the peer holds the log, or will hold it once the current transfer is complete.
 func (l *link) coveredIndex() uint64 {
 	if l.transfer != nil {
 		return l.transfer.snapshot.Index
@@ -56,7 +56,7 @@
 	return max(l.match, l.acked)
 }
 
-// open starts a session from the match on.
+// open starts the session that hello asks for. Both logs are the same up to match, and entries are sent from the next one on.
 func (l *link) open(now time.Duration, hello *Hello, match uint64) {
 	l.session = hello.Session
 	l.next, l.match = match+1, match
@@ -68,8 +68,8 @@
 	l.transfer, l.needsSnapshot = nil, false
 }
 
-// invalidateAfter ends the session because all after index has been dropped here: the peer will drop it too, so that what it
-// had acknowledged of that doesn't count any more.
+// invalidateAfter ends the session because all entries after index have been dropped here. The peer will drop them too, so its
+// acknowledgements of them no longer count.
 func (l *link) invalidateAfter(index uint64) {
 	l.close()
 	l.acked = min(l.acked, index)
@@ -83,7 +83,7 @@
 	l.transfer = nil
 }
 
-// recordBatch notes a batch.
+// recordBatch records that a batch was sent.
 func (l *link) recordBatch(now time.Duration, last uint64, bytes int) {
 	l.next = last + 1
 	l.inFlightBytes += bytes
@@ -91,7 +91,7 @@
 	l.lastActivityAt = now
 }
 
-// handleAck notes an acknowledgement.
+// handleAck processes an acknowledgement. Only entries that were sent can be acknowledged.
 func (l *link) handleAck(now time.Duration, m *Ack) {
 	l.heardAt, l.lastActivityAt = now, now
 	l.acked = max(l.acked, min(m.Index, l.next-1))
@@ -104,7 +104,7 @@
 	l.batches = append(l.batches[:0], l.batches[done:]...)
 }
 
-// stale tells whether a Hello was sent before the one of the present session by the same life.
+// stale reports whether session is an earlier session of the same incarnation of the peer than the current one.
 func (l *link) stale(session uint64) bool {
 	return session>>sessionBits == l.session>>sessionBits && session < l.session
 }
--- a/coord/chain/log.go
+++ b/coord/chain/log.go
@@ -5,23 +5,23 @@
 	"sort"
 )
 
-// Entry is one place of the log. Index counts from 1; Epoch is the view in which a head made it. Entries with the
-// same Index and Epoch are the same, and so is everything before them.
+// Entry is one entry of the log. Index counts from 1; Epoch is the epoch of the view in which a head appended it. If two
+// logs hold entries with the same Index and Epoch, these entries are the same, and so are all entries before them.
 type Entry struct {
 	Index uint64
 	Epoch uint64
 	Data  []byte
 }
 
-// entryOverhead is what an entry counts besides its data, in bytes.
+// entryOverhead is the size in bytes that an entry counts for in addition to its data.
 const entryOverhead = 48
 
 func (e Entry) size() int { return len(e.Data) + entryOverhead }
 
-// Run is a stretch of a log whose entries have one epoch.
+// Run is a range of consecutive entries of a log that have one epoch.
 type Run struct{ Epoch, First, Last uint64 }
 
-// Log is the part of the log held in memory: all after Base. Epochs never fall along the log.
+// Log is the part of the log held in memory: all entries after Base. Epochs never decrease along the log.
 type Log struct {
 	base      uint64
 	baseEpoch uint64
@@ -29,19 +29,19 @@
 	bytes     int
 }
 
-// Base is the index before the first entry held; all up to it is in a snapshot or a state machine.
+// Base returns the index before the first entry held. The entries up to it are covered by a snapshot or applied to a state machine.
 func (l *Log) Base() uint64 { return l.base }
 
-// Last is the index of the last entry.
+// Last returns the index of the last entry, or Base if no entry is held.
 func (l *Log) Last() uint64 { return l.base + uint64(len(l.entries)) }
 
-// LastEpoch is the epoch of the last entry.
+// LastEpoch returns the epoch of the entry at Last.
 func (l *Log) LastEpoch() uint64 {
 	epoch, _ := l.EpochAt(l.Last())
 	return epoch
 }
 
-// EpochAt gives the epoch of an entry, where the index is from Base to Last.
+// EpochAt returns the epoch of the entry at index. It reports false if index is not between Base and Last.
 func (l *Log) EpochAt(index uint64) (uint64, bool) {
 	if index == l.base {
 		return l.baseEpoch, true
@@ -52,13 +52,13 @@
 	return l.entries[index-l.base-1].Epoch, true
 }
 
-// Append adds the entry after the last one.
+// Append adds an entry after the last one.
 func (l *Log) Append(e Entry) {
 	l.entries = append(l.entries, e)
 	l.bytes += e.size()
 }
 
-// Truncate removes all after index.
+// Truncate removes all entries after index.
 func (l *Log) Truncate(index uint64) {
 	if index >= l.Last() {
 		return
@@ -67,13 +67,13 @@
 	for i := keep; i < len(l.entries); i++ {
 		l.bytes -= l.entries[i].size()
 	}
-	l.entries = slices.Clone(l.entries[:keep]) // what was handed out stays as it was
+	l.entries = slices.Clone(l.entries[:keep]) // a later Append must not overwrite slices that Slice has returned
 }
 
-// Reset empties the log; index and epoch become its base.
+// Reset empties the log and makes index and epoch its base.
 func (l *Log) Reset(index, epoch uint64) { *l = Log{base: index, baseEpoch: epoch} }
 
-// Drop moves the base up to index.
+// Drop removes the entries up to index, which becomes the base. It does nothing if index is not held.
 func (l *Log) Drop(index uint64) {
 	if index <= l.base || index > l.Last() {
 		return
@@ -87,7 +87,8 @@
 	l.base = index
 }
 
-// Slice gives the entries from index from on, at least one if there is one, up to maxBytes. They must not be changed.
+// Slice returns the entries starting at index from, up to maxBytes but at least one if there is one, and their size in bytes.
+// The caller must not modify them.
 func (l *Log) Slice(from uint64, maxBytes int) (entries []Entry, bytes int) {
 	if from <= l.base || from > l.Last() {
 		return nil, 0
@@ -105,7 +106,7 @@
 	return l.entries[start:end:end], bytes
 }
 
-// Runs tells the epochs of the base and of all entries held.
+// Runs returns the epochs of the base and of all entries held, as consecutive runs.
 func (l *Log) Runs() []Run {
 	runs := []Run{{Epoch: l.baseEpoch, First: l.base, Last: l.base}}
 	for at := 0; at < len(l.entries); {
@@ -123,7 +124,8 @@
 	return runs
 }
 
-// Match is the highest index up to which this log and the one with these runs are known to be the same.
+// Match returns the highest index up to which this log and the log with the given runs are known to be the same. It reports false if
+// there is no such index.
 func (l *Log) Match(runs []Run) (uint64, bool) {
 	var match uint64
 	found := false
--- a/coord/chain/timers.go
+++ b/coord/chain/timers.go
@@ -8,14 +8,14 @@
 	"gaugeslip/coord/view"
 )
 
-// never is a time that doesn't come.
+// never is a time that is never reached.
 const never = time.Duration(math.MaxInt64)
 
-// learnerTimeout is after which silence a learner is forgotten. Reading a large snapshot takes a learner seconds, in which it says nothing
-// and still needs the log kept.
+// learnerTimeout is how long a learner may send nothing before it is removed. Reading a large snapshot takes a learner seconds, during
+// which it sends nothing and still needs the log kept.
 const learnerTimeout = 10 * time.Second
 
-// Receive takes a message of the present epoch.
+// Receive handles a message of the current epoch.
 func (c *Chain) Receive(now time.Duration, from view.Member, body *Body) {
 	if !c.active {
 		return
@@ -37,7 +37,7 @@
 	}
 }
 
-// Tick does what is due.
+// Tick runs the timers that are due.
 func (c *Chain) Tick(now time.Duration) {
 	if !c.active {
 		return
@@ -53,7 +53,7 @@
 	c.learners = slices.DeleteFunc(c.learners, func(l *link) bool { return now-l.heardAt > learnerTimeout })
 }
 
-// Wake is when Tick has something to do.
+// Wake returns the time at which Tick must next be called.
 func (c *Chain) Wake() time.Duration {
 	if !c.active {
 		return never
@@ -85,7 +85,7 @@
 	}
 }
 
-// sendCommitNotice tells the commit index where no entries did.
+// sendCommitNotice sends the commit index to a peer to which no entries have carried it.
 func (c *Chain) sendCommitNotice(now time.Duration, l *link) {
 	if l.session != 0 && l.transfer == nil && !l.needsSnapshot && l.sentCommit < c.committed && l.next > c.log.Base() {
 		c.sendBatch(now, l, false)
@@ -102,7 +102,7 @@
 	return never
 }
 
-// retransmit repeats what seems to be lost.
+// retransmit sends unacknowledged chunks again, or probes the peer for an acknowledgement of entries, if that is due.
 func (c *Chain) retransmit(now time.Duration, l *link) {
 	if now < retransmitDue(l) {
 		return
--- a/coord/chain/upstream.go
+++ b/coord/chain/upstream.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// startSession opens a new session with the predecessor.
+// startSession gives up the current session and asks the predecessor for a new one.
 func (c *Chain) startSession(now time.Duration) {
 	c.sessionCounter++
 	c.session = c.cfg.Life<<sessionBits | c.sessionCounter&(1<<sessionBits-1)
@@ -19,7 +19,7 @@
 	c.send(c.role.Upstream, &Body{Hello: &Hello{Session: c.session, Runs: c.log.Runs(), Acked: c.Acked()}})
 }
 
-// restartSession opens a new session unless one has just been asked for.
+// restartSession asks for a new session unless it did so within sessionRestartInterval.
 func (c *Chain) restartSession(now time.Duration) {
 	if now-c.helloTimerStart >= sessionRestartInterval {
 		c.startSession(now)
@@ -49,7 +49,8 @@
 	c.acknowledge(now)
 }
 
-// openSession takes the predecessor's word on where the logs part.
+// openSession takes up a session with its first Append. It drops all entries after the point up to which the predecessor found both
+// logs to be the same.
 func (c *Chain) openSession(now time.Duration, m *Append) {
 	c.truncate(now, m.Prev)
 	c.sessionOpen = true
@@ -57,8 +58,8 @@
 	c.ackSent, c.unackedBytes = 0, 0
 }
 
-// checkInStep lets the successor in once this replica has all that its predecessor had: with less, the successor would
-// be made to drop what it needs.
+// checkInStep marks this replica as in step once it holds all that its predecessor held, and then answers the successor's
+// pending Hello. With fewer entries it would make the successor drop entries that are needed.
 func (c *Chain) checkInStep(now time.Duration) {
 	if c.inStep || c.log.Last() < c.target {
 		return
@@ -71,23 +72,25 @@
 	}
 }
 
-// checkPrev tells whether the entry before a message's first one is the same here and there, as far as it is still held.
+// checkPrev reports whether the entry before the message's first one is the same here and at the predecessor. It reports true
+// if this log no longer holds that entry.
 func (c *Chain) checkPrev(m *Append) bool {
 	epoch, ok := c.log.EpochAt(m.Prev)
 	if ok && epoch != m.PrevEpoch {
-		c.env.Fail(fmt.Errorf("entry %d is of epoch %d, of %d at the predecessor: %w", m.Prev, epoch, m.PrevEpoch, ErrDiverged))
+		c.env.Fail(fmt.Errorf("entry %d has epoch %d here, epoch %d at the predecessor: %w", m.Prev, epoch, m.PrevEpoch, ErrDiverged))
 		return false
 	}
 	return true
 }
 
-// appendNew appends what is new of a message.
+// appendNew appends and stores the entries of a message that this log does not hold yet. It reports false if an entry that it
+// holds has another epoch.
 func (c *Chain) appendNew(m *Append) bool {
 	first := c.log.Last() + 1
 	for _, e := range m.Entries {
 		if e.Index < first {
 			if epoch, ok := c.log.EpochAt(e.Index); ok && epoch != e.Epoch {
-				c.env.Fail(fmt.Errorf("entry %d of epoch %d came as of epoch %d: %w", e.Index, epoch, e.Epoch, ErrDiverged))
+				c.env.Fail(fmt.Errorf("entry %d has epoch %d here, received with epoch %d: %w", e.Index, epoch, e.Epoch, ErrDiverged))
 				return false
 			}
 			continue
@@ -101,7 +104,7 @@
 	return true
 }
 
-// acknowledge tells the predecessor what is on disk here and at all successors, if that is more than it knows.
+// acknowledge sends an Ack to the predecessor if the last index on disk here and at all successors has grown since the last Ack.
 func (c *Chain) acknowledge(now time.Duration) {
 	if !c.active || c.role.Head || !c.sessionOpen {
 		return
