--- a/coord/view/acceptor.go
+++ b/coord/view/acceptor.go
@@ -2,36 +2,36 @@
 
 import "cmp"
 
-// Ballot orders the attempts at one instance. Life differs between the lives of one owner, so that a restarted
-// proposer never uses a ballot twice. Round 0 belongs to the head of the view that votes; it may skip Prepare,
-// once, in the life in which it became head.
+// Ballot orders the proposals in one instance. Life is the incarnation of the owner: it differs after each restart, so
+// that a restarted proposer never uses a ballot twice. Round 0 belongs to the head of the view whose voters decide. The
+// head may skip Prepare in round 0, once, in the incarnation in which it became head.
 type Ballot struct {
 	Round uint64
 	Owner ReplicaID
 	Life  uint64
 }
 
-// Compare is negative if b comes before c.
+// Compare returns a negative number if b is lower than c, zero if they are equal, and a positive number if b is higher.
 func (b Ballot) Compare(c Ballot) int {
 	return cmp.Or(cmp.Compare(b.Round, c.Round), cmp.Compare(b.Owner, c.Owner), cmp.Compare(b.Life, c.Life))
 }
 
-// IsZero tells whether this is no ballot.
+// IsZero reports whether b is the zero Ballot, which stands for no ballot.
 func (b Ballot) IsZero() bool { return b == Ballot{} }
 
-// Acceptor is a voter's part of one instance. Instance e+1 is decided by the voters of epoch e. Its state has to
-// be on disk before an answer leaves the machine.
+// Acceptor is the state of a voter in one Paxos instance. Instance e+1 is decided by the voters of epoch e. The state
+// must be on disk before an answer that depends on it is sent.
 type Acceptor struct {
 	Instance uint64
 	Promised Ballot
 	Accepted Ballot
-	Value    *View // with Accepted
+	Value    *View // the value accepted in ballot Accepted, or nil
 }
 
-// Reset goes to another instance.
+// Reset starts another instance with an empty state.
 func (a *Acceptor) Reset(instance uint64) { *a = Acceptor{Instance: instance} }
 
-// Prepare promises to accept nothing below the ballot, unless a higher one has been promised.
+// Prepare promises to accept no lower ballot than b. It reports false and changes nothing if a higher one has been promised.
 func (a *Acceptor) Prepare(b Ballot) bool {
 	if b.Compare(a.Promised) < 0 {
 		return false
@@ -40,7 +40,8 @@
 	return true
 }
 
-// Accept takes the value, unless a higher ballot has been promised.
+// Accept accepts the value in ballot b, which also promises b. It reports false and changes nothing if a higher ballot has been
+// promised.
 func (a *Acceptor) Accept(b Ballot, value View) bool {
 	if b.Compare(a.Promised) < 0 {
 		return false
@@ -49,7 +50,8 @@
 	return true
 }
 
-// PromisedAway tells whether another than the head has been promised a ballot: no more grants then.
+// PromisedAway reports whether a ballot of a replica other than the head has been promised. The voter must then give the head
+// no more grants.
 func (a *Acceptor) PromisedAway(head ReplicaID) bool {
 	return !a.Promised.IsZero() && a.Promised.Owner != head
 }
--- a/coord/view/codec.go
+++ b/coord/view/codec.go
@@ -6,26 +6,26 @@
 	"fmt"
 )
 
-// ErrCorrupt says that bytes can't be read as what they should be.
+// ErrCorrupt reports that a stored record cannot be decoded.
 var ErrCorrupt = errors.New("corrupt record")
 
 const maxMembers = 1 << 10
 
-// AppendView appends a view in binary form.
+// AppendView appends the binary encoding of a view.
 func AppendView(b []byte, v View) []byte {
 	b = binary.AppendUvarint(b, v.Epoch)
 	b = appendMembers(b, v.Voters)
 	return appendMembers(b, v.Chain)
 }
 
-// DecodeView reads what AppendView has made.
+// DecodeView decodes the encoding that AppendView produces. The error wraps ErrCorrupt.
 func DecodeView(data []byte) (View, error) {
 	r := reader{rest: data}
 	v := r.view()
 	return v, r.end("view")
 }
 
-// AppendAcceptor appends an acceptor's state in binary form.
+// AppendAcceptor appends the binary encoding of an acceptor's state.
 func AppendAcceptor(b []byte, a Acceptor) []byte {
 	b = binary.AppendUvarint(b, a.Instance)
 	b = appendBallot(b, a.Promised)
@@ -36,7 +36,7 @@
 	return AppendView(append(b, 1), *a.Value)
 }
 
-// DecodeAcceptor reads what AppendAcceptor has made.
+// DecodeAcceptor decodes the encoding that AppendAcceptor produces. The error wraps ErrCorrupt.
 func DecodeAcceptor(data []byte) (Acceptor, error) {
 	r := reader{rest: data}
 	a := Acceptor{Instance: r.uvarint(), Promised: r.ballot(), Accepted: r.ballot()}
@@ -67,7 +67,7 @@
 	return b
 }
 
-// reader reads from the start of rest; after the first mistake all it gives is zero.
+// reader decodes values from the start of rest. After the first invalid value it is broken and returns zero values only.
 type reader struct {
 	rest   []byte
 	broken bool
--- a/coord/view/cutoff_test.go
+++ b/coord/view/cutoff_test.go
@@ -24,7 +24,7 @@
 	require.True(t, a.Prepare(high))
 	require.False(t, a.Prepare(low))
 	require.False(t, a.Accept(low, value))
-	require.True(t, a.Prepare(high), "asked again")
+	require.True(t, a.Prepare(high), "the same ballot again")
 	require.True(t, a.Accept(high, value))
 	require.Equal(t, high, a.Accepted)
 	assert.True(t, a.Value.Equal(value))
@@ -66,7 +66,7 @@
 	require.NotZero(t, p.Majority)
 	p.Accept(1, &View{})
 	decided, _ := p.Accepted("b", &Accepted{Ballot: p.Ballot, OK: true}, 2)
-	require.False(t, decided, "promises are no votes")
+	require.False(t, decided, "promises do not count as votes")
 	decided, _ = p.Accepted("b", &Accepted{Ballot: p.Ballot, OK: true}, 2)
 	require.False(t, decided)
 	decided, _ = p.Accepted("c", &Accepted{Ballot: ballot(9, "a"), OK: true}, 2)
@@ -77,7 +77,7 @@
 	assert.True(t, decided)
 }
 
-// A proposer that asks anew forgets who had promised before, and takes a ballot above what was in its way.
+// A proposer that starts a new ballot drops the promises of the earlier one and takes a ballot above the one that preempted it.
 func TestNewBallotDropsEarlierPromises(t *testing.T) {
 	p := NewProposer("a", 1)
 	p.Prepare(1, nil)
@@ -88,13 +88,13 @@
 	p.Prepare(2, nil)
 	require.Positive(t, p.Ballot.Compare(ballot(7, "c")))
 	p.Promised(2, "c", &Promise{Ballot: p.Ballot, OK: true}, 2)
-	assert.Zero(t, p.Majority, "b hasn't promised this one")
+	assert.Zero(t, p.Majority, "b has not promised the new ballot")
 }
 
 func TestMajorityIsMoreThanHalf(t *testing.T) {
 	for voters, want := range []int{1, 1, 2, 2, 3, 3} {
 		v := View{Voters: make([]Member, voters)}
-		assert.Equal(t, want, v.Majority(), "%d voters", voters)
+		assert.Equal(t, want, v.Majority(), "majority of %d voters", voters)
 	}
 }
 
@@ -106,15 +106,15 @@
 	}
 	since, ok := l.MajoritySince(v)
 	require.True(t, ok)
-	require.Equal(t, 8*time.Second, since, "a, b and c")
+	require.Equal(t, 8*time.Second, since, "the oldest grant of a, b and c")
 	l = NewLease(time.Second, 0)
 	for _, id := range []ReplicaID{"a", "x", "y", "z"} {
 		l.Granted(id, l.Sent(time.Second))
 	}
-	assert.Zero(t, l.Until(v), "others than the voters don't count")
+	assert.Zero(t, l.Until(v), "grants of replicas that are not voters do not count")
 }
 
-// A number that was given out so long ago that its time isn't kept any more doesn't count as the one that has its place.
+// A heartbeat so old that its sending time is no longer kept must not count with the time of the one that reuses its slot.
 func TestUntrackedHeartbeatDoesNotCount(t *testing.T) {
 	v := View{Voters: members("a")}
 	l := NewLease(time.Second, 100)
@@ -134,6 +134,6 @@
 	l.Sent(time.Minute)
 	for _, number := range []uint64{0, 100, 102, 101 + trackedHeartbeats} {
 		l.Granted("a", number)
-		require.Zero(t, l.Until(v), "%d", number)
+		require.Zero(t, l.Until(v), "heartbeat number %d", number)
 	}
 }
--- a/coord/view/example_test.go
+++ b/coord/view/example_test.go
@@ -7,14 +7,14 @@
 	"gaugeslip/coord/view"
 )
 
-// Three voters agree on the next view, without the member that is gone.
+// Three voters agree on the next view, which leaves out the member that does not answer.
 func Example() {
 	members := []view.Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	current := view.View{Epoch: 4, Voters: members, Chain: members}
 	next := current.Next()
 	next.Chain = view.Without(next.Chain, func(id view.ReplicaID) bool { return id == "a" })
 
-	acceptors := map[view.ReplicaID]*view.Acceptor{"b": {}, "c": {}} // a doesn't answer
+	acceptors := map[view.ReplicaID]*view.Acceptor{"b": {}, "c": {}} // a does not answer
 	for _, acceptor := range acceptors {
 		acceptor.Reset(next.Epoch)
 	}
--- a/coord/view/lease.go
+++ b/coord/view/lease.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// Numerator and denominator of the part of a grant for which the head holds its lease.
+// Numerator and denominator of the fraction of a grant for which the head holds its lease. The rest allows for clock drift.
 const (
 	leaseNumerator   = 9
 	leaseDenominator = 10
 )
 
+// trackedHeartbeats is how many of the latest heartbeats' sending times are kept.
 const trackedHeartbeats = 64
 
-// Lease is the head's side of the grants of one epoch.
+// Lease computes the head's lease from the grants of the voters in one epoch.
 type Lease struct {
 	grant         time.Duration
 	base          uint64
 	last          uint64
 	sent          [trackedHeartbeats]time.Duration
-	grantedSentAt map[ReplicaID]time.Duration // when the heartbeat that was granted last had been sent
+	grantedSentAt map[ReplicaID]time.Duration // when the latest heartbeat that the voter has granted was sent
 	scratch       []time.Duration
 }
 
-// NewLease makes a lease without grants. Heartbeats are numbered from above first, which differs between lives: an
-// answer to an earlier life's must not count.
+// NewLease returns a lease without grants, for grants of the given duration. Heartbeats are numbered from first+1 on.
+// The value first must differ between incarnations of the head, because an answer to a heartbeat of an earlier one must not count.
 func NewLease(grant time.Duration, first uint64) Lease {
 	return Lease{grant: grant, base: first, last: first, grantedSentAt: make(map[ReplicaID]time.Duration)}
 }
 
-// Sent notes a heartbeat sent now and gives it its number.
+// Sent records that a heartbeat is sent now and returns its sequence number.
 func (l *Lease) Sent(now time.Duration) uint64 {
 	l.last++
 	l.sent[l.last%trackedHeartbeats] = now
 	return l.last
 }
 
-// Granted notes that a voter has granted the heartbeat of that number.
+// Granted records that a replica has granted the heartbeat with the given sequence number. It ignores numbers that were not assigned
+// here and those whose sending time is no longer kept.
 func (l *Lease) Granted(id ReplicaID, sequence uint64) {
 	if sequence <= l.base || sequence > l.last || l.last-sequence >= trackedHeartbeats {
 		return
@@ -47,7 +49,8 @@
 	}
 }
 
-// MajoritySince is when the last heartbeat was sent that a majority has granted.
+// MajoritySince returns the latest sending time such that a majority of the voters has granted a heartbeat sent then or later. It
+// reports false if no majority has granted any heartbeat.
 func (l *Lease) MajoritySince(v View) (time.Duration, bool) {
 	l.scratch = l.scratch[:0]
 	for _, voter := range v.Voters {
@@ -62,7 +65,7 @@
 	return l.scratch[len(l.scratch)-v.Majority()], true
 }
 
-// Until is the end of the lease; without one, zero.
+// Until returns the end of the lease, or zero if there is none.
 func (l *Lease) Until(v View) time.Duration {
 	since, ok := l.MajoritySince(v)
 	if !ok {
--- a/coord/view/messages.go
+++ b/coord/view/messages.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Prepare asks the voters of the sender's view for a promise.
+// Prepare asks the voters of the sender's view for a promise (phase 1 of Paxos).
 type Prepare struct{ Ballot Ballot }
 
 // Promise answers Prepare.
 type Promise struct {
-	Ballot   Ballot // the one asked for
+	Ballot   Ballot // the ballot of the Prepare
 	OK       bool
-	Leaving  bool   // the answering replica wants out of the chain
-	Promised Ballot // where not OK: the ballot in the way; zero if it is a grant, or no vote
-	Accepted Ballot
-	Value    *View // with Accepted
+	Leaving  bool   // the answering replica wants to leave the chain
+	Promised Ballot // if not OK: the higher ballot promised; zero if a grant prevents the promise or the replica has no vote
+	Accepted Ballot // the highest ballot in which the replica has accepted a value; zero if none
+	Value    *View  // the value accepted in ballot Accepted, or nil
 }
 
-// Accept asks the voters to accept a value.
+// Accept asks the voters to accept a value (phase 2 of Paxos).
 type Accept struct {
 	Ballot Ballot
 	Value  View
@@ -25,43 +25,44 @@
 type Accepted struct {
 	Ballot   Ballot
 	OK       bool
-	Promised Ballot // where not OK: the ballot in the way; zero if it is a grant, or no vote
+	Promised Ballot // if not OK: the higher ballot promised; zero if a grant prevents the vote or the replica has no vote
 }
 
 // Heartbeat is sent by the head to every voter.
 type Heartbeat struct {
 	Sequence uint64
-	Echo     uint64        // to the tail: the last heartbeat that it has acknowledged
-	ReadFor  time.Duration // to the tail: how long it may answer reads, counted from when it acknowledged Echo
+	Echo     uint64        // to the tail: sequence of the last heartbeat that the tail has acknowledged
+	ReadFor  time.Duration // to the tail: how long it may answer reads, counted from when the tail acknowledged Echo
 }
 
-// Digest sums up a replica's state after all entries up to Index. Those of one Format are the same at all replicas whose state is.
+// Digest is a checksum of a replica's state after all entries up to Index. Digests of one Format are equal at all replicas whose state is
+// equal.
 type Digest struct {
 	Index  uint64
 	Format uint32
 	Sum    uint64
 }
 
-// HeartbeatAck answers Heartbeat, with the state of the member's part of the chain.
+// HeartbeatAck answers Heartbeat and reports the progress of the member in the chain.
 type HeartbeatAck struct {
 	Sequence uint64
-	Granted  bool
+	Granted  bool   // the voter grants the head its lease for this heartbeat
 	Received uint64 // last index held
 	Synced   uint64 // last index on disk
 	Acked    uint64 // last index on disk here and at all successors
-	// Digests are the last few of the member's state.
+	// Digests are the most recent digests of the member's state.
 	Digests []Digest
-	Broken  bool // the disk refuses
+	Broken  bool // the member's disk fails
 }
 
-// Join asks the head to become a member; the sender's data stand in the message.
+// Join asks the head to admit the sender as a member. The enclosing message describes the sender.
 type Join struct{ Sequence uint64 }
 
-// LeaveNotice asks the head to be left out of the chain; the sender has stopped to answer reads.
+// LeaveNotice asks the head to remove the sender from the chain. The sender has stopped answering reads.
 type LeaveNotice struct {
 	Sequence uint64
-	Broken   bool // the disk refuses: it can't acknowledge anything any more
+	Broken   bool // the sender's disk fails: it can no longer acknowledge entries
 }
 
-// Request asks for the newest view.
+// Request asks for the latest view.
 type Request struct{ Sequence uint64 }
--- a/coord/view/proposer.go
+++ b/coord/view/proposer.go
@@ -5,7 +5,7 @@
 // Phase is the state of a proposer.
 type Phase uint8
 
-// The states of a proposer. Decided is left by learning the view.
+// The states of a proposer. It leaves Decided when it learns the decided view.
 const (
 	Idle Phase = iota
 	Preparing
@@ -13,16 +13,16 @@
 	Decided
 )
 
-// Proposer is a proposer's part of one instance.
+// Proposer is the state of a proposer in one Paxos instance.
 type Proposer struct {
 	Phase        Phase
 	Ballot       Ballot
-	Value        *View         // the one to be accepted; before that the one wished for, if any
-	Began        time.Duration // this ballot
-	Majority     time.Duration // when a majority had promised; zero before
+	Value        *View         // the value to be accepted; while Preparing the proposed value, or nil
+	Began        time.Duration // when the current phase of this ballot started
+	Majority     time.Duration // when a majority had promised; zero until then
 	self         ReplicaID
 	incarnation  uint64
-	highestRound uint64 // highest seen
+	highestRound uint64 // highest round seen
 	answered     map[ReplicaID]bool
 	voted        map[ReplicaID]bool
 	leaving      map[ReplicaID]bool
@@ -30,18 +30,18 @@
 	found        *View
 }
 
-// NewProposer makes an idle proposer; life differs between the lives of a replica.
+// NewProposer returns an idle proposer. The incarnation must differ after each restart of the replica.
 func NewProposer(self ReplicaID, incarnation uint64) Proposer {
 	return Proposer{self: self, incarnation: incarnation}
 }
 
-// Reset goes to the next instance.
+// Reset makes the proposer idle, for the next instance.
 func (p *Proposer) Reset() { *p = NewProposer(p.self, p.incarnation) }
 
-// Active tells whether an instance is being worked on.
+// Active reports whether a proposal is in progress.
 func (p *Proposer) Active() bool { return p.Phase != Idle }
 
-// Prepare begins a ballot above all that were seen. A proposal of an earlier ballot is kept unless another is given.
+// Prepare starts a ballot above all that have been seen. A nil proposal keeps the value of an earlier ballot.
 func (p *Proposer) Prepare(now time.Duration, proposal *View) {
 	if proposal != nil {
 		p.Value = proposal
@@ -51,13 +51,13 @@
 	p.foundBallot, p.found = Ballot{}, nil
 }
 
-// AcceptAtOnce begins the ballot of round 0, which is the head's alone and needs no promises.
+// AcceptAtOnce starts the ballot of round 0 in the accept phase. Only the head may use this round, and it needs no promises.
 func (p *Proposer) AcceptAtOnce(now time.Duration, value *View) {
 	p.Value = value
 	p.begin(now, Accepting, Ballot{Owner: p.self, Life: p.incarnation})
 }
 
-// Accept goes on to the second phase.
+// Accept starts the accept phase of the current ballot with a value.
 func (p *Proposer) Accept(now time.Duration, value *View) {
 	p.Value = value
 	p.Phase, p.Began = Accepting, now
@@ -71,7 +71,7 @@
 	p.leaving = make(map[ReplicaID]bool)
 }
 
-// Promised takes an answer to Prepare and tells whether a higher ballot is in the way.
+// Promised handles an answer to Prepare and reports whether a higher ballot has preempted the current one.
 func (p *Proposer) Promised(now time.Duration, from ReplicaID, m *Promise, majority int) (preempted bool) {
 	if p.Phase != Preparing || m.Ballot != p.Ballot {
 		return false
@@ -91,7 +91,8 @@
 	return false
 }
 
-// Accepted takes an answer to Accept and tells whether the value is decided, or a higher ballot in the way.
+// Accepted handles an answer to Accept. It reports whether the value is decided, and whether a higher ballot has preempted the
+// current one.
 func (p *Proposer) Accepted(from ReplicaID, m *Accepted, majority int) (decided, preempted bool) {
 	if p.Phase != Accepting || m.Ballot != p.Ballot {
 		return false, false
@@ -104,20 +105,21 @@
 	return len(p.voted) >= majority, false
 }
 
-// observe notes a ballot and tells whether it is above the present one.
+// observe records the round of a ballot and reports whether the ballot is higher than the current one.
 func (p *Proposer) observe(b Ballot) bool {
 	p.highestRound = max(p.highestRound, b.Round)
 	return b.Compare(p.Ballot) > 0
 }
 
-// Found is the value that has to be proposed because a voter may have accepted it, or nil.
+// Found returns the value accepted in the highest ballot among the promises, or nil if there is none. The proposer must propose it,
+// because it may already have been decided.
 func (p *Proposer) Found() *View { return p.found }
 
-// Answered tells whether a replica has answered this ballot.
+// Answered reports whether a replica has answered in this ballot.
 func (p *Proposer) Answered(id ReplicaID) bool { return p.answered[id] }
 
-// Leaving tells whether a replica has said that it wants out.
+// Leaving reports whether a replica has said in this ballot that it wants to leave the chain.
 func (p *Proposer) Leaving(id ReplicaID) bool { return p.leaving[id] }
 
-// Missing tells whether the vote of a replica is still to come in this phase.
+// Missing reports whether a replica has not yet promised or voted in this phase.
 func (p *Proposer) Missing(id ReplicaID) bool { return !p.voted[id] }
--- a/coord/view/view_test.go
+++ b/coord/view/view_test.go
@@ -26,7 +26,7 @@
 	assert.False(t, View{}.Known())
 	next := v.Next()
 	next.Chain[0] = Member{ID: "x"}
-	assert.Equal(t, ReplicaID("b"), v.Head().ID, "Next must not share its lists")
+	assert.Equal(t, ReplicaID("b"), v.Head().ID, "Next must not share slices with the view")
 }
 
 func TestCodec(t *testing.T) {
@@ -47,7 +47,7 @@
 	})
 }
 
-// Random prepares and accepts, in any order and any number of times: at most one value is ever chosen.
+// Random prepares and accepts, in any order and any number of times, must never choose two values.
 func TestAtMostOneValueIsChosen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		voters := members("a", "b", "c")
@@ -105,7 +105,7 @@
 	first := l.Sent(10 * time.Second)
 	second := l.Sent(11 * time.Second)
 	l.Granted("a", second)
-	assert.Zero(t, l.Until(v), "one of three is no majority")
+	assert.Zero(t, l.Until(v), "one of three voters is no majority")
 	l.Granted("b", first)
 	assert.Equal(t, 10*time.Second+grant*9/10, l.Until(v))
 	l.Granted("c", second)
@@ -113,7 +113,7 @@
 	l.Granted("b", first)
 	l.Granted("b", second+1)
 	l.Granted("b", 99)
-	assert.Equal(t, 11*time.Second+grant*9/10, l.Until(v), "answers to what this life hasn't sent don't count")
+	assert.Equal(t, 11*time.Second+grant*9/10, l.Until(v), "grants for heartbeats that were not sent here do not count")
 }
 
 func TestPromisedToAnotherReplica(t *testing.T) {
@@ -122,5 +122,5 @@
 	require.True(t, a.Prepare(Ballot{Round: 2, Owner: "b"}))
 	assert.True(t, a.PromisedAway("a"))
 	assert.False(t, a.Prepare(Ballot{Round: 1, Owner: "c"}))
-	assert.False(t, a.Accept(Ballot{Owner: "a"}, View{}), "the head's own round comes too late")
+	assert.False(t, a.Accept(Ballot{Owner: "a"}, View{}), "the head's round 0 is below the promised ballot")
 }
