--- a/coord/wal/disk.go
+++ b/coord/wal/disk.go
@@ -1,29 +1,29 @@
 package wal
 
-// Disk is one flat folder of files. Names carry no path separators. It is safe for concurrent use.
+// Disk is a flat directory of files. Names contain no path separators. A Disk is safe for concurrent use.
 type Disk interface {
 	// List returns the names of all files, in no particular order.
 	List() ([]string, error)
 	// ReadFile returns the whole content of a file; the caller owns it.
 	ReadFile(name string) ([]byte, error)
-	// Create makes an empty file, or empties one that is there, and opens it for appending.
+	// Create creates an empty file, or truncates an existing one, and opens it for appending.
 	Create(name string) (File, error)
-	// OpenAppend opens a file that is there for appending.
+	// OpenAppend opens an existing file for appending.
 	OpenAppend(name string) (File, error)
-	// Rename gives a file another name, and replaces the file that had it.
+	// Rename renames a file and replaces any file that has the new name.
 	Rename(oldName, newName string) error
-	// Remove takes a file out of the folder.
+	// Remove removes a file.
 	Remove(name string) error
-	// SyncFolder makes all names that were made, changed or removed last.
+	// SyncFolder makes all creations, renames and removals of files durable.
 	SyncFolder() error
 }
 
 // File is a file open for appending.
 type File interface {
-	// Write appends data. After an error any part of it may have been appended.
+	// Write appends data. After an error, any part of the data may have been appended.
 	Write(data []byte) (int, error)
-	// Sync returns once everything written to the file lasts, and the file's own name if it is new.
+	// Sync returns once everything written to the file is durable, and also the file's name if the file is new.
 	Sync() error
-	// Close gives the file back; it syncs nothing.
+	// Close closes the file without syncing it.
 	Close() error
 }
--- a/coord/wal/doc.go
+++ b/coord/wal/doc.go
@@ -1,9 +1,9 @@
-// Package wal keeps an append-only log of checksummed records in a folder.
+// Package wal implements a write-ahead log: an append-only log of checksummed records in a directory.
 //
-// A log is a sequence of generation files, name-000001.log and up, of which one counts: the highest that is complete. A
-// generation starts with a header that tells how many bytes of records it was made with, and is complete when all of
-// those are there and valid; later appends follow. Rewrite makes the next generation, syncs it and its folder, and only
-// then removes the older ones. No name is ever changed, so that no lost rename or removal can bring old content back
-// over newer content. Each file draws a random number that goes into every checksum, so that stale bytes of another file
-// are never taken for records.
+// A log consists of generation files, name-000001.log and up. Only one of them is current: the highest complete one. A
+// generation starts with a header that says how many bytes of records it was created with. It is complete when all of
+// these are present and valid; later appends follow them. Rewrite creates the next generation, syncs the file and the
+// directory, and only then removes the older generations. Files are never renamed, so that no lost rename or removal can
+// bring back old content in place of newer content. Each file has a random nonce that enters every checksum, so that
+// stale bytes of another file are never read as records.
 package wal
--- a/coord/wal/durability_test.go
+++ b/coord/wal/durability_test.go
@@ -13,7 +13,7 @@
 	"gaugeslip/coord/wal/simdisk"
 )
 
-// possibleContent is one content that a log may be found with: its first lasting records at least, the rest up to any point.
+// possibleContent is a content that a log may be opened with: at least the first durable records, then any prefix of the others.
 type possibleContent struct {
 	records []string
 	durable int
@@ -26,7 +26,7 @@
 	return slices.Equal(found, h.records[:len(found)])
 }
 
-// durabilityTest drives one log through random load and losses and knows what may be found after each.
+// durabilityTest drives one log through random calls and losses, and keeps track of the contents that may be found afterwards.
 type durabilityTest struct {
 	t           *testing.T
 	seed        uint64
@@ -50,7 +50,7 @@
 	return d
 }
 
-// current is the history that the log goes on with while it isn't failed.
+// current returns the content to which the log appends while it is not failed.
 func (d *durabilityTest) current() *possibleContent {
 	return &d.allowed[len(d.allowed)-1]
 }
@@ -116,7 +116,7 @@
 	d.disk.PowerLoss()
 }
 
-// open opens the log, with losses of power on the way, and checks what is found.
+// open opens the log, with losses of power during earlier attempts, and checks what it finds.
 func (d *durabilityTest) open() {
 	for range d.random.IntN(3) {
 		d.disk.StopAfter(d.random.IntN(10))
@@ -131,14 +131,14 @@
 	log, records, err := wal.Open(d.disk.Process(), "test")
 	require.NoError(d.t, err)
 	found := recordTexts(records)
-	allowed := func(h possibleContent) bool { return h.allows(found) }
-	require.True(d.t, slices.ContainsFunc(d.allowed, allowed), "seed %d: found %v, may be %v", d.seed, found, d.allowed)
+	allowsFound := func(h possibleContent) bool { return h.allows(found) }
+	require.True(d.t, slices.ContainsFunc(d.allowed, allowsFound), "seed %d: found %v, allowed are %v", d.seed, found, d.allowed)
 	d.log = log
 	d.failed = false
 	d.allowed = []possibleContent{{records: found, durable: len(found)}}
 }
 
-// injectFaults sets faults for the time up to the next open.
+// injectFaults sets faults that last until the next open.
 func (d *durabilityTest) injectFaults() {
 	switch d.random.IntN(6) {
 	case 0:
@@ -175,17 +175,17 @@
 	}
 }
 
-// A process that is killed while it is about to rewrite its log does nothing to the disk any more: the next process has that.
+// A killed process that is about to rewrite its log must not change the disk any more, because the next process uses it.
 func TestEndedProcessCannotChangeTheDisk(t *testing.T) {
 	disk := simdisk.New(1)
-	dead, _, err := wal.Open(disk.Process(), "test")
+	ended, _, err := wal.Open(disk.Process(), "test")
 	require.NoError(t, err)
-	require.NoError(t, dead.Append(wal.Record{Kind: 1, Data: []byte("old")}))
-	require.NoError(t, dead.Sync())
+	require.NoError(t, ended.Append(wal.Record{Kind: 1, Data: []byte("old")}))
+	require.NoError(t, ended.Sync())
 	disk.Restart()
 	next, records, err := wal.Open(disk.Process(), "test")
 	require.NoError(t, err)
-	assert.Error(t, dead.Rewrite(records))
+	assert.Error(t, ended.Rewrite(records))
 	require.NoError(t, next.Append(wal.Record{Kind: 1, Data: []byte("new")}))
 	require.NoError(t, next.Sync())
 	disk.Restart()
--- a/coord/wal/example_test.go
+++ b/coord/wal/example_test.go
@@ -24,7 +24,7 @@
 	}
 	_ = log.Append(wal.Record{Kind: 1, Data: []byte("take")}, wal.Record{Kind: 2, Data: []byte("ship")})
 	if err := log.Sync(); err == nil {
-		fmt.Println("both last now")
+		fmt.Println("both records are durable")
 	}
 	_ = log.Close()
 
@@ -37,7 +37,7 @@
 		fmt.Println(record.Kind, string(record.Data))
 	}
 	// Output:
-	// both last now
+	// both records are durable
 	// 1 take
 	// 2 ship
 }
--- a/coord/wal/generation.go
+++ b/coord/wal/generation.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// The header of a generation: magic (8 bytes), generation (8), nonce (8), bytes of the records it was made with (8),
-// CRC-32C of all that (4).
+// Layout of a generation's header: magic (8 bytes), generation (8), nonce (8), bytes of the records it was created with (8),
+// CRC-32C of all these (4).
 const (
 	magic            = "slipwal1"
 	generationOffset = len(magic)
@@ -22,14 +22,14 @@
 
 const generationSuffix = ".log"
 
-// header is the first part of a generation file.
+// header is the header of a generation file.
 type header struct {
 	generation uint64
 	nonce      uint64
 	baseBytes  uint64
 }
 
-// salt is the start value of the checksums of the file's records.
+// salt returns the initial value of the checksums of the file's records.
 func (h header) salt() uint32 {
 	return crc32.Checksum(binary.LittleEndian.AppendUint64(nil, h.nonce), castagnoli)
 }
@@ -79,11 +79,11 @@
 	return generation, true
 }
 
-// listGenerations returns the numbers of the log's generations that are in the folder, highest first.
+// listGenerations returns the numbers of the log's generations in the directory, highest first.
 func listGenerations(disk Disk, name string) ([]uint64, error) {
 	files, err := disk.List()
 	if err != nil {
-		return nil, fmt.Errorf("list the folder of log %s: %w", name, err)
+		return nil, fmt.Errorf("list the directory of log %s: %w", name, err)
 	}
 	var generations []uint64
 	for _, file := range files {
@@ -96,7 +96,7 @@
 	return generations, nil
 }
 
-// contents are the valid records of a complete generation.
+// contents holds the valid records of a complete generation. torn is set if bytes follow that are no valid record.
 type contents struct {
 	header  header
 	records []Record
@@ -104,7 +104,7 @@
 	torn    bool
 }
 
-// parseContents reads a generation's file; ok is false if the generation isn't complete.
+// parseContents parses the content of a generation's file. It reports false if the generation is not complete.
 func parseContents(generation uint64, file []byte) (contents, bool) {
 	hdr, ok := parseHeader(file)
 	if !ok || hdr.generation != generation {
--- a/coord/wal/guards_test.go
+++ b/coord/wal/guards_test.go
@@ -10,7 +10,7 @@
 	"gaugeslip/coord/wal/simdisk"
 )
 
-// writeFile makes a file with a content.
+// writeFile creates a synced file with the given content.
 func writeFile(t *testing.T, disk wal.Disk, name string, content []byte) {
 	t.Helper()
 	file, err := disk.Create(name)
@@ -20,7 +20,7 @@
 	require.NoError(t, file.Sync())
 }
 
-// rewrittenLogFile is the file of a log that was made with one record and got another later.
+// rewrittenLogFile returns the file of a log that was rewritten with one record and then appended to.
 func rewrittenLogFile(t *testing.T) []byte {
 	t.Helper()
 	disk := simdisk.New(1)
@@ -32,7 +32,7 @@
 	return content
 }
 
-// A header whose numbers are damaged so that all else fits must not count.
+// A header must be rejected even if its damaged numbers make the file look complete.
 func TestDamagedHeaderIsRejected(t *testing.T) {
 	const baseBytesAt = 8 + 8 + 8
 	content := rewrittenLogFile(t)
@@ -50,7 +50,7 @@
 	require.Empty(t, found)
 }
 
-// An incomplete generation may turn up again after a loss of power, so that its number must not be given to another.
+// An incomplete generation may reappear after a loss of power, so its number must not be reused.
 func TestGenerationNumbersAreNeverReused(t *testing.T) {
 	disk := simdisk.New(1)
 	content := rewrittenLogFile(t)
@@ -63,7 +63,7 @@
 	require.Equal(t, []string{"test-000003.log"}, files)
 }
 
-// After a rewrite that failed the old content or the new one may be found: nothing may be appended to either.
+// After a failed rewrite a later Open may find the old content or the new one, so nothing may be appended to either.
 func TestAFailedRewriteFailsTheLog(t *testing.T) {
 	disk := simdisk.New(1)
 	log, _ := openLog(t, disk.Process())
--- a/coord/wal/log.go
+++ b/coord/wal/log.go
@@ -8,15 +8,15 @@
 )
 
 var (
-	// ErrFailed says that an earlier write or sync failed: nothing is taken until a Rewrite succeeds or the log is opened anew.
+	// ErrFailed reports that a write or sync failed. The log refuses appends and syncs until a Rewrite succeeds or it is opened again.
 	ErrFailed = errors.New("log failed")
-	// ErrClosed says that the log was closed.
+	// ErrClosed reports that the log is closed.
 	ErrClosed = errors.New("log closed")
-	// ErrTooLarge says that a record's data is longer than MaxRecordBytes.
+	// ErrTooLarge reports that a record's data is longer than MaxRecordBytes.
 	ErrTooLarge = errors.New("record too large")
 )
 
-// logState is what may be done with a log.
+// logState says which calls a log accepts.
 type logState uint8
 
 const (
@@ -25,12 +25,12 @@
 	logClosed
 )
 
-// Log is an open log. It is safe for concurrent use; appends go on while a sync is under way.
+// Log is an open log. It is safe for concurrent use. Appends may proceed during a sync.
 type Log struct {
 	disk Disk
 	name string
 
-	// syncMu is held by whoever syncs or replaces the file. It is taken before mu.
+	// syncMu is held while the file is synced, replaced or closed. It is locked before mu.
 	syncMu sync.Mutex
 
 	mu                sync.Mutex
@@ -46,8 +46,8 @@
 	size atomic.Int64
 }
 
-// Append writes the records to the file, in order, with one write. They last once a later Sync has returned. After an
-// error of the disk any first part of them may be read back by a later Open, and the log is failed.
+// Append writes the records to the file, in order, with one write. They are durable once a later Sync has returned. After a
+// disk error the log is failed, and a later Open may read back any prefix of the records.
 func (l *Log) Append(records ...Record) error {
 	if err := checkSizes(records); err != nil {
 		return err
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// Sync returns once all records last whose Append returned before Sync was called.
+// Sync returns once all records are durable whose Append returned before Sync was called. After a disk error the log is failed.
 func (l *Log) Sync() error {
 	l.syncMu.Lock()
 	defer l.syncMu.Unlock()
@@ -88,12 +88,12 @@
 	return nil
 }
 
-// Size returns the length of the log's file in bytes.
+// Size returns the length of the log's current file in bytes.
 func (l *Log) Size() int64 {
 	return l.size.Load()
 }
 
-// Close gives the file back. It syncs nothing; a second Close does nothing.
+// Close closes the log without syncing it. A second Close does nothing.
 func (l *Log) Close() error {
 	l.syncMu.Lock()
 	defer l.syncMu.Unlock()
@@ -106,7 +106,7 @@
 	return l.file.Close()
 }
 
-// current returns the file that a sync is to cover.
+// current returns the file to sync.
 func (l *Log) current() (File, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,7 +127,7 @@
 	}
 }
 
-// markFailed is the change from ready to failed; the first cause stays. The caller holds mu.
+// markFailed changes the state from ready to failed and returns an error for the cause. The log keeps the first cause. The caller holds mu.
 func (l *Log) markFailed(cause error) error {
 	if l.state == logReady {
 		l.state = logFailed
--- a/coord/wal/log_test.go
+++ b/coord/wal/log_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// requirePrefix opens a log whose file has the content, appends to it and opens it once more.
+// requirePrefix checks that a log whose file has the given content opens with a prefix of all records, and that it can be appended to.
 func requirePrefix(t *testing.T, all []string, content []byte) {
 	t.Helper()
 	disk := simdisk.New(1)
--- a/coord/wal/open.go
+++ b/coord/wal/open.go
@@ -4,8 +4,8 @@
 	"fmt"
 )
 
-// Open opens the log of that name, or makes it, and returns its records in order. It stops at the first record that is
-// torn or corrupt. All that it returns lasts.
+// Open opens the log with the given name, or creates it, and returns its records in order, up to the first that is torn
+// or corrupt. All returned records are durable.
 func Open(disk Disk, name string) (*Log, []Record, error) {
 	generations, err := listGenerations(disk, name)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return log, found.records, nil
 }
 
-// newestComplete reads the generations, highest first, until one is complete.
+// newestComplete reads the generations in the given order, highest first, and returns the first complete one.
 func newestComplete(disk Disk, name string, generations []uint64) (contents, bool, error) {
 	for _, generation := range generations {
 		file, err := disk.ReadFile(generationName(name, generation))
@@ -47,7 +47,8 @@
 	return contents{}, false, nil
 }
 
-// adopt goes on with a complete generation. What was read of it may not last yet, after a kill, so it is synced here.
+// adopt makes a complete generation current. If the process that wrote it was killed, the content read may not be durable
+// yet, so adopt syncs it.
 func (l *Log) adopt(found contents) error {
 	file, err := l.disk.OpenAppend(generationName(l.name, found.header.generation))
 	if err != nil {
--- a/coord/wal/osdisk.go
+++ b/coord/wal/osdisk.go
@@ -15,7 +15,7 @@
 	dir string
 }
 
-// OSDisk returns the dir of the operating system at the path; it is made if it is missing.
+// OSDisk returns a Disk for a directory of the operating system's file system. It creates the directory if it is missing.
 func OSDisk(dir string) (Disk, error) {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return nil, err
--- a/coord/wal/read.go
+++ b/coord/wal/read.go
@@ -5,25 +5,25 @@
 	"fmt"
 )
 
-// ErrNoLog says that a folder holds no complete log of the name.
+// ErrNoLog reports that the directory holds no complete log with the given name.
 var ErrNoLog = errors.New("no log")
 
-// Reading is what a look at a log found.
+// Reading is the result of Read.
 type Reading struct {
 	// Records are in the order in which they were appended.
 	Records []Record
-	// File is the name of the file that counts.
+	// File is the name of the current generation's file.
 	File string
-	// Generation is that file's number; each rewrite makes the next one.
+	// Generation is that file's number; each rewrite creates the next one.
 	Generation uint64
-	// Bytes is how much of the file is valid.
+	// Bytes is the length of the valid part of the file.
 	Bytes int64
-	// Torn tells that something follows that is no valid record: an append was under way, or was cut off.
+	// Torn reports that bytes follow that are no valid record, because an append was in progress or was interrupted.
 	Torn bool
 }
 
-// Read reads a log and changes nothing, so that it may be called while another process writes to the log; a record that is just
-// being appended then shows as torn. What it returns may not last yet. The error wraps ErrNoLog if there is no complete log.
+// Read reads a log without changing it, so it may be called while another process writes to the log. A record that is being appended
+// then shows as torn. The returned records may not be durable yet. The error wraps ErrNoLog if there is no complete log.
 func Read(disk Disk, name string) (Reading, error) {
 	generations, err := listGenerations(disk, name)
 	if err != nil {
@@ -34,7 +34,7 @@
 		return Reading{}, err
 	}
 	if !complete {
-		return Reading{}, fmt.Errorf("%w of the name %s (%d incomplete files)", ErrNoLog, name, len(generations))
+		return Reading{}, fmt.Errorf("%w named %s (%d incomplete files)", ErrNoLog, name, len(generations))
 	}
 	generation := found.header.generation
 	return Reading{Records: found.records, File: generationName(name, generation), Generation: generation, Bytes: found.size,
--- a/coord/wal/record.go
+++ b/coord/wal/record.go
@@ -5,10 +5,10 @@
 	"hash/crc32"
 )
 
-// MaxRecordBytes bounds the data of one record.
+// MaxRecordBytes is the largest size of one record's data, in bytes.
 const MaxRecordBytes = 64 << 20
 
-// A record on disk: length of the data (4 bytes), kind (1), CRC-32C over the file's salt, length, kind and data (4), data.
+// Layout of a record on disk: length of the data (4 bytes), kind (1), CRC-32C over the file's salt, length, kind and data (4), data.
 const (
 	lengthBytes       = 4
 	kindOffset        = lengthBytes
@@ -20,7 +20,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Record is one entry of a log. Its kind and data mean nothing to the log.
+// Record is one entry of a log. The log does not interpret its kind and data.
 type Record struct {
 	Kind byte
 	Data []byte
@@ -34,7 +34,7 @@
 	return total
 }
 
-// appendRecord appends the record's bytes to the buffer. The salt is the file's own start value of each checksum.
+// appendRecord appends the encoding of a record to the buffer. The salt is the initial value of each checksum in the file.
 func appendRecord(buffer []byte, salt uint32, record Record) []byte {
 	start := len(buffer)
 	buffer = binary.LittleEndian.AppendUint32(buffer, uint32(len(record.Data)))
@@ -49,8 +49,8 @@
 	return crc32.Update(checksum, castagnoli, data)
 }
 
-// nextRecord reads the record at the start of the content. The record shares the content's memory; ok is false if there
-// is no whole, valid record.
+// nextRecord decodes the record at the start of the content. The record shares the content's memory; ok is false if there
+// is no complete, valid record.
 func nextRecord(content []byte, salt uint32) (record Record, size int, ok bool) {
 	if len(content) < recordHeaderBytes {
 		return Record{}, 0, false
@@ -68,7 +68,7 @@
 	return Record{Kind: content[kindOffset], Data: data}, size, true
 }
 
-// validRecords reads records up to the first that is torn or corrupt; size is the number of bytes that they take.
+// validRecords decodes records up to the first that is torn or corrupt; size is their total length in bytes.
 func validRecords(content []byte, salt uint32) (records []Record, size int) {
 	for {
 		record, step, ok := nextRecord(content[size:], salt)
--- a/coord/wal/remove.go
+++ b/coord/wal/remove.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// Remove takes away all files of a log, which must not be open. After a loss of power some may be back.
+// Remove removes all files of a log. The log must not be open. The removals are not synced: after a loss of power some files may
+// reappear.
 func Remove(disk Disk, name string) error {
 	generations, err := listGenerations(disk, name)
 	if err != nil {
--- a/coord/wal/rewrite.go
+++ b/coord/wal/rewrite.go
@@ -7,9 +7,9 @@
 	"math/rand/v2"
 )
 
-// Rewrite replaces the whole content by the records. Whatever happens meanwhile, a later Open finds the old content or
-// the new one. It returns once the new content lasts. After an error of the disk the log is failed, and either content may
-// be found.
+// Rewrite replaces the whole content with the records and returns once the new content is durable. If it is interrupted at
+// any point, a later Open finds either the old content or the new one. After a disk error the log is failed, and a later
+// Open may find either content. A Rewrite that succeeds makes a failed log usable again.
 func (l *Log) Rewrite(records []Record) error {
 	if err := checkSizes(records); err != nil {
 		return err
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// startGeneration makes the next generation with the records, lasting, and goes on with it. On an error the log's file
-// stays what it was.
+// startGeneration creates the next generation with the records, makes it durable and switches to it. On an error the
+// log's file does not change.
 func (l *Log) startGeneration(records []Record) error {
 	l.highestGeneration++
 	hdr := header{generation: l.highestGeneration, nonce: rand.Uint64(), baseBytes: uint64(encodedBytes(records))}
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// writeOutcome tells whether an unfinished generation may turn up complete later.
+// writeOutcome says whether a later Open may find an unfinished generation complete.
 type writeOutcome uint8
 
 const (
@@ -59,7 +59,7 @@
 	maybeComplete
 )
 
-// writeGeneration writes and syncs a new generation's file, in chunks.
+// writeGeneration writes a new generation's file in chunks and syncs it.
 func (l *Log) writeGeneration(file File, hdr header, records []Record) (writeOutcome, error) {
 	salt := hdr.salt()
 	buffer := hdr.appendTo(l.buffer[:0])
@@ -79,8 +79,9 @@
 	return maybeComplete, syncFileAndDir(l.disk, file)
 }
 
-// abandon gives the room of an unfinished generation back. One that may be complete must stay: its removal may be lost
-// after the log has gone on with an older one, and it would then hide what was appended there.
+// abandon frees the disk space of an unfinished generation. A generation that may be complete must not be removed yet: the
+// removal may be lost after the log has continued with an older generation, and the abandoned one would then hide what was
+// appended there.
 func (l *Log) abandon(generation uint64, outcome writeOutcome) {
 	l.obsolete = append(l.obsolete, generation)
 	if outcome == knownIncomplete {
@@ -88,7 +89,7 @@
 	}
 }
 
-// switchTo is the change to ready, with a lasting file of a complete generation.
+// switchTo changes the state to ready, with the durable file of a complete generation.
 func (l *Log) switchTo(file File, hdr header, size int64) {
 	l.state = logReady
 	l.cause = nil
@@ -99,8 +100,8 @@
 	l.size.Store(size)
 }
 
-// removeObsolete removes generations that no longer count, now that the current one lasts. What can't be removed stays
-// for the next time; it does no harm but the room that it takes.
+// removeObsolete removes generations that are no longer needed, because the current one is durable. A file that cannot be
+// removed is tried again next time; until then it only takes up space.
 func (l *Log) removeObsolete() {
 	kept := l.obsolete[:0]
 	for _, generation := range l.obsolete {
@@ -112,7 +113,7 @@
 	l.obsolete = kept
 }
 
-// syncFileAndDir makes a file and its name last.
+// syncFileAndDir makes a file and its name durable.
 func syncFileAndDir(disk Disk, file File) error {
 	if err := file.Sync(); err != nil {
 		return err
--- a/coord/wal/simdisk/disk.go
+++ b/coord/wal/simdisk/disk.go
@@ -1,8 +1,8 @@
-// Package simdisk simulates a disk that loses power, fills up, stalls and is lost, for tests.
+// Package simdisk simulates, for tests, a disk that loses power, fills up, fails calls and is lost.
 //
-// After a loss of power a file has what its last sync covered; each later write is there, missing or torn, and at some
-// losses all of them are gone. A new file's name lasts with the file's own sync; renamed and removed names are kept or lost
-// one by one unless the folder was synced. The same seed and the same calls give the same disk.
+// After a loss of power a file holds what its last sync covered. Each later write is kept, lost or torn; some losses of
+// power lose all of them. A new file's name becomes durable with the first sync of the file. Renames and removals are kept
+// or lost one by one unless the directory was synced. The same seed and the same calls produce the same disk.
 package simdisk
 
 import (
@@ -15,15 +15,15 @@
 )
 
 var (
-	// ErrNoPower says that the disk stopped at a point set by StopAfter, or that the caller's process has ended.
+	// ErrNoPower reports that the disk stopped at a point set by StopAfter, or that the calling process has ended.
 	ErrNoPower = errors.New("simulated disk has no power")
-	// ErrStalled is an injected failure of a write or a sync, of which any part may have been done.
+	// ErrStalled reports an injected failure of a write or a sync, which may have been carried out in part or completely.
 	ErrStalled = errors.New("simulated disk stalled")
-	// ErrNoSpace is what the operating system gives for a full disk.
+	// ErrNoSpace is the operating system's error for a full disk.
 	ErrNoSpace error = syscall.ENOSPC
 )
 
-// Faults are the chances, 0 to 1, that a call fails with ErrStalled.
+// Faults holds the probabilities, 0 to 1, that a call fails with ErrStalled.
 type Faults struct {
 	Write  float64
 	Sync   float64
@@ -36,7 +36,7 @@
 	unlimited = -1
 )
 
-// Disk is the simulated disk, which outlasts the processes that use it. It is safe for concurrent use.
+// Disk is the simulated disk. It outlives the processes that use it and is safe for concurrent use.
 type Disk struct {
 	mu          sync.Mutex
 	random      *rand.Rand
@@ -49,7 +49,7 @@
 	changes     []nameChange
 }
 
-// New returns an empty disk without faults or bounds.
+// New returns an empty disk without faults or a limit on its size.
 func New(seed uint64) *Disk {
 	return &Disk{
 		random:    rand.New(rand.NewPCG(seed, 0)),
@@ -60,45 +60,45 @@
 	}
 }
 
-// Process is the disk as the process sees it that starts now. That ends with PowerLoss, Restart or Wipe: from then on all its calls fail
-// with ErrNoPower and do nothing, also those of goroutines that a test can't end.
+// Process starts a simulated process and returns the disk as that process sees it. The process ends with PowerLoss, Restart or Wipe: from
+// then on all its calls fail with ErrNoPower and do nothing, including those of goroutines that a test cannot stop.
 func (d *Disk) Process() wal.Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return &process{disk: d, incarnation: d.incarnation}
 }
 
-// SetFaults sets the chances of failures from now on.
+// SetFaults sets the probabilities of failures from now on.
 func (d *Disk) SetFaults(faults Faults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults = faults
 }
 
-// SetCapacity bounds the bytes of all files; a write that goes over it is cut short with ErrNoSpace. A negative number
-// takes the bound away.
+// SetCapacity limits the total bytes of all files. A write that exceeds the limit is cut short with ErrNoSpace. A negative
+// number removes the limit.
 func (d *Disk) SetCapacity(bytes int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.capacity = bytes
 }
 
-// StopAfter lets that many more calls through; all after them fail with ErrNoPower and do nothing, until PowerLoss,
-// Restart or Wipe. The first call to fail, if it is a write, may have been done in part.
+// StopAfter allows the given number of further calls. All later calls fail with ErrNoPower and do nothing, until PowerLoss,
+// Restart or Wipe. If the first call to fail is a write, it may be carried out in part.
 func (d *Disk) StopAfter(calls int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.callsLeft = calls
 }
 
-// Restart is the end of the process: open files are gone, what was written stays.
+// Restart ends the process: its open files can no longer be used, but everything written is kept.
 func (d *Disk) Restart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.endProcess()
 }
 
-// PowerLoss is a loss of power of the machine.
+// PowerLoss simulates a loss of power of the machine and ends the process. Unsynced changes are kept, lost or torn.
 func (d *Disk) PowerLoss() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,7 +109,7 @@
 	d.endProcess()
 }
 
-// Wipe is the loss of the disk: an empty one takes its place.
+// Wipe simulates the loss of the disk, which is replaced with an empty one, and ends the process.
 func (d *Disk) Wipe() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -124,7 +124,7 @@
 	d.callsLeft = neverStop
 }
 
-// admitCall counts one call. The caller holds mu.
+// admitCall counts one call and reports whether the disk still has power for it. The caller holds mu.
 func (d *Disk) admitCall() bool {
 	switch d.callsLeft {
 	case neverStop:
--- a/coord/wal/simdisk/disk_test.go
+++ b/coord/wal/simdisk/disk_test.go
@@ -21,7 +21,7 @@
 	return file
 }
 
-// contentsAfterPowerLoss runs a script on disks of many seeds and counts what is read of a file after a loss of power.
+// contentsAfterPowerLoss runs a script on disks with many seeds and counts the contents of a file after a loss of power.
 func contentsAfterPowerLoss(t *testing.T, name string, script func(disk *simdisk.Disk)) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
@@ -57,7 +57,7 @@
 	for _, content := range []string{"synced", "syncedXY", "syncedX", "synced\x00Y", "synced\x00\x00"} {
 		require.Positive(t, counts[content], content)
 	}
-	require.Len(t, counts, 6, "and a torn one with its zeros: %q", counts)
+	require.Len(t, counts, 6, "a sixth content, torn with zeros, is expected: %q", counts)
 }
 
 func TestUnsyncedNamesAreKeptOrLost(t *testing.T) {
--- a/coord/wal/simdisk/file.go
+++ b/coord/wal/simdisk/file.go
@@ -6,14 +6,14 @@
 	"gaugeslip/coord/wal"
 )
 
-// inode is a file apart from its names: what reads see, what lasts, and the changes in between.
+// inode is a file without its names: the content that reads see, the durable content, and the changes between the two.
 type inode struct {
 	content []byte
 	durable []byte
 	changes []contentChange
 }
 
-// contentChange is a write, or a cut to no length, that doesn't last yet.
+// contentChange is a write, or a truncation to length 0, that is not durable yet.
 type contentChange struct {
 	truncate bool
 	offset   int
@@ -35,7 +35,7 @@
 	f.changes = nil
 }
 
-// writeDurable writes data at an offset; a gap before it is filled with zeros.
+// writeDurable writes data to the durable content at an offset. A gap before it is filled with zeros.
 func (f *inode) writeDurable(offset int, data []byte) {
 	if end := offset + len(data); end > len(f.durable) {
 		f.durable = append(f.durable, make([]byte, end-len(f.durable))...)
@@ -43,7 +43,7 @@
 	copy(f.durable[offset:], data)
 }
 
-// resolveContents decides at a loss of power what is left of the writes. Names are settled before.
+// resolveContents decides at a loss of power which unsynced writes are kept. The names must be resolved before.
 func (d *Disk) resolveContents(loseAll bool) {
 	names := make([]string, 0, len(d.live))
 	for name := range d.live {
@@ -65,7 +65,7 @@
 	file.content = slices.Clone(file.durable)
 }
 
-// resolveWrite keeps, loses or tears one write.
+// resolveWrite keeps, loses or tears one unsynced change.
 func (d *Disk) resolveWrite(file *inode, change contentChange) {
 	const (
 		kept = iota
@@ -85,7 +85,7 @@
 	}
 }
 
-// writeTorn writes the first or the last part of a write, or the first part and zeros in place of the rest.
+// writeTorn applies the first or the last part of a write, or the first part with zeros in place of the rest.
 func (d *Disk) writeTorn(file *inode, change contentChange) {
 	cut := d.random.IntN(len(change.data) + 1)
 	switch d.random.IntN(3) {
@@ -136,7 +136,7 @@
 	return len(data), nil
 }
 
-// appendPart appends a part of the data, from nothing to all of it.
+// appendPart appends a random prefix of the data, from nothing to all of it, and returns err.
 func (d *Disk) appendPart(file *inode, data []byte, err error) error {
 	file.append(data[:d.random.IntN(len(data)+1)])
 	return err
--- a/coord/wal/simdisk/names.go
+++ b/coord/wal/simdisk/names.go
@@ -10,7 +10,7 @@
 	nameRemoved
 )
 
-// nameChange is a change of the folder that doesn't last yet.
+// nameChange is a change of the directory that is not durable yet.
 type nameChange struct {
 	kind    nameChangeKind
 	name    string
@@ -18,7 +18,7 @@
 	file    *inode
 }
 
-// applyTo does the change to the names that last.
+// applyTo applies the change to a set of names.
 func (c nameChange) applyTo(names map[string]*inode) {
 	if c.kind == nameCreated {
 		names[c.name] = c.file
@@ -32,7 +32,7 @@
 	}
 }
 
-// syncNames makes all changes of names last.
+// syncNames makes all changes of names durable.
 func (d *Disk) syncNames() {
 	for _, change := range d.changes {
 		change.applyTo(d.durable)
@@ -40,7 +40,7 @@
 	d.changes = d.changes[:0]
 }
 
-// syncNewName makes the name last under which the file was made, if it is new.
+// syncNewName makes the name under which a file was created durable, if it is not durable yet.
 func (d *Disk) syncNewName(file *inode) {
 	kept := d.changes[:0]
 	for _, change := range d.changes {
@@ -53,7 +53,7 @@
 	d.changes = kept
 }
 
-// resolveNames decides at a loss of power which changes of names are kept.
+// resolveNames decides at a loss of power which unsynced changes of names are kept.
 func (d *Disk) resolveNames(loseAll bool) {
 	for _, change := range d.changes {
 		if !loseAll && d.evenChance() {
--- a/coord/wal/simdisk/process.go
+++ b/coord/wal/simdisk/process.go
@@ -8,7 +8,7 @@
 	"gaugeslip/coord/wal"
 )
 
-// process is the disk in one life of the process that uses it.
+// process is the disk as seen by one incarnation of the process that uses it.
 type process struct {
 	disk        *Disk
 	incarnation int
@@ -16,10 +16,10 @@
 
 var _ wal.Disk = (*process)(nil)
 
-// alive tells whether the process hasn't ended. The caller holds the disk's mu.
+// alive reports whether the process has not ended. The caller holds the disk's mu.
 func (p *process) alive() bool { return p.incarnation == p.disk.incarnation }
 
-// call makes one call on the disk for a process, unless that has ended or the disk has no power.
+// call runs one call of a process on the disk. It returns ErrNoPower if the process has ended or the disk has no power.
 func call[T any](p *process, do func(d *Disk) (T, error)) (result T, err error) {
 	d := p.disk
 	d.mu.Lock()
@@ -30,7 +30,7 @@
 	return do(d)
 }
 
-// change is a call that gives nothing but its error.
+// change runs a call that returns only an error.
 func (p *process) change(do func(d *Disk) error) error {
 	_, err := call(p, func(d *Disk) (struct{}, error) { return struct{}{}, do(d) })
 	return err
--- a/coord/wal/snapshot_bench_test.go
+++ b/coord/wal/snapshot_bench_test.go
@@ -8,7 +8,7 @@
 	"gaugeslip/coord/wal"
 )
 
-// BenchmarkLargeRecord appends one record of 50 MB, as the snapshot that a learner gets is, and syncs it.
+// BenchmarkLargeRecord appends and syncs one record of 50 MB, the size of a snapshot that a learner receives.
 func BenchmarkLargeRecord(b *testing.B) {
 	dir, err := wal.OSDisk(b.TempDir())
 	require.NoError(b, err)
