--- a/coord/chain/chain.go
+++ b/coord/chain/chain.go
@@ -197,7 +197,7 @@
 }
 
 // capSynced lowers the synced index and all pending syncs to index: a dropped entry must not count as on disk when another
-// entry takes its index.
+// entry or a snapshot takes its place.
 func (c *Chain) capSynced(index uint64) {
 	c.synced = min(c.synced, index)
 	for i := range c.pendingSyncs {
--- a/coord/chain/example_test.go
+++ b/coord/chain/example_test.go
@@ -8,7 +8,7 @@
 	"gaugeslip/coord/view"
 )
 
-// machine is what a program has round a chain: a disk and a network; here all that is stored is safe at once.
+// machine provides what a program needs around a Chain: a disk and a network. Here everything stored is on disk at once.
 type machine struct {
 	member view.Member
 	chain  *chain.Chain
@@ -30,7 +30,7 @@
 	}
 }
 
-// work takes in what came and tells the chain that all it stored is on disk.
+// work handles the received messages and reports to the chain that everything it stored is on disk.
 func (m *machine) work(now time.Duration) {
 	inbox := m.inbox
 	m.inbox = nil
@@ -43,7 +43,7 @@
 	m.chain.Tick(now)
 }
 
-// A chain of two: an entry is committed once both have it on disk.
+// In a chain of two replicas an entry is committed once both have it on disk.
 func Example() {
 	head, tail := &machine{member: view.Member{ID: "head"}}, &machine{member: view.Member{ID: "tail"}}
 	head.other, tail.other = tail, head
@@ -53,7 +53,7 @@
 	head.chain.Enter(now, chain.Role{Epoch: 1, Head: true, Downstream: &tail.member})
 	tail.chain.Enter(now, chain.Role{Epoch: 1, Upstream: head.member})
 
-	head.chain.Append(now, [][]byte{[]byte("plough")})
+	head.chain.Append(now, [][]byte{[]byte("set x=1")})
 	for head.chain.Committed() < 1 || tail.chain.Committed() < 1 {
 		now += 10 * time.Millisecond
 		head.work(now)
@@ -61,6 +61,6 @@
 		head.chain.Commit(now) // the caller holds the lease
 	}
 	// Output:
-	// head 1 plough
-	// tail 1 plough
+	// head 1 set x=1
+	// tail 1 set x=1
 }
--- a/coord/chain/log_test.go
+++ b/coord/chain/log_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// appendRandomEntries appends entries whose epochs never fall.
+// appendRandomEntries appends up to 12 entries whose epochs never decrease.
 func appendRandomEntries(t *rapid.T, l *Log, label string) {
 	epoch := l.LastEpoch()
 	for range rapid.IntRange(0, 12).Draw(t, label) {
@@ -16,7 +16,7 @@
 	}
 }
 
-// Two logs that part somewhere: what is found is where both agree, unless that has been dropped.
+// Match must find the last common index of two logs that diverge, unless it has been dropped.
 func TestMatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a, b Log
@@ -28,7 +28,7 @@
 		}
 		appendRandomEntries(t, &a, "a")
 		for i, last := 0, rapid.IntRange(0, 5).Draw(t, "b"); i < last; i++ {
-			b.Append(Entry{Index: b.Last() + 1, Epoch: 1000}) // an epoch that a hasn't got
+			b.Append(Entry{Index: b.Last() + 1, Epoch: 1000}) // an epoch that log a does not contain
 		}
 		a.Drop(uint64(rapid.IntRange(0, int(a.Last())).Draw(t, "a-drop")))
 		b.Drop(uint64(rapid.IntRange(0, int(common)).Draw(t, "b-drop")))
@@ -63,15 +63,15 @@
 	})
 }
 
-// What was handed out stays as it was when the log is cut and goes on otherwise.
+// Truncate followed by Append must not overwrite entries that Slice has returned.
 func TestTruncateDoesNotChangeReturnedSlices(t *testing.T) {
 	var l Log
 	for i := uint64(1); i <= 4; i++ {
 		l.Append(Entry{Index: i, Epoch: 1})
 	}
-	handed, _ := l.Slice(1, 1<<20)
+	returned, _ := l.Slice(1, 1<<20)
 	l.Truncate(2)
 	l.Append(Entry{Index: 3, Epoch: 2})
-	require.Equal(t, uint64(1), handed[2].Epoch)
+	require.Equal(t, uint64(1), returned[2].Epoch)
 	require.Equal(t, uint64(2), l.LastEpoch())
 }
--- a/coord/chain/prev_test.go
+++ b/coord/chain/prev_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Within a session both logs are the same up to Prev; where they aren't, what follows must not be taken.
+// Within a session both logs are the same up to Prev. If they differ there, the entries that follow must be refused.
 func TestEntriesAfterMismatchedPrevEpochAreRefused(t *testing.T) {
 	r := newFollower(t, false, entriesWithEpochs(1, 1)...)
 	r.receiveStart(2, 3, 3, 3, entry(3, 5))
--- a/coord/chain/rig_test.go
+++ b/coord/chain/rig_test.go
@@ -11,7 +11,7 @@
 	"gaugeslip/coord/view"
 )
 
-// testReplica is one chain whose environment only takes notes: what it sends waits to be looked at or carried by hand.
+// testReplica is a Chain whose environment only records calls. A test inspects the messages it sends or forwards them explicitly.
 type testReplica struct {
 	*Chain
 	t         *testing.T
@@ -57,14 +57,14 @@
 	return last
 }
 
-// newTestReplica is a replica with these entries on disk, which keeps everything in memory unless told otherwise.
-func newTestReplica(t *testing.T, self view.Member, life uint64, entries ...Entry) *testReplica {
+// newTestReplica returns a replica with the given entries on disk. It keeps everything in memory unless a test changes its cfg.
+func newTestReplica(t *testing.T, self view.Member, incarnation uint64, entries ...Entry) *testReplica {
 	r := &testReplica{t: t, self: self, now: time.Second}
 	var log Log
 	for _, e := range entries {
 		log.Append(e)
 	}
-	r.Chain = New(Config{Life: life, KeepEntries: 1 << 20, KeepBytes: 1 << 30}, r, log)
+	r.Chain = New(Config{Life: incarnation, KeepEntries: 1 << 20, KeepBytes: 1 << 30}, r, log)
 	return r
 }
 
@@ -72,7 +72,7 @@
 	return Entry{Index: index, Epoch: epoch, Data: []byte{byte(index), byte(epoch)}}
 }
 
-// entriesWithEpochs gives entries from 1 on with these epochs.
+// entriesWithEpochs returns entries with the given epochs and indexes from 1 on.
 func entriesWithEpochs(epochs ...uint64) []Entry {
 	var entries []Entry
 	for i, epoch := range epochs {
@@ -81,7 +81,7 @@
 	return entries
 }
 
-// newTrimmedHead is a head of epoch 2 that has committed so many entries and keeps none of them.
+// newTrimmedHead returns a head of epoch 2 that has committed count entries and keeps none of them.
 func newTrimmedHead(t *testing.T, count int) *testReplica {
 	head := newTestReplica(t, headMember, 1)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 0, 0
@@ -95,14 +95,15 @@
 	return head
 }
 
-// newLearner is a replica with an empty disk that has been asked by the head of an epoch to begin.
+// newLearner returns a learner with an empty disk that has entered an epoch and sent its first Hello to the head.
 func newLearner(t *testing.T, epoch uint64) *testReplica {
 	learner := newTestReplica(t, learnerMember, 7)
 	learner.Enter(learner.now, Role{Epoch: epoch, Upstream: headMember})
 	return learner
 }
 
-// forwardMessages hands over what one has sent to the other and tells how many messages those were; keep says which get through.
+// forwardMessages delivers the messages that from has sent to the other replica and returns their number. If keep is not nil, messages
+// for which it returns false are lost.
 func forwardMessages(from, to *testReplica, keep func(*Body) bool) int {
 	carried := 0
 	for _, m := range from.takeSent() {
@@ -114,14 +115,14 @@
 	return carried
 }
 
-// exchangeUntilIdle carries messages both ways until both are silent.
+// exchangeUntilIdle forwards messages both ways until neither replica sends any more.
 func exchangeUntilIdle(a, b *testReplica) {
 	for range 10_000 {
 		if forwardMessages(a, b, nil)+forwardMessages(b, a, nil) == 0 {
 			return
 		}
 	}
-	a.t.Fatal("they never fall silent")
+	a.t.Fatal("the replicas keep sending messages after 10,000 rounds")
 }
 
 func bodies[T any](sent []sentMessage, pick func(*Body) *T) []*T {
@@ -154,7 +155,8 @@
 	return bodies(sent, func(b *Body) *Probe { return b.Probe })
 }
 
-// newFollower is a replica with these entries on disk that has entered epoch 5 behind the head, with a successor or without.
+// newFollower returns a replica with the given entries on disk that has entered epoch 5 with the head as its predecessor, with or without a
+// successor.
 func newFollower(t *testing.T, successor bool, entries ...Entry) *testReplica {
 	r := newTestReplica(t, middleMember, 3, entries...)
 	role := Role{Epoch: 5, Upstream: headMember}
@@ -165,23 +167,23 @@
 	return r
 }
 
-// receiveStart opens the session of a follower, as its predecessor does.
+// receiveStart passes in the Append with which the predecessor opens the session.
 func (r *testReplica) receiveStart(prev, prevEpoch, target, commit uint64, entries ...Entry) {
 	r.receiveFrom(headMember, &Body{Append: &Append{Session: r.session, Start: true, Target: target, Prev: prev, PrevEpoch: prevEpoch,
 		Commit: commit, Entries: entries}})
 }
 
-// receiveAppend is a later message of the session.
+// receiveAppend passes in a later Append of the session.
 func (r *testReplica) receiveAppend(prev, prevEpoch, commit uint64, entries ...Entry) {
 	r.receiveFrom(headMember, &Body{Append: &Append{Session: r.session, Prev: prev, PrevEpoch: prevEpoch, Commit: commit, Entries: entries}})
 }
 
-// receiveSuccessorHello opens the session of a successor with a log of these runs.
+// receiveSuccessorHello passes in the Hello of a successor whose log has the given runs.
 func (r *testReplica) receiveSuccessorHello(session, acked uint64, runs ...Run) {
 	r.receiveFrom(learnerMember, &Body{Hello: &Hello{Session: session, Runs: runs, Acked: acked}})
 }
 
-// receiveSuccessorAck is a successor's word on what it has on disk.
+// receiveSuccessorAck passes in a successor's Ack for the entries up to index.
 func (r *testReplica) receiveSuccessorAck(session, index uint64) {
 	r.receiveFrom(learnerMember, &Body{Ack: &Ack{Session: session, Index: index, Stored: index}})
 }
--- a/coord/chain/serve_test.go
+++ b/coord/chain/serve_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newServingHead is a head of epoch 5 with these entries on disk and a successor that has opened session 9 with an empty log.
+// newServingHead returns a head of epoch 5 with the given entries on disk, whose successor has opened session 9 with an empty log.
 func newServingHead(t *testing.T, entries ...Entry) *testReplica {
 	head := newTestReplica(t, headMember, 1, entries...)
 	head.Enter(head.now, Role{Epoch: 5, Head: true, Downstream: &learnerMember})
@@ -24,12 +24,12 @@
 	assert.Equal(t, uint64(2), head.Acked())
 	head.downstream.close()
 	head.receiveSuccessorAck(0, 3)
-	assert.Equal(t, uint64(2), head.Acked(), "without a session")
+	assert.Equal(t, uint64(2), head.Acked(), "an Ack without a session does not count")
 }
 
 func TestAckBeyondSentEntriesIsCapped(t *testing.T) {
 	head := newServingHead(t)
-	for range 40 { // more than the window lets through
+	for range 40 { // more than the window allows
 		head.write(string(filledBytes('a', batchBytes)))
 	}
 	head.syncAll(1)
@@ -38,7 +38,8 @@
 	assert.Less(t, head.Acked(), uint64(40))
 }
 
-// A peer may hold more than this replica, of an epoch that lost: its word counts as far as both are the same.
+// A peer may hold entries of a superseded epoch that this replica does not hold. Its acknowledgement counts only as far as both logs are
+// the same.
 func TestHelloAckIsCappedAtTheMatch(t *testing.T) {
 	head := newTestReplica(t, headMember, 1, entriesWithEpochs(1, 1, 5, 5)...)
 	head.Enter(head.now, Role{Epoch: 5, Head: true, Downstream: &learnerMember})
@@ -58,10 +59,10 @@
 	assert.Empty(t, head.takeSent())
 	assert.Equal(t, uint64(newer), head.downstream.session)
 	head.receiveSuccessorHello(2<<sessionBits|1, 1, Run{Epoch: 0}, Run{Epoch: 1, First: 1, Last: 1})
-	assert.NotEmpty(t, head.takeSent(), "another life")
+	assert.NotEmpty(t, head.takeSent(), "a Hello of another incarnation is answered")
 }
 
-// A Hello is repeated until the answer is there; while a snapshot is under way it must not begin anew.
+// A Hello is repeated until it is answered. A repetition must not restart a snapshot transfer.
 func TestRepeatedHelloDoesNotRestartATransfer(t *testing.T) {
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	forwardMessages(learner, head, nil)
@@ -86,7 +87,7 @@
 	assert.Empty(t, r.learners)
 }
 
-// Another disk may answer at the place of a learner: what the one before had doesn't count for it.
+// A learner may come back with another disk. What it acknowledged before must not count for the new session.
 func TestNewLearnerSessionResetsAcknowledgedIndex(t *testing.T) {
 	head := newTestReplica(t, headMember, 1, entriesWithEpochs(1, 1)...)
 	head.Enter(head.now, Role{Epoch: 5, Head: true})
@@ -103,24 +104,24 @@
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	forwardMessages(learner, head, nil)
 	_, _, ok := head.Learner(learnerMember.ID)
-	assert.False(t, ok, "it waits for a snapshot")
+	assert.False(t, ok, "the learner waits for a snapshot")
 	head.Offer(head.now, 10, filledBytes('a', 4*chunkBytes))
 	_, _, ok = head.Learner(learnerMember.ID)
-	assert.False(t, ok, "a snapshot is under way")
+	assert.False(t, ok, "a snapshot is being transferred")
 	exchangeUntilIdle(head, learner)
 	_, _, ok = head.Learner(learnerMember.ID)
 	assert.True(t, ok)
 }
 
-// A snapshot says what has been delivered, and nothing that isn't committed.
+// A snapshot must cover only delivered entries, and so nothing that is not committed.
 func TestSnapshotOfferNeedsADeliveredIndexAndItsEpoch(t *testing.T) {
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	forwardMessages(learner, head, nil)
 	head.write("x")
 	head.Offer(head.now, 11, filledBytes('a', 1))
-	assert.True(t, head.WantsSnapshot(), "11 isn't committed")
+	assert.True(t, head.WantsSnapshot(), "index 11 is not committed")
 	head.Offer(head.now, 9, filledBytes('a', 1))
-	assert.True(t, head.WantsSnapshot(), "the epoch of 9 isn't known any more")
+	assert.True(t, head.WantsSnapshot(), "the epoch of index 9 is no longer known")
 	assert.Empty(t, chunksOf(head.takeSent()))
 	head.Offer(head.now, 10, filledBytes('a', 1))
 	assert.False(t, head.WantsSnapshot())
@@ -156,7 +157,7 @@
 	assert.Zero(t, sent[0].Offset)
 }
 
-// While a snapshot comes in, the learner asks less often: a Hello costs the head a look through both logs.
+// A learner that is receiving a snapshot sends Hellos less often, because the head compares both logs for each Hello.
 func TestLearnerSendsFewerHellosDuringATransfer(t *testing.T) {
 	learner := newLearner(t, 2)
 	learner.takeSent()
@@ -165,16 +166,16 @@
 	learner.advance(helloInterval)
 	assert.Empty(t, hellosOf(learner.takeSent()))
 	learner.advance(2 * transferTimeout)
-	assert.Equal(t, 1, len(hellosOf(learner.takeSent())), "the head may have forgotten it")
+	assert.Equal(t, 1, len(hellosOf(learner.takeSent())), "the learner repeats its Hello, as the head may have removed it")
 }
 
-// A peer that needs entries which have been dropped meanwhile begins anew.
+// A peer that needs entries which have been dropped meanwhile must open a new session.
 func TestPeerThatNeedsTrimmedEntriesIsProbedForANewSession(t *testing.T) {
 	head := newTestReplica(t, headMember, 1)
 	head.Enter(head.now, Role{Epoch: 5, Head: true})
 	head.receiveSuccessorHello(9, 0, Run{Epoch: 0})
 	head.takeSent()
-	for range 40 { // more than the window lets through
+	for range 40 { // more than the window allows
 		head.write(string(filledBytes('a', batchBytes)))
 	}
 	head.syncAll(1)
--- a/coord/chain/snapshot_test.go
+++ b/coord/chain/snapshot_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A learner is cut off in the midst of a transfer for longer than the head remembers it, and the head goes on: the learner must not
-// put the second half of a newer snapshot behind the first half of the older one.
+// A learner is disconnected during a transfer until the head removes it, and the head appends meanwhile. The learner must not append the
+// second half of the newer snapshot to the first half of the older one.
 func TestSnapshotsAreNeverMixed(t *testing.T) {
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	forwardMessages(learner, head, nil)
@@ -38,11 +38,11 @@
 	require.Equal(t, 1, len(learner.installed))
 	got := learner.installed[0]
 	assert.Equal(t, uint64(12), got.Index)
-	assert.Equal(t, 0, bytes.Count(got.Data, []byte("a")), "bytes of the older snapshot are in the newer one")
+	assert.Equal(t, 0, bytes.Count(got.Data, []byte("a")), "the newer snapshot contains bytes of the older one")
 	assert.Equal(t, size, len(got.Data))
 }
 
-// chunksFor gives the chunks of a snapshot as a head sends them in a session.
+// chunksFor returns the chunks of a snapshot as a head sends them in a session.
 func chunksFor(session, index uint64, data []byte) []*Chunk {
 	var chunks []*Chunk
 	for from := 0; from < len(data); from += chunkBytes {
@@ -73,14 +73,14 @@
 	learner := newLearner(t, 2)
 	newer := chunksFor(learner.session, 12, filledBytes('b', 2*chunkBytes))
 	older := chunksFor(learner.session, 10, filledBytes('a', 2*chunkBytes))
-	foreign := chunksFor(learner.session+1, 12, filledBytes('b', 2*chunkBytes))
-	learner.receiveFrom(headMember, &Body{Chunk: foreign[0]})
+	otherSession := chunksFor(learner.session+1, 12, filledBytes('b', 2*chunkBytes))
+	learner.receiveFrom(headMember, &Body{Chunk: otherSession[0]})
 	learner.receiveFrom(headMember, &Body{Chunk: newer[0]})
 	learner.takeSent()
 	learner.receiveFrom(headMember, &Body{Chunk: older[0]})
 	learner.receiveFrom(headMember, &Body{Chunk: older[1]})
-	learner.receiveFrom(headMember, &Body{Chunk: foreign[1]})
-	assert.Zero(t, len(learner.takeSent()), "what is of no use isn't acknowledged")
+	learner.receiveFrom(headMember, &Body{Chunk: otherSession[1]})
+	assert.Zero(t, len(learner.takeSent()), "ignored chunks are not acknowledged")
 	learner.receiveFrom(headMember, &Body{Chunk: newer[1]})
 	require.Equal(t, 1, len(learner.installed))
 	assert.Equal(t, uint64(12), learner.installed[0].Index)
@@ -97,14 +97,14 @@
 	require.Zero(t, len(learner.installed))
 	require.Zero(t, len(learner.snapshots))
 	hellos := hellosOf(learner.takeSent())
-	require.Equal(t, 1, len(hellos), "it asks anew")
+	require.Equal(t, 1, len(hellos), "the learner asks for a new session")
 	for _, chunk := range chunksFor(hellos[0].Session, 10, filledBytes('a', chunkBytes+1)) {
 		learner.receiveFrom(headMember, &Body{Chunk: chunk})
 	}
 	assert.Equal(t, 1, len(learner.installed))
 }
 
-// A head of an older version gives no sum.
+// A head of an older version sends no checksum.
 func TestSnapshotWithoutChecksumIsInstalled(t *testing.T) {
 	learner := newLearner(t, 2)
 	for _, chunk := range chunksFor(learner.session, 10, filledBytes('a', chunkBytes+1)) {
@@ -126,7 +126,7 @@
 	assert.Equal(t, uint64(3), learner.Log().Last())
 }
 
-// What stands on the disk of the log that a snapshot replaces says nothing about the snapshot.
+// What was on disk of the log that a snapshot replaces must not count for the snapshot.
 func TestSnapshotIsAcknowledgedOnlyOnceOnDisk(t *testing.T) {
 	learner := newTestReplica(t, learnerMember, 7, entriesWithEpochs(1, 1, 1)...)
 	learner.Enter(learner.now, Role{Epoch: 2, Upstream: headMember})
@@ -140,7 +140,8 @@
 	assert.Equal(t, uint64(10), learner.Synced())
 }
 
-// The head writes more during a transfer than it keeps of its log: the entries after the snapshot stay until the learner has them.
+// The head writes more entries during a transfer than it usually keeps. It must keep the entries after the snapshot until the learner has
+// them.
 func TestLearnerNeedsOneSnapshotWhileTheLogIsTrimmed(t *testing.T) {
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 10, 1<<20
@@ -168,7 +169,7 @@
 	assert.Equal(t, uint64(60), learner.Log().Last())
 }
 
-// A learner that is slow or gone must not have the head keep its log without bound.
+// A slow or failed learner must not make the head keep its log without bound.
 func TestEntriesKeptForALearnerAreBounded(t *testing.T) {
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 10, 1<<20
@@ -186,11 +187,11 @@
 	head.write("x")
 	head.syncAll(1000)
 	head.Commit(head.now)
-	assert.Equal(t, uint64(10), head.Committed()-head.Log().Base(), "nobody needs it any more")
+	assert.Equal(t, uint64(10), head.Committed()-head.Log().Base(), "no learner needs older entries any more")
 }
 
-// A Hello that comes late or twice, after the head has forgotten the learner, has it send a snapshot in a session in which the learner
-// takes entries already: it asks in another one, and is in step again.
+// A late or duplicated Hello, after the head has removed the learner, makes the head send a snapshot in a session in which the learner
+// already receives entries. The learner must start a new session and catch up.
 func TestChunkInAnOpenSessionStartsANewSession(t *testing.T) {
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	old := learner.takeSent()
@@ -208,7 +209,7 @@
 	}
 	exchangeUntilIdle(head, learner)
 
-	head.advance(learnerTimeout + time.Millisecond) // it is forgotten, and the log goes on without it
+	head.advance(learnerTimeout + time.Millisecond) // the head removes the learner and appends
 	head.write("x", "x")
 	head.syncAll(2)
 	head.Commit(head.now)
@@ -238,7 +239,8 @@
 	assert.Equal(t, uint64(1), r.Log().Last())
 }
 
-// The head changes in the midst of a transfer: what the one before sends late counts for nothing, and the new one's snapshot is installed whole.
+// The head changes during a transfer. Late chunks of the old head must be ignored, and the snapshot of the new head must be installed
+// completely.
 func TestHeadChangeDuringATransferRestartsIt(t *testing.T) {
 	learner := newLearner(t, 2)
 	before := chunksFor(learner.session, 12, filledBytes('a', 2*chunkBytes))
@@ -257,7 +259,7 @@
 	assert.Zero(t, bytes.Count(learner.installed[0].Data, []byte("a")))
 }
 
-// While a snapshot comes in the head goes on; the learner then gets what was written meanwhile, and all of it once.
+// The head appends during a transfer. The learner must then receive exactly the entries after the snapshot, each once.
 func TestWritesDuringATransferFollowTheSnapshot(t *testing.T) {
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 100, 1<<20
--- a/coord/chain/step_test.go
+++ b/coord/chain/step_test.go
@@ -19,7 +19,7 @@
 	assert.Equal(t, uint64(3), r.Log().Last())
 }
 
-// An index that was on disk and was cut off isn't on disk when another entry takes its place.
+// A truncated entry that was on disk must not make its index count as synced when another entry takes it.
 func TestTruncatedEntriesNoLongerCountAsSynced(t *testing.T) {
 	r := newFollower(t, false, entriesWithEpochs(1, 1, 2)...)
 	require.Equal(t, uint64(3), r.Synced())
@@ -32,7 +32,7 @@
 	}
 }
 
-// The same for what was on its way to disk when it was cut off.
+// The same holds for entries whose sync was still pending when they were truncated.
 func TestTruncatedEntriesWithPendingSyncDoNotCountLater(t *testing.T) {
 	r := newFollower(t, false, entriesWithEpochs(1)...)
 	r.receiveStart(1, 1, 3, 0, entry(2, 5), entry(3, 5))
@@ -46,22 +46,22 @@
 	assert.Equal(t, uint64(3), r.Synced())
 }
 
-// A successor drops what is cut off here, so that its word on it is void.
+// A successor drops the entries that are truncated here, so its acknowledgement of them no longer counts.
 func TestTruncateInvalidatesTheSuccessorsAck(t *testing.T) {
 	r := newFollower(t, true, entriesWithEpochs(1, 1, 2, 2)...)
 	r.receiveStart(4, 2, 4, 0)
 	r.receiveSuccessorHello(9, 4, Run{Epoch: 0}, Run{Epoch: 1, First: 1, Last: 2}, Run{Epoch: 2, First: 3, Last: 4})
 	r.receiveSuccessorAck(9, 4)
 	require.Equal(t, uint64(4), r.Acked())
-	r.startSession(r.now) // messages were lost: the predecessor, which had been cut itself, begins anew
+	r.startSession(r.now) // messages were lost; the predecessor, whose own log was truncated, opens a new session
 	r.takeSent()
 	r.receiveStart(2, 1, 4, 0, entry(3, 5), entry(4, 5))
 	r.syncAll(1)
 	assert.Equal(t, uint64(4), r.Synced())
 	assert.Equal(t, uint64(2), r.Acked())
 	r.receiveSuccessorAck(9, 4)
-	assert.Equal(t, uint64(2), r.Acked(), "that session is over")
-	assert.NotEmpty(t, probesOf(r.takeSent()), "the successor is told to begin anew")
+	assert.Equal(t, uint64(2), r.Acked(), "the session of this Ack has ended")
+	assert.NotEmpty(t, probesOf(r.takeSent()), "the successor is probed for a new session")
 }
 
 func TestAckedIndexNeedsOwnDiskAndSuccessor(t *testing.T) {
@@ -71,7 +71,7 @@
 	r.takeSent()
 	r.receiveAppend(1, 1, 0, entry(2, 5), entry(3, 5))
 	r.receiveSuccessorAck(9, 3)
-	assert.Equal(t, uint64(1), r.Acked(), "it isn't on the disk here")
+	assert.Equal(t, uint64(1), r.Acked(), "the entries are not on this replica's disk")
 	for _, ack := range acksOf(r.takeSent()) {
 		assert.LessOrEqual(t, ack.Index, uint64(1))
 	}
@@ -80,13 +80,13 @@
 
 	r.receiveAppend(3, 5, 0, entry(4, 5))
 	r.syncAll(2)
-	assert.Equal(t, uint64(3), r.Acked(), "it isn't on the disk behind")
+	assert.Equal(t, uint64(3), r.Acked(), "the entry is not on the successor's disk")
 	for _, ack := range acksOf(r.takeSent()) {
 		assert.LessOrEqual(t, ack.Index, uint64(3))
 	}
 }
 
-// Without a link to its successor a member knows of nothing that the successor has.
+// Without a link to its successor a member does not know what the successor holds, and must acknowledge nothing.
 func TestMemberThatLeftTheViewAcknowledgesNothing(t *testing.T) {
 	r := newFollower(t, true, entriesWithEpochs(1, 1)...)
 	r.receiveStart(2, 1, 2, 0)
@@ -137,11 +137,11 @@
 	head.write("c")
 	head.SyncedTo(head.now, 2)
 	head.Commit(head.now)
-	assert.Equal(t, uint64(2), head.Committed(), "the last isn't even on its way")
+	assert.Equal(t, uint64(2), head.Committed(), "the last entry was stored after the token was assigned")
 }
 
-// A member lets its successor in once it has all that its predecessor had: a successor holds what is committed, and would be made to
-// drop it.
+// A member must answer its successor's Hello only once it holds all that its predecessor held. Otherwise it would make the successor drop
+// committed entries.
 func TestASuccessorWaitsUntilItsPredecessorIsInStep(t *testing.T) {
 	r := newFollower(t, true, entriesWithEpochs(1)...)
 	r.receiveSuccessorHello(9, 3, Run{Epoch: 0}, Run{Epoch: 1, First: 1, Last: 3})
@@ -158,7 +158,7 @@
 	assert.Equal(t, uint64(3), sent[0].Target)
 }
 
-// The target is all that the predecessor holds, also what its first message has no room for.
+// The target is the last index that the predecessor holds, even if its first Append does not carry all entries.
 func TestTargetIsThePredecessorsLastIndex(t *testing.T) {
 	head := newTestReplica(t, headMember, 1)
 	head.Enter(head.now, Role{Epoch: 1, Head: true, Downstream: &learnerMember})
@@ -181,26 +181,26 @@
 	assert.Zero(t, r.Committed())
 	assert.False(t, r.InStep())
 	r.receiveAppend(2, 1, 2, entry(3, 5))
-	assert.Equal(t, uint64(2), r.Log().Last(), "the session isn't opened yet")
+	assert.Equal(t, uint64(2), r.Log().Last(), "the session is not open yet")
 	assert.Zero(t, r.Committed())
 	r.receiveStart(2, 1, 2, 2)
 	assert.True(t, r.InStep())
 	r.receiveStart(1, 1, 2, 2)
-	assert.Equal(t, uint64(2), r.Log().Last(), "a session is opened once")
+	assert.Equal(t, uint64(2), r.Log().Last(), "a second Append with Start must not open the session again")
 	assert.NoError(t, r.fault)
 }
 
 func TestMessagesFromNonPredecessorAreIgnored(t *testing.T) {
 	r := newFollower(t, false, entriesWithEpochs(1, 1)...)
-	foreign := learnerMember
-	r.receiveFrom(foreign, &Body{Append: &Append{Session: r.session, Start: true, Target: 1, Prev: 1, PrevEpoch: 1, Commit: 1}})
-	r.receiveFrom(foreign, &Body{Chunk: chunksFor(r.session, 9, filledBytes('a', 1))[0]})
+	nonPredecessor := learnerMember
+	r.receiveFrom(nonPredecessor, &Body{Append: &Append{Session: r.session, Start: true, Target: 1, Prev: 1, PrevEpoch: 1, Commit: 1}})
+	r.receiveFrom(nonPredecessor, &Body{Chunk: chunksFor(r.session, 9, filledBytes('a', 1))[0]})
 	assert.Equal(t, uint64(2), r.Log().Last())
 	assert.Zero(t, r.Committed())
 	assert.Empty(t, r.installed)
 	r.receiveStart(2, 1, 2, 0)
 	r.takeSent()
-	r.receiveFrom(foreign, &Body{Probe: &Probe{Session: r.session, Last: 2}})
+	r.receiveFrom(nonPredecessor, &Body{Probe: &Probe{Session: r.session, Last: 2}})
 	assert.Empty(t, r.takeSent())
 }
 
@@ -212,7 +212,7 @@
 	r.receiveAppend(2, 5, 3, entry(3, 5))
 	assert.Equal(t, uint64(1), r.Log().Last())
 	assert.Empty(t, r.stored)
-	assert.Equal(t, 1, len(hellosOf(r.takeSent())), "it asks anew")
+	assert.Equal(t, 1, len(hellosOf(r.takeSent())), "the replica asks for a new session")
 }
 
 func TestEntryOfAnotherEpochAtAnIndexIsRefused(t *testing.T) {
@@ -233,7 +233,7 @@
 	assert.Equal(t, []Entry{entry(2, 5), entry(3, 5)}, r.stored)
 }
 
-// Before the predecessor has said where the logs part, what is on disk here says nothing to it.
+// Before the predecessor has opened the session, and so told where the logs diverge, nothing on disk here may be acknowledged.
 func TestNoAckBeforeTheSessionIsOpen(t *testing.T) {
 	r := newFollower(t, false, entriesWithEpochs(1, 1)...)
 	r.takeSent()
@@ -257,5 +257,5 @@
 	r.now += time.Second
 	r.takeSent()
 	r.receiveFrom(headMember, &Body{Probe: &Probe{Last: 1}})
-	assert.Equal(t, 1, len(hellosOf(r.takeSent())), "the predecessor has no session")
+	assert.Equal(t, 1, len(hellosOf(r.takeSent())), "a probe without a session makes the replica ask for a new one")
 }
