--- a/coord/chain/downstream.go
+++ b/coord/chain/downstream.go
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// Learner returns the last index that a learner has on disk and when the last message from it arrived. It reports false for a replica that
-// is not a learner, has no session, or waits for or is receiving a snapshot.
+// Learner returns the last index that a learner has on disk and when it was last known to be alive. It reports false for a replica that is
+// not a learner, has no session, or waits for or is receiving a snapshot.
 func (c *Chain) Learner(id view.ReplicaID) (acked uint64, heardAt time.Duration, ok bool) {
 	if l := c.findLink(id); l != nil && l != c.downstream && l.session != 0 && l.transfer == nil && !l.needsSnapshot {
 		return l.acked, l.heardAt, true
--- a/coord/chain/incoming.go
+++ b/coord/chain/incoming.go
@@ -11,7 +11,7 @@
 
 var checksumTable = crc64.MakeTable(crc64.ECMA)
 
-// snapshotChecksum returns the checksum of a snapshot's data. It is never 0, which means that no checksum is given.
+// snapshotChecksum returns the checksum of a snapshot's data. It is never 0, because 0 stands for no checksum.
 func snapshotChecksum(data []byte) uint64 { return max(crc64.Checksum(data, checksumTable), 1) }
 
 // incomingSnapshot is a partly received snapshot. Its data is a prefix of the whole; chunks of another snapshot are never appended to it.
@@ -50,7 +50,7 @@
 	return i.sum == 0 || i.sum == snapshotChecksum(i.data)
 }
 
-// onChunk handles a part of a snapshot. The head may start another snapshot in the same session if it has forgotten this replica
+// onChunk handles a part of a snapshot. The head may start another snapshot in the same session if it has removed this learner
 // meanwhile; the data received of the earlier snapshot is then dropped. If the session has already opened with entries, the head acted on
 // a late or duplicated Hello that understates this log; a new session tells the head what this replica holds.
 func (c *Chain) onChunk(now time.Duration, m *Chunk) {
@@ -75,12 +75,12 @@
 
 // finishSnapshot installs a completely received snapshot, or starts a new session if its checksum is wrong.
 func (c *Chain) finishSnapshot(now time.Duration) {
-	whole := c.incoming
-	if !whole.checksumValid() {
+	received := c.incoming
+	if !received.checksumValid() {
 		c.startSession(now)
 		return
 	}
-	c.installSnapshot(now, Snapshot{Index: whole.index, Epoch: whole.epoch, Data: whole.data})
+	c.installSnapshot(now, Snapshot{Index: received.index, Epoch: received.epoch, Data: received.data})
 }
 
 // installSnapshot replaces the log and the state machine, then starts a new session to continue from the snapshot. It reports ErrDiverged
--- a/coord/chain/link.go
+++ b/coord/chain/link.go
@@ -19,18 +19,19 @@
 	peer           view.Member
 	session        uint64 // 0: none
 	pendingHello   *Hello // arrived before this replica was in step; answered once it is
-	next           uint64
+	next           uint64 // index of the next entry to send
 	match          uint64 // last index up to which the peer's log was found to be the same
-	acked          uint64
-	inFlightBytes  int // sent, but not yet reported as stored by the peer
+	acked          uint64 // last index known to be on disk at the peer and at all its successors
+	inFlightBytes  int    // sent, but not yet reported as stored by the peer
 	batches        []batch
-	sentCommit     uint64
+	sentCommit     uint64        // commit index sent last
 	lastActivityAt time.Duration // last sending of entries or probes, or last acknowledgement
-	heardAt        time.Duration
+	heardAt        time.Duration // when the peer was last known to be alive
 	transfer       *transfer
 	needsSnapshot  bool // the peer needs a snapshot, and none has been offered yet
 }
 
+// batch is a sent Append: the index of its last entry, and its size.
 type batch struct {
 	last  uint64
 	bytes int
--- a/coord/chain/step_test.go
+++ b/coord/chain/step_test.go
@@ -233,7 +233,7 @@
 	assert.Equal(t, []Entry{entry(2, 5), entry(3, 5)}, r.stored)
 }
 
-// Before the predecessor has opened the session, and so told where the logs diverge, nothing on disk here may be acknowledged.
+// Until the predecessor has opened the session, this replica does not know where the logs diverge, so it must not acknowledge anything.
 func TestNoAckBeforeTheSessionIsOpen(t *testing.T) {
 	r := newFollower(t, false, entriesWithEpochs(1, 1)...)
 	r.takeSent()
--- a/coord/chain/upstream.go
+++ b/coord/chain/upstream.go
@@ -49,7 +49,7 @@
 	c.acknowledge(now)
 }
 
-// openSession takes up a session with its first Append. It drops all entries after the point up to which the predecessor found both
+// openSession opens the session on its first Append. It drops all entries after the point up to which the predecessor found both
 // logs to be the same.
 func (c *Chain) openSession(now time.Duration, m *Append) {
 	c.truncate(now, m.Prev)
@@ -59,7 +59,7 @@
 }
 
 // checkInStep marks this replica as in step once it holds all that its predecessor held, and then answers the successor's
-// pending Hello. With fewer entries it would make the successor drop entries that are needed.
+// pending Hello. If it answered with fewer entries, the successor would drop entries that it must keep.
 func (c *Chain) checkInStep(now time.Duration) {
 	if c.inStep || c.log.Last() < c.target {
 		return
--- a/coord/wal/simdisk/disk.go
+++ b/coord/wal/simdisk/disk.go
@@ -42,11 +42,11 @@
 	random      *rand.Rand
 	faults      Faults
 	capacity    int
-	callsLeft   int
+	callsLeft   int // until the disk stops, or one of neverStop and stopped
 	incarnation int
-	live        map[string]*inode
-	durable     map[string]*inode
-	changes     []nameChange
+	live        map[string]*inode // the directory that calls see
+	durable     map[string]*inode // the part of it that survives a loss of power
+	changes     []nameChange      // from durable to live, in order
 }
 
 // New returns an empty disk without faults or a limit on its size.
