--- a/coord/chain/incoming.go
+++ b/coord/chain/incoming.go
@@ -6,86 +6,89 @@
 	"time"
 )
 
-// mostReserved bounds the memory that is set aside at the word of a snapshot's first chunk, in bytes.
-const mostReserved = 64 << 20
+// maxPreallocatedBytes bounds the memory that is allocated up front for the size that a snapshot's first chunk announces, in bytes.
+const maxPreallocatedBytes = 64 << 20
 
-var sumTable = crc64.MakeTable(crc64.ECMA)
+var checksumTable = crc64.MakeTable(crc64.ECMA)
 
-// snapshotSum is the checksum of a snapshot's data; it is never 0, which stands for none.
-func snapshotSum(data []byte) uint64 { return max(crc64.Checksum(data, sumTable), 1) }
+// snapshotChecksum returns the checksum of a snapshot's data. It is never 0, because 0 stands for no checksum.
+func snapshotChecksum(data []byte) uint64 { return max(crc64.Checksum(data, checksumTable), 1) }
 
-// incoming is a snapshot of which parts have come, from its start on. Chunks of another snapshot are never put behind them.
-type incoming struct {
-	index uint64
-	epoch uint64
-	total int
-	sum   uint64
-	data  []byte
-	known bool
+// incomingSnapshot is a partly received snapshot. Its data is a prefix of the whole; chunks of another snapshot are never appended to it.
+type incomingSnapshot struct {
+	index  uint64
+	epoch  uint64
+	total  int
+	sum    uint64
+	data   []byte
+	active bool
 }
 
-// begun tells whether anything has come.
-func (i *incoming) begun() bool { return len(i.data) > 0 }
+// hasData reports whether any data has been received.
+func (i *incomingSnapshot) hasData() bool { return len(i.data) > 0 }
 
-// of tells whether a chunk belongs to this snapshot.
-func (i *incoming) of(m *Chunk) bool {
-	return i.known && i.index == m.Index && i.epoch == m.Epoch && i.total == m.Total && i.sum == m.Sum
+// matches reports whether a chunk belongs to this snapshot.
+func (i *incomingSnapshot) matches(m *Chunk) bool {
+	return i.active && i.index == m.Index && i.epoch == m.Epoch && i.total == m.Total && i.sum == m.Sum
 }
 
-// older tells whether a chunk is of a snapshot before this one, and so has been overtaken.
-func (i *incoming) older(m *Chunk) bool { return i.known && m.Index < i.index }
+// supersedes reports whether a chunk belongs to an older snapshot than this one.
+func (i *incomingSnapshot) supersedes(m *Chunk) bool { return i.active && m.Index < i.index }
 
-// add takes a chunk that continues what has come; others change nothing.
-func (i *incoming) add(m *Chunk) {
+// addChunk appends a chunk that starts where the received data ends, and ignores any other.
+func (i *incomingSnapshot) addChunk(m *Chunk) {
 	if m.Offset == len(i.data) && len(m.Data) <= i.total-m.Offset {
 		i.data = append(i.data, m.Data...)
 	}
 }
 
-// whole tells whether all has come.
-func (i *incoming) whole() bool { return len(i.data) == i.total }
+// complete reports whether all data has been received.
+func (i *incomingSnapshot) complete() bool { return len(i.data) == i.total }
 
-// sound tells whether what has come is what was sent.
-func (i *incoming) sound() bool { return i.sum == 0 || i.sum == snapshotSum(i.data) }
+// checksumValid reports whether the data matches the checksum, or no checksum was given.
+func (i *incomingSnapshot) checksumValid() bool {
+	return i.sum == 0 || i.sum == snapshotChecksum(i.data)
+}
 
-// onChunk takes a part of a snapshot. The head may begin with another one in the same session, when it has forgotten this replica
-// meanwhile: then what has come of the one before is dropped. Where entries had begun to come in this session, a Hello that was late or
-// doubled has told the head too little: another session tells it anew.
+// onChunk handles a part of a snapshot. The head may start another snapshot in the same session if it has removed this learner
+// meanwhile; the data received of the earlier snapshot is then dropped. If the session has already opened with entries, the head acted on
+// a late or duplicated Hello that understates this log; a new session tells the head what this replica holds.
 func (c *Chain) onChunk(now time.Duration, m *Chunk) {
-	if m.Session != c.session || !c.opened && c.incoming.older(m) {
+	if m.Session != c.session || !c.sessionOpen && c.incoming.supersedes(m) {
 		return
 	}
-	if c.opened {
-		c.rehello(now)
+	if c.sessionOpen {
+		c.restartSession(now)
 		return
 	}
-	if !c.incoming.of(m) {
-		c.incoming = incoming{index: m.Index, epoch: m.Epoch, total: m.Total, sum: m.Sum, known: true,
-			data: make([]byte, 0, min(max(m.Total, 0), mostReserved))}
+	if !c.incoming.matches(m) {
+		c.incoming = incomingSnapshot{index: m.Index, epoch: m.Epoch, total: m.Total, sum: m.Sum, active: true,
+			data: make([]byte, 0, min(max(m.Total, 0), maxPreallocatedBytes))}
 	}
-	c.incoming.add(m)
-	c.helloAt = now
+	c.incoming.addChunk(m)
+	c.helloTimerStart = now
 	c.send(c.role.Upstream, &Body{ChunkAck: &ChunkAck{Session: m.Session, Index: m.Index, Offset: len(c.incoming.data)}})
-	if c.incoming.whole() {
-		c.received(now)
+	if c.incoming.complete() {
+		c.finishSnapshot(now)
 	}
 }
 
-// received installs a snapshot of which all has come, or asks anew where it isn't what was sent.
-func (c *Chain) received(now time.Duration) {
-	whole := c.incoming
-	if !whole.sound() {
-		c.hello(now)
+// finishSnapshot installs a completely received snapshot, or starts a new session if its checksum is wrong.
+func (c *Chain) finishSnapshot(now time.Duration) {
+	received := c.incoming
+	if !received.checksumValid() {
+		c.startSession(now)
 		return
 	}
-	c.install(now, Snapshot{Index: whole.index, Epoch: whole.epoch, Data: whole.data})
+	c.installSnapshot(now, Snapshot{Index: received.index, Epoch: received.epoch, Data: received.data})
 }
 
-// install replaces log and state machine, then opens a new session to go on from there.
-func (c *Chain) install(now time.Duration, snapshot Snapshot) {
+// installSnapshot replaces the log and the state machine, then starts a new session to continue from the snapshot. It reports ErrDiverged
+// instead if the snapshot is older than the commit index.
+func (c *Chain) installSnapshot(now time.Duration, snapshot Snapshot) {
 	if snapshot.Index < c.committed {
-		c.incoming = incoming{}
-		c.env.Fail(fmt.Errorf("snapshot at %d below committed %d: %w", snapshot.Index, c.committed, ErrDiverged))
+		c.incoming = incomingSnapshot{}
+		c.env.Fail(fmt.Errorf("snapshot at index %d below committed index %d: %w", snapshot.Index, c.committed, ErrDiverged))
 		return
 	}
 	c.log.Reset(snapshot.Index, snapshot.Epoch)
@@ -93,5 +96,5 @@
 	c.env.StoreSnapshot(snapshot)
 	c.committed, c.delivered = snapshot.Index, snapshot.Index
 	c.env.Install(snapshot)
-	c.hello(now)
+	c.startSession(now)
 }
--- a/coord/chain/prev_test.go
+++ b/coord/chain/prev_test.go
@@ -6,18 +6,18 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Within a session both logs are the same up to Prev; where they aren't, what follows must not be taken.
-func TestEntriesThatFollowAnotherEpochAreRefused(t *testing.T) {
-	r := follower(t, false, entriesOf(1, 1)...)
-	r.starts(2, 3, 3, 3, entry(3, 5))
+// Within a session both logs are the same up to Prev. If they differ there, the entries that follow must be refused.
+func TestEntriesAfterMismatchedPrevEpochAreRefused(t *testing.T) {
+	r := newFollower(t, false, entriesWithEpochs(1, 1)...)
+	r.receiveStart(2, 3, 3, 3, entry(3, 5))
 	assert.ErrorIs(t, r.fault, ErrDiverged)
 	assert.Equal(t, uint64(2), r.Log().Last())
 	assert.Zero(t, r.Committed())
 	assert.Empty(t, r.stored)
 
-	r = follower(t, false, entriesOf(1, 1)...)
-	r.starts(2, 1, 2, 0)
-	r.continues(2, 4, 3, entry(3, 5))
+	r = newFollower(t, false, entriesWithEpochs(1, 1)...)
+	r.receiveStart(2, 1, 2, 0)
+	r.receiveAppend(2, 4, 3, entry(3, 5))
 	assert.ErrorIs(t, r.fault, ErrDiverged)
 	assert.Zero(t, r.Committed())
 }
--- a/coord/view/view_test.go
+++ b/coord/view/view_test.go
@@ -17,7 +17,7 @@
 	return list
 }
 
-func TestMajorityAndPlaces(t *testing.T) {
+func TestMajorityAndPositions(t *testing.T) {
 	v := View{Epoch: 3, Voters: members("a", "b", "c", "d"), Chain: members("b", "a")}
 	assert.Equal(t, 3, v.Majority())
 	assert.Equal(t, ReplicaID("b"), v.Head().ID)
@@ -26,7 +26,7 @@
 	assert.False(t, View{}.Known())
 	next := v.Next()
 	next.Chain[0] = Member{ID: "x"}
-	assert.Equal(t, ReplicaID("b"), v.Head().ID, "Next must not share its lists")
+	assert.Equal(t, ReplicaID("b"), v.Head().ID, "Next must not share slices with the view")
 }
 
 func TestCodec(t *testing.T) {
@@ -47,8 +47,8 @@
 	})
 }
 
-// Random prepares and accepts, in any order and any number of times: at most one value is ever chosen.
-func TestOneValueIsChosen(t *testing.T) {
+// Random prepares and accepts, in any order and any number of times, must never choose two values.
+func TestAtMostOneValueIsChosen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		voters := members("a", "b", "c")
 		v := View{Voters: voters}
@@ -74,11 +74,11 @@
 				}
 				p.Promised(1, to, m, v.Majority())
 				if p.Majority != 0 {
-					wish := p.Value
+					proposal := p.Value
 					if p.Found() != nil {
-						wish = p.Found()
+						proposal = p.Found()
 					}
-					p.Accept(1, wish)
+					p.Accept(1, proposal)
 				}
 			default:
 				m := &Accepted{Ballot: p.Ballot, Promised: a.Promised}
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestLeaseCountsFromTheSending(t *testing.T) {
+func TestLeaseCountsFromWhenTheHeartbeatWasSent(t *testing.T) {
 	const grant = time.Second
 	v := View{Voters: members("a", "b", "c")}
 	l := NewLease(grant, 100)
@@ -105,7 +105,7 @@
 	first := l.Sent(10 * time.Second)
 	second := l.Sent(11 * time.Second)
 	l.Granted("a", second)
-	assert.Zero(t, l.Until(v), "one of three is no majority")
+	assert.Zero(t, l.Until(v), "one of three voters is no majority")
 	l.Granted("b", first)
 	assert.Equal(t, 10*time.Second+grant*9/10, l.Until(v))
 	l.Granted("c", second)
@@ -113,14 +113,14 @@
 	l.Granted("b", first)
 	l.Granted("b", second+1)
 	l.Granted("b", 99)
-	assert.Equal(t, 11*time.Second+grant*9/10, l.Until(v), "answers to what this life hasn't sent don't count")
+	assert.Equal(t, 11*time.Second+grant*9/10, l.Until(v), "grants for heartbeats that were not sent here do not count")
 }
 
-func TestPromisedAway(t *testing.T) {
+func TestPromisedToAnotherReplica(t *testing.T) {
 	var a Acceptor
 	assert.False(t, a.PromisedAway("a"))
 	require.True(t, a.Prepare(Ballot{Round: 2, Owner: "b"}))
 	assert.True(t, a.PromisedAway("a"))
 	assert.False(t, a.Prepare(Ballot{Round: 1, Owner: "c"}))
-	assert.False(t, a.Accept(Ballot{Owner: "a"}, View{}), "the head's own round comes too late")
+	assert.False(t, a.Accept(Ballot{Owner: "a"}, View{}), "the head's round 0 is below the promised ballot")
 }
--- a/coord/wal/log.go
+++ b/coord/wal/log.go
@@ -8,15 +8,15 @@
 )
 
 var (
-	// ErrFailed says that an earlier write or sync failed: nothing is taken until a Rewrite succeeds or the log is opened anew.
+	// ErrFailed reports that a write or sync failed. The log refuses appends and syncs until a Rewrite succeeds or it is opened again.
 	ErrFailed = errors.New("log failed")
-	// ErrClosed says that the log was closed.
+	// ErrClosed reports that the log is closed.
 	ErrClosed = errors.New("log closed")
-	// ErrTooLarge says that a record's data is longer than MaxRecordBytes.
+	// ErrTooLarge reports that a record's data is longer than MaxRecordBytes.
 	ErrTooLarge = errors.New("record too large")
 )
 
-// logState is what may be done with a log.
+// logState says which calls a log accepts.
 type logState uint8
 
 const (
@@ -25,36 +25,36 @@
 	logClosed
 )
 
-// Log is an open log. It is safe for concurrent use; appends go on while a sync is under way.
+// Log is an open log. It is safe for concurrent use. Appends may proceed during a sync.
 type Log struct {
 	disk Disk
 	name string
 
-	// syncing is held by whoever syncs or replaces the file. It is taken before mu.
-	syncing sync.Mutex
+	// syncMu is held while the file is synced, replaced or closed. It is locked before mu.
+	syncMu sync.Mutex
 
-	mu       sync.Mutex
-	state    logState
-	cause    error
-	file     File
-	header   header
-	salt     uint32
-	highest  uint64
-	buffer   []byte
-	obsolete []uint64
+	mu                sync.Mutex
+	state             logState
+	cause             error
+	file              File
+	header            header
+	salt              uint32
+	highestGeneration uint64
+	buffer            []byte
+	obsolete          []uint64
 
 	size atomic.Int64
 }
 
-// Append writes the records to the file, in order, with one write. They last once a later Sync has returned. After an
-// error of the disk any first part of them may be read back by a later Open, and the log is failed.
+// Append writes the records to the file, in order, with one write. They are durable once a later Sync has returned. After a
+// disk error the log is failed, and a later Open may read back any prefix of the records.
 func (l *Log) Append(records ...Record) error {
 	if err := checkSizes(records); err != nil {
 		return err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return err
 	}
 	if len(records) == 0 {
@@ -64,18 +64,18 @@
 	for _, record := range records {
 		buffer = appendRecord(buffer, l.salt, record)
 	}
-	l.keepBuffer(buffer)
+	l.retainBuffer(buffer)
 	if _, err := l.file.Write(buffer); err != nil {
-		return l.fail(fmt.Errorf("append to %s: %w", l.name, err))
+		return l.markFailed(fmt.Errorf("append to %s: %w", l.name, err))
 	}
 	l.size.Add(int64(len(buffer)))
 	return nil
 }
 
-// Sync returns once all records last whose Append returned before Sync was called.
+// Sync returns once all records are durable whose Append returned before Sync was called. After a disk error the log is failed.
 func (l *Log) Sync() error {
-	l.syncing.Lock()
-	defer l.syncing.Unlock()
+	l.syncMu.Lock()
+	defer l.syncMu.Unlock()
 	file, err := l.current()
 	if err != nil {
 		return err
@@ -83,20 +83,20 @@
 	if err := file.Sync(); err != nil {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.fail(fmt.Errorf("sync %s: %w", l.name, err))
+		return l.markFailed(fmt.Errorf("sync %s: %w", l.name, err))
 	}
 	return nil
 }
 
-// Size returns the length of the log's file in bytes.
+// Size returns the length of the log's current file in bytes.
 func (l *Log) Size() int64 {
 	return l.size.Load()
 }
 
-// Close gives the file back. It syncs nothing; a second Close does nothing.
+// Close closes the log without syncing it. A second Close does nothing.
 func (l *Log) Close() error {
-	l.syncing.Lock()
-	defer l.syncing.Unlock()
+	l.syncMu.Lock()
+	defer l.syncMu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.state == logClosed {
@@ -106,17 +106,17 @@
 	return l.file.Close()
 }
 
-// current returns the file that a sync is to cover.
+// current returns the file to sync.
 func (l *Log) current() (File, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return nil, err
 	}
 	return l.file, nil
 }
 
-func (l *Log) usable() error {
+func (l *Log) checkUsable() error {
 	switch l.state {
 	case logFailed:
 		return fmt.Errorf("%w: %w", ErrFailed, l.cause)
@@ -127,8 +127,8 @@
 	}
 }
 
-// fail is the change from ready to failed; the first cause stays. The caller holds mu.
-func (l *Log) fail(cause error) error {
+// markFailed changes the state from ready to failed and returns an error for the cause. The log keeps the first cause. The caller holds mu.
+func (l *Log) markFailed(cause error) error {
 	if l.state == logReady {
 		l.state = logFailed
 		l.cause = cause
@@ -136,8 +136,8 @@
 	return fmt.Errorf("%w: %w", ErrFailed, cause)
 }
 
-func (l *Log) keepBuffer(buffer []byte) {
-	if cap(buffer) <= maxKeptBuffer {
+func (l *Log) retainBuffer(buffer []byte) {
+	if cap(buffer) <= maxRetainedBuffer {
 		l.buffer = buffer
 	}
 }
--- a/coord/wal/simdisk/names.go
+++ b/coord/wal/simdisk/names.go
@@ -5,12 +5,12 @@
 type nameChangeKind uint8
 
 const (
-	nameMade nameChangeKind = iota
-	nameChanged
+	nameCreated nameChangeKind = iota
+	nameRenamed
 	nameRemoved
 )
 
-// nameChange is a change of the folder that doesn't last yet.
+// nameChange is a change of the directory that is not durable yet.
 type nameChange struct {
 	kind    nameChangeKind
 	name    string
@@ -18,34 +18,34 @@
 	file    *inode
 }
 
-// applyTo does the change to the names that last.
+// applyTo applies the change to a set of names.
 func (c nameChange) applyTo(names map[string]*inode) {
-	if c.kind == nameMade {
+	if c.kind == nameCreated {
 		names[c.name] = c.file
 		return
 	}
 	if names[c.name] == c.file {
 		delete(names, c.name)
 	}
-	if c.kind == nameChanged {
+	if c.kind == nameRenamed {
 		names[c.newName] = c.file
 	}
 }
 
-// syncNames makes all changes of names last.
+// syncNames makes all changes of names durable.
 func (d *Disk) syncNames() {
 	for _, change := range d.changes {
-		change.applyTo(d.lasting)
+		change.applyTo(d.durable)
 	}
 	d.changes = d.changes[:0]
 }
 
-// syncNewName makes the name last under which the file was made, if it is new.
+// syncNewName makes the name under which a file was created durable, if it is not durable yet.
 func (d *Disk) syncNewName(file *inode) {
 	kept := d.changes[:0]
 	for _, change := range d.changes {
-		if change.kind == nameMade && change.file == file {
-			change.applyTo(d.lasting)
+		if change.kind == nameCreated && change.file == file {
+			change.applyTo(d.durable)
 			continue
 		}
 		kept = append(kept, change)
@@ -53,13 +53,13 @@
 	d.changes = kept
 }
 
-// settleNames decides at a loss of power which changes of names are kept.
-func (d *Disk) settleNames(loseAll bool) {
+// resolveNames decides at a loss of power which unsynced changes of names are kept.
+func (d *Disk) resolveNames(loseAll bool) {
 	for _, change := range d.changes {
 		if !loseAll && d.evenChance() {
-			change.applyTo(d.lasting)
+			change.applyTo(d.durable)
 		}
 	}
 	d.changes = nil
-	d.live = maps.Clone(d.lasting)
+	d.live = maps.Clone(d.durable)
 }
--- a/coord/wal/snapshot_bench_test.go
+++ b/coord/wal/snapshot_bench_test.go
@@ -8,11 +8,11 @@
 	"gaugeslip/coord/wal"
 )
 
-// BenchmarkLargeRecord appends one record of 50 MB, as the snapshot that a learner gets is, and syncs it.
+// BenchmarkLargeRecord appends and syncs one record of 50 MB, the size of a snapshot that a learner receives.
 func BenchmarkLargeRecord(b *testing.B) {
-	folder, err := wal.OSDisk(b.TempDir())
+	dir, err := wal.OSDisk(b.TempDir())
 	require.NoError(b, err)
-	log, _, err := wal.Open(folder, "log")
+	log, _, err := wal.Open(dir, "log")
 	require.NoError(b, err)
 	defer log.Close()
 	record := wal.Record{Kind: 3, Data: make([]byte, 50<<20)}
