--- a/internal/system/clusterconfig/quotas.go
+++ b/internal/system/clusterconfig/quotas.go
@@ -57,7 +57,7 @@
 	case tenant.Share == nil:
 		r.found.Add(findings.Item("tenants", index, ""), "has neither a share nor accelerators")
 	case !quotas.Pooled:
-		r.found.Add(findings.Item("tenants", index, "share"), "needs a pool: the configuration doesn't set accelerators")
+		r.found.Add(findings.Item("tenants", index, "share"), "is a share of nothing: the configuration states no accelerators")
 	default:
 		millionths = r.share(findings.Item("tenants", index, "share"), *tenant.Share)
 		return quota.ShareOf(millionths, quotas.Pool), millionths
@@ -112,7 +112,7 @@
 		seen[tenant.Name] = index
 	}
 	if quotas.Pooled && sum > quotas.Pool {
-		found.Add("tenants", "are promised %d accelerators, more than the pool of %d", sum, quotas.Pool)
+		found.Add("tenants", "are promised %d accelerators of %d", sum, quotas.Pool)
 	}
 	return seen
 }
--- a/internal/system/invariant/invariant.go
+++ b/internal/system/invariant/invariant.go
@@ -81,7 +81,7 @@
 	for i, count := range counts {
 		labelled[i] = figures.Labelled{Label: string(count.Name), Value: float64(count.Violations)}
 	}
-	w.Counters("invariant_violations_total", "Violated invariants. Each violation is a bug in the program.", "invariant", labelled)
+	w.Counters("invariant_violations_total", "Violations of what must always hold; each is a fault of the program.", "invariant", labelled)
 }
 
 // LogMessage is the log message of a violation.
--- a/internal/system/jobspec/parse.go
+++ b/internal/system/jobspec/parse.go
@@ -47,13 +47,13 @@
 	spec.Interval = r.milliseconds(noStage, "intervalMs", wire.IntervalMs)
 	last := spec.FirstRun.Seconds() + float64(spec.Times()-1)*spec.Interval.Seconds()
 	if last > maxDueTime.Seconds() {
-		r.found.Add("firstRunMs", "the last repetition is due too late")
+		r.found.Add("firstRunMs", "the last time falls due too late")
 	}
 }
 
 func (r *reader) stages(spec *Spec, wire *wireSpec) {
 	if len(wire.Stages) > MaxStages {
-		r.found.Add("stages", "has %d stages, more than %d", len(wire.Stages), MaxStages)
+		r.found.Add("stages", "are %d, more than %d", len(wire.Stages), MaxStages)
 		return
 	}
 	spec.Stages = make([]Stage, len(wire.Stages))
--- a/internal/system/jobspec/parse_test.go
+++ b/internal/system/jobspec/parse_test.go
@@ -106,7 +106,7 @@
 	for name, test := range map[string]struct{ body, finding string }{
 		"text too long":           {`{"spec":"` + strings.Repeat("x", MaxSpecBytes+1) + `"}`, "spec: has 4001 bytes, more than 4000"},
 		"text too long, é":        {`{"spec":"` + strings.Repeat("é", MaxSpecBytes/2+1) + `"}`, "spec: has 4002 bytes, more than 4000"},
-		"too many steps":          {`{"stages":[` + strings.Repeat("{},", MaxStages) + `{}]}`, "stages: has 1001 stages, more than 1000"},
+		"too many steps":          {`{"stages":[` + strings.Repeat("{},", MaxStages) + `{}]}`, "stages: are 1001, more than 1000"},
 		"too many tasks":          {stage(`"count":100001`), "stages[1].count: 100001 is more than 100000"},
 		"far too many tasks":      {stage(`"count":1e300`), "stages[1].count: 1e+300 is more than 100000"},
 		"too many tasks in total": {`{"stages":[{"count":100000},{"count":100000},{"count":1}]}`, "stages: have 200001 tasks, more than 200000"},
@@ -126,8 +126,8 @@
 		"too many repetitions":    {`{"repetitions":1000001}`, "repetitions: 1000001 is more than 1000000"},
 		"negative first run":      {`{"firstRunMs":-1}`, "firstRunMs: -1 is negative"},
 		"negative interval":       {`{"intervalMs":-1}`, "intervalMs: -1 is negative"},
-		"first run too late":      {`{"repetitions":1,"firstRunMs":1e300}`, "firstRunMs: the last repetition is due too late"},
-		"last run too late":       {`{"repetitions":1000000,"intervalMs":1e12}`, "firstRunMs: the last repetition is due too late"},
+		"first run too late":      {`{"repetitions":1,"firstRunMs":1e300}`, "firstRunMs: the last time falls due too late"},
+		"last run too late":       {`{"repetitions":1000000,"intervalMs":1e12}`, "firstRunMs: the last time falls due too late"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			spec, err := Parse([]byte(test.body))
