--- a/coord/replica/admission_test.go
+++ b/coord/replica/admission_test.go
@@ -89,7 +89,7 @@
 			m.start()
 			for end := w.now + 500*time.Millisecond; w.now < end; w.run(w.now + time.Millisecond) {
 				if head := w.head(); head != nil {
-					head.process.head.heldAgain = never // nobody is admitted
+					head.process.head.holdRetryAt = never // nobody is admitted
 				}
 			}
 			v := w.head().process.View()
@@ -123,7 +123,7 @@
 		kept, lost := others[0], others[1]
 		kept.stalled = w.now + 1200*time.Millisecond
 		w.run(w.now + 1100*time.Millisecond)
-		w.head().process.head.penalties[kept.member().ID] = penalty{last: w.head().clock(), until: w.head().clock() + penaltyMost}
+		w.head().process.head.penalties[kept.member().ID] = penalty{last: w.head().clock(), until: w.head().clock() + maxPenalty}
 		lost.losePower()
 		w.run(w.now + 30*time.Millisecond) // what was under way before
 		assert.Less(t, w.untilCommitted(5*time.Second), 1500*time.Millisecond, "seed %d", w.seed)
@@ -142,7 +142,7 @@
 		for w.now < time.Minute && (w.head() == nil || w.head().process.head.admitting == "") {
 			w.run(w.now + 100*time.Microsecond)
 		}
-		assert.Less(t, w.untilCommitted(5*time.Second), holdAtMost+100*time.Millisecond, "seed %d", w.seed)
+		assert.Less(t, w.untilCommitted(5*time.Second), admissionHoldTimeout+100*time.Millisecond, "seed %d", w.seed)
 		w.run(w.now + time.Second)
 		require.NotNil(t, w.head(), "seed %d", w.seed)
 		assert.Len(t, w.head().process.View().Chain, 3, "seed %d", w.seed)
@@ -247,7 +247,7 @@
 		for w.now < time.Minute && head.process.View().Epoch == epoch {
 			w.run(w.now + 100*time.Microsecond)
 		}
-		assert.False(t, head.process.lost(head.clock(), unheard.member().ID, ""), "seed %d", seed)
+		assert.False(t, head.process.isLost(head.clock(), unheard.member().ID, ""), "seed %d", seed)
 		w.run(w.now + time.Second)
 		require.NotNil(t, w.head(), "seed %d", seed)
 		assert.Len(t, w.head().process.View().Chain, 6, "seed %d", seed)
@@ -270,10 +270,10 @@
 		w.run(w.now + 700*time.Millisecond)
 		head := w.head()
 		require.NotNil(t, head, "seed %d", w.seed)
-		acted := head.process.head.actsSince
+		acted := head.process.head.headSince
 		late.start()
 		w.untilIn(late, 5*time.Second)
-		assert.GreaterOrEqual(t, head.clock()-acted, admitAfter, "seed %d", w.seed)
+		assert.GreaterOrEqual(t, head.clock()-acted, admissionDelay, "seed %d", w.seed)
 		assert.Less(t, head.clock()-acted, 2*time.Second, "seed %d", w.seed)
 	})
 }
--- a/coord/replica/audit_test.go
+++ b/coord/replica/audit_test.go
@@ -97,7 +97,7 @@
 		for end := w.now + 12*time.Second; w.now < end && w.failure == nil; w.run(w.now + 5*time.Millisecond) {
 			running := 0
 			for _, m := range w.machines {
-				if m.process != nil && m.process.audit.fault == nil {
+				if m.process != nil && m.process.audit.divergence == nil {
 					running++
 				}
 			}
@@ -117,9 +117,9 @@
 	v.Chain = v.Voters
 	r := New(Config{Self: v.Voters[0], Genesis: &v, Tolerance: 1, Seed: 1}, Persisted{}, 0)
 	r.Step(0, Synced{Token: 1})
-	r.head.condemnedAt = -time.Hour
+	r.head.divergenceReportedAt = -time.Hour
 	for _, id := range []view.ReplicaID{"b", "c"} {
-		r.peer(id, 0).echo = 1
+		r.peer(id, 0).ackedHeartbeat = 1
 	}
 	require.True(t, r.leading())
 	return r
@@ -161,7 +161,7 @@
 			r.peers["b"].digests, r.peers["c"].digests = []view.Digest{c.b}, []view.Digest{c.c}
 			out := r.Step(0, Audited{c.own})
 			assert.Equal(t, c.told, differing(out))
-			assert.Equal(t, c.stops, r.audit.fault != nil)
+			assert.Equal(t, c.stops, r.audit.divergence != nil)
 		})
 	}
 }
@@ -173,7 +173,7 @@
 	r.peers["b"].digests = nil // gone
 	r.peers["c"].digests = []view.Digest{digest(64, 1), digest(128, 3)}
 	r.peers["b"].digests = []view.Digest{digest(128, 1)}
-	soon := condemnPause*r.cfg.DropAfter - time.Millisecond
+	soon := divergencePauseFactor*r.cfg.DropAfter - time.Millisecond
 	for _, p := range r.peers {
 		p.ackedAt, p.heard.at = soon, soon
 	}
@@ -186,7 +186,7 @@
 	r.peers["b"].ackedAt = -r.cfg.DropAfter - time.Millisecond
 	assert.Empty(t, differing(r.Step(0, Audited{digest(64, 1)})))
 	r.peers["b"].ackedAt = 0
-	r.peers["b"].echo = 0
+	r.peers["b"].ackedHeartbeat = 0
 	assert.Empty(t, differing(r.Step(0, Audited{digest(128, 1)})))
 }
 
@@ -221,7 +221,7 @@
 	r.Step(0, Audited{digest(64, 2)})
 	agreed := digest(64, 1)
 	r.Step(0, Receive{&Message{From: v.Chain[0], To: "a", Epoch: v.Epoch, Differs: &agreed}})
-	require.NotNil(t, r.audit.fault)
+	require.NotNil(t, r.audit.divergence)
 	assert.False(t, r.IsTail(0))
 }
 
@@ -261,15 +261,15 @@
 	r.Step(0, Audited{digest(64, 2)})
 	agreed := digest(64, 1)
 	r.Step(0, Receive{&Message{From: r.view.Chain[1], To: "a", Epoch: r.view.Epoch, Differs: &agreed}})
-	assert.Nil(t, r.audit.fault)
+	assert.Nil(t, r.audit.divergence)
 	same, unknown := digest(64, 2), digest(63, 1)
 	head := r.view.Head()
 	for _, word := range []*view.Digest{&same, &unknown} {
 		r.Step(0, Receive{&Message{From: head, To: "a", Epoch: r.view.Epoch, Differs: word}})
-		assert.Nil(t, r.audit.fault)
+		assert.Nil(t, r.audit.divergence)
 	}
 	r.Step(0, Receive{&Message{From: head, To: "a", Epoch: r.view.Epoch, Differs: &agreed}})
-	assert.NotNil(t, r.audit.fault)
+	assert.NotNil(t, r.audit.divergence)
 }
 
 func TestAMarkedDiskIsNotUsedAgain(t *testing.T) {
--- a/coord/replica/backoff.go
+++ b/coord/replica/backoff.go
@@ -11,53 +11,53 @@
 // likely shared, and changing the view again doesn't help. The first few faults are met at once, and so is one replica's trouble
 // however often it comes back.
 const (
-	upsetsKept     = 16
-	upsetFor       = time.Minute
-	stallFrom      = 1 // upsets after which each one doubles patience with slow disks
-	stallDoublings = 2
-	silenceFrom    = 4 // upsets after which patience with silence grows
-	silenceSteps   = 4 // upsets after which it has grown by a grant
+	maxChainLosses     = 16
+	chainLossWindow    = time.Minute
+	stallDoublingFrom  = 1 // upsets after which each one doubles patience with slow disks
+	maxStallDoublings  = 2
+	silenceGrowthFrom  = 4 // upsets after which patience with silence grows
+	silenceGrowthSteps = 4 // upsets after which it has grown by a grant
 )
 
-// upset is a view from which members fell out of the chain.
-type upset struct {
+// chainLoss is a view from which members fell out of the chain.
+type chainLoss struct {
 	at   time.Duration
-	fell []view.ReplicaID
+	lost []view.ReplicaID
 }
 
-// noteUpset notes the members that fall out of the chain, if any do.
-func (r *Replica) noteUpset(now time.Duration, before, after view.View) {
-	u := upset{at: now}
+// noteChainLoss notes the members that fall out of the chain, if any do.
+func (r *Replica) noteChainLoss(now time.Duration, before, after view.View) {
+	u := chainLoss{at: now}
 	for _, member := range before.Chain {
 		if !after.InChain(member.ID) {
-			u.fell = append(u.fell, member.ID)
+			u.lost = append(u.lost, member.ID)
 		}
 	}
-	if len(u.fell) == 0 {
+	if len(u.lost) == 0 {
 		return
 	}
-	r.upsets = append(r.upsets, u)
-	r.upsets = slices.Clone(r.upsets[max(len(r.upsets)-upsetsKept, 0):])
+	r.chainLosses = append(r.chainLosses, u)
+	r.chainLosses = slices.Clone(r.chainLosses[max(len(r.chainLosses)-maxChainLosses, 0):])
 }
 
-// upsetsBeside is how often other members fell out of the chain within the last minute.
-func (r *Replica) upsetsBeside(now time.Duration, id view.ReplicaID) int {
+// lossesOfOthers is how often other members fell out of the chain within the last minute.
+func (r *Replica) lossesOfOthers(now time.Duration, id view.ReplicaID) int {
 	other := func(fell view.ReplicaID) bool { return fell != id }
 	count := 0
-	for _, u := range r.upsets {
-		if now-u.at < upsetFor && slices.ContainsFunc(u.fell, other) {
+	for _, u := range r.chainLosses {
+		if now-u.at < chainLossWindow && slices.ContainsFunc(u.lost, other) {
 			count++
 		}
 	}
 	return count
 }
 
-// stallPatience is how long the disk of a replica that is in touch, or the own one, may hold things up.
-func (r *Replica) stallPatience(now time.Duration, id view.ReplicaID) time.Duration {
-	return r.cfg.StallAfter << min(max(r.upsetsBeside(now, id)-stallFrom, 0), stallDoublings)
+// diskTimeout is how long the disk of a replica that is in touch, or the own one, may hold things up.
+func (r *Replica) diskTimeout(now time.Duration, id view.ReplicaID) time.Duration {
+	return r.cfg.StallAfter << min(max(r.lossesOfOthers(now, id)-stallDoublingFrom, 0), maxStallDoublings)
 }
 
-// silencePatience is what is added to the time for which another replica may be silent, a grant at most.
-func (r *Replica) silencePatience(now time.Duration, id view.ReplicaID) time.Duration {
-	return r.cfg.Grant * time.Duration(min(max(r.upsetsBeside(now, id)-silenceFrom, 0), silenceSteps)) / silenceSteps
+// silenceAllowance is what is added to the time for which another replica may be silent, a grant at most.
+func (r *Replica) silenceAllowance(now time.Duration, id view.ReplicaID) time.Duration {
+	return r.cfg.Grant * time.Duration(min(max(r.lossesOfOthers(now, id)-silenceGrowthFrom, 0), silenceGrowthSteps)) / silenceGrowthSteps
 }
--- a/coord/replica/candidate_test.go
+++ b/coord/replica/candidate_test.go
@@ -106,7 +106,7 @@
 func TestViewNeedsAMajority(t *testing.T) {
 	s, ballot := candidate(t)
 	s.promise("c", view.Promise{Ballot: ballot})
-	s.after(2 * electionPatience)
+	s.after(2 * lateVoteWait)
 	require.NotEmpty(t, s.accepts())
 	s.sync() // its own vote
 	require.Equal(t, uint64(standEpoch), s.core.View().Epoch)
@@ -125,7 +125,7 @@
 	ballot := s.prepares()[0].Ballot
 	s.sync()
 	s.promise("b", view.Promise{Ballot: ballot})
-	for s.now < standStart+DefaultGrant/readPart-10*time.Millisecond {
+	for s.now < standStart+DefaultGrant/readGrantDivisor-10*time.Millisecond {
 		s.after(10 * time.Millisecond)
 		require.Empty(t, s.accepts(), "c may answer reads")
 	}
@@ -142,9 +142,9 @@
 		epoch, committed uint64
 		at               time.Duration
 	}{
-		"committed":     {standEpoch, 3, electionPatience},
-		"not committed": {standEpoch, 0, DefaultGrant / readPart},
-		"earlier":       {standEpoch - 1, 3, DefaultGrant / readPart},
+		"committed":     {standEpoch, 3, lateVoteWait},
+		"not committed": {standEpoch, 0, DefaultGrant / readGrantDivisor},
+		"earlier":       {standEpoch - 1, 3, DefaultGrant / readGrantDivisor},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := resumed(t, standConfig("a"), Persisted{View: standView(standEpoch, "a", "b", "c"), Log: logOf(c.epoch, 3), Committed: c.committed})
--- a/coord/replica/cause.go
+++ b/coord/replica/cause.go
@@ -14,8 +14,8 @@
 const (
 	// CauseGenesis is the first view of the whole system.
 	CauseGenesis CauseKind = "genesis"
-	// CauseLearnt: another replica had it decided, and Member told of it; the cause is in that one's log.
-	CauseLearnt CauseKind = "learnt"
+	// CauseLearned: another replica had it decided, and Member told of it; the cause is in that one's log.
+	CauseLearned CauseKind = "learnt"
 	// CauseHeadSilent: an election, as the head hadn't been heard for longer than Patience.
 	CauseHeadSilent CauseKind = "head-silent"
 	// CauseMajorityLost: an election by a head that a majority hadn't granted anything for longer than Patience.
@@ -73,31 +73,31 @@
 	Adopted bool
 }
 
-// because notes why the replica wishes for the view that it proposes next.
-func (r *Replica) because(now time.Duration, cause Cause) {
-	cause.Sync = r.syncing(now)
-	if r.head.allowed && r.head.leaseUntil > 0 && r.place == 0 {
+// setCause notes why the replica wishes for the view that it proposes next.
+func (r *Replica) setCause(now time.Duration, cause Cause) {
+	cause.Sync = r.oldestWriteAge(now)
+	if r.head.currentIncarnation && r.head.leaseUntil > 0 && r.ownPosition == 0 {
 		cause.LeaseOver = max(now-r.head.leaseUntil, 0)
 	}
-	r.cause = cause
+	r.proposalCause = cause
 }
 
-// syncing is the age of the oldest write on the way to the disk here.
-func (r *Replica) syncing(now time.Duration) time.Duration {
-	if len(r.writes) == 0 {
+// oldestWriteAge is the age of the oldest write on the way to the disk here.
+func (r *Replica) oldestWriteAge(now time.Duration) time.Duration {
+	if len(r.pendingWrites) == 0 {
 		return 0
 	}
-	return now - r.writes[0].at
+	return now - r.pendingWrites[0].at
 }
 
-// causeOf is the cause of a view that has come into force here: the own wish's, or that it was learnt.
-func (r *Replica) causeOf(v view.View, from view.ReplicaID) Cause {
+// viewCause is the cause of a view that has come into force here: the own wish's, or that it was learnt.
+func (r *Replica) viewCause(v view.View, from view.ReplicaID) Cause {
 	wish := r.proposer.Value
 	switch {
-	case r.cause.Kind != "" && r.proposer.Active() && wish != nil && wish.Equal(v):
+	case r.proposalCause.Kind != "" && r.proposer.Active() && wish != nil && wish.Equal(v):
 		return r.decidedCause(v)
 	case from != "":
-		return Cause{Kind: CauseLearnt, Member: from}
+		return Cause{Kind: CauseLearned, Member: from}
 	default:
 		return Cause{Kind: CauseGenesis}
 	}
@@ -105,7 +105,7 @@
 
 // decidedCause is the cause of a view that the own ballot decided.
 func (r *Replica) decidedCause(v view.View) Cause {
-	cause := r.cause
+	cause := r.proposalCause
 	for _, voter := range r.view.Voters {
 		if r.proposer.Answered(voter.ID) {
 			cause.Answered = append(cause.Answered, voter.ID)
@@ -116,10 +116,10 @@
 	return cause
 }
 
-// headSilence is the cause of standing for the place of a head that is silent.
-func (r *Replica) headSilence(now time.Duration) Cause {
-	return Cause{Kind: CauseHeadSilent, Member: r.view.Head().ID, Silence: now - r.expectedAt,
-		Paused: r.electPaused, Patience: r.electAt - r.expectedAt - r.electPaused}
+// headSilentCause is the cause of standing for the place of a head that is silent.
+func (r *Replica) headSilentCause(now time.Duration) Cause {
+	return Cause{Kind: CauseHeadSilent, Member: r.view.Head().ID, Silence: now - r.headExpectedSince,
+		Paused: r.electionPaused, Patience: r.electionAt - r.headExpectedSince - r.electionPaused}
 }
 
 // dropCause is why the head drops the members that aren't in the chain that is left: the first of them tells.
@@ -131,16 +131,16 @@
 	switch {
 	case p.gone:
 		cause.Kind = CauseDiskLost
-	case p.broken:
+	case p.diskFailed:
 		cause.Kind = CauseDiskRefuses
 	case p.leaving:
 		cause.Kind = CauseLeaver
 	case id == culprit:
-		cause.Kind, cause.Patience = CauseStuck, r.memberPatience(now, id)
-		cause.Paused = r.pausedSince(r.head.blame.stuck)
-		cause.Index, cause.Stuck = r.head.stuckIndex, now-r.head.stuckSince
+		cause.Kind, cause.Patience = CauseStuck, r.entryTimeout(now, id)
+		cause.Paused = r.pausedSince(r.head.stall.blockedSince)
+		cause.Index, cause.Stuck = r.head.watchedIndex, now-r.head.watchedSince
 	default:
-		cause.Kind, cause.Patience = CauseSilent, r.cfg.DropAfter+r.silencePatience(now, id)
+		cause.Kind, cause.Patience = CauseSilent, r.cfg.DropAfter+r.silenceAllowance(now, id)
 	}
 	return cause
 }
@@ -152,13 +152,13 @@
 		return Cause{Kind: CauseSeat}
 	}
 	id := r.view.Voters[at].ID
-	return Cause{Kind: CauseSeat, Member: id, Silence: now - r.peer(id, now).ackedAt, Patience: voterGoneAfter}
+	return Cause{Kind: CauseSeat, Member: id, Silence: now - r.peer(id, now).ackedAt, Patience: voterTimeout}
 }
 
 // leaveCause is why the head hands over.
 func (r *Replica) leaveCause(now time.Duration, hindered bool) Cause {
 	if hindered {
-		return Cause{Kind: CauseOwnDisk, Member: r.self.ID, Stuck: r.diskIdle(now), Patience: r.stallPatience(now, r.self.ID),
+		return Cause{Kind: CauseOwnDisk, Member: r.self.ID, Stuck: r.diskIdle(now), Patience: r.diskTimeout(now, r.self.ID),
 			Index: r.chain.Synced()}
 	}
 	return Cause{Kind: CauseHandover, Member: r.self.ID}
@@ -166,7 +166,7 @@
 
 // leaseCause is what the head knows of the loss of its lease.
 func (r *Replica) leaseCause(now time.Duration) Cause {
-	cause := Cause{Kind: CauseLease, Sync: r.syncing(now), LeaseOver: max(now-r.head.leaseUntil, 0)}
+	cause := Cause{Kind: CauseLease, Sync: r.oldestWriteAge(now), LeaseOver: max(now-r.head.leaseUntil, 0)}
 	if since, ok := r.head.lease.MajoritySince(r.view); ok {
 		cause.Silence = now - since
 	}
--- a/coord/replica/config.go
+++ b/coord/replica/config.go
@@ -19,48 +19,48 @@
 
 // Timings that follow from nothing else.
 const (
-	electionStagger   = 120 * time.Millisecond // between the candidacies of neighbours in the chain
-	electionJitter    = 30 * time.Millisecond
-	electionPatience  = 60 * time.Millisecond // for members that a majority's promise overtook
-	electionUnheard   = 150 * time.Millisecond
-	ballotRepeat      = 60 * time.Millisecond
-	governEvery       = 40 * time.Millisecond
-	governSoon        = 5 * time.Millisecond // while a change is on its way
-	joinEvery         = 200 * time.Millisecond
-	joinFirstEvery    = 50 * time.Millisecond // while no view is known: others may just be starting
-	leaveNoticeEvery  = 100 * time.Millisecond
-	drainAtMost       = 150 * time.Millisecond
-	holdAtMost        = 300 * time.Millisecond
-	holdAgainAfter    = 300 * time.Millisecond
-	admitAfter        = 600 * time.Millisecond // a new head began to act
-	holdWithin        = 512                    // entries that a learner may lack when writes are held back for it
-	stuckNoReads      = 250 * time.Millisecond
-	voterGoneAfter    = 2 * time.Second
-	refusedRefresh    = time.Second
-	newsAtMostEvery   = 10 * time.Millisecond
-	frozenAfter       = 350 * time.Millisecond // between two steps
-	frozenPatience    = 200 * time.Millisecond
-	leastPause        = 3 * time.Millisecond  // that a step may come late without being held up
-	wakeAtLeastEvery  = 50 * time.Millisecond // the finer, the less of a pause goes unnoticed
-	penaltyFirst      = 2 * time.Second
-	penaltyMost       = 16 * time.Second
-	penaltyForgiven   = time.Minute
-	penaltyProof      = 2 * time.Second        // of prompt acknowledgements, at most
-	promptAgain       = 500 * time.Millisecond // before writes are held back for a learner once more
-	learnerHeardSince = 400 * time.Millisecond
+	electionStagger           = 120 * time.Millisecond // between the candidacies of neighbours in the chain
+	electionJitter            = 30 * time.Millisecond
+	lateVoteWait              = 60 * time.Millisecond // for members that a majority's promise overtook
+	silentHeadElectionDelay   = 150 * time.Millisecond
+	ballotRetryInterval       = 60 * time.Millisecond
+	reconcileInterval         = 40 * time.Millisecond
+	reconcileIntervalChanging = 5 * time.Millisecond // while a change is on its way
+	joinInterval              = 200 * time.Millisecond
+	joinIntervalNoView        = 50 * time.Millisecond // while no view is known: others may just be starting
+	leaveInterval             = 100 * time.Millisecond
+	drainTimeout              = 150 * time.Millisecond
+	admissionHoldTimeout      = 300 * time.Millisecond
+	admissionRetryDelay       = 300 * time.Millisecond
+	admissionDelay            = 600 * time.Millisecond // a new head began to act
+	admissionMaxLag           = 512                    // entries that a learner may lack when writes are held back for it
+	stuckThreshold            = 250 * time.Millisecond
+	voterTimeout              = 2 * time.Second
+	refusedGrantTimeout       = time.Second
+	viewSendInterval          = 10 * time.Millisecond
+	longPauseThreshold        = 350 * time.Millisecond // between two steps
+	electionDelayAfterPause   = 200 * time.Millisecond
+	minPause                  = 3 * time.Millisecond  // that a step may come late without being held up
+	maxWakeInterval           = 50 * time.Millisecond // the finer, the less of a pause goes unnoticed
+	minPenalty                = 2 * time.Second
+	maxPenalty                = 16 * time.Second
+	penaltyMemory             = time.Minute
+	maxProbation              = 2 * time.Second        // of prompt acknowledgements, at most
+	promptTimeBeforeRetry     = 500 * time.Millisecond // before writes are held back for a learner once more
+	learnerTimeout            = 400 * time.Millisecond
 )
 
-// inTouch is how many heartbeats' time after an answer a member counts as in touch; after more it was silent.
-const inTouch = 2
+// quietHeartbeats is how many heartbeats' time after an answer a member counts as in touch; after more it was silent.
+const quietHeartbeats = 2
 
 // How a head tells whether its own disk is slower than others'.
 const (
-	aheadPart = 2                // others have to be ahead for this part of StallAfter
-	paceKept  = 10 * time.Second // for which a slow sync here is granted to others as well
+	aheadDivisor   = 2                // others have to be ahead for this part of StallAfter
+	slowSyncMemory = 10 * time.Second // for which a slow sync here is granted to others as well
 )
 
-// earlyKept bounds the messages kept for the chain while a view is on its way to disk.
-const earlyKept = 256
+// maxEarlyMessages bounds the messages kept for the chain while a view is on its way to disk.
+const maxEarlyMessages = 256
 
 // Config is a replica's settings. Zero times and sizes take the defaults.
 type Config struct {
@@ -77,16 +77,16 @@
 	Seed        uint64 // random, another one in each life
 }
 
-func (c *Config) fill() {
-	fillZero(&c.Grant, DefaultGrant)
-	fillZero(&c.HeartbeatEvery, DefaultHeartbeatEvery)
-	fillZero(&c.DropAfter, DefaultDropAfter)
-	fillZero(&c.StallAfter, c.DropAfter)
-	fillZero(&c.KeepEntries, DefaultKeepEntries)
-	fillZero(&c.KeepBytes, DefaultKeepBytes)
+func (c *Config) setDefaults() {
+	setDefault(&c.Grant, DefaultGrant)
+	setDefault(&c.HeartbeatEvery, DefaultHeartbeatEvery)
+	setDefault(&c.DropAfter, DefaultDropAfter)
+	setDefault(&c.StallAfter, c.DropAfter)
+	setDefault(&c.KeepEntries, DefaultKeepEntries)
+	setDefault(&c.KeepBytes, DefaultKeepBytes)
 }
 
-func fillZero[T comparable](value *T, preset T) {
+func setDefault[T comparable](value *T, preset T) {
 	var zero T
 	if *value == zero {
 		*value = preset
@@ -95,9 +95,9 @@
 
 // Why Propose refuses. Nothing has been appended then; it may do later.
 var (
-	ErrNotHead = errors.New("this replica isn't the head or has no lease")
-	ErrHeld    = errors.New("writes are held back for a change of the view")
-	ErrShort   = errors.New("the chain is too short to commit")
+	ErrNotHead       = errors.New("this replica isn't the head or has no lease")
+	ErrWritesHeld    = errors.New("writes are held back for a change of the view")
+	ErrChainTooShort = errors.New("the chain is too short to commit")
 )
 
 // Output is what a Step asks for. Records are to be appended to the log and synced in order, then Synced is to be
--- a/coord/replica/departure_test.go
+++ b/coord/replica/departure_test.go
@@ -184,7 +184,7 @@
 		m.writing = 1
 		m.input(DiskFailed{})
 		w.run(w.now + 50*time.Millisecond)
-		assert.ErrorIs(t, head.process.CanPropose(head.clock()), ErrShort, "seed %d", seed)
+		assert.ErrorIs(t, head.process.CanPropose(head.clock()), ErrChainTooShort, "seed %d", seed)
 		w.run(w.now + 50*time.Millisecond)
 		m.writing = 0
 		m.losePower()
--- a/coord/replica/effects.go
+++ b/coord/replica/effects.go
@@ -50,7 +50,7 @@
 }
 
 func (r *Replica) store(record Record) {
-	if !r.broken {
+	if !r.diskFailed {
 		r.out.Persist = append(r.out.Persist, record)
 	}
 }
@@ -67,9 +67,9 @@
 // pendingToken is the token with which all that was stored so far will be on disk.
 func (r *Replica) pendingToken() uint64 {
 	if len(r.out.Persist) > 0 {
-		return r.token + 1
+		return r.lastToken + 1
 	}
-	return r.token
+	return r.lastToken
 }
 
 // send hands out a message at once.
@@ -83,55 +83,55 @@
 
 func (r *Replica) post(to view.Member, m *Message) {
 	if to.ID == r.self.ID {
-		r.local = append(r.local, m)
+		r.localMessages = append(r.localMessages, m)
 		return
 	}
 	r.out.Send = append(r.out.Send, Envelope{To: to.Address, Message: m})
 }
 
-// sendStored hands out a message once all that was stored so far is on disk.
-func (r *Replica) sendStored(to view.Member, m *Message) {
+// sendAfterSync hands out a message once all that was stored so far is on disk.
+func (r *Replica) sendAfterSync(to view.Member, m *Message) {
 	token := r.pendingToken()
-	if r.broken {
+	if r.diskFailed {
 		return
 	}
-	if r.synced >= token {
+	if r.syncedToken >= token {
 		r.send(to, m)
 		return
 	}
 	m.From, m.To, m.Epoch = r.self, to.ID, r.view.Epoch
-	r.held = append(r.held, heldMessage{token, to, m})
+	r.heldMessages = append(r.heldMessages, heldMessage{token, to, m})
 }
 
 func (r *Replica) onSynced(now time.Duration, token uint64) {
-	if r.broken || token <= r.synced {
+	if r.diskFailed || token <= r.syncedToken {
 		return
 	}
-	r.pace.note(now, r.diskIdle(now))
-	r.synced, r.syncedAt = token, now
+	r.slowestSync.record(now, r.diskIdle(now))
+	r.syncedToken, r.lastSyncAt = token, now
 	r.releaseWrites(token)
 	r.releaseHeld(token)
 	r.chain.SyncedTo(now, token)
-	if !r.entered && r.view.Known() && r.enterAt <= token {
-		r.enter(now)
+	if !r.entered && r.view.Known() && r.enterToken <= token {
+		r.enterView(now)
 	}
 }
 
 func (r *Replica) releaseWrites(token uint64) {
 	done := 0
-	for done < len(r.writes) && r.writes[done].token <= token {
+	for done < len(r.pendingWrites) && r.pendingWrites[done].token <= token {
 		done++
 	}
-	r.writes = append(r.writes[:0], r.writes[done:]...)
+	r.pendingWrites = append(r.pendingWrites[:0], r.pendingWrites[done:]...)
 }
 
 func (r *Replica) releaseHeld(token uint64) {
 	done := 0
-	for done < len(r.held) && r.held[done].token <= token {
-		r.post(r.held[done].to, r.held[done].message)
+	for done < len(r.heldMessages) && r.heldMessages[done].token <= token {
+		r.post(r.heldMessages[done].to, r.heldMessages[done].message)
 		done++
 	}
-	r.held = append(r.held[:0], r.held[done:]...)
+	r.heldMessages = append(r.heldMessages[:0], r.heldMessages[done:]...)
 }
 
 // Compact gives the records that replace all that were handed out so far, where snapshot is the state after all
--- a/coord/replica/election.go
+++ b/coord/replica/election.go
@@ -6,74 +6,74 @@
 	"gaugeslip/coord/view"
 )
 
-// expectHead sets when to stand for the head's place if nothing is heard from the head till then.
-func (r *Replica) expectHead(now time.Duration) {
-	r.expectedAt, r.electPaused, r.electExcused = now, 0, 0
+// resetElectionTimer sets when to stand for the head's place if nothing is heard from the head till then.
+func (r *Replica) resetElectionTimer(now time.Duration) {
+	r.headExpectedSince, r.electionPaused, r.electionShortPaused = now, 0, 0
 	at := r.position()
 	if at < 0 || r.leading() {
-		r.electAt = never
+		r.electionAt = never
 		return
 	}
-	r.electAt = now + r.cfg.Grant + r.cfg.Grant/20 + r.silencePatience(now, r.view.Head().ID) + time.Duration(max(at-1, 0))*electionStagger + r.jitter(electionJitter)
+	r.electionAt = now + r.cfg.Grant + r.cfg.Grant/20 + r.silenceAllowance(now, r.view.Head().ID) + time.Duration(max(at-1, 0))*electionStagger + r.jitter(electionJitter)
 }
 
-// elect stands for the head's place when it is time.
-func (r *Replica) elect(now time.Duration) {
-	if !r.judging || now < r.electAt || r.proposer.Active() || r.position() < 0 || r.leaving || r.ownDiskStalls(now) {
+// electIfDue stands for the head's place when it is time.
+func (r *Replica) electIfDue(now time.Duration) {
+	if !r.checkTimeouts || now < r.electionAt || r.proposer.Active() || r.position() < 0 || r.leaving || r.ownDiskStalled(now) {
 		return
 	}
-	if !r.stands(now) {
-		r.because(now, r.headSilence(now))
+	if !r.electionCauseKnown(now) {
+		r.setCause(now, r.headSilentCause(now))
 	}
-	r.prepare(now, nil)
+	r.startBallot(now, nil)
 }
 
-// stands tells whether the cause to stand is known already.
-func (r *Replica) stands(now time.Duration) bool {
-	return r.position() == 0 && (r.cause.Kind == CauseMajorityLost || r.cause.Kind == CauseRestart || r.cause.Kind == CauseOwnDisk)
+// electionCauseKnown tells whether the cause to stand is known already.
+func (r *Replica) electionCauseKnown(now time.Duration) bool {
+	return r.position() == 0 && (r.proposalCause.Kind == CauseMajorityLost || r.proposalCause.Kind == CauseRestart || r.proposalCause.Kind == CauseOwnDisk)
 }
 
-// propose begins with a wish of the head's. Nothing is appended in this epoch any more.
-func (r *Replica) propose(now time.Duration, next view.View, cause Cause) {
-	r.because(now, cause)
-	r.abdicate(now)
-	r.outbidAt = 0
+// startProposal begins with a wish of the head's. Nothing is appended in this epoch any more.
+func (r *Replica) startProposal(now time.Duration, next view.View, cause Cause) {
+	r.setCause(now, cause)
+	r.stepDown(now)
+	r.higherBallotAt = 0
 	r.proposer.AcceptAtOnce(now, &next)
-	r.repeat(now)
+	r.sendBallot(now)
 }
 
-// prepare begins a ballot above all known ones.
-func (r *Replica) prepare(now time.Duration, wish *view.View) {
-	r.abdicate(now)
-	r.outbidAt = 0
+// startBallot begins a ballot above all known ones.
+func (r *Replica) startBallot(now time.Duration, wish *view.View) {
+	r.stepDown(now)
+	r.higherBallotAt = 0
 	r.proposer.Prepare(now, wish)
-	r.repeat(now)
+	r.sendBallot(now)
 }
 
-// pursue repeats a ballot, or goes on to its second phase.
-func (r *Replica) pursue(now time.Duration) {
+// advanceBallot repeats a ballot, or goes on to its second phase.
+func (r *Replica) advanceBallot(now time.Duration) {
 	if !r.proposer.Active() {
 		return
 	}
 	if r.proposer.Phase == view.Preparing && r.proposer.Majority != 0 {
 		r.acceptWhenReady(now)
 	}
-	if now < r.repeatAt {
+	if now < r.ballotRetryAt {
 		return
 	}
-	if r.outbidAt != 0 {
-		r.prepare(now, nil)
+	if r.higherBallotAt != 0 {
+		r.startBallot(now, nil)
 		return
 	}
-	r.repeat(now)
+	r.sendBallot(now)
 }
 
-// repeat sends the ballot to all voters whose votes are missing. A ballot that was outbid is begun anew.
-func (r *Replica) repeat(now time.Duration) {
+// sendBallot sends the ballot to all voters whose votes are missing. A ballot that was outbid is begun anew.
+func (r *Replica) sendBallot(now time.Duration) {
 	if r.proposer.Phase == view.Idle {
 		return
 	}
-	r.repeatAt = now + ballotRepeat
+	r.ballotRetryAt = now + ballotRetryInterval
 	for _, voter := range r.view.Voters {
 		if !r.proposer.Missing(voter.ID) {
 			continue
@@ -88,11 +88,11 @@
 	}
 }
 
-// outbid begins a higher ballot, after a moment in which the other may get through.
-func (r *Replica) outbid(now time.Duration) {
-	if r.outbidAt == 0 {
-		r.outbidAt = now + r.cfg.HeartbeatEvery/10 + r.jitter(r.cfg.HeartbeatEvery/2)
-		r.repeatAt = r.outbidAt
+// scheduleHigherBallot begins a higher ballot, after a moment in which the other may get through.
+func (r *Replica) scheduleHigherBallot(now time.Duration) {
+	if r.higherBallotAt == 0 {
+		r.higherBallotAt = now + r.cfg.HeartbeatEvery/10 + r.jitter(r.cfg.HeartbeatEvery/2)
+		r.ballotRetryAt = r.higherBallotAt
 	}
 }
 
@@ -103,18 +103,18 @@
 		value = r.proposer.Value
 	}
 	if value == nil {
-		value = r.successor(now)
+		value = r.successorView(now)
 	}
-	if value == nil || !r.readsOver(now, *value) {
+	if value == nil || !r.readsExpired(now, *value) {
 		return
 	}
 	r.proposer.Accept(now, value)
-	r.repeat(now)
+	r.sendBallot(now)
 }
 
-// successor is the view with all members that have answered, or nil while it is worth waiting for more. Those that want to leave and
+// successorView is the view with all members that have answered, or nil while it is worth waiting for more. Those that want to leave and
 // those that haven't answered stay at the chain's end as far as f+1 are needed: they have everything and may lead yet.
-func (r *Replica) successor(now time.Duration) *view.View {
+func (r *Replica) successorView(now time.Duration) *view.View {
 	next := r.view.Next()
 	var members, leaving, silent []view.Member
 	missing := false
@@ -129,7 +129,7 @@
 			members = append(members, member)
 		}
 	}
-	if missing && now-r.proposer.Majority < electionPatience {
+	if missing && now-r.proposer.Majority < lateVoteWait {
 		return nil
 	}
 	spared := append(leaving, silent...)
@@ -139,7 +139,7 @@
 }
 
 func (r *Replica) onPrepare(now time.Duration, from view.Member, m *view.Prepare) {
-	reply := &view.Promise{Ballot: m.Ballot, Leaving: r.leaving || r.ownDiskStalls(now)}
+	reply := &view.Promise{Ballot: m.Ballot, Leaving: r.leaving || r.ownDiskStalled(now)}
 	if !r.mayVote(now, m.Ballot) {
 		r.send(from, &Message{Promise: reply})
 		return
@@ -154,7 +154,7 @@
 		r.store(encodeAcceptor(r.acceptor))
 	}
 	reply.OK, reply.Accepted, reply.Value = true, r.acceptor.Accepted, r.acceptor.Value
-	r.sendStored(from, &Message{Promise: reply})
+	r.sendAfterSync(from, &Message{Promise: reply})
 }
 
 // mayVote tells whether this replica votes, and has no grant out to another that may still use it.
@@ -163,7 +163,7 @@
 		return false
 	}
 	head := r.view.Head().ID
-	return now >= r.grant || b.Owner == head || r.replaced(head)
+	return now >= r.grantUntil || b.Owner == head || r.replaced(head)
 }
 
 func (r *Replica) onAccept(now time.Duration, from view.Member, m *view.Accept) {
@@ -182,37 +182,37 @@
 		r.store(encodeAcceptor(r.acceptor))
 	}
 	reply.OK = true
-	r.sendStored(from, &Message{Accepted: reply})
+	r.sendAfterSync(from, &Message{Accepted: reply})
 }
 
 func (r *Replica) onPromise(now time.Duration, from view.Member, m *view.Promise) {
 	if r.proposer.Promised(now, from.ID, m, r.view.Majority()) {
-		r.outbid(now)
+		r.scheduleHigherBallot(now)
 	}
 }
 
 func (r *Replica) onAccepted(now time.Duration, from view.Member, m *view.Accepted) {
 	decided, outbid := r.proposer.Accepted(from.ID, m, r.view.Majority())
 	if outbid {
-		r.outbid(now)
+		r.scheduleHigherBallot(now)
 	}
 	if decided {
-		r.decided(now)
+		r.onDecided(now)
 	}
 }
 
-// decided takes the value that a majority has accepted and tells all whom it concerns.
-func (r *Replica) decided(now time.Duration) {
+// onDecided takes the value that a majority has accepted and tells all whom it concerns.
+func (r *Replica) onDecided(now time.Duration) {
 	before := r.view
 	next := *r.proposer.Value
 	unheard := !r.proposer.Answered(next.Head().ID)
-	silent := r.silentOf(next)
-	r.learn(now, next, r.self.ID)
+	silent := r.unansweredMembers(next)
+	r.adoptView(now, next, r.self.ID)
 	for _, id := range silent {
 		r.peer(id, now).silent = r.position() == 0
 	}
 	if unheard && r.position() > 0 {
-		r.electAt = now + electionUnheard + r.jitter(electionJitter)
+		r.electionAt = now + silentHeadElectionDelay + r.jitter(electionJitter)
 	}
 	told := map[view.ReplicaID]bool{r.self.ID: true}
 	for _, members := range [][]view.Member{next.Voters, before.Voters, next.Chain} {
@@ -225,8 +225,8 @@
 	}
 }
 
-// silentOf are the members of the next chain that haven't answered a candidate.
-func (r *Replica) silentOf(next view.View) []view.ReplicaID {
+// unansweredMembers are the members of the next chain that haven't answered a candidate.
+func (r *Replica) unansweredMembers(next view.View) []view.ReplicaID {
 	var silent []view.ReplicaID
 	for _, member := range next.Chain {
 		if r.proposer.Ballot.Round > 0 && member.ID != r.self.ID && !r.proposer.Answered(member.ID) {
--- a/coord/replica/enter.go
+++ b/coord/replica/enter.go
@@ -8,33 +8,33 @@
 	"gaugeslip/coord/view"
 )
 
-// learn goes to a newer view, of which a replica told; none told of the very first.
-func (r *Replica) learn(now time.Duration, v view.View, from view.ReplicaID) {
+// adoptView goes to a newer view, of which a replica told; none told of the very first.
+func (r *Replica) adoptView(now time.Duration, v view.View, from view.ReplicaID) {
 	if r.view.Known() && v.Epoch <= r.view.Epoch {
 		if v.Epoch == r.view.Epoch && !v.Equal(r.view) {
 			r.fail(fmt.Errorf("two views of epoch %d: %w", v.Epoch, chain.ErrDiverged))
 		}
 		return
 	}
-	cause := r.causeOf(v, from)
-	r.noteUpset(now, r.view, v)
+	cause := r.viewCause(v, from)
+	r.noteChainLoss(now, r.view, v)
 	r.setView(now, v)
 	r.store(encodeView(v))
 	r.acceptor.Reset(v.Epoch + 1)
-	r.grant = 0
-	if r.awaitsOldGrants(now) {
-		r.grant = r.started + r.cfg.Grant
+	r.grantUntil = 0
+	if r.earlierGrantsMayCount(now) {
+		r.grantUntil = r.started + r.cfg.Grant
 	}
 	r.proposer.Reset()
-	r.outbidAt = 0
-	r.early = nil
+	r.higherBallotAt = 0
+	r.earlyMessages = nil
 	r.tail = tailState{}
 	r.resetHead(now)
 	r.chain.Leave()
 	r.entered = false
-	r.enterAt = r.pendingToken()
+	r.enterToken = r.pendingToken()
 	r.joinAt = now
-	r.expectHead(now)
+	r.resetElectionTimer(now)
 	r.out.Events = append(r.out.Events, ViewChanged{View: v, Cause: cause})
 	if r.leaving && !r.left && r.position() < 0 {
 		r.left = true
@@ -42,30 +42,30 @@
 	}
 }
 
-// awaitsOldGrants tells whether an earlier life's grants may still count. An epoch learnt in this life may have been
+// earlierGrantsMayCount tells whether an earlier life's grants may still count. An epoch learnt in this life may have been
 // known in the one before, without a trace on disk.
-func (r *Replica) awaitsOldGrants(now time.Duration) bool {
-	return !r.fresh && now < r.started+r.cfg.Grant
+func (r *Replica) earlierGrantsMayCount(now time.Duration) bool {
+	return !r.newIdentity && now < r.started+r.cfg.Grant
 }
 
-// enter lets the chain go by the view, which is on disk.
-func (r *Replica) enter(now time.Duration) {
+// enterView lets the chain go by the view, which is on disk.
+func (r *Replica) enterView(now time.Duration) {
 	r.entered = true
 	at := r.position()
 	switch {
 	case at < 0:
 		r.chain.Enter(now, chain.Role{Epoch: r.view.Epoch, Upstream: r.view.Head()})
-	case at == 0 && !r.head.allowed:
+	case at == 0 && !r.head.currentIncarnation:
 		r.entered = false // an earlier life's epoch: a new one has to come
 	default:
 		r.chain.Enter(now, r.role(at))
-		r.head.inherited = r.chain.Log().Last()
+		r.head.inheritedIndex = r.chain.Log().Last()
 	}
 	if !r.entered {
 		return
 	}
-	early := r.early
-	r.early = nil
+	early := r.earlyMessages
+	r.earlyMessages = nil
 	for _, m := range early {
 		r.chain.Receive(now, m.From, m.Chain)
 	}
@@ -83,14 +83,14 @@
 }
 
 // position is this replica's place in the chain, -1 without one. A place at another address doesn't count.
-func (r *Replica) position() int { return r.place }
+func (r *Replica) position() int { return r.ownPosition }
 
 // setView goes by a view.
 func (r *Replica) setView(now time.Duration, v view.View) {
 	r.view = v
-	r.learned = now
-	r.place = v.Position(r.self.ID)
-	if r.place >= 0 && v.Chain[r.place].Address != r.self.Address {
-		r.place = -1
+	r.viewLearnedAt = now
+	r.ownPosition = v.Position(r.self.ID)
+	if r.ownPosition >= 0 && v.Chain[r.ownPosition].Address != r.self.Address {
+		r.ownPosition = -1
 	}
 }
--- a/coord/replica/govern.go
+++ b/coord/replica/govern.go
@@ -8,18 +8,18 @@
 	"gaugeslip/coord/view"
 )
 
-// govern proposes the view that the state of the members asks for, if it isn't the present one. A head that hears no
+// reconcile proposes the view that the state of the members asks for, if it isn't the present one. A head that hears no
 // majority proposes nothing: it would be the only member that it hears, and the others, whom it may reach, might take that up.
-func (r *Replica) govern(now time.Duration) {
+func (r *Replica) reconcile(now time.Duration) {
 	if r.proposer.Active() || !r.hearsMajority(now) {
 		return
 	}
 	r.watchLearners(now)
-	if r.governLeave(now) || r.governChain(now) || r.governAdmission(now) {
+	if r.reconcileHandover(now) || r.reconcileChain(now) || r.reconcileAdmission(now) {
 		return
 	}
 	if r.mayAdmit(now) {
-		r.governVoters(now)
+		r.reconcileVoters(now)
 	}
 }
 
@@ -28,30 +28,30 @@
 func (r *Replica) hearsMajority(now time.Duration) bool {
 	heard := 0
 	for _, voter := range r.view.Voters {
-		patience := max(r.cfg.DropAfter+r.silencePatience(now, voter.ID), inTouch*r.cfg.HeartbeatEvery)
-		if voter.ID == r.self.ID || r.since(now, r.peer(voter.ID, now).heard) <= patience {
+		patience := max(r.cfg.DropAfter+r.silenceAllowance(now, voter.ID), quietHeartbeats*r.cfg.HeartbeatEvery)
+		if voter.ID == r.self.ID || r.elapsedSince(now, r.peer(voter.ID, now).heard) <= patience {
 			heard++
 		}
 	}
 	return heard >= r.view.Majority()
 }
 
-// governLeave hands the head's place over where this replica has to go. One that only wants to leave goes on as the head until f+1
+// reconcileHandover hands the head's place over where this replica has to go. One that only wants to leave goes on as the head until f+1
 // others have everything.
-func (r *Replica) governLeave(now time.Duration) bool {
-	stalls := r.ownDiskHinders(now)
+func (r *Replica) reconcileHandover(now time.Duration) bool {
+	stalls := r.shouldYieldForDisk(now)
 	if !r.leaving && !stalls {
 		return false
 	}
-	rest := r.without(now, r.self.ID)
+	rest := r.chainWithout(now, r.self.ID)
 	if len(rest) <= r.cfg.Tolerance {
 		r.head.handingOver = false
-		return stalls && r.yield(now)
+		return stalls && r.yieldHead(now)
 	}
 	if !r.head.handingOver {
-		r.head.handingOver, r.head.drainedBy = true, now+r.cfg.DropAfter+drainAtMost
+		r.head.handingOver, r.head.drainDeadline = true, now+r.cfg.DropAfter+drainTimeout
 	}
-	if !stalls && now < r.head.drainedBy && !r.drained(now, rest) {
+	if !stalls && now < r.head.drainDeadline && !r.drained(now, rest) {
 		return true
 	}
 	return r.proposeChain(now, rest, "", r.leaveCause(now, stalls))
@@ -59,18 +59,18 @@
 
 // drained tells whether those who stay have everything, and are there. Where one of them isn't, that shows within DropAfter.
 func (r *Replica) drained(now time.Duration, rest []view.Member) bool {
-	away := func(m view.Member) bool { return r.quiet(now, r.peer(m.ID, now)) }
+	away := func(m view.Member) bool { return r.unresponsive(now, r.peer(m.ID, now)) }
 	return r.Committed() >= r.LastIndex() && !slices.ContainsFunc(rest, away)
 }
 
-// without is the chain without one member and without the lost ones.
-func (r *Replica) without(now time.Duration, id view.ReplicaID) []view.Member {
-	return view.Without(r.view.Chain, func(other view.ReplicaID) bool { return other == id || r.lost(now, other, "") })
+// chainWithout is the chain without one member and without the lost ones.
+func (r *Replica) chainWithout(now time.Duration, id view.ReplicaID) []view.Member {
+	return view.Without(r.view.Chain, func(other view.ReplicaID) bool { return other == id || r.isLost(now, other, "") })
 }
 
-// yield gives the head's place to a member whose disk works, where this replica, whose disk stalls, can't be spared.
-func (r *Replica) yield(now time.Duration) bool {
-	next := r.without(now, r.self.ID)
+// yieldHead gives the head's place to a member whose disk works, where this replica, whose disk stalls, can't be spared.
+func (r *Replica) yieldHead(now time.Duration) bool {
+	next := r.chainWithout(now, r.self.ID)
 	if len(next) == 0 {
 		return false
 	}
@@ -82,21 +82,21 @@
 	return r.proposeChain(now, next, "", r.leaveCause(now, true))
 }
 
-// governChain drops members that are lost, or want to leave and can be spared.
-func (r *Replica) governChain(now time.Duration) bool {
-	culprit := r.culprit(now)
-	next := r.remaining(now, culprit, 0)
+// reconcileChain drops members that are lost, or want to leave and can be spared.
+func (r *Replica) reconcileChain(now time.Duration) bool {
+	culprit := r.stalledMember(now)
+	next := r.remainingChain(now, culprit, 0)
 	if len(next) == len(r.view.Chain) {
 		return false
 	}
 	return r.proposeChain(now, next, culprit, r.dropCause(now, culprit, next))
 }
 
-// remaining is what stays of the chain if so many newcomers, who have everything, are added. It has no more lost members where f+1
+// remainingChain is what stays of the chain if so many newcomers, who have everything, are added. It has no more lost members where f+1
 // others are left; till then they stay: nothing commits either way, and one that comes back with its disk has everything and may lead.
 // Of those that want to leave as many go as can be spared.
-func (r *Replica) remaining(now time.Duration, culprit view.ReplicaID, newcomers int) []view.Member {
-	found := view.Without(r.view.Chain, func(id view.ReplicaID) bool { return r.lost(now, id, culprit) })
+func (r *Replica) remainingChain(now time.Duration, culprit view.ReplicaID, newcomers int) []view.Member {
+	found := view.Without(r.view.Chain, func(id view.ReplicaID) bool { return r.isLost(now, id, culprit) })
 	if len(found)+newcomers <= r.cfg.Tolerance {
 		return slices.Clone(r.view.Chain)
 	}
@@ -110,46 +110,46 @@
 	})
 }
 
-// short tells whether too few members are in touch to commit anything.
-func (r *Replica) short(now time.Duration) bool {
-	culprit := r.culprit(now)
-	found := view.Without(r.view.Chain, func(id view.ReplicaID) bool { return r.lost(now, id, culprit) })
+// tooFewToCommit tells whether too few members are in touch to commit anything.
+func (r *Replica) tooFewToCommit(now time.Duration) bool {
+	culprit := r.stalledMember(now)
+	found := view.Without(r.view.Chain, func(id view.ReplicaID) bool { return r.isLost(now, id, culprit) })
 	return len(found) <= r.cfg.Tolerance
 }
 
-// lost tells whether a member can't do its part.
-func (r *Replica) lost(now time.Duration, id, culprit view.ReplicaID) bool {
+// isLost tells whether a member can't do its part.
+func (r *Replica) isLost(now time.Duration, id, culprit view.ReplicaID) bool {
 	if id == r.self.ID {
 		return false
 	}
 	p := r.peer(id, now)
-	return id == culprit || p.gone || p.broken || p.silent || r.since(now, p.heard) > r.cfg.DropAfter+r.silencePatience(now, id)
+	return id == culprit || p.gone || p.diskFailed || p.silent || r.elapsedSince(now, p.heard) > r.cfg.DropAfter+r.silenceAllowance(now, id)
 }
 
 // proposeChain proposes the view with another chain. Voters that go and aren't needed lose their seats with it.
 func (r *Replica) proposeChain(now time.Duration, members []view.Member, culprit view.ReplicaID, cause Cause) bool {
 	next := r.view.Next()
 	next.Chain = members
-	r.passSeats(now, &next)
+	r.reassignSeats(now, &next)
 	r.dropSeats(now, &next)
 	return r.proposeView(now, next, culprit, cause)
 }
 
 // proposeView proposes a view whose chain may lack the culprit.
 func (r *Replica) proposeView(now time.Duration, next view.View, culprit view.ReplicaID, cause Cause) bool {
-	if len(next.Chain) == 0 || !r.readsOver(now, next) {
+	if len(next.Chain) == 0 || !r.readsExpired(now, next) {
 		return false
 	}
 	if culprit != "" && !next.InChain(culprit) {
-		r.punish(now, culprit)
+		r.penalise(now, culprit)
 	}
-	r.propose(now, next, cause)
+	r.startProposal(now, next, cause)
 	return true
 }
 
-// readsOver tells whether none of those that the next view drops can answer reads any more: a member's permission has
+// readsExpired tells whether none of those that the next view drops can answer reads any more: a member's permission has
 // to run out, as neither its word nor another's says for sure that it has stopped.
-func (r *Replica) readsOver(now time.Duration, next view.View) bool {
+func (r *Replica) readsExpired(now time.Duration, next view.View) bool {
 	for _, member := range r.view.Chain {
 		if member.ID != r.self.ID && !next.InChain(member.ID) && !r.replaced(member.ID) && now < r.readsUntil(member.ID) {
 			return false
@@ -161,35 +161,35 @@
 // readsUntil is when a member's permission to read has run out, by the clock here. An earlier head may have given one, or
 // this one in an earlier epoch or life, till the view was learnt. Only the tail can have one once all members know the view.
 func (r *Replica) readsUntil(id view.ReplicaID) time.Duration {
-	earlier := r.learned + r.cfg.Grant/readPart
+	earlier := r.viewLearnedAt + r.cfg.Grant/readGrantDivisor
 	switch {
 	case id == r.view.Tail().ID:
 		return max(earlier, r.head.readsUntil)
-	case r.allKnowTheView():
+	case r.allKnowView():
 		return 0
 	}
 	return earlier
 }
 
-// allKnowTheView tells whether all members of the chain surely know the view: an entry that was made in its epoch is committed, so that each
+// allKnowView tells whether all members of the chain surely know the view: an entry that was made in its epoch is committed, so that each
 // has acknowledged it as a member. Whoever learns a view gives up the permission that it had before.
-func (r *Replica) allKnowTheView() bool {
+func (r *Replica) allKnowView() bool {
 	epoch, ok := r.chain.Log().EpochAt(r.Committed())
 	return ok && epoch == r.view.Epoch
 }
 
-// punish keeps a member out that was dropped for its disk: it answered heartbeats and didn't acknowledge.
-func (r *Replica) punish(now time.Duration, id view.ReplicaID) {
-	length := penaltyFirst
-	if before, ok := r.head.penalties[id]; ok && now-before.last < penaltyForgiven {
-		length = min(2*(before.until-before.last), penaltyMost)
+// penalise keeps a member out that was dropped for its disk: it answered heartbeats and didn't acknowledge.
+func (r *Replica) penalise(now time.Duration, id view.ReplicaID) {
+	length := minPenalty
+	if before, ok := r.head.penalties[id]; ok && now-before.last < penaltyMemory {
+		length = min(2*(before.until-before.last), maxPenalty)
 	}
 	r.head.penalties[id] = penalty{until: now + length, last: now}
 }
 
-// governAdmission takes a learner in that has everything, and holds writes back for one that nearly has.
-func (r *Replica) governAdmission(now time.Duration) bool {
-	if !r.mayAdmit(now) || r.awaitsBlame(now) {
+// reconcileAdmission takes a learner in that has everything, and holds writes back for one that nearly has.
+func (r *Replica) reconcileAdmission(now time.Duration) bool {
+	if !r.mayAdmit(now) || r.stallUndecided(now) {
 		r.head.admitting = ""
 		return false
 	}
@@ -202,54 +202,54 @@
 	l := r.head.learners[r.head.admitting]
 	acked, _, ok := r.chain.Learner(r.head.admitting)
 	switch {
-	case l == nil || !ok || now-r.head.heldSince > holdAtMost:
+	case l == nil || !ok || now-r.head.holdSince > admissionHoldTimeout:
 		if l != nil {
 			l.failedAt = now
 		}
 		r.head.admitting = ""
-		r.head.heldAgain = now + holdAgainAfter
+		r.head.holdRetryAt = now + admissionRetryDelay
 		return false
 	case acked < r.LastIndex():
 		return true
 	}
-	culprit := r.culprit(now)
+	culprit := r.stalledMember(now)
 	cause := Cause{Kind: CauseLearner, Member: l.member.ID, Index: acked}
-	return r.proposeView(now, r.viewWith(now, l.member, culprit), culprit, cause)
+	return r.proposeView(now, r.viewWithLearner(now, l.member, culprit), culprit, cause)
 }
 
 // mayAdmit tells whether learners may be taken in and votes given away. Where enough members are in touch to commit, a new head acts first, and goes on for
-// admitAfter without holding writes back for a newcomer: what had waited for a head comes then, and after a loss of power of all machines
+// admissionDelay without holding writes back for a newcomer: what had waited for a head comes then, and after a loss of power of all machines
 // newcomers are many and still slow.
 func (r *Replica) mayAdmit(now time.Duration) bool {
-	return r.head.announced && now >= r.head.actsSince+admitAfter || r.short(now)
+	return r.head.announced && now >= r.head.headSince+admissionDelay || r.tooFewToCommit(now)
 }
 
-// awaitsBlame tells whether a member holds an entry up for which it can't be blamed yet: another view would only begin its time anew. Where
+// stallUndecided tells whether a member holds an entry up for which it can't be blamed yet: another view would only begin its time anew. Where
 // too few members are in touch to commit anything, newcomers are what is waited for.
-func (r *Replica) awaitsBlame(now time.Duration) bool {
-	stuck := r.Committed() < r.head.stuckIndex && now-r.head.stuckSince > stuckNoReads
-	return stuck && r.culprit(now) == "" && !r.short(now)
+func (r *Replica) stallUndecided(now time.Duration) bool {
+	stuck := r.Committed() < r.head.watchedIndex && now-r.head.watchedSince > stuckThreshold
+	return stuck && r.stalledMember(now) == "" && !r.tooFewToCommit(now)
 }
 
 func (r *Replica) chooseLearner(now time.Duration) {
-	if now < r.head.heldAgain {
+	if now < r.head.holdRetryAt {
 		return
 	}
 	best := view.ReplicaID("")
 	for id := range r.head.learners {
-		if r.admissible(now, id) && (best == "" || r.before(id, best)) {
+		if r.admissible(now, id) && (best == "" || r.triedBefore(id, best)) {
 			best = id
 		}
 	}
 	if best != "" {
-		r.head.admitting, r.head.heldSince = best, now
+		r.head.admitting, r.head.holdSince = best, now
 	}
 }
 
 // watchLearners follows the learners, and forgets those that don't ask any more.
 func (r *Replica) watchLearners(now time.Duration) {
 	for id, l := range r.head.learners {
-		if now-l.heardAt > 2*joinEvery+r.cfg.Grant || r.view.InChain(id) {
+		if now-l.heardAt > 2*joinInterval+r.cfg.Grant || r.view.InChain(id) {
 			delete(r.head.learners, id)
 			continue
 		}
@@ -258,22 +258,22 @@
 	}
 }
 
-// before tells which of two learners is tried first: the one for which writes were held back in vain longer ago.
-func (r *Replica) before(a, b view.ReplicaID) bool {
+// triedBefore tells which of two learners is tried first: the one for which writes were held back in vain longer ago.
+func (r *Replica) triedBefore(a, b view.ReplicaID) bool {
 	return cmp.Or(cmp.Compare(r.head.learners[a].failedAt, r.head.learners[b].failedAt), cmp.Compare(a, b)) < 0
 }
 
 // admissible tells whether it is worth holding writes back for a learner.
 func (r *Replica) admissible(now time.Duration, id view.ReplicaID) bool {
 	acked, heard, ok := r.chain.Learner(id)
-	if !ok || now-heard > learnerHeardSince && acked < r.LastIndex() || acked+holdWithin < r.LastIndex() {
+	if !ok || now-heard > learnerTimeout && acked < r.LastIndex() || acked+admissionMaxLag < r.LastIndex() {
 		return false
 	}
-	if now-r.head.learners[id].heardAt > learnerHeardSince {
+	if now-r.head.learners[id].heardAt > learnerTimeout {
 		return false
 	}
 	l := r.head.learners[id]
-	if l.failedAt != 0 && now-max(l.promptSince, l.failedAt) < promptAgain {
+	if l.failedAt != 0 && now-max(l.promptSince, l.failedAt) < promptTimeBeforeRetry {
 		return false
 	}
 	return !r.penalised(now, id)
@@ -283,18 +283,18 @@
 // which grows with the length of its penalty. A machine that is well counts again after a time, and the next loss may come then.
 func (r *Replica) penalised(now time.Duration, id view.ReplicaID) bool {
 	p := r.head.penalties[id]
-	if now >= p.until || r.short(now) {
+	if now >= p.until || r.tooFewToCommit(now) {
 		return false
 	}
-	proof := min((p.until-p.last)/2, penaltyProof)
-	return now-p.last < penaltyFirst || now-r.head.learners[id].promptSince < proof
+	proof := min((p.until-p.last)/2, maxProbation)
+	return now-p.last < minPenalty || now-r.head.learners[id].promptSince < proof
 }
 
-// viewWith is the next view with a new member at the chain's end, and without those that can be spared then. Whoever loses its vote to the
+// viewWithLearner is the next view with a new member at the chain's end, and without those that can be spared then. Whoever loses its vote to the
 // new member loses its place to it as well: that is a lost disk, which never comes back, or the new member itself at an earlier address.
-func (r *Replica) viewWith(now time.Duration, member view.Member, culprit view.ReplicaID) view.View {
+func (r *Replica) viewWithLearner(now time.Duration, member view.Member, culprit view.ReplicaID) view.View {
 	next := r.view.Next()
-	chain := r.remaining(now, culprit, 1)
+	chain := r.remainingChain(now, culprit, 1)
 	if seat := r.seatFor(now, next, member); seat >= 0 {
 		before := next.Voters[seat].ID
 		chain = view.Without(chain, func(id view.ReplicaID) bool { return id == before })
--- a/coord/replica/inspect.go
+++ b/coord/replica/inspect.go
@@ -124,7 +124,7 @@
 		return found, err
 	}
 	if record.Kind == KindSnapshotPart {
-		part, err := decodePart(record.Data)
+		part, err := decodeSnapshotPart(record.Data)
 		found.Snapshot = &chain.Snapshot{Index: part.index, Epoch: part.epoch, Data: part.data}
 		return found, err
 	}
--- a/coord/replica/join.go
+++ b/coord/replica/join.go
@@ -20,22 +20,22 @@
 }
 
 func (r *Replica) askToJoin(now time.Duration) {
-	r.joinAt = now + joinEvery
+	r.joinAt = now + joinInterval
 	if !r.view.Known() {
-		r.joinAt = now + joinFirstEvery
+		r.joinAt = now + joinIntervalNoView
 	}
-	r.numbers++
+	r.requestSequence++
 	asked := map[string]bool{r.self.Address: true}
 	for _, voter := range r.view.Voters {
 		if !asked[voter.Address] {
 			asked[voter.Address] = true
-			r.send(view.Member{Address: voter.Address}, &Message{Join: &view.Join{Sequence: r.numbers}})
+			r.send(view.Member{Address: voter.Address}, &Message{Join: &view.Join{Sequence: r.requestSequence}})
 		}
 	}
 	for _, address := range r.contacts {
 		if !asked[address] {
 			asked[address] = true
-			r.send(view.Member{Address: address}, &Message{Join: &view.Join{Sequence: r.numbers}})
+			r.send(view.Member{Address: address}, &Message{Join: &view.Join{Sequence: r.requestSequence}})
 		}
 	}
 }
@@ -44,9 +44,9 @@
 	if at := r.position(); at <= 0 {
 		return
 	}
-	r.joinAt = now + leaveNoticeEvery
-	r.numbers++
-	r.send(r.view.Head(), &Message{Leave: &view.LeaveNotice{Sequence: r.numbers, Broken: r.broken}})
+	r.joinAt = now + leaveInterval
+	r.requestSequence++
+	r.send(r.view.Head(), &Message{Leave: &view.LeaveNotice{Sequence: r.requestSequence, Broken: r.diskFailed}})
 }
 
 // leave begins to get out of the chain.
@@ -66,22 +66,22 @@
 // onLeave notes a member that wants to leave.
 func (r *Replica) onLeave(now time.Duration, id view.ReplicaID, m *view.LeaveNotice) {
 	p := r.peer(id, now)
-	p.leaving, p.broken = true, m.Broken
-	r.head.governAt = now
+	p.leaving, p.diskFailed = true, m.Broken
+	r.head.reconcileAt = now
 }
 
 // onJoin notes a replica that wants to become a member, and tells it the newest view.
 func (r *Replica) onJoin(now time.Duration, m *Message) {
 	if !r.view.Known() || !m.Viewless && m.Epoch > r.view.Epoch {
-		r.current(now, m)
+		r.checkEpoch(now, m)
 		return
 	}
 	if m.Viewless || m.Epoch < r.view.Epoch {
-		r.news(now, m.From)
+		r.sendView(now, m.From)
 	}
 	r.noteGone(now, m.From)
 	p := r.peer(m.From.ID, now)
-	p.leaving, p.broken = false, false
+	p.leaving, p.diskFailed = false, false
 	if m.Viewless || m.Epoch != r.view.Epoch {
 		return
 	}
@@ -91,11 +91,11 @@
 	}
 	l := r.head.learners[m.From.ID]
 	if l == nil {
-		l = &learner{watchedAt: now, promptSince: now}
+		l = &learner{watchedSince: now, promptSince: now}
 		r.head.learners[m.From.ID] = l
 	}
 	l.member, l.heardAt = m.From, now
-	r.head.governAt = now
+	r.head.reconcileAt = now
 	r.chain.Invite(now, m.From)
 }
 
@@ -111,7 +111,7 @@
 		known := r.replaced(member.ID)
 		r.peer(member.ID, now).replacedIn = r.view.Epoch + 1
 		if at := r.position(); i == 0 && at > 0 && !known {
-			r.electAt = min(r.electAt, now+time.Duration(at-1)*electionStagger+r.jitter(electionJitter))
+			r.electionAt = min(r.electionAt, now+time.Duration(at-1)*electionStagger+r.jitter(electionJitter))
 		}
 	}
 }
--- a/coord/replica/leader_test.go
+++ b/coord/replica/leader_test.go
@@ -87,8 +87,8 @@
 	prepares := collect(sent, func(m *Message) *view.Prepare { return m.Prepare })
 	require.NotEmpty(t, prepares)
 	assert.Positive(t, prepares[0].Ballot.Round)
-	s.ackOf("b", s.core.numbering+1)
-	s.ackOf("c", s.core.numbering+1)
+	s.ackOf("b", s.core.heartbeatBase+1)
+	s.ackOf("c", s.core.heartbeatBase+1)
 	assert.False(t, s.isHead())
 }
 
@@ -179,7 +179,7 @@
 	require.True(t, s.isHead(), "it is the only voter")
 	s.step(Tick{})
 	assert.Empty(t, s.applied, "one disk of two")
-	assert.ErrorIs(t, s.core.CanPropose(s.now), ErrShort)
+	assert.ErrorIs(t, s.core.CanPropose(s.now), ErrChainTooShort)
 }
 
 func TestHeadIsAnnouncedWithAllThatItInherited(t *testing.T) {
@@ -214,13 +214,13 @@
 	lease := s.now + standLease
 	s.ack("c")
 	s.after(DefaultHeartbeatEvery)
-	require.Equal(t, DefaultGrant/readPart, s.lastBeat("c").ReadFor, "no longer than this even so")
+	require.Equal(t, DefaultGrant/readGrantDivisor, s.lastBeat("c").ReadFor, "no longer than this even so")
 	s.after(DefaultHeartbeatEvery)
 	s.after(DefaultHeartbeatEvery)
 	beat := s.lastBeat("c")
 	require.NotZero(t, beat.Echo)
 	require.Equal(t, lease-s.now, beat.ReadFor)
-	require.Less(t, beat.ReadFor, DefaultGrant/readPart)
+	require.Less(t, beat.ReadFor, DefaultGrant/readGrantDivisor)
 	s.now = lease
 	s.step(Tick{})
 	s.after(DefaultHeartbeatEvery)
@@ -273,7 +273,7 @@
 	s.ack("c")
 	s.after(DefaultHeartbeatEvery)
 	until := heard + s.lastBeat("c").ReadFor
-	require.Equal(t, heard+DefaultGrant/readPart, until)
+	require.Equal(t, heard+DefaultGrant/readGrantDivisor, until)
 	for s.now < until-DefaultHeartbeatEvery/5 {
 		s.ack("b")
 		s.after(DefaultHeartbeatEvery / 5)
@@ -281,7 +281,7 @@
 	}
 	s.now = until
 	s.ack("b")
-	s.after(governEvery)
+	s.after(reconcileInterval)
 	accepts := s.accepts()
 	require.NotEmpty(t, accepts, "its silence doesn't prolong it")
 	assert.False(t, accepts[0].Value.InChain("c"))
@@ -291,14 +291,14 @@
 func TestEarlierTailIsDroppedAfterItsPermission(t *testing.T) {
 	s := settled(t, impatient("a"), chain.Log{}, "a", "b", "c")
 	learnt := s.now
-	for s.now < learnt+DefaultGrant/readPart-governEvery {
+	for s.now < learnt+DefaultGrant/readGrantDivisor-reconcileInterval {
 		s.ack("c")
-		s.after(governEvery)
+		s.after(reconcileInterval)
 		require.Empty(t, collect(s.sent, func(m *Message) *view.Accept { return m.Accept }), "b may have been the tail")
 	}
-	s.now = learnt + DefaultGrant/readPart
+	s.now = learnt + DefaultGrant/readGrantDivisor
 	s.ack("c")
-	s.after(governEvery)
+	s.after(reconcileInterval)
 	assert.NotEmpty(t, s.accepts())
 }
 
@@ -321,7 +321,7 @@
 		s.after(DefaultHeartbeatEvery)
 		require.NotZero(t, s.lastBeat("c").ReadFor)
 		tell(s)
-		s.after(governEvery)
+		s.after(reconcileInterval)
 		require.Empty(t, s.accepts(), name)
 		for range 4 {
 			s.after(DefaultHeartbeatEvery)
@@ -344,7 +344,7 @@
 	say(&Message{Chain: &chain.Body{Hello: &chain.Hello{Session: 9, Runs: empty.Runs()}}})
 	s.step(Tick{})
 	for range 10 {
-		s.after(governEvery)
+		s.after(reconcileInterval)
 		s.ack("b")
 		say(&Message{Join: &view.Join{Sequence: 2}})
 	}
@@ -387,7 +387,7 @@
 		s.after(10 * time.Millisecond)
 		s.ackOf("b", s.lastBeat("b").Sequence)
 	}
-	s.core.head.governAt = s.now // it looks while it still has the lease
+	s.core.head.reconcileAt = s.now // it looks while it still has the lease
 	s.after(10 * time.Millisecond)
 	require.True(t, s.isHead())
 	assert.Empty(t, s.accepts())
@@ -402,7 +402,7 @@
 		s.ack("c")
 		s.after(DefaultHeartbeatEvery)
 	}
-	require.Less(t, s.core.learned+DefaultDropAfter, s.now)
+	require.Less(t, s.core.viewLearnedAt+DefaultDropAfter, s.now)
 	s.drain()
 	for range 20 {
 		s.after(DefaultHeartbeatEvery)
@@ -444,7 +444,7 @@
 		require.Less(t, s.now, began+2*DefaultDropAfter, "nobody is dropped")
 		stalled := &view.HeartbeatAck{Sequence: s.lastBeat("b").Sequence, Granted: true, Received: 1}
 		s.receive("b", &Message{HeartbeatAck: stalled})
-		if beat%(inTouch+2) == 0 {
+		if beat%(quietHeartbeats+2) == 0 {
 			s.ackOf("c", s.lastBeat("c").Sequence)
 		}
 		s.after(DefaultHeartbeatEvery)
@@ -458,7 +458,7 @@
 func TestAStalledDiskIsExcusedByItsOwnSilenceForAsLongAsThatLasted(t *testing.T) {
 	s := leaderWithEntry(t)
 	began := s.now
-	const quietBeats = inTouch + 2
+	const quietBeats = quietHeartbeats + 2
 	for beat := 0; len(collect(s.sent, func(m *Message) *view.Accept { return m.Accept })) == 0; beat++ {
 		require.Less(t, s.now, began+quietBeats*DefaultDropAfter, "nobody is dropped")
 		if beat%quietBeats < 2 {
--- a/coord/replica/pauses_test.go
+++ b/coord/replica/pauses_test.go
@@ -180,28 +180,28 @@
 	w := quick(t, 1)
 	r := w.head().process
 	now := w.head().clock()
-	require.Empty(t, r.upsets)
-	fall := func(ids ...view.ReplicaID) upset { return upset{at: now, fell: ids} }
-	assert.Equal(t, quickStall, r.stallPatience(now, "x"))
-	r.upsets = []upset{fall("a")}
-	assert.Equal(t, quickStall, r.stallPatience(now, "x"), "the first is met at once")
-	r.upsets = []upset{fall("a", "b")}
-	assert.Equal(t, quickStall, r.stallPatience(now, "x"), "and so are several at once")
-	r.upsets = append(r.upsets, fall("b"))
-	assert.Equal(t, 2*quickStall, r.stallPatience(now, "x"))
-	r.upsets = append(r.upsets, fall("a"))
-	assert.Equal(t, 4*quickStall, r.stallPatience(now, "x"))
-	assert.Zero(t, r.silencePatience(now, "x"))
+	require.Empty(t, r.chainLosses)
+	fall := func(ids ...view.ReplicaID) chainLoss { return chainLoss{at: now, lost: ids} }
+	assert.Equal(t, quickStall, r.diskTimeout(now, "x"))
+	r.chainLosses = []chainLoss{fall("a")}
+	assert.Equal(t, quickStall, r.diskTimeout(now, "x"), "the first is met at once")
+	r.chainLosses = []chainLoss{fall("a", "b")}
+	assert.Equal(t, quickStall, r.diskTimeout(now, "x"), "and so are several at once")
+	r.chainLosses = append(r.chainLosses, fall("b"))
+	assert.Equal(t, 2*quickStall, r.diskTimeout(now, "x"))
+	r.chainLosses = append(r.chainLosses, fall("a"))
+	assert.Equal(t, 4*quickStall, r.diskTimeout(now, "x"))
+	assert.Zero(t, r.silenceAllowance(now, "x"))
 	for range 20 {
-		r.upsets = append(r.upsets, fall("a"))
+		r.chainLosses = append(r.chainLosses, fall("a"))
 	}
-	assert.Equal(t, 4*quickStall, r.stallPatience(now, "x"), "more would keep a stalled disk for too long")
-	assert.Equal(t, quickGrant, r.silencePatience(now, "x"))
-	assert.Equal(t, quickStall, r.stallPatience(now+upsetFor, "x"))
-	assert.Zero(t, r.silencePatience(now+upsetFor, "x"))
-	r.upsets = []upset{fall("x"), fall("x"), fall("x"), fall("x"), fall("x"), fall("x")}
-	assert.Equal(t, quickStall, r.stallPatience(now, "x"), "one member's own trouble is met at once each time")
-	assert.Zero(t, r.silencePatience(now, "x"))
+	assert.Equal(t, 4*quickStall, r.diskTimeout(now, "x"), "more would keep a stalled disk for too long")
+	assert.Equal(t, quickGrant, r.silenceAllowance(now, "x"))
+	assert.Equal(t, quickStall, r.diskTimeout(now+chainLossWindow, "x"))
+	assert.Zero(t, r.silenceAllowance(now+chainLossWindow, "x"))
+	r.chainLosses = []chainLoss{fall("x"), fall("x"), fall("x"), fall("x"), fall("x"), fall("x")}
+	assert.Equal(t, quickStall, r.diskTimeout(now, "x"), "one member's own trouble is met at once each time")
+	assert.Zero(t, r.silenceAllowance(now, "x"))
 }
 
 // What a dead member had on its disk can't get on: the next one waits for it, and isn't to blame.
@@ -240,7 +240,7 @@
 	w.run(w.now + 3*quickHeartbeat)
 	require.False(t, m.process.entered)
 	known := head.process.peers[m.process.Self().ID]
-	assert.Less(t, head.process.since(head.clock(), known.heard), 2*quickHeartbeat)
+	assert.Less(t, head.process.elapsedSince(head.clock(), known.heard), 2*quickHeartbeat)
 	assert.Zero(t, known.synced)
 	assert.Zero(t, known.received)
 	assert.NoError(t, w.failure)
--- a/coord/replica/persist.go
+++ b/coord/replica/persist.go
@@ -43,7 +43,7 @@
 	// Committed is the last index known to be committed: all up to it may be applied before anybody is asked.
 	Committed uint64
 	Unfit     string // why the disk must not be used again, see Blank; empty: it may
-	parts     *snapshotPart
+	partial   *snapshotPart
 }
 
 // snapshotPart is a record of a snapshot that is too long for one: the parts follow each other, and count once the last is there.
@@ -66,7 +66,7 @@
 
 func (p *Persisted) apply(record Record) (err error) {
 	if record.Kind != KindSnapshotPart {
-		p.parts = nil // the rest of a snapshot was never written
+		p.partial = nil // the rest of a snapshot was never written
 	}
 	switch record.Kind {
 	case KindEntry:
@@ -78,7 +78,7 @@
 	case KindSnapshot:
 		return p.applySnapshot(record.Data)
 	case KindSnapshotPart:
-		return p.applyPart(record.Data)
+		return p.applySnapshotPart(record.Data)
 	case KindView:
 		p.View, err = view.DecodeView(record.Data)
 	case KindAcceptor:
@@ -157,16 +157,16 @@
 	p.Log.Reset(snapshot.Index, snapshot.Epoch)
 }
 
-// applyPart takes the next part of a snapshot. The log before it counts until the last part is there.
-func (p *Persisted) applyPart(data []byte) error {
-	part, err := decodePart(data)
+// applySnapshotPart takes the next part of a snapshot. The log before it counts until the last part is there.
+func (p *Persisted) applySnapshotPart(data []byte) error {
+	part, err := decodeSnapshotPart(data)
 	if err != nil {
 		return err
 	}
 	if part.offset == 0 {
-		p.parts = &snapshotPart{index: part.index, epoch: part.epoch, total: part.total}
+		p.partial = &snapshotPart{index: part.index, epoch: part.epoch, total: part.total}
 	}
-	whole := p.parts
+	whole := p.partial
 	if whole == nil || whole.index != part.index || whole.epoch != part.epoch || whole.total != part.total ||
 		uint64(len(whole.data)) != part.offset {
 		return fmt.Errorf("part at %d of the snapshot at %d follows nothing: %w", part.offset, part.index, view.ErrCorrupt)
@@ -174,7 +174,7 @@
 	whole.data = append(whole.data, part.data...)
 	if uint64(len(whole.data)) == whole.total {
 		p.install(chain.Snapshot{Index: whole.index, Epoch: whole.epoch, Data: whole.data})
-		p.parts = nil
+		p.partial = nil
 	}
 	return nil
 }
@@ -206,7 +206,7 @@
 // encodeSnapshot gives one record, or the parts of a long snapshot.
 func encodeSnapshot(s chain.Snapshot) []Record {
 	if len(s.Data) <= snapshotPartBytes {
-		return []Record{encodeWhole(s)}
+		return []Record{encodeWholeSnapshot(s)}
 	}
 	var records []Record
 	for from := 0; from < len(s.Data); from += snapshotPartBytes {
@@ -220,7 +220,7 @@
 	return records
 }
 
-func decodePart(data []byte) (part snapshotPart, err error) {
+func decodeSnapshotPart(data []byte) (part snapshotPart, err error) {
 	for _, number := range []*uint64{&part.index, &part.epoch, &part.total, &part.offset} {
 		if *number, data, err = uvarint(data); err != nil {
 			return snapshotPart{}, err
@@ -230,7 +230,7 @@
 	return part, nil
 }
 
-func encodeWhole(s chain.Snapshot) Record {
+func encodeWholeSnapshot(s chain.Snapshot) Record {
 	data := make([]byte, 0, len(s.Data)+2*binary.MaxVarintLen64)
 	data = binary.AppendUvarint(data, s.Index)
 	data = binary.AppendUvarint(data, s.Epoch)
--- a/coord/replica/persist_test.go
+++ b/coord/replica/persist_test.go
@@ -57,8 +57,8 @@
 
 func TestRestoreTakesNoGap(t *testing.T) {
 	for _, broken := range [][]Record{
-		{entryOf(2, 1)}, {entryOf(1, 1), entryOf(3, 1)}, {encodeWhole(chain.Snapshot{Index: 5, Epoch: 1}), entryOf(5, 1)},
-		{encodeWhole(chain.Snapshot{Index: 5, Epoch: 1}), entryOf(7, 1)},
+		{entryOf(2, 1)}, {entryOf(1, 1), entryOf(3, 1)}, {encodeWholeSnapshot(chain.Snapshot{Index: 5, Epoch: 1}), entryOf(5, 1)},
+		{encodeWholeSnapshot(chain.Snapshot{Index: 5, Epoch: 1}), entryOf(7, 1)},
 	} {
 		_, err := Restore(broken)
 		assert.ErrorIs(t, err, view.ErrCorrupt)
@@ -77,7 +77,7 @@
 }
 
 func TestASnapshotTakesThePlaceOfTheLogBefore(t *testing.T) {
-	p := restored(t, entryOf(1, 1), entryOf(2, 1), encodeWhole(chain.Snapshot{Index: 1, Epoch: 1, Data: []byte("s")}))
+	p := restored(t, entryOf(1, 1), entryOf(2, 1), encodeWholeSnapshot(chain.Snapshot{Index: 1, Epoch: 1, Data: []byte("s")}))
 	assert.Equal(t, uint64(1), p.Log.Last(), "what the log held after it isn't known to be the same")
 	assert.Equal(t, uint64(1), p.Log.Base())
 }
@@ -137,7 +137,7 @@
 	r := committedReplica(t)
 	other := view.Member{ID: "b", Address: "b"}
 	r.store(encodeTruncate(9))
-	r.sendStored(other, &Message{Promise: &view.Promise{}})
+	r.sendAfterSync(other, &Message{Promise: &view.Promise{}})
 	out := r.finish(0)
 	assert.Empty(t, promises(out))
 	r.store(encodeTruncate(9))
@@ -153,7 +153,7 @@
 	r.Step(0, Synced{Token: 1000})
 	r.Step(0, DiskFailed{})
 	r.store(encodeTruncate(9))
-	r.sendStored(view.Member{ID: "b", Address: "b"}, &Message{Promise: &view.Promise{}})
+	r.sendAfterSync(view.Member{ID: "b", Address: "b"}, &Message{Promise: &view.Promise{}})
 	out := r.finish(0)
 	assert.Empty(t, out.Persist)
 	assert.Empty(t, promises(out))
--- a/coord/replica/receive.go
+++ b/coord/replica/receive.go
@@ -16,8 +16,8 @@
 
 // The part of ReadFor that a tail uses, so that clocks may drift apart by a tenth.
 const (
-	readMargin  = 90
-	readMargins = 100
+	readForPercent = 90
+	hundredPercent = 100
 )
 
 func (r *Replica) receive(now time.Duration, m *Message) {
@@ -25,31 +25,31 @@
 		return
 	}
 	if m.View != nil {
-		r.learn(now, *m.View, m.From.ID)
+		r.adoptView(now, *m.View, m.From.ID)
 	}
 	if m.From.ID != r.self.ID {
-		r.hear(now, m)
+		r.noteKnownEpoch(now, m)
 	}
 	if m.Join != nil {
 		r.onJoin(now, m)
 		return
 	}
-	if !r.current(now, m) {
+	if !r.checkEpoch(now, m) {
 		return
 	}
 	r.dispatch(now, m)
 }
 
-// hear notes what view a replica knows.
-func (r *Replica) hear(now time.Duration, m *Message) {
+// noteKnownEpoch notes what view a replica knows.
+func (r *Replica) noteKnownEpoch(now time.Duration, m *Message) {
 	p := r.peer(m.From.ID, now)
-	if !m.Viewless && (!p.knows || m.Epoch > p.epoch) {
-		p.epoch, p.knows = m.Epoch, true
+	if !m.Viewless && (!p.epochKnown || m.Epoch > p.epoch) {
+		p.epoch, p.epochKnown = m.Epoch, true
 	}
 }
 
-// current tells whether a message is of the present epoch; where it isn't, whoever is behind is helped.
-func (r *Replica) current(now time.Duration, m *Message) bool {
+// checkEpoch tells whether a message is of the present epoch; where it isn't, whoever is behind is helped.
+func (r *Replica) checkEpoch(now time.Duration, m *Message) bool {
 	switch {
 	case !r.view.Known():
 		if !m.Viewless {
@@ -59,7 +59,7 @@
 	case m.Request != nil:
 		return true
 	case m.Viewless || m.Epoch < r.view.Epoch:
-		r.news(now, m.From)
+		r.sendView(now, m.From)
 		return false
 	case m.Epoch > r.view.Epoch:
 		r.send(m.From, &Message{Request: &view.Request{Sequence: 1}})
@@ -68,12 +68,12 @@
 	return true
 }
 
-// news tells the newest view, not too often.
-func (r *Replica) news(now time.Duration, to view.Member) {
-	if at, ok := r.newsSent[to.Address]; ok && now-at < newsAtMostEvery {
+// sendView tells the newest view, not too often.
+func (r *Replica) sendView(now time.Duration, to view.Member) {
+	if at, ok := r.viewSentAt[to.Address]; ok && now-at < viewSendInterval {
 		return
 	}
-	r.newsSent[to.Address] = now
+	r.viewSentAt[to.Address] = now
 	r.send(to, &Message{View: r.viewCopy()})
 }
 
@@ -96,7 +96,7 @@
 	case m.Leave != nil:
 		r.onLeave(now, m.From.ID, m.Leave)
 	case m.Request != nil:
-		r.news(now, m.From)
+		r.sendView(now, m.From)
 	case m.Differs != nil:
 		r.onDiffers(m.From, *m.Differs)
 	}
@@ -108,8 +108,8 @@
 		r.chain.Receive(now, m.From, m.Chain)
 		return
 	}
-	if len(r.early) < earlyKept {
-		r.early = append(r.early, m)
+	if len(r.earlyMessages) < maxEarlyMessages {
+		r.earlyMessages = append(r.earlyMessages, m)
 	}
 }
 
@@ -117,32 +117,32 @@
 	if m.From.ID != r.view.Head().ID || m.From.ID == r.self.ID {
 		return
 	}
-	r.expectHead(now)
+	r.resetElectionTimer(now)
 	if r.proposer.Phase == view.Preparing {
 		r.proposer.Phase = view.Idle
 	}
-	ack := &view.HeartbeatAck{Sequence: m.Heartbeat.Sequence, Broken: r.broken, Digests: r.audit.own}
+	ack := &view.HeartbeatAck{Sequence: m.Heartbeat.Sequence, Broken: r.diskFailed, Digests: r.audit.own}
 	if r.position() < 0 || r.chain.InStep() { // else the log may hold what an earlier epoch never committed
 		ack.Received, ack.Synced, ack.Acked = r.LastIndex(), r.chain.Synced(), r.chain.Acked()
 	}
 	if r.view.IsVoter(r.self.ID) && !r.acceptor.PromisedAway(m.From.ID) {
-		r.grant = max(r.grant, now+r.cfg.Grant)
+		r.grantUntil = max(r.grantUntil, now+r.cfg.Grant)
 		ack.Granted = true
 	}
-	r.permitted(now, m.Heartbeat)
+	r.acceptReadPermission(now, m.Heartbeat)
 	r.send(m.From, &Message{HeartbeatAck: ack})
 }
 
-// permitted takes the permission to answer reads, counted from when the echoed heartbeat was acknowledged: that was
+// acceptReadPermission takes the permission to answer reads, counted from when the echoed heartbeat was acknowledged: that was
 // before the head gave it.
-func (r *Replica) permitted(now time.Duration, m *view.Heartbeat) {
+func (r *Replica) acceptReadPermission(now time.Duration, m *view.Heartbeat) {
 	t := &r.tail
 	slots := uint64(len(t.sequence))
 	if life := m.Sequence >> sequenceBits; life != t.life {
 		*t = tailState{life: life}
 	}
 	if m.Echo != 0 && t.sequence[m.Echo%slots] == m.Echo && !r.leaving {
-		t.readUntil = max(t.readUntil, t.answered[m.Echo%slots]+m.ReadFor*readMargin/readMargins)
+		t.readUntil = max(t.readUntil, t.answered[m.Echo%slots]+m.ReadFor*readForPercent/hundredPercent)
 	}
 	if slot := m.Sequence % slots; t.sequence[slot] < m.Sequence {
 		t.sequence[slot], t.answered[slot] = m.Sequence, now
@@ -164,7 +164,7 @@
 // that had been acknowledged. The tail has it with its permission, the head with its lease.
 func (r *Replica) ReadIndex(now time.Duration) (uint64, bool) {
 	if r.IsHead(now) {
-		return max(r.Committed(), r.head.inherited), true
+		return max(r.Committed(), r.head.inheritedIndex), true
 	}
 	if !r.IsTail(now) || !r.chain.InStep() {
 		return 0, false
--- a/coord/replica/replica.go
+++ b/coord/replica/replica.go
@@ -16,60 +16,60 @@
 
 // Replica is one replica's view and chain.
 type Replica struct {
-	cfg     Config
-	self    view.Member
-	random  *rand.Rand
-	fresh   bool // no earlier life can have had this identity
-	started time.Duration
-	stepped time.Duration
-	pauses  pauses
-	judging bool    // all that had arrived before this step has been handed in
-	upsets  []upset // when members fell out of the chain
+	cfg           Config
+	self          view.Member
+	random        *rand.Rand
+	newIdentity   bool // no earlier life can have had this identity
+	started       time.Duration
+	lastStep      time.Duration
+	pauses        pauses
+	checkTimeouts bool        // all that had arrived before this step has been handed in
+	chainLosses   []chainLoss // when members fell out of the chain
 
-	view     view.View
-	place    int           // in the chain, -1 without one
-	learned  time.Duration // when, in this life
-	acceptor view.Acceptor
-	grant    time.Duration // till when others than the head get no promise
-	proposer view.Proposer
-	repeatAt time.Duration // of the ballot
-	outbidAt time.Duration // when to begin a higher one; 0: not
-	electAt  time.Duration
-	// electPaused is by how much own pauses have put electAt off, electExcused the short ones' part.
-	electPaused, electExcused time.Duration
-	// expectedAt is since when the head's next heartbeat is waited for.
-	expectedAt time.Duration
-	cause      Cause // of the last own wish for a view
-	chain      *chain.Chain
-	entered    bool // the view is on disk and the chain goes by it
-	enterAt    uint64
+	view           view.View
+	ownPosition    int           // in the chain, -1 without one
+	viewLearnedAt  time.Duration // when, in this life
+	acceptor       view.Acceptor
+	grantUntil     time.Duration // till when others than the head get no promise
+	proposer       view.Proposer
+	ballotRetryAt  time.Duration // of the ballot
+	higherBallotAt time.Duration // when to begin a higher one; 0: not
+	electionAt     time.Duration
+	// electionPaused is by how much own pauses have put electionAt off, electionShortPaused the short ones' part.
+	electionPaused, electionShortPaused time.Duration
+	// headExpectedSince is since when the head's next heartbeat is waited for.
+	headExpectedSince time.Duration
+	proposalCause     Cause // of the last own wish for a view
+	chain             *chain.Chain
+	entered           bool // the view is on disk and the chain goes by it
+	enterToken        uint64
 
-	head      headState
-	tail      tailState
-	audit     audit
-	peers     map[view.ReplicaID]*peer
-	leaving   bool
-	left      bool
-	joinAt    time.Duration
-	broken    bool // the disk refuses
-	numbers   uint64
-	numbering uint64 // before this life's first heartbeat
+	head            headState
+	tail            tailState
+	audit           audit
+	peers           map[view.ReplicaID]*peer
+	leaving         bool
+	left            bool
+	joinAt          time.Duration
+	diskFailed      bool // the disk refuses
+	requestSequence uint64
+	heartbeatBase   uint64 // before this life's first heartbeat
 
-	contacts []string
-	newsSent map[string]time.Duration
+	contacts   []string
+	viewSentAt map[string]time.Duration
 
-	token  uint64 // last given out
-	synced uint64
+	lastToken   uint64 // last given out
+	syncedToken uint64
 	// storedCommitted is the last committed index that was handed out for the disk.
 	storedCommitted uint64
-	// syncedAt is when a sync ended last.
-	syncedAt time.Duration
-	pace     diskPace
-	writes   []write // on their way to disk
-	held     []heldMessage
-	early    []*Message // for the chain, before the view is on disk
-	local    []*Message // to this replica itself
-	out      Output
+	// lastSyncAt is when a sync ended last.
+	lastSyncAt    time.Duration
+	slowestSync   slowestSync
+	pendingWrites []write // on their way to disk
+	heldMessages  []heldMessage
+	earlyMessages []*Message // for the chain, before the view is on disk
+	localMessages []*Message // to this replica itself
+	out           Output
 }
 
 // write is a batch of records on its way to disk.
@@ -87,42 +87,42 @@
 
 // New makes a replica from what its disk holds. Where that is a snapshot, the embedder installs it by itself.
 func New(cfg Config, restored Persisted, now time.Duration) *Replica {
-	cfg.fill()
-	r := &Replica{cfg: cfg, self: cfg.Self, started: now, stepped: now, electAt: never, place: -1}
+	cfg.setDefaults()
+	r := &Replica{cfg: cfg, self: cfg.Self, started: now, lastStep: now, electionAt: never, ownPosition: -1}
 	r.random = rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^0x9e3779b97f4a7c15))
 	if restored.Identity != "" {
 		r.self.ID = restored.Identity
 	}
 	r.peers = make(map[view.ReplicaID]*peer)
-	r.newsSent = make(map[string]time.Duration)
+	r.viewSentAt = make(map[string]time.Duration)
 	life := r.random.Uint64()
 	r.proposer = view.NewProposer(r.self.ID, life)
 	keep := chain.Config{Life: life, KeepEntries: cfg.KeepEntries, KeepBytes: cfg.KeepBytes}
 	r.chain = chain.New(keep, (*environment)(r), restored.Log)
-	r.numbering = life >> sequenceBits << sequenceBits
-	r.head.lease = view.NewLease(cfg.Grant, r.numbering)
-	r.fresh = restored.Identity == "" && cfg.Genesis == nil
+	r.heartbeatBase = life >> sequenceBits << sequenceBits
+	r.head.lease = view.NewLease(cfg.Grant, r.heartbeatBase)
+	r.newIdentity = restored.Identity == "" && cfg.Genesis == nil
 	r.storedCommitted = restored.Committed
 	r.chain.Resume(restored.Committed)
 	if restored.Identity == "" {
-		r.begin(now)
+		r.startEmpty(now)
 	} else {
 		r.resume(now, restored)
 	}
 	return r
 }
 
-// begin starts on an empty disk. With a genesis an earlier life may have granted under this identity before it was on disk.
-func (r *Replica) begin(now time.Duration) {
+// startEmpty starts on an empty disk. With a genesis an earlier life may have granted under this identity before it was on disk.
+func (r *Replica) startEmpty(now time.Duration) {
 	r.store(encodeIdentity(r.self.ID))
 	if r.cfg.Genesis != nil {
-		r.learn(now, *r.cfg.Genesis, "")
+		r.adoptView(now, *r.cfg.Genesis, "")
 	}
 }
 
 // resume goes on from what the disk holds. What was granted before isn't known any more.
 func (r *Replica) resume(now time.Duration, restored Persisted) {
-	r.grant = now + r.cfg.Grant
+	r.grantUntil = now + r.cfg.Grant
 	if !restored.View.Known() {
 		return
 	}
@@ -131,28 +131,28 @@
 	if restored.Acceptor.Instance == r.acceptor.Instance {
 		r.acceptor = restored.Acceptor
 	}
-	r.enter(now)
-	r.expectHead(now)
+	r.enterView(now)
+	r.resetElectionTimer(now)
 	if r.position() == 0 {
-		r.electAt, r.expectedAt = now, now
-		r.because(now, Cause{Kind: CauseRestart, Member: r.self.ID})
+		r.electionAt, r.headExpectedSince = now, now
+		r.setCause(now, Cause{Kind: CauseRestart, Member: r.self.ID})
 	}
 }
 
 // Step takes one input. Others are judged for their silence at a Tick only.
 func (r *Replica) Step(now time.Duration, in Input) Output {
-	if r.audit.fault != nil {
-		return r.ending(now, in)
+	if r.audit.divergence != nil {
+		return r.stepStopped(now, in)
 	}
-	r.awake(now)
-	_, r.judging = in.(Tick)
+	r.notePause(now)
+	_, r.checkTimeouts = in.(Tick)
 	switch in := in.(type) {
 	case Receive:
 		r.receive(now, in.Message)
 	case Synced:
 		r.onSynced(now, in.Token)
 	case DiskFailed:
-		r.broken = true
+		r.diskFailed = true
 		r.leave(now)
 	case Leave:
 		r.leave(now)
@@ -170,11 +170,11 @@
 // Output.Committed with the epoch that View had here; another epoch at such an index means that they are lost. The
 // data must not be changed any more.
 func (r *Replica) Propose(now time.Duration, data [][]byte) (first uint64, out Output, err error) {
-	if r.audit.fault != nil {
-		return 0, r.end(now), ErrNotHead
+	if r.audit.divergence != nil {
+		return 0, r.finishStopped(now), ErrNotHead
 	}
-	r.awake(now)
-	r.judging = false
+	r.notePause(now)
+	r.checkTimeouts = false
 	if err = r.CanPropose(now); err == nil {
 		first = r.chain.Append(now, data)
 	}
@@ -185,73 +185,73 @@
 func (r *Replica) CanPropose(now time.Duration) error {
 	switch {
 	case r.head.announced && r.proposer.Active() && !r.head.handingOver:
-		return ErrHeld
+		return ErrWritesHeld
 	case !r.IsHead(now) || r.head.handingOver:
 		return ErrNotHead
 	case r.head.admitting != "":
-		return ErrHeld
-	case r.short(now):
-		return ErrShort
+		return ErrWritesHeld
+	case r.tooFewToCommit(now):
+		return ErrChainTooShort
 	}
 	return nil
 }
 
 // finish does what is due and hands out what has come up.
 func (r *Replica) finish(now time.Duration) Output {
-	r.work(now)
-	for len(r.local) > 0 {
-		m := r.local[0]
-		r.local = r.local[1:]
+	r.doDueWork(now)
+	for len(r.localMessages) > 0 {
+		m := r.localMessages[0]
+		r.localMessages = r.localMessages[1:]
 		r.receive(now, m)
-		r.work(now)
+		r.doDueWork(now)
 	}
 	r.announce(now)
-	if r.audit.fault != nil {
-		return r.end(now)
+	if r.audit.divergence != nil {
+		return r.finishStopped(now)
 	}
 	r.out.NeedSnapshot = r.chain.WantsSnapshot()
 	r.storeCommitted()
 	if len(r.out.Persist) > 0 {
-		r.token++
-		r.out.Token = r.token
-		r.chain.Mark(r.token)
-		r.writes = append(r.writes, write{r.token, now})
+		r.lastToken++
+		r.out.Token = r.lastToken
+		r.chain.Mark(r.lastToken)
+		r.pendingWrites = append(r.pendingWrites, write{r.lastToken, now})
 	}
-	r.out.Wake = r.wake(now)
+	r.out.Wake = r.nextWake(now)
 	r.pauses.due = r.out.Wake
 	out := r.out
 	r.out = Output{}
 	return out
 }
 
-// work does what is due.
-func (r *Replica) work(now time.Duration) {
+// doDueWork does what is due.
+func (r *Replica) doDueWork(now time.Duration) {
 	r.chain.Tick(now)
 	if r.leading() {
 		r.lead(now)
 	} else {
-		r.elect(now)
+		r.electIfDue(now)
 	}
-	r.pursue(now)
+	r.advanceBallot(now)
 	r.join(now)
 }
 
-// wake is when something is due next.
-func (r *Replica) wake(now time.Duration) time.Duration {
-	at := min(now+wakeAtLeastEvery, r.chain.Wake())
+// nextWake is when something is due next.
+func (r *Replica) nextWake(now time.Duration) time.Duration {
+	at := min(now+maxWakeInterval, r.chain.Wake())
 	if r.leading() {
-		at = min(at, r.head.beatAt)
-		if r.IsHead(now) && (r.leaving || r.head.admitting != "" || r.Committed() < r.head.stuckIndex) {
-			at = min(at, r.head.governAt)
+		at = min(at, r.head.heartbeatAt)
+		if r.IsHead(now) && (r.leaving || r.head.admitting != "" || r.Committed() < r.head.watchedIndex) {
+			at = min(at, r.head.reconcileAt)
 		}
 	} else {
-		at = min(at, r.electAt)
+		at = min(at, r.electionAt)
 	}
 	if r.position() < 0 || r.leaving {
 		at = min(at, r.joinAt)
 	}
 	if r.proposer.Active() {
-		at = min(at, r.repeatAt)
+		at = min(at, r.ballotRetryAt)
 	}
 	return max(at, now+time.Millisecond)
 }
--- a/coord/replica/replica_test.go
+++ b/coord/replica/replica_test.go
@@ -60,7 +60,7 @@
 	assert.ErrorIs(t, err, view.ErrCorrupt)
 	_, err = Restore([]Record{{Kind: 99}})
 	assert.ErrorIs(t, err, view.ErrCorrupt)
-	_, err = Restore([]Record{encodeWhole(chain.Snapshot{Index: 7, Epoch: 2, Data: []byte("s")}), entry(8, 2)})
+	_, err = Restore([]Record{encodeWholeSnapshot(chain.Snapshot{Index: 7, Epoch: 2, Data: []byte("s")}), entry(8, 2)})
 	assert.NoError(t, err)
 }
 
@@ -196,7 +196,7 @@
 		other := w.newMachine()
 		other.start()
 		assert.Less(t, w.untilIn(other, 5*time.Second), time.Second)
-		w.run(w.now + voterGoneAfter + time.Second) // a new head doesn't know yet how long the old one is gone
+		w.run(w.now + voterTimeout + time.Second) // a new head doesn't know yet how long the old one is gone
 		assert.Len(t, w.head().process.View().Voters, 3)
 	})
 }
@@ -222,7 +222,7 @@
 				w.cuts[[2]string{head.address, m.address}] = w.now + time.Second
 				m.end()
 				m.start()
-				m.process.electAt = 0
+				m.process.electionAt = 0
 				m.input(Tick{})
 			}
 		}
@@ -238,5 +238,5 @@
 	w.others()[0].losePower()
 	w.run(w.now + time.Second)
 	require.NoError(t, w.failure)
-	assert.ErrorIs(t, head.process.CanPropose(head.clock()), ErrShort)
+	assert.ErrorIs(t, head.process.CanPropose(head.clock()), ErrChainTooShort)
 }
--- a/coord/replica/resign.go
+++ b/coord/replica/resign.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// resigns ends this replica's part as the head where its heartbeats would only keep others from taking over: it hasn't heard a
+// stepDownIfStuck ends this replica's part as the head where its heartbeats would only keep others from taking over: it hasn't heard a
 // majority for a grant, or its view doesn't get on its disk.
-func (r *Replica) resigns(now time.Duration) bool {
+func (r *Replica) stepDownIfStuck(now time.Duration) bool {
 	switch {
 	case r.lostMajority(now):
-		r.abdicate(now)
-		r.electAt = now + r.jitter(r.cfg.Grant/2) + r.cfg.Grant/8
+		r.stepDown(now)
+		r.electionAt = now + r.jitter(r.cfg.Grant/2) + r.cfg.Grant/8
 	case r.cannotEnter(now):
-		r.abdicate(now)
-		r.electAt = now + r.cfg.Grant + r.jitter(r.cfg.Grant/2)
+		r.stepDown(now)
+		r.electionAt = now + r.cfg.Grant + r.jitter(r.cfg.Grant/2)
 	default:
 		return false
 	}
@@ -22,22 +22,22 @@
 func (r *Replica) lostMajority(now time.Duration) bool {
 	since, ok := r.head.lease.MajoritySince(r.view)
 	if !ok {
-		since = r.learned
+		since = r.viewLearnedAt
 	}
-	paused := r.pausedSince(r.head.majority)
-	if now-since-paused <= r.cfg.Grant || r.alone() {
+	paused := r.pausedSince(r.head.leaseRenewed)
+	if now-since-paused <= r.cfg.Grant || r.isOnlyVoter() {
 		return false
 	}
-	r.because(now, Cause{Kind: CauseMajorityLost, Member: r.self.ID, Silence: now - since, Paused: paused, Patience: r.cfg.Grant})
+	r.setCause(now, Cause{Kind: CauseMajorityLost, Member: r.self.ID, Silence: now - since, Paused: paused, Patience: r.cfg.Grant})
 	return true
 }
 
 // cannotEnter tells whether the disk here takes too long over the view that made this replica the head.
 func (r *Replica) cannotEnter(now time.Duration) bool {
-	patience := r.cfg.StallAfter + min(r.pace.recent(now), r.cfg.StallAfter)
-	if r.entered || r.diskIdle(now) <= patience || r.alone() {
+	patience := r.cfg.StallAfter + min(r.slowestSync.recent(now), r.cfg.StallAfter)
+	if r.entered || r.diskIdle(now) <= patience || r.isOnlyVoter() {
 		return false
 	}
-	r.because(now, Cause{Kind: CauseOwnDisk, Member: r.self.ID, Stuck: r.diskIdle(now), Patience: patience})
+	r.setCause(now, Cause{Kind: CauseOwnDisk, Member: r.self.ID, Stuck: r.diskIdle(now), Patience: patience})
 	return true
 }
--- a/coord/replica/resume_test.go
+++ b/coord/replica/resume_test.go
@@ -79,8 +79,8 @@
 
 // A snapshot is of committed entries only.
 func TestASnapshotIsCommitted(t *testing.T) {
-	p := restored(t, entryOf(1, 1), encodeWhole(chain.Snapshot{Index: 7, Epoch: 2, Data: []byte("s")}), entryOf(8, 2))
+	p := restored(t, entryOf(1, 1), encodeWholeSnapshot(chain.Snapshot{Index: 7, Epoch: 2, Data: []byte("s")}), entryOf(8, 2))
 	assert.Equal(t, uint64(7), p.Committed)
-	_, err := Restore([]Record{encodeWhole(chain.Snapshot{Index: 7, Epoch: 2}), encodeTruncate(6)})
+	_, err := Restore([]Record{encodeWholeSnapshot(chain.Snapshot{Index: 7, Epoch: 2}), encodeTruncate(6)})
 	assert.ErrorIs(t, err, view.ErrCorrupt)
 }
--- a/coord/replica/seats.go
+++ b/coord/replica/seats.go
@@ -7,8 +7,8 @@
 	"gaugeslip/coord/view"
 )
 
-// passSeats gives the votes of lost disks to the new ones at their addresses, which need no data to vote.
-func (r *Replica) passSeats(now time.Duration, next *view.View) (changed bool) {
+// reassignSeats gives the votes of lost disks to the new ones at their addresses, which need no data to vote.
+func (r *Replica) reassignSeats(now time.Duration, next *view.View) (changed bool) {
 	for _, l := range r.head.learners {
 		seat := voterAt(*next, l.member.Address)
 		if seat < 0 || next.IsVoter(l.member.ID) || !r.peer(next.Voters[seat].ID, now).gone || next.InChain(next.Voters[seat].ID) {
@@ -55,27 +55,27 @@
 		return false
 	}
 	p := r.peer(id, now)
-	return p.gone || p.leaving || now-p.ackedAt > voterGoneAfter
+	return p.gone || p.leaving || now-p.ackedAt > voterTimeout
 }
 
-// governVoters drops a voter out of reach that isn't needed, and clears promises that keep a voter from granting.
-func (r *Replica) governVoters(now time.Duration) {
+// reconcileVoters drops a voter out of reach that isn't needed, and clears promises that keep a voter from granting.
+func (r *Replica) reconcileVoters(now time.Duration) {
 	next := r.view.Next()
-	if r.passSeats(now, &next) {
-		r.propose(now, next, r.seatCause(now, next))
+	if r.reassignSeats(now, &next) {
+		r.startProposal(now, next, r.seatCause(now, next))
 		return
 	}
 	if len(next.Voters) > 2*r.cfg.Tolerance+1 {
 		gone := slices.IndexFunc(next.Voters, func(m view.Member) bool { return r.voterGone(now, m.ID) })
 		if gone >= 0 {
 			next.Voters = slices.Delete(next.Voters, gone, gone+1)
-			r.propose(now, next, r.seatCause(now, next))
+			r.startProposal(now, next, r.seatCause(now, next))
 			return
 		}
 	}
 	for _, member := range r.view.Chain {
-		if p := r.peers[member.ID]; p != nil && p.refused != 0 && now-p.refused > refusedRefresh {
-			r.propose(now, next, Cause{Kind: CausePromise, Member: member.ID, Silence: now - p.refused, Patience: refusedRefresh})
+		if p := r.peers[member.ID]; p != nil && p.refusedSince != 0 && now-p.refusedSince > refusedGrantTimeout {
+			r.startProposal(now, next, Cause{Kind: CausePromise, Member: member.ID, Silence: now - p.refusedSince, Patience: refusedGrantTimeout})
 			return
 		}
 	}
--- a/coord/replica/seats_test.go
+++ b/coord/replica/seats_test.go
@@ -15,11 +15,11 @@
 func (w *world) bar(length time.Duration) {
 	for end := w.now + length; w.now < end && w.failure == nil; w.run(w.now + time.Millisecond) {
 		if head := w.head(); head != nil {
-			head.process.head.heldAgain = never
+			head.process.head.holdRetryAt = never
 		}
 	}
 	if head := w.head(); head != nil {
-		head.process.head.heldAgain = 0
+		head.process.head.holdRetryAt = 0
 	}
 }
 
@@ -55,7 +55,7 @@
 	s.core.view.Chain = standMembers("a", "b", "c")
 	s.core.peer("b", s.now).silent = true
 	s.core.peer("c", s.now).gone = true
-	next := s.core.viewWith(s.now, view.Member{ID: "new", Address: standMember("c").Address}, "")
+	next := s.core.viewWithLearner(s.now, view.Member{ID: "new", Address: standMember("c").Address}, "")
 	for _, member := range next.Chain {
 		assert.True(t, next.IsVoter(member.ID), "%s has no vote", member.ID)
 	}
@@ -67,7 +67,7 @@
 func TestALostMemberGoesWithTheViewThatLetsAnotherIn(t *testing.T) {
 	s := settled(t, standConfig("a"), chain.Log{}, "a", "b", "c")
 	s.core.peer("b", s.now).silent = true
-	next := s.core.viewWith(s.now, standMember("d"), "")
+	next := s.core.viewWithLearner(s.now, standMember("d"), "")
 	assert.Equal(t, standMembers("a", "c", "d"), next.Chain)
 	assert.Equal(t, standMembers("a", "b", "c", "d"), next.Voters, "its vote stays till it is long out of reach")
 }
@@ -81,7 +81,7 @@
 	s.core.peer("b", s.now).silent = true
 	s.core.peer("c", s.now).gone = true
 	moved := view.Member{ID: "c", Address: "elsewhere:1"}
-	next := s.core.viewWith(s.now, moved, "")
+	next := s.core.viewWithLearner(s.now, moved, "")
 	assert.Equal(t, append(standMembers("a", "b"), moved), next.Chain)
 	assert.Contains(t, next.Voters, moved)
 }
@@ -131,11 +131,11 @@
 	for seed := range uint64(8) {
 		w := calm(t, seed, 3, 1, 1)
 		w.others()[0].losePower()
-		w.run(w.now + voterGoneAfter - 500*time.Millisecond)
+		w.run(w.now + voterTimeout - 500*time.Millisecond)
 		assert.Len(t, w.head().process.View().Voters, 4, "seed %d", seed)
 		w.run(w.now + time.Second)
 		assert.Len(t, w.head().process.View().Voters, 3, "seed %d", seed)
-		w.run(w.now + voterGoneAfter)
+		w.run(w.now + voterTimeout)
 		assert.Len(t, w.head().process.View().Voters, 3, "seed %d", seed)
 		require.NoError(t, w.failure, "seed %d", seed)
 	}
@@ -154,7 +154,7 @@
 		others[2].start()
 		w.bar(100 * time.Millisecond)
 		others[0].losePower()
-		w.bar(voterGoneAfter + time.Second)
+		w.bar(voterTimeout + time.Second)
 		require.NoError(t, w.failure, "seed %d", seed)
 		require.NotNil(t, w.head(), "seed %d", seed)
 		assert.Len(t, w.head().process.View().Chain, 2, "seed %d", seed)
@@ -168,7 +168,7 @@
 		leaver := w.others()[0]
 		leaver.input(Leave{})
 		assert.Less(t, w.leaves(leaver, time.Second), 500*time.Millisecond, "seed %d", w.seed)
-		w.run(w.now + voterGoneAfter + time.Second)
+		w.run(w.now + voterTimeout + time.Second)
 		assert.Len(t, w.head().process.View().Voters, 3, "seed %d", w.seed)
 	})
 }
@@ -178,7 +178,7 @@
 	eachSeed(t, func(t *testing.T, w *world) {
 		m, other := w.others()[0], w.others()[1]
 		require.True(t, m.process.acceptor.Prepare(view.Ballot{Round: 1, Owner: other.member().ID}))
-		w.run(w.now + refusedRefresh + time.Second)
+		w.run(w.now + refusedGrantTimeout + time.Second)
 		assert.False(t, m.process.acceptor.PromisedAway(w.head().member().ID), "seed %d", w.seed)
 		other.losePower()
 		w.run(w.now + 2*time.Second)
--- a/coord/replica/stand_test.go
+++ b/coord/replica/stand_test.go
@@ -102,7 +102,7 @@
 
 // sync says that all is on disk.
 func (s *stand) sync() {
-	for s.core.synced < s.token {
+	for s.core.syncedToken < s.token {
 		s.step(Synced{Token: s.token})
 	}
 }
--- a/coord/replica/suspicion_test.go
+++ b/coord/replica/suspicion_test.go
@@ -13,47 +13,47 @@
 func TestShortPausesAreTakenOffUpToAGrantAndLongOnesWhole(t *testing.T) {
 	w := quick(t, 1)
 	r, now := w.head().process, w.head().clock()
-	since := r.mark(now)
+	since := r.timestamp(now)
 	r.pauses.short += 300 * time.Millisecond
-	assert.Equal(t, 200*time.Millisecond, r.since(now+500*time.Millisecond, since))
+	assert.Equal(t, 200*time.Millisecond, r.elapsedSince(now+500*time.Millisecond, since))
 	r.pauses.short += time.Hour
-	assert.Equal(t, time.Second-quickGrant, r.since(now+time.Second, since))
+	assert.Equal(t, time.Second-quickGrant, r.elapsedSince(now+time.Second, since))
 	r.pauses.long += 20 * time.Second
-	assert.Equal(t, time.Second-quickGrant, r.since(now+21*time.Second, since))
+	assert.Equal(t, time.Second-quickGrant, r.elapsedSince(now+21*time.Second, since))
 }
 
 func TestAnElectionWaitsForOwnShortPausesUpToAGrant(t *testing.T) {
 	w := quick(t, 1)
 	r := w.member(1).process
-	before := r.electAt
-	r.awake(r.pauses.due + 100*time.Millisecond)
-	assert.Equal(t, before+100*time.Millisecond, r.electAt)
+	before := r.electionAt
+	r.notePause(r.pauses.due + 100*time.Millisecond)
+	assert.Equal(t, before+100*time.Millisecond, r.electionAt)
 	for range 20 {
-		now := r.stepped
+		now := r.lastStep
 		r.pauses.due = now
-		r.awake(now + 100*time.Millisecond)
+		r.notePause(now + 100*time.Millisecond)
 	}
-	assert.Equal(t, before+quickGrant, r.electAt)
+	assert.Equal(t, before+quickGrant, r.electionAt)
 }
 
 func TestAnElectionWaitsALittleAfterALongPause(t *testing.T) {
 	w := quick(t, 1)
 	r := w.member(1).process
-	now := r.stepped + time.Minute
-	r.awake(now)
-	assert.Equal(t, now+frozenPatience, r.electAt)
+	now := r.lastStep + time.Minute
+	r.notePause(now)
+	assert.Equal(t, now+electionDelayAfterPause, r.electionAt)
 	assert.Equal(t, time.Minute, r.pauses.long)
 }
 
 func TestTheOwnDiskIsNotBlamedForAPauseOfTheProcess(t *testing.T) {
 	w := quick(t, 1)
 	r := w.head().process
-	at := r.stepped
-	r.writes = []write{{token: 1 << 40, at: at}}
+	at := r.lastStep
+	r.pendingWrites = []write{{token: 1 << 40, at: at}}
 	r.pauses.due = at
-	r.awake(at + 340*time.Millisecond)
-	assert.False(t, r.ownDiskStalls(at+340*time.Millisecond+quickStall))
-	assert.True(t, r.ownDiskStalls(at+341*time.Millisecond+quickStall))
+	r.notePause(at + 340*time.Millisecond)
+	assert.False(t, r.ownDiskStalled(at+340*time.Millisecond+quickStall))
+	assert.True(t, r.ownDiskStalled(at+341*time.Millisecond+quickStall))
 }
 
 // A step that isn't a Tick may have others' messages behind it that had arrived before.
@@ -61,7 +61,7 @@
 	w := quick(t, 1)
 	member := w.member(1)
 	r := member.process
-	r.electAt = 0
+	r.electionAt = 0
 	r.Step(member.clock(), Contacts{})
 	assert.False(t, r.proposer.Active(), "stands for election")
 	r.Step(member.clock(), Tick{})
@@ -81,7 +81,7 @@
 	r = head.process
 	r.cfg.Grant = time.Nanosecond
 	r.Step(head.clock(), Contacts{})
-	assert.False(t, r.head.abdicated, "gives its place up")
+	assert.False(t, r.head.steppedDown, "gives its place up")
 }
 
 func TestAHeadThatWasHeldUpDoesNotGiveItsPlaceUpForIt(t *testing.T) {
@@ -94,21 +94,21 @@
 	require.True(t, ok)
 	assert.False(t, r.lostMajority(since+quickGrant+200*time.Millisecond))
 	assert.True(t, r.lostMajority(since+quickGrant+201*time.Millisecond))
-	assert.Equal(t, 200*time.Millisecond, r.cause.Paused)
+	assert.Equal(t, 200*time.Millisecond, r.proposalCause.Paused)
 }
 
 func TestWhatTheOwnDiskTookIsGrantedToAMember(t *testing.T) {
 	w := quick(t, 1)
 	head := w.head()
 	r, now := head.process, head.clock()
-	r.pace = diskPace{}
-	assert.Equal(t, quickStall, r.memberPatience(now, "x"))
-	r.pace.note(now, 100*time.Millisecond)
-	r.pace.note(now, 40*time.Millisecond)
-	assert.Equal(t, quickStall+100*time.Millisecond, r.memberPatience(now, "x"))
-	assert.Equal(t, quickStall, r.memberPatience(now+paceKept+1, "x"))
-	r.pace.note(now, time.Hour)
-	assert.Equal(t, 2*quickStall, r.memberPatience(now, "x"))
+	r.slowestSync = slowestSync{}
+	assert.Equal(t, quickStall, r.entryTimeout(now, "x"))
+	r.slowestSync.record(now, 100*time.Millisecond)
+	r.slowestSync.record(now, 40*time.Millisecond)
+	assert.Equal(t, quickStall+100*time.Millisecond, r.entryTimeout(now, "x"))
+	assert.Equal(t, quickStall, r.entryTimeout(now+slowSyncMemory+1, "x"))
+	r.slowestSync.record(now, time.Hour)
+	assert.Equal(t, 2*quickStall, r.entryTimeout(now, "x"))
 }
 
 // While an entry isn't on the head's own disk, no other is blamed for it.
@@ -121,9 +121,9 @@
 	}
 	w.run(w.now + time.Second)
 	require.True(t, r.IsHead(head.clock()))
-	assert.Less(t, r.chain.Synced(), r.head.stuckIndex)
-	assert.Empty(t, r.culprit(head.clock()))
-	assert.False(t, r.ownDiskHinders(head.clock()), "another head would fare no better")
+	assert.Less(t, r.chain.Synced(), r.head.watchedIndex)
+	assert.Empty(t, r.stalledMember(head.clock()))
+	assert.False(t, r.shouldYieldForDisk(head.clock()), "another head would fare no better")
 	assert.NoError(t, w.failure)
 }
 
@@ -136,13 +136,13 @@
 	other := next
 	other.Chain = append(append([]view.Member(nil), next.Chain[1:]...), next.Chain[0])
 	r.head.announced = false // the lease has run out
-	require.Equal(t, r.view.Epoch+1, r.head.served)
-	r.learn(now, other, "x")
-	assert.Zero(t, r.head.served)
+	require.Equal(t, r.view.Epoch+1, r.head.headThrough)
+	r.adoptView(now, other, "x")
+	assert.Zero(t, r.head.headThrough)
 	back := next
 	back.Epoch = other.Epoch + 1
-	r.learn(now, back, "x")
-	assert.Zero(t, r.head.served, "the place in between was another's")
+	r.adoptView(now, back, "x")
+	assert.Zero(t, r.head.headThrough, "the place in between was another's")
 }
 
 func TestAHeadThatMissedAViewBeginsAnew(t *testing.T) {
@@ -151,16 +151,16 @@
 	next := r.view.Next()
 	next.Epoch++ // the one before may have had another head
 	r.head.announced = false
-	r.learn(w.head().clock(), next, "x")
-	assert.Zero(t, r.head.served)
+	r.adoptView(w.head().clock(), next, "x")
+	assert.Zero(t, r.head.headThrough)
 }
 
 func TestAHeadKeepsItsPlaceOverAViewOfItsOwn(t *testing.T) {
 	w := quick(t, 1)
 	r := w.head().process
 	r.head.announced = false
-	r.learn(w.head().clock(), r.view.Next(), "x")
-	assert.Equal(t, r.view.Epoch+1, r.head.served)
+	r.adoptView(w.head().clock(), r.view.Next(), "x")
+	assert.Equal(t, r.view.Epoch+1, r.head.headThrough)
 }
 
 // Its heartbeats still reach the others, who would grant them for ever.
--- a/coord/replica/trials_test.go
+++ b/coord/replica/trials_test.go
@@ -242,7 +242,7 @@
 		if m.frozen > t.now {
 			m.thaw() // a disk's refusal may wait among the rest
 		}
-		if m.process != nil && m.process.broken {
+		if m.process != nil && m.process.diskFailed {
 			m.writing = 0
 			m.losePower()
 		}
@@ -298,7 +298,7 @@
 	}
 	for _, m := range t.machines {
 		if m.process != nil && t.random.IntN(2) == 0 {
-			m.process.electAt = 0
+			m.process.electionAt = 0
 			m.input(Tick{})
 		}
 	}
