--- a/coord/replica/admission_test.go
+++ b/coord/replica/admission_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A learner whose disk is too slow never has everything while writes are held back; the healthy one beside it gets in all the same, and
-// writes aren't held back for the slow one again and again.
+// A learner whose disk is too slow never catches up while writes are held back. It must not keep the healthy learner beside it out, and
+// writes must not be held back for it again and again.
 func TestSlowLearnerKeepsNobodyOut(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		slow, healthy := w.newMachine(), w.newMachine()
@@ -18,8 +18,8 @@
 		if healthy.process.Self().ID < slow.process.Self().ID {
 			slow, healthy = healthy, slow
 		}
-		slow.sync = 350 * time.Millisecond
-		assert.Less(t, w.untilIn(healthy, 5*time.Second), 2*time.Second, "seed %d", w.seed)
+		slow.syncTime = 350 * time.Millisecond
+		assert.Less(t, w.untilInChain(healthy, 5*time.Second), 2*time.Second, "seed %d", w.seed)
 		before := len(w.oracle.entries)
 		w.run(w.now + 4*time.Second)
 		assert.False(t, w.head().process.View().InChain(slow.process.Self().ID), "seed %d", w.seed)
@@ -27,17 +27,17 @@
 	})
 }
 
-// A member was dropped for its disk again and again. Once the disk is well, it is back within the bound.
+// A member was dropped several times for its disk. Once the disk works, the member is back within the bound.
 func TestPenaltyEndsWithTheTrouble(t *testing.T) {
 	for _, spares := range []int{0, 1} {
 		for seed := range uint64(4) {
-			w := calm(t, seed, 3, spares, 1)
+			w := newCalmWorld(t, seed, 3, spares, 1)
 			m := w.others()[0]
 			for range 5 {
-				m.stalled = w.now + 1500*time.Millisecond
+				m.stalledUntil = w.now + 1500*time.Millisecond
 				w.run(w.now + 1500*time.Millisecond)
 				require.False(t, w.head().process.View().InChain(m.process.Self().ID), "seed %d", seed)
-				require.Less(t, w.untilIn(m, 20*time.Second), 3*time.Second, "seed %d", seed)
+				require.Less(t, w.untilInChain(m, 20*time.Second), 3*time.Second, "seed %d", seed)
 				w.run(w.now + 500*time.Millisecond)
 			}
 			require.NoError(t, w.failure, "seed %d", seed)
@@ -45,14 +45,15 @@
 	}
 }
 
-// A disk that stalls every other second, for longer than is borne, isn't well between its stalls: the member is let in a few times only.
+// A disk that stalls every other second, for longer than is tolerated, doesn't recover between its stalls: the member is admitted only a
+// few times.
 func TestFlappingDiskStaysOut(t *testing.T) {
 	for seed := range uint64(5) {
-		w := calm(t, seed, 3, 0, 1)
+		w := newCalmWorld(t, seed, 3, 0, 1)
 		m := w.others()[0]
 		epoch := w.head().process.View().Epoch
 		for range 12 {
-			m.stalled = w.now + 1600*time.Millisecond
+			m.stalledUntil = w.now + 1600*time.Millisecond
 			w.run(w.now + 2600*time.Millisecond)
 		}
 		require.NoError(t, w.failure, "seed %d", seed)
@@ -61,22 +62,22 @@
 	}
 }
 
-// A member that stopped was never in trouble with its disk: it is back as soon as it can be, however often.
-func TestStoppedMemberIsNotPunished(t *testing.T) {
+// A member that was stopped had no fault of its disk: it is admitted again without a penalty, however often it stops.
+func TestStoppedMemberIsNotPenalised(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		for range 4 {
 			m := w.others()[0]
 			m.losePower()
 			w.run(w.now + time.Second)
 			m.start()
-			assert.Less(t, w.untilIn(m, 5*time.Second), time.Second, "seed %d", w.seed)
+			assert.Less(t, w.untilInChain(m, 5*time.Second), time.Second, "seed %d", w.seed)
 			w.run(w.now + 300*time.Millisecond)
 		}
 	})
 }
 
-// A lost disk's vote goes to the new one at its address as soon as that asks to join, long before it has everything: a majority is
-// there with every machine that runs.
+// The vote of a lost disk goes to the new disk at its address as soon as that asks to join, long before it has everything: every running
+// machine counts towards a majority.
 func TestNewDiskVotesAtOnce(t *testing.T) {
 	for _, quick := range []bool{false, true} {
 		eachSeed(t, func(t *testing.T, w *world) {
@@ -89,7 +90,7 @@
 			m.start()
 			for end := w.now + 500*time.Millisecond; w.now < end; w.run(w.now + time.Millisecond) {
 				if head := w.head(); head != nil {
-					head.process.head.holdRetryAt = never // nobody is admitted
+					head.process.head.holdRetryAt = never // no learner is admitted
 				}
 			}
 			v := w.head().process.View()
@@ -100,45 +101,45 @@
 	}
 }
 
-// A head whose disk stalls while it enters a view gives way, though it can't propose anything.
-func TestHeadStallsWhileItEnters(t *testing.T) {
+// A head whose disk stalls while it enters a view makes way for another, although it can't propose anything.
+func TestHeadDiskStallsWhileEnteringView(t *testing.T) {
 	for seed := range uint64(deploymentSeeds) {
-		w := calm(t, seed, 3, 2, 2)
+		w := newCalmWorld(t, seed, 3, 2, 2)
 		head := w.head()
 		w.others()[0].losePower()
 		for epoch := head.process.View().Epoch; head.process.View().Epoch == epoch && w.failure == nil; {
 			w.run(w.now + time.Millisecond)
 		}
-		head.stalled = w.now + 10*time.Second
+		head.stalledUntil = w.now + 10*time.Second
 		w.run(w.now + 30*time.Millisecond)
 		assert.Less(t, w.untilCommitted(5*time.Second), 1500*time.Millisecond, "seed %d", seed)
 		require.NoError(t, w.failure, "seed %d", seed)
 	}
 }
 
-// A member that was kept out, however long its penalty, is let in as soon as the chain is too short without it.
+// A member that is kept out is admitted as soon as the chain is too short without it, however long its penalty.
 func TestPenaltyIsWaivedForAShortChain(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		others := w.others()
 		kept, lost := others[0], others[1]
-		kept.stalled = w.now + 1200*time.Millisecond
+		kept.stalledUntil = w.now + 1200*time.Millisecond
 		w.run(w.now + 1100*time.Millisecond)
 		w.head().process.head.penalties[kept.member().ID] = penalty{last: w.head().clock(), until: w.head().clock() + maxPenalty}
 		lost.losePower()
-		w.run(w.now + 30*time.Millisecond) // what was under way before
+		w.run(w.now + 30*time.Millisecond) // for entries that were in progress
 		assert.Less(t, w.untilCommitted(5*time.Second), 1500*time.Millisecond, "seed %d", w.seed)
 		assert.True(t, w.head().process.View().InChain(kept.member().ID), "seed %d", w.seed)
 	})
 }
 
-// Writes that are held back for a learner whose disk stalls go on soon.
-func TestHoldEnds(t *testing.T) {
+// Writes that are held back for a learner whose disk stalls continue soon.
+func TestWriteHoldEnds(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		m := w.newMachine()
 		m.start()
-		w.bar(time.Second)
-		m.stalled = w.now + 10*time.Second
-		w.bar(50 * time.Millisecond)
+		w.blockAdmissions(time.Second)
+		m.stalledUntil = w.now + 10*time.Second
+		w.blockAdmissions(50 * time.Millisecond)
 		for w.now < time.Minute && (w.head() == nil || w.head().process.head.admitting == "") {
 			w.run(w.now + 100*time.Microsecond)
 		}
@@ -149,39 +150,39 @@
 	})
 }
 
-// Under writing that never rests a learner always lacks something: holding writes back lets it in.
-func TestHoldLetsALearnerIn(t *testing.T) {
+// Under continuous writes a learner always lacks some entries: holding writes back lets it catch up.
+func TestWriteHoldAdmitsLearner(t *testing.T) {
 	for seed := range uint64(5) {
 		w := newWorld(seed, 3, 0, 1)
-		w.write(2 * time.Millisecond)
+		w.writeLoop(2 * time.Millisecond)
 		w.run(warmUp)
 		m := w.newMachine()
 		m.start()
-		assert.Less(t, w.untilIn(m, 3*time.Second), 1200*time.Millisecond, "seed %d", seed)
+		assert.Less(t, w.untilInChain(m, 3*time.Second), 1200*time.Millisecond, "seed %d", seed)
 		require.NoError(t, w.failure, "seed %d", seed)
 	}
 }
 
-// A learner that had everything and then stopped isn't let in, also where nothing is written meanwhile.
+// A learner that had everything and then stopped isn't admitted, even if nothing is written meanwhile.
 func TestDeadLearnerStaysOut(t *testing.T) {
 	for seed := range uint64(deploymentSeeds) {
 		w := newWorld(seed, 3, 0, 1)
 		w.run(warmUp)
 		m := w.newMachine()
 		m.start()
-		w.bar(time.Second)
+		w.blockAdmissions(time.Second)
 		acked, _, ok := w.head().process.chain.Learner(m.member().ID)
 		require.True(t, ok && acked == w.head().process.LastIndex(), "seed %d", seed)
-		m.end()
-		w.bar(600 * time.Millisecond)
+		m.kill()
+		w.blockAdmissions(600 * time.Millisecond)
 		epoch := w.head().process.View().Epoch
 		w.run(w.now + 3*time.Second)
 		assert.Equal(t, epoch, w.head().process.View().Epoch, "seed %d", seed)
 	}
 }
 
-// A silent member is dropped also where nothing is written.
-func TestSilentMemberIsDroppedAtRest(t *testing.T) {
+// A silent member is dropped even if nothing is written.
+func TestSilentMemberIsDroppedWithoutWrites(t *testing.T) {
 	for seed := range uint64(deploymentSeeds) {
 		w := newWorld(seed, 3, 0, 1)
 		w.run(warmUp)
@@ -191,11 +192,11 @@
 	}
 }
 
-// With one machine at first, nothing is committed before f+1 have it.
+// If the deployment starts with one machine, nothing is committed before f+1 machines have it.
 func TestOneSeedWaitsForOthers(t *testing.T) {
 	for seed := range uint64(deploymentSeeds) {
 		w := newWorld(seed, 1, 2, 1)
-		w.write(10 * time.Millisecond)
+		w.writeLoop(10 * time.Millisecond)
 		w.run(warmUp)
 		require.NoError(t, w.failure, "seed %d", seed)
 		assert.NotEmpty(t, w.oracle.entries, "seed %d", seed)
@@ -203,7 +204,7 @@
 	}
 }
 
-// The tolerance is raised by one: what is under way isn't committed on as few disks as before.
+// After the tolerance is raised by one, entries in progress aren't committed on as few disks as before.
 func TestHigherToleranceHoldsCommitsBack(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		w.others()[1].losePower()
@@ -218,24 +219,24 @@
 	})
 }
 
-// A learner whose disk is slower than the members' gets in with everything, or not at all.
+// A learner whose disk is slower than the members' is admitted with every entry, or not at all.
 func TestSlowerLearnerHasEverything(t *testing.T) {
 	for seed := range uint64(5) {
 		w := newWorld(seed, 3, 0, 1)
-		w.write(2 * time.Millisecond)
+		w.writeLoop(2 * time.Millisecond)
 		w.run(warmUp)
 		m := w.newMachine()
-		m.sync = 60 * time.Millisecond
+		m.syncTime = 60 * time.Millisecond
 		m.start()
-		assert.Less(t, w.untilIn(m, 5*time.Second), 2*time.Second, "seed %d", seed)
+		assert.Less(t, w.untilInChain(m, 5*time.Second), 2*time.Second, "seed %d", seed)
 		require.NoError(t, w.failure, "seed %d", seed)
 	}
 }
 
-// An admission is one view: a member that doesn't hear of it in time, and whose vote it didn't need, isn't taken for lost.
+// An admission is one view change: a member that doesn't learn of it in time, and whose vote wasn't needed, isn't considered lost.
 func TestAdmissionDropsNobody(t *testing.T) {
 	for seed := range uint64(8) {
-		w := calm(t, seed, 3, 2, 1)
+		w := newCalmWorld(t, seed, 3, 2, 1)
 		epoch := w.head().process.View().Epoch
 		m := w.newMachine()
 		m.start()
@@ -254,8 +255,8 @@
 	}
 }
 
-// A new head with enough members acts before it takes newcomers in, and goes on for a while without holding writes back for them.
-func TestANewHeadActsBeforeItAdmits(t *testing.T) {
+// A new head with enough members acts before it admits newcomers, and continues for a while without holding writes back for them.
+func TestNewHeadActsBeforeAdmitting(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		for _, m := range w.machines {
 			m.losePower()
@@ -272,7 +273,7 @@
 		require.NotNil(t, head, "seed %d", w.seed)
 		acted := head.process.head.headSince
 		late.start()
-		w.untilIn(late, 5*time.Second)
+		w.untilInChain(late, 5*time.Second)
 		assert.GreaterOrEqual(t, head.clock()-acted, admissionDelay, "seed %d", w.seed)
 		assert.Less(t, head.clock()-acted, 2*time.Second, "seed %d", w.seed)
 	})
--- a/coord/replica/audit.go
+++ b/coord/replica/audit.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// maxDigests is how many digests a replica remembers of itself, so that slower members find the same ones.
+	// maxDigests is how many of its own digests a replica keeps, so that it still has the ones that slower members report.
 	maxDigests = 8
-	// divergencePauseFactor is how many times DropAfter passes before a second member is told to stop, or one after a change of the view: the first
-	// must count as gone by then.
+	// divergencePauseFactor is how many times DropAfter passes before the head notifies a second member that its state differs, or a
+	// first one after a change of the view: the member that stopped before must count as gone by then.
 	divergencePauseFactor = 2
 )
 
-// ErrStateDiverged says that this replica's state isn't what the same entries came to at others. Its disk is marked as unfit by then.
+// ErrStateDiverged reports that this replica's state differs from what the same entries produced at other replicas. By the time it is
+// returned, the disk is marked as unfit, unless it refuses writes.
 var ErrStateDiverged = errors.New("state differs from the chain's")
 
-// StateError tells where a state was found to differ. It wraps ErrStateDiverged.
+// StateError reports where a state was found to differ. It wraps ErrStateDiverged.
 type StateError struct {
 	Index       uint64 // the digest was taken after this entry
 	Own, Agreed uint64
@@ -32,15 +33,15 @@
 
 func (e *StateError) Unwrap() error { return ErrStateDiverged }
 
-// audit is what a replica knows of its own state's digests.
+// audit holds the digests of a replica's own state, and the divergence if one was found.
 type audit struct {
 	own        []view.Digest // of the last few indexes, in order; never changed in place
 	divergence *StateError
-	marked     bool   // the record that the disk is unfit has been handed out
+	marked     bool   // the record that marks the disk as unfit has been handed out
 	token      uint64 // of that record
 }
 
-// findDigest gives the digest taken at the same index in the same format.
+// findDigest returns the digest that was taken at the same index and in the same format as like.
 func findDigest(digests []view.Digest, like view.Digest) (view.Digest, bool) {
 	at := slices.IndexFunc(digests, func(d view.Digest) bool { return d.Index == like.Index && d.Format == like.Format })
 	if at < 0 {
@@ -56,8 +57,8 @@
 	r.checkDigests(now)
 }
 
-// checkDigests compares what the members of the chain made of the same entries, at the head. Members that differ are told so one at a time, as
-// each loses its disk by it.
+// checkDigests compares, at the head, the states that the members of the chain got from the same entries. Members whose state differs are
+// notified one at a time, as each of them loses its disk by it.
 func (r *Replica) checkDigests(now time.Duration) {
 	if !r.leading() || len(r.view.Chain) < 2 {
 		return
@@ -68,7 +69,7 @@
 			continue
 		}
 		for _, member := range r.view.Chain {
-			if told, ok := r.digestOf(member.ID, own); ok && told.Sum != agreed.Sum {
+			if reported, ok := r.digestOf(member.ID, own); ok && reported.Sum != agreed.Sum {
 				r.reportDivergence(now, member, agreed)
 				return
 			}
@@ -76,7 +77,7 @@
 	}
 }
 
-// digestOf gives what a member of the chain has told.
+// digestOf returns the digest that a member of the chain has reported.
 func (r *Replica) digestOf(id view.ReplicaID, like view.Digest) (view.Digest, bool) {
 	if id == r.self.ID {
 		return findDigest(r.audit.own, like)
@@ -87,27 +88,28 @@
 	return view.Digest{}, false
 }
 
-// agreedDigest is what more than half of the chain have; where all have told and no such half is, what the head has.
+// agreedDigest returns the digest that more than half of the chain have; if all have reported and there is no such majority, the head's
+// own.
 func (r *Replica) agreedDigest(own view.Digest) (view.Digest, bool) {
 	count := map[uint64]int{}
-	told := 0
+	reported := 0
 	for _, member := range r.view.Chain {
 		digest, ok := r.digestOf(member.ID, own)
 		if !ok {
 			continue
 		}
-		told++
+		reported++
 		if count[digest.Sum]++; count[digest.Sum] > len(r.view.Chain)/2 {
 			return digest, true
 		}
 	}
-	return own, told == len(r.view.Chain)
+	return own, reported == len(r.view.Chain)
 }
 
-// reportDivergence tells a member that its state differs; the head itself stops at once.
+// reportDivergence notifies a member that its state differs; the head itself stops at once.
 func (r *Replica) reportDivergence(now time.Duration, member view.Member, agreed view.Digest) {
-	another := r.head.diverged != member.ID && now-r.head.divergenceReportedAt < divergencePauseFactor*r.cfg.DropAfter
-	if another || !r.canSpare(now, member.ID) {
+	tooSoon := r.head.diverged != member.ID && now-r.head.divergenceReportedAt < divergencePauseFactor*r.cfg.DropAfter
+	if tooSoon || !r.canSpare(now, member.ID) {
 		return
 	}
 	r.head.diverged, r.head.divergenceReportedAt = member.ID, now
@@ -118,7 +120,8 @@
 	r.send(member, &Message{Differs: &agreed})
 }
 
-// canSpare tells whether a member of the chain can be done without: f+1 others are in it, and a majority of the voters is there.
+// canSpare reports whether the chain can do without a member: f+1 others are in it, and a majority of the voters is responsive without
+// it.
 func (r *Replica) canSpare(now time.Duration, id view.ReplicaID) bool {
 	if len(r.view.Chain)-1 <= r.cfg.Tolerance {
 		return false
@@ -133,14 +136,14 @@
 	return alive >= r.view.Majority()
 }
 
-// onDiffers takes the head's word that the state here differs from what is agreed.
+// onDiffers handles a notice of the head that the state here differs from the agreed one.
 func (r *Replica) onDiffers(from view.Member, agreed view.Digest) {
 	if from.ID == r.view.Head().ID {
 		r.stopIfDiverged(agreed)
 	}
 }
 
-// stopIfDiverged stops this replica where its own digest isn't the agreed one: from now on it neither leads, answers reads nor says anything.
+// stopIfDiverged stops this replica if its own digest isn't the agreed one: from then on it doesn't lead, answer reads or send messages.
 func (r *Replica) stopIfDiverged(agreed view.Digest) {
 	own, ok := findDigest(r.audit.own, agreed)
 	if !ok || own.Sum == agreed.Sum {
@@ -155,7 +158,8 @@
 	r.chain.Leave()
 }
 
-// stepStopped takes the inputs of a replica whose state differs: only the word that its disk is marked counts.
+// stepStopped handles the inputs of a replica whose state differs: only the report that its disk is marked counts, or that the disk has
+// failed.
 func (r *Replica) stepStopped(now time.Duration, in Input) Output {
 	switch in := in.(type) {
 	case Synced:
@@ -166,7 +170,8 @@
 	return r.finishStopped(now)
 }
 
-// finishStopped hands out the mark for the disk and, once that is there, the fault.
+// finishStopped hands out the record that marks the disk and, once that is on disk, the fault. With a failed disk it hands out the fault
+// at once.
 func (r *Replica) finishStopped(now time.Duration) Output {
 	out := Output{Events: r.out.Events, Wake: now + maxWakeInterval}
 	r.out = Output{}
--- a/coord/replica/backoff.go
+++ b/coord/replica/backoff.go
@@ -7,25 +7,25 @@
 	"gaugeslip/coord/view"
 )
 
-// How patience with one replica grows with the others that fell out of the chain lately: where many do, what slows them down is
-// likely shared, and changing the view again doesn't help. The first few faults are met at once, and so is one replica's trouble
-// however often it comes back.
+// How the timeouts for one replica grow with the recent losses of others from the chain: if there are many, their cause is likely
+// shared, and another view change doesn't help. The first few faults are handled without delay, and so are the faults of a single
+// replica, however often they recur.
 const (
 	maxChainLosses     = 16
 	chainLossWindow    = time.Minute
-	stallDoublingFrom  = 1 // upsets after which each one doubles patience with slow disks
+	stallDoublingFrom  = 1 // losses after which each further one doubles the timeout of slow disks
 	maxStallDoublings  = 2
-	silenceGrowthFrom  = 4 // upsets after which patience with silence grows
-	silenceGrowthSteps = 4 // upsets after which it has grown by a grant
+	silenceGrowthFrom  = 4 // losses after which the allowance for silence grows
+	silenceGrowthSteps = 4 // further losses after which it has grown by a grant
 )
 
-// chainLoss is a view from which members fell out of the chain.
+// chainLoss is a view change that removed members from the chain.
 type chainLoss struct {
 	at   time.Duration
 	lost []view.ReplicaID
 }
 
-// noteChainLoss notes the members that fall out of the chain, if any do.
+// noteChainLoss records the members that a view change removes from the chain, if any.
 func (r *Replica) noteChainLoss(now time.Duration, before, after view.View) {
 	u := chainLoss{at: now}
 	for _, member := range before.Chain {
@@ -40,7 +40,7 @@
 	r.chainLosses = slices.Clone(r.chainLosses[max(len(r.chainLosses)-maxChainLosses, 0):])
 }
 
-// lossesOfOthers is how often other members fell out of the chain within the last minute.
+// lossesOfOthers returns how many view changes within chainLossWindow removed a member other than id.
 func (r *Replica) lossesOfOthers(now time.Duration, id view.ReplicaID) int {
 	other := func(fell view.ReplicaID) bool { return fell != id }
 	count := 0
@@ -52,12 +52,12 @@
 	return count
 }
 
-// diskTimeout is how long the disk of a replica that is in touch, or the own one, may hold things up.
+// diskTimeout returns how long the disk of a responsive replica, or the own one, may hold an entry up.
 func (r *Replica) diskTimeout(now time.Duration, id view.ReplicaID) time.Duration {
 	return r.cfg.StallAfter << min(max(r.lossesOfOthers(now, id)-stallDoublingFrom, 0), maxStallDoublings)
 }
 
-// silenceAllowance is what is added to the time for which another replica may be silent, a grant at most.
+// silenceAllowance returns what is added to the time for which another replica may be silent, at most a grant.
 func (r *Replica) silenceAllowance(now time.Duration, id view.ReplicaID) time.Duration {
 	return r.cfg.Grant * time.Duration(min(max(r.lossesOfOthers(now, id)-silenceGrowthFrom, 0), silenceGrowthSteps)) / silenceGrowthSteps
 }
--- a/coord/replica/blame.go
+++ b/coord/replica/blame.go
@@ -6,14 +6,14 @@
 	"gaugeslip/coord/view"
 )
 
-// stallState is what a head watches to tell whose disk holds an entry up.
+// stallState is what a head tracks to decide whose disk holds an entry up.
 type stallState struct {
-	blockedSince timestamp     // since when only others can hold the watched entry up
-	ownSynced    uint64        // last index on the disk here
-	aheadSince   time.Duration // since when a member has more on its disk than that; 0: none has
+	blockedSince timestamp     // since when only other members can hold the watched entry up
+	ownSynced    uint64        // last index on the own disk
+	aheadSince   time.Duration // since when a member has more than that on its disk; 0: none has
 }
 
-// watchPendingEntry follows one entry after the other to its commitment.
+// watchPendingEntry tracks one entry after the other until it is committed.
 func (r *Replica) watchPendingEntry(now time.Duration) {
 	h := &r.head
 	if r.Committed() >= h.watchedIndex || len(r.view.Chain) <= r.cfg.Tolerance {
@@ -26,7 +26,7 @@
 	r.watchOwnDisk(now)
 }
 
-// watchOwnDisk notes since when another disk is ahead of the one here.
+// watchOwnDisk records since when another disk is ahead of the own one.
 func (r *Replica) watchOwnDisk(now time.Duration) {
 	b := &r.head.stall
 	if synced := r.chain.Synced(); synced != b.ownSynced {
@@ -43,8 +43,8 @@
 	}
 }
 
-// stalledMember is the member because of which nothing has been committed for too long, if any. One that is silent isn't blamed for its disk:
-// it is dropped for its silence, or comes back from a pause.
+// stalledMember returns the member because of which nothing has been committed for too long, if any. An unresponsive member doesn't count
+// as stalled: it is dropped for its silence, or returns from a pause.
 func (r *Replica) stalledMember(now time.Duration) view.ReplicaID {
 	id := r.blockingMember(now)
 	if id == "" || r.unresponsive(now, r.peer(id, now)) || r.elapsedSince(now, r.head.stall.blockedSince) <= r.entryTimeout(now, id) {
@@ -53,8 +53,8 @@
 	return id
 }
 
-// blockingMember is the member that holds the watched entry up, if any does: the first that hasn't got it on disk, or is silent, so that what
-// it has can't get on or back.
+// blockingMember returns the member that holds the watched entry up, if any: the first that doesn't have it on disk, or is unresponsive,
+// so that the entry or its acknowledgement can't pass it.
 func (r *Replica) blockingMember(now time.Duration) view.ReplicaID {
 	stuck := r.head.watchedIndex
 	if r.Committed() >= stuck {
@@ -73,14 +73,15 @@
 	return ""
 }
 
-// unresponsive tells whether a member has let heartbeats go without an answer.
+// unresponsive reports whether a member has left heartbeats unanswered.
 func (r *Replica) unresponsive(now time.Duration, p *peer) bool {
 	return r.elapsedSince(now, p.heard) > quietHeartbeats*r.cfg.HeartbeatEvery
 }
 
-// noteAcknowledgement notes that a member has answered. One that was silent for a while, but shorter than it may be, gets the time to make up for
-// it: its disk can't be blamed for what it hadn't been told yet, nor can those behind it. Where the member that holds the watched entry up
-// has got it, others' silence was no reason for that, and its own, in which it may have stood still, only for as long as it lasted.
+// noteAcknowledgement records that a member has answered a heartbeat. A member that was silent, but not for long enough to be dropped,
+// gets time to catch up: its disk can't be held responsible for what it hadn't received yet, nor can the disks behind it. If the member
+// that holds the watched entry up has received it, the silence of others was not the reason for that, and its own silence, in which the
+// process may have stood still, is excused only for as long as it lasted.
 func (r *Replica) noteAcknowledgement(now time.Duration, p *peer) {
 	silence := now - p.heard.at
 	p.heard, p.ackedAt = r.timestamp(now), now
@@ -97,12 +98,12 @@
 	}
 }
 
-// ownDiskStalled tells whether the disk here has done nothing for too long.
+// ownDiskStalled reports whether the own disk has failed, or has done nothing for too long.
 func (r *Replica) ownDiskStalled(now time.Duration) bool {
 	return r.diskFailed || r.diskIdle(now) > r.diskTimeout(now, r.self.ID)
 }
 
-// diskIdle is for how long writes have waited without any of them ending.
+// diskIdle returns for how long writes have waited without any of them ending.
 func (r *Replica) diskIdle(now time.Duration) time.Duration {
 	if len(r.pendingWrites) == 0 {
 		return 0
@@ -110,8 +111,8 @@
 	return now - max(r.pendingWrites[0].at, r.lastSyncAt)
 }
 
-// shouldYieldForDisk tells whether the head should hand over for its disk's sake: it stalls while others' disks work. Where none is
-// ahead they may share what slows them down, and another head would fare no better.
+// shouldYieldForDisk reports whether the head should hand over because of its disk: it has failed, or stalls while others' disks work. If
+// no other disk is ahead, all may have the same cause, and another head would fare no better.
 func (r *Replica) shouldYieldForDisk(now time.Duration) bool {
 	if !r.ownDiskStalled(now) {
 		return false
@@ -120,12 +121,13 @@
 	return r.diskFailed || ahead != 0 && now-ahead > r.cfg.StallAfter/aheadDivisor
 }
 
-// entryTimeout is how long an entry may wait for one member: what the own disk took lately is granted to others' as well.
+// entryTimeout returns how long an entry may wait for one member. The longest recent sync of the own disk is added for the other disks,
+// up to StallAfter.
 func (r *Replica) entryTimeout(now time.Duration, id view.ReplicaID) time.Duration {
 	return r.diskTimeout(now, id) + min(r.slowestSync.recent(now), r.cfg.StallAfter)
 }
 
-// slowestSync keeps the longest sync of late.
+// slowestSync is the longest recent sync of the own disk.
 type slowestSync struct {
 	longest time.Duration
 	at      time.Duration
@@ -138,7 +140,7 @@
 	}
 }
 
-// recent is the longest sync of late.
+// recent returns the length of the longest recent sync, or 0.
 func (p *slowestSync) recent(now time.Duration) time.Duration {
 	if now-p.at > slowSyncMemory {
 		return 0
--- a/coord/replica/bound_test.go
+++ b/coord/replica/bound_test.go
@@ -15,16 +15,16 @@
 	"gaugeslip/internal/seeds"
 )
 
-// How a machine is lost at the bound.
+// How a machine is lost.
 const (
-	lossPower       = iota // back with its disk
-	lossDisk               // back at the same address, empty
-	lossMachine            // another comes at a new address
-	lossNewFirst           // another comes, has everything, then the old one leaves
-	lossLeaveFirst         // the old one leaves, then another comes
-	lossKilledLeave        // the old one is killed while it leaves, then another comes
-	lossStall              // the disk does nothing for a while
-	lossFreeze             // the process stands still
+	lossPower        = iota // returns with its disk
+	lossDisk                // returns at the same address with an empty disk
+	lossMachine             // is replaced by a machine at a new address
+	lossReplaceFirst        // the replacement catches up first, then the machine leaves
+	lossLeaveFirst          // the machine leaves first, then the replacement comes
+	lossKilledLeave         // the machine is killed while it leaves, then the replacement comes
+	lossStall               // the disk does nothing for a while
+	lossFreeze              // the process is suspended for a while
 	lossKinds
 )
 
@@ -33,75 +33,75 @@
 // Which machine is lost.
 const (
 	worstHead     = iota
-	worstNewest   // the one that was lost and is back
+	worstNewest   // the one that was lost last and is back
 	worstTail     // the last of the chain
 	worstSecond   // the head's successor: the next head
-	worstAnyVoter // any
+	worstAnyVoter // a random one
 	worstKinds
 )
 
-// boundShape is a deployment: machines at the start, and its settings.
+// boundShape is a deployment: its machines at the start, its tolerance, and the time limit for a machine to return.
 type boundShape struct {
 	seeds, others, tolerance int
-	bound                    time.Duration
+	returnLimit              time.Duration
 }
 
 var boundShapes = []boundShape{{3, 0, 1, 4 * time.Second}, {3, 1, 1, 4 * time.Second}, {3, 2, 1, 4 * time.Second}, {3, 2, 2, 6 * time.Second}}
 
-// boundTrial takes one machine after the other, each at the very moment at which those before count as back.
+// boundTrial loses one machine after the other, each at the moment at which the earlier ones count as back.
 type boundTrial struct {
 	*world
 	shape     boundShape
 	lostUntil map[*machine]time.Duration
-	back      []*machine // in the order of their returns
+	back      []*machine // machines in the order of their returns
 	losses    int
-	returns   []returned
+	returns   []rejoin
 }
 
-// returned is how long a machine took from its start, or the end of its trouble, to be a voter and in the chain with everything.
-type returned struct {
+// rejoin records how long a machine took, from its start or from the end of its fault, to be a voter and in the chain with everything.
+type rejoin struct {
 	kind int
 	took time.Duration
 	seed uint64
 }
 
-// fullWriting is 200 batches a second of 1 to 8 commands of 400 bytes: 900 commands a second.
+// The full load is 200 batches a second of 1 to 8 commands of 400 bytes: 900 commands a second.
 const (
-	fullWritingEvery   = 5 * time.Millisecond
-	fullWritingMost    = 8
-	fullWritingCommand = 400
-	fullWritingKept    = 3 << 20 // of the log in memory, 8 s of writing: a new machine needs a snapshot
+	fullLoadInterval     = 5 * time.Millisecond
+	fullLoadMaxBatch     = 8
+	fullLoadCommandBytes = 400
+	fullLoadKeepBytes    = 3 << 20 // of the log in memory, 8 s of writes: a new machine needs a snapshot
 )
 
-func (t *boundTrial) writeFully() {
-	if head := t.head(); head != nil && head.frozen <= t.now {
-		data := make([][]byte, 1+t.random.IntN(fullWritingMost))
+func (t *boundTrial) writeFullLoad() {
+	if head := t.head(); head != nil && head.frozenUntil <= t.now {
+		data := make([][]byte, 1+t.random.IntN(fullLoadMaxBatch))
 		for i := range data {
 			t.written++
-			data[i] = make([]byte, fullWritingCommand)
+			data[i] = make([]byte, fullLoadCommandBytes)
 			copy(data[i], strconv.Itoa(t.written))
 		}
 		head.propose(data)
 	}
-	t.after(fullWritingEvery, t.writeFully)
+	t.after(fullLoadInterval, t.writeFullLoad)
 }
 
-// newBoundTrial has the settings of the control plane, and a state of so many bytes.
+// newBoundTrial starts a deployment with the settings of the control plane and a state of the given size.
 func newBoundTrial(seed uint64, shape boundShape, bytes, scale int) *boundTrial {
 	t := &boundTrial{world: newWorld(seed, shape.seeds, shape.others, shape.tolerance), shape: shape, lostUntil: make(map[*machine]time.Duration)}
-	t.settings = Config{Grant: 450 * time.Millisecond, HeartbeatEvery: 90 * time.Millisecond, DropAfter: 400 * time.Millisecond,
-		StallAfter: 250 * time.Millisecond, KeepBytes: fullWritingKept}
-	t.weight = newWeight(bytes, scale)
+	t.config = Config{Grant: 450 * time.Millisecond, HeartbeatEvery: 90 * time.Millisecond, DropAfter: 400 * time.Millisecond,
+		StallAfter: 250 * time.Millisecond, KeepBytes: fullLoadKeepBytes}
+	t.costs = newStateCosts(bytes, scale)
 	for _, m := range t.machines {
-		m.sync = 9 * time.Millisecond
+		m.syncTime = 9 * time.Millisecond
 	}
 	t.onView = t.checkChain
-	t.writeFully()
-	t.run(warmUp + shape.bound)
+	t.writeFullLoad()
+	t.run(warmUp + shape.returnLimit)
 	return t
 }
 
-// checkChain holds that every chain has f+1 members: each has everything.
+// checkChain checks that every chain has at least f+1 members, each of which has everything.
 func (t *boundTrial) checkChain(v view.View) {
 	if len(v.Chain) <= t.tolerance {
 		t.fail("the chain of epoch %d has %d members", v.Epoch, len(v.Chain))
@@ -118,7 +118,7 @@
 	return lost
 }
 
-// victim is the machine that it hurts most to lose now.
+// victim returns the machine whose loss hurts most now, or nil.
 func (t *boundTrial) victim(worst int) *machine {
 	head := t.head()
 	if head == nil {
@@ -132,9 +132,9 @@
 			m = t.back[len(t.back)-1]
 		}
 	case worstTail:
-		m = t.memberAt(v, len(v.Chain)-1)
+		m = t.memberMachine(v, len(v.Chain)-1)
 	case worstSecond:
-		m = t.memberAt(v, min(1, len(v.Chain)-1))
+		m = t.memberMachine(v, min(1, len(v.Chain)-1))
 	case worstAnyVoter:
 		m = t.machines[t.random.IntN(len(t.machines))]
 	}
@@ -144,7 +144,7 @@
 	return m
 }
 
-func (t *boundTrial) memberAt(v view.View, at int) *machine {
+func (t *boundTrial) memberMachine(v view.View, at int) *machine {
 	for _, m := range t.machines {
 		if m.process != nil && m.process.Self().ID == v.Chain[at].ID {
 			return m
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// play takes so many machines, one after the other.
+// play loses the given number of machines, one after the other.
 func (t *boundTrial) play(losses int) error {
 	for t.losses < losses && t.failure == nil {
 		if t.lost() >= t.tolerance {
@@ -172,9 +172,9 @@
 		t.losses++
 		t.trace("%v loss %d: %s of %s", t.now, t.losses, lossNames[kind], m.address)
 		t.lose(kind, m)
-		t.goesOn()
+		t.checkCommits()
 	}
-	t.run(t.now + 2*t.shape.bound)
+	t.run(t.now + 2*t.shape.returnLimit)
 	return t.failure
 }
 
@@ -188,76 +188,76 @@
 	return next
 }
 
-// resumes is how soon something is committed after each loss.
-const resumes = 2 * time.Second
+// commitLimit is how soon something must be committed after each loss.
+const commitLimit = 2 * time.Second
 
-// goesOn holds that what is proposed after a loss is committed.
-func (t *boundTrial) goesOn() {
+// checkCommits checks that entries proposed after a loss are committed.
+func (t *boundTrial) checkCommits() {
 	before, began := len(t.oracle.entries), t.now
-	const some = 50 // what had been under way is among them
+	const some = 50 // including entries that were in progress
 	for t.failure == nil && len(t.oracle.entries) < before+some {
 		t.run(t.now + time.Millisecond)
-		if t.now > began+resumes {
-			t.fail("nothing is committed %v after loss %d", resumes, t.losses)
+		if t.now > began+commitLimit {
+			t.fail("nothing is committed %v after loss %d", commitLimit, t.losses)
 		}
 	}
 }
 
-// lose takes a machine; lostUntil is set as the operators count.
+// lose makes a machine fail in the given way, and sets lostUntil as an operator counts it.
 func (t *boundTrial) lose(kind int, m *machine) {
-	length := t.between(200*time.Millisecond, 1500*time.Millisecond)
-	t.lostUntil[m] = t.now + length + t.shape.bound
+	length := t.randomDuration(200*time.Millisecond, 1500*time.Millisecond)
+	t.lostUntil[m] = t.now + length + t.shape.returnLimit
 	switch kind {
 	case lossPower:
 		m.losePower()
-		t.comesBack(kind, m, length)
+		t.startAfter(kind, m, length)
 	case lossDisk:
 		m.loseDisk()
-		t.comesBack(kind, m, length)
+		t.startAfter(kind, m, length)
 	case lossMachine:
 		m.losePower()
-		t.replacedBy(kind, m, length)
-	case lossNewFirst:
-		t.newFirst(kind, m, length)
+		t.replaceAfter(kind, m, length)
+	case lossReplaceFirst:
+		t.replaceFirst(kind, m, length)
 	case lossLeaveFirst:
 		m.input(Leave{})
-		t.endsWithGrace(m)
-		t.replacedBy(kind, m, length)
+		t.killAfterLeaving(m)
+		t.replaceAfter(kind, m, length)
 	case lossKilledLeave:
 		m.input(Leave{})
-		t.after(t.between(0, 20*time.Millisecond), func() { m.losePower() })
-		t.replacedBy(kind, m, length)
+		t.after(t.randomDuration(0, 20*time.Millisecond), func() { m.losePower() })
+		t.replaceAfter(kind, m, length)
 	case lossStall:
-		m.stalled = t.now + length
-		t.after(length, func() { t.watch(kind, m, t.now) })
+		m.stalledUntil = t.now + length
+		t.after(length, func() { t.watchReturn(kind, m, t.now) })
 	case lossFreeze:
 		m.freeze(length)
-		t.after(length, func() { t.watch(kind, m, t.now) })
+		t.after(length, func() { t.watchReturn(kind, m, t.now) })
 	}
 }
 
-// comesBack starts a machine after a while.
-func (t *boundTrial) comesBack(kind int, m *machine, length time.Duration) {
+// startAfter starts a machine after a while.
+func (t *boundTrial) startAfter(kind int, m *machine, length time.Duration) {
 	t.after(length, func() {
 		m.start()
-		t.watch(kind, m, t.now)
+		t.watchReturn(kind, m, t.now)
 	})
 }
 
-// replacedBy has another machine start in the place of one.
-func (t *boundTrial) replacedBy(kind int, m *machine, length time.Duration) {
+// replaceAfter starts another machine in the place of one after a while.
+func (t *boundTrial) replaceAfter(kind int, m *machine, length time.Duration) {
 	t.after(length, func() {
-		other := t.another()
-		t.lostUntil[other] = t.now + t.shape.bound
-		t.watch(kind, other, t.now)
+		other := t.startReplacement()
+		t.lostUntil[other] = t.now + t.shape.returnLimit
+		t.watchReturn(kind, other, t.now)
 	})
-	t.after(length+t.shape.bound, func() { t.removed(m) })
+	t.after(length+t.shape.returnLimit, func() { t.removed(m) })
 }
 
-// another is a new machine at a new address.
-func (t *boundTrial) another() *machine {
+// startReplacement starts a new machine at a new address.
+func (t *boundTrial) startReplacement() *machine {
 	other := t.newMachine()
-	other.sync = 9 * time.Millisecond
+	other.syncTime = 9 * time.Millisecond
 	for _, running := range t.machines {
 		running.input(Contacts{Addresses: t.contacts(running)})
 	}
@@ -270,32 +270,32 @@
 	m.removed = true
 }
 
-// newFirst brings the successor, and ends the old machine when that has had its time: no more than the tolerance is lost at any moment,
-// as the newcomer counts in the other's place.
-func (t *boundTrial) newFirst(kind int, m *machine, _ time.Duration) {
-	other := t.another()
+// replaceFirst starts the replacement, and ends the old machine once the replacement has had its time. No more machines than the
+// tolerance are lost at any moment, as the newcomer counts in the other's place.
+func (t *boundTrial) replaceFirst(kind int, m *machine, _ time.Duration) {
+	other := t.startReplacement()
 	t.lostUntil[m] = 0
-	t.lostUntil[other] = t.now + t.shape.bound
-	t.watch(kind, other, t.now)
-	t.run(t.now + t.shape.bound)
+	t.lostUntil[other] = t.now + t.shape.returnLimit
+	t.watchReturn(kind, other, t.now)
+	t.run(t.now + t.shape.returnLimit)
 	m.input(Leave{})
-	t.endsWithGrace(m)
-	t.after(grace, func() { t.removed(m) })
+	t.killAfterLeaving(m)
+	t.after(leaveGrace, func() { t.removed(m) })
 	t.lostUntil[m] = t.now + 1
 }
 
-const grace = 4 * time.Second
+const leaveGrace = 4 * time.Second
 
-// endsWithGrace ends a leaver when it has left, or its grace is over.
-func (t *boundTrial) endsWithGrace(m *machine) {
-	deadline, life := t.now+grace, m.life
+// killAfterLeaving ends a leaving process once it has left, or its grace period is over.
+func (t *boundTrial) killAfterLeaving(m *machine) {
+	deadline, life := t.now+leaveGrace, m.incarnation
 	var look func()
 	look = func() {
-		if m.life != life {
+		if m.incarnation != life {
 			return
 		}
 		if m.left || t.now >= deadline {
-			m.end()
+			m.kill()
 			return
 		}
 		t.after(10*time.Millisecond, look)
@@ -303,26 +303,26 @@
 	look()
 }
 
-// watch notes how long a machine takes from now until it is a voter and in the chain.
-func (t *boundTrial) watch(kind int, m *machine, began time.Duration) {
-	life := m.life
-	if m.process == nil || life != m.life {
+// watchReturn records how long a machine takes from now until it is a voter and in the chain.
+func (t *boundTrial) watchReturn(kind int, m *machine, began time.Duration) {
+	life := m.incarnation
+	if m.process == nil || life != m.incarnation {
 		return
 	}
 	head := t.head()
 	id := m.process.Self().ID
-	if head != nil && head.process.View().InChain(id) && head.process.View().IsVoter(id) && m.process.View().InChain(id) && m.frozen <= t.now {
-		t.returns = append(t.returns, returned{kind, t.now - began, t.seed})
+	if head != nil && head.process.View().InChain(id) && head.process.View().IsVoter(id) && m.process.View().InChain(id) && m.frozenUntil <= t.now {
+		t.returns = append(t.returns, rejoin{kind, t.now - began, t.seed})
 		t.back = append(t.back, m)
 		return
 	}
-	if t.now > began+t.shape.bound {
-		t.fail("%s isn't back %v after %s", m.address, t.shape.bound, lossNames[kind])
+	if t.now > began+t.shape.returnLimit {
+		t.fail("%s isn't back %v after %s", m.address, t.shape.returnLimit, lossNames[kind])
 		return
 	}
 	t.after(5*time.Millisecond, func() {
-		if m.life == life {
-			t.watch(kind, m, began)
+		if m.incarnation == life {
+			t.watchReturn(kind, m, began)
 		}
 	})
 }
@@ -332,7 +332,7 @@
 	boundLosses = 12
 )
 
-func boundTrialOf(seed uint64, losses, bytes, scale int, trace func(string, ...any)) (*boundTrial, error) {
+func playBoundTrial(seed uint64, losses, bytes, scale int, trace func(string, ...any)) (*boundTrial, error) {
 	t := newBoundTrial(seed, boundShapes[seed%uint64(len(boundShapes))], bytes, scale)
 	if trace != nil {
 		t.trace = trace
@@ -340,12 +340,12 @@
 	return t, t.play(losses)
 }
 
-// TestLossesAtTheBound takes the worst machine again and again. GAUGESLIP_BOUND gives one seed, with a trace; GAUGESLIP_BOUNDS the number
-// of seeds, which are played with a state of 50 MB in full; the default holds a sixteenth and
-// counts it as the whole.
+// TestLossesAtTheBound loses the worst machine again and again. GAUGESLIP_BOUND selects one seed, with a trace; GAUGESLIP_BOUNDS sets the
+// number of seeds, which run with a full state of 50 MB. By default the state has a sixteenth of that size, and its costs are scaled to
+// the whole.
 func TestLossesAtTheBound(t *testing.T) {
 	if seed, alone := seeds.Alone(t, "GAUGESLIP_BOUND"); alone {
-		_, err := boundTrialOf(seed, boundLosses, boundBytes, 1, t.Logf)
+		_, err := playBoundTrial(seed, boundLosses, boundBytes, 1, t.Logf)
 		require.NoError(t, err)
 		return
 	}
@@ -353,9 +353,9 @@
 	if count == 0 {
 		count, losses, scale = len(boundShapes), 4, 16
 	}
-	var returns [lossKinds][]returned
+	var returns [lossKinds][]rejoin
 	for seed := range uint64(count) {
-		trial, err := boundTrialOf(seed, losses, boundBytes, scale, nil)
+		trial, err := playBoundTrial(seed, losses, boundBytes, scale, nil)
 		assert.NoError(t, err, "replay with GAUGESLIP_BOUND=%d go test -v -run TestLossesAtTheBound ./coord/replica", seed)
 		for _, back := range trial.returns {
 			returns[back.kind] = append(returns[back.kind], back)
@@ -364,14 +364,14 @@
 	t.Log(distribution(returns))
 }
 
-// distribution tells how long the returns took, by kind, and of which seed the longest is.
-func distribution(returns [lossKinds][]returned) string {
+// distribution describes how long the returns took, by kind, with the seed of the longest.
+func distribution(returns [lossKinds][]rejoin) string {
 	text := fmt.Sprintf("\n%-14s %5s %7s %7s %7s %5s\n", "loss", "n", "p50", "p90", "max", "seed")
 	for kind, all := range returns {
 		if len(all) == 0 {
 			continue
 		}
-		slices.SortFunc(all, func(a, b returned) int { return cmp.Compare(a.took, b.took) })
+		slices.SortFunc(all, func(a, b rejoin) int { return cmp.Compare(a.took, b.took) })
 		at := func(part int) time.Duration { return all[(len(all)-1)*part/100].took.Round(10 * time.Millisecond) }
 		text += fmt.Sprintf("%-14s %5d %7v %7v %7v %5d\n", lossNames[kind], len(all), at(50), at(90), at(100), all[len(all)-1].seed)
 	}
--- a/coord/replica/cause.go
+++ b/coord/replica/cause.go
@@ -7,73 +7,74 @@
 	"gaugeslip/coord/view"
 )
 
-// CauseKind tells why a view was wished for.
+// CauseKind is the reason for which a view was proposed or a lease lost.
 type CauseKind string
 
-// The kinds of causes.
+// Kinds of causes.
 const (
-	// CauseGenesis is the first view of the whole system.
+	// CauseGenesis: the first view of the whole system.
 	CauseGenesis CauseKind = "genesis"
-	// CauseLearned: another replica had it decided, and Member told of it; the cause is in that one's log.
+	// CauseLearned: another replica had the view decided, and Member sent it; the cause is in that replica's log.
 	CauseLearned CauseKind = "learnt"
-	// CauseHeadSilent: an election, as the head hadn't been heard for longer than Patience.
+	// CauseHeadSilent: an election, because the head hadn't been heard for longer than Patience.
 	CauseHeadSilent CauseKind = "head-silent"
-	// CauseMajorityLost: an election by a head that a majority hadn't granted anything for longer than Patience.
+	// CauseMajorityLost: an election by a head that had no grant of a majority for longer than Patience.
 	CauseMajorityLost CauseKind = "majority-lost"
-	// CauseRestart: an election by a replica that came back as the head of its old view.
+	// CauseRestart: an election by a replica that restarted as the head of its old view.
 	CauseRestart CauseKind = "restart"
 	// CauseSilent: the head dropped a member that it hadn't heard for longer than Patience.
 	CauseSilent CauseKind = "silent"
 	// CauseStuck: the head dropped a member for which an entry had waited for longer than Patience.
 	CauseStuck CauseKind = "stuck"
-	// CauseOwnDisk: the head handed over, as its own disk hadn't synced for longer than Patience, or refuses.
+	// CauseOwnDisk: the head handed over because its own disk hadn't synced for longer than Patience, or refuses writes.
 	CauseOwnDisk CauseKind = "own-disk"
-	// CauseDiskRefuses: the head dropped a member that had told that its disk refuses or stalls.
+	// CauseDiskRefuses: the head dropped a member that had reported that its disk refuses writes.
 	CauseDiskRefuses CauseKind = "disk-refuses"
-	// CauseHandover: the head was asked to leave.
+	// CauseHandover: the head handed over because it was asked to leave.
 	CauseHandover CauseKind = "handover"
-	// CauseLeaver: a member asked to leave.
+	// CauseLeaver: the head dropped a member that had asked to leave.
 	CauseLeaver CauseKind = "leaver"
-	// CauseDiskLost: a member's address has another disk now, or its disk another address.
+	// CauseDiskLost: a member's address has another disk now, or its disk has another address.
 	CauseDiskLost CauseKind = "disk-lost"
 	// CauseLearner: a learner that had everything was admitted.
 	CauseLearner CauseKind = "learner"
-	// CauseSeat: the seat of a voter out of reach was given up.
+	// CauseSeat: the vote of a voter out of reach was dropped or reassigned.
 	CauseSeat CauseKind = "seat"
-	// CausePromise: a voter's old promise kept it from granting.
+	// CausePromise: a new epoch, because a voter's old promise kept it from granting.
 	CausePromise CauseKind = "promise"
-	// CauseLease: the head's lease ended; no view by itself.
+	// CauseLease: the head's lease ended. It causes no view by itself.
 	CauseLease CauseKind = "lease"
-	// CauseState: the head's state differs from what is agreed, and it stops; no view by itself.
+	// CauseState: the head's state differs from the agreed one, and it stops. It causes no view by itself.
 	CauseState CauseKind = "state"
 )
 
-// Cause is why a view was wished for, or a lease lost, with the figures that decided it. What doesn't belong to the kind is
-// zero. Times are lengths by the clock of the replica that judged, at the moment at which it judged.
+// Cause is why a view was proposed, or a lease lost, with the figures that decided it. Fields that don't belong to the kind are zero.
+// Times are durations by the clock of the replica that decided, at the moment of its decision.
 type Cause struct {
 	Kind CauseKind
-	// Member is whom it concerns: who was silent, stuck, leaving or admitted, or who told of the view.
+	// Member is the replica that the cause concerns: the one that was silent, stuck, leaving or admitted, or that sent the view.
 	Member view.ReplicaID
-	// Silence is for how long nothing counted had come from Member; at a lost majority or lease from a majority.
+	// Silence is for how long nothing that counts had come from Member; for a lost majority or lease, from a majority.
 	Silence time.Duration
-	// Paused is the part of Silence, or of Stuck, for which the judge was held up itself; it is taken off.
+	// Paused is the part of Silence, or of Stuck, for which the deciding replica was paused itself; it is subtracted.
 	Paused time.Duration
-	// Patience is the bound that was passed.
+	// Patience is the limit that was exceeded.
 	Patience time.Duration
-	// Index waited to be committed, for Stuck; where the own disk is the cause, Index is the last one on it, and no sync ended for Stuck.
+	// Index is the entry that had waited to be committed for Stuck. If the own disk is the cause, Index is the last one on it, and no
+	// sync had ended for Stuck.
 	Index uint64
 	Stuck time.Duration
-	// Sync is the age of the judge's oldest write on the way to its disk.
+	// Sync is the age of the deciding replica's oldest write on the way to its disk.
 	Sync time.Duration
-	// LeaseOver is how long ago the judge's own lease as the head ended, if it has ended.
+	// LeaseOver is how long ago the deciding replica's own lease as the head ended, if it has ended.
 	LeaseOver time.Duration
-	// Answered are those that answered the last ballot.
+	// Answered lists the voters that answered the last ballot.
 	Answered []view.ReplicaID
-	// Adopted: the ballot's value was another replica's wish, found on the way.
+	// Adopted: the ballot's value was another replica's proposal, found in the first phase.
 	Adopted bool
 }
 
-// setCause notes why the replica wishes for the view that it proposes next.
+// setCause records why the replica proposes its next view.
 func (r *Replica) setCause(now time.Duration, cause Cause) {
 	cause.Sync = r.oldestWriteAge(now)
 	if r.head.currentIncarnation && r.head.leaseUntil > 0 && r.ownPosition == 0 {
@@ -82,7 +83,7 @@
 	r.proposalCause = cause
 }
 
-// oldestWriteAge is the age of the oldest write on the way to the disk here.
+// oldestWriteAge returns the age of the oldest write on the way to the own disk.
 func (r *Replica) oldestWriteAge(now time.Duration) time.Duration {
 	if len(r.pendingWrites) == 0 {
 		return 0
@@ -90,11 +91,11 @@
 	return now - r.pendingWrites[0].at
 }
 
-// viewCause is the cause of a view that has come into force here: the own wish's, or that it was learnt.
+// viewCause returns the cause of a view that is adopted here: that of the own proposal, or that it was learned.
 func (r *Replica) viewCause(v view.View, from view.ReplicaID) Cause {
-	wish := r.proposer.Value
+	proposed := r.proposer.Value
 	switch {
-	case r.proposalCause.Kind != "" && r.proposer.Active() && wish != nil && wish.Equal(v):
+	case r.proposalCause.Kind != "" && r.proposer.Active() && proposed != nil && proposed.Equal(v):
 		return r.decidedCause(v)
 	case from != "":
 		return Cause{Kind: CauseLearned, Member: from}
@@ -103,7 +104,7 @@
 	}
 }
 
-// decidedCause is the cause of a view that the own ballot decided.
+// decidedCause returns the cause of a view that the own ballot decided.
 func (r *Replica) decidedCause(v view.View) Cause {
 	cause := r.proposalCause
 	for _, voter := range r.view.Voters {
@@ -116,14 +117,14 @@
 	return cause
 }
 
-// headSilentCause is the cause of standing for the place of a head that is silent.
+// headSilentCause returns the cause of an election against a silent head.
 func (r *Replica) headSilentCause(now time.Duration) Cause {
 	return Cause{Kind: CauseHeadSilent, Member: r.view.Head().ID, Silence: now - r.headExpectedSince,
 		Paused: r.electionPaused, Patience: r.electionAt - r.headExpectedSince - r.electionPaused}
 }
 
-// dropCause is why the head drops the members that aren't in the chain that is left: the first of them tells.
-func (r *Replica) dropCause(now time.Duration, culprit view.ReplicaID, left []view.Member) Cause {
+// dropCause returns why the head drops the members that aren't in the remaining chain: the cause of the first of them.
+func (r *Replica) dropCause(now time.Duration, stalled view.ReplicaID, left []view.Member) Cause {
 	at := slices.IndexFunc(r.view.Chain, func(m view.Member) bool { return !slices.Contains(left, m) })
 	id := r.view.Chain[at].ID
 	p := r.peer(id, now)
@@ -135,7 +136,7 @@
 		cause.Kind = CauseDiskRefuses
 	case p.leaving:
 		cause.Kind = CauseLeaver
-	case id == culprit:
+	case id == stalled:
 		cause.Kind, cause.Patience = CauseStuck, r.entryTimeout(now, id)
 		cause.Paused = r.pausedSince(r.head.stall.blockedSince)
 		cause.Index, cause.Stuck = r.head.watchedIndex, now-r.head.watchedSince
@@ -145,7 +146,7 @@
 	return cause
 }
 
-// seatCause is why a voter that isn't among the next ones loses its seat.
+// seatCause returns why a voter that isn't among the next ones loses its seat.
 func (r *Replica) seatCause(now time.Duration, next view.View) Cause {
 	at := slices.IndexFunc(r.view.Voters, func(m view.Member) bool { return !next.IsVoter(m.ID) })
 	if at < 0 {
@@ -155,16 +156,16 @@
 	return Cause{Kind: CauseSeat, Member: id, Silence: now - r.peer(id, now).ackedAt, Patience: voterTimeout}
 }
 
-// leaveCause is why the head hands over.
-func (r *Replica) leaveCause(now time.Duration, hindered bool) Cause {
-	if hindered {
+// leaveCause returns why the head hands over.
+func (r *Replica) leaveCause(now time.Duration, diskStalled bool) Cause {
+	if diskStalled {
 		return Cause{Kind: CauseOwnDisk, Member: r.self.ID, Stuck: r.diskIdle(now), Patience: r.diskTimeout(now, r.self.ID),
 			Index: r.chain.Synced()}
 	}
 	return Cause{Kind: CauseHandover, Member: r.self.ID}
 }
 
-// leaseCause is what the head knows of the loss of its lease.
+// leaseCause returns the figures of a lost lease.
 func (r *Replica) leaseCause(now time.Duration) Cause {
 	cause := Cause{Kind: CauseLease, Sync: r.oldestWriteAge(now), LeaseOver: max(now-r.head.leaseUntil, 0)}
 	if since, ok := r.head.lease.MajoritySince(r.view); ok {
--- a/coord/replica/cause_test.go
+++ b/coord/replica/cause_test.go
@@ -10,10 +10,10 @@
 	"gaugeslip/coord/view"
 )
 
-// causes are the causes of the views that machines have seen since, those that were only learnt left out.
+// causes holds the causes of the views that machines adopted, except for those that they only learned.
 type causes struct{ seen []Cause }
 
-// observeCauses notes the causes of all views from here on.
+// observeCauses records the causes of all views from now on.
 func observeCauses(w *world) *causes {
 	c := &causes{}
 	w.trace = func(_ string, args ...any) {
@@ -32,8 +32,8 @@
 	return c.seen[0]
 }
 
-// member is a machine at a place of the chain.
-func (w *world) member(place int) *machine {
+// machineAt returns the machine at a place in the chain.
+func (w *world) machineAt(place int) *machine {
 	id := w.head().process.View().Chain[place].ID
 	for _, m := range w.machines {
 		if m.process != nil && m.process.Self().ID == id {
@@ -43,11 +43,11 @@
 	return nil
 }
 
-func TestAnElectionTellsTheHeadsSilence(t *testing.T) {
-	w := calm(t, 1, 3, 0, 1)
-	head, successor := w.head(), w.member(1)
+func TestElectionCauseHasHeadSilence(t *testing.T) {
+	w := newCalmWorld(t, 1, 3, 0, 1)
+	head, successor := w.head(), w.machineAt(1)
 	c := observeCauses(w)
-	head.end()
+	head.kill()
 	w.run(w.now + 2*time.Second)
 	cause := c.first(t)
 	assert.Equal(t, CauseHeadSilent, cause.Kind)
@@ -58,14 +58,14 @@
 	assert.NoError(t, w.failure)
 }
 
-func TestADroppedMemberIsToldWithItsSilence(t *testing.T) {
-	w := calm(t, 2, 3, 0, 1)
-	victim := w.member(1)
+func TestDropCauseHasMemberSilence(t *testing.T) {
+	w := newCalmWorld(t, 2, 3, 0, 1)
+	victim := w.machineAt(1)
 	id := victim.process.Self().ID
 	victim.process.cfg.StallAfter = time.Hour
 	w.head().process.cfg.StallAfter = time.Hour
 	c := observeCauses(w)
-	victim.end()
+	victim.kill()
 	w.run(w.now + 2*time.Second)
 	cause := c.first(t)
 	assert.Equal(t, CauseSilent, cause.Kind)
@@ -74,12 +74,12 @@
 	assert.Equal(t, DefaultDropAfter, cause.Patience)
 }
 
-func TestAMemberWithAStalledDiskIsToldAsStuck(t *testing.T) {
-	w := calm(t, 3, 3, 0, 1)
-	victim := w.member(2)
+func TestDropCauseOfStalledDiskIsStuck(t *testing.T) {
+	w := newCalmWorld(t, 3, 3, 0, 1)
+	victim := w.machineAt(2)
 	id := victim.process.Self().ID
 	c := observeCauses(w)
-	victim.stalled = w.now + time.Hour
+	victim.stalledUntil = w.now + time.Hour
 	w.run(w.now + 2*time.Second)
 	cause := c.first(t)
 	assert.Equal(t, CauseStuck, cause.Kind)
@@ -88,11 +88,11 @@
 	assert.NotZero(t, cause.Index)
 }
 
-func TestAHeadWithAStalledDiskTellsOfItsDisk(t *testing.T) {
-	w := calm(t, 4, 3, 0, 1)
+func TestHandoverCauseOfStalledHeadIsOwnDisk(t *testing.T) {
+	w := newCalmWorld(t, 4, 3, 0, 1)
 	c := observeCauses(w)
 	head := w.head()
-	head.stalled = w.now + time.Hour
+	head.stalledUntil = w.now + time.Hour
 	w.run(w.now + 2*time.Second)
 	cause := c.first(t)
 	assert.Equal(t, CauseOwnDisk, cause.Kind)
@@ -100,26 +100,26 @@
 	assert.GreaterOrEqual(t, cause.Sync, cause.Stuck)
 }
 
-func TestALeaverAndAHandoverAreTold(t *testing.T) {
-	w := calm(t, 5, 3, 0, 1)
+func TestLeaveAndHandoverCauses(t *testing.T) {
+	w := newCalmWorld(t, 5, 3, 0, 1)
 	c := observeCauses(w)
-	leaver := w.member(2)
+	leaver := w.machineAt(2)
 	leaver.input(Leave{})
 	w.run(w.now + time.Second)
 	assert.Equal(t, CauseLeaver, c.first(t).Kind)
 	assert.Equal(t, leaver.process.Self().ID, c.first(t).Member)
-	w = calm(t, 5, 3, 0, 1) // with one gone no other can be spared
+	w = newCalmWorld(t, 5, 3, 0, 1) // with one member gone no other can be spared
 	c = observeCauses(w)
 	w.head().input(Leave{})
 	w.run(w.now + time.Second)
 	assert.Equal(t, CauseHandover, c.first(t).Kind)
 }
 
-func TestAnAdmissionNamesTheLearner(t *testing.T) {
-	w := calm(t, 6, 3, 0, 1)
-	victim := w.member(2)
+func TestAdmissionCauseNamesLearner(t *testing.T) {
+	w := newCalmWorld(t, 6, 3, 0, 1)
+	victim := w.machineAt(2)
 	id := victim.process.Self().ID
-	victim.end()
+	victim.kill()
 	w.run(w.now + 2*time.Second)
 	c := observeCauses(w)
 	victim.start()
@@ -129,8 +129,8 @@
 	assert.Equal(t, id, cause.Member)
 }
 
-func TestAHeadWithoutAMajorityTellsSinceWhen(t *testing.T) {
-	w := calm(t, 7, 3, 0, 1)
+func TestLostLeaseCauseHasSilence(t *testing.T) {
+	w := newCalmWorld(t, 7, 3, 0, 1)
 	c := observeCauses(w)
 	var lost []LostHead
 	trace := w.trace
--- a/coord/replica/cutoff_test.go
+++ b/coord/replica/cutoff_test.go
@@ -10,7 +10,7 @@
 	"gaugeslip/internal/seeds"
 )
 
-// Who is cut off.
+// Which machine is cut off.
 const (
 	victimHead    = "head"
 	victimMiddle  = "middle"
@@ -18,7 +18,7 @@
 	victimLearner = "learner"
 )
 
-// How it is cut off. A frozen one hears all that came meanwhile when it wakes.
+// How it is cut off. A frozen machine receives everything that arrived meanwhile when it resumes.
 const (
 	cutBothWays = "both ways"
 	cutInward   = "in"
@@ -26,43 +26,43 @@
 	cutFrozen   = "frozen"
 )
 
-// What happens besides, in the middle of it.
+// What else happens during the cut.
 const (
-	besidesNothing = "nothing"
-	besidesRestart = "its restart"
-	besidesPower   = "its loss of power"
-	besidesOthers  = "the others' restarts"
+	extraNone          = "nothing"
+	extraRestart       = "its restart"
+	extraPowerLoss     = "its loss of power"
+	extraOthersRestart = "the others' restarts"
 )
 
 const (
-	// cutGrace is how long a cut-off machine may still act by what it was told before.
-	cutGrace    = 2 * DefaultGrant
-	cutShortest = 5 * time.Second
-	cutLongest  = 60 * time.Second
-	askEvery    = 20 * time.Millisecond
-	// goesOn is within how long the others commit again, and backIn within how long the machine is a member again.
-	goesOn = 4 * time.Second
-	backIn = 4 * time.Second
+	// cutGrace is how long a cut-off machine may still act on what it received before.
+	cutGrace      = 2 * DefaultGrant
+	cutShortest   = 5 * time.Second
+	cutLongest    = 60 * time.Second
+	probeInterval = 20 * time.Millisecond
+	// maxCommitGap is the longest time without a commit by the others, and rejoinLimit that until the machine is a member again.
+	maxCommitGap = 4 * time.Second
+	rejoinLimit  = 4 * time.Second
 )
 
 // cutOff is a deployment of which one machine is cut off for a while.
 type cutOff struct {
 	*world
-	victim  *machine
-	how     string
-	began   time.Duration
-	until   time.Duration
-	asked   int // orders and reads there
-	refused int
+	victim   *machine
+	how      string
+	began    time.Duration
+	until    time.Duration
+	probes   int // proposals and reads tried at the victim
+	refusals int
 }
 
-// playCutOff plays one scenario and gives its first failure.
-func playCutOff(seed uint64, who, how, besides string, trace func(string, ...any)) error {
+// playCutOff plays one scenario and returns its first failure.
+func playCutOff(seed uint64, who, how, extra string, trace func(string, ...any)) error {
 	w := newWorld(seed, 3, 0, 1)
 	if trace != nil {
 		w.trace = trace
 	}
-	w.write(60 * time.Millisecond)
+	w.writeLoop(60 * time.Millisecond)
 	w.run(warmUp)
 	if w.head() == nil {
 		w.fail("no head after the start")
@@ -70,18 +70,18 @@
 	}
 	c := &cutOff{world: w, how: how}
 	c.victim = c.choose(who)
-	length := w.between(cutShortest, cutLongest)
+	length := w.randomDuration(cutShortest, cutLongest)
 	c.began, c.until = w.now, w.now+length
-	w.after(length, c.order)
+	w.after(length, c.proposeAtVictim)
 	c.cut(length)
-	c.askEvery()
-	w.after(w.between(0, length), func() { c.besides(besides) })
-	c.goOn(besides)
-	c.finish()
+	c.probeLoop()
+	w.after(w.randomDuration(0, length), func() { c.injectExtraFault(extra) })
+	c.checkOthersCommit(extra)
+	c.checkReturn()
 	return w.failure
 }
 
-// choose gives the machine; a learner is one that has just come back without its disk.
+// choose returns the machine to cut off; a learner is one that has just returned without its disk.
 func (c *cutOff) choose(who string) *machine {
 	chain := c.head().process.View().Chain
 	at := map[string]int{victimHead: 0, victimMiddle: 1, victimTail: 2, victimLearner: c.random.IntN(3)}[who]
@@ -93,9 +93,9 @@
 	}
 	if who == victimLearner {
 		chosen.loseDisk()
-		c.run(c.now + c.between(0, time.Second))
+		c.run(c.now + c.randomDuration(0, time.Second))
 		chosen.start()
-		c.run(c.now + c.between(0, 400*time.Millisecond))
+		c.run(c.now + c.randomDuration(0, 400*time.Millisecond))
 	}
 	return chosen
 }
@@ -118,19 +118,19 @@
 	}
 }
 
-func (c *cutOff) besides(what string) {
-	if c.how == cutFrozen && (what == besidesRestart || what == besidesPower) {
-		c.until = c.now // another process isn't frozen
+func (c *cutOff) injectExtraFault(extra string) {
+	if c.how == cutFrozen && (extra == extraRestart || extra == extraPowerLoss) {
+		c.until = c.now // the restarted process isn't frozen
 	}
-	switch what {
-	case besidesRestart:
+	switch extra {
+	case extraRestart:
 		c.restart(c.victim, false)
-	case besidesPower:
+	case extraPowerLoss:
 		c.restart(c.victim, true)
-	case besidesOthers:
+	case extraOthersRestart:
 		for i, m := range c.machines {
 			if m != c.victim {
-				c.after(time.Duration(i)*goesOn, func() { c.restart(m, c.random.IntN(2) == 0) })
+				c.after(time.Duration(i)*maxCommitGap, func() { c.restart(m, c.random.IntN(2) == 0) })
 			}
 		}
 	}
@@ -140,89 +140,90 @@
 	if power {
 		m.losePower()
 	} else {
-		m.end()
+		m.kill()
 	}
-	c.after(c.between(0, 300*time.Millisecond), func() {
+	c.after(c.randomDuration(0, 300*time.Millisecond), func() {
 		m.start()
 		if m == c.victim {
-			m.compact = 1 << 20 // it learns of no commit, and would rewrite a log that doesn't get shorter after every sync
+			m.compactAt = 1 << 20 // it learns of no commit, and would compact a log that doesn't get shorter after every sync
 		}
 	})
 }
 
-// askEvery hands orders and reads to the machine, till a while after its return. What it was told before the cut counts for
-// a moment; then it has to refuse both at once, as long as it is cut off.
-func (c *cutOff) askEvery() {
-	if c.now > c.until+backIn {
+// probeLoop tries proposals and reads at the machine, until a while after its return. What the machine received before the cut counts for
+// a moment; after that it has to refuse both as long as it is cut off.
+func (c *cutOff) probeLoop() {
+	if c.now > c.until+rejoinLimit {
 		return
 	}
 	m := c.victim
 	settled := c.now > c.began+cutGrace && c.now < c.until
 	if m.process != nil {
 		_, read := m.process.ReadIndex(m.clock())
-		order := m.process.CanPropose(m.clock()) == nil
-		c.asked++
-		if !read && !order {
-			c.refused++
+		proposal := m.process.CanPropose(m.clock()) == nil
+		c.probes++
+		if !read && !proposal {
+			c.refusals++
 		}
-		if settled && (read || order) {
-			c.fail("%s is cut off (%s) and takes orders (%t), reads (%t)", m.address, c.how, order, read)
+		if settled && (read || proposal) {
+			c.fail("%s is cut off (%s) and accepts proposals (%t), reads (%t)", m.address, c.how, proposal, read)
 		}
-		c.order()
+		c.proposeAtVictim()
 	}
-	c.after(askEvery, c.askEvery)
+	c.after(probeInterval, c.probeLoop)
 }
 
-// order hands an order to the machine, also if that is the first thing that it sees after a freeze.
-func (c *cutOff) order() {
-	if m := c.victim; m.process != nil && m.frozen <= c.now {
+// proposeAtVictim proposes an entry at the machine, even if that is its first input after a freeze.
+func (c *cutOff) proposeAtVictim() {
+	if m := c.victim; m.process != nil && m.frozenUntil <= c.now {
 		c.written++
 		m.propose([][]byte{fmt.Appendf(nil, "order %d there", c.written)})
 	}
 }
 
-// goOn holds that the others commit all the while.
-func (c *cutOff) goOn(besides string) {
+// checkOthersCommit checks that the other machines commit all the time.
+func (c *cutOff) checkOthersCommit(extra string) {
 	for c.now < c.until && c.failure == nil {
 		before := len(c.oracle.entries)
-		c.run(min(c.now+goesOn, c.until))
-		if len(c.oracle.entries) == before && c.now < c.until && besides != besidesOthers {
-			c.fail("nothing was committed for %v", goesOn)
+		c.run(min(c.now+maxCommitGap, c.until))
+		if len(c.oracle.entries) == before && c.now < c.until && extra != extraOthersRestart {
+			c.fail("nothing was committed for %v", maxCommitGap)
 		}
 	}
 }
 
-// finish holds that the machine is back soon after its return, with all.
-func (c *cutOff) finish() {
+// checkReturn checks that the machine is a member again soon after its return, with every entry.
+func (c *cutOff) checkReturn() {
 	c.run(c.until)
-	if c.untilIn(c.victim, backIn) >= backIn && c.failure == nil {
-		c.fail("%s isn't back %v after its return", c.victim.address, backIn)
+	if c.untilInChain(c.victim, rejoinLimit) >= rejoinLimit && c.failure == nil {
+		c.fail("%s isn't back %v after its return", c.victim.address, rejoinLimit)
 	}
 	before := len(c.oracle.entries)
-	c.run(c.now + recovers)
+	c.run(c.now + commitTimeout)
 	if c.failure == nil && len(c.oracle.entries) == before {
 		c.fail("nothing is committed after the return")
 	}
-	if c.failure == nil && c.refused == 0 {
-		c.fail("of %d orders and reads none was refused", c.asked)
+	if c.failure == nil && c.refusals == 0 {
+		c.fail("none of %d proposals and reads was refused", c.probes)
 	}
 }
 
-// TestCutOff plays a cut, or a freeze, of 5 to 60 s of each place, in each way, with restarts besides. GAUGESLIP_CUTOFFS gives the
-// number of seeds for each, GAUGESLIP_CUTOFF one seed; -run names the scenario.
+// TestCutOff cuts each place in the chain off, or freezes it, for 5 to 60 s, in each way and with restarts at the same time. GAUGESLIP_CUTOFFS
+// sets the number of seeds for each scenario, GAUGESLIP_CUTOFF selects one seed; -run selects the scenario.
 func TestCutOff(t *testing.T) {
-	played := seeds.Played(t, "GAUGESLIP_CUTOFF", "GAUGESLIP_CUTOFFS", 2, 1) // at seed 2 a head that heard nobody made itself the only member
+	played := seeds.Played(t, "GAUGESLIP_CUTOFF", "GAUGESLIP_CUTOFFS", 2, 1) // with seed 2 a head that heard nobody once made itself the only member
 	trace := func(*testing.T) func(string, ...any) { return nil }
 	if _, alone := seeds.Alone(t, "GAUGESLIP_CUTOFF"); alone {
 		trace = func(t *testing.T) func(string, ...any) { return t.Logf }
 	}
 	for _, who := range []string{victimHead, victimMiddle, victimTail, victimLearner} {
 		for _, how := range []string{cutBothWays, cutInward, cutOutward, cutFrozen} {
-			for _, besides := range []string{besidesNothing, besidesRestart, besidesPower, besidesOthers} {
-				t.Run(fmt.Sprintf("%s/%s/%s", who, how, besides), func(t *testing.T) {
+			for _, extra := range []string{extraNone, extraRestart, extraPowerLoss, extraOthersRestart} {
+				t.Run(fmt.Sprintf("%s/%s/%s", who, how, extra), func(t *testing.T) {
 					t.Parallel()
 					for _, seed := range played {
-						require.NoError(t, playCutOff(seed, who, how, besides, trace(t)), "replay with GAUGESLIP_CUTOFF=%d go test -run '%s' ./coord/replica", seed, t.Name())
+						require.NoError(t, playCutOff(seed, who, how, extra, trace(t)),
+							"replay with GAUGESLIP_CUTOFF=%d go test -run '%s' ./coord/replica", seed, t.Name())
 					}
 				})
 			}
--- a/coord/replica/departure_test.go
+++ b/coord/replica/departure_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// others are the machines besides the head, in the order of their addresses.
+// others returns the machines other than the head, in the order of their addresses.
 func (w *world) others() []*machine {
 	var others []*machine
 	for _, m := range w.machines {
@@ -19,8 +19,8 @@
 	return others
 }
 
-// stay plays for a while and holds that a leaver is still in and that writes go on.
-func (w *world) stays(t *testing.T, leaver *machine, length time.Duration) {
+// requireStays simulates for a while, and checks that a leaver is still a member and that writes continue.
+func (w *world) requireStays(t *testing.T, leaver *machine, length time.Duration) {
 	before := len(w.oracle.entries)
 	w.run(w.now + length)
 	require.NoError(t, w.failure, "seed %d", w.seed)
@@ -30,8 +30,8 @@
 	assert.True(t, w.head().process.View().InChain(leaver.process.Self().ID), "seed %d", w.seed)
 }
 
-// leaves plays until a leaver has left.
-func (w *world) leaves(leaver *machine, most time.Duration) time.Duration {
+// untilLeft simulates until a leaver has left, and returns how long that took.
+func (w *world) untilLeft(leaver *machine, most time.Duration) time.Duration {
 	began := w.now
 	for !leaver.left && w.now < began+most && w.failure == nil {
 		w.run(w.now + time.Millisecond)
@@ -39,7 +39,8 @@
 	return w.now - began
 }
 
-// A leaver, the head or another, stays while fewer than f+1 others have everything, and works on; it goes as soon as a third is in.
+// A leaver, the head or another member, stays and works while fewer than f+1 others have everything. It leaves as soon as a third member
+// is in.
 func TestLeaverStaysUntilOthersHaveEverything(t *testing.T) {
 	for _, ofHead := range []bool{false, true} {
 		eachSeed(t, func(t *testing.T, w *world) {
@@ -51,16 +52,16 @@
 			lost.loseDisk()
 			w.run(w.now + time.Second)
 			leaver.input(Leave{})
-			w.stays(t, leaver, 3*time.Second)
+			w.requireStays(t, leaver, 3*time.Second)
 			lost.start()
-			assert.Less(t, w.leaves(leaver, 5*time.Second), 1500*time.Millisecond, "seed %d", w.seed)
+			assert.Less(t, w.untilLeft(leaver, 5*time.Second), 1500*time.Millisecond, "seed %d", w.seed)
 			assert.Less(t, w.untilCommitted(5*time.Second), 500*time.Millisecond, "seed %d", w.seed)
 			assert.Len(t, w.head().process.View().Chain, 2, "seed %d", w.seed)
 		})
 	}
 }
 
-// Of two leavers at once only one can be spared.
+// If two members want to leave at once, only one can be spared.
 func TestLastButOneStays(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		others := w.others()
@@ -71,15 +72,15 @@
 		if others[0].left {
 			others[0], others[1] = others[1], others[0]
 		}
-		w.stays(t, others[0], time.Second)
+		w.requireStays(t, others[0], time.Second)
 		head := w.head()
 		head.input(Leave{})
-		w.stays(t, head, time.Second)
+		w.requireStays(t, head, time.Second)
 	})
 }
 
-// A leaver that is killed while it waits has its place when it comes back, with nobody to catch up from.
-func TestWaitingLeaverIsKilled(t *testing.T) {
+// A leaver that is killed while it waits still has its place when it returns, with no other member to catch up from.
+func TestKilledLeaverKeepsItsPlace(t *testing.T) {
 	for _, ofHead := range []bool{false, true} {
 		eachSeed(t, func(t *testing.T, w *world) {
 			others := w.others()
@@ -92,7 +93,7 @@
 			w.run(w.now + time.Second)
 			leaver.input(Leave{})
 			w.run(w.now + 300*time.Millisecond)
-			leaver.end()
+			leaver.kill()
 			w.run(w.now + time.Second)
 			leaver.start()
 			assert.Less(t, w.untilCommitted(5*time.Second), 1500*time.Millisecond, "seed %d", w.seed)
@@ -100,7 +101,7 @@
 	}
 }
 
-// A chain of f+1 loses a member for a moment and then the head with its disk: the member has everything and leads.
+// A chain of f+1 loses a member for a moment, and then the head with its disk. The member has everything and leads.
 func TestStoppedMemberLeadsWhenTheHeadsDiskIsLost(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		head, others := w.head(), w.others()
@@ -108,10 +109,10 @@
 		w.cut(head, outside, time.Second)
 		w.cut(member, outside, time.Second)
 		w.run(w.now + time.Second)
-		w.bar(500 * time.Millisecond)
+		w.blockAdmissions(500 * time.Millisecond)
 		require.False(t, head.process.View().InChain(outside.process.Self().ID), "seed %d", w.seed)
-		member.end()
-		w.bar(time.Second)
+		member.kill()
+		w.blockAdmissions(time.Second)
 		head.loseDisk()
 		member.start()
 		w.run(w.now + 30*time.Millisecond)
@@ -119,13 +120,13 @@
 	})
 }
 
-// cut cuts the ways between two machines.
+// cut cuts the links between two machines, in both directions.
 func (w *world) cut(a, b *machine, length time.Duration) {
 	w.cuts[[2]string{a.address, b.address}] = w.now + length
 	w.cuts[[2]string{b.address, a.address}] = w.now + length
 }
 
-// A candidate that only a voter outside the chain answers keeps the old head in the chain: with it, f+1 disks have everything.
+// A candidate that is answered only by a voter outside the chain keeps the old head in the chain: with it, f+1 disks have everything.
 func TestElectionKeepsEnoughMembers(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		head, others := w.head(), w.others()
@@ -139,34 +140,34 @@
 		}
 		require.Same(t, others[0], w.head(), "seed %d", w.seed)
 		assert.Len(t, w.head().process.View().Chain, 2, "seed %d", w.seed)
-		if w.seed%2 == 0 { // the voter takes the old head's place in one view
+		if w.seed%2 == 0 { // the voter takes the place of the old head in one view
 			epoch := w.head().process.View().Epoch
-			assert.Less(t, w.untilIn(others[1], 5*time.Second), time.Second, "seed %d", w.seed)
+			assert.Less(t, w.untilInChain(others[1], 5*time.Second), time.Second, "seed %d", w.seed)
 			assert.Len(t, w.head().process.View().Chain, 2, "seed %d", w.seed)
 			assert.Equal(t, epoch+1, w.head().process.View().Epoch, "seed %d", w.seed)
 			return
 		}
-		w.cut(others[0], others[1], time.Minute) // or the old head comes back and goes on in its place
+		w.cut(others[0], others[1], time.Minute) // or the old head returns and continues in its place
 		w.cut(head, others[1], time.Minute)
 		head.start()
 		assert.Less(t, w.untilCommitted(5*time.Second), time.Second, "seed %d", w.seed)
 	})
 }
 
-// The new machine came first and has everything, the old one goes: the next loss, at once, leaves a majority.
+// The new machine joined first and has everything, then the old one leaves. The next loss, at once, leaves a majority.
 func TestLossAfterReplacementLeavesAMajority(t *testing.T) {
 	for _, ofHead := range []bool{false, true} {
 		eachSeed(t, func(t *testing.T, w *world) {
 			newcomer := w.newMachine()
 			newcomer.start()
-			require.Less(t, w.untilIn(newcomer, 5*time.Second), time.Second)
+			require.Less(t, w.untilInChain(newcomer, 5*time.Second), time.Second)
 			leaver := w.others()[0]
 			if ofHead {
 				leaver = w.head()
 			}
 			leaver.input(Leave{})
-			require.Less(t, w.leaves(leaver, 5*time.Second), time.Second, "seed %d", w.seed)
-			leaver.end()
+			require.Less(t, w.untilLeft(leaver, 5*time.Second), time.Second, "seed %d", w.seed)
+			leaver.kill()
 			leaver.removed = true
 			w.untilCommitted(time.Second)
 			w.head().losePower()
@@ -175,18 +176,19 @@
 	}
 }
 
-// A member whose disk refuses counts as lost at once, also where it has to stay in the chain; back from its disk, it goes on in its place.
-func TestBrokenDiskMakesAChainShort(t *testing.T) {
+// A member whose disk refuses writes counts as lost at once, even if it has to stay in the chain. Restarted with its disk, it continues
+// in its place.
+func TestFailedDiskCountsAsLost(t *testing.T) {
 	for seed := range uint64(deploymentSeeds) {
-		w := calm(t, seed, 3, 0, 2)
+		w := newCalmWorld(t, seed, 3, 0, 2)
 		m, head := w.others()[0], w.head()
-		m.forgetPending()
-		m.writing = 1
+		m.dropPending()
+		m.syncingWrites = 1
 		m.input(DiskFailed{})
 		w.run(w.now + 50*time.Millisecond)
 		assert.ErrorIs(t, head.process.CanPropose(head.clock()), ErrChainTooShort, "seed %d", seed)
 		w.run(w.now + 50*time.Millisecond)
-		m.writing = 0
+		m.syncingWrites = 0
 		m.losePower()
 		w.run(w.now + 100*time.Millisecond)
 		m.start()
@@ -197,26 +199,27 @@
 	}
 }
 
-// A head that leaves takes no writes once it can go.
+// A leaving head accepts no writes once it can go.
 func TestLeavingHeadRefusesWrites(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		head := w.head()
 		head.input(Leave{})
-		head.input(Tick{}) // the embedder's, once all that had come in is handed in
+		head.input(Tick{}) // as from the embedder, once everything that had arrived is handed in
 		assert.ErrorIs(t, head.process.CanPropose(head.clock()), ErrNotHead, "seed %d", w.seed)
 	})
 }
 
-// The leaver's notice is repeated where it gets lost; who isn't in the chain has left at once; and who left may come back and stay.
-func TestLeaversComeAndGo(t *testing.T) {
+// A leave notice is repeated if it gets lost. A replica that isn't in the chain has left at once. A replica that has left may return and
+// stay.
+func TestLeaveNoticeIsRepeatedAndLeaverMayReturn(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		leaver := w.others()[0]
 		w.cut(leaver, w.head(), 80*time.Millisecond)
 		leaver.input(Leave{})
-		assert.Less(t, w.leaves(leaver, 5*time.Second), 400*time.Millisecond, "seed %d", w.seed)
-		leaver.end()
+		assert.Less(t, w.untilLeft(leaver, 5*time.Second), 400*time.Millisecond, "seed %d", w.seed)
+		leaver.kill()
 		leaver.start()
-		assert.Less(t, w.untilIn(leaver, 5*time.Second), time.Second, "seed %d", w.seed)
+		assert.Less(t, w.untilInChain(leaver, 5*time.Second), time.Second, "seed %d", w.seed)
 		w.run(w.now + time.Second)
 		assert.Len(t, w.head().process.View().Chain, 3, "seed %d", w.seed)
 		learner := w.newMachine()
@@ -226,43 +229,43 @@
 	})
 }
 
-// A head whose disk stalls gives the place to the only other member while a third can't reach it.
-func TestStalledHeadThatCantBeSpared(t *testing.T) {
+// A head whose disk stalls yields to the only other member while a third can't reach it.
+func TestStalledHeadThatCannotBeSparedYields(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		head, others := w.head(), w.others()
 		w.cut(head, others[1], time.Minute)
 		w.cut(others[0], others[1], time.Second)
 		w.run(w.now + 2*time.Second)
 		require.Len(t, head.process.View().Chain, 2, "seed %d", w.seed)
-		head.stalled = w.now + 10*time.Second
+		head.stalledUntil = w.now + 10*time.Second
 		w.run(w.now + 30*time.Millisecond)
 		assert.Less(t, w.untilCommitted(5*time.Second), 2500*time.Millisecond, "seed %d", w.seed)
 		assert.NotSame(t, head, w.head(), "seed %d", w.seed)
 	})
 }
 
-// A candidate waits a moment for all that run.
-func TestElectionWaitsForAll(t *testing.T) {
+// A candidate waits a moment for all running members.
+func TestElectionWaitsForAllRunningMembers(t *testing.T) {
 	for seed := range uint64(deploymentSeeds) {
-		w := calm(t, seed, 3, 2, 1)
+		w := newCalmWorld(t, seed, 3, 2, 1)
 		w.head().losePower()
 		w.untilCommitted(5 * time.Second)
 		assert.Len(t, w.head().process.View().Chain, 4, "seed %d", seed)
 	}
 }
 
-// A head that leaves waits until it is known whether the others run, and stays where one of them doesn't, at rest and under writing.
+// A leaving head waits until it knows whether the others run, and stays if one of them doesn't, with and without writes.
 func TestHeadDoesNotLeaveToADeadMember(t *testing.T) {
 	for _, writes := range []bool{false, true} {
 		for seed := range uint64(deploymentSeeds) {
 			w := newWorld(seed, 3, 0, 1)
 			if writes {
-				w.write(10 * time.Millisecond)
+				w.writeLoop(10 * time.Millisecond)
 			}
 			w.run(warmUp)
 			head := w.head()
 			w.others()[1].losePower()
-			w.run(w.now + w.between(300*time.Millisecond, 600*time.Millisecond))
+			w.run(w.now + w.randomDuration(300*time.Millisecond, 600*time.Millisecond))
 			head.input(Leave{})
 			w.run(w.now + 3*time.Second)
 			require.NoError(t, w.failure, "seed %d", seed)
--- a/coord/replica/effects.go
+++ b/coord/replica/effects.go
@@ -7,7 +7,7 @@
 	"gaugeslip/coord/view"
 )
 
-// environment is the Replica as its chain sees it.
+// environment is a Replica as its chain sees it.
 type environment Replica
 
 func (e *environment) Send(to view.Member, body *chain.Body) {
@@ -55,8 +55,9 @@
 	}
 }
 
-// storeCommitted adds to what is on its way to disk how far the log is committed, so that the next life may apply that much before anybody
-// is asked. By itself it isn't worth a write: what the last records leave out is learnt from the head.
+// storeCommitted adds the committed index to the records that are on their way to disk, so that the next incarnation can apply the
+// entries up to it before it contacts another replica. It is not worth a write of its own: what the last records lack is learned from the
+// head.
 func (r *Replica) storeCommitted() {
 	if committed := r.chain.Committed(); len(r.out.Persist) > 0 && committed > r.storedCommitted {
 		r.storedCommitted = committed
@@ -64,7 +65,7 @@
 	}
 }
 
-// pendingToken is the token with which all that was stored so far will be on disk.
+// pendingToken returns the token with which everything stored so far will be on disk.
 func (r *Replica) pendingToken() uint64 {
 	if len(r.out.Persist) > 0 {
 		return r.lastToken + 1
@@ -72,7 +73,7 @@
 	return r.lastToken
 }
 
-// send hands out a message at once.
+// send sends a message at once.
 func (r *Replica) send(to view.Member, m *Message) {
 	m.From = r.self
 	m.To = to.ID
@@ -89,7 +90,7 @@
 	r.out.Send = append(r.out.Send, Envelope{To: to.Address, Message: m})
 }
 
-// sendAfterSync hands out a message once all that was stored so far is on disk.
+// sendAfterSync sends a message once everything stored so far is on disk. With a failed disk it sends nothing.
 func (r *Replica) sendAfterSync(to view.Member, m *Message) {
 	token := r.pendingToken()
 	if r.diskFailed {
@@ -134,9 +135,9 @@
 	r.heldMessages = append(r.heldMessages[:0], r.heldMessages[done:]...)
 }
 
-// Compact gives the records that replace all that were handed out so far, where snapshot is the state after all
-// delivered entries up to index. Once they are on disk, Synced may be told with the last token. None are given
-// where the index isn't held.
+// Compact returns the records that replace all that were handed out so far, where snapshot is the state after all delivered entries up to
+// index. Once they are on disk, Synced may be reported with the last token. It returns nil if the log does not hold the index, or the
+// index is not committed.
 func (r *Replica) Compact(snapshot []byte, index uint64) []Record {
 	log := r.chain.Log()
 	epoch, ok := log.EpochAt(index)
--- a/coord/replica/election.go
+++ b/coord/replica/election.go
@@ -6,7 +6,7 @@
 	"gaugeslip/coord/view"
 )
 
-// resetElectionTimer sets when to stand for the head's place if nothing is heard from the head till then.
+// resetElectionTimer sets when this replica starts an election if it doesn't hear the head until then.
 func (r *Replica) resetElectionTimer(now time.Duration) {
 	r.headExpectedSince, r.electionPaused, r.electionShortPaused = now, 0, 0
 	at := r.position()
@@ -14,10 +14,11 @@
 		r.electionAt = never
 		return
 	}
-	r.electionAt = now + r.cfg.Grant + r.cfg.Grant/20 + r.silenceAllowance(now, r.view.Head().ID) + time.Duration(max(at-1, 0))*electionStagger + r.jitter(electionJitter)
+	r.electionAt = now + r.cfg.Grant + r.cfg.Grant/20 + r.silenceAllowance(now, r.view.Head().ID) +
+		time.Duration(max(at-1, 0))*electionStagger + r.jitter(electionJitter)
 }
 
-// electIfDue stands for the head's place when it is time.
+// electIfDue starts an election once the election timer has run out.
 func (r *Replica) electIfDue(now time.Duration) {
 	if !r.checkTimeouts || now < r.electionAt || r.proposer.Active() || r.position() < 0 || r.leaving || r.ownDiskStalled(now) {
 		return
@@ -28,12 +29,13 @@
 	r.startBallot(now, nil)
 }
 
-// electionCauseKnown tells whether the cause to stand is known already.
+// electionCauseKnown reports whether the cause of the next election is recorded already.
 func (r *Replica) electionCauseKnown(now time.Duration) bool {
-	return r.position() == 0 && (r.proposalCause.Kind == CauseMajorityLost || r.proposalCause.Kind == CauseRestart || r.proposalCause.Kind == CauseOwnDisk)
+	return r.position() == 0 &&
+		(r.proposalCause.Kind == CauseMajorityLost || r.proposalCause.Kind == CauseRestart || r.proposalCause.Kind == CauseOwnDisk)
 }
 
-// startProposal begins with a wish of the head's. Nothing is appended in this epoch any more.
+// startProposal starts a ballot for a view that the head proposes. Nothing is appended in this epoch any more.
 func (r *Replica) startProposal(now time.Duration, next view.View, cause Cause) {
 	r.setCause(now, cause)
 	r.stepDown(now)
@@ -42,15 +44,15 @@
 	r.sendBallot(now)
 }
 
-// startBallot begins a ballot above all known ones.
-func (r *Replica) startBallot(now time.Duration, wish *view.View) {
+// startBallot starts a ballot above all known ones.
+func (r *Replica) startBallot(now time.Duration, value *view.View) {
 	r.stepDown(now)
 	r.higherBallotAt = 0
-	r.proposer.Prepare(now, wish)
+	r.proposer.Prepare(now, value)
 	r.sendBallot(now)
 }
 
-// advanceBallot repeats a ballot, or goes on to its second phase.
+// advanceBallot repeats a ballot, or moves it on to its second phase.
 func (r *Replica) advanceBallot(now time.Duration) {
 	if !r.proposer.Active() {
 		return
@@ -68,7 +70,7 @@
 	r.sendBallot(now)
 }
 
-// sendBallot sends the ballot to all voters whose votes are missing. A ballot that was outbid is begun anew.
+// sendBallot sends the ballot to all voters whose votes are missing.
 func (r *Replica) sendBallot(now time.Duration) {
 	if r.proposer.Phase == view.Idle {
 		return
@@ -88,7 +90,7 @@
 	}
 }
 
-// scheduleHigherBallot begins a higher ballot, after a moment in which the other may get through.
+// scheduleHigherBallot schedules a higher ballot after a delay in which the other candidate's ballot may succeed.
 func (r *Replica) scheduleHigherBallot(now time.Duration) {
 	if r.higherBallotAt == 0 {
 		r.higherBallotAt = now + r.cfg.HeartbeatEvery/10 + r.jitter(r.cfg.HeartbeatEvery/2)
@@ -96,7 +98,7 @@
 	}
 }
 
-// acceptWhenReady chooses the value once a majority has promised.
+// acceptWhenReady chooses the value once a majority has promised, and starts the second phase.
 func (r *Replica) acceptWhenReady(now time.Duration) {
 	value := r.proposer.Found()
 	if value == nil {
@@ -112,8 +114,9 @@
 	r.sendBallot(now)
 }
 
-// successorView is the view with all members that have answered, or nil while it is worth waiting for more. Those that want to leave and
-// those that haven't answered stay at the chain's end as far as f+1 are needed: they have everything and may lead yet.
+// successorView returns the view with all members that have answered, or nil while it is worth waiting for more answers. Members that
+// want to leave, and those that haven't answered, stay at the chain's end as far as f+1 members are needed: they have every committed
+// entry and may still lead.
 func (r *Replica) successorView(now time.Duration) *view.View {
 	next := r.view.Next()
 	var members, leaving, silent []view.Member
@@ -157,7 +160,7 @@
 	r.sendAfterSync(from, &Message{Promise: reply})
 }
 
-// mayVote tells whether this replica votes, and has no grant out to another that may still use it.
+// mayVote reports whether this replica is a voter and has no grant out to another replica that may still use it.
 func (r *Replica) mayVote(now time.Duration, b view.Ballot) bool {
 	if !r.view.IsVoter(r.self.ID) {
 		return false
@@ -201,7 +204,7 @@
 	}
 }
 
-// onDecided takes the value that a majority has accepted and tells all whom it concerns.
+// onDecided adopts the value that a majority has accepted and sends it to every replica of the old and the new view.
 func (r *Replica) onDecided(now time.Duration) {
 	before := r.view
 	next := *r.proposer.Value
@@ -214,18 +217,18 @@
 	if unheard && r.position() > 0 {
 		r.electionAt = now + silentHeadElectionDelay + r.jitter(electionJitter)
 	}
-	told := map[view.ReplicaID]bool{r.self.ID: true}
+	notified := map[view.ReplicaID]bool{r.self.ID: true}
 	for _, members := range [][]view.Member{next.Voters, before.Voters, next.Chain} {
 		for _, member := range members {
-			if !told[member.ID] {
-				told[member.ID] = true
+			if !notified[member.ID] {
+				notified[member.ID] = true
 				r.send(member, &Message{View: r.viewCopy()})
 			}
 		}
 	}
 }
 
-// unansweredMembers are the members of the next chain that haven't answered a candidate.
+// unansweredMembers returns the members of the next chain that haven't answered this candidate.
 func (r *Replica) unansweredMembers(next view.View) []view.ReplicaID {
 	var silent []view.ReplicaID
 	for _, member := range next.Chain {
--- a/coord/replica/enter.go
+++ b/coord/replica/enter.go
@@ -8,7 +8,7 @@
 	"gaugeslip/coord/view"
 )
 
-// adoptView goes to a newer view, of which a replica told; none told of the very first.
+// adoptView switches to a newer view, which the replica from sent; from is empty for the genesis view.
 func (r *Replica) adoptView(now time.Duration, v view.View, from view.ReplicaID) {
 	if r.view.Known() && v.Epoch <= r.view.Epoch {
 		if v.Epoch == r.view.Epoch && !v.Equal(r.view) {
@@ -42,13 +42,13 @@
 	}
 }
 
-// earlierGrantsMayCount tells whether an earlier life's grants may still count. An epoch learnt in this life may have been
-// known in the one before, without a trace on disk.
+// earlierGrantsMayCount reports whether grants of an earlier incarnation may still count. An epoch that this incarnation has just learned
+// may have been known to the earlier one without a trace on disk.
 func (r *Replica) earlierGrantsMayCount(now time.Duration) bool {
 	return !r.newIdentity && now < r.started+r.cfg.Grant
 }
 
-// enterView lets the chain go by the view, which is on disk.
+// enterView lets the chain work in the view, which is on disk.
 func (r *Replica) enterView(now time.Duration) {
 	r.entered = true
 	at := r.position()
@@ -56,7 +56,7 @@
 	case at < 0:
 		r.chain.Enter(now, chain.Role{Epoch: r.view.Epoch, Upstream: r.view.Head()})
 	case at == 0 && !r.head.currentIncarnation:
-		r.entered = false // an earlier life's epoch: a new one has to come
+		r.entered = false // an earlier incarnation's epoch: a new epoch is needed
 	default:
 		r.chain.Enter(now, r.role(at))
 		r.head.inheritedIndex = r.chain.Log().Last()
@@ -82,10 +82,10 @@
 	return role
 }
 
-// position is this replica's place in the chain, -1 without one. A place at another address doesn't count.
+// position returns this replica's place in the chain, or -1. A place under another address doesn't count.
 func (r *Replica) position() int { return r.ownPosition }
 
-// setView goes by a view.
+// setView sets the present view and the own place in it.
 func (r *Replica) setView(now time.Duration, v view.View) {
 	r.view = v
 	r.viewLearnedAt = now
--- a/coord/replica/example_test.go
+++ b/coord/replica/example_test.go
@@ -8,13 +8,13 @@
 	"gaugeslip/coord/view"
 )
 
-// embedder is what a program has round a replica: a disk and a network; here all that is stored is safe at once.
+// embedder is the program around a replica: a disk and a network. Here everything that is stored is safe at once.
 type embedder struct {
 	core *replica.Replica
 	now  time.Duration
 }
 
-// carryOut does what the core asks for and prints what was committed.
+// carryOut does what the core asks for, and prints the committed entries.
 func (e *embedder) carryOut(output replica.Output) {
 	for _, entry := range output.Committed {
 		if len(entry.Data) > 0 {
@@ -26,7 +26,7 @@
 	}
 }
 
-// A cluster of one replica comes to its lease and commits two entries.
+// A cluster of one replica gets its lease and commits two entries.
 func Example() {
 	self := view.Member{ID: "a", Address: "10.0.0.1:7660"}
 	genesis := view.View{Voters: []view.Member{self}, Chain: []view.Member{self}}
@@ -36,11 +36,11 @@
 		e.now += 10 * time.Millisecond
 		e.carryOut(e.core.Step(e.now, replica.Tick{}))
 	}
-	_, output, err := e.core.Propose(e.now, [][]byte{[]byte("plough"), []byte("sow")})
+	_, output, err := e.core.Propose(e.now, [][]byte{[]byte("first"), []byte("second")})
 	e.carryOut(output)
 	fmt.Println(err)
 	// Output:
-	// 1 plough
-	// 2 sow
+	// 1 first
+	// 2 second
 	// <nil>
 }
--- a/coord/replica/govern.go
+++ b/coord/replica/govern.go
@@ -8,8 +8,8 @@
 	"gaugeslip/coord/view"
 )
 
-// reconcile proposes the view that the state of the members asks for, if it isn't the present one. A head that hears no
-// majority proposes nothing: it would be the only member that it hears, and the others, whom it may reach, might take that up.
+// reconcile proposes the view that the state of the members requires, if it differs from the present one. A head that doesn't hear a
+// majority proposes nothing: it would drop the members that it doesn't hear, and those may still receive its proposal and accept it.
 func (r *Replica) reconcile(now time.Duration) {
 	if r.proposer.Active() || !r.hearsMajority(now) {
 		return
@@ -23,8 +23,8 @@
 	}
 }
 
-// hearsMajority tells whether a majority of the voters, itself among them, has been heard within the time after which members
-// are dropped, two heartbeats at least.
+// hearsMajority reports whether a majority of the voters, including this replica, was heard within the time after which members are
+// dropped, or within two heartbeat intervals if that is longer.
 func (r *Replica) hearsMajority(now time.Duration) bool {
 	heard := 0
 	for _, voter := range r.view.Voters {
@@ -36,34 +36,34 @@
 	return heard >= r.view.Majority()
 }
 
-// reconcileHandover hands the head's place over where this replica has to go. One that only wants to leave goes on as the head until f+1
-// others have everything.
+// reconcileHandover hands the head's place over where this replica wants to leave or its disk has stalled. A head that only wants to
+// leave goes on until f+1 other members have everything.
 func (r *Replica) reconcileHandover(now time.Duration) bool {
-	stalls := r.shouldYieldForDisk(now)
-	if !r.leaving && !stalls {
+	diskStalled := r.shouldYieldForDisk(now)
+	if !r.leaving && !diskStalled {
 		return false
 	}
 	rest := r.chainWithout(now, r.self.ID)
 	if len(rest) <= r.cfg.Tolerance {
 		r.head.handingOver = false
-		return stalls && r.yieldHead(now)
+		return diskStalled && r.yieldHead(now)
 	}
 	if !r.head.handingOver {
 		r.head.handingOver, r.head.drainDeadline = true, now+r.cfg.DropAfter+drainTimeout
 	}
-	if !stalls && now < r.head.drainDeadline && !r.drained(now, rest) {
+	if !diskStalled && now < r.head.drainDeadline && !r.drained(now, rest) {
 		return true
 	}
-	return r.proposeChain(now, rest, "", r.leaveCause(now, stalls))
+	return r.proposeChain(now, rest, "", r.leaveCause(now, diskStalled))
 }
 
-// drained tells whether those who stay have everything, and are there. Where one of them isn't, that shows within DropAfter.
+// drained reports whether the remaining members have everything and are responsive. An unresponsive one is detected within DropAfter.
 func (r *Replica) drained(now time.Duration, rest []view.Member) bool {
-	away := func(m view.Member) bool { return r.unresponsive(now, r.peer(m.ID, now)) }
-	return r.Committed() >= r.LastIndex() && !slices.ContainsFunc(rest, away)
+	silentMember := func(m view.Member) bool { return r.unresponsive(now, r.peer(m.ID, now)) }
+	return r.Committed() >= r.LastIndex() && !slices.ContainsFunc(rest, silentMember)
 }
 
-// chainWithout is the chain without one member and without the lost ones.
+// chainWithout returns the chain without one member and without the lost ones.
 func (r *Replica) chainWithout(now time.Duration, id view.ReplicaID) []view.Member {
 	return view.Without(r.view.Chain, func(other view.ReplicaID) bool { return other == id || r.isLost(now, other, "") })
 }
@@ -82,21 +82,21 @@
 	return r.proposeChain(now, next, "", r.leaveCause(now, true))
 }
 
-// reconcileChain drops members that are lost, or want to leave and can be spared.
+// reconcileChain drops members that are lost, or that want to leave and can be spared.
 func (r *Replica) reconcileChain(now time.Duration) bool {
-	culprit := r.stalledMember(now)
-	next := r.remainingChain(now, culprit, 0)
+	stalled := r.stalledMember(now)
+	next := r.remainingChain(now, stalled, 0)
 	if len(next) == len(r.view.Chain) {
 		return false
 	}
-	return r.proposeChain(now, next, culprit, r.dropCause(now, culprit, next))
+	return r.proposeChain(now, next, stalled, r.dropCause(now, stalled, next))
 }
 
-// remainingChain is what stays of the chain if so many newcomers, who have everything, are added. It has no more lost members where f+1
-// others are left; till then they stay: nothing commits either way, and one that comes back with its disk has everything and may lead.
-// Of those that want to leave as many go as can be spared.
-func (r *Replica) remainingChain(now time.Duration, culprit view.ReplicaID, newcomers int) []view.Member {
-	found := view.Without(r.view.Chain, func(id view.ReplicaID) bool { return r.isLost(now, id, culprit) })
+// remainingChain returns the members that stay in the chain if the given number of newcomers, who have everything, is added. Lost members
+// are dropped only if f+1 others are left. Until then they stay: nothing commits either way, and one that returns with its disk has
+// everything and may lead. Of the members that want to leave, as many are dropped as can be spared.
+func (r *Replica) remainingChain(now time.Duration, stalled view.ReplicaID, newcomers int) []view.Member {
+	found := view.Without(r.view.Chain, func(id view.ReplicaID) bool { return r.isLost(now, id, stalled) })
 	if len(found)+newcomers <= r.cfg.Tolerance {
 		return slices.Clone(r.view.Chain)
 	}
@@ -110,45 +110,45 @@
 	})
 }
 
-// tooFewToCommit tells whether too few members are in touch to commit anything.
+// tooFewToCommit reports whether too few members are in touch to commit anything.
 func (r *Replica) tooFewToCommit(now time.Duration) bool {
-	culprit := r.stalledMember(now)
-	found := view.Without(r.view.Chain, func(id view.ReplicaID) bool { return r.isLost(now, id, culprit) })
+	stalled := r.stalledMember(now)
+	found := view.Without(r.view.Chain, func(id view.ReplicaID) bool { return r.isLost(now, id, stalled) })
 	return len(found) <= r.cfg.Tolerance
 }
 
-// isLost tells whether a member can't do its part.
-func (r *Replica) isLost(now time.Duration, id, culprit view.ReplicaID) bool {
+// isLost reports whether a member can't do its part: it has stalled, is silent, has a failed disk, or is gone.
+func (r *Replica) isLost(now time.Duration, id, stalled view.ReplicaID) bool {
 	if id == r.self.ID {
 		return false
 	}
 	p := r.peer(id, now)
-	return id == culprit || p.gone || p.diskFailed || p.silent || r.elapsedSince(now, p.heard) > r.cfg.DropAfter+r.silenceAllowance(now, id)
+	return id == stalled || p.gone || p.diskFailed || p.silent || r.elapsedSince(now, p.heard) > r.cfg.DropAfter+r.silenceAllowance(now, id)
 }
 
-// proposeChain proposes the view with another chain. Voters that go and aren't needed lose their seats with it.
-func (r *Replica) proposeChain(now time.Duration, members []view.Member, culprit view.ReplicaID, cause Cause) bool {
+// proposeChain proposes the view with another chain. Voters that leave and aren't needed lose their votes in the same view.
+func (r *Replica) proposeChain(now time.Duration, members []view.Member, stalled view.ReplicaID, cause Cause) bool {
 	next := r.view.Next()
 	next.Chain = members
 	r.reassignSeats(now, &next)
 	r.dropSeats(now, &next)
-	return r.proposeView(now, next, culprit, cause)
+	return r.proposeView(now, next, stalled, cause)
 }
 
-// proposeView proposes a view whose chain may lack the culprit.
-func (r *Replica) proposeView(now time.Duration, next view.View, culprit view.ReplicaID, cause Cause) bool {
+// proposeView proposes a view, and penalises the stalled member if the view's chain lacks it.
+func (r *Replica) proposeView(now time.Duration, next view.View, stalled view.ReplicaID, cause Cause) bool {
 	if len(next.Chain) == 0 || !r.readsExpired(now, next) {
 		return false
 	}
-	if culprit != "" && !next.InChain(culprit) {
-		r.penalise(now, culprit)
+	if stalled != "" && !next.InChain(stalled) {
+		r.penalise(now, stalled)
 	}
 	r.startProposal(now, next, cause)
 	return true
 }
 
-// readsExpired tells whether none of those that the next view drops can answer reads any more: a member's permission has
-// to run out, as neither its word nor another's says for sure that it has stopped.
+// readsExpired reports whether none of the members that the next view drops can still answer reads. A member's permission has to run out,
+// as neither a message from it nor one from another replica proves that it has stopped.
 func (r *Replica) readsExpired(now time.Duration, next view.View) bool {
 	for _, member := range r.view.Chain {
 		if member.ID != r.self.ID && !next.InChain(member.ID) && !r.replaced(member.ID) && now < r.readsUntil(member.ID) {
@@ -158,8 +158,8 @@
 	return true
 }
 
-// readsUntil is when a member's permission to read has run out, by the clock here. An earlier head may have given one, or
-// this one in an earlier epoch or life, till the view was learnt. Only the tail can have one once all members know the view.
+// readsUntil returns when a member's read permission has run out, by the clock here. An earlier head may have given one, or this replica
+// in an earlier epoch or incarnation, until the view was learned. Once all members know the view, only the tail can have one.
 func (r *Replica) readsUntil(id view.ReplicaID) time.Duration {
 	earlier := r.viewLearnedAt + r.cfg.Grant/readGrantDivisor
 	switch {
@@ -171,14 +171,14 @@
 	return earlier
 }
 
-// allKnowView tells whether all members of the chain surely know the view: an entry that was made in its epoch is committed, so that each
-// has acknowledged it as a member. Whoever learns a view gives up the permission that it had before.
+// allKnowView reports whether all members of the chain are certain to know the view: an entry of its epoch is committed, so each of them
+// has acknowledged it as a member. A replica that learns a view gives up the read permission that it had before.
 func (r *Replica) allKnowView() bool {
 	epoch, ok := r.chain.Log().EpochAt(r.Committed())
 	return ok && epoch == r.view.Epoch
 }
 
-// penalise keeps a member out that was dropped for its disk: it answered heartbeats and didn't acknowledge.
+// penalise keeps a member out of the chain that was dropped for its disk: it answered heartbeats but did not acknowledge entries.
 func (r *Replica) penalise(now time.Duration, id view.ReplicaID) {
 	length := minPenalty
 	if before, ok := r.head.penalties[id]; ok && now-before.last < penaltyMemory {
@@ -187,7 +187,7 @@
 	r.head.penalties[id] = penalty{until: now + length, last: now}
 }
 
-// reconcileAdmission takes a learner in that has everything, and holds writes back for one that nearly has.
+// reconcileAdmission admits a learner that has everything, and holds writes back for one that nearly has.
 func (r *Replica) reconcileAdmission(now time.Duration) bool {
 	if !r.mayAdmit(now) || r.stallUndecided(now) {
 		r.head.admitting = ""
@@ -212,20 +212,20 @@
 	case acked < r.LastIndex():
 		return true
 	}
-	culprit := r.stalledMember(now)
+	stalled := r.stalledMember(now)
 	cause := Cause{Kind: CauseLearner, Member: l.member.ID, Index: acked}
-	return r.proposeView(now, r.viewWithLearner(now, l.member, culprit), culprit, cause)
+	return r.proposeView(now, r.viewWithLearner(now, l.member, stalled), stalled, cause)
 }
 
-// mayAdmit tells whether learners may be taken in and votes given away. Where enough members are in touch to commit, a new head acts first, and goes on for
-// admissionDelay without holding writes back for a newcomer: what had waited for a head comes then, and after a loss of power of all machines
-// newcomers are many and still slow.
+// mayAdmit reports whether learners may be admitted and votes reassigned. If enough members are in touch to commit, a new head acts
+// first, and goes on for admissionDelay without holding writes back for a newcomer: the work that had waited for a head arrives then, and
+// after a power loss of all machines newcomers are many and still slow.
 func (r *Replica) mayAdmit(now time.Duration) bool {
 	return r.head.announced && now >= r.head.headSince+admissionDelay || r.tooFewToCommit(now)
 }
 
-// stallUndecided tells whether a member holds an entry up for which it can't be blamed yet: another view would only begin its time anew. Where
-// too few members are in touch to commit anything, newcomers are what is waited for.
+// stallUndecided reports whether a member holds an entry up but hasn't yet reached the timeout for that: another view would only restart
+// its time. If too few members are in touch to commit anything, newcomers are what is needed, and it returns false.
 func (r *Replica) stallUndecided(now time.Duration) bool {
 	stuck := r.Committed() < r.head.watchedIndex && now-r.head.watchedSince > stuckThreshold
 	return stuck && r.stalledMember(now) == "" && !r.tooFewToCommit(now)
@@ -246,7 +246,7 @@
 	}
 }
 
-// watchLearners follows the learners, and forgets those that don't ask any more.
+// watchLearners tracks the learners, and removes those that no longer ask to join.
 func (r *Replica) watchLearners(now time.Duration) {
 	for id, l := range r.head.learners {
 		if now-l.heardAt > 2*joinInterval+r.cfg.Grant || r.view.InChain(id) {
@@ -258,12 +258,13 @@
 	}
 }
 
-// triedBefore tells which of two learners is tried first: the one for which writes were held back in vain longer ago.
+// triedBefore reports whether learner a is tried before b: the one for which writes were held back without success longer ago comes
+// first.
 func (r *Replica) triedBefore(a, b view.ReplicaID) bool {
 	return cmp.Or(cmp.Compare(r.head.learners[a].failedAt, r.head.learners[b].failedAt), cmp.Compare(a, b)) < 0
 }
 
-// admissible tells whether it is worth holding writes back for a learner.
+// admissible reports whether it is worth holding writes back for a learner.
 func (r *Replica) admissible(now time.Duration, id view.ReplicaID) bool {
 	acked, heard, ok := r.chain.Learner(id)
 	if !ok || now-heard > learnerTimeout && acked < r.LastIndex() || acked+admissionMaxLag < r.LastIndex() {
@@ -279,8 +280,9 @@
 	return !r.penalised(now, id)
 }
 
-// penalised tells whether a member that was dropped for its disk has to stay out yet: it is back once it has been prompt for a while,
-// which grows with the length of its penalty. A machine that is well counts again after a time, and the next loss may come then.
+// penalised reports whether a member that was dropped for its disk must still stay out. It may return once it has acknowledged promptly
+// for a time that grows with its penalty: a machine that has recovered counts as available again after a while, and the next loss may
+// come then.
 func (r *Replica) penalised(now time.Duration, id view.ReplicaID) bool {
 	p := r.head.penalties[id]
 	if now >= p.until || r.tooFewToCommit(now) {
@@ -290,11 +292,12 @@
 	return now-p.last < minPenalty || now-r.head.learners[id].promptSince < proof
 }
 
-// viewWithLearner is the next view with a new member at the chain's end, and without those that can be spared then. Whoever loses its vote to the
-// new member loses its place to it as well: that is a lost disk, which never comes back, or the new member itself at an earlier address.
-func (r *Replica) viewWithLearner(now time.Duration, member view.Member, culprit view.ReplicaID) view.View {
+// viewWithLearner returns the next view with a new member at the chain's end, and without the members that can then be spared. A voter
+// that loses its vote to the new member loses its place in the chain as well: it is a lost disk, which never returns, or the new member
+// itself at an earlier address.
+func (r *Replica) viewWithLearner(now time.Duration, member view.Member, stalled view.ReplicaID) view.View {
 	next := r.view.Next()
-	chain := r.remainingChain(now, culprit, 1)
+	chain := r.remainingChain(now, stalled, 1)
 	if seat := r.seatFor(now, next, member); seat >= 0 {
 		before := next.Voters[seat].ID
 		chain = view.Without(chain, func(id view.ReplicaID) bool { return id == before })
--- a/coord/replica/head.go
+++ b/coord/replica/head.go
@@ -7,89 +7,91 @@
 	"gaugeslip/coord/view"
 )
 
-// readGrantDivisor is the part of a grant for which the tail may answer reads at most.
+// readGrantDivisor bounds the tail's read permission to a grant divided by it.
 const readGrantDivisor = 2
 
-// headState is what a head knows of its epoch.
+// headState is the state of a head in its epoch.
 type headState struct {
-	currentIncarnation bool // this life learnt the view, so what an earlier one sent doesn't count
-	steppedDown        bool // it has proposed a view, or found itself without a majority
+	currentIncarnation bool // this incarnation learned the view, so heartbeats of an earlier one don't count
+	steppedDown        bool // it proposed a view, or lost its majority, or could not store its view
 	lease              view.Lease
-	// leaseUntil is the end of this epoch's lease. Voters that learn an epoch forget what they have granted in the one before, so that no lease
+	// leaseUntil is the end of this epoch's lease. Voters that learn an epoch forget their grants of the one before, so that no lease
 	// outlasts its epoch.
 	leaseUntil  time.Duration
 	heartbeatAt time.Duration
-	readsUntil  time.Duration // the tail's permission, by the clock here
+	readsUntil  time.Duration // end of the tail's read permission, by the clock here
 	announced   bool
-	// announcedUntil is till when a head that was announced in an earlier epoch counts as one that is about to have the lease of this.
+	// announcedUntil is until when a head that was announced in an earlier epoch stays announced while it waits for the lease of this
+	// one.
 	announcedUntil time.Duration
-	announcedEpoch uint64 // the epoch of BecameHead
-	// headSince is when this replica began to act as the head, with no other in between since.
+	announcedEpoch uint64 // the epoch of the last BecameHead
+	// headSince is when this replica began to act as the head, with no other head since.
 	headSince time.Duration
-	// headThrough is one more than the epoch up to which this replica has been the head since BecameHead, with no other in between.
+	// headThrough is one more than the epoch up to which this replica has been the head since its last BecameHead, with no other head in
+	// between.
 	headThrough    uint64
 	reconcileAt    time.Duration
-	inheritedIndex uint64 // last index at the start of the epoch
+	inheritedIndex uint64 // last index of the log at the start of the epoch
 
-	handingOver   bool // no writes are taken any more
+	handingOver   bool // no writes are accepted any more
 	drainDeadline time.Duration
 
-	watchedIndex uint64 // the entry that is watched
+	watchedIndex uint64 // the entry whose commit is watched
 	watchedSince time.Duration
 	stall        stallState
-	leaseRenewed timestamp // when the lease was renewed last
+	leaseRenewed timestamp // when the lease was last renewed
 
 	learners    map[view.ReplicaID]*learner
-	admitting   view.ReplicaID // writes are held back for it
+	admitting   view.ReplicaID // the learner for which writes are held back
 	holdSince   time.Duration
 	holdRetryAt time.Duration
 	penalties   map[view.ReplicaID]penalty
 
-	diverged             view.ReplicaID // told last that its state differs
-	divergenceReportedAt time.Duration  // or when the epoch began
+	diverged             view.ReplicaID // the member that was last notified that its state differs
+	divergenceReportedAt time.Duration  // when it was notified, or when the epoch began
 }
 
-// peer is what is known of another replica.
+// peer is what this replica knows of another one.
 type peer struct {
 	heard          timestamp     // last acknowledgement, or the start of the epoch
 	ackedAt        time.Duration // last acknowledgement, or the start of this replica's time as head
 	epoch          uint64        // of the newest view that it has shown to know
 	epochKnown     bool
-	ackedHeartbeat uint64 // its last acknowledged heartbeat of this epoch
+	ackedHeartbeat uint64 // sequence of the last heartbeat of this epoch that it acknowledged
 	refusedSince   time.Duration
 	received       uint64
 	synced         uint64
 	acked          uint64
 	leaving        bool
-	diskFailed     bool // its disk refuses
-	silent         bool // out of reach since it was the head's or a candidate's
-	gone           bool // its disk is lost, or it has moved
-	// replacedIn is one more than the epoch in which that was proven for a member of the chain; 0: never.
+	diskFailed     bool // its disk refuses writes
+	silent         bool // it did not answer the election that made this replica the head, and has acknowledged no heartbeat since
+	gone           bool // its disk is lost, or has moved to another address
+	// replacedIn is one more than the epoch in which it was proven that another disk replaced this member of the chain; 0: never.
 	replacedIn uint64
 	digests    []view.Digest
 }
 
-// learner is one that has asked to become a member, and how promptly it acknowledges.
+// learner is a replica that has asked to become a member, and how promptly it acknowledges.
 type learner struct {
 	member       view.Member
 	heardAt      time.Duration
 	watchedIndex uint64 // an index that it has to acknowledge
 	watchedSince time.Duration
 	promptSince  time.Duration
-	failedAt     time.Duration // writes were held back for it in vain; 0: never
+	failedAt     time.Duration // when writes were last held back for it without success; 0: never
 }
 
-// watch follows what a learner acknowledges.
-func (l *learner) watch(now time.Duration, acked uint64, ok bool, last uint64, most time.Duration) {
+// watch tracks how promptly the learner acknowledges.
+func (l *learner) watch(now time.Duration, acked uint64, ok bool, last uint64, limit time.Duration) {
 	switch {
 	case ok && acked >= l.watchedIndex:
 		l.watchedIndex, l.watchedSince = last, now
-	case now-l.watchedSince > most:
+	case now-l.watchedSince > limit:
 		l.promptSince = now
 	}
 }
 
-// penalty keeps a member out that stopped to acknowledge while it was in touch.
+// penalty keeps a member out of the chain that stopped acknowledging entries while it answered heartbeats.
 type penalty struct {
 	until time.Duration
 	last  time.Duration
@@ -97,8 +99,9 @@
 
 func (r *Replica) resetHead(now time.Duration) {
 	h := &r.head
-	head := headState{lease: view.NewLease(r.cfg.Grant, r.heartbeatBase), currentIncarnation: true, heartbeatAt: now, reconcileAt: now, watchedSince: now,
-		leaseRenewed: r.timestamp(now), stall: stallState{blockedSince: r.timestamp(now)}, learners: h.learners, penalties: h.penalties, divergenceReportedAt: now}
+	head := headState{lease: view.NewLease(r.cfg.Grant, r.heartbeatBase), currentIncarnation: true, heartbeatAt: now, reconcileAt: now,
+		watchedSince: now, leaseRenewed: r.timestamp(now), stall: stallState{blockedSince: r.timestamp(now)},
+		learners: h.learners, penalties: h.penalties, divergenceReportedAt: now}
 	if r.position() == 0 {
 		head.announced, head.announcedEpoch, head.announcedUntil = h.announced, h.announcedEpoch, max(h.leaseUntil, h.announcedUntil)
 		head.headSince = h.headSince
@@ -127,17 +130,17 @@
 	r.head = head
 }
 
-// leading tells whether this replica acts as the head of its view, with or without a lease.
+// leading reports whether this replica acts as the head of its view, with or without a lease.
 func (r *Replica) leading() bool {
 	return r.view.Known() && r.head.currentIncarnation && !r.head.steppedDown && r.position() == 0
 }
 
-// IsHead tells whether this replica is the head and holds the lease. Whatever only a head may do, it may do now.
+// IsHead reports whether this replica is the head and holds the lease, so that it may do now whatever only a head may do.
 func (r *Replica) IsHead(now time.Duration) bool {
 	return r.entered && r.leading() && now < r.head.leaseUntil
 }
 
-// lead does a head's work.
+// lead does the work of a head.
 func (r *Replica) lead(now time.Duration) {
 	if r.checkTimeouts && r.stepDownIfStuck(now) {
 		return
@@ -161,7 +164,7 @@
 	}
 }
 
-// sendHeartbeats sends heartbeats.
+// sendHeartbeats sends a heartbeat to every voter, and grants it here if this replica is a voter.
 func (r *Replica) sendHeartbeats(now time.Duration) {
 	sequence := r.head.lease.Sent(now)
 	r.head.heartbeatAt = now + r.cfg.HeartbeatEvery
@@ -191,8 +194,8 @@
 	r.send(voter, m)
 }
 
-// permitReads gives the tail's permission. It ends before the lease does, and counts at the tail from when it acknowledged
-// the echoed heartbeat, which was before word of that came here.
+// permitReads returns the read permission for the tail. It ends before the lease does. The tail counts it from when it acknowledged the
+// echoed heartbeat, which was before that acknowledgement arrived here.
 func (r *Replica) permitReads(now time.Duration, tail *peer) (echo uint64, readFor time.Duration) {
 	if tail.ackedHeartbeat == 0 || tail.leaving || !r.IsHead(now) || now-r.head.watchedSince > stuckThreshold {
 		return 0, 0
@@ -238,7 +241,7 @@
 	r.renewLease(now)
 }
 
-// announce tells of the head's place won or lost.
+// announce emits BecameHead or LostHead when this replica has become the head or lost its place.
 func (r *Replica) announce(now time.Duration) {
 	h := &r.head
 	switch {
@@ -269,11 +272,11 @@
 	return &v
 }
 
-func (r *Replica) jitter(most time.Duration) time.Duration {
-	return time.Duration(r.random.Int64N(int64(most) + 1))
+func (r *Replica) jitter(limit time.Duration) time.Duration {
+	return time.Duration(r.random.Int64N(int64(limit) + 1))
 }
 
-// voterAt finds a voter by its address.
+// voterAt returns the index of the voter with an address, or -1.
 func voterAt(v view.View, address string) int {
 	return slices.IndexFunc(v.Voters, func(m view.Member) bool { return m.Address == address })
 }
--- a/coord/replica/inspect.go
+++ b/coord/replica/inspect.go
@@ -9,52 +9,52 @@
 	"gaugeslip/coord/view"
 )
 
-// Status is what an operator is shown of a replica. Times are lengths, seen from the moment of the call.
+// Status is the state of a replica for operators. Times are durations relative to the moment of the call.
 type Status struct {
 	Self view.Member
 	View view.View
-	// Position is the place in the chain, -1 without one.
+	// Position is the place in the chain, -1 if not in it.
 	Position int
-	// Head and Tail tell what the replica may do now: act as the head, and answer reads as the tail.
+	// Head and Tail report what the replica may do now: act as the head, and answer reads as the tail.
 	Head, Tail bool
-	// Lease is what is left of the head's lease, 0 at others.
+	// Lease is what is left of the head's lease, 0 at other replicas.
 	Lease time.Duration
-	// Committed, Last and Synced are the last indexes known to be committed, held, and on the disk here.
+	// Committed, Last and Synced are the last indexes known to be committed, in the log, and on the own disk.
 	Committed, Last, Synced uint64
-	// Leaving tells that the replica wants out of the chain.
+	// Leaving reports that the replica wants to leave the chain.
 	Leaving bool
 	// Admitting is the learner for which the head holds writes back, if any.
 	Admitting view.ReplicaID
-	// Members are the voters and what the head last heard of each; at others than the head only who they are.
+	// Members are the voters, with what the head last heard from each; at other replicas only who they are.
 	Members []MemberStatus
-	// Learners are those who have asked the head to become members.
+	// Learners are the replicas that have asked the head to become members.
 	Learners []LearnerStatus
 }
 
-// MemberStatus is a voter, as the head knows it.
+// MemberStatus is a voter as the head sees it.
 type MemberStatus struct {
 	Member view.Member
-	// Position is the place in the chain, -1 without one.
+	// Position is the place in the chain, -1 if not in it.
 	Position int
-	// Heard is how long ago it answered; -1 where that isn't known.
+	// Heard is how long ago it answered, -1 if unknown.
 	Heard time.Duration
-	// Received, Synced and Acked are the last indexes that it holds, has on disk, and has on disk together with its successors.
+	// Received, Synced and Acked are the last indexes that it has in its log, on its disk, and on its disk and those of its successors.
 	Received, Synced, Acked uint64
 	Leaving, Gone           bool
 }
 
-// LearnerStatus is a replica that catches up, as the head knows it.
+// LearnerStatus is a replica that catches up, as the head sees it.
 type LearnerStatus struct {
 	Member view.Member
 	// Acked is the last index on its disk.
 	Acked uint64
-	// Heard is how long ago it asked last.
+	// Heard is how long ago it last asked to join.
 	Heard time.Duration
-	// Penalty is how much longer it is kept out, after it had stopped to acknowledge.
+	// Penalty is how much longer it is kept out because it had stopped acknowledging.
 	Penalty time.Duration
 }
 
-// Status gives a copy of what the replica knows, for operators. It changes nothing.
+// Status returns a copy of the replica's state for operators. It changes nothing.
 func (r *Replica) Status(now time.Duration) Status {
 	status := Status{Self: r.self, View: r.view, Position: r.position(), Head: r.IsHead(now), Tail: r.IsTail(now),
 		Committed: r.Committed(), Last: r.LastIndex(), Synced: r.chain.Synced(), Leaving: r.leaving}
@@ -90,23 +90,23 @@
 	return status
 }
 
-// Inspected is what one record says; exactly the field that Kind names is set.
+// Inspected is the content of one record. Only the field that Kind names is set.
 type Inspected struct {
 	Kind     RecordKind
 	Entry    *chain.Entry
-	Truncate uint64 // all after this index is dropped
+	Truncate uint64 // all entries after this index are dropped
 	// Committed is the index up to which all entries are committed.
 	Committed uint64
-	Snapshot  *chain.Snapshot // of KindSnapshotPart: what this part holds
+	Snapshot  *chain.Snapshot // for KindSnapshotPart: the content of this part
 	View      *view.View
 	Acceptor  *view.Acceptor
 	Identity  view.ReplicaID
 	Unfit     string
 }
 
-// Inspect reads one record by itself. The error wraps view.ErrCorrupt.
+// Inspect decodes one record by itself. An error wraps view.ErrCorrupt.
 func Inspect(record Record) (Inspected, error) {
-	var alone Persisted
+	var single Persisted
 	found := Inspected{Kind: record.Kind}
 	if record.Kind == KindEntry {
 		entry, err := decodeEntry(record.Data)
@@ -128,15 +128,15 @@
 		found.Snapshot = &chain.Snapshot{Index: part.index, Epoch: part.epoch, Data: part.data}
 		return found, err
 	}
-	if err := alone.apply(record); err != nil {
+	if err := single.apply(record); err != nil {
 		return found, err
 	}
-	found.Snapshot, found.Identity, found.Unfit = alone.Snapshot, alone.Identity, alone.Unfit
+	found.Snapshot, found.Identity, found.Unfit = single.Snapshot, single.Identity, single.Unfit
 	switch record.Kind {
 	case KindView:
-		found.View = &alone.View
+		found.View = &single.View
 	case KindAcceptor:
-		found.Acceptor = &alone.Acceptor
+		found.Acceptor = &single.Acceptor
 	}
 	return found, nil
 }
--- a/coord/replica/join.go
+++ b/coord/replica/join.go
@@ -6,7 +6,7 @@
 	"gaugeslip/coord/view"
 )
 
-// join asks to become a member while this replica isn't one, and to leave while it wants to.
+// join asks to become a member while this replica isn't one, and asks to leave while it wants to leave.
 func (r *Replica) join(now time.Duration) {
 	if now < r.joinAt {
 		return
@@ -49,7 +49,7 @@
 	r.send(r.view.Head(), &Message{Leave: &view.LeaveNotice{Sequence: r.requestSequence, Broken: r.diskFailed}})
 }
 
-// leave begins to get out of the chain.
+// leave starts leaving the chain.
 func (r *Replica) leave(now time.Duration) {
 	if r.leaving {
 		return
@@ -63,14 +63,14 @@
 	}
 }
 
-// onLeave notes a member that wants to leave.
+// onLeave records that a member wants to leave.
 func (r *Replica) onLeave(now time.Duration, id view.ReplicaID, m *view.LeaveNotice) {
 	p := r.peer(id, now)
 	p.leaving, p.diskFailed = true, m.Broken
 	r.head.reconcileAt = now
 }
 
-// onJoin notes a replica that wants to become a member, and tells it the newest view.
+// onJoin records a replica that wants to become a member, and sends it the newest view.
 func (r *Replica) onJoin(now time.Duration, m *Message) {
 	if !r.view.Known() || !m.Viewless && m.Epoch > r.view.Epoch {
 		r.checkEpoch(now, m)
@@ -99,10 +99,10 @@
 	r.chain.Invite(now, m.From)
 }
 
-// noteReplaced notes that another disk has taken the address of a member of the present view, by word of a replica that knows that view.
-// The member had its place at that address before the view was decided, and the newcomer runs there after: the member's disk is lost, no
-// process has its identity any more, and whatever it was granted or permitted can't be used. Where that is the head, nobody has to wait
-// for its grants to run out.
+// noteReplaced records that another disk has taken the address of a member of the present view, as shown by a message from a replica that
+// knows that view. The member had its place at that address before the view was decided, and the newcomer runs there afterwards. So the
+// member's disk is lost, no process has its identity any more, and no grant or permission that it was given can be used. If the member is
+// the head, nobody has to wait for its grants to run out.
 func (r *Replica) noteReplaced(now time.Duration, from view.Member) {
 	for i, member := range r.view.Chain {
 		if member.ID == from.ID || member.Address != from.Address {
@@ -116,13 +116,13 @@
 	}
 }
 
-// replaced tells whether it is proven that a member of the present view is gone for good.
+// replaced reports whether it is proven that a member of the present view is gone for good.
 func (r *Replica) replaced(id view.ReplicaID) bool {
 	p := r.peers[id]
 	return p != nil && p.replacedIn == r.view.Epoch+1
 }
 
-// noteGone notes a member whose address has another disk now, or whose disk has another address.
+// noteGone records a member whose address has another disk now, or whose disk has another address.
 func (r *Replica) noteGone(now time.Duration, from view.Member) {
 	for _, member := range r.view.Voters {
 		switch {
--- a/coord/replica/leader_test.go
+++ b/coord/replica/leader_test.go
@@ -11,66 +11,66 @@
 	"gaugeslip/coord/view"
 )
 
-// standLease is how long a head holds its lease, counted from a heartbeat.
-const standLease = DefaultGrant * 9 / 10
+// testLease is how long a head holds its lease, counted from the sending of a heartbeat.
+const testLease = DefaultGrant * 9 / 10
 
-// leader is a, at the head of a, b, c, with the lease; what it was sent before isn't kept.
-func leader(t *testing.T) *stand {
-	s := settled(t, standConfig("a"), chain.Log{}, "a", "b", "c")
+// newLeader returns replica a with the lease, at the head of the chain a, b, c.
+func newLeader(t *testing.T) *harness {
+	s := newSettled(t, testConfig("a"), chain.Log{}, "a", "b", "c")
 	s.ack("b")
 	require.True(t, s.isHead())
 	return s
 }
 
 func TestLeaseNeedsAMajority(t *testing.T) {
-	s := settled(t, standConfig("a"), chain.Log{}, "a", "b", "c")
+	s := newSettled(t, testConfig("a"), chain.Log{}, "a", "b", "c")
 	require.False(t, s.isHead(), "its own grant is no majority")
 	sent := s.now
 	s.ack("b")
 	require.True(t, s.isHead())
-	s.now = sent + standLease - time.Nanosecond
+	s.now = sent + testLease - time.Nanosecond
 	require.True(t, s.isHead())
 	s.now++
 	assert.False(t, s.isHead())
 }
 
-func TestLeaseIsCountedFromTheSending(t *testing.T) {
-	s := settled(t, standConfig("a"), chain.Log{}, "a", "b", "c")
+func TestLeaseStartsAtSendTime(t *testing.T) {
+	s := newSettled(t, testConfig("a"), chain.Log{}, "a", "b", "c")
 	sent := s.now
-	sequence := s.lastBeat("b").Sequence
-	s.now += 500 * time.Millisecond // all steps in between are missing: it stood still
-	s.ackOf("b", sequence)
+	sequence := s.lastHeartbeat("b").Sequence
+	s.now += 500 * time.Millisecond // without any step: the process stood still
+	s.ackSequence("b", sequence)
 	require.True(t, s.isHead())
-	s.now = sent + standLease
+	s.now = sent + testLease
 	assert.False(t, s.isHead())
 }
 
-func TestRefusedGrantIsNone(t *testing.T) {
-	s := settled(t, standConfig("a"), chain.Log{}, "a", "b", "c")
-	ack := &view.HeartbeatAck{Sequence: s.lastBeat("b").Sequence}
+func TestRefusedGrantDoesNotCount(t *testing.T) {
+	s := newSettled(t, testConfig("a"), chain.Log{}, "a", "b", "c")
+	ack := &view.HeartbeatAck{Sequence: s.lastHeartbeat("b").Sequence}
 	s.receive("b", &Message{HeartbeatAck: ack})
 	assert.False(t, s.isHead())
 }
 
-func TestGrantsOfAnotherLifeDontCount(t *testing.T) {
-	s := settled(t, standConfig("a"), chain.Log{}, "a", "b", "c")
-	sequence := s.lastBeat("b").Sequence
+func TestGrantsOfAnotherIncarnationDoNotCount(t *testing.T) {
+	s := newSettled(t, testConfig("a"), chain.Log{}, "a", "b", "c")
+	sequence := s.lastHeartbeat("b").Sequence
 	for _, other := range []uint64{0, 1, sequence - 1, sequence + 1, sequence + 1<<sequenceBits, sequence - 1<<sequenceBits} {
-		s.ackOf("b", other)
+		s.ackSequence("b", other)
 		require.False(t, s.isHead(), "grant of heartbeat %x, %x was sent", other, sequence)
 	}
 }
 
 func TestOnlyVotersGrant(t *testing.T) {
-	s := settled(t, standConfig("a"), chain.Log{}, "a", "b", "c")
-	s.ackOf("d", s.lastBeat("b").Sequence)
+	s := newSettled(t, testConfig("a"), chain.Log{}, "a", "b", "c")
+	s.ackSequence("d", s.lastHeartbeat("b").Sequence)
 	assert.False(t, s.isHead())
 }
 
 func TestHeadWaitsForItsViewOnDisk(t *testing.T) {
-	s := resumed(t, standConfig("a"), Persisted{View: standView(standEpoch-1, "x", "y", "z")})
-	s.now += standLength
-	s.learn(standView(standEpoch, "a", "b", "c"))
+	s := newRestarted(t, testConfig("a"), Persisted{View: testView(testEpoch-1, "x", "y", "z")})
+	s.now += pastAllGrants
+	s.receiveView(testView(testEpoch, "a", "b", "c"))
 	s.ack("b")
 	require.False(t, s.isHead())
 	require.ErrorIs(t, s.core.CanPropose(s.now), ErrNotHead)
@@ -78,60 +78,61 @@
 	assert.True(t, s.isHead())
 }
 
-// What its earlier life has sent in this epoch isn't known any more: it stands anew, in a ballot that its earlier life can't have used.
+// A restarted head doesn't know what its earlier incarnation sent in this epoch. It starts an election, in a ballot that the earlier
+// incarnation can't have used.
 func TestRestartedHeadDoesNotLead(t *testing.T) {
-	s := resumed(t, standConfig("a"), Persisted{View: standView(standEpoch, "a", "b", "c")})
+	s := newRestarted(t, testConfig("a"), Persisted{View: testView(testEpoch, "a", "b", "c")})
 	s.step(Tick{})
-	sent := s.drain()
-	assert.Empty(t, collect(sent, func(m *Message) *view.Heartbeat { return m.Heartbeat }))
-	prepares := collect(sent, func(m *Message) *view.Prepare { return m.Prepare })
+	sent := s.takeSent()
+	assert.Empty(t, collectMessages(sent, func(m *Message) *view.Heartbeat { return m.Heartbeat }))
+	prepares := collectMessages(sent, func(m *Message) *view.Prepare { return m.Prepare })
 	require.NotEmpty(t, prepares)
 	assert.Positive(t, prepares[0].Ballot.Round)
-	s.ackOf("b", s.core.heartbeatBase+1)
-	s.ackOf("c", s.core.heartbeatBase+1)
+	s.ackSequence("b", s.core.heartbeatBase+1)
+	s.ackSequence("c", s.core.heartbeatBase+1)
 	assert.False(t, s.isHead())
 }
 
-func TestHeadThatProposesHasAbdicated(t *testing.T) {
-	s := leader(t)
+func TestProposingHeadStepsDown(t *testing.T) {
+	s := newLeader(t)
 	s.receive("c", &Message{Leave: &view.LeaveNotice{Sequence: 1}})
-	s.after(DefaultGrant / 2) // till no one can read at c
+	s.advance(DefaultGrant / 2) // until c can't answer reads any more
 	require.NotEmpty(t, s.accepts(), "the view without c")
-	require.Less(t, s.now, standStart+2*standLength+standLease)
+	require.Less(t, s.now, testStart+2*pastAllGrants+testLease)
 	assert.False(t, s.isHead())
 	assert.Error(t, s.core.CanPropose(s.now))
-	s.after(DefaultHeartbeatEvery)
-	assert.Empty(t, s.beats(), "it prolongs nothing")
+	s.advance(DefaultHeartbeatEvery)
+	assert.Empty(t, s.heartbeats(), "it must not extend its lease")
 	_, ok := s.core.ReadIndex(s.now)
 	assert.False(t, ok)
 }
 
 func TestHeadWithoutMajorityStepsDown(t *testing.T) {
-	s := leader(t)
+	s := newLeader(t)
 	for range DefaultGrant / DefaultHeartbeatEvery {
-		s.after(DefaultHeartbeatEvery)
+		s.advance(DefaultHeartbeatEvery)
 	}
-	s.after(time.Millisecond)
-	s.drain()
+	s.advance(time.Millisecond)
+	s.takeSent()
 	for range 10 {
-		s.after(DefaultGrant / 10)
+		s.advance(DefaultGrant / 10)
 	}
-	sent := s.drain()
-	assert.Empty(t, collect(sent, func(m *Message) *view.Heartbeat { return m.Heartbeat }))
-	assert.NotEmpty(t, collect(sent, func(m *Message) *view.Prepare { return m.Prepare }))
+	sent := s.takeSent()
+	assert.Empty(t, collectMessages(sent, func(m *Message) *view.Heartbeat { return m.Heartbeat }))
+	assert.NotEmpty(t, collectMessages(sent, func(m *Message) *view.Prepare { return m.Prepare }))
 }
 
 func TestHeadKeepsItsOwnGrant(t *testing.T) {
-	s := leader(t)
+	s := newLeader(t)
 	s.now += DefaultGrant - time.Millisecond
-	s.drain()
+	s.takeSent()
 	s.prepare("c", 1)
 	assert.False(t, s.promises()[0].OK)
 }
 
-// At the last moment at which it may go on without a majority it promises another, and must not grant itself any more.
+// At the last moment at which the head may go on without a majority, it promises another candidate, and must not grant itself any more.
 func TestHeadThatPromisedDoesNotGrantItself(t *testing.T) {
-	s := leader(t)
+	s := newLeader(t)
 	s.now += DefaultGrant
 	s.prepare("c", 1)
 	s.sync()
@@ -140,68 +141,68 @@
 	assert.False(t, s.isHead(), "c alone is no majority")
 }
 
-func TestLeaseEndsWithThePlace(t *testing.T) {
-	s := leader(t)
-	s.learn(standView(standEpoch+1, "b", "a", "c"))
+func TestLeaseEndsWithLossOfHeadPlace(t *testing.T) {
+	s := newLeader(t)
+	s.receiveView(testView(testEpoch+1, "b", "a", "c"))
 	s.sync()
 	require.False(t, s.isHead())
-	s.learn(standView(standEpoch+2, "a", "b", "c"))
+	s.receiveView(testView(testEpoch+2, "a", "b", "c"))
 	s.sync()
-	assert.False(t, s.isHead(), "the lease of an earlier time as head is over")
+	assert.False(t, s.isHead(), "the lease of its earlier time as the head is over")
 }
 
 func TestNothingIsCommittedWithoutTheLease(t *testing.T) {
-	s := leader(t)
-	lease := s.now + standLease
+	s := newLeader(t)
+	lease := s.now + testLease
 	_, out, err := s.core.Propose(s.now, [][]byte{[]byte("x")})
 	require.NoError(t, err)
-	s.take(out)
+	s.handleOutput(out)
 	s.sync()
 	s.now = lease
 	s.chainAck(1)
 	assert.Empty(t, s.applied)
 	assert.Error(t, s.core.CanPropose(s.now))
-	s.after(DefaultHeartbeatEvery / 2)
+	s.advance(DefaultHeartbeatEvery / 2)
 	s.ack("b")
-	assert.Len(t, s.applied, 1, "it has the lease again")
+	assert.Len(t, s.applied, 1, "it has the lease again and commits")
 }
 
 // chainAck lets the successor open its session and acknowledge an index.
-func (s *stand) chainAck(index uint64) {
+func (s *harness) chainAck(index uint64) {
 	var empty chain.Log
 	s.receive("b", &Message{Chain: &chain.Body{Hello: &chain.Hello{Session: 1, Runs: empty.Runs()}}})
 	s.receive("b", &Message{Chain: &chain.Body{Ack: &chain.Ack{Session: 1, Index: index, Stored: index}}})
 }
 
 func TestNothingIsCommittedOnTooFewDisks(t *testing.T) {
-	cfg := standConfig("a")
-	s := settled(t, cfg, logOf(standEpoch-1, 3), "a")
-	require.True(t, s.isHead(), "it is the only voter")
+	cfg := testConfig("a")
+	s := newSettled(t, cfg, testLog(testEpoch-1, 3), "a")
+	require.True(t, s.isHead(), "it is the only voter and needs no other grant")
 	s.step(Tick{})
 	assert.Empty(t, s.applied, "one disk of two")
 	assert.ErrorIs(t, s.core.CanPropose(s.now), ErrChainTooShort)
 }
 
-func TestHeadIsAnnouncedWithAllThatItInherited(t *testing.T) {
-	s := settled(t, standConfig("a"), logOf(standEpoch-1, 3), "a", "b", "c")
+func TestHeadIsAnnouncedAfterInheritedEntriesCommit(t *testing.T) {
+	s := newSettled(t, testConfig("a"), testLog(testEpoch-1, 3), "a", "b", "c")
 	s.ack("b")
 	require.True(t, s.isHead())
-	require.NotContains(t, s.events, Event(BecameHead{Epoch: standEpoch}))
+	require.NotContains(t, s.events, Event(BecameHead{Epoch: testEpoch}))
 	index, ok := s.core.ReadIndex(s.now)
 	require.True(t, ok)
-	require.Equal(t, uint64(3), index, "its predecessor may have acknowledged all of it")
+	require.Equal(t, uint64(3), index, "its predecessor may have acknowledged all three entries")
 	s.chainAck(3)
-	require.Contains(t, s.events, Event(BecameHead{Epoch: standEpoch}))
-	s.now += standLease
+	require.Contains(t, s.events, Event(BecameHead{Epoch: testEpoch}))
+	s.now += testLease
 	s.step(Tick{})
-	assert.Contains(t, s.events, Event(LostHead{Epoch: standEpoch, Cause: Cause{Kind: CauseLease, Silence: standLease}}))
+	assert.Contains(t, s.events, Event(LostHead{Epoch: testEpoch, Cause: Cause{Kind: CauseLease, Silence: testLease}}))
 }
 
 func TestHeadReadsWhatItHasCommitted(t *testing.T) {
-	s := leader(t)
+	s := newLeader(t)
 	_, out, err := s.core.Propose(s.now, [][]byte{[]byte("x"), []byte("y")})
 	require.NoError(t, err)
-	s.take(out)
+	s.handleOutput(out)
 	s.sync()
 	s.chainAck(1)
 	index, ok := s.core.ReadIndex(s.now)
@@ -209,134 +210,135 @@
 	assert.Equal(t, uint64(1), index)
 }
 
-func TestPermissionEndsWithTheLease(t *testing.T) {
-	s := leader(t)
-	lease := s.now + standLease
+func TestReadPermissionEndsWithLease(t *testing.T) {
+	s := newLeader(t)
+	lease := s.now + testLease
 	s.ack("c")
-	s.after(DefaultHeartbeatEvery)
-	require.Equal(t, DefaultGrant/readGrantDivisor, s.lastBeat("c").ReadFor, "no longer than this even so")
-	s.after(DefaultHeartbeatEvery)
-	s.after(DefaultHeartbeatEvery)
-	beat := s.lastBeat("c")
+	s.advance(DefaultHeartbeatEvery)
+	require.Equal(t, DefaultGrant/readGrantDivisor, s.lastHeartbeat("c").ReadFor, "the permission is bounded even if the lease lasts longer")
+	s.advance(DefaultHeartbeatEvery)
+	s.advance(DefaultHeartbeatEvery)
+	beat := s.lastHeartbeat("c")
 	require.NotZero(t, beat.Echo)
 	require.Equal(t, lease-s.now, beat.ReadFor)
 	require.Less(t, beat.ReadFor, DefaultGrant/readGrantDivisor)
 	s.now = lease
 	s.step(Tick{})
-	s.after(DefaultHeartbeatEvery)
-	beat = s.lastBeat("c")
+	s.advance(DefaultHeartbeatEvery)
+	beat = s.lastHeartbeat("c")
 	assert.Zero(t, beat.Echo)
 	assert.Zero(t, beat.ReadFor)
 }
 
-func TestNoPermissionWithoutAnEcho(t *testing.T) {
-	s := leader(t)
-	s.after(DefaultHeartbeatEvery)
-	assert.Zero(t, s.lastBeat("c").ReadFor, "c hasn't been heard")
+func TestNoReadPermissionWithoutEcho(t *testing.T) {
+	s := newLeader(t)
+	s.advance(DefaultHeartbeatEvery)
+	assert.Zero(t, s.lastHeartbeat("c").ReadFor, "c hasn't been heard")
 }
 
-func TestNoPermissionForALeaver(t *testing.T) {
-	s := leader(t)
+func TestNoReadPermissionForLeaver(t *testing.T) {
+	s := newLeader(t)
 	s.ack("c")
 	s.core.peer("c", s.now).leaving = true
-	s.after(DefaultHeartbeatEvery)
-	assert.Zero(t, s.lastBeat("c").ReadFor)
+	s.advance(DefaultHeartbeatEvery)
+	assert.Zero(t, s.lastHeartbeat("c").ReadFor)
 }
 
-func TestNoPermissionWhileWritesAreStuck(t *testing.T) {
-	s := leaderWithEntry(t)
+func TestNoReadPermissionWhileWritesAreStuck(t *testing.T) {
+	s := newLeaderWithEntry(t)
 	for range 3 {
-		s.after(DefaultHeartbeatEvery)
+		s.advance(DefaultHeartbeatEvery)
 		s.ack("b")
 		s.ack("c")
 	}
-	s.after(DefaultHeartbeatEvery)
-	assert.Zero(t, s.lastBeat("c").ReadFor)
+	s.advance(DefaultHeartbeatEvery)
+	assert.Zero(t, s.lastHeartbeat("c").ReadFor)
 }
 
-// patient is a config whose head drops a silent member before its permission is over, if nothing else keeps it.
-func impatient(id view.ReplicaID) Config {
-	cfg := standConfig(id)
+// earlyDropConfig returns a config with which a head drops a silent member before its read permission ends, unless something else
+// prevents it.
+func earlyDropConfig(id view.ReplicaID) Config {
+	cfg := testConfig(id)
 	cfg.DropAfter = 100 * time.Millisecond
 	return cfg
 }
 
-func TestTailIsDroppedAfterItsPermission(t *testing.T) {
-	s := settled(t, impatient("a"), chain.Log{}, "a", "b", "c")
+func TestTailIsDroppedAfterItsReadPermission(t *testing.T) {
+	s := newSettled(t, earlyDropConfig("a"), chain.Log{}, "a", "b", "c")
 	for range 4 {
 		s.ack("b")
 		s.ack("c")
-		s.after(DefaultHeartbeatEvery)
+		s.advance(DefaultHeartbeatEvery)
 	}
 	heard := s.now
 	s.ack("b")
 	s.ack("c")
-	s.after(DefaultHeartbeatEvery)
-	until := heard + s.lastBeat("c").ReadFor
+	s.advance(DefaultHeartbeatEvery)
+	until := heard + s.lastHeartbeat("c").ReadFor
 	require.Equal(t, heard+DefaultGrant/readGrantDivisor, until)
 	for s.now < until-DefaultHeartbeatEvery/5 {
 		s.ack("b")
-		s.after(DefaultHeartbeatEvery / 5)
-		require.Empty(t, collect(s.sent, func(m *Message) *view.Accept { return m.Accept }), "c may answer till %v", until-s.now)
+		s.advance(DefaultHeartbeatEvery / 5)
+		require.Empty(t, collectMessages(s.sent, func(m *Message) *view.Accept { return m.Accept }), "c may answer reads for another %v", until-s.now)
 	}
 	s.now = until
 	s.ack("b")
-	s.after(reconcileInterval)
+	s.advance(reconcileInterval)
 	accepts := s.accepts()
-	require.NotEmpty(t, accepts, "its silence doesn't prolong it")
+	require.NotEmpty(t, accepts, "its silence must not extend its permission")
 	assert.False(t, accepts[0].Value.InChain("c"))
 }
 
-// The tail of the epoch before may have had its permission, whoever gave it, and not have heard that another is the tail.
-func TestEarlierTailIsDroppedAfterItsPermission(t *testing.T) {
-	s := settled(t, impatient("a"), chain.Log{}, "a", "b", "c")
-	learnt := s.now
-	for s.now < learnt+DefaultGrant/readGrantDivisor-reconcileInterval {
+// The tail of the epoch before may hold a read permission, whichever head gave it, and may not know that another member is the tail now.
+func TestEarlierTailIsDroppedAfterItsReadPermission(t *testing.T) {
+	s := newSettled(t, earlyDropConfig("a"), chain.Log{}, "a", "b", "c")
+	learned := s.now
+	for s.now < learned+DefaultGrant/readGrantDivisor-reconcileInterval {
 		s.ack("c")
-		s.after(reconcileInterval)
-		require.Empty(t, collect(s.sent, func(m *Message) *view.Accept { return m.Accept }), "b may have been the tail")
+		s.advance(reconcileInterval)
+		require.Empty(t, collectMessages(s.sent, func(m *Message) *view.Accept { return m.Accept }), "b may have been the tail")
 	}
-	s.now = learnt + DefaultGrant/readGrantDivisor
+	s.now = learned + DefaultGrant/readGrantDivisor
 	s.ack("c")
-	s.after(reconcileInterval)
+	s.advance(reconcileInterval)
 	assert.NotEmpty(t, s.accepts())
 }
 
-// Neither its word nor a new disk at its address says that the tail has stopped: both may be about an earlier life.
-func TestTailIsDroppedAfterItsPermissionWhateverIsSaid(t *testing.T) {
-	news := map[string]func(s *stand){
-		"leave": func(s *stand) { s.receive("c", &Message{Leave: &view.LeaveNotice{Sequence: 1}}) },
-		"disk": func(s *stand) {
-			from := view.Member{ID: "new", Address: standMember("c").Address}
+// Neither a leave notice of the tail nor a new disk at its address proves that it has stopped: both may concern an earlier incarnation.
+func TestLeaveOrNewDiskDoesNotShortenReadPermission(t *testing.T) {
+	events := map[string]func(s *harness){
+		"leave": func(s *harness) { s.receive("c", &Message{Leave: &view.LeaveNotice{Sequence: 1}}) },
+		"disk": func(s *harness) {
+			from := view.Member{ID: "new", Address: testMember("c").Address}
 			s.step(Receive{&Message{From: from, Viewless: true, Join: &view.Join{Sequence: 1}}})
 		},
 	}
-	for name, tell := range news {
-		s := leader(t)
+	for name, act := range events {
+		s := newLeader(t)
 		for range 4 {
-			s.after(DefaultHeartbeatEvery)
+			s.advance(DefaultHeartbeatEvery)
 			s.ack("b")
 			s.ack("c")
 		}
-		s.after(DefaultHeartbeatEvery)
-		require.NotZero(t, s.lastBeat("c").ReadFor)
-		tell(s)
-		s.after(reconcileInterval)
+		s.advance(DefaultHeartbeatEvery)
+		require.NotZero(t, s.lastHeartbeat("c").ReadFor)
+		act(s)
+		s.advance(reconcileInterval)
 		require.Empty(t, s.accepts(), name)
 		for range 4 {
-			s.after(DefaultHeartbeatEvery)
+			s.advance(DefaultHeartbeatEvery)
 			s.ack("b")
 		}
 		assert.NotEmpty(t, s.accepts(), name)
 	}
 }
 
-// While c is to go, its new disk doesn't come in: it would take the vote of a member.
-func TestNobodyComesInBeforeAMemberHasGone(t *testing.T) {
-	s := leader(t)
-	newcomer := view.Member{ID: "new", Address: standMember("c").Address}
+// While member c is about to be dropped, the new disk at its address isn't admitted: it would take the vote of a member.
+func TestNoAdmissionBeforeReplacedMemberIsDropped(t *testing.T) {
+	s := newLeader(t)
+	newcomer := view.Member{ID: "new", Address: testMember("c").Address}
 	say := func(m *Message) {
-		m.From, m.Epoch = newcomer, standEpoch
+		m.From, m.Epoch = newcomer, testEpoch
 		s.step(Receive{m})
 	}
 	say(&Message{Join: &view.Join{Sequence: 1}})
@@ -344,7 +346,7 @@
 	say(&Message{Chain: &chain.Body{Hello: &chain.Hello{Session: 9, Runs: empty.Runs()}}})
 	s.step(Tick{})
 	for range 10 {
-		s.after(reconcileInterval)
+		s.advance(reconcileInterval)
 		s.ack("b")
 		say(&Message{Join: &view.Join{Sequence: 2}})
 	}
@@ -355,121 +357,123 @@
 	}
 }
 
-func TestOnlyTheFirstLeads(t *testing.T) {
+func TestOnlyTheFirstInChainLeads(t *testing.T) {
 	for _, id := range []view.ReplicaID{"b", "c", "d"} {
-		s := settled(t, standConfig(id), chain.Log{}, "a", "b", "c")
+		s := newSettled(t, testConfig(id), chain.Log{}, "a", "b", "c")
 		s.step(Tick{})
-		assert.Empty(t, s.beats(), "%s isn't the head", id)
+		assert.Empty(t, s.heartbeats(), "%s isn't the head", id)
 	}
 }
 
-// The lease of the epoch before lasts, but nothing is permitted in an epoch that the disk doesn't know.
-func TestNoPermissionBeforeTheViewIsOnDisk(t *testing.T) {
-	s := leader(t)
-	s.learn(standView(standEpoch+1, "a", "b", "c"))
+// Although the lease of the epoch before still runs, the head permits no reads in an epoch whose view isn't on its disk.
+func TestNoReadPermissionBeforeViewIsOnDisk(t *testing.T) {
+	s := newLeader(t)
+	s.receiveView(testView(testEpoch+1, "a", "b", "c"))
 	s.ack("c")
-	s.after(DefaultHeartbeatEvery)
-	require.Zero(t, s.lastBeat("c").Echo)
+	s.advance(DefaultHeartbeatEvery)
+	require.Zero(t, s.lastHeartbeat("c").Echo)
 	s.sync()
 	require.True(t, s.isHead())
-	s.after(DefaultHeartbeatEvery)
-	assert.NotZero(t, s.lastBeat("c").Echo)
+	s.advance(DefaultHeartbeatEvery)
+	assert.NotZero(t, s.lastHeartbeat("c").Echo)
 }
 
-// A head that hears one other of four, but may be heard by all, must not make itself and that one the only members.
+// A head that hears only one of four others, but may be heard by all of them, must not reduce the chain to itself and that one.
 func TestHeadThatHearsNoMajorityProposesNothing(t *testing.T) {
-	s := settled(t, standConfig("a"), chain.Log{}, "a", "b", "c", "d", "e")
+	s := newSettled(t, testConfig("a"), chain.Log{}, "a", "b", "c", "d", "e")
 	for _, id := range []view.ReplicaID{"b", "c", "d", "e"} {
 		s.ack(id)
 	}
 	heard := s.now
 	for s.now < heard+DefaultDropAfter {
-		s.after(10 * time.Millisecond)
-		s.ackOf("b", s.lastBeat("b").Sequence)
+		s.advance(10 * time.Millisecond)
+		s.ackSequence("b", s.lastHeartbeat("b").Sequence)
 	}
-	s.core.head.reconcileAt = s.now // it looks while it still has the lease
-	s.after(10 * time.Millisecond)
+	s.core.head.reconcileAt = s.now // reconcile while it still has the lease
+	s.advance(10 * time.Millisecond)
 	require.True(t, s.isHead())
 	assert.Empty(t, s.accepts())
 }
 
-// A head whose disk hangs before it has the view can't propose another one: it must not keep the others from it.
+// A head whose disk hangs before it has stored the view can't propose another one. It must not keep the others from electing a new head.
 func TestHeadWhoseDiskHangsStepsDown(t *testing.T) {
-	s := leader(t)
-	s.learn(standView(standEpoch+1, "a", "b", "c"))
+	s := newLeader(t)
+	s.receiveView(testView(testEpoch+1, "a", "b", "c"))
 	for range 5 {
 		s.ack("b")
 		s.ack("c")
-		s.after(DefaultHeartbeatEvery)
+		s.advance(DefaultHeartbeatEvery)
 	}
 	require.Less(t, s.core.viewLearnedAt+DefaultDropAfter, s.now)
-	s.drain()
+	s.takeSent()
 	for range 20 {
-		s.after(DefaultHeartbeatEvery)
+		s.advance(DefaultHeartbeatEvery)
 	}
-	assert.Empty(t, s.drain(), "it neither beats nor stands")
+	assert.Empty(t, s.takeSent(), "it sends neither heartbeats nor ballots")
 }
 
-// The middle one dies with an entry that it has synced and the tail never got: it is dropped, and the tail, which lacks the entry, stays.
-func TestTailIsNotToBlameForADeadMiddle(t *testing.T) {
-	s := leaderWithEntry(t)
-	synced := &view.HeartbeatAck{Sequence: s.lastBeat("b").Sequence, Granted: true, Received: 1, Synced: 1}
+// The middle member dies with an entry that it has synced and the tail never received. The middle member is dropped, and the tail, which
+// lacks the entry, stays.
+func TestTailIsNotDroppedForDeadMiddle(t *testing.T) {
+	s := newLeaderWithEntry(t)
+	synced := &view.HeartbeatAck{Sequence: s.lastHeartbeat("b").Sequence, Granted: true, Received: 1, Synced: 1}
 	s.receive("b", &Message{HeartbeatAck: synced})
-	for s.now = s.now + time.Millisecond; len(collect(s.sent, func(m *Message) *view.Accept { return m.Accept })) == 0; {
-		s.ackOf("c", s.lastBeat("c").Sequence)
-		s.after(DefaultHeartbeatEvery)
-		require.Less(t, s.now, standStart+2*standLength+DefaultGrant, "nobody is dropped")
+	for s.now = s.now + time.Millisecond; len(collectMessages(s.sent, func(m *Message) *view.Accept { return m.Accept })) == 0; {
+		s.ackSequence("c", s.lastHeartbeat("c").Sequence)
+		s.advance(DefaultHeartbeatEvery)
+		require.Less(t, s.now, testStart+2*pastAllGrants+DefaultGrant, "nobody is dropped")
 	}
 	next := s.accepts()[0].Value
 	assert.False(t, next.InChain("b"))
 	assert.True(t, next.InChain("c"))
 }
 
-// leaderWithEntry is a leader that has an entry on its own disk and on no other yet.
-func leaderWithEntry(t *testing.T) *stand {
+// newLeaderWithEntry returns a leader with an entry that is on its own disk and on no other yet.
+func newLeaderWithEntry(t *testing.T) *harness {
 	t.Helper()
-	s := leader(t)
+	s := newLeader(t)
 	_, out, err := s.core.Propose(s.now, [][]byte{[]byte("x")})
 	require.NoError(t, err)
-	s.take(out)
+	s.handleOutput(out)
 	s.sync()
 	return s
 }
 
-// Where answers of others are lost now and then, a stalled disk is found out all the same: whoever has the entry has nobody to wait for.
-func TestAStalledDiskIsNotExcusedByOthersSilence(t *testing.T) {
-	s := leaderWithEntry(t)
+// If other members' answers get lost now and then, a stalled disk is detected all the same: a member that has received the entry waits
+// for nobody.
+func TestSilenceOfOthersDoesNotExcuseStalledDisk(t *testing.T) {
+	s := newLeaderWithEntry(t)
 	began := s.now
-	for beat := 0; len(collect(s.sent, func(m *Message) *view.Accept { return m.Accept })) == 0; beat++ {
+	for beat := 0; len(collectMessages(s.sent, func(m *Message) *view.Accept { return m.Accept })) == 0; beat++ {
 		require.Less(t, s.now, began+2*DefaultDropAfter, "nobody is dropped")
-		stalled := &view.HeartbeatAck{Sequence: s.lastBeat("b").Sequence, Granted: true, Received: 1}
+		stalled := &view.HeartbeatAck{Sequence: s.lastHeartbeat("b").Sequence, Granted: true, Received: 1}
 		s.receive("b", &Message{HeartbeatAck: stalled})
 		if beat%(quietHeartbeats+2) == 0 {
-			s.ackOf("c", s.lastBeat("c").Sequence)
+			s.ackSequence("c", s.lastHeartbeat("c").Sequence)
 		}
-		s.after(DefaultHeartbeatEvery)
+		s.advance(DefaultHeartbeatEvery)
 	}
 	next := s.accepts()[0].Value
 	assert.False(t, next.InChain("b"))
 	assert.True(t, next.InChain("c"))
 }
 
-// Nor do lost answers of its own excuse it for ever: each counts for as long as the silence lasted.
-func TestAStalledDiskIsExcusedByItsOwnSilenceForAsLongAsThatLasted(t *testing.T) {
-	s := leaderWithEntry(t)
+// Lost answers of its own don't excuse a stalled disk forever: each silence counts only for as long as it lasted.
+func TestOwnSilenceExcusesStalledDiskOnlyForItsLength(t *testing.T) {
+	s := newLeaderWithEntry(t)
 	began := s.now
 	const quietBeats = quietHeartbeats + 2
-	for beat := 0; len(collect(s.sent, func(m *Message) *view.Accept { return m.Accept })) == 0; beat++ {
+	for beat := 0; len(collectMessages(s.sent, func(m *Message) *view.Accept { return m.Accept })) == 0; beat++ {
 		require.Less(t, s.now, began+quietBeats*DefaultDropAfter, "nobody is dropped")
 		if beat%quietBeats < 2 {
-			stalled := &view.HeartbeatAck{Sequence: s.lastBeat("b").Sequence, Granted: true, Received: 1}
+			stalled := &view.HeartbeatAck{Sequence: s.lastHeartbeat("b").Sequence, Granted: true, Received: 1}
 			s.receive("b", &Message{HeartbeatAck: stalled})
 		}
-		s.ackOf("c", s.lastBeat("c").Sequence)
-		s.after(DefaultHeartbeatEvery)
+		s.ackSequence("c", s.lastHeartbeat("c").Sequence)
+		s.advance(DefaultHeartbeatEvery)
 	}
 	next := s.accepts()[0].Value
 	assert.False(t, next.InChain("b"))
 	assert.True(t, next.InChain("c"))
-	assert.Greater(t, s.now, began+DefaultDropAfter+quietBeats*DefaultHeartbeatEvery/2, "its silence counts")
+	assert.Greater(t, s.now, began+DefaultDropAfter+quietBeats*DefaultHeartbeatEvery/2, "its silence must be taken into account")
 }
--- a/coord/replica/longtrials_test.go
+++ b/coord/replica/longtrials_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	longFaulty   = 3 * time.Minute
-	longestFault = time.Minute
-	longWrites   = 100 * time.Millisecond
-	// longService is within how long something is committed, all the while, as no more machines are out than is borne.
-	longService = 6 * time.Second
-	// mostPause is between two faults at most; many of them overlap.
-	mostPause = 5 * time.Second
+	longFaultDuration = 3 * time.Minute
+	maxFaultLength    = time.Minute
+	longWriteInterval = 100 * time.Millisecond
+	// maxServiceGap is the longest allowed time without a commit, as no more machines are out than is tolerated.
+	maxServiceGap = 6 * time.Second
+	// maxFaultGap is the longest time between the starts of two faults; many faults overlap.
+	maxFaultGap = 5 * time.Second
 )
 
-// What a long fault may be.
+// Kinds of long faults.
 const (
 	longCutOff = iota
 	longCutIn
@@ -32,26 +32,26 @@
 	longFaultKinds
 )
 
-// longTrials are trials whose faults last up to a minute each and overlap within what is borne, with restarts in the middle of them.
-type longTrials struct {
-	*trials
+// longFaultTrial is a trial whose faults last up to a minute each and overlap within the tolerance, with restarts during them.
+type longFaultTrial struct {
+	*faultTrial
 	committed int
 }
 
-// next brings a fault about and goes on.
-func (l *longTrials) next() {
+// next injects a fault and schedules the next one.
+func (l *longFaultTrial) next() {
 	if l.now >= l.until {
 		return
 	}
 	if m := l.victim(); m != nil {
-		l.hit(m, l.random.IntN(longFaultKinds), l.between(500*time.Millisecond, longestFault))
+		l.inject(m, l.random.IntN(longFaultKinds), l.randomDuration(500*time.Millisecond, maxFaultLength))
 	}
-	l.after(l.between(0, mostPause), l.next)
+	l.after(l.randomDuration(0, maxFaultGap), l.next)
 }
 
-// hit lets a machine bear a fault of that length.
-func (l *longTrials) hit(m *machine, kind int, length time.Duration) {
-	l.lostUntil[m] = l.now + length + catchUp
+// inject makes a machine suffer a fault of the given length.
+func (l *longFaultTrial) inject(m *machine, kind int, length time.Duration) {
+	l.lostUntil[m] = l.now + length + recoveryTime
 	l.trace("%v long fault %d at %s for %v", l.now, kind, m.address, length)
 	switch kind {
 	case longCutOff, longCutIn, longCutOut:
@@ -61,31 +61,31 @@
 		m.freeze(length)
 		l.restartWithin(m, length)
 	case longAbsence:
-		l.takeAway(m)
+		l.stopRandomly(m)
 		l.after(length, m.start)
 	case longStall:
-		m.stalled = min(l.now+length, l.until) // a sync that hangs outlasts the healing
+		m.stalledUntil = min(l.now+length, l.until) // a hanging sync would outlast the end of the faults
 	}
 }
 
-// restartWithin restarts a machine in the middle of what it bears, at times.
-func (l *longTrials) restartWithin(m *machine, length time.Duration) {
+// restartWithin restarts a machine during its fault, in half of the cases.
+func (l *longFaultTrial) restartWithin(m *machine, length time.Duration) {
 	if l.random.IntN(2) == 0 {
 		return
 	}
-	l.after(l.between(0, length), func() {
+	l.after(l.randomDuration(0, length), func() {
 		if m.process != nil {
-			l.takeAway(m)
-			l.after(l.between(0, time.Second), m.start)
+			l.stopRandomly(m)
+			l.after(l.randomDuration(0, time.Second), m.start)
 		}
 	})
 }
 
-// takeAway ends a process, with or without its power, or its disk.
-func (l *longTrials) takeAway(m *machine) {
+// stopRandomly kills a process, with or without a power loss or the loss of its disk.
+func (l *longFaultTrial) stopRandomly(m *machine) {
 	switch l.random.IntN(4) {
 	case 0:
-		m.end()
+		m.kill()
 	case 1:
 		m.loseDisk()
 	default:
@@ -93,52 +93,52 @@
 	}
 }
 
-// watch holds that there is service all the while.
-func (l *longTrials) watch() {
+// checkService checks that entries are committed all the time.
+func (l *longFaultTrial) checkService() {
 	if l.now >= l.until {
 		return
 	}
 	if len(l.oracle.entries) == l.committed {
-		l.fail("nothing was committed for %v", longService)
+		l.fail("nothing was committed for %v", maxServiceGap)
 	}
 	l.committed = len(l.oracle.entries)
-	l.after(longService, l.watch)
+	l.after(maxServiceGap, l.checkService)
 }
 
-// longTrial plays one seed.
-func longTrial(seed uint64, trace func(string, ...any)) error {
+// playLongTrial plays one seed.
+func playLongTrial(seed uint64, trace func(string, ...any)) error {
 	shapes := [][3]int{{3, 0, 1}, {3, 1, 1}, {5, 0, 2}, {3, 2, 2}}
 	shape := shapes[seed%uint64(len(shapes))]
 	w := newWorld(seed, shape[0], shape[1], shape[2])
 	if trace != nil {
 		w.trace = trace
 	}
-	l := &longTrials{trials: &trials{world: w, lostUntil: make(map[*machine]time.Duration), until: warmUp + longFaulty}}
-	w.write(longWrites)
+	l := &longFaultTrial{faultTrial: &faultTrial{world: w, lostUntil: make(map[*machine]time.Duration), until: warmUp + longFaultDuration}}
+	w.writeLoop(longWriteInterval)
 	w.run(warmUp)
-	l.network()
-	l.pauses()
+	l.chooseNetwork()
+	l.pauseRandomly()
 	l.next()
-	l.watch()
+	l.checkService()
 	w.run(l.until)
 	l.heal()
-	l.finish()
+	l.checkRecovery()
 	return w.failure
 }
 
-// TestStalledDisksAreBorneForABoundedTime plays two seeds in which a disk stalls after others have fallen out: while patience grew to
-// eight times StallAfter nothing was committed for over 6 s. In others the member's own lost answers excused its disk again and again, and
-// (the last one) a newcomer was taken in meanwhile, by which its time began anew.
-func TestStalledDisksAreBorneForABoundedTime(t *testing.T) {
+// In two of these seeds a disk stalls after other members have been dropped, and nothing was committed for over 6 s while the timeout
+// grew to eight times StallAfter. In the others the member's own lost answers excused its disk again and again; in the last one a
+// newcomer was admitted meanwhile, which restarted the member's time.
+func TestStalledDisksAreToleratedForBoundedTime(t *testing.T) {
 	for _, seed := range []uint64{58, 151, 179, 344, 375, 67} {
-		assert.NoError(t, longTrial(seed, nil), "replay with GAUGESLIP_LONG_TRIAL=%d go test -run TestLongTrials ./coord/replica", seed)
+		assert.NoError(t, playLongTrial(seed, nil), "replay with GAUGESLIP_LONG_TRIAL=%d go test -run TestLongTrials ./coord/replica", seed)
 	}
 }
 
-// TestLongTrials plays long faults. GAUGESLIP_LONG_TRIALS gives the number of seeds, GAUGESLIP_LONG_TRIAL one seed, with a trace.
+// TestLongTrials plays long faults. GAUGESLIP_LONG_TRIALS sets the number of seeds, GAUGESLIP_LONG_TRIAL selects one seed, with a trace.
 func TestLongTrials(t *testing.T) {
 	if seed, alone := seeds.Alone(t, "GAUGESLIP_LONG_TRIAL"); alone {
-		require.NoError(t, longTrial(seed, t.Logf))
+		require.NoError(t, playLongTrial(seed, t.Logf))
 		return
 	}
 	count := seeds.Count(t, "GAUGESLIP_LONG_TRIALS", 8)
@@ -147,7 +147,7 @@
 		t.Run(strconv.Itoa(part), func(t *testing.T) {
 			t.Parallel()
 			for seed := part; seed < count; seed += parts {
-				err := longTrial(uint64(seed), nil)
+				err := playLongTrial(uint64(seed), nil)
 				assert.NoError(t, err, "replay with GAUGESLIP_LONG_TRIAL=%d go test -run TestLongTrials ./coord/replica", seed)
 			}
 		})
--- a/coord/replica/machine_test.go
+++ b/coord/replica/machine_test.go
@@ -18,30 +18,30 @@
 	rate    float64
 	offset  time.Duration
 
-	process *Replica
-	life    uint64 // of the process; what belongs to an earlier one is dropped
-	frozen  time.Duration
-	waiting []Input // while frozen
-	applied uint64
-	sum     uint64
-	left    bool
-	removed bool
-	wrong   uint64 // what is wrong with the state, 0: nothing
-	ended   []error
-	keep    int
-	compact int // records, or bytes of them, after which the log is rewritten
-	takers  []func(index uint64, snapshot []byte)
-	tick    uint64
+	process         *Replica
+	incarnation     uint64 // of the process, 0 while it is stopped; events of earlier ones are dropped
+	frozenUntil     time.Duration
+	queuedInputs    []Input // received while frozen
+	applied         uint64
+	stateSum        uint64
+	left            bool
+	removed         bool
+	corruption      uint64 // what is wrong with the state; 0: nothing
+	stateErrors     []error
+	keepEntries     int
+	compactAt       int // records, or their bytes, at which the log is compacted
+	snapshotWaiters []func(index uint64, snapshot []byte)
+	tickNumber      uint64
 
-	sync     time.Duration
-	stalled  time.Duration // the disk does nothing until then
-	records  []Record      // on disk, for good
-	durable  Persisted     // what they say
-	lostLog  chain.Log     // what a disk held that was lost, and when
-	lostAt   time.Duration
-	pending  []diskWrite
-	writing  int // of pending, in the sync under way
-	diskLife uint64
+	syncTime        time.Duration
+	stalledUntil    time.Duration // the disk does nothing until then
+	records         []Record      // durably on disk
+	durableState    Persisted     // the state in records
+	lostLog         chain.Log     // the log of a disk that was lost, and when it was lost
+	lostAt          time.Duration
+	pendingWrites   []diskWrite
+	syncingWrites   int // number of pendingWrites in the sync under way
+	diskIncarnation uint64
 }
 
 type diskWrite struct {
@@ -50,33 +50,33 @@
 	token   uint64
 }
 
-// clock is the machine's steady clock.
+// clock returns the machine's monotonic clock.
 func (m *machine) clock() time.Duration {
 	return m.offset + time.Duration(float64(m.world.now)*m.rate)
 }
 
-// start starts the process with what the disk has.
+// start starts the process with the content of the disk.
 func (m *machine) start() {
 	if m.process != nil || m.removed {
 		return
 	}
 	w := m.world
-	w.lives++
-	m.life = w.lives
-	m.frozen, m.waiting, m.left, m.takers = 0, nil, false, nil
-	m.keep = 40 + w.random.IntN(200)
-	m.compact = 100 + w.random.IntN(400)
-	if w.weight != nil {
-		m.compact = leastCompaction
-	}
-	cfg := w.settings
+	w.incarnations++
+	m.incarnation = w.incarnations
+	m.frozenUntil, m.queuedInputs, m.left, m.snapshotWaiters = 0, nil, false, nil
+	m.keepEntries = 40 + w.random.IntN(200)
+	m.compactAt = 100 + w.random.IntN(400)
+	if w.costs != nil {
+		m.compactAt = minCompactionBytes
+	}
+	cfg := w.config
 	cfg.Self = view.Member{ID: view.ReplicaID(m.address), Address: m.address}
 	cfg.Tolerance, cfg.Seed = w.tolerance, w.random.Uint64()
-	if w.weight == nil {
-		cfg.KeepEntries = m.keep
+	if w.costs == nil {
+		cfg.KeepEntries = m.keepEntries
 	}
-	if w.hasty {
-		cfg.DropAfter = w.between(50*time.Millisecond, DefaultDropAfter)
+	if w.earlyDrops {
+		cfg.DropAfter = w.randomDuration(50*time.Millisecond, DefaultDropAfter)
 	}
 	if m.genesis == nil {
 		cfg.Self.ID = view.ReplicaID(fmt.Sprintf("%x", w.random.Uint64()))
@@ -91,18 +91,18 @@
 	if restored.Unfit != "" {
 		m.records = Blank(view.ReplicaID(fmt.Sprintf("%x", w.random.Uint64())))
 		restored, _ = Restore(m.records)
-		m.durable = restored
+		m.durableState = restored
 	}
-	m.wrong = 0
+	m.corruption = 0
 	m.genesis = nil
-	m.applied, m.sum = restored.Log.Base(), 0
+	m.applied, m.stateSum = restored.Log.Base(), 0
 	if restored.Snapshot != nil {
-		m.installed(restored.Snapshot)
+		m.checkInstalled(restored.Snapshot)
 	}
 	w.trace("%v %s starts with %d of epoch %d", w.now, m.address, restored.Log.Last(), restored.View.Epoch)
 	m.process = New(cfg, restored, m.clock())
 	if restored.Snapshot != nil {
-		m.freeze(w.weight.restoring(len(restored.Snapshot.Data)))
+		m.freeze(w.costs.restoreTime(len(restored.Snapshot.Data)))
 	}
 	m.input(Contacts{Addresses: w.contacts(m)})
 }
@@ -117,112 +117,112 @@
 	return addresses
 }
 
-// input is one Step, later if the process is frozen.
+// input performs one Step, or queues the input while the process is frozen.
 func (m *machine) input(in Input) {
 	if m.process == nil {
 		return
 	}
-	if m.frozen > m.world.now {
-		m.waiting = append(m.waiting, in)
+	if m.frozenUntil > m.world.now {
+		m.queuedInputs = append(m.queuedInputs, in)
 		return
 	}
-	m.carryOut(m.process.Step(m.clock(), in))
+	m.handleOutput(m.process.Step(m.clock(), in))
 }
 
 func (m *machine) propose(data [][]byte) {
 	_, out, _ := m.process.Propose(m.clock(), data)
-	m.carryOut(out)
+	m.handleOutput(out)
 }
 
-// freeze stops the process for a while.
+// freeze suspends the process for a while.
 func (m *machine) freeze(length time.Duration) {
 	if m.process == nil {
 		return
 	}
-	m.frozen = max(m.frozen, m.world.now+length)
-	life := m.life
+	m.frozenUntil = max(m.frozenUntil, m.world.now+length)
+	life := m.incarnation
 	m.world.after(length, func() {
-		if m.process != nil && m.life == life && m.frozen <= m.world.now {
-			m.thaw()
+		if m.process != nil && m.incarnation == life && m.frozenUntil <= m.world.now {
+			m.unfreeze()
 		}
 	})
 }
 
-// thaw ends a freeze: what came meanwhile is taken in.
-func (m *machine) thaw() {
-	m.frozen = min(m.frozen, m.world.now)
-	waiting := m.waiting
-	m.waiting = nil
+// unfreeze ends a freeze and handles the inputs that arrived meanwhile.
+func (m *machine) unfreeze() {
+	m.frozenUntil = min(m.frozenUntil, m.world.now)
+	waiting := m.queuedInputs
+	m.queuedInputs = nil
 	for _, in := range waiting {
 		m.input(in)
 	}
 }
 
-func (m *machine) carryOut(out Output) {
+func (m *machine) handleOutput(out Output) {
 	w := m.world
 	if out.Fault != nil {
-		m.fault(out.Fault)
+		m.handleFault(out.Fault)
 		return
 	}
 	if len(out.Persist) > 0 {
-		m.pending = append(m.pending, diskWrite{records: out.Persist, token: out.Token})
+		m.pendingWrites = append(m.pendingWrites, diskWrite{records: out.Persist, token: out.Token})
 		m.startSync()
 	}
 	for _, envelope := range out.Send {
-		w.deliver(m, envelope)
+		w.transmit(m, envelope)
 	}
 	if out.Install != nil {
-		m.installed(out.Install)
-		m.freeze(w.weight.restoring(len(out.Install.Data)))
+		m.checkInstalled(out.Install)
+		m.freeze(w.costs.restoreTime(len(out.Install.Data)))
 	}
 	for _, e := range out.Committed {
-		w.applied(m, e)
-		m.audit()
+		w.checkApplied(m, e)
+		m.reportDigest()
 	}
 	for _, e := range out.Events {
 		m.observe(e)
 	}
-	life := m.life
-	if out.NeedSnapshot && w.weight != nil {
-		m.capture(func(index uint64, data []byte) { m.input(SnapshotReady{Index: index, Data: data}) })
+	life := m.incarnation
+	if out.NeedSnapshot && w.costs != nil {
+		m.captureSnapshot(func(index uint64, data []byte) { m.input(SnapshotReady{Index: index, Data: data}) })
 	} else if out.NeedSnapshot {
-		w.after(time.Millisecond, func() { m.giveSnapshot(life) })
+		w.after(time.Millisecond, func() { m.provideSnapshot(life) })
 	}
-	m.tick++
-	tick := m.tick
+	m.tickNumber++
+	tick := m.tickNumber
 	w.after(time.Duration(float64(out.Wake-m.clock())/m.rate)+time.Microsecond, func() {
-		if m.life == life && m.tick == tick {
+		if m.incarnation == life && m.tickNumber == tick {
 			m.input(Tick{})
 		}
 	})
 }
 
-// auditEvery is after how many entries a machine sums up its state.
-const auditEvery = 16
+// digestInterval is the number of entries between two digests of the state.
+const digestInterval = 16
 
-// audit hands in the digest of the state where one is due.
-func (m *machine) audit() {
-	if m.applied%auditEvery != 0 {
+// reportDigest hands in the digest of the state if one is due.
+func (m *machine) reportDigest() {
+	if m.applied%digestInterval != 0 {
 		return
 	}
-	life, digest := m.life, view.Digest{Index: m.applied, Format: 1, Sum: m.sum ^ m.wrong}
+	life, digest := m.incarnation, view.Digest{Index: m.applied, Format: 1, Sum: m.stateSum ^ m.corruption}
 	m.world.after(0, func() {
-		if m.life == life {
+		if m.incarnation == life {
 			m.input(Audited{digest})
 		}
 	})
 }
 
-// fault ends the process; a state that was made wrong is told, everything else is a failure.
-func (m *machine) fault(err error) {
-	if m.wrong == 0 || !errors.Is(err, ErrStateDiverged) {
+// handleFault ends the process. A divergence of a state that the test corrupted is expected; any other fault is a failure.
+func (m *machine) handleFault(err error) {
+	if m.corruption == 0 || !errors.Is(err, ErrStateDiverged) {
 		m.world.fail("%s: %v", m.address, err)
 		return
 	}
 	m.world.trace("%v %s: %v", m.world.now, m.address, err)
-	m.ended = append(m.ended, err)
-	m.end()
-	m.world.after(m.world.between(100*time.Millisecond, time.Second), m.start)
+	m.stateErrors = append(m.stateErrors, err)
+	m.kill()
+	m.world.after(m.world.randomDuration(100*time.Millisecond, time.Second), m.start)
 }
 
 func (m *machine) observe(e Event) {
@@ -230,23 +230,23 @@
 	w.trace("%v %s %T %v", w.now, m.address, e, e)
 	switch e := e.(type) {
 	case ViewChanged:
-		w.sawView(m, e.View)
+		w.checkView(m, e.View)
 	case Left:
 		m.left = true
 	}
 }
 
-func (m *machine) giveSnapshot(life uint64) {
-	if m.life == life && m.process != nil {
+func (m *machine) provideSnapshot(life uint64) {
+	if m.incarnation == life && m.process != nil {
 		m.input(SnapshotReady{Index: m.applied, Data: m.snapshot()})
 	}
 }
 
-// snapshot is the state of the machine's state machine, long enough for some chunks at times.
+// snapshot returns the state of the machine's state machine, sometimes long enough for several chunks.
 func (m *machine) snapshot() []byte {
 	data := binary.LittleEndian.AppendUint64(nil, m.applied)
-	data = binary.LittleEndian.AppendUint64(data, m.sum)
-	if weight := m.world.weight; weight != nil {
+	data = binary.LittleEndian.AppendUint64(data, m.stateSum)
+	if weight := m.world.costs; weight != nil {
 		return append(data, make([]byte, weight.bytes)...)
 	}
 	if m.applied%16 == 0 {
@@ -255,148 +255,148 @@
 	return append(data, make([]byte, m.applied%1000)...)
 }
 
-func (m *machine) installed(s *chain.Snapshot) {
+func (m *machine) checkInstalled(s *chain.Snapshot) {
 	index, sum := binary.LittleEndian.Uint64(s.Data), binary.LittleEndian.Uint64(s.Data[8:])
 	o := &m.world.oracle
 	if index != s.Index || index > uint64(len(o.sums)) || index > 0 && o.sums[index-1] != sum {
 		m.world.fail("%s installs a snapshot at %d that was never committed", m.address, index)
 	}
-	m.applied, m.sum = index, sum
+	m.applied, m.stateSum = index, sum
 }
 
-// startSync writes what is pending, all that is there in one sync.
+// startSync writes all pending writes in one sync.
 func (m *machine) startSync() {
-	if m.writing > 0 || len(m.pending) == 0 {
+	if m.syncingWrites > 0 || len(m.pendingWrites) == 0 {
 		return
 	}
-	m.writing = len(m.pending)
+	m.syncingWrites = len(m.pendingWrites)
 	w := m.world
-	length := m.sync + w.between(0, m.sync/2) + w.weight.writing(m.pending)
-	if m.stalled > w.now {
-		length += m.stalled - w.now
+	length := m.syncTime + w.randomDuration(0, m.syncTime/2) + w.costs.writeTime(m.pendingWrites)
+	if m.stalledUntil > w.now {
+		length += m.stalledUntil - w.now
 	}
-	life := m.diskLife
+	life := m.diskIncarnation
 	w.after(length, func() {
-		if m.diskLife == life {
+		if m.diskIncarnation == life {
 			m.endSync()
 		}
 	})
 }
 
 func (m *machine) endSync() {
-	if m.stalled > m.world.now {
-		life := m.diskLife
-		m.world.after(m.stalled-m.world.now+m.sync, func() {
-			if m.diskLife == life {
+	if m.stalledUntil > m.world.now {
+		life := m.diskIncarnation
+		m.world.after(m.stalledUntil-m.world.now+m.syncTime, func() {
+			if m.diskIncarnation == life {
 				m.endSync()
 			}
 		})
 		return
 	}
-	done := m.pending[:m.writing]
-	m.pending = m.pending[m.writing:]
-	m.writing = 0
+	done := m.pendingWrites[:m.syncingWrites]
+	m.pendingWrites = m.pendingWrites[m.syncingWrites:]
+	m.syncingWrites = 0
 	token := uint64(0)
 	for _, write := range done {
-		m.keepWrite(write, len(write.records))
+		m.writeDurably(write, len(write.records))
 		token = max(token, write.token)
 	}
 	m.startSync()
 	m.input(Synced{Token: token})
-	m.rewriteIfLong()
+	m.compactIfNeeded()
 }
 
-// keepWrite puts the first records of a write on disk for good.
-func (m *machine) keepWrite(write diskWrite, count int) {
+// writeDurably puts the first records of a write on disk durably.
+func (m *machine) writeDurably(write diskWrite, count int) {
 	if write.rewrite {
 		if count < len(write.records) {
 			return
 		}
 		m.records = nil
-		m.durable = Persisted{}
+		m.durableState = Persisted{}
 	}
 	for _, record := range write.records[:count] {
 		m.records = append(m.records, record)
-		if err := m.durable.apply(record); err != nil {
+		if err := m.durableState.apply(record); err != nil {
 			m.world.fail("%s writes: %v", m.address, err)
 		}
 	}
 }
 
-func (m *machine) rewriteIfLong() {
-	if m.process == nil || len(m.pending) > 0 || !m.isLong() {
+func (m *machine) compactIfNeeded() {
+	if m.process == nil || len(m.pendingWrites) > 0 || !m.needsCompaction() {
 		return
 	}
-	if m.world.weight != nil {
-		m.capture(m.rewrite)
+	if m.world.costs != nil {
+		m.captureSnapshot(m.compactLog)
 		return
 	}
-	m.rewrite(m.applied, m.snapshot())
+	m.compactLog(m.applied, m.snapshot())
 }
 
-func (m *machine) rewrite(index uint64, snapshot []byte) {
+func (m *machine) compactLog(index uint64, snapshot []byte) {
 	if records := m.process.Compact(snapshot, index); records != nil {
-		m.pending = append(m.pending, diskWrite{records: records, rewrite: true})
+		m.pendingWrites = append(m.pendingWrites, diskWrite{records: records, rewrite: true})
 		m.startSync()
 	}
 }
 
-// isLong tells whether the log has to be rewritten, and how long it may get after that.
-func (m *machine) isLong() bool {
-	if m.world.weight == nil {
-		return len(m.records) >= m.compact
+// needsCompaction reports whether the log has to be compacted, and sets the length for the next compaction.
+func (m *machine) needsCompaction() bool {
+	if m.world.costs == nil {
+		return len(m.records) >= m.compactAt
 	}
 	bytes := 0
 	for i := range m.records {
 		bytes += len(m.records[i].Data)
 	}
-	if bytes < m.compact {
+	if bytes < m.compactAt {
 		return false
 	}
-	m.compact = max(leastCompaction, compactionGrowth*m.world.weight.bytes)
+	m.compactAt = max(minCompactionBytes, compactionGrowth*m.world.costs.bytes)
 	return true
 }
 
-// end ends the process. What it had written without a sync outlasts it.
-func (m *machine) end() {
+// kill ends the process. Its unsynced writes survive.
+func (m *machine) kill() {
 	if m.process == nil {
 		return
 	}
 	m.world.trace("%v %s ends", m.world.now, m.address)
 	m.process = nil
-	m.life = 0
-	for _, write := range m.pending {
-		m.keepWrite(write, len(write.records))
+	m.incarnation = 0
+	for _, write := range m.pendingWrites {
+		m.writeDurably(write, len(write.records))
 	}
-	m.forgetPending()
+	m.dropPending()
 }
 
-func (m *machine) forgetPending() {
-	m.pending, m.writing = nil, 0
-	m.diskLife++
+func (m *machine) dropPending() {
+	m.pendingWrites, m.syncingWrites = nil, 0
+	m.diskIncarnation++
 }
 
-// losePower ends the process; of what wasn't synced a part from the start is kept.
+// losePower ends the process. A random prefix of its unsynced writes survives.
 func (m *machine) losePower() {
 	w := m.world
 	w.trace("%v %s loses power", w.now, m.address)
 	m.process = nil
-	m.life = 0
-	for _, write := range m.pending {
+	m.incarnation = 0
+	for _, write := range m.pendingWrites {
 		count := w.random.IntN(len(write.records) + 1)
-		m.keepWrite(write, count)
+		m.writeDurably(write, count)
 		if count < len(write.records) {
 			break
 		}
 	}
-	m.forgetPending()
+	m.dropPending()
 }
 
-// loseDisk ends the process and empties the disk.
+// loseDisk ends the process and erases the disk.
 func (m *machine) loseDisk() {
 	m.losePower()
 	m.world.trace("%v %s loses its disk", m.world.now, m.address)
-	m.lostLog, m.lostAt = m.durable.Log, m.world.now
+	m.lostLog, m.lostAt = m.durableState.Log, m.world.now
 	m.records = nil
-	m.durable = Persisted{}
+	m.durableState = Persisted{}
 }
--- a/coord/replica/message.go
+++ b/coord/replica/message.go
@@ -5,14 +5,14 @@
 	"gaugeslip/coord/view"
 )
 
-// Message is what replicas say to each other. At most one field after View is set. Messages may be lost, doubled,
-// late and out of order. A Message must not be changed once it is handed out.
+// Message is what replicas send to each other. At most one field after View is set. Messages may be lost, duplicated, delayed and
+// reordered. A Message must not be changed once it is handed out.
 type Message struct {
 	From     view.Member
-	To       view.ReplicaID // empty: whoever is at the address
+	To       view.ReplicaID // empty: the replica at the address, whatever its identity
 	Epoch    uint64         // of the sender's view
 	Viewless bool           // the sender knows no view
-	View     *view.View     // where the receiver may not know it: the sender's view
+	View     *view.View     // the sender's view, where the receiver may not know it
 
 	Prepare      *view.Prepare
 	Promise      *view.Promise
@@ -23,35 +23,35 @@
 	Join         *view.Join
 	Leave        *view.LeaveNotice
 	Request      *view.Request
-	Differs      *view.Digest // from the head: what is agreed, where the receiver's state differs
+	Differs      *view.Digest // from the head, where the receiver's state differs: the agreed digest
 	Chain        *chain.Body
 }
 
-// Envelope is a message and the address that it goes to.
+// Envelope is a message and the address to send it to.
 type Envelope struct {
 	To      string
 	Message *Message
 }
 
-// Input is what a Replica is told in a Step.
+// Input is the input of one Step.
 type Input interface{ input() }
 
-// Receive is a message from another replica.
+// Receive hands in a message from another replica.
 type Receive struct{ Message *Message }
 
-// Tick says that time has passed.
+// Tick reports that time has passed.
 type Tick struct{}
 
-// Synced says that all records up to this token's are on disk.
+// Synced reports that all records up to Token are on disk.
 type Synced struct{ Token uint64 }
 
-// DiskFailed says that the disk refuses: nothing is acknowledged any more, and the replica leaves the chain.
+// DiskFailed reports that the disk refuses writes. The replica acknowledges nothing any more and leaves the chain.
 type DiskFailed struct{}
 
-// Leave asks the replica to get out of the chain, handing over the head's place if it has it.
+// Leave asks the replica to leave the chain. A head hands its place over.
 type Leave struct{}
 
-// Contacts are addresses of other replicas, from the seeds or by hearsay. They replace the ones given before.
+// Contacts sets the addresses of other replicas, from the seeds or from discovery. They replace the earlier ones.
 type Contacts struct{ Addresses []string }
 
 // SnapshotReady answers Output.NeedSnapshot: the state after all delivered entries up to Index.
@@ -60,7 +60,7 @@
 	Data  []byte
 }
 
-// Audited gives the digest of the state after all delivered entries up to its index.
+// Audited hands in the digest of the state after all delivered entries up to the digest's index.
 type Audited struct{ Digest view.Digest }
 
 func (Audited) input()       {}
@@ -72,29 +72,29 @@
 func (Contacts) input()      {}
 func (SnapshotReady) input() {}
 
-// Event tells the embedder of a change.
+// Event reports a change to the embedder.
 type Event interface{ event() }
 
-// BecameHead says that this replica is the head and that all its predecessors can have committed is delivered.
-// Continued: it was the head in the epoch before as well, with no other in between.
+// BecameHead reports that this replica is the head and that it has delivered everything that its predecessors can have committed.
+// Continued is true if it was the head in the epoch before as well, with no other head in between.
 type BecameHead struct {
 	Epoch     uint64
 	Continued bool
 }
 
-// LostHead says that this replica isn't the head any more, or has no lease.
+// LostHead reports that this replica is no longer the head or has no lease.
 type LostHead struct {
 	Epoch uint64
 	Cause Cause
 }
 
-// ViewChanged says that a newer view is known, and why it was wished for.
+// ViewChanged reports that a newer view is known, and why it was proposed.
 type ViewChanged struct {
 	View  view.View
 	Cause Cause
 }
 
-// Left says that the replica is out of the chain, as it was told to by Leave.
+// Left reports that the replica has left the chain, as requested by Leave.
 type Left struct{}
 
 func (BecameHead) event()  {}
--- a/coord/replica/pauses.go
+++ b/coord/replica/pauses.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// pauses sums up for how long this replica was held up: for want of processor, by a collection, by a busy embedder. A replica says
-// with each output when it wants to be woken; what a step comes later than that, it was held up.
+// pauses sums up for how long this replica was paused: by lack of processor time, by a garbage collection, or by a busy embedder. Each
+// output says when the replica wants to be woken; the time by which a step comes later than that is a pause.
 type pauses struct {
 	due   time.Duration // when the next step is due at the latest
-	short time.Duration // the sum of those that others may well have noticed nothing of
-	long  time.Duration // the sum of those longer than longPauseThreshold
+	short time.Duration // the sum of pauses that others may well not have noticed
+	long  time.Duration // the sum of pauses longer than longPauseThreshold
 }
 
-// timestamp is a moment, with the pauses up to then.
+// timestamp is a moment, with the sums of the pauses up to then.
 type timestamp struct {
 	at          time.Duration
 	short, long time.Duration
 }
 
-// timestamp is the present moment.
+// timestamp returns the present moment.
 func (r *Replica) timestamp(now time.Duration) timestamp {
 	return timestamp{at: now, short: r.pauses.short, long: r.pauses.long}
 }
 
-// pausedSince is how much of the time since a moment isn't held against others, as this replica was held up itself. Of short
-// pauses a grant counts at most: a replica that is slow for good has to find out a lost one all the same.
+// pausedSince returns how much of the time since a moment isn't counted against others, because this replica was paused itself. Short
+// pauses count for at most a grant in all: a replica that is permanently slow must still detect a lost one.
 func (r *Replica) pausedSince(m timestamp) time.Duration {
 	return r.pauses.long - m.long + min(r.pauses.short-m.short, r.cfg.Grant)
 }
 
-// elapsedSince is the time since a moment, less the own pauses.
+// elapsedSince returns the time since a moment, less the own pauses.
 func (r *Replica) elapsedSince(now time.Duration, m timestamp) time.Duration {
 	return now - m.at - r.pausedSince(m)
 }
 
-// notePause notices for how long this replica was held up: what others did meanwhile hasn't been looked at yet.
+// notePause records for how long this replica was paused: it hasn't seen yet what others did meanwhile.
 func (r *Replica) notePause(now time.Duration) {
 	late, gap := now-r.pauses.due, now-r.lastStep
 	r.lastStep = now
@@ -59,7 +59,7 @@
 	}
 }
 
-// discountPause takes a pause off what is held against disks and voters.
+// discountPause subtracts a pause from the waiting times of disks and voters.
 func (r *Replica) discountPause(pause time.Duration) {
 	for _, p := range r.peers {
 		p.ackedAt += pause
