--- a/coord/replica/pauses_test.go
+++ b/coord/replica/pauses_test.go
@@ -10,54 +10,54 @@
 	"gaugeslip/coord/view"
 )
 
-// The program's timing.
+// The timing of the control plane.
 const (
-	quickGrant     = 450 * time.Millisecond
-	quickHeartbeat = 90 * time.Millisecond
-	quickDrop      = 400 * time.Millisecond
-	quickStall     = 250 * time.Millisecond
+	productionGrant     = 450 * time.Millisecond
+	productionHeartbeat = 90 * time.Millisecond
+	productionDrop      = 400 * time.Millisecond
+	productionStall     = 250 * time.Millisecond
 )
 
-// quick is a deployment of three with the program's timing that has started, with writes.
-func quick(t *testing.T, seed uint64) *world {
+// newProductionWorld returns a started deployment of three with the timing of the control plane, with writes.
+func newProductionWorld(t *testing.T, seed uint64) *world {
 	w := newWorld(seed, 3, 0, 1)
-	w.settings = Config{Grant: quickGrant, HeartbeatEvery: quickHeartbeat, DropAfter: quickDrop, StallAfter: quickStall}
-	w.write(20 * time.Millisecond)
+	w.config = Config{Grant: productionGrant, HeartbeatEvery: productionHeartbeat, DropAfter: productionDrop, StallAfter: productionStall}
+	w.writeLoop(20 * time.Millisecond)
 	w.run(warmUp)
 	require.NoError(t, w.failure)
 	require.NotNil(t, w.head())
 	return w
 }
 
-// hold holds a machine up again and again, each time for a length between the bounds, with rests between them.
-func (w *world) hold(m *machine, low, high, restLow, restHigh time.Duration) {
-	length := w.between(low, high)
+// pauseRepeatedly pauses a machine again and again, with random lengths and random rests between the given bounds.
+func (w *world) pauseRepeatedly(m *machine, low, high, restLow, restHigh time.Duration) {
+	length := w.randomDuration(low, high)
 	m.freeze(length)
-	w.after(length+w.between(restLow, restHigh), func() { w.hold(m, low, high, restLow, restHigh) })
+	w.after(length+w.randomDuration(restLow, restHigh), func() { w.pauseRepeatedly(m, low, high, restLow, restHigh) })
 }
 
-// slowSyncs has a machine's disk take a time between the bounds for each sync.
+// slowSyncs makes each sync of a machine's disk take a random time between the bounds.
 func (w *world) slowSyncs(m *machine, low, high time.Duration) {
-	m.sync = w.between(low, high) * 4 / 5 // a sync takes up to half as much again
-	w.after(m.sync, func() { w.slowSyncs(m, low, high) })
+	m.syncTime = w.randomDuration(low, high) * 4 / 5 // a sync takes up to half as much again
+	w.after(m.syncTime, func() { w.slowSyncs(m, low, high) })
 }
 
 const (
 	pausedSeeds = 10
-	// slowDiskSeeds are more, as the number of changes differs from seed to seed there and comes near to the bound in the mean.
-	slowDiskSeeds = 100
-	pausedFor     = 30 * time.Second
+	// slowDiskSeeds is larger, because there the number of view changes differs from seed to seed, and its mean comes near to the bound.
+	slowDiskSeeds     = 100
+	pauseTestDuration = 30 * time.Second
 )
 
-// changesWhile counts the changes of view on all seeds while something goes on that calls for none.
-func changesWhile(t *testing.T, seeds int, trouble func(w *world)) int {
+// countViewChanges counts the view changes over all seeds during a disturbance that requires none.
+func countViewChanges(t *testing.T, seeds int, trouble func(w *world)) int {
 	count := 0
 	for seed := range uint64(seeds) {
-		w := quick(t, seed)
+		w := newProductionWorld(t, seed)
 		before := w.head().process.View().Epoch
 		c := observeCauses(w)
 		trouble(w)
-		w.run(w.now + pausedFor)
+		w.run(w.now + pauseTestDuration)
 		require.NoError(t, w.failure, "seed %d", seed)
 		newest := before
 		for _, m := range w.machines {
@@ -68,90 +68,90 @@
 			t.Logf("seed %d: %+v", seed, cause)
 		}
 	}
-	t.Logf("%d changes in %v", count, time.Duration(seeds)*pausedFor)
+	t.Logf("%d changes in %v", count, time.Duration(seeds)*pauseTestDuration)
 	return count
 }
 
 func TestShortPausesChangeTheViewRarely(t *testing.T) {
-	changes := changesWhile(t, pausedSeeds, func(w *world) {
+	changes := countViewChanges(t, pausedSeeds, func(w *world) {
 		for _, m := range w.machines {
-			w.hold(m, 100*time.Millisecond, 300*time.Millisecond, 200*time.Millisecond, 800*time.Millisecond)
+			w.pauseRepeatedly(m, 100*time.Millisecond, 300*time.Millisecond, 200*time.Millisecond, 800*time.Millisecond)
 		}
 	})
 	assert.LessOrEqual(t, changes, pausedSeeds)
 }
 
 func TestOnePausingReplicaChangesTheViewRarely(t *testing.T) {
-	changes := changesWhile(t, pausedSeeds, func(w *world) {
-		w.hold(w.machines[w.seed%3], 100*time.Millisecond, 300*time.Millisecond, 100*time.Millisecond, 400*time.Millisecond)
+	changes := countViewChanges(t, pausedSeeds, func(w *world) {
+		w.pauseRepeatedly(w.machines[w.seed%3], 100*time.Millisecond, 300*time.Millisecond, 100*time.Millisecond, 400*time.Millisecond)
 	})
 	assert.LessOrEqual(t, changes, pausedSeeds)
 }
 
 func TestDisksThatAreSlowEverywhereChangeTheViewRarely(t *testing.T) {
-	changes := changesWhile(t, slowDiskSeeds, func(w *world) {
+	changes := countViewChanges(t, slowDiskSeeds, func(w *world) {
 		for _, m := range w.machines {
 			w.slowSyncs(m, 100*time.Millisecond, 300*time.Millisecond)
 		}
 	})
-	// Two members fall out and come back on a seed; then patience has grown past the longest sync.
+	// Two members are dropped and return per seed; then the timeout has grown beyond the longest sync.
 	assert.LessOrEqual(t, changes, 5*slowDiskSeeds)
 }
 
-func TestADeadHeadIsReplacedInTimeAmongPauses(t *testing.T) {
+func TestDeadHeadIsReplacedInTimeDespitePauses(t *testing.T) {
 	for seed := range uint64(deploymentSeeds) {
-		w := quick(t, seed)
+		w := newProductionWorld(t, seed)
 		head := w.head()
 		for _, m := range w.machines {
-			w.hold(m, 100*time.Millisecond, 300*time.Millisecond, 200*time.Millisecond, 800*time.Millisecond)
+			w.pauseRepeatedly(m, 100*time.Millisecond, 300*time.Millisecond, 200*time.Millisecond, 800*time.Millisecond)
 		}
 		w.run(w.now + 2*time.Second)
 		head.losePower()
-		assert.Less(t, w.untilCommitted(5*time.Second), 3*quickGrant, "seed %d", seed)
+		assert.Less(t, w.untilCommitted(5*time.Second), 3*productionGrant, "seed %d", seed)
 		require.NoError(t, w.failure, "seed %d", seed)
 	}
 }
 
-func TestADeadHeadIsReplacedAfterAboutAGrant(t *testing.T) {
+func TestDeadHeadIsReplacedAfterAboutOneGrant(t *testing.T) {
 	for seed := range uint64(deploymentSeeds) {
-		w := quick(t, seed)
+		w := newProductionWorld(t, seed)
 		w.head().losePower()
-		assert.Less(t, w.untilCommitted(5*time.Second), quickGrant*3/2, "seed %d", seed)
+		assert.Less(t, w.untilCommitted(5*time.Second), productionGrant*3/2, "seed %d", seed)
 		require.NoError(t, w.failure, "seed %d", seed)
 	}
 }
 
-func TestAHeadWhoseDiskAloneStallsIsReplacedInTime(t *testing.T) {
+func TestHeadWithOnlyStalledDiskIsReplacedInTime(t *testing.T) {
 	for seed := range uint64(deploymentSeeds) {
-		w := quick(t, seed)
+		w := newProductionWorld(t, seed)
 		head := w.head()
-		head.stalled = w.now + time.Hour
+		head.stalledUntil = w.now + time.Hour
 		w.run(w.now + 20*time.Millisecond)
-		assert.Less(t, w.untilCommitted(5*time.Second), 2*quickStall, "seed %d", seed)
+		assert.Less(t, w.untilCommitted(5*time.Second), 2*productionStall, "seed %d", seed)
 		require.NoError(t, w.failure, "seed %d", seed)
 	}
 }
 
-// A head whose disk stalls before its view is on it would else keep its place with its heartbeats, and nobody commits.
-func TestAHeadThatCannotStoreItsViewGivesUpItsPlace(t *testing.T) {
+// A head whose disk stalls before its view is stored would otherwise keep its place by its heartbeats, and nobody would commit.
+func TestHeadThatCannotStoreItsViewStepsDown(t *testing.T) {
 	for seed := range uint64(deploymentSeeds) {
-		w := quick(t, seed)
-		head, successor := w.head(), w.member(1)
+		w := newProductionWorld(t, seed)
+		head, successor := w.head(), w.machineAt(1)
 		head.losePower()
 		w.after(time.Second, head.start)
 		for w.now < time.Minute && successor.process.position() != 0 {
 			w.run(w.now + time.Millisecond)
 		}
 		require.False(t, successor.process.entered)
-		successor.stalled = w.now + time.Hour
+		successor.stalledUntil = w.now + time.Hour
 		assert.Less(t, w.untilCommitted(8*time.Second), 4*time.Second, "seed %d", seed)
 		require.NoError(t, w.failure, "seed %d", seed)
 	}
 }
 
-func TestAHeadThatRegainsItsLeaseGoesOn(t *testing.T) {
+func TestHeadThatRegainsItsLeaseContinues(t *testing.T) {
 	for seed := range uint64(deploymentSeeds) {
-		w := quick(t, seed)
+		w := newProductionWorld(t, seed)
 		head := w.head()
 		epoch := head.process.View().Epoch
 		var regained []BecameHead
@@ -163,9 +163,9 @@
 			}
 		}
 		cfg := &head.process.cfg
-		cfg.Grant, cfg.DropAfter, cfg.StallAfter = time.Hour, time.Hour, time.Hour // the lease goes by its own
+		cfg.Grant, cfg.DropAfter, cfg.StallAfter = time.Hour, time.Hour, time.Hour // the lease ends only for lack of grants
 		for _, m := range w.machines {
-			w.cuts[[2]string{m.address, head.address}] = w.now + 2*quickGrant
+			w.cuts[[2]string{m.address, head.address}] = w.now + 2*productionGrant
 		}
 		w.run(w.now + 2*time.Second)
 		require.NoError(t, w.failure, "seed %d", seed)
@@ -176,42 +176,42 @@
 	}
 }
 
-func TestPatienceGrowsWithUpsetsAndIsBounded(t *testing.T) {
-	w := quick(t, 1)
+func TestTimeoutsGrowWithChainLossesAndAreBounded(t *testing.T) {
+	w := newProductionWorld(t, 1)
 	r := w.head().process
 	now := w.head().clock()
 	require.Empty(t, r.chainLosses)
 	fall := func(ids ...view.ReplicaID) chainLoss { return chainLoss{at: now, lost: ids} }
-	assert.Equal(t, quickStall, r.diskTimeout(now, "x"))
+	assert.Equal(t, productionStall, r.diskTimeout(now, "x"))
 	r.chainLosses = []chainLoss{fall("a")}
-	assert.Equal(t, quickStall, r.diskTimeout(now, "x"), "the first is met at once")
+	assert.Equal(t, productionStall, r.diskTimeout(now, "x"), "the first loss must not extend the timeout")
 	r.chainLosses = []chainLoss{fall("a", "b")}
-	assert.Equal(t, quickStall, r.diskTimeout(now, "x"), "and so are several at once")
+	assert.Equal(t, productionStall, r.diskTimeout(now, "x"), "several losses at once must not extend the timeout")
 	r.chainLosses = append(r.chainLosses, fall("b"))
-	assert.Equal(t, 2*quickStall, r.diskTimeout(now, "x"))
+	assert.Equal(t, 2*productionStall, r.diskTimeout(now, "x"))
 	r.chainLosses = append(r.chainLosses, fall("a"))
-	assert.Equal(t, 4*quickStall, r.diskTimeout(now, "x"))
+	assert.Equal(t, 4*productionStall, r.diskTimeout(now, "x"))
 	assert.Zero(t, r.silenceAllowance(now, "x"))
 	for range 20 {
 		r.chainLosses = append(r.chainLosses, fall("a"))
 	}
-	assert.Equal(t, 4*quickStall, r.diskTimeout(now, "x"), "more would keep a stalled disk for too long")
-	assert.Equal(t, quickGrant, r.silenceAllowance(now, "x"))
-	assert.Equal(t, quickStall, r.diskTimeout(now+chainLossWindow, "x"))
+	assert.Equal(t, 4*productionStall, r.diskTimeout(now, "x"), "a longer timeout would keep a stalled disk for too long")
+	assert.Equal(t, productionGrant, r.silenceAllowance(now, "x"))
+	assert.Equal(t, productionStall, r.diskTimeout(now+chainLossWindow, "x"))
 	assert.Zero(t, r.silenceAllowance(now+chainLossWindow, "x"))
 	r.chainLosses = []chainLoss{fall("x"), fall("x"), fall("x"), fall("x"), fall("x"), fall("x")}
-	assert.Equal(t, quickStall, r.diskTimeout(now, "x"), "one member's own trouble is met at once each time")
+	assert.Equal(t, productionStall, r.diskTimeout(now, "x"), "a member's own losses must not extend its timeout")
 	assert.Zero(t, r.silenceAllowance(now, "x"))
 }
 
-// What a dead member had on its disk can't get on: the next one waits for it, and isn't to blame.
+// Entries on the disk of a dead member can't get any further. The next member waits for them, and must not be dropped for it.
 func TestOnlyTheDeadMemberIsDropped(t *testing.T) {
 	for seed := range uint64(2 * deploymentSeeds) {
-		w := calm(t, seed, 3, 2, 2)
-		dead := w.member(1)
+		w := newCalmWorld(t, seed, 3, 2, 2)
+		dead := w.machineAt(1)
 		id := dead.process.Self().ID
 		before := len(w.head().process.View().Chain)
-		w.cuts[[2]string{dead.address, w.member(2).address}] = w.now + time.Hour
+		w.cuts[[2]string{dead.address, w.machineAt(2).address}] = w.now + time.Hour
 		w.run(w.now + 50*time.Millisecond)
 		dead.losePower()
 		w.run(w.now + 3*time.Second/2)
@@ -222,25 +222,25 @@
 	}
 }
 
-// The log of a member whose view isn't on its disk yet is that of an earlier epoch: it says nothing of this one's entries.
-func TestAMemberThatHasNotEnteredClaimsNothing(t *testing.T) {
-	w := quick(t, 1)
+// The log of a member whose view isn't on its disk yet belongs to an earlier epoch, and proves nothing about the entries of this one.
+func TestMemberThatHasNotEnteredAcknowledgesNothing(t *testing.T) {
+	w := newProductionWorld(t, 1)
 	spare := w.newMachine()
 	spare.start()
-	require.Less(t, w.untilIn(spare, 5*time.Second), 2*time.Second)
-	m, head := w.member(2), w.head()
+	require.Less(t, w.untilInChain(spare, 5*time.Second), 2*time.Second)
+	m, head := w.machineAt(2), w.head()
 	epoch := head.process.View().Epoch
 	head.process.cfg.StallAfter = time.Hour
-	m.stalled = w.now + time.Hour
+	m.stalledUntil = w.now + time.Hour
 	spare.input(Leave{})
 	for end := w.now + time.Second; w.now < end && head.process.View().Epoch == epoch; {
 		w.run(w.now + time.Millisecond)
 	}
 	require.Greater(t, head.process.View().Epoch, epoch)
-	w.run(w.now + 3*quickHeartbeat)
+	w.run(w.now + 3*productionHeartbeat)
 	require.False(t, m.process.entered)
 	known := head.process.peers[m.process.Self().ID]
-	assert.Less(t, head.process.elapsedSince(head.clock(), known.heard), 2*quickHeartbeat)
+	assert.Less(t, head.process.elapsedSince(head.clock(), known.heard), 2*productionHeartbeat)
 	assert.Zero(t, known.synced)
 	assert.Zero(t, known.received)
 	assert.NoError(t, w.failure)
--- a/coord/replica/persist.go
+++ b/coord/replica/persist.go
@@ -8,10 +8,10 @@
 	"gaugeslip/coord/view"
 )
 
-// RecordKind tells what a record holds.
+// RecordKind is the kind of a record.
 type RecordKind = byte
 
-// The kinds of records.
+// Kinds of records.
 const (
 	KindEntry RecordKind = iota + 1
 	KindTruncate
@@ -19,12 +19,12 @@
 	KindView
 	KindAcceptor
 	KindIdentity
-	KindUnfit        // the state that comes of this disk is wrong: it must not be used again
-	KindSnapshotPart // of a snapshot that is too long for one record
+	KindUnfit        // the state built from this disk is wrong; the disk must not be used again
+	KindSnapshotPart // a part of a snapshot that is too long for one record
 	KindCommitted    // all entries up to an index are committed
 )
 
-// snapshotPartBytes bounds the data of one record of a snapshot; a log takes records of twice that.
+// snapshotPartBytes bounds the data of one record of a snapshot. A log accepts records of twice that length.
 const snapshotPartBytes = 32 << 20
 
 // Record is one record of a replica's log on disk.
@@ -33,27 +33,28 @@
 	Data []byte
 }
 
-// Persisted is what a replica's disk holds.
+// Persisted is the content of a replica's disk.
 type Persisted struct {
 	Identity view.ReplicaID
 	View     view.View
 	Acceptor view.Acceptor
 	Snapshot *chain.Snapshot // to be installed before anything is delivered
 	Log      chain.Log
-	// Committed is the last index known to be committed: all up to it may be applied before anybody is asked.
+	// Committed is the last index known to be committed. All entries up to it may be applied before another replica is contacted.
 	Committed uint64
-	Unfit     string // why the disk must not be used again, see Blank; empty: it may
+	Unfit     string // why the disk must not be used again, see Blank; empty if it may be used
 	partial   *snapshotPart
 }
 
-// snapshotPart is a record of a snapshot that is too long for one: the parts follow each other, and count once the last is there.
+// snapshotPart is one record of a snapshot that is too long for one. The parts follow each other, and take effect when the last one is
+// there.
 type snapshotPart struct {
 	index, epoch  uint64
 	total, offset uint64
 	data          []byte
 }
 
-// Restore reads records in the order in which they were written. They all have to be safe on disk before.
+// Restore reads records in the order in which they were written. All of them must be synced before.
 func Restore(records []Record) (Persisted, error) {
 	var p Persisted
 	for i, record := range records {
@@ -66,7 +67,7 @@
 
 func (p *Persisted) apply(record Record) (err error) {
 	if record.Kind != KindSnapshotPart {
-		p.partial = nil // the rest of a snapshot was never written
+		p.partial = nil // the remaining parts of the snapshot were never written
 	}
 	switch record.Kind {
 	case KindEntry:
@@ -99,7 +100,7 @@
 		return err
 	}
 	if entry.Index <= p.Log.Base() || entry.Index > p.Log.Last()+1 {
-		return fmt.Errorf("entry %d after %d: %w", entry.Index, p.Log.Last(), view.ErrCorrupt)
+		return fmt.Errorf("entry %d does not follow last entry %d: %w", entry.Index, p.Log.Last(), view.ErrCorrupt)
 	}
 	if err := p.truncate(entry.Index - 1); err != nil {
 		return err
@@ -116,23 +117,23 @@
 	return p.truncate(index)
 }
 
-// truncate drops all after index, which must not lie below what is committed.
+// truncate drops all entries after index, which must not be less than the committed index.
 func (p *Persisted) truncate(index uint64) error {
 	if index < p.Committed {
-		return fmt.Errorf("cut to %d below committed %d: %w", index, p.Committed, view.ErrCorrupt)
+		return fmt.Errorf("truncation to %d below committed index %d: %w", index, p.Committed, view.ErrCorrupt)
 	}
 	p.Log.Truncate(index)
 	return nil
 }
 
-// applyCommitted takes word of what is committed. It is written behind the entries that it tells of.
+// applyCommitted applies a committed index. Its record is written after the entries that it covers.
 func (p *Persisted) applyCommitted(data []byte) error {
 	index, _, err := uvarint(data)
 	if err != nil {
 		return err
 	}
 	if index > p.Log.Last() {
-		return fmt.Errorf("committed %d after %d: %w", index, p.Log.Last(), view.ErrCorrupt)
+		return fmt.Errorf("committed index %d beyond last entry %d: %w", index, p.Log.Last(), view.ErrCorrupt)
 	}
 	p.Committed = max(p.Committed, index)
 	return nil
@@ -157,7 +158,7 @@
 	p.Log.Reset(snapshot.Index, snapshot.Epoch)
 }
 
-// applySnapshotPart takes the next part of a snapshot. The log before it counts until the last part is there.
+// applySnapshotPart adds the next part of a snapshot. The log before it stays in effect until the last part is there.
 func (p *Persisted) applySnapshotPart(data []byte) error {
 	part, err := decodeSnapshotPart(data)
 	if err != nil {
@@ -169,7 +170,7 @@
 	whole := p.partial
 	if whole == nil || whole.index != part.index || whole.epoch != part.epoch || whole.total != part.total ||
 		uint64(len(whole.data)) != part.offset {
-		return fmt.Errorf("part at %d of the snapshot at %d follows nothing: %w", part.offset, part.index, view.ErrCorrupt)
+		return fmt.Errorf("part at offset %d of the snapshot at %d does not follow the previous part: %w", part.offset, part.index, view.ErrCorrupt)
 	}
 	whole.data = append(whole.data, part.data...)
 	if uint64(len(whole.data)) == whole.total {
@@ -203,7 +204,7 @@
 	return Record{Kind: KindCommitted, Data: binary.AppendUvarint(nil, index)}
 }
 
-// encodeSnapshot gives one record, or the parts of a long snapshot.
+// encodeSnapshot returns one record, or the parts of a long snapshot.
 func encodeSnapshot(s chain.Snapshot) []Record {
 	if len(s.Data) <= snapshotPartBytes {
 		return []Record{encodeWholeSnapshot(s)}
@@ -253,14 +254,14 @@
 	return Record{Kind: KindUnfit, Data: []byte(err.Error())}
 }
 
-// Blank gives the records of a disk that holds nothing but a new identity. They take the place of those of a disk that is unfit. The
-// identity must never have been used.
+// Blank returns the records of a disk that holds nothing but a new identity. They replace those of an unfit disk. The identity must never
+// have been used.
 func Blank(id view.ReplicaID) []Record { return []Record{encodeIdentity(id)} }
 
 func uvarint(data []byte) (uint64, []byte, error) {
 	value, n := binary.Uvarint(data)
 	if n <= 0 {
-		return 0, nil, fmt.Errorf("number: %w", view.ErrCorrupt)
+		return 0, nil, fmt.Errorf("invalid number: %w", view.ErrCorrupt)
 	}
 	return value, data[n:], nil
 }
--- a/coord/replica/receive.go
+++ b/coord/replica/receive.go
@@ -6,15 +6,15 @@
 	"gaugeslip/coord/view"
 )
 
-// tailState is what a member keeps of the head's heartbeats.
+// tailState is what a member remembers of the head's heartbeats.
 type tailState struct {
-	life      uint64
+	life      uint64 // the head's incarnation, from the heartbeat's sequence
 	sequence  [8]uint64
 	answered  [8]time.Duration // when that heartbeat was acknowledged
 	readUntil time.Duration
 }
 
-// The part of ReadFor that a tail uses, so that clocks may drift apart by a tenth.
+// The tail uses 90 % of ReadFor, so that the clocks of head and tail may drift apart by a tenth.
 const (
 	readForPercent = 90
 	hundredPercent = 100
@@ -40,7 +40,7 @@
 	r.dispatch(now, m)
 }
 
-// noteKnownEpoch notes what view a replica knows.
+// noteKnownEpoch records the newest epoch that another replica has shown to know.
 func (r *Replica) noteKnownEpoch(now time.Duration, m *Message) {
 	p := r.peer(m.From.ID, now)
 	if !m.Viewless && (!p.epochKnown || m.Epoch > p.epoch) {
@@ -48,7 +48,8 @@
 	}
 }
 
-// checkEpoch tells whether a message is of the present epoch; where it isn't, whoever is behind is helped.
+// checkEpoch reports whether a message is of the present epoch. If it isn't, the replica that is behind gets the view: the sender is sent
+// the view, or is asked for its own.
 func (r *Replica) checkEpoch(now time.Duration, m *Message) bool {
 	switch {
 	case !r.view.Known():
@@ -68,7 +69,7 @@
 	return true
 }
 
-// sendView tells the newest view, not too often.
+// sendView sends the newest view, at most once per viewSendInterval to one address.
 func (r *Replica) sendView(now time.Duration, to view.Member) {
 	if at, ok := r.viewSentAt[to.Address]; ok && now-at < viewSendInterval {
 		return
@@ -122,7 +123,7 @@
 		r.proposer.Phase = view.Idle
 	}
 	ack := &view.HeartbeatAck{Sequence: m.Heartbeat.Sequence, Broken: r.diskFailed, Digests: r.audit.own}
-	if r.position() < 0 || r.chain.InStep() { // else the log may hold what an earlier epoch never committed
+	if r.position() < 0 || r.chain.InStep() { // otherwise the log may hold entries that an earlier epoch never committed
 		ack.Received, ack.Synced, ack.Acked = r.LastIndex(), r.chain.Synced(), r.chain.Acked()
 	}
 	if r.view.IsVoter(r.self.ID) && !r.acceptor.PromisedAway(m.From.ID) {
@@ -133,8 +134,8 @@
 	r.send(m.From, &Message{HeartbeatAck: ack})
 }
 
-// acceptReadPermission takes the permission to answer reads, counted from when the echoed heartbeat was acknowledged: that was
-// before the head gave it.
+// acceptReadPermission takes the permission to answer reads. It counts from when this replica acknowledged the echoed heartbeat, which
+// was before the head gave the permission.
 func (r *Replica) acceptReadPermission(now time.Duration, m *view.Heartbeat) {
 	t := &r.tail
 	slots := uint64(len(t.sequence))
@@ -149,7 +150,7 @@
 	}
 }
 
-// IsTail tells whether this replica is the tail and may answer reads now.
+// IsTail reports whether this replica is the tail and may answer reads now.
 func (r *Replica) IsTail(now time.Duration) bool {
 	if !r.entered || r.view.Tail().ID != r.self.ID {
 		return false
@@ -160,8 +161,8 @@
 	return now < r.tail.readUntil
 }
 
-// ReadIndex gives the index that has to be applied before a read that came now is answered, so that it shows all
-// that had been acknowledged. The tail has it with its permission, the head with its lease.
+// ReadIndex returns the index that must be applied before a read that arrived now is answered, so that the read sees everything that was
+// acknowledged before. The tail has it by its read permission, the head by its lease.
 func (r *Replica) ReadIndex(now time.Duration) (uint64, bool) {
 	if r.IsHead(now) {
 		return max(r.Committed(), r.head.inheritedIndex), true
--- a/coord/replica/replica.go
+++ b/coord/replica/replica.go
@@ -9,40 +9,41 @@
 	"gaugeslip/coord/view"
 )
 
-// sequenceBits is the number of low bits of a heartbeat's number that count; the rest is the life.
+// sequenceBits is the number of low bits of a heartbeat's sequence that count heartbeats; the bits above identify the incarnation.
 const sequenceBits = 32
 
 const never = time.Duration(math.MaxInt64)
 
-// Replica is one replica's view and chain.
+// Replica is the state of one replica: its view, its part in elections and its chain.
 type Replica struct {
-	cfg           Config
-	self          view.Member
-	random        *rand.Rand
-	newIdentity   bool // no earlier life can have had this identity
-	started       time.Duration
-	lastStep      time.Duration
-	pauses        pauses
-	checkTimeouts bool        // all that had arrived before this step has been handed in
-	chainLosses   []chainLoss // when members fell out of the chain
+	cfg         Config
+	self        view.Member
+	random      *rand.Rand
+	newIdentity bool // no earlier incarnation can have had this identity
+	started     time.Duration
+	lastStep    time.Duration
+	pauses      pauses
+	// checkTimeouts is true in a step in which timeouts may be evaluated: everything that had arrived before it has been handed in.
+	checkTimeouts bool
+	chainLosses   []chainLoss // recent views that removed members from the chain
 
 	view           view.View
-	ownPosition    int           // in the chain, -1 without one
-	viewLearnedAt  time.Duration // when, in this life
+	ownPosition    int           // in the chain, -1 if not in it
+	viewLearnedAt  time.Duration // in this incarnation
 	acceptor       view.Acceptor
-	grantUntil     time.Duration // till when others than the head get no promise
+	grantUntil     time.Duration // until then only the head gets a promise
 	proposer       view.Proposer
-	ballotRetryAt  time.Duration // of the ballot
-	higherBallotAt time.Duration // when to begin a higher one; 0: not
+	ballotRetryAt  time.Duration // when to resend the ballot
+	higherBallotAt time.Duration // when to start a higher ballot; 0: not scheduled
 	electionAt     time.Duration
-	// electionPaused is by how much own pauses have put electionAt off, electionShortPaused the short ones' part.
+	// electionPaused is by how much own pauses have postponed electionAt, electionShortPaused the part of short pauses.
 	electionPaused, electionShortPaused time.Duration
-	// headExpectedSince is since when the head's next heartbeat is waited for.
+	// headExpectedSince is since when the next heartbeat of the head is expected.
 	headExpectedSince time.Duration
-	proposalCause     Cause // of the last own wish for a view
+	proposalCause     Cause // of the last view that this replica proposed
 	chain             *chain.Chain
-	entered           bool // the view is on disk and the chain goes by it
-	enterToken        uint64
+	entered           bool   // the view is on disk and the chain works in it
+	enterToken        uint64 // of the record of the view
 
 	head            headState
 	tail            tailState
@@ -51,24 +52,24 @@
 	leaving         bool
 	left            bool
 	joinAt          time.Duration
-	diskFailed      bool // the disk refuses
-	requestSequence uint64
-	heartbeatBase   uint64 // before this life's first heartbeat
+	diskFailed      bool   // the disk refuses writes
+	requestSequence uint64 // of the last Join or LeaveNotice
+	heartbeatBase   uint64 // the sequence before this incarnation's first heartbeat
 
 	contacts   []string
-	viewSentAt map[string]time.Duration
+	viewSentAt map[string]time.Duration // by address
 
-	lastToken   uint64 // last given out
+	lastToken   uint64 // last token handed out
 	syncedToken uint64
-	// storedCommitted is the last committed index that was handed out for the disk.
+	// storedCommitted is the last committed index that was handed out as a record.
 	storedCommitted uint64
-	// lastSyncAt is when a sync ended last.
+	// lastSyncAt is when the last sync ended.
 	lastSyncAt    time.Duration
 	slowestSync   slowestSync
-	pendingWrites []write // on their way to disk
-	heldMessages  []heldMessage
-	earlyMessages []*Message // for the chain, before the view is on disk
-	localMessages []*Message // to this replica itself
+	pendingWrites []write       // on their way to disk
+	heldMessages  []heldMessage // until the records that they depend on are on disk
+	earlyMessages []*Message    // for the chain, received before the view is on disk
+	localMessages []*Message    // from this replica to itself
 	out           Output
 }
 
@@ -78,14 +79,14 @@
 	at    time.Duration
 }
 
-// heldMessage waits for the disk.
+// heldMessage is a message that is sent once the records up to token are on disk.
 type heldMessage struct {
 	token   uint64
 	to      view.Member
 	message *Message
 }
 
-// New makes a replica from what its disk holds. Where that is a snapshot, the embedder installs it by itself.
+// New creates a replica from what its disk holds. If that includes a snapshot, the embedder installs it by itself.
 func New(cfg Config, restored Persisted, now time.Duration) *Replica {
 	cfg.setDefaults()
 	r := &Replica{cfg: cfg, self: cfg.Self, started: now, lastStep: now, electionAt: never, ownPosition: -1}
@@ -112,7 +113,8 @@
 	return r
 }
 
-// startEmpty starts on an empty disk. With a genesis an earlier life may have granted under this identity before it was on disk.
+// startEmpty starts on an empty disk. With a genesis view, an earlier incarnation may have granted heartbeats under the same identity
+// before that was on disk.
 func (r *Replica) startEmpty(now time.Duration) {
 	r.store(encodeIdentity(r.self.ID))
 	if r.cfg.Genesis != nil {
@@ -120,7 +122,8 @@
 	}
 }
 
-// resume goes on from what the disk holds. What was granted before isn't known any more.
+// resume continues from what the disk holds. The grants of earlier incarnations are unknown, so it assumes that one was given just
+// before.
 func (r *Replica) resume(now time.Duration, restored Persisted) {
 	r.grantUntil = now + r.cfg.Grant
 	if !restored.View.Known() {
@@ -139,7 +142,7 @@
 	}
 }
 
-// Step takes one input. Others are judged for their silence at a Tick only.
+// Step processes one input. Timeouts of other replicas are evaluated only at a Tick.
 func (r *Replica) Step(now time.Duration, in Input) Output {
 	if r.audit.divergence != nil {
 		return r.stepStopped(now, in)
@@ -166,9 +169,9 @@
 	return r.finish(now)
 }
 
-// Propose appends entries at the head and gives the first one's index. They are committed when they come out in
-// Output.Committed with the epoch that View had here; another epoch at such an index means that they are lost. The
-// data must not be changed any more.
+// Propose appends entries at the head and returns the index of the first. An entry is committed when it comes out in Output.Committed
+// with the epoch that View had at the call; if another epoch comes out at its index, the entry is lost. The data must not be changed
+// afterwards.
 func (r *Replica) Propose(now time.Duration, data [][]byte) (first uint64, out Output, err error) {
 	if r.audit.divergence != nil {
 		return 0, r.finishStopped(now), ErrNotHead
@@ -181,7 +184,7 @@
 	return first, r.finish(now), err
 }
 
-// CanPropose tells why Propose would refuse, nil if it wouldn't.
+// CanPropose returns the error with which Propose would refuse, or nil.
 func (r *Replica) CanPropose(now time.Duration) error {
 	switch {
 	case r.head.announced && r.proposer.Active() && !r.head.handingOver:
@@ -196,7 +199,7 @@
 	return nil
 }
 
-// finish does what is due and hands out what has come up.
+// finish does the work that is due and hands out the output.
 func (r *Replica) finish(now time.Duration) Output {
 	r.doDueWork(now)
 	for len(r.localMessages) > 0 {
@@ -224,7 +227,7 @@
 	return out
 }
 
-// doDueWork does what is due.
+// doDueWork does the work that is due.
 func (r *Replica) doDueWork(now time.Duration) {
 	r.chain.Tick(now)
 	if r.leading() {
@@ -236,7 +239,7 @@
 	r.join(now)
 }
 
-// nextWake is when something is due next.
+// nextWake returns when work is due next.
 func (r *Replica) nextWake(now time.Duration) time.Duration {
 	at := min(now+maxWakeInterval, r.chain.Wake())
 	if r.leading() {
@@ -256,20 +259,20 @@
 	return max(at, now+time.Millisecond)
 }
 
-// Self is this replica, with the identity that its disk has.
+// Self returns this replica's member entry, with the identity that its disk holds.
 func (r *Replica) Self() view.Member { return r.self }
 
-// View is the newest view known.
+// View returns the newest known view.
 func (r *Replica) View() view.View { return r.view }
 
-// Committed is the last index known to be committed.
+// Committed returns the last index known to be committed.
 func (r *Replica) Committed() uint64 { return r.chain.Committed() }
 
-// LastIndex is the last index held.
+// LastIndex returns the last index of the log.
 func (r *Replica) LastIndex() uint64 { return r.chain.Log().Last() }
 
-// Held is the entries after an index that are held here, committed or not. The index must not lie before the last one that came out as
-// committed. They must not be changed.
+// Held returns the entries of the log after an index, committed or not. The index must not be less than that of the last delivered entry.
+// The entries must not be changed.
 func (r *Replica) Held(after uint64) []chain.Entry {
 	entries, _ := r.chain.Log().Slice(after+1, math.MaxInt)
 	return entries
--- a/coord/replica/replica_test.go
+++ b/coord/replica/replica_test.go
@@ -13,7 +13,7 @@
 	"gaugeslip/coord/view"
 )
 
-func TestMessagesOutlastGob(t *testing.T) {
+func TestMessagesSurviveGob(t *testing.T) {
 	v := &view.View{Epoch: 2, Voters: []view.Member{{ID: "a", Address: "x"}}, Chain: []view.Member{{ID: "a", Address: "x"}}}
 	from := view.Member{ID: "a", Address: "x", Control: "y"}
 	messages := []*Message{
@@ -64,17 +64,17 @@
 	assert.NoError(t, err)
 }
 
-// calm is a deployment that has started, with writes.
-func calm(t *testing.T, seed uint64, seeds, others, tolerance int) *world {
+// newCalmWorld returns a started deployment with writes.
+func newCalmWorld(t *testing.T, seed uint64, seeds, others, tolerance int) *world {
 	w := newWorld(seed, seeds, others, tolerance)
-	w.write(10 * time.Millisecond)
+	w.writeLoop(10 * time.Millisecond)
 	w.run(warmUp)
 	require.NoError(t, w.failure)
 	require.NotNil(t, w.head())
 	return w
 }
 
-// untilCommitted plays until something new is committed and tells how long that took.
+// untilCommitted simulates until something new is committed, and returns how long that took.
 func (w *world) untilCommitted(most time.Duration) time.Duration {
 	began, before := w.now, len(w.oracle.entries)
 	for w.now < began+most && len(w.oracle.entries) == before && w.failure == nil {
@@ -83,8 +83,8 @@
 	return w.now - began
 }
 
-// untilIn plays until a machine is in the chain and tells how long that took.
-func (w *world) untilIn(m *machine, most time.Duration) time.Duration {
+// untilInChain simulates until a machine is in the chain, and returns how long that took.
+func (w *world) untilInChain(m *machine, most time.Duration) time.Duration {
 	began := w.now
 	for w.now < began+most && w.failure == nil {
 		w.run(w.now + time.Millisecond)
@@ -99,7 +99,7 @@
 
 func eachSeed(t *testing.T, check func(t *testing.T, w *world)) {
 	for seed := range uint64(deploymentSeeds) {
-		w := calm(t, seed, 3, 0, 1)
+		w := newCalmWorld(t, seed, 3, 0, 1)
 		check(t, w)
 		require.NoError(t, w.failure, "seed %d", seed)
 	}
@@ -127,21 +127,21 @@
 	})
 }
 
-func TestRestartedHeadGoesOn(t *testing.T) {
+func TestRestartedHeadContinues(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		head := w.head()
-		head.end()
+		head.kill()
 		w.run(w.now + 100*time.Millisecond)
 		head.start()
 		assert.Less(t, w.untilCommitted(5*time.Second), 400*time.Millisecond)
 	})
 }
 
-func TestAllKilled(t *testing.T) {
+func TestCommitsResumeAfterAllLosePower(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		for _, m := range w.machines {
 			m.losePower()
-			w.after(w.between(100*time.Millisecond, 500*time.Millisecond), m.start)
+			w.after(w.randomDuration(100*time.Millisecond, 500*time.Millisecond), m.start)
 		}
 		assert.Less(t, w.untilCommitted(5*time.Second), 1200*time.Millisecond)
 	})
@@ -156,14 +156,14 @@
 			} else {
 				m.losePower()
 			}
-			w.after(w.between(100*time.Millisecond, 500*time.Millisecond), m.start)
+			w.after(w.randomDuration(100*time.Millisecond, 500*time.Millisecond), m.start)
 		}
 		assert.Less(t, w.untilCommitted(5*time.Second), 2500*time.Millisecond)
-		assert.Less(t, w.untilIn(w.machines[wiped], 5*time.Second), 1500*time.Millisecond)
+		assert.Less(t, w.untilInChain(w.machines[wiped], 5*time.Second), 1500*time.Millisecond)
 	})
 }
 
-func TestReturn(t *testing.T) {
+func TestRestartedMachineRejoins(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
 		eachSeed(t, func(t *testing.T, w *world) {
 			m := w.machines[w.random.IntN(len(w.machines))]
@@ -174,14 +174,14 @@
 			}
 			w.run(w.now + 3*time.Second)
 			m.start()
-			assert.Less(t, w.untilIn(m, 5*time.Second), time.Second)
+			assert.Less(t, w.untilInChain(m, 5*time.Second), time.Second)
 			assert.Len(t, w.head().process.View().Voters, 3)
 		})
 	}
 }
 
 func TestOthersJoinSeeds(t *testing.T) {
-	w := calm(t, 1, 3, 2, 2)
+	w := newCalmWorld(t, 1, 3, 2, 2)
 	v := w.head().process.View()
 	assert.Len(t, v.Voters, 5)
 	assert.Len(t, v.Chain, 5)
@@ -195,8 +195,8 @@
 		w.run(w.now + 2500*time.Millisecond)
 		other := w.newMachine()
 		other.start()
-		assert.Less(t, w.untilIn(other, 5*time.Second), time.Second)
-		w.run(w.now + voterTimeout + time.Second) // a new head doesn't know yet how long the old one is gone
+		assert.Less(t, w.untilInChain(other, 5*time.Second), time.Second)
+		w.run(w.now + voterTimeout + time.Second) // a new head doesn't know yet how long the old machine has been gone
 		assert.Len(t, w.head().process.View().Voters, 3)
 	})
 }
@@ -204,15 +204,14 @@
 func TestStalledDiskOfTheHead(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		head := w.head()
-		head.stalled = w.now + 10*time.Second
-		w.run(w.now + 30*time.Millisecond) // what was under way before
+		head.stalledUntil = w.now + 10*time.Second
+		w.run(w.now + 30*time.Millisecond) // for entries that were in progress
 		assert.Less(t, w.untilCommitted(5*time.Second), 1300*time.Millisecond)
 		assert.False(t, head == w.head(), "the head is still the same")
 	})
 }
 
-// Voters that have just restarted don't know their grants: the head, cut off and
-// none the wiser, keeps its lease against them.
+// Voters that have just restarted don't know their grants: the head, which is cut off and doesn't notice, keeps its lease against them.
 func TestRestartedVotersWait(t *testing.T) {
 	eachSeed(t, func(t *testing.T, w *world) {
 		head := w.head()
@@ -220,7 +219,7 @@
 			if m != head {
 				w.cuts[[2]string{m.address, head.address}] = w.now + time.Second
 				w.cuts[[2]string{head.address, m.address}] = w.now + time.Second
-				m.end()
+				m.kill()
 				m.start()
 				m.process.electionAt = 0
 				m.input(Tick{})
@@ -230,8 +229,8 @@
 	})
 }
 
-func TestShortChainRefuses(t *testing.T) {
-	w := calm(t, 3, 3, 0, 2)
+func TestShortChainRefusesWrites(t *testing.T) {
+	w := newCalmWorld(t, 3, 3, 0, 2)
 	head := w.head()
 	_, _, err := w.machines[2].process.Propose(w.machines[2].clock(), [][]byte{nil})
 	require.ErrorIs(t, err, ErrNotHead)
--- a/coord/replica/resign.go
+++ b/coord/replica/resign.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// stepDownIfStuck ends this replica's part as the head where its heartbeats would only keep others from taking over: it hasn't heard a
-// majority for a grant, or its view doesn't get on its disk.
+// stepDownIfStuck steps down where the heartbeats of this replica would only keep the others from electing a new head: it hasn't heard a
+// majority for a grant, or it can't get its view onto its disk.
 func (r *Replica) stepDownIfStuck(now time.Duration) bool {
 	switch {
 	case r.lostMajority(now):
@@ -18,7 +18,7 @@
 	return true
 }
 
-// lostMajority tells whether no majority has granted a heartbeat for a grant, own pauses taken off.
+// lostMajority reports whether no majority has granted a heartbeat for a grant, own pauses subtracted.
 func (r *Replica) lostMajority(now time.Duration) bool {
 	since, ok := r.head.lease.MajoritySince(r.view)
 	if !ok {
@@ -32,7 +32,7 @@
 	return true
 }
 
-// cannotEnter tells whether the disk here takes too long over the view that made this replica the head.
+// cannotEnter reports whether the disk here takes too long to store the view that made this replica the head.
 func (r *Replica) cannotEnter(now time.Duration) bool {
 	patience := r.cfg.StallAfter + min(r.slowestSync.recent(now), r.cfg.StallAfter)
 	if r.entered || r.diskIdle(now) <= patience || r.isOnlyVoter() {
--- a/coord/replica/seats.go
+++ b/coord/replica/seats.go
@@ -7,7 +7,7 @@
 	"gaugeslip/coord/view"
 )
 
-// reassignSeats gives the votes of lost disks to the new ones at their addresses, which need no data to vote.
+// reassignSeats gives the votes of lost disks to the new disks at their addresses, which need no data to vote.
 func (r *Replica) reassignSeats(now time.Duration, next *view.View) (changed bool) {
 	for _, l := range r.head.learners {
 		seat := voterAt(*next, l.member.Address)
@@ -20,8 +20,8 @@
 	return changed
 }
 
-// dropSeats takes the votes of those away that have left the chain or lost their disks, as long as 2f+1 voters remain: the next
-// loss may come at once.
+// dropSeats takes the votes of replicas away that have left the chain or lost their disks, as long as 2f+1 voters remain, because the
+// next loss may come at once.
 func (r *Replica) dropSeats(now time.Duration, next *view.View) {
 	for _, voter := range slices.Clone(next.Voters) {
 		p := r.peer(voter.ID, now)
@@ -35,8 +35,8 @@
 	}
 }
 
-// seatFor is the voter's seat that a new member takes over: its own, that of its lost disk, or that of one out of
-// reach; -1 for a new seat.
+// seatFor returns the index of the voter whose seat a new member takes over: its own, that of the lost disk at its address, or that of a
+// voter out of reach; -1 for a new seat.
 func (r *Replica) seatFor(now time.Duration, next view.View, member view.Member) int {
 	for i, voter := range next.Voters {
 		if voter.ID == member.ID {
@@ -49,7 +49,7 @@
 	return slices.IndexFunc(next.Voters, func(m view.Member) bool { return r.voterGone(now, m.ID) })
 }
 
-// voterGone tells whether a voter's seat can be given away.
+// voterGone reports whether a voter's seat can be reassigned.
 func (r *Replica) voterGone(now time.Duration, id view.ReplicaID) bool {
 	if id == r.self.ID || r.view.InChain(id) {
 		return false
@@ -58,7 +58,8 @@
 	return p.gone || p.leaving || now-p.ackedAt > voterTimeout
 }
 
-// reconcileVoters drops a voter out of reach that isn't needed, and clears promises that keep a voter from granting.
+// reconcileVoters reassigns the votes of lost disks, drops a voter out of reach that isn't needed, and starts a new epoch to clear a
+// promise that keeps a member from granting.
 func (r *Replica) reconcileVoters(now time.Duration) {
 	next := r.view.Next()
 	if r.reassignSeats(now, &next) {
--- a/coord/replica/simulation_test.go
+++ b/coord/replica/simulation_test.go
@@ -10,43 +10,43 @@
 	"gaugeslip/coord/view"
 )
 
-// world is a simulated deployment: machines with clocks that drift, disks that lose what isn't synced, and a network
-// that loses, doubles, delays and reorders. Everything follows from the seed.
+// world is a simulated deployment: machines with clocks that drift, disks that lose what isn't synced, and a network that loses,
+// duplicates, delays and reorders messages. Everything follows from the seed.
 type world struct {
-	seed      uint64
-	random    *rand.Rand
-	now       time.Duration // true time
-	events    eventHeap
-	order     uint64
-	tolerance int
-	machines  []*machine
-	cuts      map[[2]string]time.Duration // from, to: until
-	latency   time.Duration
-	lossy     float64
-	doubled   float64
-	slow      float64 // part of messages that are late
-	oracle    oracle
-	failure   error
-	lives     uint64
-	trace     func(format string, args ...any)
-	written   int
-	hasty     bool // members are dropped much too early
-	weight    *weight
-	settings  Config // of every replica, but for the fields that start sets
-	onView    func(v view.View)
+	seed          uint64
+	random        *rand.Rand
+	now           time.Duration // true time
+	events        eventHeap
+	sequence      uint64
+	tolerance     int
+	machines      []*machine
+	cuts          map[[2]string]time.Duration // from, to: until when
+	latency       time.Duration
+	lossRate      float64
+	duplicateRate float64
+	delayRate     float64 // share of messages that are delayed
+	oracle        oracle
+	failure       error
+	incarnations  uint64
+	trace         func(format string, args ...any)
+	written       int
+	earlyDrops    bool // members are dropped much too early
+	costs         *stateCosts
+	config        Config // of every replica, except for the fields that start sets
+	onView        func(v view.View)
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at       time.Duration
+	sequence uint64
+	do       func()
 }
 
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
@@ -57,19 +57,19 @@
 	return last
 }
 
-// at does something after a while of true time.
+// after runs a function after a delay in true time.
 func (w *world) after(delay time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.events, event{w.now + max(delay, 0), w.order, do})
+	w.sequence++
+	heap.Push(&w.events, event{w.now + max(delay, 0), w.sequence, do})
 }
 
-// run plays until a moment of true time, or the first failure.
+// run simulates until a moment of true time, or the first failure.
 func (w *world) run(until time.Duration) {
 	for len(w.events) > 0 && w.failure == nil && w.events[0].at <= until {
 		next := heap.Pop(&w.events).(event)
 		w.now = next.at
 		next.do()
-		w.checkLeases()
+		w.checkHeadAndReads()
 	}
 	w.now = max(w.now, until)
 }
@@ -80,11 +80,11 @@
 	}
 }
 
-func (w *world) between(low, high time.Duration) time.Duration {
+func (w *world) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
 
-// newWorld starts a deployment: the first machines are the seeds.
+// newWorld starts a deployment. Its first machines are the seeds.
 func newWorld(seed uint64, seeds, others, tolerance int) *world {
 	w := &world{seed: seed, tolerance: tolerance, cuts: make(map[[2]string]time.Duration)}
 	w.random = rand.New(rand.NewPCG(seed, 1))
@@ -101,7 +101,7 @@
 	}
 	genesis.Chain = append(genesis.Chain, genesis.Voters...)
 	for _, m := range w.machines {
-		w.after(w.between(0, 300*time.Millisecond), m.start)
+		w.after(w.randomDuration(0, 300*time.Millisecond), m.start)
 	}
 	return w
 }
@@ -109,30 +109,30 @@
 func (w *world) newMachine() *machine {
 	m := &machine{world: w, address: fmt.Sprintf("10.0.0.%d:8146", 10+len(w.machines))}
 	m.rate = 1 + (w.random.Float64()-0.5)/50 // 1% either way
-	m.offset = w.between(0, time.Hour)
-	m.sync = w.between(3*time.Millisecond, 9*time.Millisecond)
+	m.offset = w.randomDuration(0, time.Hour)
+	m.syncTime = w.randomDuration(3*time.Millisecond, 9*time.Millisecond)
 	w.machines = append(w.machines, m)
 	return m
 }
 
-// longestDelay is what slow messages may take longer than others.
-const longestDelay = 300 * time.Millisecond
+// maxExtraDelay is the longest additional delay of a delayed message.
+const maxExtraDelay = 300 * time.Millisecond
 
-// deliver brings a message over the network.
-func (w *world) deliver(from *machine, envelope Envelope) {
-	if w.cuts[[2]string{from.address, envelope.To}] > w.now || w.random.Float64() < w.lossy {
+// transmit sends a message over the network.
+func (w *world) transmit(from *machine, envelope Envelope) {
+	if w.cuts[[2]string{from.address, envelope.To}] > w.now || w.random.Float64() < w.lossRate {
 		return
 	}
 	copies := 1
-	if w.random.Float64() < w.doubled {
+	if w.random.Float64() < w.duplicateRate {
 		copies = 2
 	}
 	for range copies {
-		delay := w.latency + w.between(0, time.Millisecond)
-		if w.random.Float64() < w.slow {
-			delay += w.between(0, longestDelay)
+		delay := w.latency + w.randomDuration(0, time.Millisecond)
+		if w.random.Float64() < w.delayRate {
+			delay += w.randomDuration(0, maxExtraDelay)
 		}
-		delay = w.weight.transfer(w.now, from.address, envelope, delay)
+		delay = w.costs.transferTime(w.now, from.address, envelope, delay)
 		w.after(delay, func() { w.arrive(from, envelope) })
 	}
 }
@@ -148,8 +148,9 @@
 	}
 }
 
-// checkLeases holds what must be true at every moment.
-func (w *world) checkLeases() {
+// checkHeadAndReads checks what must be true at every moment: there is at most one head, and no replica would answer a read that misses a
+// committed entry.
+func (w *world) checkHeadAndReads() {
 	var head *machine
 	for _, m := range w.machines {
 		if m.process == nil {
@@ -168,7 +169,7 @@
 	}
 }
 
-// oracle is what has been reported as committed.
+// oracle holds the entries and views that have been reported so far.
 type oracle struct {
 	entries []chain.Entry
 	sums    []uint64
@@ -182,8 +183,8 @@
 	return (sum ^ e.Epoch) * 1099511628211
 }
 
-// applied checks an entry that a machine applies against what has been reported before.
-func (w *world) applied(m *machine, e chain.Entry) {
+// checkApplied checks an entry that a machine applies against the entries reported before.
+func (w *world) checkApplied(m *machine, e chain.Entry) {
 	o := &w.oracle
 	last := uint64(len(o.entries))
 	switch {
@@ -206,18 +207,18 @@
 	}
 	m.applied = e.Index
 	if m.applied <= uint64(len(o.sums)) {
-		m.sum = o.sums[m.applied-1]
+		m.stateSum = o.sums[m.applied-1]
 	}
 }
 
-// holds tells whether a log on disk has an entry, be it in a snapshot.
-func holds(log *chain.Log, e chain.Entry) bool {
+// logHolds reports whether a log on disk contains an entry, possibly in a snapshot.
+func logHolds(log *chain.Log, e chain.Entry) bool {
 	epoch, ok := log.EpochAt(e.Index)
 	return ok && epoch == e.Epoch || e.Index < log.Base()
 }
 
-// checkCopies holds that what is committed first is on the disks of the whole chain, and that these are enough. A disk that was lost while its
-// acknowledgement was on its way had the entry.
+// checkCopies checks that an entry, when it is first committed, is on the disks of the whole chain, and that these are enough. A disk
+// that was lost while its acknowledgement was in transit had the entry.
 func (w *world) checkCopies(m *machine, e chain.Entry) {
 	v := m.process.View()
 	if m.process.head.leaseUntil <= m.clock() {
@@ -225,11 +226,11 @@
 	}
 	copies := 0
 	for _, other := range w.machines {
-		justLost := other.lostAt > 0 && w.now-other.lostAt <= w.latency+longestDelay
-		if holds(&other.durable.Log, e) || justLost && holds(&other.lostLog, e) {
+		justLost := other.lostAt > 0 && w.now-other.lostAt <= w.latency+maxExtraDelay
+		if logHolds(&other.durableState.Log, e) || justLost && logHolds(&other.lostLog, e) {
 			copies++
 		} else if other.process != nil && v.InChain(other.process.Self().ID) {
-			w.fail("%s commits %d that %s of the chain hasn't got", m.address, e.Index, other.address)
+			w.fail("%s commits %d, which %s of the chain lacks", m.address, e.Index, other.address)
 		}
 	}
 	if copies <= w.tolerance {
@@ -237,12 +238,12 @@
 	}
 }
 
-func (w *world) sawView(m *machine, v view.View) {
+func (w *world) checkView(m *machine, v view.View) {
 	if known, ok := w.oracle.views[v.Epoch]; ok && !known.Equal(v) {
 		w.fail("%s has another view of epoch %d: %v, %v", m.address, v.Epoch, v, known)
 	}
 	if _, ok := w.oracle.views[v.Epoch]; !ok {
-		w.checkHoldings(v)
+		w.checkChainLogs(v)
 		if w.onView != nil {
 			w.onView(v)
 		}
@@ -255,21 +256,21 @@
 	}
 }
 
-// checkHoldings holds that every member of a new chain has all that is committed on disk.
-func (w *world) checkHoldings(v view.View) {
+// checkChainLogs checks that every member of a new chain has all committed entries on disk.
+func (w *world) checkChainLogs(v view.View) {
 	last := uint64(len(w.oracle.entries))
 	for _, m := range w.machines {
 		if last == 0 || m.process == nil || !v.InChain(m.process.Self().ID) {
 			continue
 		}
-		log := &m.durable.Log
+		log := &m.durableState.Log
 		if epoch, ok := log.EpochAt(last); last > log.Base() && (!ok || epoch != w.oracle.entries[last-1].Epoch) {
 			w.fail("%s is in the chain of epoch %d without entry %d", m.address, v.Epoch, last)
 		}
 	}
 }
 
-// head is the machine that is the head with a lease, if any.
+// head returns the machine that is the head with a lease, or nil.
 func (w *world) head() *machine {
 	for _, m := range w.machines {
 		if m.process != nil && m.process.IsHead(m.clock()) {
@@ -279,9 +280,9 @@
 	return nil
 }
 
-// write hands proposals to the head, as long as the deployment runs.
-func (w *world) write(every time.Duration) {
-	if head := w.head(); head != nil && head.frozen <= w.now {
+// writeLoop hands proposals to the head again and again.
+func (w *world) writeLoop(every time.Duration) {
+	if head := w.head(); head != nil && head.frozenUntil <= w.now {
 		count := 1 + w.random.IntN(4)
 		data := make([][]byte, count)
 		for i := range data {
@@ -290,5 +291,5 @@
 		}
 		head.propose(data)
 	}
-	w.after(w.between(every/2, every*2), func() { w.write(every) })
+	w.after(w.randomDuration(every/2, every*2), func() { w.writeLoop(every) })
 }
--- a/coord/replica/stand_test.go
+++ b/coord/replica/stand_test.go
@@ -10,13 +10,13 @@
 	"gaugeslip/coord/view"
 )
 
-// stand holds one core and steps it by hand, so that a test says exactly what it is told and when.
-type stand struct {
+// harness runs one core step by step, so that a test decides exactly which input it gets and when.
+type harness struct {
 	t       *testing.T
 	core    *Replica
 	now     time.Duration
 	wake    time.Duration // when the core wants its next Tick
-	token   uint64        // last given out
+	token   uint64        // last token handed out
 	records []Record
 	sent    []*Message
 	events  []Event
@@ -25,35 +25,35 @@
 }
 
 const (
-	standEpoch  = 5
-	standStart  = 10 * time.Second
-	standLength = 2 * time.Second // longer than all grants
+	testEpoch     = 5
+	testStart     = 10 * time.Second
+	pastAllGrants = 2 * time.Second // longer than all grants
 )
 
-func standMember(id view.ReplicaID) view.Member {
+func testMember(id view.ReplicaID) view.Member {
 	return view.Member{ID: id, Address: string(id) + ":1"}
 }
 
-func standMembers(ids ...view.ReplicaID) []view.Member {
+func testMembers(ids ...view.ReplicaID) []view.Member {
 	var list []view.Member
 	for _, id := range ids {
-		list = append(list, standMember(id))
+		list = append(list, testMember(id))
 	}
 	return list
 }
 
-// standView is a view in which all voters are in the chain.
-func standView(epoch uint64, ids ...view.ReplicaID) view.View {
-	return view.View{Epoch: epoch, Voters: standMembers(ids...), Chain: standMembers(ids...)}
+// testView returns a view in which all voters are in the chain.
+func testView(epoch uint64, ids ...view.ReplicaID) view.View {
+	return view.View{Epoch: epoch, Voters: testMembers(ids...), Chain: testMembers(ids...)}
 }
 
-func standConfig(id view.ReplicaID) Config {
-	return Config{Self: standMember(id), Tolerance: 1, Seed: 77}
+func testConfig(id view.ReplicaID) Config {
+	return Config{Self: testMember(id), Tolerance: 1, Seed: 77}
 }
 
-// resumed is a core that has just started from a disk.
-func resumed(t *testing.T, cfg Config, disk Persisted) *stand {
-	s := &stand{t: t, now: standStart}
+// newRestarted returns a core that has just started from a disk.
+func newRestarted(t *testing.T, cfg Config, disk Persisted) *harness {
+	s := &harness{t: t, now: testStart}
 	if cfg.Genesis == nil {
 		disk.Identity = cfg.Self.ID
 	}
@@ -61,21 +61,21 @@
 	return s
 }
 
-// settled is a core that started in the epoch before, long ago, and has just learnt the view of standEpoch, which is on its disk.
-func settled(t *testing.T, cfg Config, log chain.Log, ids ...view.ReplicaID) *stand {
-	s := resumed(t, cfg, Persisted{View: standView(standEpoch-1, "x", "y", "z"), Log: log})
-	s.now += standLength
-	s.learn(standView(standEpoch, ids...))
+// newSettled returns a core that started long ago in the epoch before, and has just learned the view of testEpoch, which is on its disk.
+func newSettled(t *testing.T, cfg Config, log chain.Log, ids ...view.ReplicaID) *harness {
+	s := newRestarted(t, cfg, Persisted{View: testView(testEpoch-1, "x", "y", "z"), Log: log})
+	s.now += pastAllGrants
+	s.receiveView(testView(testEpoch, ids...))
 	s.sync()
 	return s
 }
 
-func (s *stand) step(in Input) {
+func (s *harness) step(in Input) {
 	s.t.Helper()
-	s.take(s.core.Step(s.now, in))
+	s.handleOutput(s.core.Step(s.now, in))
 }
 
-func (s *stand) take(out Output) {
+func (s *harness) handleOutput(out Output) {
 	for _, envelope := range out.Send {
 		s.sent = append(s.sent, envelope.Message)
 	}
@@ -89,8 +89,8 @@
 	}
 }
 
-// after lets time pass, and what is due happen when it is due: a step that comes later would be a pause of the replica's own.
-func (s *stand) after(length time.Duration) {
+// advance lets time pass and sends each Tick when it is due: a later one would be a pause of the replica itself.
+func (s *harness) advance(length time.Duration) {
 	for end := s.now + length; ; {
 		s.now = min(max(s.wake, s.now), end)
 		s.step(Tick{})
@@ -100,59 +100,59 @@
 	}
 }
 
-// sync says that all is on disk.
-func (s *stand) sync() {
+// sync reports that everything is on disk.
+func (s *harness) sync() {
 	for s.core.syncedToken < s.token {
 		s.step(Synced{Token: s.token})
 	}
 }
 
-// learn tells of a view.
-func (s *stand) learn(v view.View) {
-	s.step(Receive{&Message{From: standMember("other"), Epoch: v.Epoch, View: &v}})
+// receiveView hands in a view.
+func (s *harness) receiveView(v view.View) {
+	s.step(Receive{&Message{From: testMember("other"), Epoch: v.Epoch, View: &v}})
 }
 
-// receive takes a message of the core's epoch.
-func (s *stand) receive(from view.ReplicaID, m *Message) {
+// receive hands in a message of the core's epoch.
+func (s *harness) receive(from view.ReplicaID, m *Message) {
 	m.Epoch = s.core.View().Epoch
-	s.receiveAsItIs(from, m)
+	s.receiveUnchanged(from, m)
 }
 
-func (s *stand) receiveAsItIs(from view.ReplicaID, m *Message) {
-	m.From, m.To = standMember(from), s.core.Self().ID
+func (s *harness) receiveUnchanged(from view.ReplicaID, m *Message) {
+	m.From, m.To = testMember(from), s.core.Self().ID
 	s.step(Receive{m})
 }
 
-func (s *stand) beat(from view.ReplicaID, heartbeat view.Heartbeat) {
+func (s *harness) heartbeat(from view.ReplicaID, heartbeat view.Heartbeat) {
 	s.receive(from, &Message{Heartbeat: &heartbeat})
 }
 
-func (s *stand) prepare(from view.ReplicaID, round uint64) view.Ballot {
+func (s *harness) prepare(from view.ReplicaID, round uint64) view.Ballot {
 	ballot := view.Ballot{Round: round, Owner: from, Life: 1}
 	s.receive(from, &Message{Prepare: &view.Prepare{Ballot: ballot}})
 	return ballot
 }
 
-func (s *stand) accept(from view.ReplicaID, round uint64, value view.View) view.Ballot {
+func (s *harness) accept(from view.ReplicaID, round uint64, value view.View) view.Ballot {
 	ballot := view.Ballot{Round: round, Owner: from, Life: 1}
 	s.receive(from, &Message{Accept: &view.Accept{Ballot: ballot, Value: value}})
 	return ballot
 }
 
 // ack acknowledges the last heartbeat that was sent to a member.
-func (s *stand) ack(from view.ReplicaID) uint64 {
+func (s *harness) ack(from view.ReplicaID) uint64 {
 	s.t.Helper()
-	sequence := s.lastBeat(from).Sequence
-	s.ackOf(from, sequence)
+	sequence := s.lastHeartbeat(from).Sequence
+	s.ackSequence(from, sequence)
 	return sequence
 }
 
-func (s *stand) ackOf(from view.ReplicaID, sequence uint64) {
+func (s *harness) ackSequence(from view.ReplicaID, sequence uint64) {
 	s.receive(from, &Message{HeartbeatAck: &view.HeartbeatAck{Sequence: sequence, Granted: true}})
 }
 
-// lastBeat is the last heartbeat that was sent to a member.
-func (s *stand) lastBeat(to view.ReplicaID) *view.Heartbeat {
+// lastHeartbeat returns the last heartbeat that was sent to a member.
+func (s *harness) lastHeartbeat(to view.ReplicaID) *view.Heartbeat {
 	s.t.Helper()
 	var last *view.Heartbeat
 	for _, m := range s.sent {
@@ -164,38 +164,38 @@
 	return last
 }
 
-// drain gives what was sent since, and forgets it.
-func (s *stand) drain() []*Message {
+// takeSent returns the messages sent since the last call, and forgets them.
+func (s *harness) takeSent() []*Message {
 	sent := s.sent
 	s.sent = nil
 	return sent
 }
 
-func (s *stand) promises() []*view.Promise {
-	return collect(s.drain(), func(m *Message) *view.Promise { return m.Promise })
+func (s *harness) promises() []*view.Promise {
+	return collectMessages(s.takeSent(), func(m *Message) *view.Promise { return m.Promise })
 }
 
-func (s *stand) accepteds() []*view.Accepted {
-	return collect(s.drain(), func(m *Message) *view.Accepted { return m.Accepted })
+func (s *harness) acceptedReplies() []*view.Accepted {
+	return collectMessages(s.takeSent(), func(m *Message) *view.Accepted { return m.Accepted })
 }
 
-func (s *stand) acks() []*view.HeartbeatAck {
-	return collect(s.drain(), func(m *Message) *view.HeartbeatAck { return m.HeartbeatAck })
+func (s *harness) acks() []*view.HeartbeatAck {
+	return collectMessages(s.takeSent(), func(m *Message) *view.HeartbeatAck { return m.HeartbeatAck })
 }
 
-func (s *stand) beats() []*view.Heartbeat {
-	return collect(s.drain(), func(m *Message) *view.Heartbeat { return m.Heartbeat })
+func (s *harness) heartbeats() []*view.Heartbeat {
+	return collectMessages(s.takeSent(), func(m *Message) *view.Heartbeat { return m.Heartbeat })
 }
 
-func (s *stand) prepares() []*view.Prepare {
-	return collect(s.drain(), func(m *Message) *view.Prepare { return m.Prepare })
+func (s *harness) prepares() []*view.Prepare {
+	return collectMessages(s.takeSent(), func(m *Message) *view.Prepare { return m.Prepare })
 }
 
-func (s *stand) accepts() []*view.Accept {
-	return collect(s.drain(), func(m *Message) *view.Accept { return m.Accept })
+func (s *harness) accepts() []*view.Accept {
+	return collectMessages(s.takeSent(), func(m *Message) *view.Accept { return m.Accept })
 }
 
-func collect[T any](messages []*Message, part func(*Message) *T) []*T {
+func collectMessages[T any](messages []*Message, part func(*Message) *T) []*T {
 	var found []*T
 	for _, m := range messages {
 		if p := part(m); p != nil {
@@ -205,11 +205,11 @@
 	return found
 }
 
-func (s *stand) isHead() bool { return s.core.IsHead(s.now) }
-func (s *stand) isTail() bool { return s.core.IsTail(s.now) }
+func (s *harness) isHead() bool { return s.core.IsHead(s.now) }
+func (s *harness) isTail() bool { return s.core.IsTail(s.now) }
 
-// logOf is a log of so many entries of one epoch.
-func logOf(epoch, count uint64) chain.Log {
+// testLog returns a log with the given number of entries, all of one epoch.
+func testLog(epoch, count uint64) chain.Log {
 	var log chain.Log
 	for index := range count {
 		log.Append(chain.Entry{Index: index + 1, Epoch: epoch, Data: []byte("entry")})
--- a/coord/replica/trials_test.go
+++ b/coord/replica/trials_test.go
@@ -11,7 +11,7 @@
 	"gaugeslip/internal/seeds"
 )
 
-// What a fault may be. All but the last few hit one machine and count against the tolerance.
+// Kinds of faults. All but the last three hit one machine and count against the tolerance.
 const (
 	faultKill = iota
 	faultPower
@@ -31,42 +31,42 @@
 	faultKinds
 )
 
-// catchUp is how long a machine counts as lost after its return.
-const catchUp = 4 * time.Second
+// recoveryTime is how long a machine counts as lost after its return.
+const recoveryTime = 4 * time.Second
 
-// trials is a random series of faults: within what has to be borne, or fierce. Fierce ones hit any number of
-// machines, take no more disks in all than may be lost at once, and make members stand for the head's place at any time: nothing
-// has to be served meanwhile, but all that is committed has to outlast them.
-type trials struct {
+// faultTrial is a random series of faults, either within the tolerance or severe. Severe faults hit any number of machines, take no more
+// disks in all than may be lost at once, and make members start elections at any time. Nothing has to be served meanwhile, but every
+// committed entry has to survive.
+type faultTrial struct {
 	*world
-	fierce    bool
+	severe    bool
 	lostUntil map[*machine]time.Duration
 	until     time.Duration
-	disks     int // lost by fierce faults
+	lostDisks int // by severe faults
 }
 
-// spareDisk tells whether a fierce fault that would take a disk has to leave it, and counts the disk where not.
-func (t *trials) spareDisk() bool {
-	if t.disks >= t.tolerance {
+// keepDisk reports whether a severe fault has to leave a disk intact, and counts the disk as lost otherwise.
+func (t *faultTrial) keepDisk() bool {
+	if t.lostDisks >= t.tolerance {
 		return true
 	}
-	t.disks++
+	t.lostDisks++
 	return false
 }
 
-func (t *trials) next() {
+func (t *faultTrial) next() {
 	if t.now >= t.until {
 		return
 	}
 	t.fault(t.random.IntN(faultKinds))
-	if t.fierce {
-		t.after(t.between(0, 500*time.Millisecond), t.next)
+	if t.severe {
+		t.after(t.randomDuration(0, 500*time.Millisecond), t.next)
 		return
 	}
-	t.after(t.between(20*time.Millisecond, 2500*time.Millisecond), t.next)
+	t.after(t.randomDuration(20*time.Millisecond, 2500*time.Millisecond), t.next)
 }
 
-func (t *trials) lost() int {
+func (t *faultTrial) lost() int {
 	lost := 0
 	for _, m := range t.machines {
 		if !m.removed && t.lostUntil[m] > t.now {
@@ -76,13 +76,13 @@
 	return lost
 }
 
-// victim is a machine that may be lost now, or nil.
-func (t *trials) victim() *machine {
+// victim returns a machine that may be lost now, or nil.
+func (t *faultTrial) victim() *machine {
 	m := t.machines[t.random.IntN(len(t.machines))]
 	if head := t.head(); head != nil && t.random.IntN(3) == 0 {
 		m = head
 	}
-	if t.fierce && m.process != nil && !m.removed {
+	if t.severe && m.process != nil && !m.removed {
 		return m
 	}
 	if m.removed || t.lostUntil[m] > t.now || t.lost() >= t.tolerance || m.process == nil {
@@ -91,25 +91,25 @@
 	return m
 }
 
-func (t *trials) fault(kind int) {
+func (t *faultTrial) fault(kind int) {
 	switch kind {
 	case faultKillAll, faultPowerAll, faultPowerAllDisks:
-		t.all(kind)
+		t.faultAll(kind)
 		return
 	}
 	m := t.victim()
 	if m == nil {
 		return
 	}
-	if t.fierce && (kind == faultDisk || kind == faultReplace) && t.spareDisk() {
+	if t.severe && (kind == faultDisk || kind == faultReplace) && t.keepDisk() {
 		kind = faultPower
 	}
-	length := t.between(100*time.Millisecond, 3*time.Second)
-	t.lostUntil[m] = t.now + length + catchUp
+	length := t.randomDuration(100*time.Millisecond, 3*time.Second)
+	t.lostUntil[m] = t.now + length + recoveryTime
 	t.trace("%v fault %d at %s for %v", t.now, kind, m.address, length)
 	switch kind {
 	case faultKill:
-		m.end()
+		m.kill()
 		t.after(length/3, m.start)
 	case faultPower:
 		m.losePower()
@@ -124,9 +124,9 @@
 	case faultCutPair:
 		t.cutPair(m, length)
 	case faultStall:
-		m.stalled = min(t.now+length, t.until) // a sync that hangs outlasts the healing
+		m.stalledUntil = min(t.now+length, t.until) // a hanging sync would outlast the end of the faults
 	case faultDiskRefuses:
-		t.refuse(m, length)
+		t.failDisk(m, length)
 	case faultLeave:
 		t.leave(m, length)
 	case faultReplace:
@@ -134,7 +134,7 @@
 	}
 }
 
-func (t *trials) cutOff(m *machine, kind int, length time.Duration) {
+func (t *faultTrial) cutOff(m *machine, kind int, length time.Duration) {
 	for _, other := range t.machines {
 		if other == m {
 			continue
@@ -148,7 +148,7 @@
 	}
 }
 
-func (t *trials) cutPair(m *machine, length time.Duration) {
+func (t *faultTrial) cutPair(m *machine, length time.Duration) {
 	other := t.machines[t.random.IntN(len(t.machines))]
 	if other == m {
 		return
@@ -159,35 +159,35 @@
 	}
 }
 
-// refuse lets the disk refuse; the process ends later.
-func (t *trials) refuse(m *machine, length time.Duration) {
-	m.forgetPending()
-	m.writing = 1 // nothing is written any more
+// failDisk makes the disk refuse writes; the process ends later.
+func (t *faultTrial) failDisk(m *machine, length time.Duration) {
+	m.dropPending()
+	m.syncingWrites = 1 // nothing is written any more
 	m.input(DiskFailed{})
-	life := m.life
+	life := m.incarnation
 	t.after(length/2, func() {
-		if m.process != nil && m.life == life {
-			m.writing = 0
+		if m.process != nil && m.incarnation == life {
+			m.syncingWrites = 0
 			m.losePower()
 			t.after(length/2, m.start)
 		}
 	})
 }
 
-// leave is a planned stop and a start.
-func (t *trials) leave(m *machine, length time.Duration) {
+// leave stops and restarts a machine in a planned way.
+func (t *faultTrial) leave(m *machine, length time.Duration) {
 	m.input(Leave{})
-	life := m.life
+	life := m.incarnation
 	t.after(length/2, func() {
-		if m.process != nil && m.life == life {
-			m.end()
+		if m.process != nil && m.incarnation == life {
+			m.kill()
 			t.after(length/2, m.start)
 		}
 	})
 }
 
-// replace takes a machine away, planned or not, and brings another one.
-func (t *trials) replace(m *machine, length time.Duration) {
+// replace removes a machine, planned or not, and starts another one.
+func (t *faultTrial) replace(m *machine, length time.Duration) {
 	if t.random.IntN(2) == 0 {
 		m.input(Leave{})
 	}
@@ -195,7 +195,7 @@
 		m.losePower()
 		m.removed = true
 		other := t.newMachine()
-		t.lostUntil[other] = t.now + length/2 + catchUp
+		t.lostUntil[other] = t.now + length/2 + recoveryTime
 		for _, running := range t.machines {
 			running.input(Contacts{Addresses: t.contacts(running)})
 		}
@@ -203,9 +203,9 @@
 	})
 }
 
-// all takes every process at once, some of them with their disks.
-func (t *trials) all(kind int) {
-	if t.random.IntN(3) != 0 || !t.fierce && t.lost() > 0 {
+// faultAll stops every process at once, some of them with the loss of their disks.
+func (t *faultTrial) faultAll(kind int) {
+	if t.random.IntN(3) != 0 || !t.severe && t.lost() > 0 {
 		return
 	}
 	t.trace("%v fault %d at all", t.now, kind)
@@ -215,39 +215,39 @@
 		if m.removed {
 			continue
 		}
-		length := t.between(50*time.Millisecond, time.Second)
+		length := t.randomDuration(50*time.Millisecond, time.Second)
 		switch {
 		case kind == faultKillAll:
-			m.end()
-		case kind == faultPowerAllDisks && disks < t.tolerance && !(t.fierce && t.spareDisk()):
+			m.kill()
+		case kind == faultPowerAllDisks && disks < t.tolerance && !(t.severe && t.keepDisk()):
 			disks++
 			m.loseDisk()
 		default:
 			m.losePower()
 		}
-		t.lostUntil[m] = t.now + length + catchUp
+		t.lostUntil[m] = t.now + length + recoveryTime
 		t.after(length, m.start)
 	}
 }
 
 // heal ends all faults.
-func (t *trials) heal() {
+func (t *faultTrial) heal() {
 	clear(t.cuts)
-	t.lossy, t.doubled, t.slow, t.hasty = 0, 0, 0, false
+	t.lossRate, t.duplicateRate, t.delayRate, t.earlyDrops = 0, 0, 0, false
 	for _, m := range t.machines {
 		if m.process != nil {
 			m.process.cfg.DropAfter = DefaultDropAfter
 		}
-		m.stalled = 0
-		if m.frozen > t.now {
-			m.thaw() // a disk's refusal may wait among the rest
+		m.stalledUntil = 0
+		if m.frozenUntil > t.now {
+			m.unfreeze() // the queued inputs may include a DiskFailed
 		}
 		if m.process != nil && m.process.diskFailed {
-			m.writing = 0
+			m.syncingWrites = 0
 			m.losePower()
 		}
 		if m.process != nil && m.process.leaving {
-			m.end()
+			m.kill()
 		}
 		if !m.removed {
 			m.start()
@@ -257,42 +257,42 @@
 }
 
 const (
-	warmUp   = 3 * time.Second
-	faulty   = 12 * time.Second
-	recovers = 3 * time.Second
-	rejoins  = 5 * time.Second
+	warmUp        = 3 * time.Second
+	faultDuration = 12 * time.Second
+	commitTimeout = 3 * time.Second
+	rejoinTimeout = 5 * time.Second
 )
 
-// trial plays one seed.
-func trial(seed uint64, trace func(string, ...any)) error {
+// playTrial plays one seed.
+func playTrial(seed uint64, trace func(string, ...any)) error {
 	shapes := [][3]int{{3, 0, 1}, {3, 2, 2}, {5, 0, 2}, {3, 2, 1}}
 	shape := shapes[seed/2%uint64(len(shapes))]
 	w := newWorld(seed, shape[0], shape[1], shape[2])
 	if trace != nil {
 		w.trace = trace
 	}
-	t := &trials{world: w, lostUntil: make(map[*machine]time.Duration), until: warmUp + faulty}
-	t.fierce = seed%2 == 1
-	w.write(w.between(5*time.Millisecond, 80*time.Millisecond))
+	t := &faultTrial{world: w, lostUntil: make(map[*machine]time.Duration), until: warmUp + faultDuration}
+	t.severe = seed%2 == 1
+	w.writeLoop(w.randomDuration(5*time.Millisecond, 80*time.Millisecond))
 	w.run(warmUp)
 	if len(w.oracle.entries) == 0 {
 		w.fail("nothing is committed after the start")
 	}
-	t.network()
-	t.pauses()
+	t.chooseNetwork()
+	t.pauseRandomly()
 	t.next()
-	if t.fierce {
-		t.hasty = t.random.IntN(2) == 0
-		t.impatience()
+	if t.severe {
+		t.earlyDrops = t.random.IntN(2) == 0
+		t.forceElections()
 	}
 	w.run(t.until)
 	t.heal()
-	t.finish()
+	t.checkRecovery()
 	return w.failure
 }
 
-// impatience lets members stand for the head's place too early, at times all at once.
-func (t *trials) impatience() {
+// forceElections makes members start elections too early, sometimes all at once.
+func (t *faultTrial) forceElections() {
 	if t.now >= t.until {
 		return
 	}
@@ -302,42 +302,42 @@
 			m.input(Tick{})
 		}
 	}
-	t.after(t.between(10*time.Millisecond, 900*time.Millisecond), t.impatience)
+	t.after(t.randomDuration(10*time.Millisecond, 900*time.Millisecond), t.forceElections)
 }
 
-// network chooses how bad messages fare.
-func (t *trials) network() {
+// chooseNetwork chooses how unreliable the network is.
+func (t *faultTrial) chooseNetwork() {
 	if t.random.IntN(2) == 0 {
 		return
 	}
-	t.lossy = []float64{0, 0.001, 0.02}[t.random.IntN(3)]
-	t.doubled = []float64{0, 0.01}[t.random.IntN(2)]
-	t.slow = []float64{0, 0.001, 0.02}[t.random.IntN(3)]
-	if t.fierce {
-		t.lossy *= 5
-		t.slow *= 5
+	t.lossRate = []float64{0, 0.001, 0.02}[t.random.IntN(3)]
+	t.duplicateRate = []float64{0, 0.01}[t.random.IntN(2)]
+	t.delayRate = []float64{0, 0.001, 0.02}[t.random.IntN(3)]
+	if t.severe {
+		t.lossRate *= 5
+		t.delayRate *= 5
 	}
 }
 
-// pauses are the short ones of every machine.
-func (t *trials) pauses() {
+// pauseRandomly pauses random machines for short times.
+func (t *faultTrial) pauseRandomly() {
 	if t.now >= t.until {
 		return
 	}
 	m := t.machines[t.random.IntN(len(t.machines))]
-	m.freeze(t.between(20*time.Millisecond, 100*time.Millisecond))
-	t.after(t.between(100*time.Millisecond, time.Second), t.pauses)
+	m.freeze(t.randomDuration(20*time.Millisecond, 100*time.Millisecond))
+	t.after(t.randomDuration(100*time.Millisecond, time.Second), t.pauseRandomly)
 }
 
-// finish holds that all come back.
-func (t *trials) finish() {
+// checkRecovery checks that commits resume and all machines return.
+func (t *faultTrial) checkRecovery() {
 	before := len(t.oracle.entries)
-	t.run(t.now + recovers)
+	t.run(t.now + commitTimeout)
 	if t.failure == nil && len(t.oracle.entries) == before {
-		t.fail("nothing is committed %v after the faults", recovers)
+		t.fail("nothing is committed %v after the faults", commitTimeout)
 	}
-	for end := t.now + rejoins; t.now < end && t.failure == nil && len(t.missing()) > 0; {
-		t.run(t.now + rejoins/10)
+	for end := t.now + rejoinTimeout; t.now < end && t.failure == nil && len(t.missing()) > 0; {
+		t.run(t.now + rejoinTimeout/10)
 	}
 	head := t.head()
 	if t.failure != nil || head == nil {
@@ -351,8 +351,8 @@
 	}
 }
 
-// missing are the machines that aren't in the chain.
-func (t *trials) missing() []*machine {
+// missing returns the machines that aren't in the chain.
+func (t *faultTrial) missing() []*machine {
 	var missing []*machine
 	head := t.head()
 	for _, m := range t.machines {
@@ -363,10 +363,10 @@
 	return missing
 }
 
-// TestTrials plays random faults. GAUGESLIP_TRIALS gives the number of seeds, GAUGESLIP_TRIAL one seed, with a trace.
+// TestTrials plays random faults. GAUGESLIP_TRIALS sets the number of seeds, GAUGESLIP_TRIAL selects one seed, with a trace.
 func TestTrials(t *testing.T) {
 	if seed, alone := seeds.Alone(t, "GAUGESLIP_TRIAL"); alone {
-		require.NoError(t, trial(seed, t.Logf))
+		require.NoError(t, playTrial(seed, t.Logf))
 		return
 	}
 	count := 100
@@ -379,17 +379,18 @@
 		t.Run(strconv.Itoa(part), func(t *testing.T) {
 			t.Parallel()
 			for seed := part; seed < count; seed += parts {
-				err := trial(uint64(seed), nil)
+				err := playTrial(uint64(seed), nil)
 				assert.NoError(t, err, "replay with GAUGESLIP_TRIAL=%d go test -run TestTrials ./coord/replica", seed)
 			}
 		})
 	}
 }
 
-// TestTrialsThatHadFailed plays the seeds of trials that have found faults: 237 (a lost disk's place in the chain), 1491 (a lease of the epoch
-// before, beside a head elected too early), 2571 (a stalled disk of the trial's own, which lasted beyond the healing).
-func TestTrialsThatHadFailed(t *testing.T) {
+// TestFailedTrialSeeds plays the seeds of trials that have found faults: 237 (a lost disk's place in the chain), 1491 (a lease of the
+// epoch before, beside a head that was elected too early), 2571 (a stalled disk of the trial itself, which lasted beyond the end of the
+// faults).
+func TestFailedTrialSeeds(t *testing.T) {
 	for _, seed := range []uint64{237, 1491, 2571} {
-		assert.NoError(t, trial(seed, nil), "replay with GAUGESLIP_TRIAL=%d go test -run TestTrials ./coord/replica", seed)
+		assert.NoError(t, playTrial(seed, nil), "replay with GAUGESLIP_TRIAL=%d go test -run TestTrials ./coord/replica", seed)
 	}
 }
--- a/coord/replica/voter_test.go
+++ b/coord/replica/voter_test.go
@@ -11,72 +11,74 @@
 	"gaugeslip/coord/view"
 )
 
-// voter is b of a chain a, b, c that hasn't heard its head yet.
-func voter(t *testing.T) *stand { return settled(t, standConfig("b"), chain.Log{}, "a", "b", "c") }
+// newVoter returns replica b of the chain a, b, c, which hasn't heard its head yet.
+func newVoter(t *testing.T) *harness {
+	return newSettled(t, testConfig("b"), chain.Log{}, "a", "b", "c")
+}
 
 func TestGrantKeepsOthersOut(t *testing.T) {
-	s := voter(t)
-	s.beat("a", view.Heartbeat{Sequence: 1})
+	s := newVoter(t)
+	s.heartbeat("a", view.Heartbeat{Sequence: 1})
 	require.True(t, s.acks()[0].Granted)
 	s.now += DefaultGrant - time.Millisecond
 	s.prepare("c", 1)
-	require.False(t, s.promises()[0].OK, "the grant counts still")
-	s.accept("c", 1, standView(standEpoch+1, "c", "b"))
-	require.False(t, s.accepteds()[0].OK)
+	require.False(t, s.promises()[0].OK, "the grant still counts")
+	s.accept("c", 1, testView(testEpoch+1, "c", "b"))
+	require.False(t, s.acceptedReplies()[0].OK)
 	s.now += time.Millisecond
 	s.prepare("c", 2)
 	s.sync()
-	assert.True(t, s.promises()[0].OK, "it is over")
+	assert.True(t, s.promises()[0].OK, "the grant has run out")
 }
 
-func TestLaterHeartbeatProlongsTheGrant(t *testing.T) {
-	s := voter(t)
-	s.beat("a", view.Heartbeat{Sequence: 1})
+func TestLaterHeartbeatExtendsTheGrant(t *testing.T) {
+	s := newVoter(t)
+	s.heartbeat("a", view.Heartbeat{Sequence: 1})
 	s.now += DefaultGrant / 2
-	s.beat("a", view.Heartbeat{Sequence: 2})
+	s.heartbeat("a", view.Heartbeat{Sequence: 2})
 	s.now += DefaultGrant - time.Millisecond
-	s.drain()
+	s.takeSent()
 	s.prepare("c", 1)
 	assert.False(t, s.promises()[0].OK)
 }
 
-func TestPromiseLeavesAfterItsSync(t *testing.T) {
-	s := voter(t)
-	s.drain()
+func TestPromiseIsSentAfterItsSync(t *testing.T) {
+	s := newVoter(t)
+	s.takeSent()
 	ballot := s.prepare("c", 3)
 	require.Empty(t, s.promises(), "the promise isn't on disk")
 	restored, err := Restore(s.records)
 	require.NoError(t, err)
-	require.Equal(t, ballot, restored.Acceptor.Promised, "what is to be on disk holds it")
+	require.Equal(t, ballot, restored.Acceptor.Promised, "the records handed out contain it")
 	s.prepare("c", 3)
-	require.Empty(t, s.promises(), "asked again, it isn't on disk either")
+	require.Empty(t, s.promises(), "it isn't on disk at the second request either")
 	s.sync()
 	promises := s.promises()
 	require.Len(t, promises, 2)
 	assert.True(t, promises[0].OK)
 }
 
-func TestAcceptedLeavesAfterItsSync(t *testing.T) {
-	s := voter(t)
-	s.drain()
-	next := standView(standEpoch+1, "c", "b")
+func TestAcceptedIsSentAfterItsSync(t *testing.T) {
+	s := newVoter(t)
+	s.takeSent()
+	next := testView(testEpoch+1, "c", "b")
 	ballot := s.accept("c", 3, next)
-	require.Empty(t, s.accepteds(), "the vote isn't on disk")
+	require.Empty(t, s.acceptedReplies(), "the vote isn't on disk")
 	restored, err := Restore(s.records)
 	require.NoError(t, err)
-	require.Equal(t, ballot, restored.Acceptor.Accepted, "what is to be on disk holds it")
+	require.Equal(t, ballot, restored.Acceptor.Accepted, "the records handed out contain it")
 	require.True(t, restored.Acceptor.Value.Equal(next))
 	s.accept("c", 3, next)
-	require.Empty(t, s.accepteds())
+	require.Empty(t, s.acceptedReplies())
 	s.sync()
-	accepted := s.accepteds()
+	accepted := s.acceptedReplies()
 	require.Len(t, accepted, 2)
 	assert.True(t, accepted[0].OK)
 }
 
 func TestEachPromiseWaitsForItsOwnSync(t *testing.T) {
-	s := voter(t)
-	s.drain()
+	s := newVoter(t)
+	s.takeSent()
 	first := s.prepare("c", 3)
 	token := s.token
 	s.prepare("c", 4)
@@ -86,23 +88,23 @@
 	assert.Equal(t, first, promises[0].Ballot)
 }
 
-func TestNothingIsPromisedOnABrokenDisk(t *testing.T) {
-	s := voter(t)
-	s.drain()
+func TestNothingIsPromisedOnFailedDisk(t *testing.T) {
+	s := newVoter(t)
+	s.takeSent()
 	s.prepare("c", 2)
 	token := s.token
 	s.step(DiskFailed{})
 	s.step(Synced{Token: token})
 	s.prepare("c", 3)
-	s.accept("c", 3, standView(standEpoch+1, "c", "b"))
+	s.accept("c", 3, testView(testEpoch+1, "c", "b"))
 	s.step(Synced{Token: s.token + 1})
-	for _, m := range s.drain() {
+	for _, m := range s.takeSent() {
 		assert.False(t, m.Promise != nil && m.Promise.OK || m.Accepted != nil && m.Accepted.OK)
 	}
 }
 
 func TestRestartedVoterWaitsOutItsGrants(t *testing.T) {
-	s := resumed(t, standConfig("b"), Persisted{View: standView(standEpoch, "a", "b", "c")})
+	s := newRestarted(t, testConfig("b"), Persisted{View: testView(testEpoch, "a", "b", "c")})
 	s.now += DefaultGrant - time.Millisecond
 	s.prepare("c", 1)
 	require.False(t, s.promises()[0].OK)
@@ -112,13 +114,13 @@
 	assert.True(t, s.promises()[0].OK)
 }
 
-// The earlier life may have granted in an epoch of which its disk has no trace.
+// The earlier incarnation may have granted in an epoch of which its disk has no trace.
 func TestRestartedVoterWaitsInALaterEpochToo(t *testing.T) {
-	s := resumed(t, standConfig("b"), Persisted{View: standView(standEpoch-1, "a", "b", "c")})
+	s := newRestarted(t, testConfig("b"), Persisted{View: testView(testEpoch-1, "a", "b", "c")})
 	s.now += time.Millisecond
-	s.learn(standView(standEpoch, "a", "b", "c"))
+	s.receiveView(testView(testEpoch, "a", "b", "c"))
 	s.sync()
-	s.now = standStart + DefaultGrant - time.Millisecond
+	s.now = testStart + DefaultGrant - time.Millisecond
 	s.prepare("c", 1)
 	require.False(t, s.promises()[0].OK)
 	s.now += time.Millisecond
@@ -127,15 +129,15 @@
 	assert.True(t, s.promises()[0].OK)
 }
 
-// A seed that dies at the very first start, before anything is on its disk, has the same identity in its next life.
+// A seed that dies at its very first start, before anything is on its disk, has the same identity in its next incarnation.
 func TestRestartedSeedWaitsOutItsGrants(t *testing.T) {
-	genesis := standView(0, "a", "b", "c")
-	cfg := standConfig("b")
+	genesis := testView(0, "a", "b", "c")
+	cfg := testConfig("b")
 	cfg.Genesis = &genesis
-	s := resumed(t, cfg, Persisted{})
+	s := newRestarted(t, cfg, Persisted{})
 	s.step(Tick{})
 	s.sync()
-	s.drain()
+	s.takeSent()
 	s.now += DefaultGrant - time.Millisecond
 	s.prepare("c", 1)
 	assert.False(t, s.promises()[0].OK)
@@ -143,11 +145,11 @@
 
 func TestRestartedVoterKeepsItsVotes(t *testing.T) {
 	higher := view.Ballot{Round: 9, Owner: "c", Life: 1}
-	found := standView(standEpoch+1, "c", "b")
-	disk := Persisted{View: standView(standEpoch, "a", "b", "c"),
-		Acceptor: view.Acceptor{Instance: standEpoch + 1, Promised: higher, Accepted: higher, Value: &found}}
-	s := resumed(t, standConfig("b"), disk)
-	s.now += standLength
+	found := testView(testEpoch+1, "c", "b")
+	disk := Persisted{View: testView(testEpoch, "a", "b", "c"),
+		Acceptor: view.Acceptor{Instance: testEpoch + 1, Promised: higher, Accepted: higher, Value: &found}}
+	s := newRestarted(t, testConfig("b"), disk)
+	s.now += pastAllGrants
 	s.prepare("a", 5)
 	refused := s.promises()[0]
 	require.False(t, refused.OK)
@@ -160,27 +162,27 @@
 	assert.True(t, promise.Value.Equal(found))
 }
 
-func TestVotesOfAnotherInstanceDontCount(t *testing.T) {
+func TestVotesOfAnotherInstanceDoNotCount(t *testing.T) {
 	ballot := view.Ballot{Round: 9, Owner: "c", Life: 1}
-	found := standView(standEpoch, "c", "b")
-	disk := Persisted{View: standView(standEpoch, "a", "b", "c"),
-		Acceptor: view.Acceptor{Instance: standEpoch, Promised: ballot, Accepted: ballot, Value: &found}}
-	s := resumed(t, standConfig("b"), disk)
-	s.now += standLength
+	found := testView(testEpoch, "c", "b")
+	disk := Persisted{View: testView(testEpoch, "a", "b", "c"),
+		Acceptor: view.Acceptor{Instance: testEpoch, Promised: ballot, Accepted: ballot, Value: &found}}
+	s := newRestarted(t, testConfig("b"), disk)
+	s.now += pastAllGrants
 	s.prepare("c", 1)
 	s.sync()
 	promise := s.promises()[0]
 	require.True(t, promise.OK)
-	assert.Nil(t, promise.Value, "it was accepted for the epoch that is over")
+	assert.Nil(t, promise.Value, "it was accepted for an epoch that has ended")
 }
 
-func TestLearntViewBeginsAnotherInstance(t *testing.T) {
-	s := voter(t)
-	s.accept("c", 9, standView(standEpoch+1, "c", "b"))
+func TestLearnedViewStartsAnotherInstance(t *testing.T) {
+	s := newVoter(t)
+	s.accept("c", 9, testView(testEpoch+1, "c", "b"))
 	s.sync()
-	s.learn(standView(standEpoch+1, "c", "b"))
+	s.receiveView(testView(testEpoch+1, "c", "b"))
 	s.sync()
-	s.drain()
+	s.takeSent()
 	s.prepare("c", 1)
 	s.sync()
 	promise := s.promises()[0]
@@ -188,85 +190,85 @@
 	assert.Nil(t, promise.Value)
 }
 
-func TestRewrittenLogKeepsTheVotes(t *testing.T) {
-	s := voter(t)
-	ballot := s.accept("c", 9, standView(standEpoch+1, "c", "b"))
+func TestCompactedLogKeepsVotes(t *testing.T) {
+	s := newVoter(t)
+	ballot := s.accept("c", 9, testView(testEpoch+1, "c", "b"))
 	s.sync()
 	restored, err := Restore(s.core.Compact(nil, 0))
 	require.NoError(t, err)
 	assert.Equal(t, view.ReplicaID("b"), restored.Identity)
-	assert.Equal(t, uint64(standEpoch), restored.View.Epoch)
+	assert.Equal(t, uint64(testEpoch), restored.View.Epoch)
 	assert.Equal(t, ballot, restored.Acceptor.Accepted)
 }
 
 func TestNoGrantAfterAPromise(t *testing.T) {
-	s := voter(t)
+	s := newVoter(t)
 	s.prepare("c", 1)
 	s.sync()
-	s.drain()
-	s.beat("a", view.Heartbeat{Sequence: 1})
+	s.takeSent()
+	s.heartbeat("a", view.Heartbeat{Sequence: 1})
 	assert.False(t, s.acks()[0].Granted)
 }
 
-func TestWhoHasNoVoteNeitherVotesNorGrants(t *testing.T) {
-	s := settled(t, standConfig("d"), chain.Log{}, "a", "b", "c")
-	s.drain()
+func TestNonVoterNeitherVotesNorGrants(t *testing.T) {
+	s := newSettled(t, testConfig("d"), chain.Log{}, "a", "b", "c")
+	s.takeSent()
 	s.prepare("c", 1)
-	s.accept("c", 1, standView(standEpoch+1, "c", "b"))
-	s.beat("a", view.Heartbeat{Sequence: 1})
+	s.accept("c", 1, testView(testEpoch+1, "c", "b"))
+	s.heartbeat("a", view.Heartbeat{Sequence: 1})
 	s.sync()
-	for _, m := range s.drain() {
+	for _, m := range s.takeSent() {
 		assert.False(t, m.Promise != nil && m.Promise.OK)
 		assert.False(t, m.Accepted != nil && m.Accepted.OK)
 		assert.False(t, m.HeartbeatAck != nil && m.HeartbeatAck.Granted)
 	}
 }
 
-// What belongs to another epoch is not taken; whoever is behind is told the view, and asked for it where it is ahead.
-func TestMessagesOfOtherEpochsDontCount(t *testing.T) {
-	for _, epoch := range []uint64{standEpoch - 1, standEpoch + 1} {
-		s := voter(t)
-		s.drain()
+// Messages of other epochs are ignored. A sender that is behind is sent the view, and one that is ahead is asked for it.
+func TestMessagesOfOtherEpochsDoNotCount(t *testing.T) {
+	for _, epoch := range []uint64{testEpoch - 1, testEpoch + 1} {
+		s := newVoter(t)
+		s.takeSent()
 		prepare := &view.Prepare{Ballot: view.Ballot{Round: 1, Owner: "c"}}
-		s.receiveAsItIs("c", &Message{Epoch: epoch, Prepare: prepare})
-		s.receiveAsItIs("a", &Message{Epoch: epoch, Heartbeat: &view.Heartbeat{Sequence: 1}})
+		s.receiveUnchanged("c", &Message{Epoch: epoch, Prepare: prepare})
+		s.receiveUnchanged("a", &Message{Epoch: epoch, Heartbeat: &view.Heartbeat{Sequence: 1}})
 		s.sync()
-		for _, m := range s.drain() {
+		for _, m := range s.takeSent() {
 			assert.Nil(t, m.Promise, "epoch %d", epoch)
 			assert.Nil(t, m.HeartbeatAck, "epoch %d", epoch)
-			assert.Equal(t, epoch < standEpoch, m.View != nil)
-			assert.Equal(t, epoch > standEpoch, m.Request != nil)
+			assert.Equal(t, epoch < testEpoch, m.View != nil)
+			assert.Equal(t, epoch > testEpoch, m.Request != nil)
 		}
 	}
 }
 
-func TestMessagesForAnotherDiskDontCount(t *testing.T) {
-	s := voter(t)
-	s.drain()
-	m := &Message{From: standMember("a"), To: "lost", Epoch: standEpoch, Heartbeat: &view.Heartbeat{Sequence: 1}}
+func TestMessagesForAnotherDiskDoNotCount(t *testing.T) {
+	s := newVoter(t)
+	s.takeSent()
+	m := &Message{From: testMember("a"), To: "lost", Epoch: testEpoch, Heartbeat: &view.Heartbeat{Sequence: 1}}
 	s.step(Receive{m})
 	assert.Empty(t, s.acks())
 }
 
 func TestOnlyTheHeadIsGranted(t *testing.T) {
-	s := voter(t)
-	s.drain()
-	s.beat("c", view.Heartbeat{Sequence: 1})
+	s := newVoter(t)
+	s.takeSent()
+	s.heartbeat("c", view.Heartbeat{Sequence: 1})
 	assert.Empty(t, s.acks())
 	s.prepare("c", 1)
 	s.sync()
 	assert.True(t, s.promises()[0].OK, "there is no grant")
 }
 
-func TestOlderViewIsNotTaken(t *testing.T) {
-	s := voter(t)
-	s.learn(standView(standEpoch-1, "x", "y", "z"))
-	assert.Equal(t, uint64(standEpoch), s.core.View().Epoch)
+func TestOlderViewIsIgnored(t *testing.T) {
+	s := newVoter(t)
+	s.receiveView(testView(testEpoch-1, "x", "y", "z"))
+	assert.Equal(t, uint64(testEpoch), s.core.View().Epoch)
 	assert.NoError(t, s.fault)
 }
 
 func TestTwoViewsOfOneEpochAreAFault(t *testing.T) {
-	s := voter(t)
-	s.learn(standView(standEpoch, "a", "b"))
+	s := newVoter(t)
+	s.receiveView(testView(testEpoch, "a", "b"))
 	assert.ErrorIs(t, s.fault, chain.ErrDiverged)
 }
--- a/coord/replica/weight_test.go
+++ b/coord/replica/weight_test.go
@@ -4,74 +4,76 @@
 	"time"
 )
 
-// When the control plane rewrites its log: at this length, and again at each multiple of its rewritten length.
+// The control plane compacts its log at this length, and then at this multiple of the compacted length.
 const (
-	leastCompaction  = 1 << 20
-	compactionGrowth = 3
+	minCompactionBytes = 1 << 20
+	compactionGrowth   = 3
 )
 
-// weight is what a state of real size costs. A nil weight costs nothing.
-type weight struct {
-	bytes     int           // of a snapshot, as it is held in the simulation
-	scale     int           // each of these bytes costs as much as so many
-	make      time.Duration // a MB, of the giver's processor
-	restore   time.Duration // a MB, of the taker's processor
-	write     time.Duration // a MB, of the disk
-	perSecond float64       // bytes that leave a machine
-	free      map[string]time.Duration
-	arrival   map[[2]string]time.Duration
+// stateCosts is the cost of a state of realistic size. A nil stateCosts costs nothing.
+type stateCosts struct {
+	bytes          int           // of a snapshot in the simulation
+	scale          int           // each of these bytes costs as much as this many
+	makePerMB      time.Duration // processor time of the sender
+	restorePerMB   time.Duration // processor time of the receiver
+	writePerMB     time.Duration // disk time
+	bytesPerSecond float64       // that a machine can send
+	lineFreeAt     map[string]time.Duration
+	lastArrival    map[[2]string]time.Duration
 }
 
-// newWeight has the figures that BenchmarkSnapshot, BenchmarkRestore and BenchmarkLargeRecord measured, and a network of 1,000 Mbit/s.
-func newWeight(bytes, scale int) *weight {
-	return &weight{bytes: bytes / scale, scale: scale, make: 7300 * time.Microsecond, restore: 28 * time.Millisecond, write: 5200 * time.Microsecond,
-		perSecond: 125e6, free: make(map[string]time.Duration), arrival: make(map[[2]string]time.Duration)}
+// newStateCosts uses the figures that BenchmarkSnapshot, BenchmarkRestore and BenchmarkLargeRecord measured, and a network of 1,000
+// Mbit/s.
+func newStateCosts(bytes, scale int) *stateCosts {
+	return &stateCosts{bytes: bytes / scale, scale: scale, makePerMB: 7300 * time.Microsecond,
+		restorePerMB: 28 * time.Millisecond, writePerMB: 5200 * time.Microsecond, bytesPerSecond: 125e6,
+		lineFreeAt: make(map[string]time.Duration), lastArrival: make(map[[2]string]time.Duration)}
 }
 
-func costOf(bytes int, ofMB time.Duration) time.Duration {
-	return time.Duration(float64(bytes) / 1e6 * float64(ofMB))
+func timeFor(bytes int, perMB time.Duration) time.Duration {
+	return time.Duration(float64(bytes) / 1e6 * float64(perMB))
 }
 
-func (w *weight) making() time.Duration {
-	if w == nil {
+func (c *stateCosts) makeTime() time.Duration {
+	if c == nil {
 		return 0
 	}
-	return costOf(w.bytes*w.scale, w.make)
+	return timeFor(c.bytes*c.scale, c.makePerMB)
 }
 
-func (w *weight) restoring(bytes int) time.Duration {
-	if w == nil {
+func (c *stateCosts) restoreTime(bytes int) time.Duration {
+	if c == nil {
 		return 0
 	}
-	return costOf(bytes*w.scale, w.restore)
+	return timeFor(bytes*c.scale, c.restorePerMB)
 }
 
-func (w *weight) writing(writes []diskWrite) time.Duration {
-	if w == nil {
+func (c *stateCosts) writeTime(writes []diskWrite) time.Duration {
+	if c == nil {
 		return 0
 	}
 	bytes := 0
 	for i := range writes {
 		for j := range writes[i].records {
 			size := len(writes[i].records[j].Data)
-			if size > w.bytes {
-				size *= w.scale
+			if size > c.bytes {
+				size *= c.scale
 			}
 			bytes += size
 		}
 	}
-	return costOf(bytes, w.write)
+	return timeFor(bytes, c.writePerMB)
 }
 
-// transfer adds to a delay what the sender's line takes, and keeps the order of messages between two machines.
-func (w *weight) transfer(now time.Duration, from string, envelope Envelope, delay time.Duration) time.Duration {
-	if w == nil {
+// transferTime adds the time on the sender's line to a delay, and keeps the messages between two machines in order.
+func (c *stateCosts) transferTime(now time.Duration, from string, envelope Envelope, delay time.Duration) time.Duration {
+	if c == nil {
 		return delay
 	}
 	bytes := 300
 	if body := envelope.Message.Chain; body != nil {
 		if body.Chunk != nil {
-			bytes += len(body.Chunk.Data) * w.scale
+			bytes += len(body.Chunk.Data) * c.scale
 		}
 		if body.Append != nil {
 			for i := range body.Append.Entries {
@@ -79,39 +81,39 @@
 			}
 		}
 	}
-	sent := max(now, w.free[from]) + time.Duration(float64(bytes)/w.perSecond*float64(time.Second))
-	w.free[from] = sent
+	sent := max(now, c.lineFreeAt[from]) + time.Duration(float64(bytes)/c.bytesPerSecond*float64(time.Second))
+	c.lineFreeAt[from] = sent
 	link := [2]string{from, envelope.To}
-	arrival := max(sent+delay, w.arrival[link]+time.Microsecond)
-	w.arrival[link] = arrival
+	arrival := max(sent+delay, c.lastArrival[link]+time.Microsecond)
+	c.lastArrival[link] = arrival
 	return arrival - now
 }
 
-// captureSlice is how long one slice of a snapshot takes.
+// captureSlice is the duration of one slice of a snapshot.
 const captureSlice = 2 * time.Millisecond
 
-// capture makes a snapshot of this moment in slices, between which the process does other work, and hands it to all that want one
-// meanwhile.
-func (m *machine) capture(taker func(index uint64, snapshot []byte)) {
-	m.takers = append(m.takers, taker)
-	if len(m.takers) > 1 {
+// captureSnapshot takes a snapshot of the present state in slices, between which the process does other work, and hands it to everyone
+// who asks for one meanwhile.
+func (m *machine) captureSnapshot(taker func(index uint64, snapshot []byte)) {
+	m.snapshotWaiters = append(m.snapshotWaiters, taker)
+	if len(m.snapshotWaiters) > 1 {
 		return
 	}
-	life, index, data := m.life, m.applied, m.snapshot()
-	left := m.world.weight.making()
+	life, index, data := m.incarnation, m.applied, m.snapshot()
+	left := m.world.costs.makeTime()
 	var slice func()
 	slice = func() {
 		switch {
-		case m.life != life:
-		case m.frozen > m.world.now:
-			m.world.after(m.frozen-m.world.now, slice)
+		case m.incarnation != life:
+		case m.frozenUntil > m.world.now:
+			m.world.after(m.frozenUntil-m.world.now, slice)
 		case left > 0:
 			left -= captureSlice
 			m.freeze(captureSlice)
 			m.world.after(captureSlice+100*time.Microsecond, slice)
 		default:
-			takers := m.takers
-			m.takers = nil
+			takers := m.snapshotWaiters
+			m.snapshotWaiters = nil
 			for _, taker := range takers {
 				taker(index, data)
 			}
