--- a/coord/replica/config.go
+++ b/coord/replica/config.go
@@ -34,12 +34,12 @@
 	admissionRetryDelay       = 300 * time.Millisecond // after a hold that did not succeed
 	admissionDelay            = 600 * time.Millisecond // after a new head began to act
 	admissionMaxLag           = 512                    // entries that a learner may lack when writes are held back for it
-	stuckThreshold            = 250 * time.Millisecond // after which an uncommitted entry ends read permissions and admissions
-	voterTimeout              = 2 * time.Second        // after which the vote of a silent voter outside the chain can be reassigned
+	stuckThreshold            = 250 * time.Millisecond // after which an uncommitted entry stops new read permissions and delays admissions
+	voterTimeout              = 2 * time.Second        // after which a silent voter outside the chain can lose its vote
 	refusedGrantTimeout       = time.Second            // after which a new epoch clears the promise that keeps a voter from granting
-	viewSendInterval          = 10 * time.Millisecond  // the minimum between two sendings of the view to one address
+	viewSendInterval          = 10 * time.Millisecond  // minimum between two sendings of the view to one address
 	longPauseThreshold        = 350 * time.Millisecond // between two steps
-	electionDelayAfterPause   = 200 * time.Millisecond // the minimum until an election after a long pause
+	electionDelayAfterPause   = 200 * time.Millisecond // minimum from the end of a long pause to an election
 	minPause                  = 3 * time.Millisecond   // a step that is less late than this is no pause
 	maxWakeInterval           = 50 * time.Millisecond  // the shorter, the less of a pause goes unnoticed
 	minPenalty                = 2 * time.Second
--- a/coord/replica/election.go
+++ b/coord/replica/election.go
@@ -52,7 +52,7 @@
 	r.sendBallot(now)
 }
 
-// advanceBallot repeats a ballot, or moves it on to its second phase.
+// advanceBallot resends a ballot, moves it on to its second phase, or starts a higher one after it was outbid.
 func (r *Replica) advanceBallot(now time.Duration) {
 	if !r.proposer.Active() {
 		return
@@ -204,7 +204,7 @@
 	}
 }
 
-// onDecided adopts the value that a majority has accepted and sends it to every replica of the old and the new view.
+// onDecided adopts the value that a majority has accepted, and sends it to the voters of both views and to the members of the new chain.
 func (r *Replica) onDecided(now time.Duration) {
 	before := r.view
 	next := *r.proposer.Value
--- a/coord/replica/leader_test.go
+++ b/coord/replica/leader_test.go
@@ -218,16 +218,16 @@
 	require.Equal(t, DefaultGrant/readGrantDivisor, s.lastHeartbeat("c").ReadFor, "the permission is bounded even if the lease lasts longer")
 	s.advance(DefaultHeartbeatEvery)
 	s.advance(DefaultHeartbeatEvery)
-	beat := s.lastHeartbeat("c")
-	require.NotZero(t, beat.Echo)
-	require.Equal(t, lease-s.now, beat.ReadFor)
-	require.Less(t, beat.ReadFor, DefaultGrant/readGrantDivisor)
+	heartbeat := s.lastHeartbeat("c")
+	require.NotZero(t, heartbeat.Echo)
+	require.Equal(t, lease-s.now, heartbeat.ReadFor)
+	require.Less(t, heartbeat.ReadFor, DefaultGrant/readGrantDivisor)
 	s.now = lease
 	s.step(Tick{})
 	s.advance(DefaultHeartbeatEvery)
-	beat = s.lastHeartbeat("c")
-	assert.Zero(t, beat.Echo)
-	assert.Zero(t, beat.ReadFor)
+	heartbeat = s.lastHeartbeat("c")
+	assert.Zero(t, heartbeat.Echo)
+	assert.Zero(t, heartbeat.ReadFor)
 }
 
 func TestNoReadPermissionWithoutEcho(t *testing.T) {
@@ -444,11 +444,11 @@
 func TestSilenceOfOthersDoesNotExcuseStalledDisk(t *testing.T) {
 	s := newLeaderWithEntry(t)
 	began := s.now
-	for beat := 0; len(collectMessages(s.sent, func(m *Message) *view.Accept { return m.Accept })) == 0; beat++ {
+	for heartbeat := 0; len(collectMessages(s.sent, func(m *Message) *view.Accept { return m.Accept })) == 0; heartbeat++ {
 		require.Less(t, s.now, began+2*DefaultDropAfter, "nobody is dropped")
 		stalled := &view.HeartbeatAck{Sequence: s.lastHeartbeat("b").Sequence, Granted: true, Received: 1}
 		s.receive("b", &Message{HeartbeatAck: stalled})
-		if beat%(quietHeartbeats+2) == 0 {
+		if heartbeat%(quietHeartbeats+2) == 0 {
 			s.ackSequence("c", s.lastHeartbeat("c").Sequence)
 		}
 		s.advance(DefaultHeartbeatEvery)
@@ -462,10 +462,10 @@
 func TestOwnSilenceExcusesStalledDiskOnlyForItsLength(t *testing.T) {
 	s := newLeaderWithEntry(t)
 	began := s.now
-	const quietBeats = quietHeartbeats + 2
-	for beat := 0; len(collectMessages(s.sent, func(m *Message) *view.Accept { return m.Accept })) == 0; beat++ {
-		require.Less(t, s.now, began+quietBeats*DefaultDropAfter, "nobody is dropped")
-		if beat%quietBeats < 2 {
+	const quietCount = quietHeartbeats + 2
+	for heartbeat := 0; len(collectMessages(s.sent, func(m *Message) *view.Accept { return m.Accept })) == 0; heartbeat++ {
+		require.Less(t, s.now, began+quietCount*DefaultDropAfter, "nobody is dropped")
+		if heartbeat%quietCount < 2 {
 			stalled := &view.HeartbeatAck{Sequence: s.lastHeartbeat("b").Sequence, Granted: true, Received: 1}
 			s.receive("b", &Message{HeartbeatAck: stalled})
 		}
@@ -475,5 +475,5 @@
 	next := s.accepts()[0].Value
 	assert.False(t, next.InChain("b"))
 	assert.True(t, next.InChain("c"))
-	assert.Greater(t, s.now, began+DefaultDropAfter+quietBeats*DefaultHeartbeatEvery/2, "its silence must be taken into account")
+	assert.Greater(t, s.now, began+DefaultDropAfter+quietCount*DefaultHeartbeatEvery/2, "its silence must be taken into account")
 }
--- a/coord/replica/replica.go
+++ b/coord/replica/replica.go
@@ -114,7 +114,7 @@
 }
 
 // startEmpty starts on an empty disk. With a genesis view, an earlier incarnation may have granted heartbeats under the same identity
-// before that was on disk.
+// before the identity was on disk.
 func (r *Replica) startEmpty(now time.Duration) {
 	r.store(encodeIdentity(r.self.ID))
 	if r.cfg.Genesis != nil {
