--- a/coord/replica/backoff.go
+++ b/coord/replica/backoff.go
@@ -7,57 +7,57 @@
 	"gaugeslip/coord/view"
 )
 
-// How patience with one replica grows with the others that fell out of the chain lately: where many do, what slows them down is
-// likely shared, and changing the view again doesn't help. The first few faults are met at once, and so is one replica's trouble
-// however often it comes back.
+// How the timeouts for one replica grow with the recent losses of others from the chain: if there are many, their cause is likely
+// shared, and another view change doesn't help. The first few faults are handled without delay, and so are the faults of a single
+// replica, however often they recur.
 const (
-	upsetsKept     = 16
-	upsetFor       = time.Minute
-	stallFrom      = 1 // upsets after which each one doubles patience with slow disks
-	stallDoublings = 2
-	silenceFrom    = 4 // upsets after which patience with silence grows
-	silenceSteps   = 4 // upsets after which it has grown by a grant
+	maxChainLosses     = 16
+	chainLossWindow    = time.Minute
+	stallDoublingFrom  = 1 // losses after which each further one doubles the timeout of slow disks
+	maxStallDoublings  = 2
+	silenceGrowthFrom  = 4 // losses after which the allowance for silence grows
+	silenceGrowthSteps = 4 // further losses after which it has grown by a grant
 )
 
-// upset is a view from which members fell out of the chain.
-type upset struct {
+// chainLoss is a view change that removed members from the chain.
+type chainLoss struct {
 	at   time.Duration
-	fell []view.ReplicaID
+	lost []view.ReplicaID
 }
 
-// noteUpset notes the members that fall out of the chain, if any do.
-func (r *Replica) noteUpset(now time.Duration, before, after view.View) {
-	u := upset{at: now}
+// noteChainLoss records the members that a view change removes from the chain, if any.
+func (r *Replica) noteChainLoss(now time.Duration, before, after view.View) {
+	u := chainLoss{at: now}
 	for _, member := range before.Chain {
 		if !after.InChain(member.ID) {
-			u.fell = append(u.fell, member.ID)
+			u.lost = append(u.lost, member.ID)
 		}
 	}
-	if len(u.fell) == 0 {
+	if len(u.lost) == 0 {
 		return
 	}
-	r.upsets = append(r.upsets, u)
-	r.upsets = slices.Clone(r.upsets[max(len(r.upsets)-upsetsKept, 0):])
+	r.chainLosses = append(r.chainLosses, u)
+	r.chainLosses = slices.Clone(r.chainLosses[max(len(r.chainLosses)-maxChainLosses, 0):])
 }
 
-// upsetsBeside is how often other members fell out of the chain within the last minute.
-func (r *Replica) upsetsBeside(now time.Duration, id view.ReplicaID) int {
+// lossesOfOthers returns how many view changes within chainLossWindow removed a member other than id.
+func (r *Replica) lossesOfOthers(now time.Duration, id view.ReplicaID) int {
 	other := func(fell view.ReplicaID) bool { return fell != id }
 	count := 0
-	for _, u := range r.upsets {
-		if now-u.at < upsetFor && slices.ContainsFunc(u.fell, other) {
+	for _, u := range r.chainLosses {
+		if now-u.at < chainLossWindow && slices.ContainsFunc(u.lost, other) {
 			count++
 		}
 	}
 	return count
 }
 
-// stallPatience is how long the disk of a replica that is in touch, or the own one, may hold things up.
-func (r *Replica) stallPatience(now time.Duration, id view.ReplicaID) time.Duration {
-	return r.cfg.StallAfter << min(max(r.upsetsBeside(now, id)-stallFrom, 0), stallDoublings)
+// diskTimeout returns how long the disk of a responsive replica, or the own one, may hold an entry up.
+func (r *Replica) diskTimeout(now time.Duration, id view.ReplicaID) time.Duration {
+	return r.cfg.StallAfter << min(max(r.lossesOfOthers(now, id)-stallDoublingFrom, 0), maxStallDoublings)
 }
 
-// silencePatience is what is added to the time for which another replica may be silent, a grant at most.
-func (r *Replica) silencePatience(now time.Duration, id view.ReplicaID) time.Duration {
-	return r.cfg.Grant * time.Duration(min(max(r.upsetsBeside(now, id)-silenceFrom, 0), silenceSteps)) / silenceSteps
+// silenceAllowance returns what is added to the time for which another replica may be silent, at most a grant.
+func (r *Replica) silenceAllowance(now time.Duration, id view.ReplicaID) time.Duration {
+	return r.cfg.Grant * time.Duration(min(max(r.lossesOfOthers(now, id)-silenceGrowthFrom, 0), silenceGrowthSteps)) / silenceGrowthSteps
 }
--- a/coord/replica/effects.go
+++ b/coord/replica/effects.go
@@ -7,7 +7,7 @@
 	"gaugeslip/coord/view"
 )
 
-// environment is the Replica as its chain sees it.
+// environment is a Replica as its chain sees it.
 type environment Replica
 
 func (e *environment) Send(to view.Member, body *chain.Body) {
@@ -50,13 +50,14 @@
 }
 
 func (r *Replica) store(record Record) {
-	if !r.broken {
+	if !r.diskFailed {
 		r.out.Persist = append(r.out.Persist, record)
 	}
 }
 
-// storeCommitted adds to what is on its way to disk how far the log is committed, so that the next life may apply that much before anybody
-// is asked. By itself it isn't worth a write: what the last records leave out is learnt from the head.
+// storeCommitted adds the committed index to the records that are on their way to disk, so that the next incarnation can apply the
+// entries up to it before it contacts another replica. It is not worth a write of its own: what the last records lack is learned from the
+// head.
 func (r *Replica) storeCommitted() {
 	if committed := r.chain.Committed(); len(r.out.Persist) > 0 && committed > r.storedCommitted {
 		r.storedCommitted = committed
@@ -64,15 +65,15 @@
 	}
 }
 
-// pendingToken is the token with which all that was stored so far will be on disk.
+// pendingToken returns the token with which everything stored so far will be on disk.
 func (r *Replica) pendingToken() uint64 {
 	if len(r.out.Persist) > 0 {
-		return r.token + 1
+		return r.lastToken + 1
 	}
-	return r.token
+	return r.lastToken
 }
 
-// send hands out a message at once.
+// send sends a message at once.
 func (r *Replica) send(to view.Member, m *Message) {
 	m.From = r.self
 	m.To = to.ID
@@ -83,60 +84,60 @@
 
 func (r *Replica) post(to view.Member, m *Message) {
 	if to.ID == r.self.ID {
-		r.local = append(r.local, m)
+		r.localMessages = append(r.localMessages, m)
 		return
 	}
 	r.out.Send = append(r.out.Send, Envelope{To: to.Address, Message: m})
 }
 
-// sendStored hands out a message once all that was stored so far is on disk.
-func (r *Replica) sendStored(to view.Member, m *Message) {
+// sendAfterSync sends a message once everything stored so far is on disk. With a failed disk it sends nothing.
+func (r *Replica) sendAfterSync(to view.Member, m *Message) {
 	token := r.pendingToken()
-	if r.broken {
+	if r.diskFailed {
 		return
 	}
-	if r.synced >= token {
+	if r.syncedToken >= token {
 		r.send(to, m)
 		return
 	}
 	m.From, m.To, m.Epoch = r.self, to.ID, r.view.Epoch
-	r.held = append(r.held, heldMessage{token, to, m})
+	r.heldMessages = append(r.heldMessages, heldMessage{token, to, m})
 }
 
 func (r *Replica) onSynced(now time.Duration, token uint64) {
-	if r.broken || token <= r.synced {
+	if r.diskFailed || token <= r.syncedToken {
 		return
 	}
-	r.pace.note(now, r.diskIdle(now))
-	r.synced, r.syncedAt = token, now
+	r.slowestSync.record(now, r.diskIdle(now))
+	r.syncedToken, r.lastSyncAt = token, now
 	r.releaseWrites(token)
 	r.releaseHeld(token)
 	r.chain.SyncedTo(now, token)
-	if !r.entered && r.view.Known() && r.enterAt <= token {
-		r.enter(now)
+	if !r.entered && r.view.Known() && r.enterToken <= token {
+		r.enterView(now)
 	}
 }
 
 func (r *Replica) releaseWrites(token uint64) {
 	done := 0
-	for done < len(r.writes) && r.writes[done].token <= token {
+	for done < len(r.pendingWrites) && r.pendingWrites[done].token <= token {
 		done++
 	}
-	r.writes = append(r.writes[:0], r.writes[done:]...)
+	r.pendingWrites = append(r.pendingWrites[:0], r.pendingWrites[done:]...)
 }
 
 func (r *Replica) releaseHeld(token uint64) {
 	done := 0
-	for done < len(r.held) && r.held[done].token <= token {
-		r.post(r.held[done].to, r.held[done].message)
+	for done < len(r.heldMessages) && r.heldMessages[done].token <= token {
+		r.post(r.heldMessages[done].to, r.heldMessages[done].message)
 		done++
 	}
-	r.held = append(r.held[:0], r.held[done:]...)
+	r.heldMessages = append(r.heldMessages[:0], r.heldMessages[done:]...)
 }
 
-// Compact gives the records that replace all that were handed out so far, where snapshot is the state after all
-// delivered entries up to index. Once they are on disk, Synced may be told with the last token. None are given
-// where the index isn't held.
+// Compact returns the records that replace all that were handed out so far, where snapshot is the state after all delivered entries up to
+// index. Once they are on disk, Synced may be reported with the last token. It returns nil if the log does not hold the index, or the
+// index is not committed.
 func (r *Replica) Compact(snapshot []byte, index uint64) []Record {
 	log := r.chain.Log()
 	epoch, ok := log.EpochAt(index)
--- a/coord/replica/join.go
+++ b/coord/replica/join.go
@@ -6,7 +6,7 @@
 	"gaugeslip/coord/view"
 )
 
-// join asks to become a member while this replica isn't one, and to leave while it wants to.
+// join asks to become a member while this replica isn't one, and asks to leave while it wants to leave.
 func (r *Replica) join(now time.Duration) {
 	if now < r.joinAt {
 		return
@@ -20,22 +20,22 @@
 }
 
 func (r *Replica) askToJoin(now time.Duration) {
-	r.joinAt = now + joinEvery
+	r.joinAt = now + joinInterval
 	if !r.view.Known() {
-		r.joinAt = now + joinFirstEvery
+		r.joinAt = now + joinIntervalNoView
 	}
-	r.numbers++
+	r.requestSequence++
 	asked := map[string]bool{r.self.Address: true}
 	for _, voter := range r.view.Voters {
 		if !asked[voter.Address] {
 			asked[voter.Address] = true
-			r.send(view.Member{Address: voter.Address}, &Message{Join: &view.Join{Sequence: r.numbers}})
+			r.send(view.Member{Address: voter.Address}, &Message{Join: &view.Join{Sequence: r.requestSequence}})
 		}
 	}
 	for _, address := range r.contacts {
 		if !asked[address] {
 			asked[address] = true
-			r.send(view.Member{Address: address}, &Message{Join: &view.Join{Sequence: r.numbers}})
+			r.send(view.Member{Address: address}, &Message{Join: &view.Join{Sequence: r.requestSequence}})
 		}
 	}
 }
@@ -44,12 +44,12 @@
 	if at := r.position(); at <= 0 {
 		return
 	}
-	r.joinAt = now + leaveNoticeEvery
-	r.numbers++
-	r.send(r.view.Head(), &Message{Leave: &view.LeaveNotice{Sequence: r.numbers, Broken: r.broken}})
+	r.joinAt = now + leaveInterval
+	r.requestSequence++
+	r.send(r.view.Head(), &Message{Leave: &view.LeaveNotice{Sequence: r.requestSequence, Broken: r.diskFailed}})
 }
 
-// leave begins to get out of the chain.
+// leave starts leaving the chain.
 func (r *Replica) leave(now time.Duration) {
 	if r.leaving {
 		return
@@ -63,25 +63,25 @@
 	}
 }
 
-// onLeave notes a member that wants to leave.
+// onLeave records that a member wants to leave.
 func (r *Replica) onLeave(now time.Duration, id view.ReplicaID, m *view.LeaveNotice) {
 	p := r.peer(id, now)
-	p.leaving, p.broken = true, m.Broken
-	r.head.governAt = now
+	p.leaving, p.diskFailed = true, m.Broken
+	r.head.reconcileAt = now
 }
 
-// onJoin notes a replica that wants to become a member, and tells it the newest view.
+// onJoin records a replica that wants to become a member, and sends it the newest view.
 func (r *Replica) onJoin(now time.Duration, m *Message) {
 	if !r.view.Known() || !m.Viewless && m.Epoch > r.view.Epoch {
-		r.current(now, m)
+		r.checkEpoch(now, m)
 		return
 	}
 	if m.Viewless || m.Epoch < r.view.Epoch {
-		r.news(now, m.From)
+		r.sendView(now, m.From)
 	}
 	r.noteGone(now, m.From)
 	p := r.peer(m.From.ID, now)
-	p.leaving, p.broken = false, false
+	p.leaving, p.diskFailed = false, false
 	if m.Viewless || m.Epoch != r.view.Epoch {
 		return
 	}
@@ -91,18 +91,18 @@
 	}
 	l := r.head.learners[m.From.ID]
 	if l == nil {
-		l = &learner{watchedAt: now, promptSince: now}
+		l = &learner{watchedSince: now, promptSince: now}
 		r.head.learners[m.From.ID] = l
 	}
 	l.member, l.heardAt = m.From, now
-	r.head.governAt = now
+	r.head.reconcileAt = now
 	r.chain.Invite(now, m.From)
 }
 
-// noteReplaced notes that another disk has taken the address of a member of the present view, by word of a replica that knows that view.
-// The member had its place at that address before the view was decided, and the newcomer runs there after: the member's disk is lost, no
-// process has its identity any more, and whatever it was granted or permitted can't be used. Where that is the head, nobody has to wait
-// for its grants to run out.
+// noteReplaced records that another disk has taken the address of a member of the present view, as shown by a message from a replica that
+// knows that view. The member had its place at that address before the view was decided, and the newcomer runs there afterwards. So the
+// member's disk is lost, no process has its identity any more, and no grant or permission that it was given can be used. If the member is
+// the head, nobody has to wait for its grants to run out.
 func (r *Replica) noteReplaced(now time.Duration, from view.Member) {
 	for i, member := range r.view.Chain {
 		if member.ID == from.ID || member.Address != from.Address {
@@ -111,18 +111,18 @@
 		known := r.replaced(member.ID)
 		r.peer(member.ID, now).replacedIn = r.view.Epoch + 1
 		if at := r.position(); i == 0 && at > 0 && !known {
-			r.electAt = min(r.electAt, now+time.Duration(at-1)*electionStagger+r.jitter(electionJitter))
+			r.electionAt = min(r.electionAt, now+time.Duration(at-1)*electionStagger+r.jitter(electionJitter))
 		}
 	}
 }
 
-// replaced tells whether it is proven that a member of the present view is gone for good.
+// replaced reports whether it is proven that a member of the present view is gone for good.
 func (r *Replica) replaced(id view.ReplicaID) bool {
 	p := r.peers[id]
 	return p != nil && p.replacedIn == r.view.Epoch+1
 }
 
-// noteGone notes a member whose address has another disk now, or whose disk has another address.
+// noteGone records a member whose address has another disk now, or whose disk has another address.
 func (r *Replica) noteGone(now time.Duration, from view.Member) {
 	for _, member := range r.view.Voters {
 		switch {
