--- a/internal/system/scheduler/estimates.go
+++ b/internal/system/scheduler/estimates.go
@@ -40,7 +40,7 @@
 // expect estimates the run time of a step's tasks on a sound worker near its data.
 func (s *Scheduler) expect(st *step) time.Duration {
 	known := s.estimateOf(st)
-	if known.Measured() < taught {
+	if known.Runs() < taught {
 		return max(st.stage.Estimated, shortestRun)
 	}
 	return max(known.Size(st.stage.Estimated), shortestRun)
@@ -48,7 +48,7 @@
 
 // arrived takes in the sizes of a step whose turn has come.
 func (s *Scheduler) arrived(st *step) {
-	s.estimateOf(st).Hinted(max(st.stage.Estimated, shortestRun))
+	s.estimateOf(st).ObserveHint(max(st.stage.Estimated, shortestRun))
 	st.size = s.expect(st)
 	for range min(len(st.tasks), sizesOfStep) {
 		st.service.sizes.Observe(st.size)
@@ -64,7 +64,7 @@
 	took := max(s.now-r.orderedAt, shortestRun)
 	sound := time.Duration(float64(took) / s.distance(st, w))
 	if w.health.slowness() < slowFrom {
-		s.estimateOf(st).Observe(max(st.stage.Estimated, shortestRun), sound)
+		s.estimateOf(st).ObserveRun(max(st.stage.Estimated, shortestRun), sound)
 	}
 	w.health.measured(float64(sound) / float64(st.size))
 }
--- a/policy/sizing/demand.go
+++ b/policy/sizing/demand.go
@@ -19,20 +19,20 @@
 	free []time.Duration // when each lane becomes free, ascending
 }
 
-// Passes reports whether the candidate and each accepted task that it delays ends by its deadline. See Ends.
-func (d *Demand) Passes(now time.Duration, lanes int, accepted []Task, candidate Task) bool {
-	_, ok := d.Ends(now, lanes, accepted, candidate)
+// Admits reports whether the candidate and each accepted task that it delays ends by its deadline. See Ends.
+func (d *Demand) Admits(now time.Duration, lanes int, accepted []Task, candidate Task) bool {
+	_, ok := d.EndTime(now, lanes, accepted, candidate)
 	return ok
 }
 
-// Ends returns when the candidate ends if it is accepted, and whether it and each accepted task that it delays ends by its
+// EndTime returns when the candidate ends if it is accepted, and whether it and each accepted task that it delays ends by its
 // deadline. The accepted tasks must be sorted by deadline. From now on, started tasks keep running. The others start in order
 // of deadlines, the candidate after those of an equal deadline, and none starts before the one ahead of it. Tasks ahead of the
 // candidate are not tested, as it doesn't delay them.
 //
 // The result still holds if runs turn out shorter. On one lane, a set that fails can't meet its deadlines in any other order
 // either. A test takes O(len(accepted) x lanes) and allocates only for more lanes than in any test before.
-func (d *Demand) Ends(now time.Duration, lanes int, accepted []Task, candidate Task) (ends time.Duration, ok bool) {
+func (d *Demand) EndTime(now time.Duration, lanes int, accepted []Task, candidate Task) (ends time.Duration, ok bool) {
 	if width(candidate) > lanes {
 		return 0, false
 	}
--- a/policy/sizing/estimator.go
+++ b/policy/sizing/estimator.go
@@ -32,15 +32,15 @@
 	return Estimator{variance: 1, covariance: initialSlope}
 }
 
-// Hinted adds the hint of a task that arrives. All arriving tasks count, run or not: those that run in time are smaller than
+// ObserveHint adds the hint of a task that arrives. All arriving tasks count, run or not: those that run in time are smaller than
 // the mean. Call it before Size and Observe for the task.
-func (e *Estimator) Hinted(hint time.Duration) {
+func (e *Estimator) ObserveHint(hint time.Duration) {
 	e.hints++
 	e.meanHint += (logarithm(hint) - e.meanHint) / min(e.hints, meanWindow)
 }
 
-// Observe adds the measured length of a run and the hint of its task.
-func (e *Estimator) Observe(hint, measured time.Duration) {
+// ObserveRun adds the measured length of a run and the hint of its task.
+func (e *Estimator) ObserveRun(hint, measured time.Duration) {
 	e.runs++
 	rate := 1 / min(e.runs+priorRuns, meanWindow)
 	size := logarithm(measured)
@@ -59,8 +59,8 @@
 	return duration(math.Exp(e.meanHint + e.shift + e.covariance/e.variance*distance))
 }
 
-// Measured returns the number of runs observed.
-func (e *Estimator) Measured() int { return int(e.runs) }
+// Runs returns the number of runs observed.
+func (e *Estimator) Runs() int { return int(e.runs) }
 
 // logarithm treats a duration that isn't positive as 1 ns.
 func logarithm(d time.Duration) float64 { return math.Log(float64(max(d, 1))) }
