--- a/internal/system/clusterconfig/parse.go
+++ b/internal/system/clusterconfig/parse.go
@@ -71,7 +71,7 @@
 	version, err := strconv.ParseInt(string(raw), 10, 64)
 	if err != nil {
 		value, parseErr := strconv.ParseFloat(string(raw), 64)
-		whole, ok := quantity.Whole(value)
+		whole, ok := quantity.Integer(value)
 		if parseErr != nil || !ok {
 			r.found.Add("version", "%.40s is not a whole number", raw)
 			return 0
@@ -141,7 +141,7 @@
 }
 
 func (r *reader) wholeNumber(at item, field string, value float64) int64 {
-	whole, ok := quantity.Whole(math.Max(0, r.nonNegative(at, field, value)))
+	whole, ok := quantity.Integer(math.Max(0, r.nonNegative(at, field, value)))
 	if !ok {
 		r.found.Add(at.place(field), "%v is not a whole number", value)
 	}
--- a/internal/system/findings/quantity/quantity.go
+++ b/internal/system/findings/quantity/quantity.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// MostWhole is the largest number up to which float64 represents every integer exactly.
-const MostWhole = 1 << 53
+// MaxExactInteger is the largest number up to which float64 represents every integer exactly.
+const MaxExactInteger = 1 << 53
 
 // Milliseconds converts a number of milliseconds to a duration.
 func Milliseconds(value float64) time.Duration {
@@ -20,17 +20,17 @@
 	return duration(value, time.Second)
 }
 
-// Whole converts a number to an integer. ok is false if the number has a fraction, or if it is so large that float64 can't tell it from
+// Integer converts a number to an integer. ok is false if the number has a fraction, or if it is so large that float64 can't tell it from
 // its neighbours.
-func Whole(value float64) (number int64, ok bool) {
-	if value != math.Trunc(value) || math.Abs(value) > MostWhole {
+func Integer(value float64) (number int64, ok bool) {
+	if value != math.Trunc(value) || math.Abs(value) > MaxExactInteger {
 		return 0, false
 	}
 	return int64(value), true
 }
 
-// AtLeast rounds up to the next integer, and clamps the result to limit.
-func AtLeast(value float64, limit int64) int64 {
+// CeilClamped rounds up to the next integer, and clamps the result to limit.
+func CeilClamped(value float64, limit int64) int64 {
 	if value >= float64(limit) {
 		return limit
 	}
--- a/internal/system/jobspec/parse.go
+++ b/internal/system/jobspec/parse.go
@@ -45,7 +45,7 @@
 	spec.Repetitions = r.wholeNumber(noStage, "repetitions", wire.Repetitions, MaxRepetitions)
 	spec.FirstRun = r.milliseconds(noStage, "firstRunMs", wire.FirstRunMs)
 	spec.Interval = r.milliseconds(noStage, "intervalMs", wire.IntervalMs)
-	last := spec.FirstRun.Seconds() + float64(spec.Times()-1)*spec.Interval.Seconds()
+	last := spec.FirstRun.Seconds() + float64(spec.OccurrenceCount()-1)*spec.Interval.Seconds()
 	if last > maxDueTime.Seconds() {
 		r.found.Add("firstRunMs", "the last time falls due too late")
 	}
@@ -72,7 +72,7 @@
 	stage.CPU = r.amount(index, "cpu", wire.CPU)
 	stage.MemoryMb = r.amount(index, "memMb", wire.MemoryMb)
 	stage.GPUs = r.amount(index, "gpus", wire.GPUs)
-	stage.Estimated = min(MostEstimate, r.milliseconds(index, "estimatedMs", wire.EstimatedMs))
+	stage.Estimated = min(MaxEstimate, r.milliseconds(index, "estimatedMs", wire.EstimatedMs))
 	stage.DependsOn = r.dependsOn(index, wire.DependsOn)
 	stage.Requirements = wire.Requirements
 	stage.Colocation = wire.Colocation
@@ -90,7 +90,7 @@
 	}
 	steps := make([]int, 0, len(raw))
 	for _, value := range raw {
-		step, ok := quantity.Whole(value)
+		step, ok := quantity.Integer(value)
 		if !ok || step < 0 || step >= int64(index) {
 			r.found.Add(place(index, "dependsOn"), "%v is not the number of an earlier step", value)
 			continue
@@ -111,7 +111,7 @@
 		r.found.Add(place(index, field), "%.12g is more than %d", value, limit)
 		return 0
 	}
-	whole, ok := quantity.Whole(value)
+	whole, ok := quantity.Integer(value)
 	if !ok {
 		r.found.Add(place(index, field), "%v is not a whole number", value)
 	}
@@ -120,7 +120,7 @@
 
 // amount converts a resource demand. It rounds up to an integer, so that the reserved amount always suffices.
 func (r *reader) amount(index int, field string, value float64) int64 {
-	return quantity.AtLeast(r.nonNegative(index, field, value), MostAmount)
+	return quantity.CeilClamped(r.nonNegative(index, field, value), MaxAmount)
 }
 
 func (r *reader) milliseconds(index int, field string, value float64) time.Duration {
--- a/internal/system/jobspec/spec.go
+++ b/internal/system/jobspec/spec.go
@@ -12,11 +12,11 @@
 	MaxRepetitions = 1_000_000
 )
 
-// MostAmount is the value to which larger demands for CPU, memory or GPUs are clamped. No worker has as much.
-const MostAmount = 1 << 40
+// MaxAmount is the value to which larger demands for CPU, memory or GPUs are clamped. No worker has as much.
+const MaxAmount = 1 << 40
 
-// MostEstimate is the value to which longer estimates of a task's duration are clamped.
-const MostEstimate = 1_000_000 * time.Second
+// MaxEstimate is the value to which longer estimates of a task's duration are clamped.
+const MaxEstimate = 1_000_000 * time.Second
 
 // GPUCores is the number of cores that one GPU counts as.
 const GPUCores = 8
@@ -64,11 +64,11 @@
 	LongRunning bool
 }
 
-// Times returns how often the stages run: at least once.
-func (s *Spec) Times() int { return max(1, s.Repetitions) }
+// OccurrenceCount returns how often the stages run: at least once.
+func (s *Spec) OccurrenceCount() int { return max(1, s.Repetitions) }
 
-// Timed reports whether the job runs at scheduled due times.
-func (s *Spec) Timed() bool { return s.Repetitions > 0 }
+// HasSchedule reports whether the job runs at scheduled due times.
+func (s *Spec) HasSchedule() bool { return s.Repetitions > 0 }
 
 // DueAt returns the due time of an occurrence of a scheduled job, as the time since 1970.
 func (s *Spec) DueAt(number uint32) time.Duration {
--- a/internal/system/quota/bench_test.go
+++ b/internal/system/quota/bench_test.go
@@ -15,7 +15,7 @@
 	}
 	ledger := NewLedger()
 	ledger.Configure(plan)
-	tracker := NewDesk(ledger)
+	tracker := NewProposalTracker(ledger)
 	b.ReportAllocs()
 	index := 0
 	for b.Loop() {
--- a/internal/system/quota/desk.go
+++ b/internal/system/quota/desk.go
@@ -1,24 +1,24 @@
 package quota
 
-// Desk tracks the outstanding proposals of one admitting replica. It combines the ledger, as far as this replica has applied the chain,
+// ProposalTracker tracks the outstanding proposals of one admitting replica. It combines the ledger, as of its last applied entry,
 // with the starts that the replica has proposed and whose result it has not seen. It keeps the replica from proposing starts that would be
-// rejected; only the ledger guarantees that no share is exceeded. A new head begins with a new Desk, since by then the starts that its
-// predecessors proposed either are in the ledger or will never be. Create one with NewDesk.
-type Desk struct {
-	ledger   *Ledger
-	proposed map[string]int64
-	seen     uint64
-	returned bool // a proposed start was rejected since the last call of Moved
+// rejected; only the ledger guarantees that no share is exceeded. A new head begins with a new tracker, since by then the starts that its
+// predecessors proposed either are in the ledger or will never be. Create one with NewProposalTracker.
+type ProposalTracker struct {
+	ledger       *Ledger
+	proposed     map[string]int64
+	seenReleases uint64
+	rejected     bool // a proposed start was rejected since the last call of CapacityFreed
 }
 
-// NewDesk returns a Desk without outstanding proposals.
-func NewDesk(ledger *Ledger) *Desk {
-	return &Desk{ledger: ledger, proposed: make(map[string]int64), seen: ledger.Releases()}
+// NewProposalTracker returns a ProposalTracker without outstanding proposals.
+func NewProposalTracker(ledger *Ledger) *ProposalTracker {
+	return &ProposalTracker{ledger: ledger, proposed: make(map[string]int64), seenReleases: ledger.Releases()}
 }
 
-// Room returns how many more accelerators may be proposed for a tenant now. It may be negative.
-func (d *Desk) Room(tenant string) int64 {
-	free := d.ledger.Free(tenant)
+// Available returns how many more accelerators may be proposed for a tenant now. It may be negative.
+func (d *ProposalTracker) Available(tenant string) int64 {
+	free := d.ledger.Available(tenant)
 	if free == Unlimited {
 		return Unlimited
 	}
@@ -26,12 +26,12 @@
 }
 
 // Fits reports whether the needed accelerators may be proposed for a tenant now. A need of 0 always fits.
-func (d *Desk) Fits(tenant string, need int64) bool {
-	return need <= 0 || need <= d.Room(tenant)
+func (d *ProposalTracker) Fits(tenant string, need int64) bool {
+	return need <= 0 || need <= d.Available(tenant)
 }
 
 // Propose records a proposed start. The caller must have checked with Fits that it fits.
-func (d *Desk) Propose(tenant string, need int64) {
+func (d *ProposalTracker) Propose(tenant string, need int64) {
 	if need > 0 {
 		d.proposed[tenant] += need
 	}
@@ -39,7 +39,7 @@
 
 // Settle records that a proposed start came back from the chain and was applied. If it took effect, the ledger holds it by now. need must be
 // the value given to Propose; the caller keeps it, since the job may have finished and been deleted by then.
-func (d *Desk) Settle(tenant string, need int64, holds bool) {
+func (d *ProposalTracker) Settle(tenant string, need int64, holds bool) {
 	if need <= 0 {
 		return
 	}
@@ -47,20 +47,20 @@
 		delete(d.proposed, tenant)
 	}
 	if !holds {
-		d.returned = true
+		d.rejected = true
 	}
 }
 
-// Moved reports whether some tenant may take more accelerators than at the last call. The caller should then retry the tasks that were held
+// CapacityFreed reports whether some tenant may take more accelerators than at the last call. The caller should then retry tasks held
 // back by a share.
-func (d *Desk) Moved() bool {
-	moved := d.returned || d.seen != d.ledger.Releases()
-	d.returned, d.seen = false, d.ledger.Releases()
+func (d *ProposalTracker) CapacityFreed() bool {
+	moved := d.rejected || d.seenReleases != d.ledger.Releases()
+	d.rejected, d.seenReleases = false, d.ledger.Releases()
 	return moved
 }
 
 // outstanding returns the proposed accelerators that count against the account that bounds a tenant.
-func (d *Desk) outstanding(tenant string) int64 {
+func (d *ProposalTracker) outstanding(tenant string) int64 {
 	bounding := d.ledger.boundingAccount(tenant)
 	if bounding.named {
 		return d.proposed[tenant]
--- a/internal/system/quota/ledger.go
+++ b/internal/system/quota/ledger.go
@@ -9,10 +9,10 @@
 // Ledger holds the accelerator accounts of all tenants. Create one with NewLedger.
 type Ledger struct {
 	accounts map[string]*account
-	// rest is the common account of all tenants that the plan doesn't name.
-	rest     account
-	inForce  bool
-	releases uint64
+	// remainder is the common account of all tenants that the plan doesn't name.
+	remainder account
+	inForce   bool
+	releases  uint64
 }
 
 // account holds the limit and the usage of one tenant, in accelerators.
@@ -33,7 +33,7 @@
 
 // NewLedger returns an empty ledger without a plan.
 func NewLedger() *Ledger {
-	return &Ledger{accounts: make(map[string]*account), rest: account{limit: Unlimited}}
+	return &Ledger{accounts: make(map[string]*account), remainder: account{limit: Unlimited}}
 }
 
 // Configure replaces the plan. Existing runs stay charged, even if a tenant then uses more than its new limit. Such a tenant can start
@@ -44,11 +44,11 @@
 	for tenant, promised := range plan.Promised {
 		l.ensureAccount(tenant).limit = promised
 	}
-	l.rest = account{limit: plan.Rest()}
+	l.remainder = account{limit: plan.Remainder()}
 	for tenant, a := range l.accounts {
 		_, a.named = plan.Promised[tenant]
 		if !a.named {
-			l.rest.used += a.used
+			l.remainder.used += a.used
 			l.dropUnused(tenant, a)
 		}
 	}
@@ -59,15 +59,15 @@
 
 // Fits reports whether a tenant may take the needed accelerators now. A need of 0 always fits.
 func (l *Ledger) Fits(tenant string, need int64) bool {
-	return need <= 0 || need <= l.Free(tenant)
+	return need <= 0 || need <= l.Available(tenant)
 }
 
-// Free returns how many more accelerators a tenant may take. It is negative if the tenant uses more than its current limit.
-func (l *Ledger) Free(tenant string) int64 {
+// Available returns how many more accelerators a tenant may take. It is negative if the tenant uses more than its current limit.
+func (l *Ledger) Available(tenant string) int64 {
 	if !l.inForce {
 		return Unlimited
 	}
-	return l.boundingAccount(tenant).free()
+	return l.boundingAccount(tenant).available()
 }
 
 // Limit returns the total number of accelerators that a tenant may take.
@@ -130,8 +130,8 @@
 			return fmt.Errorf("tenant %q uses %d accelerators and has no account", tenant, count)
 		}
 	}
-	if rest != l.rest.used {
-		return fmt.Errorf("tenants without a share use %d accelerators, counted %d", rest, l.rest.used)
+	if rest != l.remainder.used {
+		return fmt.Errorf("tenants without a share use %d accelerators, counted %d", rest, l.remainder.used)
 	}
 	return nil
 }
@@ -141,10 +141,10 @@
 	if a := l.accounts[tenant]; a != nil && a.named {
 		return a
 	}
-	return &l.rest
+	return &l.remainder
 }
 
-func (a *account) free() int64 {
+func (a *account) available() int64 {
 	if a.limit == Unlimited {
 		return Unlimited
 	}
@@ -164,7 +164,7 @@
 	a := l.ensureAccount(tenant)
 	a.used += change
 	if !a.named {
-		l.rest.used += change
+		l.remainder.used += change
 		l.dropUnused(tenant, a)
 	}
 }
--- a/internal/system/quota/plan.go
+++ b/internal/system/quota/plan.go
@@ -2,10 +2,10 @@
 //
 // A Ledger holds how many accelerators each tenant was promised, and how many are taken by its runs that may exist. It is part of the
 // replicated state: it is derived from the commands of the chain alone, so that it is the same on every replica, whichever one admits. A
-// start that doesn't fit there is rejected, however many replicas have proposed starts at the same time. A Desk additionally tracks what one
+// start that doesn't fit there is rejected, however many replicas have proposed starts at the same time. A ProposalTracker tracks what one
 // admitting replica has proposed and not yet seen committed.
 //
-// The package does no I/O, reads no clock and starts no goroutines. A Ledger and its Desks must be used by one goroutine only.
+// The package does no I/O, reads no clock and starts no goroutines. A Ledger and its trackers must be used by one goroutine only.
 package quota
 
 import (
@@ -33,8 +33,8 @@
 // InForce reports whether the plan bounds any tenant.
 func (p *Plan) InForce() bool { return len(p.Promised) > 0 }
 
-// Rest returns the number of accelerators that all tenants that the plan doesn't name may take together.
-func (p *Plan) Rest() int64 {
+// Remainder returns the number of accelerators that all tenants that the plan doesn't name may take together.
+func (p *Plan) Remainder() int64 {
 	if !p.InForce() || !p.Pooled {
 		return Unlimited
 	}
--- a/internal/system/scheduler/check.go
+++ b/internal/system/scheduler/check.go
@@ -122,7 +122,7 @@
 
 // checkJob looks at a job until so many comparisons are made.
 func (s *Scheduler) checkJob(j *job, comparisons *int) error {
-	if j.record.State.Over() {
+	if j.record.State.Finished() {
 		return fmt.Errorf("is over as %s", j.record.State)
 	}
 	if s.pending.holds(j) == j.begun {
@@ -184,7 +184,7 @@
 func (s *Scheduler) checkPending() error {
 	for route, queue := range s.pending {
 		for id := range queue {
-			if record := s.machine.Job(id); record == nil || record.State.Over() {
+			if record := s.machine.Job(id); record == nil || record.State.Finished() {
 				return fmt.Errorf("job %s of %q is over and pending", id, route)
 			}
 		}
--- a/internal/system/scheduler/check_test.go
+++ b/internal/system/scheduler/check_test.go
@@ -13,7 +13,7 @@
 // wideJob is a job with one step of many tasks that all wait.
 func wideJob(tasks int) *job {
 	record := &state.Job{JobAccepted: state.JobAccepted{ID: 1, Route: "barn"}, Spec: &jobspec.Spec{Stages: []jobspec.Stage{{Count: tasks}}},
-		Times: map[uint32]*state.Time{0: {Steps: []state.Step{{Tasks: make([]state.Task, tasks)}}}}}
+		Times: map[uint32]*state.Occurrence{0: {Steps: []state.Step{{Tasks: make([]state.Task, tasks)}}}}}
 	j := &job{record: record, times: map[uint32]*jobTime{}}
 	t := &jobTime{steps: make([]*step, 1)}
 	j.times[0] = t
--- a/internal/system/scheduler/estimates.go
+++ b/internal/system/scheduler/estimates.go
@@ -110,7 +110,7 @@
 const overdueAfter = 500 * time.Millisecond
 
 // learn takes in what an end tells of its worker and its class.
-func (s *Scheduler) learn(r *run, how state.How) {
+func (s *Scheduler) learn(r *run, how state.EndReason) {
 	if r.step == nil || r.foreign {
 		return
 	}
--- a/internal/system/scheduler/jobs.go
+++ b/internal/system/scheduler/jobs.go
@@ -35,8 +35,8 @@
 	j := &job{
 		record:   record,
 		accepted: s.acceptedAt(record),
-		chains:   record.Spec.ChainsFrom(),
-		longest:  record.Spec.LongestChain(),
+		chains:   record.Spec.LongestPathsFrom(),
+		longest:  record.Spec.CriticalPath(),
 		times:    make(map[uint32]*jobTime),
 	}
 	s.jobs[record.ID] = j
@@ -70,7 +70,7 @@
 
 // objectiveFrom is when the objective of a due time begins to count.
 func (s *Scheduler) objectiveFrom(j *job, number uint32) time.Duration {
-	if !j.record.Spec.Timed() {
+	if !j.record.Spec.HasSchedule() {
 		return j.accepted
 	}
 	if !s.wall.known {
@@ -80,7 +80,7 @@
 }
 
 func (s *Scheduler) jobAccepted(result *state.Result) {
-	if result.Outcome != state.Applied || len(result.Jobs) == 0 || result.Jobs[0].State.Over() {
+	if result.Outcome != state.Applied || len(result.Jobs) == 0 || result.Jobs[0].State.Finished() {
 		return
 	}
 	s.openJob(s.addJob(result.Jobs[0]))
@@ -91,7 +91,7 @@
 	for _, number := range slices.Sorted(maps.Keys(j.record.Times)) {
 		s.openTime(j, number)
 	}
-	if j.record.Spec.Timed() {
+	if j.record.Spec.HasSchedule() {
 		s.awaitDue(j)
 		return
 	}
@@ -129,7 +129,7 @@
 }
 
 func timeDone(record *state.Job, number uint32) bool {
-	t := record.Time(number)
+	t := record.Occurrence(number)
 	if t == nil {
 		return false
 	}
--- a/internal/system/scheduler/lateness.go
+++ b/internal/system/scheduler/lateness.go
@@ -131,7 +131,7 @@
 }
 
 // spoiledBy is the part for a run that ended in another way than done.
-func spoiledBy(how state.How) Part {
+func spoiledBy(how state.EndReason) Part {
 	if how == state.Failed {
 		return PartFailed
 	}
--- a/internal/system/scheduler/lateness_test.go
+++ b/internal/system/scheduler/lateness_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestAStoppedRunIsNotAFailedOne(t *testing.T) {
-	for _, how := range []state.How{state.Stopped, state.Lapsed, state.Broken, state.Alone} {
+	for _, how := range []state.EndReason{state.Stopped, state.Lapsed, state.GangBroken, state.GangIncomplete} {
 		assert.Equal(t, PartStopped, spoiledBy(how))
 	}
 }
--- a/internal/system/scheduler/lists.go
+++ b/internal/system/scheduler/lists.go
@@ -75,7 +75,7 @@
 }
 
 // howOf reads the way in which a run ended; one that isn't known spends no attempt.
-func howOf(how workerapi.How) state.How {
+func howOf(how workerapi.How) state.EndReason {
 	switch how {
 	case workerapi.HowDone:
 		return state.Done
@@ -84,9 +84,9 @@
 	case workerapi.HowLapsed:
 		return state.Lapsed
 	case workerapi.HowBroken:
-		return state.Broken
+		return state.GangBroken
 	case workerapi.HowAlone:
-		return state.Alone
+		return state.GangIncomplete
 	}
 	return state.Stopped
 }
--- a/internal/system/scheduler/scheduler_test.go
+++ b/internal/system/scheduler/scheduler_test.go
@@ -112,7 +112,7 @@
 		return w.fault
 	}
 	for id, j := range w.jobs {
-		if !j.state.Over() {
+		if !j.state.Finished() {
 			return fmt.Errorf("seed %d: LOST: job %v isn't over at %v: %+v", w.seed, id, w.now, w.sched.Why(id))
 		}
 	}
@@ -122,7 +122,7 @@
 func (w *world) open() int {
 	open := 0
 	for _, j := range w.jobs {
-		if !j.state.Over() {
+		if !j.state.Finished() {
 			open++
 		}
 	}
--- a/internal/system/scheduler/shares.go
+++ b/internal/system/scheduler/shares.go
@@ -7,7 +7,7 @@
 
 // shares keeps what is proposed within the tenants' shares of accelerators. That none is exceeded rests on the replicated state alone.
 type shares struct {
-	desk     *quota.Desk
+	desk     *quota.ProposalTracker
 	proposed map[state.Run]claim
 	keepings map[string]*keeping // by tenant
 	returned bool                // something that was kept back is free again
@@ -20,7 +20,7 @@
 }
 
 func newShares(ledger *quota.Ledger) shares {
-	return shares{desk: quota.NewDesk(ledger), proposed: make(map[state.Run]claim), keepings: make(map[string]*keeping)}
+	return shares{desk: quota.NewProposalTracker(ledger), proposed: make(map[state.Run]claim), keepings: make(map[string]*keeping)}
 }
 
 // propose takes note of a start that is proposed.
@@ -62,7 +62,7 @@
 
 // moved tells whether kept steps are to be tried again.
 func (s *shares) moved() bool {
-	moved := s.desk.Moved() || s.returned
+	moved := s.desk.CapacityFreed() || s.returned
 	s.returned = false
 	return moved
 }
--- a/internal/system/scheduler/timers.go
+++ b/internal/system/scheduler/timers.go
@@ -100,7 +100,7 @@
 
 // awaitDue queues the next due time of a timed job.
 func (s *Scheduler) awaitDue(j *job) {
-	if j.nextTime < j.record.TimeCount() {
+	if j.nextTime < j.record.OccurrenceCount() {
 		heap.Push(&s.dues.heap, due{unixMs: j.record.DueMs(j.nextTime), job: j.record.ID})
 	}
 }
--- a/internal/system/state/admitters_test.go
+++ b/internal/system/state/admitters_test.go
@@ -24,7 +24,7 @@
 type simReplica struct {
 	machine          *state.Machine
 	applied          int // number of chain entries that it has applied
-	tracker          *quota.Desk
+	tracker          *quota.ProposalTracker
 	inFlight         map[state.TaskName]int64  // needs of its own proposals; the chain may have ended their jobs meanwhile
 	reservedOnWorker map[string]int64          // accelerators of its own proposals, by worker
 	blocked          map[state.TaskName]string // tasks held back by their tenant's share until that may have changed
@@ -66,7 +66,7 @@
 }
 
 func newSimReplica(machine *state.Machine, applied int) *simReplica {
-	return &simReplica{machine: machine, applied: applied, tracker: quota.NewDesk(machine.Quotas()), inFlight: map[state.TaskName]int64{},
+	return &simReplica{machine: machine, applied: applied, tracker: quota.NewProposalTracker(machine.Quotas()), inFlight: map[state.TaskName]int64{},
 		reservedOnWorker: map[string]int64{}, blocked: map[state.TaskName]string{}}
 }
 
@@ -105,7 +105,7 @@
 	if promised, named := plan.Promised[tenant]; named {
 		return promised - used[tenant]
 	}
-	rest := plan.Rest()
+	rest := plan.Remainder()
 	if rest == quota.Unlimited {
 		return rest
 	}
@@ -212,9 +212,9 @@
 	}
 }
 
-// admit proposes the starts that a replica considers valid. A task that its share held back is retried only after Moved returned true.
+// admit proposes the starts that a replica considers valid. Tasks that their share held back are retried after CapacityFreed returned true.
 func (s *admissionSim) admit(r *simReplica) bool {
-	if r.tracker.Moved() {
+	if r.tracker.CapacityFreed() {
 		clear(r.blocked)
 	}
 	var starts []state.Start
--- a/internal/system/state/audit.go
+++ b/internal/system/state/audit.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// AuditEvery is the number of chain entries from one digest to the next.
-	AuditEvery = 64
+	// AuditInterval is the number of chain entries from one digest to the next.
+	AuditInterval = 64
 	// AuditFormat is the version of the digest's definition. It must be raised whenever the content or the computation of a digest changes,
 	// so that replicas of different versions don't compare digests that can't be equal.
 	AuditFormat = 1
@@ -17,32 +17,32 @@
 )
 
 // Audit computes digests of the applied entries and of the state, so that replicas can compare them. A digest is due after every
-// AuditEvery entries. It covers these entries, the outcome of each, and one part of the state after the last of them. As many consecutive
+// AuditInterval entries. It covers these entries, the outcome of each, and one part of the state after the last of them. As many consecutive
 // digests as there are parts cover the whole state. An Audit must be used by one goroutine only.
 type Audit struct {
 	nextIndex  uint64 // index of the next entry
-	sum        uint64 // digest of the entries since the last multiple of AuditEvery
+	sum        uint64 // digest of the entries since the last multiple of AuditInterval
 	incomplete bool   // some of those entries were not seen
 }
 
 // NewAudit returns the audit of a state that holds all entries up to index.
 func NewAudit(index uint64) *Audit {
-	return &Audit{nextIndex: index + 1, incomplete: index%AuditEvery != 0}
+	return &Audit{nextIndex: index + 1, incomplete: index%AuditInterval != 0}
 }
 
-// Applied adds an applied entry and its result; result is nil for an empty entry. due is true if a digest is due after this entry.
+// RecordEntry adds an applied entry and its result; result is nil for an empty entry. due is true if a digest is due after this entry.
 // There is no digest for an interval of which some entries were not seen.
-func (a *Audit) Applied(index uint64, data []byte, result *Result, machine *Machine) (digest uint64, due bool) {
+func (a *Audit) RecordEntry(index uint64, data []byte, result *Result, machine *Machine) (digest uint64, due bool) {
 	a.incomplete = a.incomplete || index != a.nextIndex
 	a.nextIndex = index + 1
 	a.add(crc64.Checksum(data, crcTable))
 	if result != nil {
 		a.addResult(result)
 	}
-	if index%AuditEvery != 0 {
+	if index%AuditInterval != 0 {
 		return 0, false
 	}
-	digest, due = mix(a.sum^machine.digest(index/AuditEvery)), !a.incomplete
+	digest, due = mix(a.sum^machine.digest(index/AuditInterval)), !a.incomplete
 	a.sum, a.incomplete = 0, false
 	return digest, due
 }
--- a/internal/system/state/capture.go
+++ b/internal/system/state/capture.go
@@ -59,7 +59,7 @@
 	if c == nil {
 		return
 	}
-	if all := command.Touched(c.saveJob); all {
+	if all := command.AffectedJobs(c.saveJob); all {
 		c.saveJobsOf(command.WorkerLost)
 	}
 }
--- a/internal/system/state/command.go
+++ b/internal/system/state/command.go
@@ -85,30 +85,30 @@
 type End struct {
 	Run
 	Number     uint64
-	How        How
+	How        EndReason
 	Checkpoint string
 }
 
-// How is the reason why a run ended.
-type How byte
+// EndReason is the reason why a run ended.
+type EndReason byte
 
 // The reasons why a run ends.
 const (
-	Done How = iota + 1
+	Done EndReason = iota + 1
 	Failed
 	Stopped
 	Lapsed
-	Broken // another member of its gang ended
-	Alone  // it waited too long for the other members of its gang
+	GangBroken     // another member of its gang ended
+	GangIncomplete // it waited too long for the other members of its gang
 )
 
-var endReasonNames = map[How]string{Done: "done", Failed: "failed", Stopped: "stopped", Lapsed: "lapsed", Broken: "broken", Alone: "alone"}
+var endReasonNames = map[EndReason]string{Done: "done", Failed: "failed", Stopped: "stopped", Lapsed: "lapsed", GangBroken: "broken", GangIncomplete: "alone"}
 
 // String returns the word that workers use.
-func (h How) String() string { return endReasonNames[h] }
+func (h EndReason) String() string { return endReasonNames[h] }
 
-// ParseHow parses the word that workers use. An unknown word counts as Stopped, which does not count as a failure.
-func ParseHow(word string) How {
+// ParseEndReason parses the word that workers use. An unknown word counts as Stopped, which does not count as a failure.
+func ParseEndReason(word string) EndReason {
 	for how, name := range endReasonNames {
 		if name == word {
 			return how
@@ -156,29 +156,29 @@
 	return w.data
 }
 
-// Touched calls touch for each job that the command may change, possibly more than once per job. It returns true, without calling
-// touch, if the affected jobs depend on the state, so that any job may be among them.
-func (c *Command) Touched(touch func(JobID)) (all bool) {
+// AffectedJobs calls visit for each job that the command may change, possibly more than once per job. It returns true, without calling
+// visit, if the affected jobs depend on the state, so that any job may be among them.
+func (c *Command) AffectedJobs(visit func(JobID)) (all bool) {
 	switch c.Kind {
 	case KindJobAccepted:
-		touch(c.JobAccepted.ID)
+		visit(c.JobAccepted.ID)
 	case KindJobCancelled:
-		touch(c.JobCancelled.ID)
+		visit(c.JobCancelled.ID)
 	case KindTasksStarting:
 		for i := range c.TasksStarting {
-			touch(c.TasksStarting[i].Task.Job)
+			visit(c.TasksStarting[i].Task.Job)
 		}
 	case KindStartsVoided:
 		for i := range c.StartsVoided {
-			touch(c.StartsVoided[i].Task.Job)
+			visit(c.StartsVoided[i].Task.Job)
 		}
 	case KindTasksEnded:
 		for i := range c.TasksEnded.Ends {
-			touch(c.TasksEnded.Ends[i].Task.Job)
+			visit(c.TasksEnded.Ends[i].Task.Job)
 		}
 	case KindJobsForgotten:
 		for _, id := range c.JobsForgotten {
-			touch(id)
+			visit(id)
 		}
 	case KindWorkerLost:
 		return true
@@ -250,7 +250,7 @@
 func (r *reader) tasksEnded() *TasksEnded {
 	ended := &TasksEnded{Worker: r.string(), Ends: make([]End, r.count())}
 	for i := range ended.Ends {
-		ended.Ends[i] = End{Run: r.run(), Number: r.uint(), How: How(r.byte()), Checkpoint: r.string()}
+		ended.Ends[i] = End{Run: r.run(), Number: r.uint(), How: EndReason(r.byte()), Checkpoint: r.string()}
 	}
 	return ended
 }
--- a/internal/system/state/job.go
+++ b/internal/system/state/job.go
@@ -30,8 +30,8 @@
 	return "unknown"
 }
 
-// Over reports whether the state is final: the job starts no more runs.
-func (s JobState) Over() bool { return s >= Completed }
+// Finished reports whether the state is final: the job starts no more runs.
+func (s JobState) Finished() bool { return s >= Completed }
 
 // Job is an accepted job.
 type Job struct {
@@ -41,13 +41,13 @@
 	// OverMs is the Unix time in milliseconds at which a job was cancelled, and AcceptedMs for a job that completed or failed.
 	OverMs int64
 	// Times holds the occurrences of which a run was started, by their number.
-	Times map[uint32]*Time
+	Times map[uint32]*Occurrence
 	// Runs is the number of runs that may exist on workers.
 	Runs int
 }
 
-// Time is one occurrence of a job: one pass through its steps at one due time.
-type Time struct {
+// Occurrence is one occurrence of a job: one pass through its steps at one due time.
+type Occurrence struct {
 	Steps []Step
 	open  int
 }
@@ -76,8 +76,8 @@
 	Worker  string
 }
 
-// Time returns occurrence k, or nil if none of its runs was ever started.
-func (j *Job) Time(k uint32) *Time { return j.Times[k] }
+// Occurrence returns occurrence k, or nil if none of its runs was ever started.
+func (j *Job) Occurrence(k uint32) *Occurrence { return j.Times[k] }
 
 // Task returns the state of a task. It returns nil if no run of its occurrence was ever started, or if there is no such task.
 func (j *Job) Task(name TaskName) *Task {
@@ -107,25 +107,25 @@
 	return true
 }
 
-// TimeCount returns the number of occurrences of the job, 1 if it has no schedule.
-func (j *Job) TimeCount() uint32 {
-	return uint32(j.Spec.Times())
+// OccurrenceCount returns the number of occurrences of the job, 1 if it has no schedule.
+func (j *Job) OccurrenceCount() uint32 {
+	return uint32(j.Spec.OccurrenceCount())
 }
 
 // DueMs returns the Unix time in milliseconds before which occurrence k must not start, or 0 if the job has no schedule.
 func (j *Job) DueMs(k uint32) int64 {
-	if !j.Spec.Timed() {
+	if !j.Spec.HasSchedule() {
 		return 0
 	}
 	return j.Spec.DueAt(k).Milliseconds()
 }
 
 // ensureOccurrence returns occurrence k and creates it if necessary.
-func (j *Job) ensureOccurrence(k uint32) *Time {
+func (j *Job) ensureOccurrence(k uint32) *Occurrence {
 	if occurrence := j.Times[k]; occurrence != nil {
 		return occurrence
 	}
-	occurrence := &Time{Steps: make([]Step, len(j.Spec.Stages)), open: len(j.Spec.Stages)}
+	occurrence := &Occurrence{Steps: make([]Step, len(j.Spec.Stages)), open: len(j.Spec.Stages)}
 	for i := range occurrence.Steps {
 		count := j.Spec.Stages[i].Count
 		occurrence.Steps[i] = Step{Tasks: make([]Task, count), Open: count}
@@ -143,7 +143,7 @@
 
 // releaseMemory drops the spec, body and tasks of a finished job once none of its runs may exist.
 func (j *Job) releaseMemory() {
-	if !j.State.Over() || j.Runs > 0 {
+	if !j.State.Finished() || j.Runs > 0 {
 		return
 	}
 	j.Times, j.Spec, j.Body = nil, nil, nil
--- a/internal/system/state/touched_test.go
+++ b/internal/system/state/touched_test.go
@@ -18,7 +18,7 @@
 	return all
 }
 
-// A command must change, add and delete only the jobs that Touched reports.
+// A command must change, add and delete only the jobs that AffectedJobs reports.
 func TestCommandReportsAffectedJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
@@ -26,14 +26,14 @@
 			before := m.jobSnapshots()
 			command := drawCommand(t)
 			touched := map[JobID]bool{}
-			all := command.Touched(func(id JobID) { touched[id] = true })
+			all := command.AffectedJobs(func(id JobID) { touched[id] = true })
 			m.Apply(command)
 			after := m.jobSnapshots()
 			for id := range before {
-				require.True(t, all || touched[id] || before[id] == after[id], "command of kind %d changes job %d, which Touched does not report", command.Kind, id)
+				require.True(t, all || touched[id] || before[id] == after[id], "command of kind %d changes job %d, which AffectedJobs does not report", command.Kind, id)
 			}
 			for id := range after {
-				require.True(t, all || touched[id] || before[id] == after[id], "command of kind %d changes job %d, which Touched does not report", command.Kind, id)
+				require.True(t, all || touched[id] || before[id] == after[id], "command of kind %d changes job %d, which AffectedJobs does not report", command.Kind, id)
 			}
 		}
 	})
--- a/internal/waiting/asks.go
+++ b/internal/waiting/asks.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Asked answers a question: at once, or when the job ends, or when the question's time is over.
+// Asked answers a query: at once, when the job ends, or when the query times out.
 func (r *Room) Asked(now time.Duration, q *Ask) {
 	if q.Name == "" {
 		r.list(now, q)
@@ -20,7 +20,7 @@
 	e := r.all.at(i)
 	status := StatusServed
 	switch {
-	case q.Cancel && e.state == Cancelled: // said twice is no mistake
+	case q.Cancel && e.state == Cancelled: // cancelling twice is not an error
 	case q.Cancel && (e.state.Final() || e.is(fresh|maybe) || e.out > 0):
 		status = StatusConflict
 	case q.Cancel:
@@ -39,7 +39,7 @@
 	r.do(Action{Kind: Tell, Ask: q.Number, Status: status, Info: r.info(now, i)})
 }
 
-// Unasked forgets a question whose asker has gone.
+// Unasked removes a query whose caller has left.
 func (r *Room) Unasked(number uint64) {
 	if w := r.asks[number]; w != nil {
 		r.unask(number, w)
@@ -60,7 +60,7 @@
 	}
 }
 
-// overdueAsks tells how things stand to those whose time is over.
+// answerOverdueQueries answers the queries that have timed out with the present state.
 func (r *Room) overdueAsks(now time.Duration) {
 	if len(r.asks) == 0 || now < r.asksAt {
 		return
@@ -81,7 +81,7 @@
 	}
 }
 
-// list tells of up to q.Most jobs that asked to wait, in the order of their entries.
+// list replies with up to query.Most jobs that asked to wait, in the order of their entries.
 func (r *Room) list(now time.Duration, q *Ask) {
 	i := uint32(0)
 	if q.From != "" {
@@ -101,7 +101,7 @@
 	r.do(Action{Kind: Tell, Ask: q.Number, Status: StatusServed, Board: &Board{list, r.Stats()}})
 }
 
-// info is what is told of a job.
+// info describes the present state of a job.
 func (r *Room) info(now time.Duration, i uint32) *Info {
 	e := r.all.at(i)
 	n := &Info{Name: e.name, State: e.state, Due: e.due(), Attempts: int(e.attempts), Status: int(e.status),
--- a/internal/waiting/entry.go
+++ b/internal/waiting/entry.go
@@ -5,39 +5,39 @@
 )
 
 const (
-	maxAfter = 16                    // predecessors of one job
-	maxAsks  = 1024                  // questions that wait for an end at once
-	tickWork = 2048                  // entries that one Tick touches: what is left goes on at once in the next
-	lastCall = 20 * time.Millisecond // before its client gives up an attached job has its answer
-	longWait = 2                     // of its due time: then a ready job that has not gone out is refused
+	maxAfter = 16
+	maxAsks  = 1024                  // queries that wait for the end of a job at any one time
+	tickWork = 2048                  // entries that one Tick handles; the next Tick, due at once, handles the rest
+	lastCall = 20 * time.Millisecond // an attached job is answered this long before its client gives up
+	longWait = 2                     // a ready job that was not sent within this multiple of its due time is refused
 )
 
-// flags of an entry.
+// Flags of an entry.
 const (
 	attached  uint16 = 1 << iota // its client waits on its connection
-	fresh                        // it went on at once
-	indexed                      // its name is known
-	maybe                        // a send may have run
-	turnedOff                    // a host will not take it, now or later
-	unsent                       // released, and not sent in this turn
-	left                         // nobody waits for it any more, but a send is still out
-	promised                     // accepted, to live on without its connection
-	shed                         // there was a result, but no room to keep it
+	fresh                        // it did not ask to wait and was passed on at once
+	indexed                      // its name is in byName
+	maybe                        // one of its sends may have run
+	turnedOff                    // a host rejected it for good
+	unsent                       // released, but not sent in this turn
+	left                         // its client has left, but a send is still out
+	promised                     // acknowledged to the client; it no longer depends on its connection
+	shed                         // there was a result, but it was dropped for lack of space
 )
 
-// entry is a job that is known. Its number is its place in Room.all.
+// entry is a known job. Entries are referred to by their index in entries.
 type entry struct {
 	name, result            string
-	client                  *share // nil: it counts for nobody
+	client                  *share // nil: it counts for no client
 	number                  uint64
 	arrived, deadline, size time.Duration // deadline 0: none
-	ready                   time.Duration // before it is ready: its set time
-	entered, sent           time.Duration // its last turn began; its last send
-	edges, next             uint32        // its first dependant; the next kept, or the next free
-	bytes, dueMS            uint32        // of its body; how long it may wait once it is ready
+	ready                   time.Duration // when it became ready; until then its set time
+	entered, sent           time.Duration // start of its last turn, or its end once it is final; its last send
+	edges, next             uint32        // first edge to a dependant; next kept entry, or next free one
+	bytes, dueMS            uint32        // size of its body; how long it may wait once it is ready
 	class, tenant, slots    int16
 	attempts, out, status   uint16
-	preds                   uint8 // earlier jobs that have not ended
+	preds                   uint8 // predecessors that have not ended
 	state                   State
 	flags                   uint16
 }
@@ -46,9 +46,9 @@
 
 func (e *entry) is(f uint16) bool { return e.flags&f != 0 }
 
-// edge says that a job waits for the one in whose list it stands.
+// edge records that a job waits for the job whose list holds the edge.
 type edge struct {
 	of     uint32
-	number uint64 // of the dependant: its entry may hold another job by now
+	number uint64 // job number of the dependant, since its entry may have been reused
 	next   uint32
 }
--- a/internal/waiting/finish.go
+++ b/internal/waiting/finish.go
@@ -4,13 +4,14 @@
 	"time"
 )
 
-// finish gives a job its one final state. With answer the program is told; else it has heard from elsewhere.
+// finish puts a job into its final state. It emits an answer only if answer is set; otherwise the answer comes from
+// elsewhere.
 func (r *Room) finish(now time.Duration, i uint32, s State, status int, why string, answer bool) {
 	e := r.all.at(i)
 	if e.state.Final() {
 		return
 	}
-	r.pace.out -= int(e.out) // what is still out of it is not heard of any more
+	r.pace.out -= int(e.out) // later outcomes of these sends are ignored
 	r.leave(now, i, s)
 	r.note(now, e, Record{Kind: Over, State: s, Status: status, Result: e.result})
 	for _, q := range []*queue{&r.timers, &r.ready, &r.again, &r.ends} {
@@ -55,7 +56,7 @@
 		r.drop(i)
 		return
 	}
-	e.entered = now // from here on: when it ended
+	e.entered = now // from here on entered is the time at which the job ended
 	if r.newest != 0 {
 		r.all.at(r.newest).next = i
 	} else {
@@ -69,16 +70,16 @@
 	r.shed()
 }
 
-// keep stores a result, for which others may have to go.
+// storeResult stores the result of a job. shedResults may have to drop older ones for it.
 func (r *Room) keep(e *entry, result []byte) {
 	if e.is(fresh) {
-		return // its client had it on its connection
+		return // its client has received it on its connection
 	}
 	e.result = string(result)
 	r.results += int64(len(result))
 }
 
-// shed lets the oldest results go where bodies and results are more than they may be. Their jobs stay known.
+// shedResults drops the oldest results while bodies and results exceed MaxBytes. Their jobs stay known.
 func (r *Room) shed() {
 	for r.bodies+r.results > r.lim.MaxBytes && r.shedAt != 0 {
 		e := r.all.at(r.shedAt)
@@ -92,13 +93,13 @@
 	}
 }
 
-// forget lets final jobs go: when their time is over, or the oldest where there are too many.
+// evictKept forgets final jobs whose retention has ended, and the oldest ones if there are more than MaxKept.
 func (r *Room) forget(now time.Duration, work *int) {
 	for ; *work > 0 && r.oldest != 0; *work-- {
 		i := r.oldest
 		e := r.all.at(i)
 		old := now-e.entered >= r.lim.Retention
-		if !old && r.stats.Kept <= r.lim.MaxKept || e.edges != 0 { // dependants hear of it first
+		if !old && r.stats.Kept <= r.lim.MaxKept || e.edges != 0 { // its dependants must be notified first
 			return
 		}
 		if !old {
--- a/internal/waiting/queue.go
+++ b/internal/waiting/queue.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// queue is a 4-ary min-heap of entries by time. An entry's place in it is kept beside the entries, so that one in the
-// middle is removed in O(log n) and without a search. Queues that never hold one entry together share their places.
-// Ties go by the entries' numbers, which equal histories make equal.
+// timeHeap is a 4-ary min-heap of entries by time. The position of each entry is stored beside the entries, so that one
+// in the middle is removed in O(log n) without a search. Heaps that never hold the same entry at the same time share
+// one index. Ties are broken by entry number, which makes equal histories give equal orders.
 type queue struct {
 	nodes slab[node]
-	place *slab[uint32] // by entry; 0: in no queue, else the node's index + 1
+	place *slab[uint32] // by entry; 0: in no heap, else the node's position + 1
 }
 
 type node struct {
@@ -19,7 +19,7 @@
 
 func (q *queue) len() int { return q.nodes.n }
 
-// next is the earliest time in the queue.
+// earliest returns the earliest time in the heap.
 func (q *queue) next() (time.Duration, bool) {
 	if q.nodes.n == 0 {
 		return 0, false
@@ -27,7 +27,7 @@
 	return q.nodes.at(0).at, true
 }
 
-// due is the first entry, if its time has come.
+// due returns the first entry if its time has come.
 func (q *queue) due(now time.Duration) (uint32, bool) {
 	if q.nodes.n == 0 || q.nodes.at(0).at > now {
 		return 0, false
@@ -39,13 +39,13 @@
 	q.up(q.nodes.push(node{at, of}))
 }
 
-// holds tells whether an entry is in this queue.
+// contains reports whether an entry is in this heap.
 func (q *queue) holds(of uint32) bool {
 	p := *q.place.at(of)
 	return p > 0 && int(p) <= q.nodes.n && q.nodes.at(p-1).of == of
 }
 
-// remove takes an entry out, if it is in this queue.
+// remove removes an entry if it is in this heap.
 func (q *queue) remove(of uint32) {
 	if !q.holds(of) {
 		return
--- a/internal/waiting/room.go
+++ b/internal/waiting/room.go
@@ -4,54 +4,54 @@
 	"time"
 )
 
-// Room holds the jobs. See New.
+// Room holds the waiting jobs. Use New to create one.
 type Room struct {
 	lim    Limits
 	fleet  Fleet
-	all    slab[entry] // the first of each slab is of no use
+	all    slab[entry] // index 0 of each slab is unused
 	free   uint32
 	edges  slab[edge]
 	spare  uint32
 	names  map[string]uint32
-	open   map[uint64]uint32 // by number, those not final
+	open   map[uint64]uint32 // by job number; jobs that are not final
 	shares map[string]*share
-	place  slab[uint32] // in timers, ready or again
-	timers queue        // that wait for their time
-	ready  queue        // whose turn it may be, by the time at which they ought to have gone out
-	again  queue        // that the module has refused, by when they try again
+	place  slab[uint32] // of timers, ready and backoff
+	timers queue        // jobs that wait for their set time
+	ready  queue        // ready jobs, by the time at which they should be sent
+	again  queue        // jobs that the decision module refused, by the time of their next attempt
 	endsAt slab[uint32]
-	ends   queue    // by when they must have gone out, or be answered
-	ended  []uint32 // final ones whose dependants have not heard yet
-	oldest uint32   // of the kept
+	ends   queue    // jobs by the time at which they must have been sent, or be answered
+	ended  []uint32 // final jobs whose dependants are not notified yet
+	oldest uint32   // list of kept jobs, oldest first
 	newest uint32
-	shedAt uint32 // the oldest kept that may have a result
+	shedAt uint32 // oldest kept job that may have a result
 	askers map[uint32][]uint64
 	asks   map[uint64]*waiter
-	asksAt time.Duration // no ask is due before
+	asksAt time.Duration // no query times out before
 
 	held            int // waiting, ready and released jobs that asked to wait
 	bodies, results int64
 	hosts           int
 	closing         bool
-	more            bool // a Tick has left work
+	more            bool // the last Tick left work
 	pace            pacer
 	rule            func(p *pacer, most float64) (floor float64, window int)
 	stats           Stats
-	records         []Record // nil: none are wanted
+	records         []Record // nil: recording is off
 	out, before     []Action
 	advised         int
-	freedAt         time.Duration // a place came free last
-	freeGap         time.Duration // mean time between places that come free
+	freedAt         time.Duration // when a place last came free
+	freeGap         time.Duration // between places that come free
 	patience        []time.Duration
 }
 
-// waiter is an Ask that waits for an end.
+// pendingQuery is a query that waits for the end of a job.
 type waiter struct {
 	of    uint32
 	until time.Duration
 }
 
-// New makes an empty Room. The limits must be sound, see Limits.Check.
+// New creates an empty queue. The limits must be valid, see Limits.Check.
 func New(lim Limits, fleet Fleet) *Room {
 	r := &Room{lim: lim, fleet: fleet, names: map[string]uint32{}, open: map[uint64]uint32{}, shares: map[string]*share{},
 		askers: map[uint32][]uint64{}, asks: map[uint64]*waiter{}, pace: newPacer(), rule: byNeed,
@@ -64,25 +64,26 @@
 	return r
 }
 
-// Actions gives what is to be done since the last call. It is valid until the next call of it.
+// Actions returns the actions that have become necessary since the last call. The slice is valid until the next call of
+// Actions.
 func (r *Room) Actions() []Action {
 	out := r.out
 	if r.out, r.before = r.before[:0], out; cap(out) > tickWork {
-		r.before = nil // a rare crowd must not hold its memory for good
+		r.before = nil // do not retain the memory of a rare burst
 	}
 	return out
 }
 
 func (r *Room) do(a Action) { r.out = append(r.out, a) }
 
-// SetLimits changes the limits. What is held stays, though it be more than the new limits allow: the room then takes
-// no more until it fits.
+// SetLimits changes the limits. Jobs already held stay even if they exceed the new limits; no more are accepted until
+// they fit.
 func (r *Room) SetLimits(lim Limits) { r.lim = lim }
 
-// Hosts tells how many hosts are ready.
+// Hosts sets how many hosts are ready.
 func (r *Room) Hosts(n int) { r.hosts = n }
 
-// Stats counts what is held and was done.
+// Stats returns counts of what is held and what was done.
 func (r *Room) Stats() Stats {
 	s := r.stats
 	s.Ready, s.Released = r.ready.len()+r.again.len(), r.pace.in
@@ -91,10 +92,10 @@
 	return s
 }
 
-// Held is how many jobs wait, are ready or are out, those that went on at once not counted.
+// Held returns how many jobs are waiting, ready or released, not counting fresh jobs.
 func (r *Room) Held() int { return r.held }
 
-// Out is how many jobs without a connection are before the module or at a host.
+// Out returns how many detached jobs are released: with the decision module or at a host.
 func (r *Room) Out() (n int) {
 	for _, i := range r.open {
 		if e := r.all.at(i); e.state == Released && !e.is(attached|fresh) {
@@ -104,7 +105,7 @@
 	return n
 }
 
-// take makes an entry.
+// allocEntry returns the index of an empty entry.
 func (r *Room) take() uint32 {
 	if i := r.free; i != 0 {
 		r.free = r.all.at(i).next
--- a/internal/waiting/tick.go
+++ b/internal/waiting/tick.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// makeReady: all that the job waited for has come.
+// makeReady makes a job ready, since all that it waited for has happened.
 func (r *Room) makeReady(now time.Duration, i uint32) {
 	e := r.all.at(i)
 	e.state, e.ready = Ready, now
@@ -14,7 +14,7 @@
 	r.pace.stale = true
 }
 
-// arm sets when a job that is ready, or in its turn and not sent, must be answered.
+// armDeadline sets the time by which a job must be answered that is ready, or in its turn and not sent.
 func (r *Room) arm(i uint32) {
 	e := r.all.at(i)
 	at := e.ready + longWait*e.due()
@@ -25,8 +25,8 @@
 	r.ends.push(i, at)
 }
 
-// Tick lets time pass: what has come due happens, and jobs whose turn it is are released. It touches a bounded number
-// of entries; Wake tells when to call it again.
+// Tick advances the time: it handles what has become due and releases jobs. It handles a bounded number of entries;
+// Wake returns when to call it again.
 func (r *Room) Tick(now time.Duration) {
 	work := tickWork
 	r.forget(now, &work)
@@ -61,7 +61,7 @@
 	r.release(now)
 }
 
-// tooLate answers a job that has waited for as long as it may.
+// expire answers a job that has waited as long as it may.
 func (r *Room) tooLate(now time.Duration, i uint32) {
 	e := r.all.at(i)
 	if e.state == Released {
@@ -78,22 +78,22 @@
 	return int(e.class) < len(r.fleet.Classes) && r.fleet.Classes[e.class].Repeatable
 }
 
-// tell lets the dependants of ended jobs know. It is a list of work and no recursion: a chain of any length takes no
-// stack, and a job on which many wait no long Tick.
+// notifyDependants notifies the dependants of ended jobs. It works through a list instead of recursing, so that a chain
+// of any length uses no stack and a job with many dependants does not make a Tick long.
 func (r *Room) tell(now time.Duration, work *int) {
 	for *work > 0 && len(r.ended) > 0 {
 		p := r.ended[len(r.ended)-1]
 		x := r.all.at(p).edges
 		*work--
 		g := *r.edges.at(x)
-		if r.all.at(p).edges = g.next; g.next == 0 { // off the list at once: its entry may soon hold another job
+		if r.all.at(p).edges = g.next; g.next == 0 { // remove it at once: its entry may soon hold another job
 			r.ended = r.ended[:len(r.ended)-1]
 		}
 		*r.edges.at(x) = edge{next: r.spare}
 		r.spare = x
 		e := r.all.at(g.of)
 		if e.number != g.number || e.state != Waiting {
-			continue // it has ended meanwhile
+			continue // it has already ended
 		}
 		if r.all.at(p).state != Served && !r.lim.RunOnFailure {
 			r.finish(now, g.of, Failed, StatusDependency, "a job that it waited for was not served", true)
@@ -105,7 +105,7 @@
 	}
 }
 
-// Wake tells when the next Tick is due though nothing happens.
+// Wake returns when the next Tick is due if nothing else happens.
 func (r *Room) Wake(now time.Duration) (at time.Duration, ok bool) {
 	if r.more || len(r.ended) > 0 {
 		return now, true
