--- a/coord/chain/chain.go
+++ b/coord/chain/chain.go
@@ -106,9 +106,9 @@
 	return &Chain{cfg: cfg, env: env, log: log, synced: log.Last(), committed: log.Base(), delivered: log.Base()}
 }
 
-// Resume restores the commit index that was read from disk and delivers the entries up to it. Committed entries never change, so this is
+// RestoreCommitted restores the commit index that was read from disk and delivers the entries up to it. Committed entries never change, so this is
 // valid whatever view is in force by now.
-func (c *Chain) Resume(committed uint64) {
+func (c *Chain) RestoreCommitted(committed uint64) {
 	c.committed = max(c.committed, min(committed, c.log.Last()))
 	c.deliver()
 }
@@ -125,16 +125,16 @@
 // InStep reports whether this replica is the head, or in this epoch has received all that its predecessor held when their session opened.
 func (c *Chain) InStep() bool { return c.active && c.inStep }
 
-// Leave stops all work on the current view.
-func (c *Chain) Leave() {
+// LeaveView stops all work on the current view.
+func (c *Chain) LeaveView() {
 	c.active, c.inStep, c.sessionOpen = false, false, false
 	c.downstream, c.learners = nil, nil
 	c.commitNoticeAt = 0
 }
 
-// Enter starts work in a view with the given role. The view must be on disk.
-func (c *Chain) Enter(now time.Duration, role Role) {
-	c.Leave()
+// EnterView starts work in a view with the given role. The view must be on disk.
+func (c *Chain) EnterView(now time.Duration, role Role) {
+	c.LeaveView()
 	c.role = role
 	c.active, c.inStep = true, role.Head
 	c.ackSent = 0
@@ -159,8 +159,8 @@
 	return first
 }
 
-// Mark assigns a token to everything stored so far: it is on disk once SyncedTo is called with this token or a later one.
-func (c *Chain) Mark(token uint64) {
+// AssignSyncToken assigns a token to everything stored so far: it is on disk once SyncedTo is called with this token or a later one.
+func (c *Chain) AssignSyncToken(token uint64) {
 	c.pendingSyncs = append(c.pendingSyncs, pendingSync{token, c.log.Last()})
 }
 
--- a/coord/chain/downstream.go
+++ b/coord/chain/downstream.go
@@ -34,8 +34,8 @@
 	c.learners = slices.DeleteFunc(c.learners, func(l *link) bool { return l.peer.ID == id })
 }
 
-// Invite notes that a learner is alive. If there is no link to the learner, it probes it so that it opens a session.
-func (c *Chain) Invite(now time.Duration, member view.Member) {
+// InviteLearner notes that a learner is alive. If there is no link to the learner, it probes it so that it opens a session.
+func (c *Chain) InviteLearner(now time.Duration, member view.Member) {
 	if !c.active || !c.role.Head {
 		return
 	}
@@ -133,8 +133,8 @@
 	c.acknowledge(now)
 }
 
-// WantsSnapshot reports whether a learner waits for a snapshot to be offered.
-func (c *Chain) WantsSnapshot() bool {
+// NeedsSnapshot reports whether a learner waits for a snapshot to be offered.
+func (c *Chain) NeedsSnapshot() bool {
 	for _, l := range c.learners {
 		if l.needsSnapshot {
 			return true
@@ -143,9 +143,9 @@
 	return false
 }
 
-// Offer provides a snapshot, the state after all delivered entries up to index, for learners that are too far behind to catch up by
+// OfferSnapshot provides a snapshot, the state after all delivered entries up to index, for learners that are too far behind to catch up by
 // entries. It ignores a snapshot beyond the delivered index or at an index whose epoch is no longer known.
-func (c *Chain) Offer(now time.Duration, index uint64, data []byte) {
+func (c *Chain) OfferSnapshot(now time.Duration, index uint64, data []byte) {
 	epoch, ok := c.log.EpochAt(index)
 	if !ok || index > c.delivered {
 		return
--- a/coord/chain/rig_test.go
+++ b/coord/chain/rig_test.go
@@ -49,7 +49,7 @@
 func (r *testReplica) takeSent() (sent []sentMessage)           { sent, r.sent = r.sent, nil; return sent }
 func (r *testReplica) advance(d time.Duration)                  { r.now += d; r.Tick(r.now) }
 func (r *testReplica) receiveFrom(from view.Member, body *Body) { r.Receive(r.now, from, body) }
-func (r *testReplica) syncAll(token uint64)                     { r.Mark(token); r.SyncedTo(r.now, token) }
+func (r *testReplica) syncAll(token uint64)                     { r.AssignSyncToken(token); r.SyncedTo(r.now, token) }
 func (r *testReplica) write(data ...string) (last uint64) {
 	for _, d := range data {
 		last = r.Append(r.now, [][]byte{[]byte(d)})
@@ -85,7 +85,7 @@
 func newTrimmedHead(t *testing.T, count int) *testReplica {
 	head := newTestReplica(t, headMember, 1)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 0, 0
-	head.Enter(head.now, Role{Epoch: 2, Head: true})
+	head.EnterView(head.now, Role{Epoch: 2, Head: true})
 	for range count {
 		head.write("x")
 	}
@@ -98,7 +98,7 @@
 // newLearner returns a learner with an empty disk that has entered an epoch and sent its first Hello to the head.
 func newLearner(t *testing.T, epoch uint64) *testReplica {
 	learner := newTestReplica(t, learnerMember, 7)
-	learner.Enter(learner.now, Role{Epoch: epoch, Upstream: headMember})
+	learner.EnterView(learner.now, Role{Epoch: epoch, Upstream: headMember})
 	return learner
 }
 
@@ -163,7 +163,7 @@
 	if successor {
 		role.Downstream = &learnerMember
 	}
-	r.Enter(r.now, role)
+	r.EnterView(r.now, role)
 	return r
 }
 
--- a/coord/chain/serve_test.go
+++ b/coord/chain/serve_test.go
@@ -11,7 +11,7 @@
 // newServingHead returns a head of epoch 5 with the given entries on disk, whose successor has opened session 9 with an empty log.
 func newServingHead(t *testing.T, entries ...Entry) *testReplica {
 	head := newTestReplica(t, headMember, 1, entries...)
-	head.Enter(head.now, Role{Epoch: 5, Head: true, Downstream: &learnerMember})
+	head.EnterView(head.now, Role{Epoch: 5, Head: true, Downstream: &learnerMember})
 	head.receiveSuccessorHello(9, 0, Run{Epoch: 0})
 	return head
 }
@@ -42,7 +42,7 @@
 // the same.
 func TestHelloAckIsCappedAtTheMatch(t *testing.T) {
 	head := newTestReplica(t, headMember, 1, entriesWithEpochs(1, 1, 5, 5)...)
-	head.Enter(head.now, Role{Epoch: 5, Head: true, Downstream: &learnerMember})
+	head.EnterView(head.now, Role{Epoch: 5, Head: true, Downstream: &learnerMember})
 	head.receiveSuccessorHello(9, 4, Run{Epoch: 0}, Run{Epoch: 1, First: 1, Last: 2}, Run{Epoch: 3, First: 3, Last: 4})
 	assert.Equal(t, uint64(2), head.Acked())
 	sent := appendsOf(head.takeSent())
@@ -66,7 +66,7 @@
 func TestRepeatedHelloDoesNotRestartATransfer(t *testing.T) {
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	forwardMessages(learner, head, nil)
-	head.Offer(head.now, 10, filledBytes('a', 4*chunkBytes))
+	head.OfferSnapshot(head.now, 10, filledBytes('a', 4*chunkBytes))
 	forwardMessages(head, learner, nil)
 	forwardMessages(learner, head, nil)
 	head.takeSent()
@@ -74,7 +74,7 @@
 	require.Positive(t, acked)
 	learner.sendHello(learner.now)
 	forwardMessages(learner, head, nil)
-	assert.False(t, head.WantsSnapshot())
+	assert.False(t, head.NeedsSnapshot())
 	assert.Equal(t, acked, head.learners[0].transfer.acked)
 }
 
@@ -90,7 +90,7 @@
 // A learner may come back with another disk. What it acknowledged before must not count for the new session.
 func TestNewLearnerSessionResetsAcknowledgedIndex(t *testing.T) {
 	head := newTestReplica(t, headMember, 1, entriesWithEpochs(1, 1)...)
-	head.Enter(head.now, Role{Epoch: 5, Head: true})
+	head.EnterView(head.now, Role{Epoch: 5, Head: true})
 	head.receiveSuccessorHello(1<<sessionBits|1, 2, Run{Epoch: 0}, Run{Epoch: 1, First: 1, Last: 2})
 	acked, _, ok := head.Learner(learnerMember.ID)
 	require.True(t, ok)
@@ -105,7 +105,7 @@
 	forwardMessages(learner, head, nil)
 	_, _, ok := head.Learner(learnerMember.ID)
 	assert.False(t, ok, "the learner waits for a snapshot")
-	head.Offer(head.now, 10, filledBytes('a', 4*chunkBytes))
+	head.OfferSnapshot(head.now, 10, filledBytes('a', 4*chunkBytes))
 	_, _, ok = head.Learner(learnerMember.ID)
 	assert.False(t, ok, "a snapshot is being transferred")
 	exchangeUntilIdle(head, learner)
@@ -118,13 +118,13 @@
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	forwardMessages(learner, head, nil)
 	head.write("x")
-	head.Offer(head.now, 11, filledBytes('a', 1))
-	assert.True(t, head.WantsSnapshot(), "index 11 is not committed")
-	head.Offer(head.now, 9, filledBytes('a', 1))
-	assert.True(t, head.WantsSnapshot(), "the epoch of index 9 is no longer known")
+	head.OfferSnapshot(head.now, 11, filledBytes('a', 1))
+	assert.True(t, head.NeedsSnapshot(), "index 11 is not committed")
+	head.OfferSnapshot(head.now, 9, filledBytes('a', 1))
+	assert.True(t, head.NeedsSnapshot(), "the epoch of index 9 is no longer known")
 	assert.Empty(t, chunksOf(head.takeSent()))
-	head.Offer(head.now, 10, filledBytes('a', 1))
-	assert.False(t, head.WantsSnapshot())
+	head.OfferSnapshot(head.now, 10, filledBytes('a', 1))
+	assert.False(t, head.NeedsSnapshot())
 	sent := chunksOf(head.takeSent())
 	require.Equal(t, 1, len(sent))
 	assert.Equal(t, uint64(10), sent[0].Index)
@@ -134,7 +134,7 @@
 func TestChunkAckOfAnotherSnapshotOrSessionIsIgnored(t *testing.T) {
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	forwardMessages(learner, head, nil)
-	head.Offer(head.now, 10, filledBytes('a', 8*chunkBytes))
+	head.OfferSnapshot(head.now, 10, filledBytes('a', 8*chunkBytes))
 	head.takeSent()
 	session := head.learners[0].session
 	for _, ack := range []ChunkAck{{Session: session, Index: 9, Offset: chunkBytes}, {Session: session + 1, Index: 10, Offset: chunkBytes}} {
@@ -149,7 +149,7 @@
 func TestLostChunksAreRetransmitted(t *testing.T) {
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	forwardMessages(learner, head, nil)
-	head.Offer(head.now, 10, filledBytes('a', 3*chunkBytes))
+	head.OfferSnapshot(head.now, 10, filledBytes('a', 3*chunkBytes))
 	head.takeSent() // lost
 	head.advance(transferTimeout)
 	sent := chunksOf(head.takeSent())
@@ -172,7 +172,7 @@
 // A peer that needs entries which have been dropped meanwhile must open a new session.
 func TestPeerThatNeedsTrimmedEntriesIsProbedForANewSession(t *testing.T) {
 	head := newTestReplica(t, headMember, 1)
-	head.Enter(head.now, Role{Epoch: 5, Head: true})
+	head.EnterView(head.now, Role{Epoch: 5, Head: true})
 	head.receiveSuccessorHello(9, 0, Run{Epoch: 0})
 	head.takeSent()
 	for range 40 { // more than the window allows
@@ -192,7 +192,7 @@
 func TestUndeliveredEntriesAreNotTrimmed(t *testing.T) {
 	head := newTestReplica(t, headMember, 1)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 0, 0
-	head.Enter(head.now, Role{Epoch: 5, Head: true})
+	head.EnterView(head.now, Role{Epoch: 5, Head: true})
 	head.write("a", "b")
 	head.syncAll(1)
 	head.write("c")
@@ -203,7 +203,7 @@
 
 func TestSilentLearnerIsRemoved(t *testing.T) {
 	head := newTestReplica(t, headMember, 1)
-	head.Enter(head.now, Role{Epoch: 5, Head: true})
+	head.EnterView(head.now, Role{Epoch: 5, Head: true})
 	head.receiveSuccessorHello(9, 0, Run{Epoch: 0})
 	head.advance(learnerTimeout)
 	assert.Len(t, head.learners, 1)
--- a/coord/chain/snapshot_test.go
+++ b/coord/chain/snapshot_test.go
@@ -14,9 +14,9 @@
 func TestSnapshotsAreNeverMixed(t *testing.T) {
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	forwardMessages(learner, head, nil)
-	require.True(t, head.WantsSnapshot())
+	require.True(t, head.NeedsSnapshot())
 	const size = 8 * chunkBytes
-	head.Offer(head.now, 10, filledBytes('a', size))
+	head.OfferSnapshot(head.now, 10, filledBytes('a', size))
 	for range 2 { // a part of it gets through
 		forwardMessages(head, learner, nil)
 		forwardMessages(learner, head, nil)
@@ -31,8 +31,8 @@
 	head.syncAll(2)
 	head.Commit(head.now)
 	forwardMessages(learner, head, nil)
-	require.True(t, head.WantsSnapshot())
-	head.Offer(head.now, 12, filledBytes('b', size))
+	require.True(t, head.NeedsSnapshot())
+	head.OfferSnapshot(head.now, 12, filledBytes('b', size))
 	exchangeUntilIdle(head, learner)
 	require.NoError(t, learner.fault)
 	require.Equal(t, 1, len(learner.installed))
@@ -116,10 +116,10 @@
 
 func TestSnapshotBelowCommittedIndexIsRefused(t *testing.T) {
 	learner := newTestReplica(t, learnerMember, 7, entriesWithEpochs(1, 1, 1)...)
-	learner.Enter(learner.now, Role{Epoch: 2, Upstream: headMember})
+	learner.EnterView(learner.now, Role{Epoch: 2, Upstream: headMember})
 	learner.receiveFrom(headMember, &Body{Append: &Append{Session: learner.session, Start: true, Target: 3, Prev: 3, PrevEpoch: 1, Commit: 3}})
 	require.Equal(t, uint64(3), learner.Committed())
-	learner.Enter(learner.now, Role{Epoch: 3, Upstream: headMember})
+	learner.EnterView(learner.now, Role{Epoch: 3, Upstream: headMember})
 	learner.receiveFrom(headMember, &Body{Chunk: chunksFor(learner.session, 2, filledBytes('a', 1))[0]})
 	assert.ErrorIs(t, learner.fault, ErrDiverged)
 	assert.Zero(t, len(learner.installed)+len(learner.snapshots))
@@ -129,11 +129,11 @@
 // What was on disk of the log that a snapshot replaces must not count for the snapshot.
 func TestSnapshotIsAcknowledgedOnlyOnceOnDisk(t *testing.T) {
 	learner := newTestReplica(t, learnerMember, 7, entriesWithEpochs(1, 1, 1)...)
-	learner.Enter(learner.now, Role{Epoch: 2, Upstream: headMember})
+	learner.EnterView(learner.now, Role{Epoch: 2, Upstream: headMember})
 	learner.receiveFrom(headMember, &Body{Chunk: chunksFor(learner.session, 10, filledBytes('a', 1))[0]})
 	assert.Zero(t, learner.Synced())
 	assert.Zero(t, hellosOf(learner.takeSent())[1].Acked)
-	learner.Mark(5)
+	learner.AssignSyncToken(5)
 	learner.SyncedTo(learner.now, 4)
 	assert.Zero(t, learner.Synced())
 	learner.SyncedTo(learner.now, 5)
@@ -148,9 +148,9 @@
 	forwardMessages(learner, head, nil)
 	token, offers := uint64(1), 0
 	for range 40 {
-		if head.WantsSnapshot() {
+		if head.NeedsSnapshot() {
 			offers++
-			head.Offer(head.now, head.Committed(), filledBytes('a', 8*chunkBytes))
+			head.OfferSnapshot(head.now, head.Committed(), filledBytes('a', 8*chunkBytes))
 		}
 		forwardMessages(head, learner, nil)
 		token++
@@ -174,7 +174,7 @@
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 10, 1<<20
 	forwardMessages(learner, head, nil)
-	head.Offer(head.now, 10, filledBytes('a', 8*chunkBytes))
+	head.OfferSnapshot(head.now, 10, filledBytes('a', 8*chunkBytes))
 	for token := range uint64(400) {
 		head.write("x")
 		head.syncAll(token + 2)
@@ -198,7 +198,7 @@
 	for _, p := range old {
 		head.receiveFrom(learnerMember, p.body)
 	}
-	head.Offer(head.now, 10, filledBytes('a', 10))
+	head.OfferSnapshot(head.now, 10, filledBytes('a', 10))
 	exchangeUntilIdle(head, learner)
 	require.Equal(t, 1, len(learner.installed))
 	var late []*Body
@@ -218,13 +218,13 @@
 	for _, body := range late {
 		head.receiveFrom(learnerMember, body)
 	}
-	require.True(t, head.WantsSnapshot())
-	head.Offer(head.now, 12, filledBytes('b', 10))
+	require.True(t, head.NeedsSnapshot())
+	head.OfferSnapshot(head.now, 12, filledBytes('b', 10))
 	learner.advance(sessionRestartInterval)
 	for range 4 {
 		forwardMessages(head, learner, nil)
 		forwardMessages(learner, head, nil)
-		head.Offer(head.now, 12, filledBytes('b', 10))
+		head.OfferSnapshot(head.now, 12, filledBytes('b', 10))
 	}
 	require.NoError(t, learner.fault)
 	require.Equal(t, 2, len(learner.installed))
@@ -245,7 +245,7 @@
 	learner := newLearner(t, 2)
 	before := chunksFor(learner.session, 12, filledBytes('a', 2*chunkBytes))
 	learner.receiveFrom(headMember, &Body{Chunk: before[0]})
-	learner.Enter(learner.now, Role{Epoch: 3, Upstream: middleMember})
+	learner.EnterView(learner.now, Role{Epoch: 3, Upstream: middleMember})
 	learner.takeSent()
 	after := chunksFor(learner.session, 11, filledBytes('b', 2*chunkBytes))
 	learner.receiveFrom(headMember, &Body{Chunk: before[1]})
@@ -264,7 +264,7 @@
 	head, learner := newTrimmedHead(t, 10), newLearner(t, 2)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 100, 1<<20
 	forwardMessages(learner, head, nil)
-	head.Offer(head.now, 10, filledBytes('a', 3*chunkBytes))
+	head.OfferSnapshot(head.now, 10, filledBytes('a', 3*chunkBytes))
 	head.write("b", "c")
 	head.syncAll(2)
 	head.Commit(head.now)
--- a/coord/chain/step_test.go
+++ b/coord/chain/step_test.go
@@ -12,7 +12,7 @@
 	r := newFollower(t, false, entriesWithEpochs(1, 1, 1)...)
 	r.receiveStart(3, 1, 3, 2)
 	require.Equal(t, uint64(2), r.Committed())
-	r.Enter(r.now, Role{Epoch: 6, Upstream: headMember})
+	r.EnterView(r.now, Role{Epoch: 6, Upstream: headMember})
 	r.receiveStart(1, 1, 1, 1)
 	assert.ErrorIs(t, r.fault, ErrDiverged)
 	assert.Empty(t, r.truncated)
@@ -36,10 +36,10 @@
 func TestTruncatedEntriesWithPendingSyncDoNotCountLater(t *testing.T) {
 	r := newFollower(t, false, entriesWithEpochs(1)...)
 	r.receiveStart(1, 1, 3, 0, entry(2, 5), entry(3, 5))
-	r.Mark(1)
-	r.Enter(r.now, Role{Epoch: 6, Upstream: headMember})
+	r.AssignSyncToken(1)
+	r.EnterView(r.now, Role{Epoch: 6, Upstream: headMember})
 	r.receiveStart(1, 1, 3, 0, entry(2, 6), entry(3, 6))
-	r.Mark(2)
+	r.AssignSyncToken(2)
 	r.SyncedTo(r.now, 1)
 	assert.Equal(t, uint64(1), r.Synced())
 	r.SyncedTo(r.now, 2)
@@ -90,7 +90,7 @@
 func TestMemberThatLeftTheViewAcknowledgesNothing(t *testing.T) {
 	r := newFollower(t, true, entriesWithEpochs(1, 1)...)
 	r.receiveStart(2, 1, 2, 0)
-	r.Leave()
+	r.LeaveView()
 	assert.Zero(t, r.Acked())
 	assert.False(t, r.InStep())
 	r.takeSent()
@@ -126,11 +126,11 @@
 
 func TestSyncTokenCoversOnlyEarlierEntries(t *testing.T) {
 	head := newTestReplica(t, headMember, 1)
-	head.Enter(head.now, Role{Epoch: 1, Head: true})
+	head.EnterView(head.now, Role{Epoch: 1, Head: true})
 	head.write("a")
-	head.Mark(1)
+	head.AssignSyncToken(1)
 	head.write("b")
-	head.Mark(2)
+	head.AssignSyncToken(2)
 	head.SyncedTo(head.now, 1)
 	head.Commit(head.now)
 	assert.Equal(t, uint64(1), head.Committed())
@@ -161,7 +161,7 @@
 // The target is the last index that the predecessor holds, even if its first Append does not carry all entries.
 func TestTargetIsThePredecessorsLastIndex(t *testing.T) {
 	head := newTestReplica(t, headMember, 1)
-	head.Enter(head.now, Role{Epoch: 1, Head: true, Downstream: &learnerMember})
+	head.EnterView(head.now, Role{Epoch: 1, Head: true, Downstream: &learnerMember})
 	head.write(string(filledBytes('a', batchBytes)), string(filledBytes('b', batchBytes)))
 	head.takeSent()
 	head.receiveSuccessorHello(9, 0, Run{Epoch: 0})
--- a/coord/replica/audit.go
+++ b/coord/replica/audit.go
@@ -155,7 +155,7 @@
 		r.out.Events = append(r.out.Events, LostHead{Epoch: r.head.announcedEpoch, Cause: Cause{Kind: CauseState}})
 	}
 	r.entered = false // so that this is neither head nor tail
-	r.chain.Leave()
+	r.chain.LeaveView()
 }
 
 // stepStopped handles the inputs of a replica whose state differs: only the report that its disk is marked counts, or that the disk has
--- a/coord/replica/election.go
+++ b/coord/replica/election.go
@@ -40,7 +40,7 @@
 	r.setCause(now, cause)
 	r.stepDown(now)
 	r.higherBallotAt = 0
-	r.proposer.AcceptAtOnce(now, &next)
+	r.proposer.AcceptWithoutPrepare(now, &next)
 	r.sendBallot(now)
 }
 
@@ -77,7 +77,7 @@
 	}
 	r.ballotRetryAt = now + ballotRetryInterval
 	for _, voter := range r.view.Voters {
-		if !r.proposer.Missing(voter.ID) {
+		if !r.proposer.AwaitsVote(voter.ID) {
 			continue
 		}
 		m := &Message{View: r.viewCopy()}
--- a/coord/replica/enter.go
+++ b/coord/replica/enter.go
@@ -30,7 +30,7 @@
 	r.earlyMessages = nil
 	r.tail = tailState{}
 	r.resetHead(now)
-	r.chain.Leave()
+	r.chain.LeaveView()
 	r.entered = false
 	r.enterToken = r.pendingToken()
 	r.joinAt = now
@@ -54,11 +54,11 @@
 	at := r.position()
 	switch {
 	case at < 0:
-		r.chain.Enter(now, chain.Role{Epoch: r.view.Epoch, Upstream: r.view.Head()})
+		r.chain.EnterView(now, chain.Role{Epoch: r.view.Epoch, Upstream: r.view.Head()})
 	case at == 0 && !r.head.currentIncarnation:
 		r.entered = false // an earlier incarnation's epoch: a new epoch is needed
 	default:
-		r.chain.Enter(now, r.role(at))
+		r.chain.EnterView(now, r.role(at))
 		r.head.inheritedIndex = r.chain.Log().Last()
 	}
 	if !r.entered {
--- a/coord/replica/head.go
+++ b/coord/replica/head.go
@@ -168,7 +168,7 @@
 func (r *Replica) sendHeartbeats(now time.Duration) {
 	sequence := r.head.lease.Sent(now)
 	r.head.heartbeatAt = now + r.cfg.HeartbeatEvery
-	if r.view.IsVoter(r.self.ID) && !r.acceptor.PromisedAway(r.self.ID) {
+	if r.view.IsVoter(r.self.ID) && !r.acceptor.PromisedToOther(r.self.ID) {
 		r.grantUntil = max(r.grantUntil, now+r.cfg.Grant)
 		r.head.lease.Granted(r.self.ID, sequence)
 		r.renewLease(now)
--- a/coord/replica/join.go
+++ b/coord/replica/join.go
@@ -96,7 +96,7 @@
 	}
 	l.member, l.heardAt = m.From, now
 	r.head.reconcileAt = now
-	r.chain.Invite(now, m.From)
+	r.chain.InviteLearner(now, m.From)
 }
 
 // noteReplaced records that another disk has taken the address of a member of the present view, as shown by a message from a replica that
--- a/coord/replica/receive.go
+++ b/coord/replica/receive.go
@@ -126,7 +126,7 @@
 	if r.position() < 0 || r.chain.InStep() { // otherwise the log may hold entries that an earlier epoch never committed
 		ack.Received, ack.Synced, ack.Acked = r.LastIndex(), r.chain.Synced(), r.chain.Acked()
 	}
-	if r.view.IsVoter(r.self.ID) && !r.acceptor.PromisedAway(m.From.ID) {
+	if r.view.IsVoter(r.self.ID) && !r.acceptor.PromisedToOther(m.From.ID) {
 		r.grantUntil = max(r.grantUntil, now+r.cfg.Grant)
 		ack.Granted = true
 	}
--- a/coord/replica/replica.go
+++ b/coord/replica/replica.go
@@ -104,7 +104,7 @@
 	r.head.lease = view.NewLease(cfg.Grant, r.heartbeatBase)
 	r.newIdentity = restored.Identity == "" && cfg.Genesis == nil
 	r.storedCommitted = restored.Committed
-	r.chain.Resume(restored.Committed)
+	r.chain.RestoreCommitted(restored.Committed)
 	if restored.Identity == "" {
 		r.startEmpty(now)
 	} else {
@@ -162,7 +162,7 @@
 	case Contacts:
 		r.contacts = in.Addresses
 	case SnapshotReady:
-		r.chain.Offer(now, in.Index, in.Data)
+		r.chain.OfferSnapshot(now, in.Index, in.Data)
 	case Audited:
 		r.onAudited(now, in.Digest)
 	}
@@ -212,12 +212,12 @@
 	if r.audit.divergence != nil {
 		return r.finishStopped(now)
 	}
-	r.out.NeedSnapshot = r.chain.WantsSnapshot()
+	r.out.NeedSnapshot = r.chain.NeedsSnapshot()
 	r.storeCommitted()
 	if len(r.out.Persist) > 0 {
 		r.lastToken++
 		r.out.Token = r.lastToken
-		r.chain.Mark(r.lastToken)
+		r.chain.AssignSyncToken(r.lastToken)
 		r.pendingWrites = append(r.pendingWrites, write{r.lastToken, now})
 	}
 	r.out.Wake = r.nextWake(now)
--- a/coord/view/acceptor.go
+++ b/coord/view/acceptor.go
@@ -50,8 +50,8 @@
 	return true
 }
 
-// PromisedAway reports whether a ballot of a replica other than the head has been promised. The voter must then give the head
+// PromisedToOther reports whether a ballot of a replica other than the head has been promised. The voter must then give the head
 // no more grants.
-func (a *Acceptor) PromisedAway(head ReplicaID) bool {
+func (a *Acceptor) PromisedToOther(head ReplicaID) bool {
 	return !a.Promised.IsZero() && a.Promised.Owner != head
 }
--- a/coord/view/proposer.go
+++ b/coord/view/proposer.go
@@ -51,8 +51,8 @@
 	p.foundBallot, p.found = Ballot{}, nil
 }
 
-// AcceptAtOnce starts the ballot of round 0 in the accept phase. Only the head may use this round, and it needs no promises.
-func (p *Proposer) AcceptAtOnce(now time.Duration, value *View) {
+// AcceptWithoutPrepare starts the ballot of round 0 in the accept phase. Only the head may use this round, and it needs no promises.
+func (p *Proposer) AcceptWithoutPrepare(now time.Duration, value *View) {
 	p.Value = value
 	p.begin(now, Accepting, Ballot{Owner: p.self, Life: p.incarnation})
 }
@@ -121,5 +121,5 @@
 // Leaving reports whether a replica has said in this ballot that it wants to leave the chain.
 func (p *Proposer) Leaving(id ReplicaID) bool { return p.leaving[id] }
 
-// Missing reports whether a replica has not yet promised or voted in this phase.
-func (p *Proposer) Missing(id ReplicaID) bool { return !p.voted[id] }
+// AwaitsVote reports whether a replica has not yet promised or voted in this phase.
+func (p *Proposer) AwaitsVote(id ReplicaID) bool { return !p.voted[id] }
--- a/coord/wal/disk.go
+++ b/coord/wal/disk.go
@@ -14,8 +14,8 @@
 	Rename(oldName, newName string) error
 	// Remove removes a file.
 	Remove(name string) error
-	// SyncFolder makes all creations, renames and removals of files durable.
-	SyncFolder() error
+	// SyncDir makes all creations, renames and removals of files durable.
+	SyncDir() error
 }
 
 // File is a file open for appending.
--- a/coord/wal/osdisk.go
+++ b/coord/wal/osdisk.go
@@ -69,7 +69,7 @@
 	return os.Remove(d.path(name))
 }
 
-func (d osDisk) SyncFolder() error {
+func (d osDisk) SyncDir() error {
 	dir, err := os.Open(d.dir)
 	if err != nil {
 		return err
--- a/coord/wal/rewrite.go
+++ b/coord/wal/rewrite.go
@@ -118,5 +118,5 @@
 	if err := file.Sync(); err != nil {
 		return err
 	}
-	return disk.SyncFolder()
+	return disk.SyncDir()
 }
--- a/internal/system/logfile/logfile.go
+++ b/internal/system/logfile/logfile.go
@@ -38,15 +38,15 @@
 }
 
 // Read reads the log of that name in a folder.
-func Read(folder, name string) (wal.Reading, error) {
+func Read(folder, name string) (wal.ReadResult, error) {
 	if found, err := os.Stat(folder); err != nil {
-		return wal.Reading{}, fmt.Errorf("data folder: %w", err)
+		return wal.ReadResult{}, fmt.Errorf("data folder: %w", err)
 	} else if !found.IsDir() {
-		return wal.Reading{}, fmt.Errorf("data folder: %s is a file: give the folder, dataDir of the settings", folder)
+		return wal.ReadResult{}, fmt.Errorf("data folder: %s is a file: give the folder, dataDir of the settings", folder)
 	}
 	disk, err := wal.OSDisk(folder)
 	if err != nil {
-		return wal.Reading{}, fmt.Errorf("data folder: %w", err)
+		return wal.ReadResult{}, fmt.Errorf("data folder: %w", err)
 	}
 	return wal.Read(disk, name)
 }
