--- a/coord/replica/machine_test.go
+++ b/coord/replica/machine_test.go
@@ -89,7 +89,7 @@
 		return
 	}
 	if restored.Unfit != "" {
-		m.records = Blank(view.ReplicaID(fmt.Sprintf("%x", w.random.Uint64())))
+		m.records = BlankDisk(view.ReplicaID(fmt.Sprintf("%x", w.random.Uint64())))
 		restored, _ = Restore(m.records)
 		m.durableState = restored
 	}
@@ -208,7 +208,7 @@
 	life, digest := m.incarnation, view.Digest{Index: m.applied, Format: 1, Sum: m.stateSum ^ m.corruption}
 	m.world.after(0, func() {
 		if m.incarnation == life {
-			m.input(Audited{digest})
+			m.input(StateDigest{digest})
 		}
 	})
 }
--- a/coord/replica/message.go
+++ b/coord/replica/message.go
@@ -60,10 +60,10 @@
 	Data  []byte
 }
 
-// Audited hands in the digest of the state after all delivered entries up to the digest's index.
-type Audited struct{ Digest view.Digest }
+// StateDigest hands in the digest of the state after all delivered entries up to the digest's index.
+type StateDigest struct{ Digest view.Digest }
 
-func (Audited) input()       {}
+func (StateDigest) input()   {}
 func (Receive) input()       {}
 func (Tick) input()          {}
 func (Synced) input()        {}
--- a/coord/replica/persist.go
+++ b/coord/replica/persist.go
@@ -254,9 +254,9 @@
 	return Record{Kind: KindUnfit, Data: []byte(err.Error())}
 }
 
-// Blank returns the records of a disk that holds nothing but a new identity. They replace those of an unfit disk. The identity must never
+// BlankDisk returns the records of a disk that holds nothing but a new identity. They replace those of an unfit disk. The identity must never
 // have been used.
-func Blank(id view.ReplicaID) []Record { return []Record{encodeIdentity(id)} }
+func BlankDisk(id view.ReplicaID) []Record { return []Record{encodeIdentity(id)} }
 
 func uvarint(data []byte) (uint64, []byte, error) {
 	value, n := binary.Uvarint(data)
--- a/coord/replica/replica.go
+++ b/coord/replica/replica.go
@@ -163,7 +163,7 @@
 		r.contacts = in.Addresses
 	case SnapshotReady:
 		r.chain.OfferSnapshot(now, in.Index, in.Data)
-	case Audited:
+	case StateDigest:
 		r.onAudited(now, in.Digest)
 	}
 	return r.finish(now)
@@ -271,9 +271,9 @@
 // LastIndex returns the last index of the log.
 func (r *Replica) LastIndex() uint64 { return r.chain.Log().Last() }
 
-// Held returns the entries of the log after an index, committed or not. The index must not be less than that of the last delivered entry.
+// EntriesAfter returns the entries of the log after an index, committed or not. The index must not be less than that of the last delivered entry.
 // The entries must not be changed.
-func (r *Replica) Held(after uint64) []chain.Entry {
+func (r *Replica) EntriesAfter(after uint64) []chain.Entry {
 	entries, _ := r.chain.Log().Slice(after+1, math.MaxInt)
 	return entries
 }
--- a/internal/system/control/digests.go
+++ b/internal/system/control/digests.go
@@ -25,6 +25,6 @@
 	for len(e.digests) > 0 {
 		digest := e.digests[0]
 		e.digests = e.digests[1:]
-		e.step(replica.Audited{Digest: digest})
+		e.step(replica.StateDigest{Digest: digest})
 	}
 }
--- a/internal/system/logfile/logfile.go
+++ b/internal/system/logfile/logfile.go
@@ -76,7 +76,7 @@
 }
 
 // fill tells what a readable record says.
-func fill(line *Line, found *replica.Inspected) {
+func fill(line *Line, found *replica.RecordContent) {
 	switch {
 	case found.Entry != nil:
 		line.Index, line.Epoch = found.Entry.Index, found.Entry.Epoch
