--- a/internal/system/scheduler/audit.go
+++ b/internal/system/scheduler/audit.go
@@ -26,14 +26,14 @@
 }
 
 const (
-	// auditEvery is how often it is looked for tasks that wait, auditAfter for how long one has to wait to be looked at.
-	auditEvery = time.Second
-	auditAfter = 3 * time.Second
-	// tellAgain is how soon a task that still waits is looked at and told of again.
-	tellAgain = 5 * time.Second
-	// mostAudited bounds the held tasks that one audit tries on all workers, mostFindings those that it tells of.
-	mostAudited  = 24
-	mostFindings = 8
+	// auditInterval is how often it is looked for tasks that wait, auditMinWait for how long one has to wait to be looked at.
+	auditInterval = time.Second
+	auditMinWait  = 3 * time.Second
+	// reportAgainAfter is how soon a task that still waits is looked at and told of again.
+	reportAgainAfter = 5 * time.Second
+	// maxAuditedTasks bounds the held tasks that one audit tries on all workers, maxFindings those that it tells of.
+	maxAuditedTasks = 24
+	maxFindings     = 8
 )
 
 // auditing is where the audit stands.
@@ -44,7 +44,7 @@
 
 // planAudit has the next audit made.
 func (s *Scheduler) planAudit() {
-	s.at(s.now+auditEvery, func() {
+	s.runAt(s.now+auditInterval, func() {
 		s.audit()
 		s.planAudit()
 	})
@@ -58,8 +58,8 @@
 	s.auditWorkers()
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
-		for _, number := range slices.Sorted(maps.Keys(j.times)) {
-			s.auditTime(j, j.times[number])
+		for _, number := range slices.Sorted(maps.Keys(j.occurrences)) {
+			s.auditOccurrence(j, j.occurrences[number])
 		}
 	}
 }
@@ -74,8 +74,8 @@
 	}
 	slices.Sort(missed)
 	for _, id := range missed {
-		s.openJob(s.addJob(s.machine.Job(id)))
-		s.tell(Finding{Task: state.TaskName{Job: id}, Reason: "the job wasn't known", Mended: true})
+		s.openJob(s.trackJob(s.machine.Job(id)))
+		s.reportFinding(Finding{Task: state.TaskName{Job: id}, Reason: "the job wasn't known", Mended: true})
 	}
 }
 
@@ -83,25 +83,25 @@
 func (s *Scheduler) auditWorkers() {
 	var missed []string
 	for instance, w := range s.workers {
-		if w.listed && w.life.Address != "" && !w.losing && w.reach != over && !w.hold.inTurn && w.hold.out == 0 && w.hold.nextAt+auditAfter < s.now {
+		if w.listed && w.identity.Address != "" && !w.lossProposed && w.reach != reachOver && !w.hold.inFirstQueue && w.hold.callID == 0 && w.hold.nextAt+auditMinWait < s.now {
 			missed = append(missed, instance)
 		}
 	}
 	slices.Sort(missed)
 	for _, instance := range missed {
 		w := s.workers[instance]
-		s.tell(Finding{Worker: instance, Reason: "nobody asks the worker, which is " + reachNames[w.reach], Mended: true})
+		s.reportFinding(Finding{Worker: instance, Reason: "nobody asks the worker, which is " + reachNames[w.reach], Mended: true})
 		w.hold.nextAt = 0
-		s.holdAt(w, s.now)
+		s.scheduleHold(w, s.now)
 	}
 }
 
-func (s *Scheduler) auditTime(j *job, t *jobTime) {
+func (s *Scheduler) auditOccurrence(j *job, t *occurrence) {
 	for i := range t.steps {
 		st := t.steps[i]
 		if (st == nil || !st.opened) && j.record.StepReady(t.number, uint32(i)) {
 			s.openStep(s.ensureStep(j, t, uint32(i)))
-			s.tell(Finding{Task: t.steps[i].name(0), Reason: "the step wasn't open", Mended: true})
+			s.reportFinding(Finding{Task: t.steps[i].name(0), Reason: "the step wasn't open", Mended: true})
 		}
 		if st != nil && st.opened && !st.closed {
 			s.auditStep(st)
@@ -112,11 +112,11 @@
 func (s *Scheduler) auditStep(st *step) {
 	if st.hasWaiting() && !st.queued {
 		s.enqueue(st)
-		s.tell(Finding{Task: st.name(0), Reason: "the step wasn't held", Mended: true})
+		s.reportFinding(Finding{Task: st.name(0), Reason: "the step wasn't held", Mended: true})
 	}
 	for i := range st.tasks {
 		t := &st.tasks[i]
-		if t.state == taskDone || t.since == 0 || s.now-t.since < auditAfter || s.now < t.toldAt+tellAgain && !t.doubted {
+		if t.state == taskDone || t.waitingSince == 0 || s.now-t.waitingSince < auditMinWait || s.now < t.reportedAt+reportAgainAfter && !t.unexplained {
 			continue
 		}
 		s.auditTask(st, uint32(i), t)
@@ -125,28 +125,28 @@
 
 // auditTask looks at one task that has waited for long.
 func (s *Scheduler) auditTask(st *step, index uint32, t *task) {
-	found := Finding{Task: st.name(index), Waited: s.now - t.since}
-	if r := st.awaitedRun(t); r != nil {
-		found.Worker, found.Reason = r.worker.life.Instance, r.awaited()
-	} else if s.auditing.tried < mostAudited {
+	found := Finding{Task: st.name(index), Waited: s.now - t.waitingSince}
+	if r := st.pendingRun(t); r != nil {
+		found.Worker, found.Reason = r.worker.identity.Instance, r.waitReason()
+	} else if s.auditing.tried < maxAuditedTasks {
 		s.auditing.tried++
-		found.Reason, found.Mended = s.auditHeld(st, index, t)
+		found.Reason, found.Mended = s.auditQueued(st, index, t)
 		found.Refused = t.refusals > freeRefusals
 	}
 	if found.Reason != "" {
-		t.toldAt = s.now
-		s.tell(found)
+		t.reportedAt = s.now
+		s.reportFinding(found)
 	}
 }
 
-func (s *Scheduler) tell(found Finding) {
-	if len(s.auditing.findings) < mostFindings {
+func (s *Scheduler) reportFinding(found Finding) {
+	if len(s.auditing.findings) < maxFindings {
 		s.auditing.findings = append(s.auditing.findings, found)
 	}
 }
 
-// awaitedRun is the run that a task waits for: its newest, or for a gang one of any member. Nil: there is none.
-func (st *step) awaitedRun(t *task) *run {
+// pendingRun is the run that a task waits for: its newest, or for a gang one of any member. Nil: there is none.
+func (st *step) pendingRun(t *task) *run {
 	if len(t.runs) > 0 {
 		return t.runs[len(t.runs)-1]
 	}
@@ -161,71 +161,71 @@
 	return nil
 }
 
-// awaited says what a run that isn't known to be there waits for; empty: it is there.
-func (r *run) awaited() string {
-	if r.phase == runPresent && r.worker.reach == answering {
+// waitReason says what a run that isn't known to be there waits for; empty: it is there.
+func (r *run) waitReason() string {
+	if r.phase == runPresent && r.worker.reach == reachAnswering {
 		return ""
 	}
 	return "its run is " + phaseNames[r.phase] + ", its worker " + reachNames[r.worker.reach]
 }
 
-// auditHeld says what a task without a run waits for. One that could start, as two audits in turn have found, is tried again.
-func (s *Scheduler) auditHeld(st *step, index uint32, t *task) (reason string, mended bool) {
-	reason, idle := s.holdReason(st, t)
+// auditQueued says what a task without a run waits for. One that could start, as two audits in turn have found, is tried again.
+func (s *Scheduler) auditQueued(st *step, index uint32, t *task) (reason string, mended bool) {
+	reason, idle := s.queueReason(st, t)
 	if !idle {
-		t.doubted = false
+		t.unexplained = false
 		return reason, false
 	}
-	if !t.doubted {
-		t.doubted = true
+	if !t.unexplained {
+		t.unexplained = true
 		return "", false
 	}
-	t.doubted = false
-	s.startOver(st, index, t)
+	t.unexplained = false
+	s.forceRetry(st, index, t)
 	return reason, true
 }
 
-// holdReason says why a task without a run isn't started; idle: nothing keeps it from that.
-func (s *Scheduler) holdReason(st *step, t *task) (reason string, idle bool) {
+// queueReason says why a task without a run isn't started; idle: nothing keeps it from that.
+func (s *Scheduler) queueReason(st *step, t *task) (reason string, idle bool) {
 	s.refreshLayout(st.service)
 	refused := ""
 	if t.refusals > freeRefusals {
-		refused = fmt.Sprintf(", %d starts in turn refused, the last: %v", t.refusals, t.refusal)
+		refused = fmt.Sprintf(", %d starts in turn refused, the last: %v", t.refusals, t.lastRefusal)
 	}
 	switch {
 	case st.stage.Gang && st.gang != gangWaiting || !st.stage.Gang && t.state != taskWaiting:
-		if s.now <= st.pauseOf(t)+auditEvery { // its timer may be next
+		if s.now <= st.backoffUntil(t)+auditInterval { // its timer may be next
 			return "it pauses" + refused, false
 		}
 		return "it is neither held nor run" + refused, true
-	case st.service.fresh || len(st.service.freed) > 0:
+	case st.service.tryAll || len(st.service.freed) > 0:
 		return "it is about to be tried" + refused, false
 	case !s.shares.fit(st):
-		return s.obstacle(st, t) + refused, false
+		return s.blockedReason(st, t) + refused, false
 	case st.stage.Gang && s.chooseGang(st) == nil:
 		return "no room for all members at once" + refused, false
-	case !st.stage.Gang && s.choose(st, t) == nil:
-		return s.obstacle(st, t) + refused, false
+	case !st.stage.Gang && s.chooseWorker(st, t) == nil:
+		return s.blockedReason(st, t) + refused, false
 	}
 	return "there is room" + refused, true
 }
 
-// pauseOf is until when a task, or its whole gang, pauses.
-func (st *step) pauseOf(t *task) time.Duration {
+// backoffUntil is until when a task, or its whole gang, pauses.
+func (st *step) backoffUntil(t *task) time.Duration {
 	if st.stage.Gang {
-		return st.tasks[0].pausedUntil
+		return st.tasks[0].backoffUntil
 	}
-	return t.pausedUntil
+	return t.backoffUntil
 }
 
-// startOver has a task tried on all workers that waits without a reason.
-func (s *Scheduler) startOver(st *step, index uint32, t *task) {
+// restartCost has a task tried on all workers that waits without a reason.
+func (s *Scheduler) forceRetry(st *step, index uint32, t *task) {
 	switch {
 	case st.stage.Gang && st.gang == gangWaiting || !st.stage.Gang && t.state == taskWaiting:
-		s.tryAgain(st)
+		s.retryOnAll(st)
 	case st.stage.Gang:
-		s.waitGang(st)
+		s.enqueueGang(st)
 	default:
-		s.wait(st, index)
+		s.enqueueTask(st, index)
 	}
 }
--- a/internal/system/scheduler/audit_test.go
+++ b/internal/system/scheduler/audit_test.go
@@ -11,8 +11,8 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// mended gives the reasons of what the audit has mended.
-func (d *desk) mended() []string {
+// repairs gives the reasons of what the audit has mended.
+func (d *harness) repairs() []string {
 	var reasons []string
 	for _, found := range d.findings {
 		if found.Mended {
@@ -22,8 +22,8 @@
 	return reasons
 }
 
-// passUnchecked lets time go by without a check of the records, which a test has broken.
-func (d *desk) passUnchecked(span time.Duration) {
+// advanceUnchecked lets time go by without a check of the records, which a test has broken.
+func (d *harness) advanceUnchecked(span time.Duration) {
 	for end := d.now + span; d.now < end; {
 		d.now += 10 * time.Millisecond
 		d.sched.Tick(d.now)
@@ -34,130 +34,130 @@
 	}
 }
 
-// held has a job of one task held for want of room on a worker where another runs.
-func (d *desk) held() *step {
-	d.list(entry("w1", 2000))
+// queuedStep has a job of one task held for want of room on a worker where another runs.
+func (d *harness) queuedStep() *step {
+	d.list(listEntry("w1", 2000))
 	d.submit(stage(1, 2000, time.Hour))
 	d.commit()
-	d.start("w1")
+	d.acceptStart("w1")
 	id := d.submit(stage(1, 2000, time.Second))
 	d.commit()
-	require.Zero(d, d.count(CallStart))
-	return d.sched.jobs[id].times[0].steps[0]
+	require.Zero(d, d.countCalls(CallStart))
+	return d.sched.jobs[id].occurrences[0].steps[0]
 }
 
-func TestTaskThatWaitsForRoomIsNoFault(t *testing.T) {
-	d := newDesk(t)
-	d.held()
-	d.pass(10 * time.Second)
-	require.Empty(t, d.mended())
+func TestAuditReportsButDoesNotRepairTaskWaitingForCapacity(t *testing.T) {
+	d := newHarness(t)
+	d.queuedStep()
+	d.advance(10 * time.Second)
+	require.Empty(t, d.repairs())
 	require.NotEmpty(t, d.findings)
 	require.Equal(t, "no room on any worker that it may use", d.findings[0].Reason)
-	require.GreaterOrEqual(t, d.findings[0].Waited, auditAfter)
+	require.GreaterOrEqual(t, d.findings[0].Waited, auditMinWait)
 	require.LessOrEqual(t, len(d.findings), 2, "it is told of again only after a while")
 }
 
-func TestAuditStartsWhatWaitsBesideRoom(t *testing.T) {
-	d := newDesk(t)
-	d.held()
-	d.sched.workers["w1"].room.CPU = 4000 // and nobody is told
-	d.passUnchecked(auditAfter + 3*auditEvery)
-	require.Equal(t, []string{"there is room"}, d.mended())
+func TestAuditStartsTaskWaitingBesideFreeCapacity(t *testing.T) {
+	d := newHarness(t)
+	d.queuedStep()
+	d.sched.workers["w1"].capacity.CPU = 4000 // and nobody is told
+	d.advanceUnchecked(auditMinWait + 3*auditInterval)
+	require.Equal(t, []string{"there is room"}, d.repairs())
 	d.commit()
-	d.must(CallStart, "w1")
+	d.mustTakeCall(CallStart, "w1")
 }
 
-func TestAuditHoldsWhatIsInNoQueue(t *testing.T) {
-	d := newDesk(t)
-	st := d.held()
+func TestAuditQueuesStepMissingFromQueue(t *testing.T) {
+	d := newHarness(t)
+	st := d.queuedStep()
 	d.sched.dequeue(st)
-	d.passUnchecked(2 * auditEvery)
+	d.advanceUnchecked(2 * auditInterval)
 	require.True(t, st.queued)
-	require.Equal(t, []string{"the step wasn't held"}, d.mended())
+	require.Equal(t, []string{"the step wasn't held"}, d.repairs())
 	require.NoError(t, d.sched.Check())
 }
 
-func TestAuditStartsWhatPausesWithoutEnd(t *testing.T) {
-	d := newDesk(t)
-	st := d.held()
-	d.sched.unwait(st, 0)
+func TestAuditStartsTaskWhoseBackoffNeverEnds(t *testing.T) {
+	d := newHarness(t)
+	st := d.queuedStep()
+	d.sched.dequeueTask(st, 0)
 	st.tasks[0].state = taskPaused
-	d.sched.workers["w1"].room.CPU = 4000
-	d.passUnchecked(auditAfter + 3*auditEvery)
-	require.Equal(t, []string{"it is neither held nor run"}, d.mended())
+	d.sched.workers["w1"].capacity.CPU = 4000
+	d.advanceUnchecked(auditMinWait + 3*auditInterval)
+	require.Equal(t, []string{"it is neither held nor run"}, d.repairs())
 	d.commit()
-	d.must(CallStart, "w1")
+	d.mustTakeCall(CallStart, "w1")
 }
 
-func TestAuditStartsAGangThatPausesWithoutEnd(t *testing.T) {
-	d := newDesk(t)
+func TestAuditStartsGangWhoseBackoffNeverEnds(t *testing.T) {
+	d := newHarness(t)
 	gang := stage(2, 1000, time.Second)
 	gang.Gang = true
 	id := d.submit(gang)
 	d.commit()
-	st := d.sched.jobs[id].times[0].steps[0]
+	st := d.sched.jobs[id].occurrences[0].steps[0]
 	d.sched.dequeue(st)
 	st.gang = gangPaused
-	d.list(entry("w1", 4000))
-	d.passUnchecked(auditAfter + 3*auditEvery)
-	require.Equal(t, []string{"it is neither held nor run"}, d.mended())
+	d.list(listEntry("w1", 4000))
+	d.advanceUnchecked(auditMinWait + 3*auditInterval)
+	require.Equal(t, []string{"it is neither held nor run"}, d.repairs())
 	d.commit()
-	require.Equal(t, 2, d.count(CallStart))
+	require.Equal(t, 2, d.countCalls(CallStart))
 }
 
-func TestAuditOpensJobsAndStepsThatAreNotKnown(t *testing.T) {
-	d := newDesk(t)
+func TestAuditOpensUntrackedJobsAndSteps(t *testing.T) {
+	d := newHarness(t)
 	id := d.submit(stage(1, 1000, time.Second))
-	d.sched.abandonStep(d.sched.jobs[id].times[0].steps[0], state.Cancelled)
+	d.sched.abandonStep(d.sched.jobs[id].occurrences[0].steps[0], state.Cancelled)
 	delete(d.sched.jobs, id)
-	d.list(entry("w1", 4000))
-	d.passUnchecked(2 * auditEvery)
-	require.Equal(t, []string{"the job wasn't known"}, d.mended())
+	d.list(listEntry("w1", 4000))
+	d.advanceUnchecked(2 * auditInterval)
+	require.Equal(t, []string{"the job wasn't known"}, d.repairs())
 	d.commit()
-	d.must(CallStart, "w1")
+	d.mustTakeCall(CallStart, "w1")
 
 	d.findings = nil
 	other := d.submit(stage(1, 1000, time.Second))
-	times := d.sched.jobs[other].times[0]
+	times := d.sched.jobs[other].occurrences[0]
 	d.sched.abandonStep(times.steps[0], state.Cancelled)
 	times.steps[0] = nil
 	d.commands = nil
-	d.passUnchecked(2 * auditEvery)
-	require.Contains(t, d.mended(), "the step wasn't open")
+	d.advanceUnchecked(2 * auditInterval)
+	require.Contains(t, d.repairs(), "the step wasn't open")
 }
 
-func TestAuditAsksWorkersThatNobodyAsks(t *testing.T) {
-	d := newDesk(t)
-	d.list(entry("w1", 4000))
-	d.pass(time.Second)
-	d.must(CallHold, "w1")
+func TestAuditSendsHoldToUncontactedWorkers(t *testing.T) {
+	d := newHarness(t)
+	d.list(listEntry("w1", 4000))
+	d.advance(time.Second)
+	d.mustTakeCall(CallHold, "w1")
 	w := d.sched.workers["w1"]
-	w.hold.out, w.hold.nextAt = 0, 0
-	d.passUnchecked(auditAfter + 2*auditEvery)
-	require.Equal(t, []string{"nobody asks the worker, which is answering"}, d.mended())
-	d.must(CallHold, "w1")
+	w.hold.callID, w.hold.nextAt = 0, 0
+	d.advanceUnchecked(auditMinWait + 2*auditInterval)
+	require.Equal(t, []string{"nobody asks the worker, which is answering"}, d.repairs())
+	d.mustTakeCall(CallHold, "w1")
 }
 
-func TestAuditTellsWhyStartsAreRefused(t *testing.T) {
-	d := newDesk(t)
-	d.list(entry("w1", 4000))
+func TestAuditReportsWhyStartsAreRefused(t *testing.T) {
+	d := newHarness(t)
+	d.list(listEntry("w1", 4000))
 	d.submit(stage(1, 1000, time.Second))
 	for range 60 {
 		d.commit()
-		for made, found := d.take(CallStart, "w1"); found; made, found = d.take(CallStart, "w1") {
-			d.answer(made, workerapi.NotSent)
+		for made, found := d.takeCall(CallStart, "w1"); found; made, found = d.takeCall(CallStart, "w1") {
+			d.answerCall(made, workerapi.NotSent)
 		}
-		d.pass(100 * time.Millisecond)
+		d.advance(100 * time.Millisecond)
 	}
-	require.Empty(t, d.mended())
+	require.Empty(t, d.repairs())
 	told := fmt.Sprint(d.findings)
 	require.Contains(t, told, "refused, the last: not sent")
 }
 
 // While no start can be sent nothing is lost: in a cluster of 3,000 workers all that waits starts soon after, and the log has told why.
-func TestStartsThatCannotBeSentAreMadeUpForInALargeCluster(t *testing.T) {
+func TestTasksStartSoonAfterSendingRecoversInALargeCluster(t *testing.T) {
 	const workers, jobs, tasks = 3000, 60, 8
-	r := newRush(workers, tasks, 4*time.Second)
+	r := newLoadCluster(workers, tasks, 4*time.Second)
 	r.run(r.now + time.Second)
 	r.unsentUntil = r.now + 8*time.Second
 	for range jobs {
--- a/internal/system/scheduler/calls.go
+++ b/internal/system/scheduler/calls.go
@@ -36,29 +36,29 @@
 
 // Answers are waited for a few times as long as they usually take, within bounds. A hold has its wait besides.
 const (
-	shortestTimeout = 120 * time.Millisecond
-	longestTimeout  = 700 * time.Millisecond
-	// timeoutFactor is how many times the mean answer time a call waits; answerMemory is over how many answers that mean goes.
+	minTimeout = 120 * time.Millisecond
+	maxTimeout = 700 * time.Millisecond
+	// timeoutFactor is how many times the mean answer time a call waits; meanSamples is over how many answers that mean goes.
 	timeoutFactor = 8
-	answerMemory  = 24
-	// promptAnswer is up to which mean answer time a missing answer counts as lost: beyond it, this replica or the way is slow itself, and
+	meanSamples   = 24
+	// maxMeanForLoss is up to which mean answer time a missing answer counts as lost: beyond it, this replica or the way is slow itself, and
 	// more calls would make that worse.
-	promptAnswer = 25 * time.Millisecond
-	// slowAnswer is by how much the mean answer may take longer than the quickest of late; promptMemory is over how many answers that one
+	maxMeanForLoss = 25 * time.Millisecond
+	// slowMargin is by how much the mean answer may take longer than the quickest of late; baselineSamples is over how many answers that one
 	// is forgotten.
-	slowAnswer   = 25 * time.Millisecond
-	promptMemory = 4096
-	// hedgePart is after which part of its time-out a start is sent a second time.
-	hedgePart = 4
-	// firstAnswerTime is the mean before anything was measured.
-	firstAnswerTime = 30 * time.Millisecond
+	slowMargin      = 25 * time.Millisecond
+	baselineSamples = 4096
+	// hedgeDivisor is after which part of its time-out a start is sent a second time.
+	hedgeDivisor = 4
+	// initialMean is the mean before anything was measured.
+	initialMean = 30 * time.Millisecond
 )
 
-// answerTimes is what was learnt of how long workers take to answer, and whether answers are lost on their way.
-type answerTimes struct {
+// callLatency is what was learnt of how long workers take to answer, and whether answers are lost on their way.
+type callLatency struct {
 	mean time.Duration
-	// prompt is how long the way takes at least, as the quickest of late show.
-	prompt time.Duration
+	// baseline is how long the way takes at least, as the quickest of late show.
+	baseline time.Duration
 	// lossyUntil is how long answers are taken to be lost now and then, though the workers are there.
 	lossyUntil time.Duration
 }
@@ -66,91 +66,91 @@
 // lossyFor is how long one lost answer counts.
 const lossyFor = 4 * time.Second
 
-// measured takes in how long an answer took.
-func (a *answerTimes) measured(took time.Duration) {
+// observe takes in how long an answer took.
+func (a *callLatency) observe(took time.Duration) {
 	if a.mean == 0 {
-		a.mean = firstAnswerTime
+		a.mean = initialMean
 	}
-	a.mean += (took - a.mean) / answerMemory
-	if a.prompt == 0 || took < a.prompt {
-		a.prompt = took
+	a.mean += (took - a.mean) / meanSamples
+	if a.baseline == 0 || took < a.baseline {
+		a.baseline = took
 		return
 	}
-	a.prompt += (took - a.prompt) / promptMemory
+	a.baseline += (took - a.baseline) / baselineSamples
 }
 
 // slow tells whether answers take clearly longer than the way does: this replica has more to do than it gets done, and more calls would make
 // that worse.
-func (a *answerTimes) slow() bool { return a.mean-a.prompt > slowAnswer }
+func (a *callLatency) slow() bool { return a.mean-a.baseline > slowMargin }
 
 // timeout is how long a call waits for its answer.
-func (a *answerTimes) timeout() time.Duration {
+func (a *callLatency) timeout() time.Duration {
 	mean := a.mean
 	if mean == 0 {
-		mean = firstAnswerTime
+		mean = initialMean
 	}
-	return min(max(timeoutFactor*mean, shortestTimeout), longestTimeout)
+	return min(max(timeoutFactor*mean, minTimeout), maxTimeout)
 }
 
-// hedge is after how long without an answer a start is sent once more.
-func (a *answerTimes) hedge() time.Duration { return a.timeout() / hedgePart }
+// hedgeDelay is after how long without an answer a start is sent once more.
+func (a *callLatency) hedgeDelay() time.Duration { return a.timeout() / hedgeDivisor }
 
 // lossy tells whether answers are lost now and then.
-func (s *Scheduler) lossy() bool { return s.now < s.answers.lossyUntil }
+func (s *Scheduler) lossy() bool { return s.now < s.latency.lossyUntil }
 
-// unanswered takes note of a call without an answer; if its worker has answered another call since, the answer was lost.
-func (s *Scheduler) unanswered(ended *call) {
+// callUnanswered takes note of a call without an answer; if its worker has answered another call since, the answer was lost.
+func (s *Scheduler) callUnanswered(ended *call) {
 	if ended.worker.answeredAt > ended.sentAt {
-		s.answerLost()
+		s.noteLostAnswer()
 	}
 }
 
-// answerLost takes note of a lost answer, unless answers are slow altogether.
-func (s *Scheduler) answerLost() {
-	if s.answers.mean < promptAnswer {
-		s.answers.lossyUntil = s.now + lossyFor
+// noteLostAnswer takes note of a lost answer, unless answers are slow altogether.
+func (s *Scheduler) noteLostAnswer() {
+	if s.latency.mean < maxMeanForLoss {
+		s.latency.lossyUntil = s.now + lossyFor
 	}
 }
 
-// answered takes note of a worker's answer to a call that wasn't to wait.
-func (s *Scheduler) answered(ended *call) {
+// callAnswered takes note of a worker's answer to a call that wasn't to wait.
+func (s *Scheduler) callAnswered(ended *call) {
 	ended.worker.answeredAt = s.now
 	if ended.kind != CallHold {
-		s.answers.measured(s.now - ended.sentAt)
+		s.latency.observe(s.now - ended.sentAt)
 	}
 	if ended.kind == CallStart {
-		s.pace.answered(s.now, &s.answers)
+		s.startLimiter.adapt(s.now, &s.latency)
 	}
 }
 
 // call is a call that is out.
 type call struct {
-	id     uint64
-	kind   CallKind
-	worker *worker
-	run    *run // of a start or a stop
-	sentAt time.Duration
-	first  bool // it is a look at a worker that has answered nothing yet
+	id        uint64
+	kind      CallKind
+	worker    *worker
+	run       *run // of a start or a stop
+	sentAt    time.Duration
+	firstHold bool // it is a look at a worker that has answered nothing yet
 }
 
-// spareCalls are left for starts and stops when workers are asked twice.
-const spareCalls = 256
+// reservedCalls are left for starts and stops when workers are asked twice.
+const reservedCalls = 256
 
-// callsLeft tells whether there is room for calls that could be done without.
-func (s *Scheduler) callsLeft() bool {
-	return s.mostCalls == 0 || len(s.calls)+spareCalls < s.mostCalls
+// hasSpareCalls tells whether there is room for calls that could be done without.
+func (s *Scheduler) hasSpareCalls() bool {
+	return s.maxCalls == 0 || len(s.calls)+reservedCalls < s.maxCalls
 }
 
 // send puts a call out.
 func (s *Scheduler) send(made Call, w *worker, r *run) uint64 {
-	s.lastCall++
-	made.ID = s.lastCall
-	made.Worker = w.life
-	first := made.Kind == CallHold && w.reach == unheard
+	s.lastCallID++
+	made.ID = s.lastCallID
+	made.Worker = w.identity
+	first := made.Kind == CallHold && w.reach == reachUnheard
 	if first {
-		s.looks.out++
+		s.firstHolds.inFlight++
 	}
-	s.calls[made.ID] = &call{id: made.ID, kind: made.Kind, worker: w, run: r, sentAt: s.now, first: first}
-	s.out = append(s.out, made)
+	s.calls[made.ID] = &call{id: made.ID, kind: made.Kind, worker: w, run: r, sentAt: s.now, firstHold: first}
+	s.newCalls = append(s.newCalls, made)
 	return made.ID
 }
--- a/internal/system/scheduler/check.go
+++ b/internal/system/scheduler/check.go
@@ -23,11 +23,11 @@
 			return fmt.Errorf("job %s: %w", id, err)
 		}
 	}
-	return cmp.Or(s.checkKeepings(), s.checkPace(), s.checkPending(), s.checkPlacements())
+	return cmp.Or(s.checkShareReservations(), s.checkStartLimiter(), s.checkPending(), s.checkPlacements())
 }
 
-// checkPace holds that the starts under way are those that are out, or may still be committed.
-func (s *Scheduler) checkPace() error {
+// checkStartLimiter holds that the starts under way are those that are out, or may still be committed.
+func (s *Scheduler) checkStartLimiter() error {
 	sent, proposed := 0, 0
 	for _, made := range s.calls {
 		if made.kind == CallStart {
@@ -35,14 +35,14 @@
 		}
 	}
 	for _, w := range s.workers {
-		for _, r := range w.list {
+		for _, r := range w.runList {
 			if r.phase == runProposed {
 				proposed++
 			}
 		}
 	}
-	if sent != s.pace.sent || proposed > s.pace.proposed {
-		return fmt.Errorf("%d starts are out and %d proposed, counted are %d and %d", sent, proposed, s.pace.sent, s.pace.proposed)
+	if sent != s.startLimiter.sent || proposed > s.startLimiter.proposed {
+		return fmt.Errorf("%d starts are out and %d proposed, counted are %d and %d", sent, proposed, s.startLimiter.sent, s.startLimiter.proposed)
 	}
 	return nil
 }
@@ -50,14 +50,14 @@
 // What CheckSome looks at. A step may have a hundred thousand tasks, and each is looked for among those that wait: comparisons are bounded
 // over all jobs.
 const (
-	someWorkers     = 8
-	someJobs        = 16
-	someComparisons = 20_000
+	sampledWorkers     = 8
+	sampledJobs        = 16
+	sampledComparisons = 20_000
 )
 
 // CheckSome is Check for a few workers and jobs, other ones each time: it is for running systems.
 func (s *Scheduler) CheckSome() error {
-	left := someWorkers
+	left := sampledWorkers
 	for instance, w := range s.workers { // the order of a map is another each time
 		if left--; left < 0 {
 			break
@@ -66,8 +66,8 @@
 			return fmt.Errorf("worker %s: %w", instance, err)
 		}
 	}
-	left = someJobs
-	comparisons := someComparisons
+	left = sampledJobs
+	comparisons := sampledComparisons
 	for id, j := range s.jobs {
 		if left--; left < 0 {
 			break
@@ -76,11 +76,11 @@
 			return fmt.Errorf("job %s: %w", id, err)
 		}
 	}
-	return s.checkKeepings()
+	return s.checkShareReservations()
 }
 
-func (s *Scheduler) checkKeepings() error {
-	for tenant, kept := range s.shares.keepings {
+func (s *Scheduler) checkShareReservations() error {
+	for tenant, kept := range s.shares.reservations {
 		if st := kept.step; !st.queued || st.tenant() != tenant {
 			return fmt.Errorf("the share of %q is kept for a step of %q with queued %v", tenant, st.tenant(), st.queued)
 		}
@@ -89,29 +89,29 @@
 }
 
 func (s *Scheduler) checkWorker(w *worker) error {
-	if len(w.list) != len(w.runs) {
-		return fmt.Errorf("%d runs are listed, %d kept", len(w.list), len(w.runs))
+	if len(w.runList) != len(w.runs) {
+		return fmt.Errorf("%d runs are listed, %d kept", len(w.runList), len(w.runs))
 	}
 	used := Resources{}
 	for name, r := range w.runs {
 		if r.name != name || r.worker != w {
 			return fmt.Errorf("run %v is kept under %v", r.name, name)
 		}
-		if r.phase.takesRoom() {
+		if r.phase.usesCapacity() {
 			used = used.plus(r.need)
 		}
 	}
 	if used != w.used {
 		return fmt.Errorf("%v is used, counted %v", used, w.used)
 	}
-	if w.open() && len(w.withheld) == 0 && !used.fitsInto(w.room) && !w.overrun() {
-		return fmt.Errorf("%v is used of %v", used, w.room)
+	if w.schedulable() && len(w.withheld) == 0 && !used.fitsInto(w.capacity) && !w.hasUnorderedRuns() {
+		return fmt.Errorf("%v is used of %v", used, w.capacity)
 	}
 	return nil
 }
 
-// overrun tells whether something runs that isn't ours to order.
-func (w *worker) overrun() bool {
+// hasUnorderedRuns tells whether something runs that isn't ours to order.
+func (w *worker) hasUnorderedRuns() bool {
 	for _, r := range w.runs {
 		if r.foreign || r.phase == runInherited || r.resumed {
 			return true
@@ -125,10 +125,10 @@
 	if j.record.State.Over() {
 		return fmt.Errorf("is over as %s", j.record.State)
 	}
-	if s.pending.holds(j) == j.begun {
+	if s.pending.contains(j) == j.begun {
 		return fmt.Errorf("is pending: %v, has begun: %v", !j.begun, j.begun)
 	}
-	for _, t := range j.times {
+	for _, t := range j.occurrences {
 		for number, st := range t.steps {
 			if st == nil {
 				if j.record.StepReady(t.number, uint32(number)) {
@@ -153,7 +153,7 @@
 			return nil
 		}
 		*comparisons -= 1 + len(st.waiting)
-		i := (int(s.lastCall) + k) % len(st.tasks) // from another one on each time
+		i := (int(s.lastCallID) + k) % len(st.tasks) // from another one on each time
 		if err := s.checkTask(st, uint32(i)); err != nil {
 			return fmt.Errorf("task %d: %w", i, err)
 		}
@@ -221,14 +221,14 @@
 		if r.foreign || r.phase == runProposed {
 			continue
 		}
-		if !placed(record, name) {
+		if !isPlacement(record, name) {
 			return fmt.Errorf("run %v on %s, %s, is no placement", name, instance, phaseNames[r.phase])
 		}
 	}
 	return nil
 }
 
-func placed(record *state.Worker, name state.Run) bool {
+func isPlacement(record *state.Worker, name state.Run) bool {
 	if record == nil {
 		return false
 	}
--- a/internal/system/scheduler/check_test.go
+++ b/internal/system/scheduler/check_test.go
@@ -14,10 +14,10 @@
 func wideJob(tasks int) *job {
 	record := &state.Job{JobAccepted: state.JobAccepted{ID: 1, Route: "barn"}, Spec: &jobspec.Spec{Stages: []jobspec.Stage{{Count: tasks}}},
 		Times: map[uint32]*state.Time{0: {Steps: []state.Step{{Tasks: make([]state.Task, tasks)}}}}}
-	j := &job{record: record, times: map[uint32]*jobTime{}}
-	t := &jobTime{steps: make([]*step, 1)}
-	j.times[0] = t
-	st := &step{job: j, time: t, stage: &record.Spec.Stages[0], tasks: make([]task, tasks), opened: true, queued: true}
+	j := &job{record: record, occurrences: map[uint32]*occurrence{}}
+	t := &occurrence{steps: make([]*step, 1)}
+	j.occurrences[0] = t
+	st := &step{job: j, occurrence: t, stage: &record.Spec.Stages[0], tasks: make([]task, tasks), opened: true, queued: true}
 	for i := range tasks {
 		st.tasks[i].state = taskWaiting
 		st.waiting = append(st.waiting, uint32(i))
@@ -27,18 +27,18 @@
 }
 
 // In running systems the check of one job costs a bounded time, whatever its size.
-func TestCheckingSomeOfAWideJobIsBounded(t *testing.T) {
+func TestSampledCheckOfAWideJobIsBounded(t *testing.T) {
 	j := wideJob(jobspec.MaxTasks)
 	s := &Scheduler{pending: pendingJobs{}}
 	s.pending.add(j)
-	comparisons := someComparisons
+	comparisons := sampledComparisons
 	require.NoError(t, s.checkJob(j, &comparisons))
 	assert.LessOrEqual(t, comparisons, 0)
 	assert.Greater(t, comparisons, -2*jobspec.MaxTasks, "one task more than there was room for at most")
-	j.times[0].steps[0].tasks[5].state = taskIdle
+	j.occurrences[0].steps[0].tasks[5].state = taskIdle
 	found := false
 	for call := range uint64(10) {
-		s.lastCall, comparisons = call, someComparisons
+		s.lastCallID, comparisons = call, sampledComparisons
 		found = found || s.checkJob(j, &comparisons) != nil
 	}
 	assert.True(t, found, "another task is looked at each time")
--- a/internal/system/scheduler/desk_test.go
+++ b/internal/system/scheduler/desk_test.go
@@ -12,8 +12,8 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// desk is a scheduler whose commands and calls are handled by hand.
-type desk struct {
+// harness is a scheduler whose commands and calls are handled by hand.
+type harness struct {
 	*testing.T
 	machine  *state.Machine
 	sched    *Scheduler
@@ -24,26 +24,26 @@
 	findings []Finding
 }
 
-func newDesk(t *testing.T) *desk {
-	d := &desk{T: t, machine: state.New(), now: time.Second}
-	d.elect(1)
+func newHarness(t *testing.T) *harness {
+	d := &harness{T: t, machine: state.New(), now: time.Second}
+	d.replaceScheduler(1)
 	return d
 }
 
-func (d *desk) elect(token uint64) {
+func (d *harness) replaceScheduler(token uint64) {
 	options := Options{Token: token, Machine: d.machine, Bounds: nodesettings.DefaultBounds()}
 	d.sched = New(options, d.now)
 	d.sched.WallClock(d.now, d.unixMs())
 	d.commands, d.calls = nil, nil
 }
 
-func (d *desk) unixMs() int64 { return unixZeroMs + d.now.Milliseconds() }
+func (d *harness) unixMs() int64 { return simEpochUnixMs + d.now.Milliseconds() }
 
 // clockMs is what all workers' clocks show.
-func (d *desk) clockMs() int64 { return d.now.Milliseconds() + 5000 }
+func (d *harness) clockMs() int64 { return d.now.Milliseconds() + 5000 }
 
 // drain collects what is to be done.
-func (d *desk) drain() {
+func (d *harness) drain() {
 	output := d.sched.Drain()
 	require.NoError(d, d.sched.Check())
 	d.commands = append(d.commands, output.Commands...)
@@ -51,8 +51,8 @@
 	d.findings = append(d.findings, output.Findings...)
 }
 
-// pass lets time go by.
-func (d *desk) pass(span time.Duration) {
+// advance lets time go by.
+func (d *harness) advance(span time.Duration) {
 	for end := d.now + span; d.now < end; {
 		d.now = min(d.now+10*time.Millisecond, end)
 		d.sched.Tick(d.now)
@@ -61,7 +61,7 @@
 }
 
 // commit commits all that is proposed, also what follows from that.
-func (d *desk) commit() {
+func (d *harness) commit() {
 	d.drain()
 	for len(d.commands) > 0 {
 		command := d.commands[0]
@@ -72,13 +72,13 @@
 }
 
 // apply commits a command that isn't the scheduler's.
-func (d *desk) apply(command state.Command) {
+func (d *harness) apply(command state.Command) {
 	d.sched.Applied(d.now, d.machine.Apply(command))
 	d.drain()
 }
 
-// entry is a worker as the platform lists it.
-func entry(id string, cpu int, labels ...string) workerapi.Instance {
+// listEntry is a worker as the platform lists it.
+func listEntry(id string, cpu int, labels ...string) workerapi.Instance {
 	room := workerapi.Allocatable{CPU: cpu, MemoryMB: 64000}
 	return workerapi.Instance{
 		ID: id, Backend: "farm", Address: id, State: workerapi.StateReady, Allocatable: room, Labels: labels,
@@ -86,16 +86,16 @@
 }
 
 // list shows the list, and answers the first holds of all workers on it.
-func (d *desk) list(instances ...workerapi.Instance) {
+func (d *harness) list(instances ...workerapi.Instance) {
 	d.sched.Listed(d.now, instances)
 	d.drain()
 	for _, instance := range instances {
-		d.hold(instance.ID, nil, nil)
+		d.answerHold(instance.ID, nil, nil)
 	}
 }
 
-// take takes the call of a kind to a worker out of those that are to be made.
-func (d *desk) take(kind CallKind, worker string) (Call, bool) {
+// takeCall takes the call of a kind to a worker out of those that are to be made.
+func (d *harness) takeCall(kind CallKind, worker string) (Call, bool) {
 	for i, made := range d.calls {
 		if made.Kind == kind && made.Worker.Instance == worker {
 			d.calls = append(d.calls[:i:i], d.calls[i+1:]...)
@@ -105,14 +105,14 @@
 	return Call{}, false
 }
 
-func (d *desk) must(kind CallKind, worker string) Call {
+func (d *harness) mustTakeCall(kind CallKind, worker string) Call {
 	d.Helper()
-	made, found := d.take(kind, worker)
+	made, found := d.takeCall(kind, worker)
 	require.True(d, found, "no call of kind %d to %s among %v", kind, worker, d.calls)
 	return made
 }
 
-func (d *desk) count(kind CallKind) int {
+func (d *harness) countCalls(kind CallKind) int {
 	count := 0
 	for _, made := range d.calls {
 		if made.Kind == kind {
@@ -122,25 +122,25 @@
 	return count
 }
 
-func (d *desk) end(made Call, reply workerapi.HoldReply) {
+func (d *harness) endCall(made Call, reply workerapi.HoldReply) {
 	d.sched.CallEnded(d.now, CallResult{ID: made.ID, Reply: reply})
 	d.drain()
 }
 
-func (d *desk) answer(made Call, outcome workerapi.Outcome) {
+func (d *harness) answerCall(made Call, outcome workerapi.Outcome) {
 	reply := workerapi.HoldReply{Outcome: outcome}
 	if outcome.Answered() {
 		reply.ClockMs = d.clockMs()
 	}
-	d.end(made, reply)
+	d.endCall(made, reply)
 }
 
-// hold answers the hold that is out to a worker with its lists.
-func (d *desk) hold(worker string, running []workerapi.RunningTask, finished []workerapi.FinishedTask) Call {
+// answerHold answers the hold that is out to a worker with its lists.
+func (d *harness) answerHold(worker string, running []workerapi.RunningTask, finished []workerapi.FinishedTask) Call {
 	d.Helper()
-	made := d.must(CallHold, worker)
+	made := d.mustTakeCall(CallHold, worker)
 	reply := workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: d.clockMs(), Running: running, Finished: finished}
-	d.end(made, reply)
+	d.endCall(made, reply)
 	return made
 }
 
@@ -153,11 +153,11 @@
 }
 
 // submit takes a job into custody.
-func (d *desk) submit(stages ...jobspec.Stage) state.JobID {
+func (d *harness) submit(stages ...jobspec.Stage) state.JobID {
 	return d.submitSpec(&jobspec.Spec{Text: "text", Stages: stages})
 }
 
-func (d *desk) submitSpec(spec *jobspec.Spec) state.JobID {
+func (d *harness) submitSpec(spec *jobspec.Spec) state.JobID {
 	d.jobs++
 	body, err := spec.Encode()
 	require.NoError(d, err)
@@ -173,21 +173,21 @@
 	return jobspec.Stage{Count: count, CPU: cpu, MemoryMb: 100, Estimated: estimated}
 }
 
-func (d *desk) cancel(id state.JobID) {
+func (d *harness) cancel(id state.JobID) {
 	d.apply(state.Command{Kind: state.KindJobCancelled, JobCancelled: &state.JobCancelled{ID: id, AtMs: d.unixMs()}})
 }
 
-// start has a worker take the start that was ordered.
-func (d *desk) start(worker string) Call {
+// acceptStart has a worker take the start that was ordered.
+func (d *harness) acceptStart(worker string) Call {
 	d.Helper()
-	made := d.must(CallStart, worker)
-	d.answer(made, workerapi.Done)
-	d.answerAgain(made, workerapi.Done)
+	made := d.mustTakeCall(CallStart, worker)
+	d.answerCall(made, workerapi.Done)
+	d.answerResends(made, workerapi.Done)
 	return made
 }
 
-// answerAgain answers further sendings of a start.
-func (d *desk) answerAgain(made Call, outcome workerapi.Outcome) {
+// answerResends answers further sendings of a start.
+func (d *harness) answerResends(made Call, outcome workerapi.Outcome) {
 	for i := 0; i < len(d.calls); i++ {
 		again := d.calls[i]
 		if again.Kind != CallStart || again.Start != made.Start || again.Worker != made.Worker {
@@ -195,6 +195,6 @@
 		}
 		d.calls = append(d.calls[:i:i], d.calls[i+1:]...)
 		i--
-		d.answer(again, outcome)
+		d.answerCall(again, outcome)
 	}
 }
--- a/internal/system/scheduler/gangs.go
+++ b/internal/system/scheduler/gangs.go
@@ -17,17 +17,17 @@
 const (
 	// gangEndGrace is how long the members of a gang that is done have to be listed themselves.
 	gangEndGrace = 500 * time.Millisecond
-	// gangRetry is how often a held gang is tried while room is freed.
-	gangRetry = 20 * time.Millisecond
+	// gangRetryInterval is how often a held gang is tried while room is freed.
+	gangRetryInterval = 20 * time.Millisecond
 )
 
-// settleGang brings a gang in line with the replicated state and with the runs of its members.
-func (s *Scheduler) settleGang(st *step) {
+// reconcileGang brings a gang in line with the replicated state and with the runs of its members.
+func (s *Scheduler) reconcileGang(st *step) {
 	if st.closed {
 		return
 	}
 	if st.allDone() {
-		s.gangIsDone(st)
+		s.finishGang(st)
 		return
 	}
 	with := 0
@@ -38,7 +38,7 @@
 	}
 	switch {
 	case with == 0:
-		s.awaitGangRoom(st)
+		s.awaitGangCapacity(st)
 	case with < len(st.tasks):
 		st.gang = gangActive
 		s.stopGang(st)
@@ -47,50 +47,50 @@
 	}
 }
 
-func (s *Scheduler) gangIsDone(st *step) {
+func (s *Scheduler) finishGang(st *step) {
 	for i := range st.tasks {
-		st.tasks[i].account.turn(s.now, PartNoted)
+		st.tasks[i].account.enter(s.now, PartNoted)
 		st.tasks[i].state = taskDone
 		for _, r := range st.tasks[i].runs {
-			s.at(s.now+gangEndGrace, func() { s.wantStop(r) })
+			s.runAt(s.now+gangEndGrace, func() { s.requestStop(r) })
 		}
 	}
 	s.closeStep(st)
 }
 
-// awaitGangRoom has the whole gang wait for room, after a pause where it was refused too often.
-func (s *Scheduler) awaitGangRoom(st *step) {
+// awaitGangCapacity has the whole gang wait for room, after a pause where it was refused too often.
+func (s *Scheduler) awaitGangCapacity(st *step) {
 	if st.gang == gangWaiting || st.gang == gangPaused {
 		return
 	}
 	pause := time.Duration(0)
 	for i := range st.tasks {
 		st.tasks[i].state = taskWaiting
-		st.tasks[i].account.turn(s.now, PartRoom)
-		s.waits(&st.tasks[i])
-		pause = max(pause, st.tasks[i].pause())
+		st.tasks[i].account.enter(s.now, PartRoom)
+		s.noteWaiting(&st.tasks[i])
+		pause = max(pause, st.tasks[i].backoff())
 	}
 	if pause > 0 {
 		st.gang = gangPaused
-		st.tasks[0].pausedUntil = s.now + pause
-		s.at(s.now+pause, func() { s.gangPauseOver(st) })
+		st.tasks[0].backoffUntil = s.now + pause
+		s.runAt(s.now+pause, func() { s.gangPauseOver(st) })
 		return
 	}
-	s.waitGang(st)
+	s.enqueueGang(st)
 }
 
 func (s *Scheduler) gangPauseOver(st *step) {
 	if st.gang == gangPaused && !st.closed {
-		s.waitGang(st)
+		s.enqueueGang(st)
 	}
 }
 
-// waitGang has the gang wait for room from now on.
-func (s *Scheduler) waitGang(st *step) {
+// enqueueGang has the gang wait for room from now on.
+func (s *Scheduler) enqueueGang(st *step) {
 	st.gang = gangWaiting
 	s.enqueue(st)
 	for i := range st.tasks {
-		s.beCareful(st, &st.tasks[i])
+		s.restrictPlacement(st, &st.tasks[i])
 	}
 }
 
@@ -108,13 +108,13 @@
 func (s *Scheduler) stopGang(st *step) {
 	for i := range st.tasks {
 		for _, r := range st.tasks[i].runs {
-			s.wantStop(r)
+			s.requestStop(r)
 		}
 	}
 }
 
-// spoilGang stops the other members of a gang of which one wasn't started.
-func (s *Scheduler) spoilGang(r *run) {
+// stopRestOfGang stops the other members of a gang of which one wasn't started.
+func (s *Scheduler) stopRestOfGang(r *run) {
 	if r.step != nil && !r.foreign && r.step.stage.Gang && !r.step.closed {
 		s.stopGang(r.step)
 	}
@@ -122,17 +122,17 @@
 
 // retryGang tries a held gang again, not too often.
 func (s *Scheduler) retryGang(st *step) {
-	if s.now >= st.retryAt {
+	if s.now >= st.gangRetryAt {
 		s.placeGang(st)
 		return
 	}
-	if st.retryPlanned {
+	if st.gangRetryPlanned {
 		return
 	}
-	st.retryPlanned = true
-	s.at(st.retryAt, func() {
-		st.retryPlanned = false
-		s.tryAgain(st)
+	st.gangRetryPlanned = true
+	s.runAt(st.gangRetryAt, func() {
+		st.gangRetryPlanned = false
+		s.retryOnAll(st)
 	})
 }
 
@@ -141,7 +141,7 @@
 	if st.gang != gangWaiting || !s.shareFits(st) {
 		return
 	}
-	st.retryAt = s.now + gangRetry
+	st.gangRetryAt = s.now + gangRetryInterval
 	members := s.chooseGang(st)
 	if members == nil {
 		return
@@ -180,15 +180,15 @@
 			return members
 		}
 	}
-	return s.chooseAmong(st, func(*worker) bool { return true })
+	return s.chooseMembers(st, func(*worker) bool { return true })
 }
 
 // chooseRack finds the rack in which all members have room with the least to spare.
 func (s *Scheduler) chooseRack(st *step) []*worker {
 	room := make(map[string]int)
 	for _, w := range st.service.workers {
-		if s.suits(w, st, &st.tasks[0]) {
-			room[w.rack()] += s.roomForGang(w, st)
+		if s.feasible(w, st, &st.tasks[0]) {
+			room[w.rack()] += s.gangCapacity(w, st)
 		}
 	}
 	best := ""
@@ -203,34 +203,34 @@
 	if best == "" {
 		return nil
 	}
-	return s.chooseAmong(st, func(w *worker) bool { return w.rack() == best })
+	return s.chooseMembers(st, func(w *worker) bool { return w.rack() == best })
 }
 
-// roomForGang is how many members fit on a worker.
-func (s *Scheduler) roomForGang(w *worker, st *step) int {
-	fits := st.need.times(w.free())
+// gangCapacity is how many members fit on a worker.
+func (s *Scheduler) gangCapacity(w *worker, st *step) int {
+	fits := st.need.fitCount(w.free())
 	if st.stage.AntiAffinity > 0 {
 		fits = min(fits, st.stage.AntiAffinity)
 	}
-	if w.health.onTrial() && !st.lenient() {
+	if w.health.onTrial() && !st.mayUseQuarantined() {
 		fits = min(fits, 1)
 	}
 	return fits
 }
 
-// chooseAmong deals the members out to the best workers that are allowed.
-func (s *Scheduler) chooseAmong(st *step, allowed func(*worker) bool) []*worker {
+// chooseMembers deals the members out to the best workers that are allowed.
+func (s *Scheduler) chooseMembers(st *step, allowed func(*worker) bool) []*worker {
 	members := s.scratch.members[:0]
 	s.lastMark++
 	mark := s.lastMark
 	for len(members) < len(st.tasks) {
 		st.unplaced = len(st.tasks) - len(members)
-		w := s.bestUntaken(st, allowed, mark)
+		w := s.bestUnusedWorker(st, allowed, mark)
 		if w == nil {
 			return nil
 		}
-		w.hold.taken = mark
-		for range min(s.roomForGang(w, st), len(st.tasks)-len(members)) {
+		w.hold.gangMark = mark
+		for range min(s.gangCapacity(w, st), len(st.tasks)-len(members)) {
 			members = append(members, w)
 		}
 	}
@@ -238,9 +238,9 @@
 	return members
 }
 
-// bestUntaken is the best worker for members that hasn't been given any in this round.
-func (s *Scheduler) bestUntaken(st *step, allowed func(*worker) bool, mark uint64) *worker {
+// bestUnusedWorker is the best worker for members that hasn't been given any in this round.
+func (s *Scheduler) bestUnusedWorker(st *step, allowed func(*worker) bool, mark uint64) *worker {
 	return s.bestAmong(st.service.workers, st, func(w *worker) bool {
-		return w.hold.taken != mark && allowed(w) && !s.gangAvoids(st, w) && s.suits(w, st, &st.tasks[0])
+		return w.hold.gangMark != mark && allowed(w) && !s.gangAvoids(st, w) && s.feasible(w, st, &st.tasks[0])
 	})
 }
--- a/internal/system/scheduler/health.go
+++ b/internal/system/scheduler/health.go
@@ -10,44 +10,44 @@
 
 // health is what was learnt of one life of a worker.
 type health struct {
-	recent     [8]verdict // the last ends, newest first
-	ends       int
-	cleanEnds  int
-	failedAt   time.Duration
-	shutUntil  time.Duration
-	shutTimes  int
-	shut       bool
-	busyUntil  time.Duration
-	busyTimes  int
-	slowLog    float64 // mean logarithm of run time against estimate
-	slowWeight float64
-	slow       float64 // the same as a factor; 0 before the first run
-}
-
-// verdict is one end, as it counts for the worker.
-type verdict struct {
+	recent           [8]endRecord // the last ends, newest first
+	ends             int
+	successes        int
+	failedAt         time.Duration
+	quarantinedUntil time.Duration
+	quarantines      int
+	quarantined      bool
+	busyUntil        time.Duration
+	busyAnswers      int
+	slowLog          float64 // mean logarithm of run time against estimate
+	slowWeight       float64
+	slow             float64 // the same as a factor; 0 before the first run
+}
+
+// endRecord is one end, as it counts for the worker.
+type endRecord struct {
 	failed bool
 	job    state.JobID
 }
 
 const (
 	// A worker is shut out when of its last few ends, or of some more, so many have failed, of as many jobs.
-	lastFew, failedOfFew   = 3, 2
-	lastMore, failedOfMore = 8, 3
-	firstShut              = 2 * time.Second
-	longestShut            = 8 * time.Second
-	// suspicionFades is how soon half of the suspicion after a failure is gone.
-	suspicionFades = 3 * time.Second
-	firstBusy      = 500 * time.Millisecond
-	longestBusy    = 4 * time.Second
-	// slowFrom is how many times as long as expected runs take on a slow worker.
-	slowFrom   = 1.6
-	slowMemory = 6
+	shortWindow, shortWindowFailures = 3, 2
+	longWindow, longWindowFailures   = 8, 3
+	minQuarantine                    = 2 * time.Second
+	maxQuarantine                    = 8 * time.Second
+	// suspicionHalfLife is how soon half of the suspicion after a failure is gone.
+	suspicionHalfLife = 3 * time.Second
+	minBusyBackoff    = 500 * time.Millisecond
+	maxBusyBackoff    = 4 * time.Second
+	// slowThreshold is how many times as long as expected runs take on a slow worker.
+	slowThreshold = 1.6
+	slowSamples   = 6
 )
 
-// measured takes in how long a run took against what was expected.
-func (h *health) measured(ratio float64) {
-	h.slowWeight = min(h.slowWeight+1, slowMemory)
+// observe takes in how long a run took against what was expected.
+func (h *health) observe(ratio float64) {
+	h.slowWeight = min(h.slowWeight+1, slowSamples)
 	value := math.Log(min(max(ratio, 0.1), 20))
 	h.slowLog += (value - h.slowLog) / (h.slowWeight + 1)
 	h.slow = math.Exp(h.slowLog)
@@ -58,7 +58,7 @@
 
 // factor is by how much runs here are expected to be longer; small differences don't count.
 func (h *health) factor() float64 {
-	if slow := h.slowness(); slow >= slowFrom {
+	if slow := h.slowness(); slow >= slowThreshold {
 		return slow
 	}
 	return 1
@@ -69,31 +69,31 @@
 	if h.failedAt == 0 {
 		return 0
 	}
-	return math.Exp2(-float64(now-h.failedAt) / float64(suspicionFades))
+	return math.Exp2(-float64(now-h.failedAt) / float64(suspicionHalfLife))
 }
 
 // onTrial tells whether the worker is given one task at a time only.
-func (h *health) onTrial() bool { return h.shut }
+func (h *health) onTrial() bool { return h.quarantined }
 
-// noteEnd takes in one end, newest first.
-func (h *health) noteEnd(end verdict) {
+// recordEnd takes in one end, newest first.
+func (h *health) recordEnd(end endRecord) {
 	copy(h.recent[1:], h.recent[:])
 	h.recent[0] = end
 	h.ends++
 }
 
-// failures is of how many different jobs runs have failed among the last ends.
-func (h *health) failures(last int) int {
+// failedJobs is of how many different jobs runs have failed among the last ends.
+func (h *health) failedJobs(last int) int {
 	count := 0
 	for i := range min(h.ends, last) {
-		if h.recent[i].failed && !h.failedBefore(i) {
+		if h.recent[i].failed && !h.jobCounted(i) {
 			count++
 		}
 	}
 	return count
 }
 
-func (h *health) failedBefore(at int) bool {
+func (h *health) jobCounted(at int) bool {
 	for i := range at {
 		if h.recent[i].failed && h.recent[i].job == h.recent[at].job {
 			return true
@@ -102,26 +102,26 @@
 	return false
 }
 
-// succeeded takes note of a clean finish: it reopens a worker that was shut out.
-func (s *Scheduler) succeeded(r *run) {
+// noteSuccess takes note of a clean finish: it reopens a worker that was shut out.
+func (s *Scheduler) noteSuccess(r *run) {
 	h := &r.worker.health
-	h.noteEnd(verdict{job: r.name.Task.Job})
-	h.cleanEnds++
-	h.busyTimes = 0
-	if h.shut {
-		h.shut, h.shutTimes, h.shutUntil = false, 0, 0
-		h.forgive()
+	h.recordEnd(endRecord{job: r.name.Task.Job})
+	h.successes++
+	h.busyAnswers = 0
+	if h.quarantined {
+		h.quarantined, h.quarantines, h.quarantinedUntil = false, 0, 0
+		h.reset()
 	}
 }
 
-func (h *health) forgive() {
-	h.recent = [lastMore]verdict{}
+func (h *health) reset() {
+	h.recent = [longWindow]endRecord{}
 	h.ends = 0
 	h.failedAt = 0
 }
 
-// excuse takes back what the failure of a job's task has told against the worker.
-func (h *health) excuse(job state.JobID) {
+// excuseJob takes back what the failure of a job's task has told against the worker.
+func (h *health) excuseJob(job state.JobID) {
 	still := false
 	for i := range h.recent {
 		if h.recent[i].job == job {
@@ -134,49 +134,49 @@
 	}
 }
 
-// failed takes note of a failed run, and shuts the worker out if several jobs have failed there of late. A task that has failed
+// noteFailure takes note of a failed run, and shuts the worker out if several jobs have failed there of late. A task that has failed
 // elsewhere too is taken to be at fault itself, on both workers.
-func (s *Scheduler) failed(r *run) {
+func (s *Scheduler) noteFailure(r *run) {
 	if r.step.stage.LongRunning {
 		return
 	}
 	h, t := &r.worker.health, &r.step.tasks[r.name.Task.Index]
 	before := t.failedOn
 	t.failedOn = r.worker
-	if before != nil && before != r.worker && !h.shut {
-		before.health.excuse(r.name.Task.Job)
-		s.roomFreed(before)
-		h.noteEnd(verdict{job: r.name.Task.Job})
+	if before != nil && before != r.worker && !h.quarantined {
+		before.health.excuseJob(r.name.Task.Job)
+		s.capacityFreed(before)
+		h.recordEnd(endRecord{job: r.name.Task.Job})
 		return
 	}
-	h.noteEnd(verdict{failed: true, job: r.name.Task.Job})
+	h.recordEnd(endRecord{failed: true, job: r.name.Task.Job})
 	h.failedAt = max(s.now, 1)
-	if h.shut || h.failures(lastFew) >= failedOfFew || h.failures(lastMore) >= failedOfMore {
-		s.shut(r.worker)
+	if h.quarantined || h.failedJobs(shortWindow) >= shortWindowFailures || h.failedJobs(longWindow) >= longWindowFailures {
+		s.quarantine(r.worker)
 	}
 }
 
-// shut keeps tasks from a worker for a while; after that it gets one at a time until one ends well.
-func (s *Scheduler) shut(w *worker) {
+// quarantine keeps tasks from a worker for a while; after that it gets one at a time until one ends well.
+func (s *Scheduler) quarantine(w *worker) {
 	h := &w.health
-	h.shut = true
-	s.rest(w)
-	if s.now < h.shutUntil {
+	h.quarantined = true
+	s.planRestEnd(w)
+	if s.now < h.quarantinedUntil {
 		return
 	}
-	pause := min(firstShut<<min(h.shutTimes, 8), longestShut)
-	h.shutTimes++
-	h.shutUntil = s.now + pause
-	s.at(h.shutUntil, func() { s.roomFreed(w) })
+	pause := min(minQuarantine<<min(h.quarantines, 8), maxQuarantine)
+	h.quarantines++
+	h.quarantinedUntil = s.now + pause
+	s.runAt(h.quarantinedUntil, func() { s.capacityFreed(w) })
 }
 
-// busy keeps tasks from a worker that says that it isn't well.
-func (s *Scheduler) busy(w *worker) {
+// noteBusy keeps tasks from a worker that says that it isn't well.
+func (s *Scheduler) noteBusy(w *worker) {
 	h := &w.health
-	pause := min(firstBusy<<min(h.busyTimes, 8), longestBusy)
-	h.busyTimes++
+	pause := min(minBusyBackoff<<min(h.busyAnswers, 8), maxBusyBackoff)
+	h.busyAnswers++
 	h.busyUntil = max(h.busyUntil, s.now+pause)
-	s.at(h.busyUntil, func() { s.roomFreed(w) })
+	s.runAt(h.busyUntil, func() { s.capacityFreed(w) })
 }
 
 // trusted tells whether a task may be risked on a worker.
@@ -185,25 +185,25 @@
 	if s.now < h.busyUntil {
 		return false
 	}
-	if h.shut {
-		return s.mayTry(w, st, t)
+	if h.quarantined {
+		return s.mayTryQuarantined(w, st, t)
 	}
-	return t.failures == 0 || s.now >= t.carefulUntil || s.proven(w, st, t)
+	return t.failures == 0 || s.now >= t.provenOnlyUntil || s.proven(w, st, t)
 }
 
 const (
-	// provenBelow is the suspicion below which a worker may be given a task that has failed before.
-	provenBelow = 0.25
-	// carefulFor is how long such a task waits for a worker that is proven.
-	carefulFor = 1500 * time.Millisecond
+	// maxProvenSuspicion is the suspicion below which a worker may be given a task that has failed before.
+	maxProvenSuspicion = 0.25
+	// restrictFor is how long such a task waits for a worker that is proven.
+	restrictFor = 1500 * time.Millisecond
 )
 
 // proven tells whether a task that has failed before may be given to a worker; at its last try only one where runs have ended well.
 func (s *Scheduler) proven(w *worker, st *step, t *task) bool {
 	h := &w.health
-	if h.suspicion(s.now) > provenBelow || h.factor() > 1 {
+	if h.suspicion(s.now) > maxProvenSuspicion || h.factor() > 1 {
 		return false
 	}
 	lastTry := int(t.failures)+1 >= st.job.record.MaxRetries
-	return !lastTry || h.cleanEnds > 0
+	return !lastTry || h.successes > 0
 }
--- a/internal/system/scheduler/jobs.go
+++ b/internal/system/scheduler/jobs.go
@@ -14,30 +14,30 @@
 	record *state.Job
 	// accepted is when it was taken, on the steady clock.
 	accepted time.Duration
-	// chains are the longest chains of work that begin with each step; longest is the longest of all.
-	chains   []time.Duration
-	longest  time.Duration
-	times    map[uint32]*jobTime
-	nextTime uint32
-	begun    bool // a task of it is known to have begun; only pendingJobs changes it
+	// remainingWork are the longest chains of work that begin with each step; longest is the longest of all.
+	remainingWork  []time.Duration
+	longestChain   time.Duration
+	occurrences    map[uint32]*occurrence
+	nextOccurrence uint32
+	begun          bool // a task of it is known to have begun; only pendingJobs changes it
 }
 
-// jobTime is one run through the steps of a job.
-type jobTime struct {
+// occurrence is one run through the steps of a job.
+type occurrence struct {
 	number uint32
-	// from is when its objective begins to count, on the steady clock.
-	from  time.Duration
-	steps []*step // nil where the step's turn hasn't come
+	// objectiveFrom is when its objective begins to count, on the steady clock.
+	objectiveFrom time.Duration
+	steps         []*step // nil where the step's turn hasn't come
 }
 
-// addJob makes the scheduler's record of a job.
-func (s *Scheduler) addJob(record *state.Job) *job {
+// trackJob makes the scheduler's record of a job.
+func (s *Scheduler) trackJob(record *state.Job) *job {
 	j := &job{
-		record:   record,
-		accepted: s.acceptedAt(record),
-		chains:   record.Spec.ChainsFrom(),
-		longest:  record.Spec.LongestChain(),
-		times:    make(map[uint32]*jobTime),
+		record:        record,
+		accepted:      s.acceptedAt(record),
+		remainingWork: record.Spec.ChainsFrom(),
+		longestChain:  record.Spec.LongestChain(),
+		occurrences:   make(map[uint32]*occurrence),
 	}
 	s.jobs[record.ID] = j
 	s.pending.add(j)
@@ -48,17 +48,17 @@
 	if !s.wall.known {
 		return s.now
 	}
-	return min(s.now, s.wall.steady(record.AcceptedMs))
+	return min(s.now, s.wall.toSteady(record.AcceptedMs))
 }
 
-// recallAcceptance corrects when jobs were taken that were there before the time of day was known.
-func (s *Scheduler) recallAcceptance() {
+// correctAcceptance corrects when jobs were taken that were there before the time of day was known.
+func (s *Scheduler) correctAcceptance() {
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
 		j.accepted = s.acceptedAt(j.record)
-		for _, number := range slices.Sorted(maps.Keys(j.times)) {
-			t := j.times[number]
-			t.from = s.objectiveFrom(j, t.number)
+		for _, number := range slices.Sorted(maps.Keys(j.occurrences)) {
+			t := j.occurrences[number]
+			t.objectiveFrom = s.objectiveFrom(j, t.number)
 			for _, st := range t.steps {
 				if st != nil && st.queued {
 					s.requeue(st)
@@ -76,51 +76,51 @@
 	if !s.wall.known {
 		return s.now
 	}
-	return s.wall.steady(j.record.DueMs(number))
+	return s.wall.toSteady(j.record.DueMs(number))
 }
 
 func (s *Scheduler) jobAccepted(result *state.Result) {
 	if result.Outcome != state.Applied || len(result.Jobs) == 0 || result.Jobs[0].State.Over() {
 		return
 	}
-	s.openJob(s.addJob(result.Jobs[0]))
+	s.openJob(s.trackJob(result.Jobs[0]))
 }
 
 // openJob opens what may run of a job.
 func (s *Scheduler) openJob(j *job) {
 	for _, number := range slices.Sorted(maps.Keys(j.record.Times)) {
-		s.openTime(j, number)
+		s.openOccurrence(j, number)
 	}
 	if j.record.Spec.Timed() {
-		s.awaitDue(j)
+		s.queueNextOccurrence(j)
 		return
 	}
-	s.openTime(j, 0)
+	s.openOccurrence(j, 0)
 }
 
-// openNextTime opens the due time that has come.
-func (s *Scheduler) openNextTime(j *job) {
-	s.openTime(j, j.nextTime)
-	j.nextTime++
-	s.awaitDue(j)
+// openNextOccurrence opens the due time that has come.
+func (s *Scheduler) openNextOccurrence(j *job) {
+	s.openOccurrence(j, j.nextOccurrence)
+	j.nextOccurrence++
+	s.queueNextOccurrence(j)
 }
 
-// ensureTime gives the record of a due time.
-func (s *Scheduler) ensureTime(j *job, number uint32) *jobTime {
-	t := j.times[number]
+// ensureOccurrence gives the record of a due time.
+func (s *Scheduler) ensureOccurrence(j *job, number uint32) *occurrence {
+	t := j.occurrences[number]
 	if t == nil {
-		t = &jobTime{number: number, from: s.objectiveFrom(j, number), steps: make([]*step, len(j.record.Spec.Stages))}
-		j.times[number] = t
+		t = &occurrence{number: number, objectiveFrom: s.objectiveFrom(j, number), steps: make([]*step, len(j.record.Spec.Stages))}
+		j.occurrences[number] = t
 	}
 	return t
 }
 
-// openTime opens the steps of a due time whose turn has come.
-func (s *Scheduler) openTime(j *job, number uint32) {
-	if timeDone(j.record, number) && j.times[number] == nil {
+// openOccurrence opens the steps of a due time whose turn has come.
+func (s *Scheduler) openOccurrence(j *job, number uint32) {
+	if occurrenceDone(j.record, number) && j.occurrences[number] == nil {
 		return
 	}
-	t := s.ensureTime(j, number)
+	t := s.ensureOccurrence(j, number)
 	for i := range t.steps {
 		if j.record.StepReady(number, uint32(i)) {
 			s.openStep(s.ensureStep(j, t, uint32(i)))
@@ -128,7 +128,7 @@
 	}
 }
 
-func timeDone(record *state.Job, number uint32) bool {
+func occurrenceDone(record *state.Job, number uint32) bool {
 	t := record.Time(number)
 	if t == nil {
 		return false
@@ -141,20 +141,20 @@
 	return true
 }
 
-// jobsOver ends the scheduler's record of jobs that have come to their end: all that runs of them is stopped.
-func (s *Scheduler) jobsOver(finished []*state.Job) {
+// jobsEnded ends the scheduler's record of jobs that have come to their end: all that runs of them is stopped.
+func (s *Scheduler) jobsEnded(finished []*state.Job) {
 	for _, record := range finished {
 		j := s.jobs[record.ID]
 		if j == nil {
 			continue
 		}
 		if record.State == state.Completed {
-			s.judgeCompleted(j)
+			s.reportCompletedIfLate(j)
 		}
 		delete(s.jobs, record.ID)
-		s.pending.over(j)
-		for _, number := range slices.Sorted(maps.Keys(j.times)) {
-			for _, st := range j.times[number].steps {
+		s.pending.remove(j)
+		for _, number := range slices.Sorted(maps.Keys(j.occurrences)) {
+			for _, st := range j.occurrences[number].steps {
 				if st != nil {
 					s.abandonStep(st, record.State)
 				}
@@ -169,7 +169,7 @@
 	if j == nil {
 		return nil
 	}
-	t := j.times[name.Time]
+	t := j.occurrences[name.Time]
 	if t == nil || int(name.Step) >= len(t.steps) {
 		return nil
 	}
@@ -180,8 +180,8 @@
 	return st
 }
 
-// stageOf gives the step of a job as it was handed in, nil if it isn't known any more.
-func (s *Scheduler) stageOf(name state.TaskName) *jobspec.Stage {
+// stageSpec gives the step of a job as it was handed in, nil if it isn't known any more.
+func (s *Scheduler) stageSpec(name state.TaskName) *jobspec.Stage {
 	record := s.machine.Job(name.Job)
 	if record == nil || record.Spec == nil || int(name.Step) >= len(record.Spec.Stages) {
 		return nil
--- a/internal/system/scheduler/lateness.go
+++ b/internal/system/scheduler/lateness.go
@@ -83,50 +83,50 @@
 	Spent Spent
 }
 
-// account is one task's time since its turn has come.
-type account struct {
-	spent Spent
-	part  Part
-	since time.Duration
+// timeAccount is one task's time since its turn has come.
+type timeAccount struct {
+	spent     Spent
+	part      Part
+	partSince time.Duration
 }
 
-// beginAccount begins a task's time: its turn has come, or a new head has taken it over with its runs.
-func (t *task) beginAccount(now time.Duration) {
-	t.account = account{since: now, part: PartRoom}
+// startAccount begins a task's time: its turn has come, or a new head has taken it over with its runs.
+func (t *task) startAccount(now time.Duration) {
+	t.account = timeAccount{partSince: now, part: PartRoom}
 	for _, r := range t.runs {
-		r.before, t.account.part = Spent{}, PartRun
+		r.spentBefore, t.account.part = Spent{}, PartRun
 	}
 }
 
-// turn puts a task's time on another part from now on.
-func (a *account) turn(now time.Duration, part Part) {
-	a.spent[a.part] += now - a.since
-	a.part, a.since = part, now
+// enter puts a task's time on another part from now on.
+func (a *timeAccount) enter(now time.Duration, part Part) {
+	a.spent[a.part] += now - a.partSince
+	a.part, a.partSince = part, now
 }
 
-// upTo is the time by part up to now.
-func (a *account) upTo(now time.Duration) Spent {
+// totalsAt is the time by part up to now.
+func (a *timeAccount) totalsAt(now time.Duration) Spent {
 	spent := a.spent
-	spent[a.part] += now - a.since
+	spent[a.part] += now - a.partSince
 	return spent
 }
 
-// spend puts the time of a run's task on another part from now on.
-func (s *Scheduler) spend(r *run, part Part) {
+// enterPart puts the time of a run's task on another part from now on.
+func (s *Scheduler) enterPart(r *run, part Part) {
 	if t := r.task(); t != nil && t.state != taskDone {
-		t.account.turn(s.now, part)
+		t.account.enter(s.now, part)
 	}
 }
 
-// spoiled puts all that a run has taken on what became of it.
-func (s *Scheduler) spoiled(r *run, part Part) {
+// markWasted puts all that a run has taken on what became of it.
+func (s *Scheduler) markWasted(r *run, part Part) {
 	t := r.task()
 	if t == nil || t.state == taskDone {
 		return
 	}
-	t.account.turn(s.now, PartNoted)
-	lost := t.account.spent.total() - r.before.total()
-	t.account.spent = r.before
+	t.account.enter(s.now, PartNoted)
+	lost := t.account.spent.total() - r.spentBefore.total()
+	t.account.spent = r.spentBefore
 	t.account.spent[part] += max(lost, 0)
 }
 
@@ -138,65 +138,65 @@
 	return PartStopped
 }
 
-// noteSilence has the runs of a worker spend their time on its silence, or on running again.
-func (s *Scheduler) noteSilence(w *worker, part Part) {
-	for _, r := range w.list {
+// enterPartOnWorker has the runs of a worker spend their time on its silence, or on running again.
+func (s *Scheduler) enterPartOnWorker(w *worker, part Part) {
+	for _, r := range w.runList {
 		if r.phase == runPresent {
-			s.spend(r, part)
+			s.enterPart(r, part)
 		}
 	}
 }
 
-// judgeCompleted looks whether a job that is completed now was late.
-func (s *Scheduler) judgeCompleted(j *job) {
-	for _, t := range j.times {
+// reportCompletedIfLate looks whether a job that is completed now was late.
+func (s *Scheduler) reportCompletedIfLate(j *job) {
+	for _, t := range j.occurrences {
 		if t.lastStep() == nil {
 			continue
 		}
-		s.judge(t)
+		s.reportIfLate(t)
 	}
 }
 
-// judge tells of a due time that has ended now, if it missed its objective.
-func (s *Scheduler) judge(t *jobTime) {
+// reportIfLate tells of a due time that has ended now, if it missed its objective.
+func (s *Scheduler) reportIfLate(t *occurrence) {
 	last := t.lastStep()
 	if last == nil || last.stage.LongRunning {
 		return
 	}
-	took, objective := s.now-t.from, last.job.objective()
+	took, objective := s.now-t.objectiveFrom, last.job.objective()
 	if took <= objective {
 		return
 	}
 	spent := last.spentUpTo(s.now)
 	spent[PartBefore] += max(took-spent.total(), 0)
-	s.late = append(s.late, LateJob{ID: last.job.record.ID, Route: last.job.record.Route, Took: took, Objective: objective, Spent: spent})
+	s.lateJobs = append(s.lateJobs, LateJob{ID: last.job.record.ID, Route: last.job.record.Route, Took: took, Objective: objective, Spent: spent})
 }
 
 // lastStep is the open step whose last task ended last, nil if none is known.
-func (t *jobTime) lastStep() *step {
+func (t *occurrence) lastStep() *step {
 	var last *step
 	for _, st := range t.steps {
-		if st != nil && st.opened && (last == nil || st.lastTurn() >= last.lastTurn()) {
+		if st != nil && st.opened && (last == nil || st.lastPartChange() >= last.lastPartChange()) {
 			last = st
 		}
 	}
 	return last
 }
 
-// lastTask is the task whose time took another turn last.
-func (st *step) lastTask() *task {
+// lastChangedTask is the task whose time took another turn last.
+func (st *step) lastChangedTask() *task {
 	last := &st.tasks[0]
 	for i := range st.tasks {
-		if st.tasks[i].account.since > last.account.since {
+		if st.tasks[i].account.partSince > last.account.partSince {
 			last = &st.tasks[i]
 		}
 	}
 	return last
 }
 
-func (st *step) lastTurn() time.Duration { return st.lastTask().account.since }
+func (st *step) lastPartChange() time.Duration { return st.lastChangedTask().account.partSince }
 
 // spentUpTo is the time of the steps that this one waited for, and of its last task.
 func (st *step) spentUpTo(now time.Duration) Spent {
-	return st.path.plus(st.lastTask().account.upTo(now))
+	return st.upstreamSpent.plus(st.lastChangedTask().account.totalsAt(now))
 }
--- a/internal/system/scheduler/lateness_test.go
+++ b/internal/system/scheduler/lateness_test.go
@@ -12,7 +12,7 @@
 
 // checkLate holds what is told of late jobs against the world's own account: the job is completed, it missed its objective, and the parts
 // sum to its time.
-func (w *world) checkLate(late []LateJob) {
+func (w *simCluster) checkLate(late []LateJob) {
 	for i := range late {
 		told := &late[i]
 		w.stats.late++
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestSpentIsListed(t *testing.T) {
+func TestSpentString(t *testing.T) {
 	spent := Spent{PartRoom: 120 * time.Millisecond, PartRun: time.Second, PartOrder: time.Microsecond}
 	assert.Equal(t, "room 120ms, run 1000ms", spent.String())
 	for part := range PartCount {
@@ -38,53 +38,53 @@
 	}
 }
 
-// lateRun is a run of a task, 100 ms after it was proposed.
-func lateRun() (*Scheduler, *run) {
+// newLateRun is a run of a task, 100 ms after it was proposed.
+func newLateRun() (*Scheduler, *run) {
 	s := &Scheduler{now: time.Second}
 	st := &step{tasks: make([]task, 1)}
-	st.tasks[0].beginAccount(s.now)
+	st.tasks[0].startAccount(s.now)
 	s.now += 50 * time.Millisecond
-	st.tasks[0].account.turn(s.now, PartOrder)
-	r := &run{step: st, name: state.Run{}, before: st.tasks[0].account.spent}
+	st.tasks[0].account.enter(s.now, PartOrder)
+	r := &run{step: st, name: state.Run{}, spentBefore: st.tasks[0].account.spent}
 	s.now += 100 * time.Millisecond
 	return s, r
 }
 
-func TestAFailedRunsTimeIsOnePart(t *testing.T) {
-	s, r := lateRun()
-	s.spend(r, PartRun)
+func TestTimeOfAFailedRunCountsAsFailed(t *testing.T) {
+	s, r := newLateRun()
+	s.enterPart(r, PartRun)
 	s.now += 900 * time.Millisecond
-	s.spend(r, PartSilent)
+	s.enterPart(r, PartSilent)
 	s.now += 200 * time.Millisecond
-	s.spoiled(r, spoiledBy(state.Failed))
+	s.markWasted(r, spoiledBy(state.Failed))
 	s.now += 30 * time.Millisecond
 	spent := r.step.spentUpTo(s.now)
 	require.Equal(t, Spent{PartRoom: 50 * time.Millisecond, PartFailed: 1200 * time.Millisecond, PartNoted: 30 * time.Millisecond}, spent)
 }
 
-func TestAStoppedRunIsNotAFailedOne(t *testing.T) {
+func TestRunsThatEndWithoutFailureCountAsStopped(t *testing.T) {
 	for _, how := range []state.How{state.Stopped, state.Lapsed, state.Broken, state.Alone} {
 		assert.Equal(t, PartStopped, spoiledBy(how))
 	}
 }
 
-func TestTheTimeOfADoneTaskStandsStill(t *testing.T) {
-	s, r := lateRun()
+func TestTimeOfADoneTaskDoesNotChange(t *testing.T) {
+	s, r := newLateRun()
 	r.step.tasks[0].state = taskDone
 	before := r.step.tasks[0].account
-	s.spend(r, PartSlow)
-	s.spoiled(r, PartLost)
+	s.enterPart(r, PartSlow)
+	s.markWasted(r, PartLost)
 	assert.Equal(t, before, r.step.tasks[0].account)
 }
 
 // A step's time goes on from that of the step that it waited for.
-func TestStepsAddUp(t *testing.T) {
-	s, r := lateRun()
-	s.spend(r, PartNoted)
-	next := &step{tasks: make([]task, 2), path: r.step.spentUpTo(s.now)}
-	next.tasks[0].beginAccount(s.now)
-	next.tasks[1].beginAccount(s.now)
+func TestStepTimeIncludesItsUpstreamSteps(t *testing.T) {
+	s, r := newLateRun()
+	s.enterPart(r, PartNoted)
+	next := &step{tasks: make([]task, 2), upstreamSpent: r.step.spentUpTo(s.now)}
+	next.tasks[0].startAccount(s.now)
+	next.tasks[1].startAccount(s.now)
 	s.now += time.Second
-	next.tasks[1].account.turn(s.now, PartNoted)
+	next.tasks[1].account.enter(s.now, PartNoted)
 	assert.Equal(t, Spent{PartRoom: 50*time.Millisecond + time.Second, PartOrder: 100 * time.Millisecond}, next.spentUpTo(s.now))
 }
--- a/internal/system/scheduler/lists.go
+++ b/internal/system/scheduler/lists.go
@@ -6,25 +6,25 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// takeLists takes in both lists. Answers may overtake one another: a list of what runs that is older than another is passed over.
-func (s *Scheduler) takeLists(w *worker, ended *call, reply *workerapi.HoldReply) (news bool) {
-	w.clock.read(reply.ClockMs, s.now)
-	if reply.ClockMs < w.hold.listedMs {
-		return s.takeFinished(w, reply.Finished)
+// processLists takes in both lists. Answers may overtake one another: a list of what runs that is older than another is passed over.
+func (s *Scheduler) processLists(w *worker, ended *call, reply *workerapi.HoldReply) (news bool) {
+	w.clock.observe(reply.ClockMs, s.now)
+	if reply.ClockMs < w.hold.listClockMs {
+		return s.processFinished(w, reply.Finished)
 	}
-	w.hold.listedMs = reply.ClockMs
+	w.hold.listClockMs = reply.ClockMs
 	s.lastMark++
 	mark := s.lastMark
-	s.takeRunning(w, reply.Running, mark)
-	news = s.takeFinished(w, reply.Finished)
+	s.processRunning(w, reply.Running, mark)
+	news = s.processFinished(w, reply.Finished)
 	if len(reply.Finished) < workerapi.MaxFinished {
 		s.voidAbsent(w, ended, reply.ClockMs, mark)
 	}
 	return news
 }
 
-// takeRunning takes in the list of what runs.
-func (s *Scheduler) takeRunning(w *worker, running []workerapi.RunningTask, mark uint64) {
+// processRunning takes in the list of what runs.
+func (s *Scheduler) processRunning(w *worker, running []workerapi.RunningTask, mark uint64) {
 	for i := range running {
 		listed := &running[i]
 		name, ok := jobspec.ParseTask(listed.Task)
@@ -34,18 +34,18 @@
 		key := state.Run{Task: name, Attempt: uint32(listed.Attempt)}
 		r := w.runs[key]
 		if r == nil {
-			r = s.foreign(w, key)
+			r = s.addForeign(w, key)
 		}
 		r.mark = mark
 		r.absentAt = 0
-		s.present(r)
-		s.progress(r, listed)
+		s.markPresent(r)
+		s.noteProgress(r, listed)
 	}
 }
 
-// takeFinished takes in the list of ends and proposes those that are new.
-func (s *Scheduler) takeFinished(w *worker, finished []workerapi.FinishedTask) (news bool) {
-	seen := max(w.seen, s.lastSeen(w))
+// processFinished takes in the list of ends and proposes those that are new.
+func (s *Scheduler) processFinished(w *worker, finished []workerapi.FinishedTask) (news bool) {
+	seen := max(w.lastProposedEnd, s.lastCommittedEnd(w))
 	var ends []state.End
 	for i := range finished {
 		listed := &finished[i]
@@ -56,26 +56,26 @@
 		end := state.End{
 			Run:        state.Run{Task: name, Attempt: uint32(listed.Attempt)},
 			Number:     listed.N,
-			How:        howOf(listed.How),
+			How:        endHow(listed.How),
 			Checkpoint: listed.Checkpoint,
 		}
 		ends = append(ends, end)
 		seen = listed.N
 		if r := w.runs[end.Run]; r != nil {
-			s.ended(r, &end)
+			s.noteEnd(r, &end)
 		}
 	}
 	if len(ends) == 0 {
 		return false
 	}
-	w.seen = seen
-	ended := &state.TasksEnded{Worker: w.life.Instance, Ends: ends}
+	w.lastProposedEnd = seen
+	ended := &state.TasksEnded{Worker: w.identity.Instance, Ends: ends}
 	s.propose(state.Command{Kind: state.KindTasksEnded, TasksEnded: ended})
 	return true
 }
 
-// howOf reads the way in which a run ended; one that isn't known spends no attempt.
-func howOf(how workerapi.How) state.How {
+// endHow reads the way in which a run ended; one that isn't known spends no attempt.
+func endHow(how workerapi.How) state.How {
 	switch how {
 	case workerapi.HowDone:
 		return state.Done
@@ -98,16 +98,16 @@
 		if w == nil {
 			break
 		}
-		w.committed = max(w.committed, ended.Ends[i].Number)
+		w.lastCommittedEnd = max(w.lastCommittedEnd, ended.Ends[i].Number)
 		if r := w.runs[ended.Ends[i].Run]; r != nil {
-			s.drop(r)
+			s.dropRun(r)
 		}
 	}
-	s.jobsOver(finished)
+	s.jobsEnded(finished)
 	for i := range ended.Ends {
-		s.settleName(ended.Ends[i].Task)
+		s.reconcileTask(ended.Ends[i].Task)
 	}
-	if w != nil && w.seen <= s.lastSeen(w) {
-		s.holdAt(w, s.now)
+	if w != nil && w.lastProposedEnd <= s.lastCommittedEnd(w) {
+		s.scheduleHold(w, s.now)
 	}
 }
--- a/internal/system/scheduler/load_test.go
+++ b/internal/system/scheduler/load_test.go
@@ -12,25 +12,25 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// rush is a large cluster without trouble: commands commit at once, and workers answer at once and in time.
-type rush struct {
+// loadCluster is a large cluster without trouble: commands commit at once, and workers answer at once and in time.
+type loadCluster struct {
 	machine *state.Machine
 	sched   *Scheduler
 	now     time.Duration
 	events  eventHeap
 	order   uint64
-	workers map[string]*rushWorker
+	workers map[string]*loadWorker
 	body    []byte
 	jobs    uint64
 	started int
 	list    []workerapi.Instance
-	// holdCosts is how long the head is busy with each hold, 0 for no time; busyUntil is when it has dealt with all that are out.
-	holdCosts, busyUntil time.Duration
-	unsentUntil          time.Duration // no start is sent before
-	findings             []Finding
+	// holdCost is how long the head is busy with each hold, 0 for no time; busyUntil is when it has dealt with all that are out.
+	holdCost, busyUntil time.Duration
+	unsentUntil         time.Duration // no start is sent before
+	findings            []Finding
 }
 
-type rushWorker struct {
+type loadWorker struct {
 	running  map[string]workerapi.RunningTask
 	finished []workerapi.FinishedTask
 	number   uint64
@@ -38,15 +38,15 @@
 	asked    uint64
 }
 
-func newRush(workers, tasks int, run time.Duration) *rush {
-	r := &rush{machine: state.New(), now: time.Second, workers: make(map[string]*rushWorker)}
+func newLoadCluster(workers, tasks int, run time.Duration) *loadCluster {
+	r := &loadCluster{machine: state.New(), now: time.Second, workers: make(map[string]*loadWorker)}
 	stage := jobspec.Stage{Count: tasks, CPU: 1500, MemoryMb: 1000, Estimated: run}
 	r.body, _ = (&jobspec.Spec{Text: "rush", Stages: []jobspec.Stage{stage}}).Encode()
 	r.sched = New(Options{Token: 1, Machine: r.machine, Bounds: nodesettings.DefaultBounds()}, r.now)
-	r.sched.WallClock(r.now, unixZeroMs)
+	r.sched.WallClock(r.now, simEpochUnixMs)
 	for i := range workers {
 		id := fmt.Sprintf("i-%06d", i)
-		r.workers[id] = &rushWorker{running: make(map[string]workerapi.RunningTask)}
+		r.workers[id] = &loadWorker{running: make(map[string]workerapi.RunningTask)}
 		room := workerapi.Allocatable{CPU: 16000, MemoryMB: 65536}
 		r.list = append(r.list, workerapi.Instance{
 			ID: id, Backend: "farm", Address: id, State: workerapi.StateReady, Allocatable: room,
@@ -58,17 +58,17 @@
 	return r
 }
 
-// elect puts a new head in the place of the last one.
-func (r *rush) elect() {
+// replaceScheduler puts a new head in the place of the last one.
+func (r *loadCluster) replaceScheduler() {
 	r.sched = New(Options{Token: r.sched.token + 1, Machine: r.machine, Bounds: nodesettings.DefaultBounds()}, r.now)
-	r.sched.WallClock(r.now, unixZeroMs+r.now.Milliseconds())
+	r.sched.WallClock(r.now, simEpochUnixMs+r.now.Milliseconds())
 	r.sched.Listed(r.now, r.list)
 	r.drain()
 }
 
-// tooLate takes a hold's cost into account, and tells whether its answer can't be taken in before its time is over.
-func (r *rush) tooLate(made *Call) bool {
-	r.busyUntil = max(r.busyUntil, r.now) + r.holdCosts
+// timesOut takes a hold's cost into account, and tells whether its answer can't be taken in before its time is over.
+func (r *loadCluster) timesOut(made *Call) bool {
+	r.busyUntil = max(r.busyUntil, r.now) + r.holdCost
 	if r.busyUntil <= r.now+made.Timeout {
 		return false
 	}
@@ -82,26 +82,26 @@
 	return true
 }
 
-func (r *rush) after(span time.Duration, act func()) {
+func (r *loadCluster) after(span time.Duration, act func()) {
 	r.order++
 	heap.Push(&r.events, event{at: r.now + span, order: r.order, act: act})
 }
 
-func (r *rush) submit() {
+func (r *loadCluster) submit() {
 	r.jobs++
 	accepted := &state.JobAccepted{
 		ID: state.JobID(r.jobs), Route: "r", Service: "farm", MaxRetries: 3, Extension: 2, TargetLatencyMs: 1000,
-		AcceptedMs: unixZeroMs + r.now.Milliseconds(), Body: r.body,
+		AcceptedMs: simEpochUnixMs + r.now.Milliseconds(), Body: r.body,
 	}
 	r.apply(state.Command{Kind: state.KindJobAccepted, JobAccepted: accepted})
 	r.drain()
 }
 
-func (r *rush) apply(command state.Command) {
+func (r *loadCluster) apply(command state.Command) {
 	r.sched.Applied(r.now, r.machine.Apply(command))
 }
 
-func (r *rush) drain() {
+func (r *loadCluster) drain() {
 	for {
 		output := r.sched.Drain()
 		r.findings = append(r.findings, output.Findings...)
@@ -117,10 +117,10 @@
 	}
 }
 
-func (r *rush) call(made *Call) {
+func (r *loadCluster) call(made *Call) {
 	worker := r.workers[made.Worker.Instance]
 	if made.Kind == CallHold {
-		if r.tooLate(made) {
+		if r.timesOut(made) {
 			return
 		}
 		worker.asked++
@@ -145,7 +145,7 @@
 	r.after(4*time.Second+time.Duration(r.started%500)*time.Millisecond, func() { r.finish(worker, order.Task) })
 }
 
-func (r *rush) finish(worker *rushWorker, task string) {
+func (r *loadCluster) finish(worker *loadWorker, task string) {
 	delete(worker.running, task)
 	worker.number++
 	worker.finished = append(worker.finished, workerapi.FinishedTask{N: worker.number, Task: task, Attempt: 1, How: workerapi.HowDone})
@@ -154,7 +154,7 @@
 	}
 }
 
-func (r *rush) answer(worker *rushWorker) {
+func (r *loadCluster) answer(worker *loadWorker) {
 	made := worker.hold
 	worker.hold = nil
 	for len(worker.finished) > 0 && worker.finished[0].N <= made.Hold.LastSeen {
@@ -169,7 +169,7 @@
 	r.drain()
 }
 
-func (r *rush) run(until time.Duration) {
+func (r *loadCluster) run(until time.Duration) {
 	for len(r.events) > 0 && r.events[0].at <= until {
 		next := heap.Pop(&r.events).(event)
 		r.now = next.at
@@ -180,11 +180,11 @@
 	r.drain()
 }
 
-// BenchmarkRush plays a second of a large cluster: 20 jobs of 40 tasks each come and go.
-func BenchmarkRush(b *testing.B) {
+// BenchmarkLargeCluster plays a second of a large cluster: 20 jobs of 40 tasks each come and go.
+func BenchmarkLargeCluster(b *testing.B) {
 	for _, workers := range []int{530, 2300} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			r := newRush(workers, 40, 4*time.Second)
+			r := newLoadCluster(workers, 40, 4*time.Second)
 			second := func() {
 				for range 20 {
 					r.submit()
@@ -207,7 +207,7 @@
 // BenchmarkDrain hands out what is to be done while 2,000 tasks run, 40 steps are held, and room has been freed on one worker.
 func BenchmarkDrain(b *testing.B) {
 	const workers, tasks, running, held = 200, 50, 40, 40
-	r := newRush(workers, tasks, 4*time.Second)
+	r := newLoadCluster(workers, tasks, 4*time.Second)
 	r.run(r.now + time.Second) // workers answer
 	for range running + held {
 		r.submit()
@@ -217,7 +217,7 @@
 	}
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
-		r.sched.roomFreed(r.sched.workers[fmt.Sprintf("i-%06d", number%workers)])
+		r.sched.capacityFreed(r.sched.workers[fmt.Sprintf("i-%06d", number%workers)])
 		r.drain()
 	}
 }
--- a/internal/system/scheduler/lyingworkers_test.go
+++ b/internal/system/scheduler/lyingworkers_test.go
@@ -16,16 +16,16 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// liar draws what a worker says that keeps to nothing: runs that nobody ordered, of jobs and places that there are or aren't, ends with any
+// randomReplies draws what a worker says that keeps to nothing: runs that nobody ordered, of jobs and places that there are or aren't, ends with any
 // number, clocks that jump.
-type liar struct {
+type randomReplies struct {
 	random *rand.Rand
 	jobs   uint64
 }
 
 func pick[T any](random *rand.Rand, of ...T) T { return of[random.IntN(len(of))] }
 
-func (l *liar) task() string {
+func (l *randomReplies) task() string {
 	if l.random.IntN(12) == 0 {
 		return pick(l.random, "", "x", "....", "1.2.3", "00000000000000ff.-1.0.0", "0000000000000001.0.0.99999999999999999999")
 	}
@@ -33,19 +33,19 @@
 	return fmt.Sprintf("%016x.%d.%d.%d", l.random.Uint64N(l.jobs+2), place(), place(), place())
 }
 
-func (l *liar) attempt() int {
+func (l *randomReplies) attempt() int {
 	return pick(l.random, 0, 1, 1, 2, 3, 9, 1<<30, math.MaxInt32, math.MaxInt64, -1, math.MinInt64)
 }
 
-func (l *liar) checkpoint() string { return pick(l.random, "", "00000bb87a21d94b", "any") }
+func (l *randomReplies) checkpoint() string { return pick(l.random, "", "00000bb87a21d94b", "any") }
 
-func (l *liar) percent() int { return pick(l.random, 0, 1, 50, 100, 101, -7, math.MaxInt64) }
+func (l *randomReplies) percent() int { return pick(l.random, 0, 1, 50, 100, 101, -7, math.MaxInt64) }
 
-func (l *liar) clock(now int64) int64 {
+func (l *randomReplies) clock(now int64) int64 {
 	return pick(l.random, now, now, now+l.random.Int64N(10_000)-5000, 0, -now, math.MaxInt64, math.MinInt64)
 }
 
-func (l *liar) reply(now int64) workerapi.HoldReply {
+func (l *randomReplies) reply(now int64) workerapi.HoldReply {
 	reply := workerapi.HoldReply{
 		Outcome: pick(l.random, workerapi.Done, workerapi.Done, workerapi.Done, workerapi.Unknown, workerapi.Busy, workerapi.RefusedFence, workerapi.RefusedOld,
 			workerapi.RefusedLate, workerapi.RefusedRoom, workerapi.BadRequest, workerapi.OtherLife, workerapi.NotSent),
@@ -64,8 +64,8 @@
 	return reply
 }
 
-// seedsTo are the seeds below a number.
-func seedsTo(count uint64) iter.Seq[uint64] {
+// seedsBelow are the seeds below a number.
+func seedsBelow(count uint64) iter.Seq[uint64] {
 	return func(yield func(uint64) bool) {
 		for seed := range count {
 			if !yield(seed) {
@@ -77,14 +77,14 @@
 
 // Whatever workers say, the scheduler's accounts stay right and it goes on: a head that one of them could end would be followed by another
 // that hears the same.
-func TestNoWordOfAWorkerUpsetsTheScheduler(t *testing.T) {
+func TestArbitraryWorkerRepliesKeepTheSchedulerConsistent(t *testing.T) {
 	const someSeeds = 150
-	for _, seed := range append(slices.Collect(seedsTo(someSeeds)), 4730) { // a run that is listed before it is ordered
+	for _, seed := range append(slices.Collect(seedsBelow(someSeeds)), 4730) { // a run that is listed before it is ordered
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 0))
-			l := &liar{random: random}
-			d := newDesk(t)
-			workers := []workerapi.Instance{entry("w-1", 4000), entry("w-2", 8000, "rack-1"), entry("w-3", 2000)}
+			l := &randomReplies{random: random}
+			d := newHarness(t)
+			workers := []workerapi.Instance{listEntry("w-1", 4000), listEntry("w-2", 8000, "rack-1"), listEntry("w-3", 2000)}
 			d.sched.Listed(d.now, workers)
 			d.drain()
 			for range 120 {
@@ -105,7 +105,7 @@
 						d.cancel(state.JobID(1 + random.Uint64N(d.jobs)))
 					}
 				case 2:
-					d.pass(time.Duration(random.IntN(1500)) * time.Millisecond)
+					d.advance(time.Duration(random.IntN(1500)) * time.Millisecond)
 				case 3:
 					d.sched.Listed(d.now, workers[:1+random.IntN(len(workers))])
 					d.drain()
@@ -114,7 +114,7 @@
 						at := random.IntN(len(d.calls))
 						made := d.calls[at]
 						d.calls = append(d.calls[:at:at], d.calls[at+1:]...)
-						d.end(made, l.reply(d.clockMs()))
+						d.endCall(made, l.reply(d.clockMs()))
 					}
 				}
 				d.commit()
--- a/internal/system/scheduler/pace.go
+++ b/internal/system/scheduler/pace.go
@@ -6,43 +6,43 @@
 // tasks to start at once; ordered all at once their answers come too late, so that they are ordered again, and the most urgent ones wait
 // behind all others for the head's processor.
 const (
-	leastStarts = 64 // a gang's
-	firstStarts = 128
-	mostStarts  = 512
-	// startsCutPart is the part of the window that slow answers take away.
-	startsCutPart = 4
+	minStartsInFlight     = 64 // a gang's
+	initialStartsInFlight = 128
+	maxStartsInFlight     = 512
+	// windowCutDivisor is the part of the window that slow answers take away.
+	windowCutDivisor = 4
 )
 
-// startPace bounds the starts under way by how promptly they are answered.
-type startPace struct {
+// startLimiter bounds the starts under way by how promptly they are answered.
+type startLimiter struct {
 	proposed int // intents on their way through the chain
 	sent     int // sendings of starts without an answer so far
 	window   int
 	cutAt    time.Duration
 }
 
-// full tells whether no start should be added to those that are under way.
-func (p *startPace) full() bool { return p.proposed+p.sent >= max(p.window, leastStarts) }
+// atLimit tells whether no start should be added to those that are under way.
+func (p *startLimiter) atLimit() bool { return p.proposed+p.sent >= max(p.window, minStartsInFlight) }
 
-// proposing takes note of one more intent.
-func (p *startPace) proposing() { p.proposed++ }
+// addProposed takes note of one more intent.
+func (p *startLimiter) addProposed() { p.proposed++ }
 
-// committed takes note that the fate of an intent is known.
-func (p *startPace) committed() { p.proposed = max(p.proposed-1, 0) }
+// removeProposed takes note that the fate of an intent is known.
+func (p *startLimiter) removeProposed() { p.proposed = max(p.proposed-1, 0) }
 
-// sending takes note of one more order.
-func (p *startPace) sending() { p.sent++ }
+// addSent takes note of one more order.
+func (p *startLimiter) addSent() { p.sent++ }
 
-// ended takes note that an order was answered or given up.
-func (p *startPace) ended() { p.sent = max(p.sent-1, 0) }
+// removeSent takes note that an order was answered or given up.
+func (p *startLimiter) removeSent() { p.sent = max(p.sent-1, 0) }
 
-// answered adapts the window: prompt answers widen it, slow ones narrow it, once in the time of an answer.
-func (p *startPace) answered(now time.Duration, answers *answerTimes) {
+// adapt adapts the window: prompt answers widen it, slow ones narrow it, once in the time of an answer.
+func (p *startLimiter) adapt(now time.Duration, answers *callLatency) {
 	switch {
 	case !answers.slow():
-		p.window = min(p.window+1, mostStarts)
+		p.window = min(p.window+1, maxStartsInFlight)
 	case now-p.cutAt >= answers.mean:
-		p.window = max(p.window-p.window/startsCutPart, leastStarts)
+		p.window = max(p.window-p.window/windowCutDivisor, minStartsInFlight)
 		p.cutAt = now
 	}
 }
--- a/internal/system/scheduler/pending.go
+++ b/internal/system/scheduler/pending.go
@@ -19,8 +19,8 @@
 	queue[j.record.ID] = struct{}{}
 }
 
-// begin takes note that a task of a job has begun.
-func (p pendingJobs) begin(j *job) {
+// markBegun takes note that a task of a job has begun.
+func (p pendingJobs) markBegun(j *job) {
 	if j.begun {
 		return
 	}
@@ -32,11 +32,11 @@
 	}
 }
 
-// over takes a job out for good; a run of it that is seen later changes nothing any more.
-func (p pendingJobs) over(j *job) { p.begin(j) }
+// remove takes a job out for good; a run of it that is seen later changes nothing any more.
+func (p pendingJobs) remove(j *job) { p.markBegun(j) }
 
-// holds tells whether a job counts.
-func (p pendingJobs) holds(j *job) bool {
+// contains tells whether a job counts.
+func (p pendingJobs) contains(j *job) bool {
 	_, counts := p[j.record.Route][j.record.ID]
 	return counts
 }
--- a/internal/system/scheduler/pending_test.go
+++ b/internal/system/scheduler/pending_test.go
@@ -9,7 +9,7 @@
 )
 
 // A job counts until a task of it has begun, whether that was seen running or only by its end, and not once it is over.
-func TestPendingJobs(t *testing.T) {
+func TestPendingJobsCountUntilTheyBegin(t *testing.T) {
 	waiting := func(id state.JobID) *job {
 		return &job{record: &state.Job{JobAccepted: state.JobAccepted{ID: id, Route: "barn"}}}
 	}
@@ -19,20 +19,20 @@
 		pending.add(j)
 	}
 	assert.Len(t, pending["barn"], 3)
-	pending.begin(first)
-	pending.begin(first)
+	pending.markBegun(first)
+	pending.markBegun(first)
 	assert.Len(t, pending["barn"], 2, "it begins once")
-	pending.over(first)
+	pending.remove(first)
 	assert.Len(t, pending["barn"], 2, "it counted no more")
-	pending.over(second)
-	pending.begin(second)
+	pending.remove(second)
+	pending.markBegun(second)
 	assert.Len(t, pending["barn"], 1, "what is seen of it later counts for nothing")
-	pending.over(third)
+	pending.remove(third)
 	assert.Empty(t, pending)
 }
 
 // A new head knows of those that have begun by what was committed of their tasks.
-func TestJobsThatAnEarlierHeadHasSeenBegin(t *testing.T) {
+func TestNewHeadKnowsWhichJobsHaveBegun(t *testing.T) {
 	for name, step := range map[string]state.Step{
 		"done":       {Tasks: []state.Task{{}, {Done: true}}},
 		"failed":     {Tasks: []state.Task{{Failures: 1}}},
--- a/internal/system/scheduler/queue.go
+++ b/internal/system/scheduler/queue.go
@@ -6,57 +6,57 @@
 	"gaugeslip/internal/system/state"
 )
 
-// standing ranks held steps: those that can make their job's objective, those that are late, and those that earn nothing.
-type standing uint8
+// deadlineClass ranks held steps: those that can make their job's objective, those that are late, and those that earn nothing.
+type deadlineClass uint8
 
 const (
-	onTime standing = iota
+	onTime deadlineClass = iota
 	late
-	worthless
+	expired
 )
 
 const (
 	// lateFactor is how many objectives after its start a job still earns something.
 	lateFactor = 3
-	// standingSpan and prioritySpan set the deadlines of lower standings and priorities apart from all others.
-	standingSpan = 50 * 365 * 24 * time.Hour
+	// classSpan and prioritySpan set the deadlines of lower standings and priorities apart from all others.
+	classSpan    = 50 * 365 * 24 * time.Hour
 	prioritySpan = 20 * 365 * 24 * time.Hour
-	// believed is the part of the estimated work ahead that decides whether a job still makes its objective.
-	believed = 0.7
+	// trustedEstimateShare is the part of the estimated work ahead that decides whether a job still makes its objective.
+	trustedEstimateShare = 0.7
 )
 
 // objective is how long the job may take from the begin of its objective on.
 func (j *job) objective() time.Duration {
 	extension := max(j.record.Extension, 1)
 	target := time.Duration(j.record.TargetLatencyMs * float64(time.Millisecond))
-	return target + time.Duration(extension*float64(j.longest))
+	return target + time.Duration(extension*float64(j.longestChain))
 }
 
 // deadline is when the step's tasks are to end at the latest, so that the steps behind it can end in time.
 func (st *step) deadline() time.Duration {
-	behind := st.job.chains[st.number] - st.stage.Estimated
-	return st.time.from + st.job.objective() - behind
+	behind := st.job.remainingWork[st.number] - st.stage.Estimated
+	return st.occurrence.objectiveFrom + st.job.objective() - behind
 }
 
-// standingAt ranks the step at a time, and tells when it falls to the next rank; 0: never.
-func (st *step) standingAt(now time.Duration) (rank standing, until time.Duration) {
+// deadlineClassAt ranks the step at a time, and tells when it falls to the next rank; 0: never.
+func (st *step) deadlineClassAt(now time.Duration) (rank deadlineClass, until time.Duration) {
 	if st.stage.LongRunning {
 		return onTime, 0
 	}
-	ahead := time.Duration(believed * float64(st.job.chains[st.number]))
+	ahead := time.Duration(trustedEstimateShare * float64(st.job.remainingWork[st.number]))
 	objective := st.job.objective()
-	if last := st.time.from + objective - ahead; now <= last {
+	if last := st.occurrence.objectiveFrom + objective - ahead; now <= last {
 		return onTime, last
 	}
-	if last := st.time.from + lateFactor*objective - ahead; now <= last {
+	if last := st.occurrence.objectiveFrom + lateFactor*objective - ahead; now <= last {
 		return late, last
 	}
-	return worthless, 0
+	return expired, 0
 }
 
-// key orders held steps: by standing, the most urgent queue before the others, then by deadline.
-func (st *step) key(rank standing) time.Duration {
-	key := st.deadline() + time.Duration(rank)*standingSpan
+// queueKey orders held steps: by standing, the most urgent queue before the others, then by deadline.
+func (st *step) queueKey(rank deadlineClass) time.Duration {
+	key := st.deadline() + time.Duration(rank)*classSpan
 	if st.job.record.Priority > 0 {
 		key += prioritySpan
 	}
@@ -65,17 +65,17 @@
 
 // enqueue holds a step of which tasks wait for room, and has it tried on all workers.
 func (s *Scheduler) enqueue(st *step) {
-	st.fresh = true
-	st.service.fresh = true
+	st.tryAll = true
+	st.service.tryAll = true
 	if st.queued {
 		return
 	}
-	rank, until := st.standingAt(s.now)
+	rank, until := st.deadlineClassAt(s.now)
 	st.queued = true
-	st.ticket = st.service.queue.Push(st.key(rank), st)
+	st.ticket = st.service.queue.Push(st.queueKey(rank), st)
 	if until > 0 {
 		ticket := st.ticket
-		s.at(until+time.Millisecond, func() {
+		s.runAt(until+time.Millisecond, func() {
 			if st.queued && st.ticket == ticket {
 				s.requeue(st)
 			}
@@ -90,28 +90,28 @@
 	}
 	st.service.queue.Remove(st.ticket)
 	st.queued, st.overdue = false, false
-	s.stopKeeping(st)
+	s.releaseShare(st)
 	if st.service.reserved.step == st {
-		s.release(st.service)
+		s.releaseWorkers(st.service)
 	}
 }
 
 // requeue gives a held step its present rank.
 func (s *Scheduler) requeue(st *step) {
-	fresh, overdue, kept := st.fresh, st.overdue, s.shares.keepingFor(st)
+	fresh, overdue, kept := st.tryAll, st.overdue, s.shares.reservationFor(st)
 	s.dequeue(st)
 	s.enqueue(st)
-	st.fresh, st.overdue = fresh, overdue
+	st.tryAll, st.overdue = fresh, overdue
 	if kept != nil {
-		s.shares.keepings[st.tenant()] = kept
+		s.shares.reservations[st.tenant()] = kept
 	}
 }
 
 // dispatch starts what can be started. What isn't tried since enough starts are under way is tried once some of them are answered.
 func (s *Scheduler) dispatch() {
-	s.retryKept()
-	for _, svc := range s.kinds {
-		for (svc.fresh || len(svc.freed) > 0) && !s.pace.full() {
+	s.retryShareBlocked()
+	for _, svc := range s.serviceOrder {
+		for (svc.tryAll || len(svc.freed) > 0) && !s.startLimiter.atLimit() {
 			s.dispatchService(svc)
 		}
 	}
@@ -121,8 +121,8 @@
 // the others where room has been freed.
 func (s *Scheduler) dispatchService(svc *service) {
 	freed := svc.takeFreed()
-	svc.fresh, svc.kept = false, false
-	held := s.scratch.held[:0]
+	svc.tryAll, svc.shareBlocked = false, false
+	held := s.scratch.queued[:0]
 	if svc.queue.Len() > 0 {
 		for _, st := range svc.queue.All() {
 			held = append(held, st)
@@ -130,14 +130,14 @@
 		s.refreshLayout(svc)
 	}
 	for at, st := range held {
-		if s.pace.full() {
-			s.putOff(svc, held[at:])
+		if s.startLimiter.atLimit() {
+			s.postpone(svc, held[at:])
 			break
 		}
-		if s.keptBack(st) {
+		if s.stillShareBlocked(st) {
 			continue
 		}
-		if st.fresh {
+		if st.tryAll {
 			s.placeAnywhere(st)
 		} else if len(freed) > 0 {
 			s.placeOnFreed(st, freed)
@@ -145,21 +145,21 @@
 		switch {
 		case !st.hasWaiting():
 			s.dequeue(st)
-		case st.kept:
-			s.considerKeeping(st)
+		case st.shareBlocked:
+			s.considerReservingShare(st)
 		default:
-			s.considerReserving(st)
+			s.considerReservingWorkers(st)
 		}
 	}
 	clear(held)
-	s.scratch.held = held[:0]
+	s.scratch.queued = held[:0]
 }
 
-// putOff has held steps tried on all workers later.
-func (s *Scheduler) putOff(svc *service, held []*step) {
-	svc.fresh = true
+// postpone has held steps tried on all workers later.
+func (s *Scheduler) postpone(svc *service, held []*step) {
+	svc.tryAll = true
 	for _, st := range held {
-		st.fresh = true
+		st.tryAll = true
 	}
 }
 
@@ -183,7 +183,7 @@
 
 // placeAnywhere starts as many of the step's tasks as find a worker.
 func (s *Scheduler) placeAnywhere(st *step) {
-	st.fresh = false
+	st.tryAll = false
 	if st.stage.Gang {
 		s.placeGang(st)
 		return
@@ -198,13 +198,13 @@
 			break
 		}
 		t := &st.tasks[index]
-		if full && t.plain() {
+		if full && t.unrestricted() {
 			left = append(left, index)
 			continue
 		}
-		w := s.choose(st, t)
+		w := s.chooseWorker(st, t)
 		if w == nil {
-			full = full || t.plain()
+			full = full || t.unrestricted()
 			left = append(left, index)
 			continue
 		}
@@ -220,22 +220,22 @@
 		return
 	}
 	for _, w := range freed {
-		if !st.need.fitsInto(w.free()) || !s.nearEnough(st, w) {
+		if !st.need.fitsInto(w.free()) || !s.dataAllows(st, w) {
 			continue
 		}
-		s.fill(st, w)
+		s.fillWorker(st, w)
 	}
 }
 
-// fill starts tasks of the step on one worker.
-func (s *Scheduler) fill(st *step, w *worker) {
+// fillWorker starts tasks of the step on one worker.
+func (s *Scheduler) fillWorker(st *step, w *worker) {
 	left := st.waiting[:0]
 	for at, index := range st.waiting {
 		if !s.shareFits(st) {
 			left = append(left, st.waiting[at:]...)
 			break
 		}
-		if !s.suits(w, st, &st.tasks[index]) {
+		if !s.feasible(w, st, &st.tasks[index]) {
 			left = append(left, index)
 			continue
 		}
@@ -244,9 +244,9 @@
 	st.waiting = left
 }
 
-// settleName brings a task in line with the replicated state.
-func (s *Scheduler) settleName(name state.TaskName) {
+// reconcileTask brings a task in line with the replicated state.
+func (s *Scheduler) reconcileTask(name state.TaskName) {
 	if st := s.findStep(name); st != nil {
-		s.settle(st, name.Index)
+		s.reconcile(st, name.Index)
 	}
 }
--- a/internal/system/scheduler/reserve.go
+++ b/internal/system/scheduler/reserve.go
@@ -18,58 +18,58 @@
 const (
 	// reserveAfter is the part of its slack that a step waits before room is kept for it.
 	reserveAfter = 4
-	// longestReserve bounds how long room may stand idle for it.
-	longestReserve = 2500 * time.Millisecond
-	reservePause   = 1500 * time.Millisecond
+	// maxReserve bounds how long room may stand idle for it.
+	maxReserve   = 2500 * time.Millisecond
+	reservePause = 1500 * time.Millisecond
 )
 
-// considerReserving keeps room for a step that can't be placed and has waited for long enough.
-func (s *Scheduler) considerReserving(st *step) {
+// considerReservingWorkers keeps room for a step that can't be placed and has waited for long enough.
+func (s *Scheduler) considerReservingWorkers(st *step) {
 	svc := st.service
-	if svc.reserved.step != nil || s.now < svc.reserved.notBefore || !st.needsMuch() {
+	if svc.reserved.step != nil || s.now < svc.reserved.notBefore || !st.isLarge() {
 		return
 	}
-	slack := st.deadline() - st.size - st.readyAt
-	if s.now < st.readyAt+min(max(slack/reserveAfter, 0), longestReserve) {
+	slack := st.deadline() - st.runTime - st.readyAt
+	if s.now < st.readyAt+min(max(slack/reserveAfter, 0), maxReserve) {
 		return
 	}
-	workers := s.reservable(st)
+	workers := s.reservableWorkers(st)
 	if workers == nil {
 		return
 	}
 	svc.reserved.step, svc.reserved.workers = st, workers
-	svc.reserved.until = s.now + longestReserve
+	svc.reserved.until = s.now + maxReserve
 	for _, w := range workers {
 		w.reservedFor = st
 	}
-	s.at(svc.reserved.until, func() {
+	s.runAt(svc.reserved.until, func() {
 		if svc.reserved.step == st && s.now >= svc.reserved.until {
-			s.release(svc)
+			s.releaseWorkers(svc)
 		}
 	})
 }
 
-// needsMuch tells whether a step may starve behind smaller ones: gangs, and tasks that take half of a worker.
-func (st *step) needsMuch() bool {
+// isLarge tells whether a step may starve behind smaller ones: gangs, and tasks that take half of a worker.
+func (st *step) isLarge() bool {
 	if st.stage.Gang {
 		return true
 	}
 	for _, w := range st.service.workers {
-		return 2*st.need.CPU > w.room.CPU || 2*st.need.MemoryMb > w.room.MemoryMb || st.need.GPUs > 0 && 2*st.need.GPUs > w.room.GPUs
+		return 2*st.need.CPU > w.capacity.CPU || 2*st.need.MemoryMb > w.capacity.MemoryMb || st.need.GPUs > 0 && 2*st.need.GPUs > w.capacity.GPUs
 	}
 	return false
 }
 
-// reservable finds the workers that have room for the step soonest, enough for a whole gang or for one task.
-func (s *Scheduler) reservable(st *step) []*worker {
+// reservableWorkers finds the workers that have room for the step soonest, enough for a whole gang or for one task.
+func (s *Scheduler) reservableWorkers(st *step) []*worker {
 	type offer struct {
 		worker *worker
 		soon   time.Duration
 	}
 	var offers []offer
 	for _, w := range st.service.workers {
-		if w.open() && w.hasLabels(st.stage.Requirements) && st.need.fitsInto(w.room) && s.trusted(w, st, &st.tasks[0]) {
-			offers = append(offers, offer{w, s.emptyIn(w)})
+		if w.schedulable() && w.hasLabels(st.stage.Requirements) && st.need.fitsInto(w.capacity) && s.trusted(w, st, &st.tasks[0]) {
+			offers = append(offers, offer{w, s.timeToEmpty(w)})
 		}
 	}
 	slices.SortStableFunc(offers, func(a, b offer) int { return cmp.Compare(a.soon, b.soon) })
@@ -79,7 +79,7 @@
 	}
 	var workers []*worker
 	for _, offer := range offers {
-		fits := st.need.times(offer.worker.room)
+		fits := st.need.fitCount(offer.worker.capacity)
 		if st.stage.AntiAffinity > 0 {
 			fits = min(fits, st.stage.AntiAffinity)
 		}
@@ -91,22 +91,22 @@
 	return nil
 }
 
-// emptyIn estimates how soon all that runs on a worker has ended.
-func (s *Scheduler) emptyIn(w *worker) time.Duration {
+// timeToEmpty estimates how soon all that runs on a worker has ended.
+func (s *Scheduler) timeToEmpty(w *worker) time.Duration {
 	longest := time.Duration(0)
-	for _, r := range w.list {
-		if r.phase.takesRoom() {
+	for _, r := range w.runList {
+		if r.phase.usesCapacity() {
 			longest = max(longest, s.remaining(r))
 		}
 	}
 	return longest
 }
 
-// release gives up a service's reservation.
-func (s *Scheduler) release(svc *service) {
+// releaseWorkers gives up a service's reservation.
+func (s *Scheduler) releaseWorkers(svc *service) {
 	for _, w := range svc.reserved.workers {
 		w.reservedFor = nil
-		s.roomFreed(w)
+		s.capacityFreed(w)
 	}
 	svc.reserved = reservation{notBefore: s.now + reservePause}
 }
--- a/internal/system/scheduler/run.go
+++ b/internal/system/scheduler/run.go
@@ -23,11 +23,11 @@
 
 var phaseNames = [...]string{"proposed", "committed", "ordered", "doubtful", "inherited", "present", "ended", "voided"}
 
-// takesRoom tells whether a run in this phase uses its worker's room, or may come to.
-func (p runPhase) takesRoom() bool { return p < runEnded }
+// usesCapacity tells whether a run in this phase uses its worker's room, or may come to.
+func (p runPhase) usesCapacity() bool { return p < runEnded }
 
-// mayRun tells whether a run in this phase may exist on its worker.
-func (p runPhase) mayRun() bool { return p >= runOrdered && p < runEnded }
+// mayExist tells whether a run in this phase may exist on its worker.
+func (p runPhase) mayExist() bool { return p >= runOrdered && p < runEnded }
 
 // run is one run of a task that is proposed or may exist on a worker.
 type run struct {
@@ -44,49 +44,49 @@
 	// checkpoint is what its start carries, each time that it is sent: an end that comes late may change the replicated one.
 	checkpoint string
 
-	before Spent // of its task, when the run was proposed
-
-	orderedAt  time.Duration
-	presentAt  time.Duration
-	percent    int
-	percentAt  time.Duration // when it changed last
-	percentMs  int64         // the same on the worker's clock; 0: nothing was listed yet
-	firstAt    time.Duration // the first progress that was seen, and when
-	firstShown int
-
-	startsOut    int  // sendings of its start without an answer so far
-	startInDoubt bool // one of them surely got none
-
-	stopWanted    bool
-	stopOut       bool
-	stopSent      bool          // its stop may have been carried out
-	absentAt      time.Duration // when a list that lacks it was first seen; 0: it was listed since
-	stopFailures  int
-	stopAnswered  bool
-	stopAnswerAt  time.Duration
-	moved         bool // its stop was ordered to start it elsewhere
-	slowNoted     bool // it was counted as slow
-	stopScheduled bool
+	spentBefore Spent // of its task, when the run was proposed
+
+	orderedAt       time.Duration
+	presentAt       time.Duration
+	percent         int
+	percentAt       time.Duration // when it changed last
+	percentClockMs  int64         // the same on the worker's clock; 0: nothing was listed yet
+	firstProgressAt time.Duration // the first progress that was seen, and when
+	firstPercent    int
+
+	startsInFlight int  // sendings of its start without an answer so far
+	startInDoubt   bool // one of them surely got none
+
+	stopWanted     bool
+	stopInFlight   bool
+	stopSent       bool          // its stop may have been carried out
+	absentAt       time.Duration // when a list that lacks it was first seen; 0: it was listed since
+	stopFailures   int
+	stopAnswered   bool
+	stopAnsweredAt time.Duration
+	moved          bool // its stop was ordered to start it elsewhere
+	countedSlow    bool // it was counted as slow
+	stopScheduled  bool
 }
 
 // setPhase is the only way in which a run's phase changes; it keeps the worker's sum of what is used.
 func (r *run) setPhase(phase runPhase) {
-	if r.phase.takesRoom() && !phase.takesRoom() {
+	if r.phase.usesCapacity() && !phase.usesCapacity() {
 		r.worker.used = r.worker.used.minus(r.need)
 	}
 	r.phase = phase
 }
 
-// add makes a run's record on its worker, where it takes room from now on. One of the same name, which the worker has listed without having been
+// addRun makes a run's record on its worker, where it takes room from now on. One of the same name, which the worker has listed without having been
 // ordered it, ends with that: the worker shows by the order whether it is there.
-func (s *Scheduler) add(r *run) {
+func (s *Scheduler) addRun(r *run) {
 	w := r.worker
 	if listed := w.runs[r.name]; listed != nil {
-		s.drop(listed)
+		s.dropRun(listed)
 	}
 	w.runs[r.name] = r
-	r.slot = len(w.list)
-	w.list = append(w.list, r)
+	r.slot = len(w.runList)
+	w.runList = append(w.runList, r)
 	w.used = w.used.plus(r.need)
 	if r.step == nil || r.foreign {
 		return
@@ -94,30 +94,30 @@
 	t := &r.step.tasks[r.name.Task.Index]
 	t.runs = append(t.runs, r)
 	t.state = taskActive
-	t.account.turn(s.now, PartOrder)
-	r.before = t.account.spent
-	if r.step.onWorker != nil {
-		r.step.onWorker[w]++
+	t.account.enter(s.now, PartOrder)
+	r.spentBefore = t.account.spent
+	if r.step.runsPerWorker != nil {
+		r.step.runsPerWorker[w]++
 	}
 }
 
 // unlist takes a run out of the list of a worker's runs; the last one takes its place.
 func (w *worker) unlist(r *run) {
-	last := len(w.list) - 1
-	w.list[r.slot] = w.list[last]
-	w.list[r.slot].slot = r.slot
-	w.list[last] = nil
-	w.list = w.list[:last]
+	last := len(w.runList) - 1
+	w.runList[r.slot] = w.runList[last]
+	w.runList[r.slot].slot = r.slot
+	w.runList[last] = nil
+	w.runList = w.runList[:last]
 }
 
-// drop ends a run's record, whatever was still proposed of it.
-func (s *Scheduler) drop(r *run) {
+// dropRun ends a run's record, whatever was still proposed of it.
+func (s *Scheduler) dropRun(r *run) {
 	w := r.worker
 	if w.runs[r.name] != r {
 		return
 	}
 	delete(s.voiding, r.name)
-	if r.phase.takesRoom() {
+	if r.phase.usesCapacity() {
 		w.used = w.used.minus(r.need)
 		r.phase = runEnded
 	}
@@ -126,7 +126,7 @@
 	if len(w.runs) == 0 { // whatever took the room that a refusal has shown to be missing is gone
 		w.withheld = w.withheld[:0]
 	}
-	s.roomFreed(w)
+	s.capacityFreed(w)
 	if r.step == nil || r.foreign {
 		return
 	}
@@ -134,9 +134,9 @@
 	if at := slices.Index(t.runs, r); at >= 0 {
 		t.runs = slices.Delete(t.runs, at, at+1)
 	}
-	if r.step.onWorker != nil {
-		if r.step.onWorker[w]--; r.step.onWorker[w] <= 0 {
-			delete(r.step.onWorker, w)
+	if r.step.runsPerWorker != nil {
+		if r.step.runsPerWorker[w]--; r.step.runsPerWorker[w] <= 0 {
+			delete(r.step.runsPerWorker, w)
 		}
 	}
 }
--- a/internal/system/scheduler/scheduler.go
+++ b/internal/system/scheduler/scheduler.go
@@ -63,65 +63,65 @@
 
 // Scheduler is the scheduler role. Make one with New.
 type Scheduler struct {
-	token   uint64
-	machine *state.Machine
-	bounds  nodesettings.Bounds
-	started time.Duration
-	now     time.Duration
-	wall    wallClock
+	token     uint64
+	machine   *state.Machine
+	bounds    nodesettings.Bounds
+	startedAt time.Duration
+	now       time.Duration
+	wall      wallClock
 
-	workers    map[string]*worker
-	services   map[string]*service
-	kinds      []*service // the services in the order in which they became known
-	jobs       map[state.JobID]*job
-	pending    pendingJobs
-	estimates  map[estimateKey]*estimate
-	timers     timerQueue
-	dues       dueQueue
-	calls      map[uint64]*call
-	answers    answerTimes
-	pace       startPace
-	mostCalls  int
-	looks      firstLooks
-	lastCall   uint64
-	lastMark   uint64
-	superseded bool
-	movingRuns int // that have shown progress
+	workers         map[string]*worker
+	services        map[string]*service
+	serviceOrder    []*service // the services in the order in which they became known
+	jobs            map[state.JobID]*job
+	pending         pendingJobs
+	estimates       map[estimateKey]*estimate
+	timers          timerQueue
+	occurrenceQueue occurrenceQueue
+	calls           map[uint64]*call
+	latency         callLatency
+	startLimiter    startLimiter
+	maxCalls        int
+	firstHolds      firstHoldQueue
+	lastCallID      uint64
+	lastMark        uint64
+	superseded      bool
+	progressingRuns int // that have shown progress
 
-	commands []state.Command
-	out      []Call
-	starts   []state.Start
-	voids    []state.Run
-	voiding  map[state.Run]*run
-	ordered  []*run
-	shares   shares
-	auditing auditing
-	late     []LateJob
-	scratch  scratch
+	commands        []state.Command
+	newCalls        []Call
+	newStarts       []state.Start
+	newVoids        []state.Run
+	voiding         map[state.Run]*run
+	committedStarts []*run
+	shares          shares
+	auditing        auditing
+	lateJobs        []LateJob
+	scratch         scratch
 }
 
 // New makes the scheduler of a new head from the replicated state alone.
 func New(options Options, now time.Duration) *Scheduler {
 	s := &Scheduler{
-		token:     options.Token,
-		machine:   options.Machine,
-		bounds:    options.Bounds,
-		started:   now,
-		mostCalls: options.Calls,
-		now:       now,
-		workers:   make(map[string]*worker),
-		services:  make(map[string]*service),
-		jobs:      make(map[state.JobID]*job),
-		pending:   pendingJobs{},
-		estimates: make(map[estimateKey]*estimate),
-		calls:     make(map[uint64]*call),
-		voiding:   make(map[state.Run]*run),
-		shares:    newShares(options.Machine.Quotas()),
-		pace:      startPace{window: firstStarts},
+		token:        options.Token,
+		machine:      options.Machine,
+		bounds:       options.Bounds,
+		startedAt:    now,
+		maxCalls:     options.Calls,
+		now:          now,
+		workers:      make(map[string]*worker),
+		services:     make(map[string]*service),
+		jobs:         make(map[state.JobID]*job),
+		pending:      pendingJobs{},
+		estimates:    make(map[estimateKey]*estimate),
+		calls:        make(map[uint64]*call),
+		voiding:      make(map[state.Run]*run),
+		shares:       newShares(options.Machine.Quotas()),
+		startLimiter: startLimiter{window: initialStartsInFlight},
 	}
 	s.rebuild()
 	s.planAudit()
-	s.planTrials()
+	s.planTrialReviews()
 	return s
 }
 
@@ -130,15 +130,15 @@
 	ids := slices.Sorted(maps.Keys(s.machine.Jobs()))
 	for _, id := range ids {
 		if record := s.machine.Job(id); !record.State.Over() {
-			s.addJob(record)
+			s.trackJob(record)
 		}
 	}
 	for _, instance := range slices.Sorted(maps.Keys(s.machine.Workers())) {
-		w := s.openWorker(instance)
+		w := s.ensureWorker(instance)
 		for _, name := range slices.SortedFunc(maps.Keys(s.machine.Worker(instance).Runs), compareRuns) {
-			s.adopt(w, name)
+			s.adoptRun(w, name)
 		}
-		s.at(s.lossBound(w), func() { s.checkLoss(w) })
+		s.runAt(s.lossBound(w), func() { s.checkLoss(w) })
 	}
 	for _, id := range ids {
 		if j := s.jobs[id]; j != nil {
@@ -155,7 +155,7 @@
 func (s *Scheduler) advance(now time.Duration) {
 	s.now = max(s.now, now)
 	s.fireTimers()
-	s.openDueTimes()
+	s.openDueOccurrences()
 }
 
 // Tick lets time pass.
@@ -166,7 +166,7 @@
 	first := !s.wall.known
 	s.wall.set(now, unixMs)
 	if first {
-		s.recallAcceptance()
+		s.correctAcceptance()
 	}
 	s.advance(now)
 }
@@ -175,24 +175,24 @@
 func (s *Scheduler) Configured(now time.Duration, config *clusterconfig.Config) {
 	s.advance(now)
 	for i := range config.Services {
-		s.openService(config.Services[i].Name).guarded = config.Services[i].Preconditions
+		s.ensureService(config.Services[i].Name).preconditions = config.Services[i].Preconditions
 	}
 }
 
 // Applied takes in what a committed command has changed, in the order of the chain and before the next one is applied.
 func (s *Scheduler) Applied(now time.Duration, result state.Result) {
 	s.now = max(s.now, now)
-	s.take(&result)
+	s.applyResult(&result)
 	s.advance(now) // only now, as timers look at the replicated state too
 }
 
-func (s *Scheduler) take(result *state.Result) {
+func (s *Scheduler) applyResult(result *state.Result) {
 	command := &result.Command
 	switch command.Kind {
 	case state.KindJobAccepted:
 		s.jobAccepted(result)
 	case state.KindJobCancelled:
-		s.jobsOver(result.Finished)
+		s.jobsEnded(result.Finished)
 	case state.KindTasksStarting:
 		s.startsCommitted(command.TasksStarting, result.Started)
 	case state.KindStartsVoided:
@@ -213,21 +213,21 @@
 	}
 	delete(s.calls, result.ID)
 	if ended.kind == CallStart {
-		s.pace.ended()
+		s.startLimiter.removeSent()
 	}
 	if result.Reply.Outcome == workerapi.RefusedFence {
 		s.superseded = true
 	}
-	if ended.first {
-		defer s.firstLookEnded()
+	if ended.firstHold {
+		defer s.firstHoldEnded()
 	}
-	if s.workers[ended.worker.life.Instance] != ended.worker {
+	if s.workers[ended.worker.identity.Instance] != ended.worker {
 		return
 	}
 	if result.Reply.Outcome.Answered() {
-		s.answered(ended)
+		s.callAnswered(ended)
 	} else if result.Reply.Outcome == workerapi.Unknown {
-		s.unanswered(ended)
+		s.callUnanswered(ended)
 	}
 	switch ended.kind {
 	case CallHold:
@@ -244,18 +244,18 @@
 	if s.superseded {
 		return Output{Superseded: true}
 	}
-	s.orderStarts()
+	s.sendCommittedStarts()
 	s.proposeVoids()
 	s.dispatch()
 	s.proposeStarts()
-	output := Output{Commands: s.commands, Calls: s.out, Wake: s.nextWake(), Findings: s.auditing.findings, Late: s.late}
-	s.commands, s.out, s.auditing.findings, s.late = nil, nil, nil, nil
+	output := Output{Commands: s.commands, Calls: s.newCalls, Wake: s.nextWake(), Findings: s.auditing.findings, Late: s.lateJobs}
+	s.commands, s.newCalls, s.auditing.findings, s.lateJobs = nil, nil, nil, nil
 	return output
 }
 
 // scratch is room that is used again and again.
 type scratch struct {
-	held     []*step
+	queued   []*step
 	names    []state.Run
 	accepted []sizing.Task
 	demand   sizing.Demand
@@ -267,8 +267,8 @@
 // nextWake is the earliest time at which something falls due.
 func (s *Scheduler) nextWake() time.Duration {
 	wake, any := s.timers.first()
-	if due, timed := s.dues.first(); timed && s.wall.known {
-		at := s.wall.steady(due)
+	if due, timed := s.occurrenceQueue.first(); timed && s.wall.known {
+		at := s.wall.toSteady(due)
 		if !any || at < wake {
 			wake, any = at, true
 		}
--- a/internal/system/scheduler/scheduler_test.go
+++ b/internal/system/scheduler/scheduler_test.go
@@ -12,8 +12,8 @@
 	"gaugeslip/internal/system/state"
 )
 
-// checkIdle finds held tasks for which room stands idle.
-func (s *Scheduler) checkIdle(w *world) {
+// checkNoIdleCapacity finds held tasks for which room stands idle.
+func (s *Scheduler) checkNoIdleCapacity(w *simCluster) {
 	for _, svc := range s.services {
 		for _, st := range svc.queue.All() {
 			if st.stage.Gang || st.stage.Colocation != "" || !s.shares.fit(st) {
@@ -23,16 +23,16 @@
 				if st.tasks[index].failures > 0 {
 					continue // it may wait for a proven worker
 				}
-				if found := s.best(svc.workers, st, &st.tasks[index]); found != nil {
-					w.violated("IDLE", "%v waits, %s has room: %+v", st.name(index), found.life.Instance, found.view())
+				if found := s.bestWorker(svc.workers, st, &st.tasks[index]); found != nil {
+					w.violated("IDLE", "%v waits, %s has room: %+v", st.name(index), found.identity.Instance, found.view())
 				}
 			}
 		}
 	}
 }
 
-// mixture draws a job of any kind.
-func (w *world) mixture() *jobspec.Spec {
+// randomSpec draws a job of any kind.
+func (w *simCluster) randomSpec() *jobspec.Spec {
 	spec := &jobspec.Spec{Text: fmt.Sprintf("spec %d", w.random.Uint64())}
 	for i := range 1 + w.random.IntN(3) {
 		stage := jobspec.Stage{
@@ -69,7 +69,7 @@
 	return spec
 }
 
-func (w *world) fleet(workers int) {
+func (w *simCluster) addFleet(workers int) {
 	for i := range workers {
 		room := Resources{CPU: int64(4000 * (1 + w.random.IntN(3))), MemoryMb: 16000}
 		kind := "a"
@@ -80,36 +80,36 @@
 	}
 }
 
-// load submits jobs at random times within a span.
-func (w *world) load(jobs int, span time.Duration) {
+// submitJobs submits jobs at random times within a span.
+func (w *simCluster) submitJobs(jobs int, span time.Duration) {
 	for range jobs {
-		w.after(w.between(0, span), func() {
+		w.schedule(w.between(0, span), func() {
 			own := 0
 			if w.chance(0.15) {
 				own = 1 + w.random.IntN(3)
 			}
-			j := w.submit("farm", 2+w.random.IntN(2), w.mixture(), own)
+			j := w.submit("farm", 2+w.random.IntN(2), w.randomSpec(), own)
 			if w.chance(0.1) {
-				w.after(w.between(0, 4*time.Second), func() { w.cancel(j) })
+				w.schedule(w.between(0, 4*time.Second), func() { w.cancel(j) })
 			}
 		})
 	}
 }
 
-// finish plays on until all jobs are over, and tells which aren't.
-func (w *world) finish(until time.Duration) error {
-	for w.fault == nil && w.now < until {
+// runUntilAllOver plays on until all jobs are over, and tells which aren't.
+func (w *simCluster) runUntilAllOver(until time.Duration) error {
+	for w.violation == nil && w.now < until {
 		w.run(w.now + time.Second)
-		if w.open() == 0 {
-			return w.fault
+		if w.unfinishedJobs() == 0 {
+			return w.violation
 		}
 		if len(w.events) == 0 {
 			break
 		}
 		w.now = max(w.now, min(w.now+time.Second, until))
 	}
-	if w.fault != nil {
-		return w.fault
+	if w.violation != nil {
+		return w.violation
 	}
 	for id, j := range w.jobs {
 		if !j.state.Over() {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-func (w *world) open() int {
+func (w *simCluster) unfinishedJobs() int {
 	open := 0
 	for _, j := range w.jobs {
 		if !j.state.Over() {
@@ -129,36 +129,36 @@
 	return open
 }
 
-func TestCalmWorldCompletesAllJobs(t *testing.T) {
+func TestSimulationWithoutFaultsCompletesAllJobs(t *testing.T) {
 	for seed := range uint64(60) {
-		w := newWorld(seed)
-		w.calm = true
-		w.fleet(6)
+		w := newSimCluster(seed)
+		w.faultFree = true
+		w.addFleet(6)
 		w.elect()
-		w.load(20, 10*time.Second)
+		w.submitJobs(20, 10*time.Second)
 		w.run(12 * time.Second)
-		require.NoError(t, w.fault)
-		require.NoError(t, w.finish(200*time.Second))
+		require.NoError(t, w.violation)
+		require.NoError(t, w.runUntilAllOver(200*time.Second))
 		for _, j := range w.jobs {
 			if j.state == state.JobFailed {
-				require.True(t, j.hopeless, "seed %d", seed)
+				require.True(t, j.mustFail, "seed %d", seed)
 			}
 		}
 	}
 }
 
-func TestWorldsFollowFromTheirSeeds(t *testing.T) {
-	first := newWorld(4)
-	second := newWorld(4)
-	for _, w := range []*world{first, second} {
-		_ = w.playTrouble()
+func TestSimulationIsDeterministic(t *testing.T) {
+	first := newSimCluster(4)
+	second := newSimCluster(4)
+	for _, w := range []*simCluster{first, second} {
+		_ = w.runWithFaults()
 	}
 	require.Equal(t, first.stats, second.stats)
 	require.Equal(t, first.machine.Snapshot(), second.machine.Snapshot())
 }
 
-// trouble draws what goes wrong until a time.
-func (w *world) trouble(until time.Duration) {
+// injectFaults draws what goes wrong until a time.
+func (w *simCluster) injectFaults(until time.Duration) {
 	if w.now >= until {
 		return
 	}
@@ -168,45 +168,45 @@
 	case 0:
 		worker.crash(w.between(0, 4*time.Second), false)
 	case 1:
-		worker.cut = true
-		w.after(span, func() { worker.cut = false })
+		worker.partitioned = true
+		w.schedule(span, func() { worker.partitioned = false })
 	case 2:
-		worker.late = true
-		w.after(span, func() { worker.late = false })
+		worker.delayed = true
+		w.schedule(span, func() { worker.delayed = false })
 	case 3:
 		worker.busy = true
-		w.after(span, func() { worker.busy = false })
+		w.schedule(span, func() { worker.busy = false })
 	case 4:
-		w.turn(worker, func() { worker.hang = true })
-		w.after(span, func() { w.turn(worker, func() { worker.hang = false }) })
+		w.changePace(worker, func() { worker.stalled = true })
+		w.schedule(span, func() { w.changePace(worker, func() { worker.stalled = false }) })
 	case 5:
-		w.turn(worker, func() { worker.slow = 4 })
-		w.after(span, func() { w.turn(worker, func() { worker.slow = 1 }) })
+		w.changePace(worker, func() { worker.slow = 4 })
+		w.schedule(span, func() { w.changePace(worker, func() { worker.slow = 1 }) })
 	case 6:
 		worker.failing = true
-		w.after(span, func() { worker.failing = false })
+		w.schedule(span, func() { worker.failing = false })
 	case 7:
 		if w.random.IntN(3) == 0 {
 			w.replace(worker)
 		}
 	case 8:
 		w.faults.lostAnswers = 0.1
-		w.after(span, func() { w.faults.lostAnswers = 0 })
+		w.schedule(span, func() { w.faults.lostAnswers = 0 })
 	case 9:
 		w.faults.lateOrders = 0.2
-		w.after(span, func() { w.faults.lateOrders = 0 })
+		w.schedule(span, func() { w.faults.lateOrders = 0 })
 	case 10:
 		w.faults.slowCommits = 0.1
-		w.after(span, func() { w.faults.slowCommits = 0 })
+		w.schedule(span, func() { w.faults.slowCommits = 0 })
 	case 11:
 		w.depose()
-		w.after(w.between(0, 3*time.Second), w.elect)
+		w.schedule(w.between(0, 3*time.Second), w.elect)
 	}
-	w.after(w.between(100*time.Millisecond, 3*time.Second), func() { w.trouble(until) })
+	w.schedule(w.between(100*time.Millisecond, 3*time.Second), func() { w.injectFaults(until) })
 }
 
-// turn changes the pace of a worker.
-func (w *world) turn(worker *simWorker, change func()) {
+// changePace changes the pace of a worker.
+func (w *simCluster) changePace(worker *simWorker, change func()) {
 	for _, r := range worker.sorted() {
 		r.gang.settle()
 	}
@@ -219,44 +219,44 @@
 }
 
 // replace drains a worker, and adds another like it.
-func (w *world) replace(worker *simWorker) {
+func (w *simCluster) replace(worker *simWorker) {
 	if !worker.up() || worker.drainSince > 0 {
 		return
 	}
 	worker.drain(w.between(w.bounds.DrainTimeout(), 3*w.bounds.DrainTimeout()))
-	w.after(time.Second, func() { w.addWorker(worker.backend, worker.room, worker.guarded, worker.labels...) })
+	w.schedule(time.Second, func() { w.addWorker(worker.backend, worker.capacity, worker.guarded, worker.labels...) })
 }
 
-func TestTroubledWorldKeepsTheRulesAndLosesNoJob(t *testing.T) {
+func TestSimulationWithFaultsKeepsInvariantsAndLosesNoJob(t *testing.T) {
 	for part := range uint64(seedParts) {
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			t.Parallel()
-			for seed := part; seed < *troubledSeeds; seed += seedParts {
-				require.NoError(t, playTroubled(seed))
+			for seed := part; seed < *faultSeeds; seed += seedParts {
+				require.NoError(t, runWithFaultsFromSeed(seed))
 			}
 		})
 	}
 }
 
-func playTroubled(seed uint64) error { return newWorld(seed).playTrouble() }
+func runWithFaultsFromSeed(seed uint64) error { return newSimCluster(seed).runWithFaults() }
 
-// playTrouble plays a world full of trouble to its end.
-func (w *world) playTrouble() error {
-	w.fleet(6)
+// runWithFaults plays a world full of trouble to its end.
+func (w *simCluster) runWithFaults() error {
+	w.addFleet(6)
 	w.elect()
-	w.load(25, 15*time.Second)
-	w.after(time.Second, func() { w.trouble(20 * time.Second) })
+	w.submitJobs(25, 15*time.Second)
+	w.schedule(time.Second, func() { w.injectFaults(20 * time.Second) })
 	w.run(35 * time.Second)
-	if w.fault != nil {
-		return w.fault
+	if w.violation != nil {
+		return w.violation
 	}
 	if w.sched == nil {
 		w.elect()
 	}
-	return w.finish(300 * time.Second)
+	return w.runUntilAllOver(300 * time.Second)
 }
 
-// troubledSeeds is how many worlds full of trouble are played.
-var troubledSeeds = flag.Uint64("seeds", 120, "how many worlds full of trouble are played")
+// faultSeeds is how many worlds full of trouble are played.
+var faultSeeds = flag.Uint64("seeds", 120, "how many worlds full of trouble are played")
 
 const seedParts = 8
--- a/internal/system/scheduler/sharekeeping.go
+++ b/internal/system/scheduler/sharekeeping.go
@@ -2,99 +2,99 @@
 
 import "time"
 
-// keeping holds a tenant's share back for a step that needs much of it at once. A tenant has one at a time.
-type keeping struct {
+// shareReservation holds a tenant's share back for a step that needs much of it at once. A tenant has one at a time.
+type shareReservation struct {
 	step *step
 	// until is when it ends at the latest; 0 while the share has no room for the step yet.
 	until time.Duration
 }
 
 const (
-	// keepAfter is the part of its slack that a step waits before its tenant's share is kept back for it.
-	keepAfter = 4
-	// longestKeep bounds how long a share that has room for the step stands idle while no workers have room for it; afterwards
+	// shareReserveAfter is the part of its slack that a step waits before its tenant's share is kept back for it.
+	shareReserveAfter = 4
+	// maxShareReserve bounds how long a share that has room for the step stands idle while no workers have room for it; afterwards
 	// others go first for a pause. It is also how often a keeping is looked at.
-	longestKeep = 2500 * time.Millisecond
-	keepPause   = 1500 * time.Millisecond
-	// leastKept is the least number of accelerators at once for which a share is kept back: one is found by whoever is first.
-	leastKept = 2
+	maxShareReserve   = 2500 * time.Millisecond
+	shareReservePause = 1500 * time.Millisecond
+	// minReservedAccelerators is the least number of accelerators at once for which a share is kept back: one is found by whoever is first.
+	minReservedAccelerators = 2
 )
 
-// considerKeeping keeps a tenant's share back for a step that it has kept back for long enough: from then on nothing of the tenant that has
+// considerReservingShare keeps a tenant's share back for a step that it has kept back for long enough: from then on nothing of the tenant that has
 // a later deadline takes what the step needs.
-func (s *Scheduler) considerKeeping(st *step) {
-	if !st.queued || !st.kept || st.atOnce() < leastKept {
+func (s *Scheduler) considerReservingShare(st *step) {
+	if !st.queued || !st.shareBlocked || st.acceleratorsAtOnce() < minReservedAccelerators {
 		return
 	}
-	if from := st.keepFrom(); s.now < from {
-		s.planKeeping(st, from)
+	if from := st.shareReserveFrom(); s.now < from {
+		s.planShareReservation(st, from)
 		return
 	}
-	current := s.shares.keepings[st.tenant()]
+	current := s.shares.reservations[st.tenant()]
 	if current != nil && current.step.deadline() <= st.deadline() {
 		return
 	}
-	if !s.attainable(st) {
-		st.keepNotBefore = s.now + keepPause
+	if !s.shareAttainable(st) {
+		st.shareReserveNotBefore = s.now + shareReservePause
 		return
 	}
-	s.keepShare(st)
+	s.reserveShare(st)
 }
 
-// keepFrom is when a share may be kept back for the step at the earliest.
-func (st *step) keepFrom() time.Duration {
-	slack := st.deadline() - st.size - st.readyAt
-	return max(st.readyAt+max(slack/keepAfter, 0), st.keepNotBefore)
+// shareReserveFrom is when a share may be kept back for the step at the earliest.
+func (st *step) shareReserveFrom() time.Duration {
+	slack := st.deadline() - st.runTime - st.readyAt
+	return max(st.readyAt+max(slack/shareReserveAfter, 0), st.shareReserveNotBefore)
 }
 
-func (s *Scheduler) planKeeping(st *step, from time.Duration) {
-	if st.keepPlanned {
+func (s *Scheduler) planShareReservation(st *step, from time.Duration) {
+	if st.shareReservePlanned {
 		return
 	}
-	st.keepPlanned = true
-	s.at(from, func() {
-		st.keepPlanned = false
-		s.considerKeeping(st)
+	st.shareReservePlanned = true
+	s.runAt(from, func() {
+		st.shareReservePlanned = false
+		s.considerReservingShare(st)
 	})
 }
 
-func (s *Scheduler) keepShare(st *step) {
-	kept := &keeping{step: st}
-	s.shares.keepings[st.tenant()] = kept
-	s.shares.returned = true // another may have been kept for, with another need
-	s.at(s.now+longestKeep, func() { s.lookAtKeeping(kept) })
+func (s *Scheduler) reserveShare(st *step) {
+	kept := &shareReservation{step: st}
+	s.shares.reservations[st.tenant()] = kept
+	s.shares.released = true // another may have been kept for, with another need
+	s.runAt(s.now+maxShareReserve, func() { s.reviewShareReservation(kept) })
 }
 
-// lookAtKeeping gives up what came to nothing: the share had room for long enough, or won't have any.
-func (s *Scheduler) lookAtKeeping(kept *keeping) {
+// reviewShareReservation gives up what came to nothing: the share had room for long enough, or won't have any.
+func (s *Scheduler) reviewShareReservation(kept *shareReservation) {
 	st := kept.step
-	if s.shares.keepings[st.tenant()] != kept {
+	if s.shares.reservations[st.tenant()] != kept {
 		return
 	}
-	if kept.until > 0 && s.now >= kept.until || !s.attainable(st) {
-		st.keepNotBefore = s.now + keepPause
-		s.stopKeeping(st)
+	if kept.until > 0 && s.now >= kept.until || !s.shareAttainable(st) {
+		st.shareReserveNotBefore = s.now + shareReservePause
+		s.releaseShare(st)
 		return
 	}
-	next := s.now + longestKeep
+	next := s.now + maxShareReserve
 	if kept.until > 0 {
 		next = min(next, kept.until)
 	}
-	s.at(next, func() { s.lookAtKeeping(kept) })
+	s.runAt(next, func() { s.reviewShareReservation(kept) })
 }
 
-// attainable tells whether the step could start once all of its tenant has ended that ever does: if not, nothing is kept back for it.
-func (s *Scheduler) attainable(st *step) bool {
+// shareAttainable tells whether the step could start once all of its tenant has ended that ever does: if not, nothing is kept back for it.
+func (s *Scheduler) shareAttainable(st *step) bool {
 	limit := s.machine.Quotas().Limit(st.tenant())
-	return st.atOnce() <= limit-s.lasting(st.tenant()) && s.reservable(st) != nil
+	return st.acceleratorsAtOnce() <= limit-s.longRunningAccelerators(st.tenant()) && s.reservableWorkers(st) != nil
 }
 
-// lasting is how many accelerators those runs of a tenant take that don't end by themselves.
-func (s *Scheduler) lasting(tenant string) int64 {
+// longRunningAccelerators is how many accelerators those runs of a tenant take that don't end by themselves.
+func (s *Scheduler) longRunningAccelerators(tenant string) int64 {
 	sum := int64(0)
 	for _, w := range s.workers {
-		for _, r := range w.list {
-			if r.phase.takesRoom() && r.step != nil && r.step.stage.LongRunning && r.step.tenant() == tenant {
+		for _, r := range w.runList {
+			if r.phase.usesCapacity() && r.step != nil && r.step.stage.LongRunning && r.step.tenant() == tenant {
 				sum += r.need.GPUs
 			}
 		}
@@ -102,46 +102,46 @@
 	return sum
 }
 
-// stopKeeping ends what was kept back for a step, and has those tried that it kept from starting.
-func (s *Scheduler) stopKeeping(st *step) {
-	if s.shares.keepingFor(st) == nil {
+// releaseShare ends what was kept back for a step, and has those tried that it kept from starting.
+func (s *Scheduler) releaseShare(st *step) {
+	if s.shares.reservationFor(st) == nil {
 		return
 	}
-	delete(s.shares.keepings, st.tenant())
-	s.shares.returned = true
+	delete(s.shares.reservations, st.tenant())
+	s.shares.released = true
 }
 
-// keepingFor gives what is kept back for a step, nil where nothing is.
-func (s *shares) keepingFor(st *step) *keeping {
-	if len(s.keepings) == 0 {
+// reservationFor gives what is kept back for a step, nil where nothing is.
+func (s *shares) reservationFor(st *step) *shareReservation {
+	if len(s.reservations) == 0 {
 		return nil
 	}
-	if kept := s.keepings[st.tenant()]; kept != nil && kept.step == st {
+	if kept := s.reservations[st.tenant()]; kept != nil && kept.step == st {
 		return kept
 	}
 	return nil
 }
 
-// keptFrom is how many accelerators are kept from a step for one with an earlier deadline.
-func (s *shares) keptFrom(st *step) int64 {
-	if len(s.keepings) == 0 {
+// reservedAgainst is how many accelerators are kept from a step for one with an earlier deadline.
+func (s *shares) reservedAgainst(st *step) int64 {
+	if len(s.reservations) == 0 {
 		return 0
 	}
-	kept := s.keepings[st.tenant()]
+	kept := s.reservations[st.tenant()]
 	if kept == nil || kept.step == st || st.deadline() < kept.step.deadline() {
 		return 0
 	}
-	return kept.step.atOnce()
+	return kept.step.acceleratorsAtOnce()
 }
 
-// fitFound bounds how long a share is kept back from the time on at which it has room for the step.
-func (s *Scheduler) fitFound(st *step, fits bool) {
-	kept := s.shares.keepingFor(st)
+// noteShareFit bounds how long a share is kept back from the time on at which it has room for the step.
+func (s *Scheduler) noteShareFit(st *step, fits bool) {
+	kept := s.shares.reservationFor(st)
 	switch {
 	case kept == nil:
 	case !fits:
 		kept.until = 0
 	case kept.until == 0:
-		kept.until = s.now + longestKeep
+		kept.until = s.now + maxShareReserve
 	}
 }
--- a/internal/system/scheduler/simchecks_test.go
+++ b/internal/system/scheduler/simchecks_test.go
@@ -8,7 +8,7 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-func (w *world) checkCompleted(j *simJob) {
+func (w *simCluster) checkCompleted(j *simJob) {
 	for name, task := range j.tasks {
 		if !task.done {
 			w.violated("MIXED", "%v isn't done", name)
@@ -17,7 +17,7 @@
 }
 
 // checkFailed tells whether a job was shown as failed without cause.
-func (w *world) checkFailed(j *simJob) {
+func (w *simCluster) checkFailed(j *simJob) {
 	for _, task := range j.tasks {
 		failed := 0
 		for _, end := range task.ends {
@@ -33,22 +33,22 @@
 }
 
 // checkStopped tells whether anything of a cancelled job still runs where nothing goes wrong.
-func (w *world) checkStopped(j *simJob) {
-	if !w.calm {
+func (w *simCluster) checkStopped(j *simJob) {
+	if !w.faultFree {
 		return
 	}
 	for name, task := range j.tasks {
-		if len(task.present) > 0 {
+		if len(task.running) > 0 {
 			w.violated("UNASKED", "%v still runs", name)
 		}
 	}
 }
 
 // checkBudget looks for a start after as many failures as are allowed.
-func (w *world) checkBudget(task *simTask) {
+func (w *simCluster) checkBudget(task *simTask) {
 	var noted []time.Duration
 	for _, end := range task.ends {
-		if end.how == workerapi.HowFailed && end.noted && !end.lapsed {
+		if end.how == workerapi.HowFailed && end.acknowledged && !end.lapsed {
 			noted = append(noted, end.at)
 		}
 	}
@@ -65,7 +65,7 @@
 }
 
 // checkStart checks what a start must hold by itself.
-func (w *world) checkStart(r *simRun, order *workerapi.StartOrder) {
+func (w *simCluster) checkStart(r *simRun, order *workerapi.StartOrder) {
 	task, j := r.task, r.task.job
 	stage := task.stage.spec
 	if order.Spec != j.spec.Text {
@@ -78,12 +78,12 @@
 		w.violated("UNASKED", "%v was cancelled at %v", r.name, j.cancelledAt)
 	}
 	w.checkOrder(r)
-	if len(task.present) > 0 && !stage.Speculative {
-		w.violated("TWICE", "%v runs on %s, %v on %s", r.name, r.worker.instance, task.present[0].name, task.present[0].worker.instance)
+	if len(task.running) > 0 && !stage.Speculative {
+		w.violated("TWICE", "%v runs on %s, %v on %s", r.name, r.worker.instance, task.running[0].name, task.running[0].worker.instance)
 	}
 	task.starts = append(task.starts, w.now)
 	for _, end := range task.ends {
-		if end.how == workerapi.HowDone && end.noted && !end.lapsed && !stage.LongRunning && !stage.Speculative {
+		if end.how == workerapi.HowDone && end.acknowledged && !end.lapsed && !stage.LongRunning && !stage.Speculative {
 			w.violated("TWICE", "%v has ended done before", r.name)
 		}
 	}
@@ -95,7 +95,7 @@
 	}
 }
 
-func (w *world) checkOrder(r *simRun) {
+func (w *simCluster) checkOrder(r *simRun) {
 	j := r.task.job
 	for _, earlier := range r.task.stage.spec.DependsOn {
 		for i := range j.spec.Stages[earlier].Count {
@@ -111,7 +111,7 @@
 }
 
 // checkPlace checks a start against its worker.
-func (w *world) checkPlace(r *simRun) {
+func (w *simCluster) checkPlace(r *simRun) {
 	worker, stage := r.worker, r.task.stage.spec
 	if worker.backend != r.task.job.accepted.Service {
 		w.violated("ROUTE", "%v on a worker of %s", r.name, worker.backend)
@@ -121,8 +121,8 @@
 			w.violated("ROUTE", "%v without %s", r.name, label)
 		}
 	}
-	if !worker.used().fitsInto(worker.room) {
-		w.violated("LIMIT", "%v on %s: %v of %v", r.name, worker.instance, worker.used(), worker.room)
+	if !worker.used().fitsInto(worker.capacity) {
+		w.violated("LIMIT", "%v on %s: %v of %v", r.name, worker.instance, worker.used(), worker.capacity)
 	}
 	w.checkShare(r)
 	held := 0
--- a/internal/system/scheduler/simhold_test.go
+++ b/internal/system/scheduler/simhold_test.go
@@ -15,7 +15,7 @@
 		reply(worker.lists())
 		return
 	}
-	wait := &simWait{}
+	wait := &waitingHold{}
 	instance := worker.instance
 	wait.answer = func() {
 		if !wait.done && worker.instance == instance && worker.up() {
@@ -24,15 +24,15 @@
 		}
 	}
 	worker.waiting = append(worker.waiting, wait)
-	worker.world.after(time.Duration(order.WaitMs)*time.Millisecond, wait.answer)
+	worker.world.schedule(time.Duration(order.WaitMs)*time.Millisecond, wait.answer)
 }
 
 func (worker *simWorker) acknowledge(lastSeen uint64) {
 	for len(worker.finished) > 0 && worker.finished[0].number <= lastSeen {
 		end := worker.finished[0]
 		worker.finished = worker.finished[1:]
-		end.noted = true
-		worker.world.endNoted(end)
+		end.acknowledged = true
+		worker.world.checkEndAcknowledged(end)
 	}
 }
 
--- a/internal/system/scheduler/simjobs_test.go
+++ b/internal/system/scheduler/simjobs_test.go
@@ -19,7 +19,7 @@
 	cancelledAt time.Duration
 	overAt      time.Duration
 	state       state.JobState
-	hopeless    bool
+	mustFail    bool
 }
 
 type simStage struct {
@@ -38,7 +38,7 @@
 	stage       *simStage
 	step        *simStep
 	name        state.TaskName
-	present     []*simRun
+	running     []*simRun
 	ends        []*simEnd
 	starts      []time.Duration
 	done        bool // some run has ended so
@@ -48,7 +48,7 @@
 }
 
 // submit hands a job in. ownFailures is how often each task fails by its own fault.
-func (w *world) submit(service string, retries int, spec *jobspec.Spec, ownFailures int) *simJob {
+func (w *simCluster) submit(service string, retries int, spec *jobspec.Spec, ownFailures int) *simJob {
 	id := state.JobID(w.random.Uint64())
 	body, err := spec.Encode()
 	if err != nil {
@@ -56,11 +56,11 @@
 	}
 	j := &simJob{
 		id: id, spec: spec, tasks: make(map[state.TaskName]*simTask), steps: make(map[[2]uint32]*simStep),
-		hopeless: ownFailures >= retries,
+		mustFail: ownFailures >= retries,
 		accepted: state.JobAccepted{
 			ID: id, Route: "route-" + service, Service: service, Priority: w.random.IntN(3), MaxRetries: retries,
 			Extension: 2, TargetLatencyMs: 1000, AcceptedMs: w.unixMs(), Body: body,
-			Tenant: w.drawTenant(),
+			Tenant: w.randomTenant(),
 		},
 	}
 	for i := range spec.Stages {
@@ -70,11 +70,11 @@
 	}
 	w.jobs[id] = j
 	w.prepareTasks(j, ownFailures)
-	w.demand(state.Command{Kind: state.KindJobAccepted, JobAccepted: &j.accepted})
+	w.proposeUntilElected(state.Command{Kind: state.KindJobAccepted, JobAccepted: &j.accepted})
 	return j
 }
 
-func (w *world) prepareTasks(j *simJob, ownFailures int) {
+func (w *simCluster) prepareTasks(j *simJob, ownFailures int) {
 	for k := range uint32(j.spec.Times()) {
 		for s := range j.spec.Stages {
 			step := &simStep{ownFailures: ownFailures}
@@ -91,26 +91,26 @@
 }
 
 // cancel has a job cancelled.
-func (w *world) cancel(j *simJob) {
-	w.demand(state.Command{Kind: state.KindJobCancelled, JobCancelled: &state.JobCancelled{ID: j.id, AtMs: w.unixMs()}})
+func (w *simCluster) cancel(j *simJob) {
+	w.proposeUntilElected(state.Command{Kind: state.KindJobCancelled, JobCancelled: &state.JobCancelled{ID: j.id, AtMs: w.unixMs()}})
 }
 
-func (w *world) findTask(name state.TaskName) *simTask {
+func (w *simCluster) findTask(name state.TaskName) *simTask {
 	if j := w.jobs[name.Job]; j != nil {
 		return j.tasks[name]
 	}
 	return nil
 }
 
-// note takes in what a commit has shown to clients.
-func (w *world) note(result state.Result) {
+// noteResult takes in what a commit has shown to clients.
+func (w *simCluster) noteResult(result state.Result) {
 	for _, record := range result.Finished {
 		j := w.jobs[record.ID]
 		j.state, j.overAt = record.State, w.now
 		switch record.State {
 		case state.Cancelled:
 			j.cancelledAt = w.now
-			w.after(w.bounds.Cancel()+w.bounds.Stop(), func() { w.checkStopped(j) })
+			w.schedule(w.bounds.Cancel()+w.bounds.Stop(), func() { w.checkStopped(j) })
 		case state.Completed:
 			w.checkCompleted(j)
 		case state.JobFailed:
@@ -119,8 +119,8 @@
 	}
 }
 
-// endListed takes note of an end where it happens.
-func (w *world) endListed(end *simEnd, r *simRun) {
+// recordEnd takes note of an end where it happens.
+func (w *simCluster) recordEnd(end *simEnd, r *simRun) {
 	task := end.task
 	task.ends = append(task.ends, end)
 	switch end.how {
@@ -139,8 +139,8 @@
 	}
 }
 
-// endNoted checks what was started since an end that is now taken note of.
-func (w *world) endNoted(end *simEnd) {
+// checkEndAcknowledged checks what was started since an end that is now taken note of.
+func (w *simCluster) checkEndAcknowledged(end *simEnd) {
 	task := end.task
 	if end.lapsed || task.stage.spec.Speculative || task.stage.spec.LongRunning {
 		return
@@ -157,10 +157,10 @@
 	}
 }
 
-func (w *world) savedProgress(task *simTask, text string) time.Duration { return task.saved[text] }
+func (w *simCluster) savedProgress(task *simTask, text string) time.Duration { return task.saved[text] }
 
-// noteSaved takes note of progress that was saved.
-func (w *world) noteSaved(g *simGang) {
+// recordCheckpoint takes note of progress that was saved.
+func (w *simCluster) recordCheckpoint(g *simGang) {
 	for _, r := range g.members {
 		r.task.saved[g.savedText] = g.saved
 		if !g.stage.spec.Gang {
--- a/internal/system/scheduler/simrun_test.go
+++ b/internal/system/scheduler/simrun_test.go
@@ -29,7 +29,7 @@
 
 // simGang is the work of one run, or of all members of a gang together.
 type simGang struct {
-	world     *world
+	world     *simCluster
 	key       gangKey
 	stage     *simStage
 	members   []*simRun
@@ -44,13 +44,13 @@
 }
 
 // begin makes a run present, and checks that it may be.
-func (w *world) begin(worker *simWorker, task *simTask, name state.Run, order *workerapi.StartOrder) {
+func (w *simCluster) begin(worker *simWorker, task *simTask, name state.Run, order *workerapi.StartOrder) {
 	w.stats.starts++
 	r := &simRun{worker: worker, task: task, name: name}
 	w.checkStart(r, order)
 	worker.runs[name] = r
 	w.checkPlace(r)
-	task.present = append(task.present, r)
+	task.running = append(task.running, r)
 	key := gangKey{job: name.Task.Job, time: name.Task.Time, step: name.Task.Step, index: -1, attempt: name.Attempt}
 	if !task.stage.spec.Gang {
 		key.index, key.worker = int64(name.Task.Index), worker.instance
@@ -83,9 +83,9 @@
 	}
 	g.members = append(g.members, r)
 	if len(g.members) < g.size() {
-		w.after(w.bounds.Gang(), func() {
+		w.schedule(w.bounds.Gang(), func() {
 			if !r.over && !g.begun {
-				if w.calm {
+				if w.faultFree {
 					w.violated("GANG", "%v is alone", r.name)
 				}
 				w.stats.gangsAlone++
@@ -97,7 +97,7 @@
 	if !g.halted {
 		g.begun = true
 		g.settledAt = w.now + g.restore()
-		g.draw(r)
+		g.drawFailure(r)
 		g.schedule()
 	}
 }
@@ -109,8 +109,8 @@
 	return g.world.bounds.Restore()
 }
 
-// draw settles whether and when this run fails.
-func (g *simGang) draw(r *simRun) {
+// drawFailure settles whether and when this run fails.
+func (g *simGang) drawFailure(r *simRun) {
 	work := g.stage.work
 	switch {
 	case r.task.step.ownFailures > r.task.step.failed && g.stage.spec.Gang,
@@ -135,7 +135,7 @@
 func (g *simGang) pace() float64 {
 	pace := 1.0
 	for _, r := range g.members {
-		if r.worker.hang {
+		if r.worker.stalled {
 			return 0
 		}
 		factor := r.worker.slow
@@ -183,15 +183,15 @@
 	g.epoch++
 	epoch := g.epoch
 	span := max(g.settledAt-g.world.now, 0) + time.Duration(float64(max(target-g.progress, 0))*pace)
-	g.world.after(span+time.Microsecond, func() {
+	g.world.schedule(span+time.Microsecond, func() {
 		if g.epoch == epoch && !g.halted {
 			g.settle()
-			g.reach(target)
+			g.reachTarget(target)
 		}
 	})
 }
 
-func (g *simGang) reach(target time.Duration) {
+func (g *simGang) reachTarget(target time.Duration) {
 	g.progress = max(g.progress, target)
 	switch {
 	case g.failAt > 0 && g.progress >= g.failAt:
@@ -213,7 +213,7 @@
 	}
 	g.saved = g.progress
 	g.savedText = fmt.Sprintf("%08x-%x", g.saved.Microseconds(), uint64(g.key.job))
-	g.world.noteSaved(g)
+	g.world.recordCheckpoint(g)
 }
 
 func (g *simGang) percent() int {
@@ -221,10 +221,10 @@
 	return int(min(100*g.progress/max(g.stage.work, 1), 100))
 }
 
-// leave takes a member away: what had begun together ends together.
-func (g *simGang) leave(gone *simRun) {
+// removeMember takes a member away: what had begun together ends together.
+func (g *simGang) removeMember(gone *simRun) {
 	gone.over = true
-	gone.task.present = slices.DeleteFunc(gone.task.present, func(r *simRun) bool { return r == gone })
+	gone.task.running = slices.DeleteFunc(gone.task.running, func(r *simRun) bool { return r == gone })
 	g.members = slices.DeleteFunc(g.members, func(r *simRun) bool { return r == gone })
 	if !g.begun {
 		return
@@ -251,16 +251,16 @@
 		number: r.worker.lastNumber, run: r.name, how: how, checkpoint: r.gang.savedText, task: r.task, at: w.now,
 	}
 	r.worker.finished = append(r.worker.finished, end)
-	w.endListed(end, r)
+	w.recordEnd(end, r)
 	if how == workerapi.HowDone {
 		r.gang.members = slices.DeleteFunc(r.gang.members, func(m *simRun) bool { return m == r })
-		r.task.present = slices.DeleteFunc(r.task.present, func(m *simRun) bool { return m == r })
+		r.task.running = slices.DeleteFunc(r.task.running, func(m *simRun) bool { return m == r })
 	} else {
-		r.gang.leave(r)
+		r.gang.removeMember(r)
 	}
 	waiting := r.worker.waiting
 	r.worker.waiting = nil
 	for _, wait := range waiting {
-		w.after(0, wait.answer)
+		w.schedule(0, wait.answer)
 	}
 }
--- a/internal/system/scheduler/simworker_test.go
+++ b/internal/system/scheduler/simworker_test.go
@@ -11,13 +11,13 @@
 
 // simWorker is a simulated worker at one address; its lives follow one another.
 type simWorker struct {
-	world   *world
-	address string
-	backend string
-	labels  []string
-	room    Resources
-	guarded bool
-	rate    float64 // of its clock
+	world    *simCluster
+	address  string
+	backend  string
+	labels   []string
+	capacity Resources
+	guarded  bool
+	rate     float64 // of its clock
 
 	instance   string
 	born       time.Duration
@@ -32,47 +32,47 @@
 	over       map[state.TaskName]uint32
 	finished   []*simEnd
 	lastNumber uint64
-	waiting    []*simWait
+	waiting    []*waitingHold
 
-	cut, late, busy, hang, failing bool
-	slow                           float64
+	partitioned, delayed, busy, stalled, failing bool
+	slow                                         float64
 }
 
-// simWait is a hold that waits for an end.
-type simWait struct {
+// waitingHold is a hold that waits for an end.
+type waitingHold struct {
 	done   bool
 	answer func()
 }
 
 // simEnd is one end that is listed until it is acknowledged.
 type simEnd struct {
-	number     uint64
-	run        state.Run
-	how        workerapi.How
-	checkpoint string
-	task       *simTask
-	at         time.Duration
-	noted      bool
-	lapsed     bool
+	number       uint64
+	run          state.Run
+	how          workerapi.How
+	checkpoint   string
+	task         *simTask
+	at           time.Duration
+	acknowledged bool
+	lapsed       bool
 }
 
-func (w *world) addWorker(backend string, room Resources, guarded bool, labels ...string) *simWorker {
+func (w *simCluster) addWorker(backend string, room Resources, guarded bool, labels ...string) *simWorker {
 	worker := &simWorker{
-		world:   w,
-		address: fmt.Sprintf("10.0.0.%d:80", len(w.workers)+1),
-		backend: backend,
-		labels:  labels,
-		room:    room,
-		guarded: guarded,
-		rate:    0.98 + 0.02*w.random.Float64(),
-		slow:    1,
-	}
-	worker.begin()
+		world:    w,
+		address:  fmt.Sprintf("10.0.0.%d:80", len(w.workers)+1),
+		backend:  backend,
+		labels:   labels,
+		capacity: room,
+		guarded:  guarded,
+		rate:     0.98 + 0.02*w.random.Float64(),
+		slow:     1,
+	}
+	worker.startInstance()
 	w.workers = append(w.workers, worker)
 	return worker
 }
 
-func (worker *simWorker) begin() {
+func (worker *simWorker) startInstance() {
 	worker.world.instances++
 	worker.instance = fmt.Sprintf("i-%06d", worker.world.instances*7919%100003)
 	worker.born = worker.world.now - worker.world.between(0, time.Hour)
@@ -98,7 +98,7 @@
 		State:   workerapi.StateReady,
 		Labels:  worker.labels,
 		Allocatable: workerapi.Allocatable{
-			CPU: int(worker.room.CPU), MemoryMB: int(worker.room.MemoryMb), GPUs: int(worker.room.GPUs),
+			CPU: int(worker.capacity.CPU), MemoryMB: int(worker.capacity.MemoryMb), GPUs: int(worker.capacity.GPUs),
 		},
 	}
 	if worker.drainSince > 0 {
@@ -115,8 +115,8 @@
 	return workerapi.HoldReply{Outcome: outcome, ClockMs: worker.clockMs()}
 }
 
-// take carries out a call.
-func (worker *simWorker) take(made Call, reply func(workerapi.HoldReply)) {
+// handleCall carries out a call.
+func (worker *simWorker) handleCall(made Call, reply func(workerapi.HoldReply)) {
 	switch {
 	case !worker.up():
 		return
@@ -152,14 +152,14 @@
 	worker.heldUntil = due
 	ahead := time.Duration(float64(due-worker.clockMs()+1) / worker.rate * float64(time.Millisecond))
 	instance := worker.instance
-	worker.world.after(ahead, func() {
+	worker.world.schedule(ahead, func() {
 		if worker.instance == instance && worker.up() && worker.clockMs() >= worker.heldUntil {
-			worker.lapse()
+			worker.lapseRuns()
 		}
 	})
 }
 
-func (worker *simWorker) lapse() {
+func (worker *simWorker) lapseRuns() {
 	for _, r := range worker.sorted() {
 		r.end(workerapi.HowLapsed)
 	}
@@ -186,7 +186,7 @@
 		worker.world.violated("UNASKED", "%s isn't known", order.Task)
 		return workerapi.BadRequest
 	}
-	if worker.guarded && !task.stage.need.fitsInto(worker.room.minus(worker.used())) {
+	if worker.guarded && !task.stage.need.fitsInto(worker.capacity.minus(worker.used())) {
 		return workerapi.RefusedRoom
 	}
 	worker.world.begin(worker, task, key, order)
@@ -213,7 +213,7 @@
 	r.gang.settle()
 	r.gang.halt()
 	r.gang.save()
-	worker.world.after(worker.world.between(0, worker.world.bounds.Stop()), func() { r.end(workerapi.HowStopped) })
+	worker.world.schedule(worker.world.between(0, worker.world.bounds.Stop()), func() { r.end(workerapi.HowStopped) })
 }
 
 // crash ends this life; another is there after a while, or never.
@@ -223,16 +223,16 @@
 	}
 	for _, r := range worker.sorted() {
 		delete(worker.runs, r.name)
-		r.gang.leave(r)
+		r.gang.removeMember(r)
 	}
 	worker.down, worker.gone = true, forGood
 	worker.listedDown = worker.world.now + 2*time.Second
 	for _, end := range worker.finished {
 		end.lapsed = true
 	}
-	worker.world.after(away, func() {
+	worker.world.schedule(away, func() {
 		if !worker.gone {
-			worker.begin()
+			worker.startInstance()
 		}
 	})
 }
@@ -245,7 +245,7 @@
 	worker.drainSince = worker.world.now
 	worker.leavesAt = worker.world.now + stays
 	instance := worker.instance
-	worker.world.after(stays, func() {
+	worker.world.schedule(stays, func() {
 		if worker.instance == instance {
 			worker.crash(0, true)
 			worker.listedDown = 0
--- a/internal/system/scheduler/startorders.go
+++ b/internal/system/scheduler/startorders.go
@@ -10,54 +10,54 @@
 // A worker may carry out a start for as long as both sendings are waited for, within these bounds: what gets no answer is soon known to be
 // over, and answers that are slow altogether leave time for the order.
 const (
-	shortestWindow = 150 * time.Millisecond
-	longestWindow  = 300 * time.Millisecond
+	minStartWindow = 150 * time.Millisecond
+	maxStartWindow = 300 * time.Millisecond
 )
 
 // startWindow is how long a worker may carry out a start that is sent now, from the least that its clock may show.
 func (s *Scheduler) startWindow(w *worker) time.Duration {
-	waited := s.answers.hedge() + s.answers.timeout()
-	return min(max(waited, shortestWindow), longestWindow) + w.clock.mayBeAhead(s.now)
+	waited := s.latency.hedgeDelay() + s.latency.timeout()
+	return min(max(waited, minStartWindow), maxStartWindow) + w.clock.maxAhead(s.now)
 }
 
-// orderStarts sends the starts whose intents were committed, but for those that are unwanted by now.
-func (s *Scheduler) orderStarts() {
-	for _, r := range s.ordered {
-		if r.phase == runCommitted && !s.orderable(r) {
-			s.spoilGang(r)
+// sendCommittedStarts sends the starts whose intents were committed, but for those that are unwanted by now.
+func (s *Scheduler) sendCommittedStarts() {
+	for _, r := range s.committedStarts {
+		if r.phase == runCommitted && !s.stillWanted(r) {
+			s.stopRestOfGang(r)
 		}
 	}
-	for _, r := range s.ordered {
+	for _, r := range s.committedStarts {
 		if r.phase != runCommitted {
 			continue
 		}
-		if !s.orderable(r) {
-			s.void(r)
+		if !s.stillWanted(r) {
+			s.voidRun(r)
 			continue
 		}
 		s.orderStart(r)
 	}
-	clear(s.ordered)
-	s.ordered = s.ordered[:0]
+	clear(s.committedStarts)
+	s.committedStarts = s.committedStarts[:0]
 }
 
-func (s *Scheduler) orderable(r *run) bool {
-	return !r.stopWanted && r.worker.open() && r.step != nil && r.worker.runs[r.name] == r
+func (s *Scheduler) stillWanted(r *run) bool {
+	return !r.stopWanted && r.worker.schedulable() && r.step != nil && r.worker.runs[r.name] == r
 }
 
 func (s *Scheduler) orderStart(r *run) {
 	w := r.worker
 	r.setPhase(runOrdered)
 	r.orderedAt = s.now
-	r.dueAtMs = w.clock.lower(s.now) + s.startWindow(w).Milliseconds()
-	w.highestDue = max(w.highestDue, r.dueAtMs)
+	r.dueAtMs = w.clock.lowerBound(s.now) + s.startWindow(w).Milliseconds()
+	w.maxDueMs = max(w.maxDueMs, r.dueAtMs)
 	s.sendStart(r)
-	s.at(s.now+s.answers.hedge(), func() {
-		if r.phase == runOrdered && w.runs[r.name] == r && !r.stopWanted && !s.answers.slow() {
+	s.runAt(s.now+s.latency.hedgeDelay(), func() {
+		if r.phase == runOrdered && w.runs[r.name] == r && !r.stopWanted && !s.latency.slow() {
 			s.sendStart(r)
 		}
 	})
-	s.holdAt(w, s.now)
+	s.scheduleHold(w, s.now)
 }
 
 // sendStart sends the start of a run. It may be sent twice, unless answers are slow altogether: a worker takes the same run's start for the
@@ -72,18 +72,18 @@
 		FenceToken: s.token,
 		Checkpoint: r.checkpoint,
 	}
-	r.startsOut++
-	s.pace.sending()
-	s.send(Call{Kind: CallStart, Start: order, Timeout: s.answers.timeout()}, w, r)
+	r.startsInFlight++
+	s.startLimiter.addSent()
+	s.send(Call{Kind: CallStart, Start: order, Timeout: s.latency.timeout()}, w, r)
 }
 
 // startEnded takes in the answer to a start. What the worker has listed since goes before it.
 func (s *Scheduler) startEnded(ended *call, reply *workerapi.HoldReply) {
 	r, w := ended.run, ended.worker
-	r.startsOut--
-	w.clock.read(reply.ClockMs, s.now)
+	r.startsInFlight--
+	w.clock.observe(reply.ClockMs, s.now)
 	if reply.Outcome == workerapi.OtherLife {
-		s.lifeOver(w)
+		s.instanceEnded(w)
 		return
 	}
 	r.startInDoubt = r.startInDoubt || reply.Outcome == workerapi.Unknown
@@ -92,16 +92,16 @@
 	}
 	switch reply.Outcome {
 	case workerapi.Done:
-		r.percentMs = reply.ClockMs
-		s.present(r)
+		r.percentClockMs = reply.ClockMs
+		s.markPresent(r)
 	case workerapi.Unknown:
-		s.doubt(r)
+		s.markDoubtful(r)
 	case workerapi.RefusedFence:
 	case workerapi.RefusedRoom:
-		s.full(w, r.need)
+		s.withholdCapacity(w, r.need)
 		s.startRefused(r, reply.Outcome)
 	case workerapi.Busy:
-		s.busy(w)
+		s.noteBusy(w)
 		s.startRefused(r, reply.Outcome)
 	default:
 		s.startRefused(r, reply.Outcome)
@@ -110,71 +110,71 @@
 
 // startRefused takes note that one sending of a start was surely not carried out; another may have been.
 func (s *Scheduler) startRefused(r *run, outcome workerapi.Outcome) {
-	if r.startsOut > 0 || r.startInDoubt {
-		s.doubt(r)
+	if r.startsInFlight > 0 || r.startInDoubt {
+		s.markDoubtful(r)
 		return
 	}
-	s.refused(r, outcome)
+	s.giveUpStart(r, outcome)
 }
 
-// doubt takes note that a start has no clear answer, unless another sending of it still may have one.
-func (s *Scheduler) doubt(r *run) {
-	if r.startsOut > 0 {
+// markDoubtful takes note that a start has no clear answer, unless another sending of it still may have one.
+func (s *Scheduler) markDoubtful(r *run) {
+	if r.startsInFlight > 0 {
 		return
 	}
 	r.setPhase(runDoubtful)
-	s.spend(r, PartUnanswered)
+	s.enterPart(r, PartUnanswered)
 	if r.worker.answeredAt < r.orderedAt {
-		s.silence(r.worker)
+		s.markSilent(r.worker)
 	}
-	s.spoilGang(r)
-	s.at(r.worker.clock.surelyPast(r.dueAtMs), func() { s.probeFor(r) })
+	s.stopRestOfGang(r)
+	s.runAt(r.worker.clock.passedBy(r.dueAtMs), func() { s.probeForRun(r) })
 }
 
-// probeFor looks for a run that is still in doubt.
-func (s *Scheduler) probeFor(r *run) {
+// probeForRun looks for a run that is still in doubt.
+func (s *Scheduler) probeForRun(r *run) {
 	if r.phase == runDoubtful && r.worker.runs[r.name] == r {
 		s.probe(r.worker)
 	}
 }
 
-// refused gives up a run that the worker surely hasn't started and won't.
-func (s *Scheduler) refused(r *run, outcome workerapi.Outcome) {
+// giveUpStart gives up a run that the worker surely hasn't started and won't.
+func (s *Scheduler) giveUpStart(r *run, outcome workerapi.Outcome) {
 	if t := r.task(); t != nil {
 		t.refusals++
-		t.refusal = outcome
+		t.lastRefusal = outcome
 		t.avoid = r.worker
 	}
-	s.spoilGang(r)
-	s.void(r)
+	s.stopRestOfGang(r)
+	s.voidRun(r)
 }
 
-// void proposes that a run doesn't exist and never will.
-func (s *Scheduler) void(r *run) {
+// voidRun proposes that a run doesn't exist and never will.
+func (s *Scheduler) voidRun(r *run) {
 	r.setPhase(runVoided)
-	s.roomFreed(r.worker)
+	s.capacityFreed(r.worker)
 	if r.foreign {
-		s.drop(r)
+		s.dropRun(r)
 		return
 	}
 	s.voiding[r.name] = r
-	s.voids = append(s.voids, r.name)
+	s.newVoids = append(s.newVoids, r.name)
 }
 
 func (s *Scheduler) proposeVoids() {
-	if len(s.voids) == 0 {
+	if len(s.newVoids) == 0 {
 		return
 	}
-	s.propose(state.Command{Kind: state.KindStartsVoided, StartsVoided: s.voids})
-	s.voids = nil
+	s.propose(state.Command{Kind: state.KindStartsVoided, StartsVoided: s.newVoids})
+	s.newVoids = nil
 }
 
 // voidsCommitted takes in the commit of runs that don't exist.
 func (s *Scheduler) voidsCommitted(names []state.Run) {
 	for _, name := range names {
 		if r := s.voiding[name]; r != nil {
-			s.drop(r)
+			s.dropRun(r)
 		}
-		s.settleName(name.Task)
+		s.reconcileTask(name.Task)
 	}
 }
--- a/internal/system/scheduler/starts.go
+++ b/internal/system/scheduler/starts.go
@@ -23,26 +23,26 @@
 
 func (s *Scheduler) proposeRun(st *step, index uint32, w *worker, attempt uint32, checkpoint string) {
 	name := state.Run{Task: st.name(index), Attempt: attempt}
-	s.add(&run{name: name, worker: w, step: st, need: st.need, checkpoint: checkpoint, resumed: checkpoint != ""})
+	s.addRun(&run{name: name, worker: w, step: st, need: st.need, checkpoint: checkpoint, resumed: checkpoint != ""})
 	s.shares.propose(name, st)
-	s.pace.proposing()
-	s.starts = append(s.starts, state.Start{Run: name, Worker: w.life.Instance, Checkpoint: checkpoint})
+	s.startLimiter.addProposed()
+	s.newStarts = append(s.newStarts, state.Start{Run: name, Worker: w.identity.Instance, Checkpoint: checkpoint})
 }
 
-// mostIntents is how many intents one command holds, but for those of one step, which stay together.
-const mostIntents = 1000
+// maxStartsPerCommand is how many intents one command holds, but for those of one step, which stay together.
+const maxStartsPerCommand = 1000
 
 // proposeStarts puts the intents of this round into few commands.
 func (s *Scheduler) proposeStarts() {
-	for len(s.starts) > 0 {
-		end := min(mostIntents, len(s.starts))
-		for end < len(s.starts) && sameStep(&s.starts[end-1], &s.starts[end]) {
+	for len(s.newStarts) > 0 {
+		end := min(maxStartsPerCommand, len(s.newStarts))
+		for end < len(s.newStarts) && sameStep(&s.newStarts[end-1], &s.newStarts[end]) {
 			end++
 		}
-		s.propose(state.Command{Kind: state.KindTasksStarting, TasksStarting: s.starts[:end:end]})
-		s.starts = s.starts[end:]
+		s.propose(state.Command{Kind: state.KindTasksStarting, TasksStarting: s.newStarts[:end:end]})
+		s.newStarts = s.newStarts[end:]
 	}
-	s.starts = nil
+	s.newStarts = nil
 }
 
 func sameStep(a, b *state.Start) bool {
@@ -61,42 +61,42 @@
 }
 
 func (s *Scheduler) startCommitted(start *state.Start, holds bool) {
-	s.shares.settle(start.Run, holds)
-	s.pace.committed()
-	w := s.openWorker(start.Worker)
+	s.shares.decided(start.Run, holds)
+	s.startLimiter.removeProposed()
+	w := s.ensureWorker(start.Worker)
 	r := w.runs[start.Run]
 	switch {
 	case r == nil || r.phase != runProposed:
 		if holds && r == nil {
-			s.adopt(w, start.Run)
+			s.adoptRun(w, start.Run)
 		}
 	case holds:
 		r.setPhase(runCommitted)
-		s.ordered = append(s.ordered, r)
+		s.committedStarts = append(s.committedStarts, r)
 	default:
-		s.drop(r)
-		s.settleName(start.Task)
+		s.dropRun(r)
+		s.reconcileTask(start.Task)
 	}
 }
 
-// adopt takes over a run that a predecessor may have started.
-func (s *Scheduler) adopt(w *worker, name state.Run) {
+// adoptRun takes over a run that a predecessor may have started.
+func (s *Scheduler) adoptRun(w *worker, name state.Run) {
 	r := &run{name: name, worker: w, phase: runInherited, resumed: true}
-	if stage := s.stageOf(name.Task); stage != nil {
+	if stage := s.stageSpec(name.Task); stage != nil {
 		r.need = stageNeed(stage)
 	}
 	j := s.jobs[name.Task.Job]
 	if j != nil {
-		r.step = s.ensureStep(j, s.ensureTime(j, name.Task.Time), name.Task.Step)
+		r.step = s.ensureStep(j, s.ensureOccurrence(j, name.Task.Time), name.Task.Step)
 	}
 	if r.step != nil {
-		s.unwait(r.step, name.Task.Index)
+		s.dequeueTask(r.step, name.Task.Index)
 	}
-	s.add(r)
+	s.addRun(r)
 	if t := r.task(); t != nil {
-		s.waits(t)
+		s.noteWaiting(t)
 	}
 	if j == nil {
-		s.wantStop(r)
+		s.requestStop(r)
 	}
 }
--- a/internal/system/scheduler/steps.go
+++ b/internal/system/scheduler/steps.go
@@ -12,39 +12,39 @@
 
 // step is one step of a job at one due time. Its tasks are alike, so that they are held together.
 type step struct {
-	job     *job
-	time    *jobTime
-	number  uint32
-	stage   *jobspec.Stage
-	service *service
-	need    Resources
-	size    time.Duration // of a run on a sound worker near its data, as estimated
-	tasks   []task
+	job        *job
+	occurrence *occurrence
+	number     uint32
+	stage      *jobspec.Stage
+	service    *service
+	need       Resources
+	runTime    time.Duration // of a run on a sound worker near its data, as estimated
+	tasks      []task
 	// waiting are the tasks that wait for room, in the order in which they leave.
-	waiting []uint32
-	opened  bool
-	closed  bool
-	readyAt time.Duration
-	path    Spent // the time of the steps that it waited for
+	waiting       []uint32
+	opened        bool
+	closed        bool
+	readyAt       time.Duration
+	upstreamSpent Spent // the time of the steps that it waited for
 
-	queued bool
-	ticket sizing.Ticket
-	fresh  bool // it has to be tried on all workers
-	kept   bool // its tenant's share had no room for it when it was tried last
+	queued       bool
+	ticket       sizing.Ticket
+	tryAll       bool // it has to be tried on all workers
+	shareBlocked bool // its tenant's share had no room for it when it was tried last
 	// overdue tells that its tasks had waited too long beside free room when that was looked at last.
 	overdue bool
-	// keepPlanned tells that it will be considered for keeping its share back, keepNotBefore when at the earliest.
-	keepPlanned   bool
-	keepNotBefore time.Duration
-	farAt         time.Duration
-	onWorker      map[*worker]int // runs, where antiAffinity bounds them
+	// shareReservePlanned tells that it will be considered for keeping its share back, shareReserveNotBefore when at the earliest.
+	shareReservePlanned   bool
+	shareReserveNotBefore time.Duration
+	farAllowedAt          time.Duration
+	runsPerWorker         map[*worker]int // runs, where antiAffinity bounds them
 	// unplaced is how many tasks are still to be placed in this round, lastChosen the worker that was chosen last in it.
-	unplaced   int
-	lastChosen *worker
-	gang       gangState
-	retryAt    time.Duration // when a held gang is tried again at the earliest
-	// retryPlanned tells that it will be, since room was freed before.
-	retryPlanned bool
+	unplaced    int
+	lastChosen  *worker
+	gang        gangState
+	gangRetryAt time.Duration // when a held gang is tried again at the earliest
+	// gangRetryPlanned tells that it will be, since room was freed before.
+	gangRetryPlanned bool
 }
 
 // taskState tells what becomes of a task.
@@ -71,15 +71,15 @@
 	failures   uint32
 	moves      int // from workers on which it stood still or fell behind
 	copies     int // that were asked for
-	// since is when its turn came, or when its last run was there; 0 while one is.
-	since       time.Duration
-	toldAt      time.Duration // when the audit told of it last
-	doubted     bool          // the last audit has found no reason for its wait
-	pausedUntil time.Duration
-	refusal     workerapi.Outcome // the last one in turn
-	account     account
-	// carefulUntil is until when a task that has failed before waits for a proven worker.
-	carefulUntil time.Duration
+	// waitingSince is when its turn came, or when its last run was there; 0 while one is.
+	waitingSince time.Duration
+	reportedAt   time.Duration // when the audit told of it last
+	unexplained  bool          // the last audit has found no reason for its wait
+	backoffUntil time.Duration
+	lastRefusal  workerapi.Outcome // the last one in turn
+	account      timeAccount
+	// provenOnlyUntil is until when a task that has failed before waits for a proven worker.
+	provenOnlyUntil time.Duration
 }
 
 // checkpoint is the newest progress seen, and the attempt that showed it.
@@ -89,24 +89,24 @@
 }
 
 // ensureStep gives the record of a step, which is not opened by that.
-func (s *Scheduler) ensureStep(j *job, t *jobTime, number uint32) *step {
+func (s *Scheduler) ensureStep(j *job, t *occurrence, number uint32) *step {
 	st := t.steps[number]
 	if st != nil {
 		return st
 	}
 	stage := &j.record.Spec.Stages[number]
 	st = &step{
-		job:     j,
-		time:    t,
-		number:  number,
-		stage:   stage,
-		service: s.openService(j.record.Service),
-		need:    stageNeed(stage),
-		tasks:   make([]task, stage.Count),
+		job:        j,
+		occurrence: t,
+		number:     number,
+		stage:      stage,
+		service:    s.ensureService(j.record.Service),
+		need:       stageNeed(stage),
+		tasks:      make([]task, stage.Count),
 	}
-	st.size = s.expect(st)
+	st.runTime = s.expectedRunTime(st)
 	if stage.AntiAffinity > 0 {
-		st.onWorker = make(map[*worker]int)
+		st.runsPerWorker = make(map[*worker]int)
 	}
 	t.steps[number] = st
 	return st
@@ -119,35 +119,35 @@
 	}
 	st.opened = true
 	st.readyAt = s.now
-	s.arrived(st)
+	s.observeArrival(st)
 	for i := range st.tasks {
-		st.tasks[i].beginAccount(s.now)
-		s.settle(st, uint32(i))
+		st.tasks[i].startAccount(s.now)
+		s.reconcile(st, uint32(i))
 	}
 }
 
 func (st *step) name(index uint32) state.TaskName {
-	return state.TaskName{Job: st.job.record.ID, Time: st.time.number, Step: st.number, Index: index}
+	return state.TaskName{Job: st.job.record.ID, Time: st.occurrence.number, Step: st.number, Index: index}
 }
 
 // record gives the replicated record of a task, nil while nothing of its due time was started.
 func (st *step) record(index uint32) *state.Task { return st.job.record.Task(st.name(index)) }
 
 // allDone tells whether all tasks have ended done.
-func (st *step) allDone() bool { return st.job.record.StepDone(st.time.number, st.number) }
+func (st *step) allDone() bool { return st.job.record.StepDone(st.occurrence.number, st.number) }
 
-// settle brings a task's state in line with the replicated state and with its runs. It is called after either has changed.
-func (s *Scheduler) settle(st *step, index uint32) {
+// reconcile brings a task's state in line with the replicated state and with its runs. It is called after either has changed.
+func (s *Scheduler) reconcile(st *step, index uint32) {
 	if !st.opened {
 		return
 	}
 	if st.stage.Gang {
-		s.settleGang(st)
+		s.reconcileGang(st)
 		return
 	}
 	t := &st.tasks[index]
 	if record := st.record(index); record != nil && record.Done {
-		s.taskIsDone(st, index)
+		s.finishTask(st, index)
 		return
 	}
 	switch {
@@ -156,105 +156,105 @@
 		t.state = taskActive
 	case t.state == taskWaiting || t.state == taskPaused:
 	default:
-		s.awaitRoom(st, index)
+		s.awaitCapacity(st, index)
 	}
 }
 
-// awaitRoom has a task wait for room, after a pause where it came back too often.
-func (s *Scheduler) awaitRoom(st *step, index uint32) {
+// awaitCapacity has a task wait for room, after a pause where it came back too often.
+func (s *Scheduler) awaitCapacity(st *step, index uint32) {
 	t := &st.tasks[index]
-	if pause := t.pause(); pause > 0 {
-		t.state, t.pausedUntil = taskPaused, s.now+pause
-		t.account.turn(s.now, PartPause)
-		s.waits(t)
-		s.at(s.now+pause, func() { s.pauseOver(st, index) })
+	if pause := t.backoff(); pause > 0 {
+		t.state, t.backoffUntil = taskPaused, s.now+pause
+		t.account.enter(s.now, PartPause)
+		s.noteWaiting(t)
+		s.runAt(s.now+pause, func() { s.pauseOver(st, index) })
 		return
 	}
-	s.wait(st, index)
+	s.enqueueTask(st, index)
 }
 
-// waits takes note that no run of a task is known to be there.
-func (s *Scheduler) waits(t *task) {
-	if t.since == 0 {
-		t.since = max(s.now, 1)
+// noteWaiting takes note that no run of a task is known to be there.
+func (s *Scheduler) noteWaiting(t *task) {
+	if t.waitingSince == 0 {
+		t.waitingSince = max(s.now, 1)
 	}
 }
 
-// wait has a task wait for room from now on.
-func (s *Scheduler) wait(st *step, index uint32) {
+// enqueueTask has a task wait for room from now on.
+func (s *Scheduler) enqueueTask(st *step, index uint32) {
 	t := &st.tasks[index]
 	t.state = taskWaiting
-	t.account.turn(s.now, PartRoom)
-	s.waits(t)
+	t.account.enter(s.now, PartRoom)
+	s.noteWaiting(t)
 	st.waiting = append(st.waiting, index)
 	s.enqueue(st)
 	if record := st.record(index); record != nil {
 		t.failures = record.Failures
 	}
-	s.beCareful(st, t)
+	s.restrictPlacement(st, t)
 }
 
-// plain tells whether the task may start wherever its step may.
-func (t *task) plain() bool { return t.avoid == nil && t.failures == 0 }
+// unrestricted tells whether the task may start wherever its step may.
+func (t *task) unrestricted() bool { return t.avoid == nil && t.failures == 0 }
 
-// beCareful keeps a task for a while from the worker where it didn't end well, and one that has failed from all that aren't proven.
-func (s *Scheduler) beCareful(st *step, t *task) {
-	if t.plain() {
+// restrictPlacement keeps a task for a while from the worker where it didn't end well, and one that has failed from all that aren't proven.
+func (s *Scheduler) restrictPlacement(st *step, t *task) {
+	if t.unrestricted() {
 		return
 	}
-	t.avoidUntil = s.now + carefulFor
-	t.carefulUntil = t.avoidUntil
-	s.at(t.avoidUntil, func() { s.tryAgain(st) })
+	t.avoidUntil = s.now + restrictFor
+	t.provenOnlyUntil = t.avoidUntil
+	s.runAt(t.avoidUntil, func() { s.retryOnAll(st) })
 }
 
-// tryAgain has a held step tried on all workers.
-func (s *Scheduler) tryAgain(st *step) {
+// retryOnAll has a held step tried on all workers.
+func (s *Scheduler) retryOnAll(st *step) {
 	if st.queued {
-		st.fresh, st.service.fresh = true, true
+		st.tryAll, st.service.tryAll = true, true
 	}
 }
 
 func (s *Scheduler) pauseOver(st *step, index uint32) {
 	t := &st.tasks[index]
 	if t.state == taskPaused && !st.closed {
-		s.wait(st, index)
+		s.enqueueTask(st, index)
 	}
 }
 
 const (
-	firstPause    = 25 * time.Millisecond
-	longestPause  = time.Second
+	minBackoff    = 25 * time.Millisecond
+	maxBackoff    = time.Second
 	freeRefusals  = 2
-	quickEndAfter = 2 * time.Second
+	quickEndLimit = 2 * time.Second
 )
 
-// pause is how long the task is left alone: none at first, then longer with each refusal or quick end in turn.
-func (t *task) pause() time.Duration {
+// backoff is how long the task is left alone: none at first, then longer with each refusal or quick end in turn.
+func (t *task) backoff() time.Duration {
 	again := max(t.refusals-freeRefusals, t.quickEnds-1)
 	if again <= 0 {
 		return 0
 	}
-	return min(firstPause<<min(again, 8), longestPause)
+	return min(minBackoff<<min(again, 8), maxBackoff)
 }
 
-// taskIsDone ends a task: copies that still run are stopped.
-func (s *Scheduler) taskIsDone(st *step, index uint32) {
+// finishTask ends a task: copies that still run are stopped.
+func (s *Scheduler) finishTask(st *step, index uint32) {
 	t := &st.tasks[index]
 	if t.state == taskWaiting {
-		s.unwait(st, index)
+		s.dequeueTask(st, index)
 	}
-	t.account.turn(s.now, PartNoted)
+	t.account.enter(s.now, PartNoted)
 	t.state = taskDone
 	for _, r := range t.runs {
-		s.wantStop(r)
+		s.requestStop(r)
 	}
 	if !st.closed && st.allDone() {
 		s.closeStep(st)
 	}
 }
 
-// unwait takes a task out of those that wait for room.
-func (s *Scheduler) unwait(st *step, index uint32) {
+// dequeueTask takes a task out of those that wait for room.
+func (s *Scheduler) dequeueTask(st *step, index uint32) {
 	if at := slices.Index(st.waiting, index); at >= 0 {
 		st.waiting = slices.Delete(st.waiting, at, at+1)
 	}
@@ -267,20 +267,20 @@
 func (s *Scheduler) closeStep(st *step) {
 	st.closed = true
 	s.dequeue(st)
-	j, t := st.job, st.time
+	j, t := st.job, st.occurrence
 	for later := int(st.number) + 1; later < len(t.steps); later++ {
 		if !slices.Contains(j.record.Spec.Stages[later].DependsOn, int(st.number)) {
 			continue
 		}
 		if j.record.StepReady(t.number, uint32(later)) {
 			next := s.ensureStep(j, t, uint32(later))
-			next.path = st.spentUpTo(s.now)
+			next.upstreamSpent = st.spentUpTo(s.now)
 			s.openStep(next)
 		}
 	}
-	if timeDone(j.record, t.number) {
-		s.judge(t)
-		delete(j.times, t.number)
+	if occurrenceDone(j.record, t.number) {
+		s.reportIfLate(t)
+		delete(j.occurrences, t.number)
 	}
 }
 
@@ -299,8 +299,8 @@
 // stopSurplus stops a run that serves nothing any more. The members of a gang that is done are about to be listed themselves.
 func (s *Scheduler) stopSurplus(r *run, st *step, ended state.JobState) {
 	if !st.stage.Gang || ended != state.Completed {
-		s.wantStop(r)
+		s.requestStop(r)
 		return
 	}
-	s.at(s.now+gangEndGrace, func() { s.wantStop(r) })
+	s.runAt(s.now+gangEndGrace, func() { s.requestStop(r) })
 }
--- a/internal/system/scheduler/tenants.go
+++ b/internal/system/scheduler/tenants.go
@@ -11,7 +11,7 @@
 // Tenants shows what waits of each tenant of which something does, by name; empty for jobs without one.
 func (s *Scheduler) Tenants() map[string]TenantView {
 	views := make(map[string]TenantView)
-	for _, svc := range s.kinds {
+	for _, svc := range s.serviceOrder {
 		for _, st := range svc.queue.All() {
 			if st.need.GPUs == 0 {
 				continue
--- a/internal/system/scheduler/timers.go
+++ b/internal/system/scheduler/timers.go
@@ -39,7 +39,7 @@
 }
 
 // after has something done at a time; whatever it is has to look whether it still applies.
-func (s *Scheduler) at(at time.Duration, fire func()) {
+func (s *Scheduler) runAt(at time.Duration, fire func()) {
 	heap.Push(&s.timers.heap, timer{at: at, fire: fire})
 }
 
@@ -53,20 +53,20 @@
 	}
 }
 
-// due is the next due time of a timed job.
-type due struct {
+// dueOccurrence is the next due time of a timed job.
+type dueOccurrence struct {
 	unixMs int64
 	job    state.JobID
 }
 
-type dueHeap []due
+type dueHeap []dueOccurrence
 
 func (h dueHeap) Len() int { return len(h) }
 func (h dueHeap) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(h[i].unixMs, h[j].unixMs), cmp.Compare(h[i].job, h[j].job)) < 0
 }
 func (h dueHeap) Swap(i, j int)   { h[i], h[j] = h[j], h[i] }
-func (h *dueHeap) Push(added any) { *h = append(*h, added.(due)) }
+func (h *dueHeap) Push(added any) { *h = append(*h, added.(dueOccurrence)) }
 func (h *dueHeap) Pop() any {
 	last := len(*h) - 1
 	popped := (*h)[last]
@@ -74,33 +74,33 @@
 	return popped
 }
 
-// dueQueue holds one entry for each timed job of which due times are left.
-type dueQueue struct{ heap dueHeap }
+// occurrenceQueue holds one entry for each timed job of which due times are left.
+type occurrenceQueue struct{ heap dueHeap }
 
-func (q *dueQueue) first() (unixMs int64, any bool) {
+func (q *occurrenceQueue) first() (unixMs int64, any bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
 	return q.heap[0].unixMs, true
 }
 
-// openDueTimes opens the due times that have come by the trusted time of day.
-func (s *Scheduler) openDueTimes() {
-	for s.wall.known && len(s.dues.heap) > 0 {
-		next := s.dues.heap[0]
-		if s.wall.steady(next.unixMs) > s.now {
+// openDueOccurrences opens the due times that have come by the trusted time of day.
+func (s *Scheduler) openDueOccurrences() {
+	for s.wall.known && len(s.occurrenceQueue.heap) > 0 {
+		next := s.occurrenceQueue.heap[0]
+		if s.wall.toSteady(next.unixMs) > s.now {
 			return
 		}
-		heap.Pop(&s.dues.heap)
+		heap.Pop(&s.occurrenceQueue.heap)
 		if j := s.jobs[next.job]; j != nil {
-			s.openNextTime(j)
+			s.openNextOccurrence(j)
 		}
 	}
 }
 
-// awaitDue queues the next due time of a timed job.
-func (s *Scheduler) awaitDue(j *job) {
-	if j.nextTime < j.record.TimeCount() {
-		heap.Push(&s.dues.heap, due{unixMs: j.record.DueMs(j.nextTime), job: j.record.ID})
+// queueNextOccurrence queues the next due time of a timed job.
+func (s *Scheduler) queueNextOccurrence(j *job) {
+	if j.nextOccurrence < j.record.TimeCount() {
+		heap.Push(&s.occurrenceQueue.heap, dueOccurrence{unixMs: j.record.DueMs(j.nextOccurrence), job: j.record.ID})
 	}
 }
--- a/internal/system/scheduler/trials.go
+++ b/internal/system/scheduler/trials.go
@@ -6,87 +6,87 @@
 // spares tasks their attempts as long as others can take them. Beside room that is mostly free it must not keep work waiting: where
 // all workers are shut out, the clean end that would reopen them may never come.
 const (
-	// trialPatience is how long a task waits for a trusted worker beside such room.
-	trialPatience = 2 * time.Second
-	// trialRest is how long after its last failure a worker is spared all the same: its pause at first, and time for a trial to end well.
-	trialRest = 3 * time.Second
-	// mostlyFree is the share of a service's room up to which it counts as mostly free.
-	mostlyFree = 0.5
-	// reviewEvery is how often it is looked whether steps are overdue, mostOverdueSteps how many of them are let go at a time.
-	reviewEvery      = 500 * time.Millisecond
-	mostOverdueSteps = 16
+	// trialWait is how long a task waits for a trusted worker beside such room.
+	trialWait = 2 * time.Second
+	// minTrialRest is how long after its last failure a worker is spared all the same: its pause at first, and time for a trial to end well.
+	minTrialRest = 3 * time.Second
+	// maxMostlyFree is the share of a service's room up to which it counts as mostly free.
+	maxMostlyFree = 0.5
+	// reviewInterval is how often it is looked whether steps are overdue, maxOverdueSteps how many of them are let go at a time.
+	reviewInterval  = 500 * time.Millisecond
+	maxOverdueSteps = 16
 )
 
-// lenient tells whether tasks of a step may go to workers where they otherwise wouldn't. Only reviewTrials changes that.
-func (st *step) lenient() bool { return st.overdue && st.service.lenient }
+// mayUseQuarantined tells whether tasks of a step may go to workers where they otherwise wouldn't. Only reviewTrials changes that.
+func (st *step) mayUseQuarantined() bool { return st.overdue && st.service.useQuarantined }
 
-// mayTry tells whether a task may be risked on a worker that is shut out.
-func (s *Scheduler) mayTry(w *worker, st *step, t *task) bool {
+// mayTryQuarantined tells whether a task may be risked on a worker that is shut out.
+func (s *Scheduler) mayTryQuarantined(w *worker, st *step, t *task) bool {
 	h := &w.health
-	if s.now >= h.shutUntil && len(w.runs) == 0 && t.failures == 0 {
+	if s.now >= h.quarantinedUntil && len(w.runs) == 0 && t.failures == 0 {
 		return true
 	}
-	return st.lenient() && s.now >= h.failedAt+trialRest
+	return st.mayUseQuarantined() && s.now >= h.failedAt+minTrialRest
 }
 
-// rest has held steps tried on a worker that is shut out once it was spared for long enough.
-func (s *Scheduler) rest(w *worker) {
-	s.at(w.health.failedAt+trialRest, func() {
-		if w.health.shut {
-			s.roomFreed(w)
+// planRestEnd has held steps tried on a worker that is shut out once it was spared for long enough.
+func (s *Scheduler) planRestEnd(w *worker) {
+	s.runAt(w.health.failedAt+minTrialRest, func() {
+		if w.health.quarantined {
+			s.capacityFreed(w)
 		}
 	})
 }
 
-// planTrials has it reviewed, now and then, which held steps are overdue.
-func (s *Scheduler) planTrials() {
-	s.at(s.now+reviewEvery, func() {
-		for _, svc := range s.kinds {
+// planTrialReviews has it reviewed, now and then, which held steps are overdue.
+func (s *Scheduler) planTrialReviews() {
+	s.runAt(s.now+reviewInterval, func() {
+		for _, svc := range s.serviceOrder {
 			s.reviewTrials(svc)
 		}
-		s.planTrials()
+		s.planTrialReviews()
 	})
 }
 
 // reviewTrials lets the first held steps whose tasks have waited for too long beside room that is mostly free go to workers that are shut out.
 func (s *Scheduler) reviewTrials(svc *service) {
-	svc.lenient = svc.anyShutOut() && svc.mostlyFree()
-	if !svc.lenient {
+	svc.useQuarantined = svc.anyQuarantined() && svc.mostlyFree()
+	if !svc.useQuarantined {
 		return
 	}
-	left := mostOverdueSteps
+	left := maxOverdueSteps
 	for _, st := range svc.queue.All() {
-		t := st.firstWaiting()
-		st.overdue = left > 0 && t != nil && t.since > 0 && s.now-t.since >= trialPatience
+		t := st.firstWaitingTask()
+		st.overdue = left > 0 && t != nil && t.waitingSince > 0 && s.now-t.waitingSince >= trialWait
 		if st.overdue {
-			s.tryAgain(st)
+			s.retryOnAll(st)
 			left--
 		}
 	}
 }
 
-// mostlyFree tells whether less than half of the room of the service's workers is in use.
+// maxMostlyFree tells whether less than half of the room of the service's workers is in use.
 func (svc *service) mostlyFree() bool {
 	used, room := Resources{}, Resources{}
 	for _, w := range svc.workers {
-		if w.open() {
-			used, room = used.plus(w.used), room.plus(w.room)
+		if w.schedulable() {
+			used, room = used.plus(w.used), room.plus(w.capacity)
 		}
 	}
-	return used.shareOf(room) < mostlyFree
+	return used.dominantShare(room) < maxMostlyFree
 }
 
-func (svc *service) anyShutOut() bool {
+func (svc *service) anyQuarantined() bool {
 	for _, w := range svc.workers {
-		if w.health.shut {
+		if w.health.quarantined {
 			return true
 		}
 	}
 	return false
 }
 
-// firstWaiting is the task that leaves first of those that wait, nil if none does.
-func (st *step) firstWaiting() *task {
+// firstWaitingTask is the task that leaves first of those that wait, nil if none does.
+func (st *step) firstWaitingTask() *task {
 	switch {
 	case !st.hasWaiting():
 		return nil
--- a/internal/system/scheduler/view.go
+++ b/internal/system/scheduler/view.go
@@ -44,17 +44,17 @@
 
 func (w *worker) view() WorkerView {
 	view := WorkerView{
-		Instance: w.life.Instance,
-		Address:  w.life.Address,
+		Instance: w.identity.Instance,
+		Address:  w.identity.Address,
 		Reach:    reachNames[w.reach],
 		Listed:   w.listed,
 		Draining: w.draining,
-		Room:     w.room,
+		Room:     w.capacity,
 		Used:     w.used,
 		Runs:     len(w.runs),
 		Withheld: len(w.withheld),
 		Slowness: w.health.slowness(),
-		Shut:     w.health.shut,
+		Shut:     w.health.quarantined,
 	}
 	if w.service != nil {
 		view.Service = w.service.name
@@ -86,7 +86,7 @@
 		return nil
 	}
 	var views []TaskView
-	for _, t := range j.times {
+	for _, t := range j.occurrences {
 		for _, st := range t.steps {
 			if st == nil || st.closed {
 				continue
@@ -104,20 +104,20 @@
 
 func (s *Scheduler) viewTask(st *step, index uint32) TaskView {
 	t := &st.tasks[index]
-	view := TaskView{Task: st.name(index), State: taskStateNames[t.state], Deadline: st.deadline(), Spent: st.path.plus(t.account.upTo(s.now))}
+	view := TaskView{Task: st.name(index), State: taskStateNames[t.state], Deadline: st.deadline(), Spent: st.upstreamSpent.plus(t.account.totalsAt(s.now))}
 	for _, r := range t.runs {
-		view.Runs = append(view.Runs, r.worker.life.Instance)
+		view.Runs = append(view.Runs, r.worker.identity.Instance)
 	}
 	if t.state == taskWaiting {
-		view.Why = s.obstacle(st, t)
+		view.Why = s.blockedReason(st, t)
 	}
 	return view
 }
 
-// obstacle says what keeps a task from the worker that comes nearest to taking it.
-func (s *Scheduler) obstacle(st *step, t *task) string {
+// blockedReason says what keeps a task from the worker that comes nearest to taking it.
+func (s *Scheduler) blockedReason(st *step, t *task) string {
 	if !s.shares.fit(st) {
-		if s.shares.keptFrom(st) > 0 {
+		if s.shares.reservedAgainst(st) > 0 {
 			return "its tenant's share of accelerators is kept for a gang or a larger task with an earlier deadline"
 		}
 		return "its tenant's share of accelerators is used up"
@@ -125,17 +125,17 @@
 	obstacle := "its service has no worker that answers"
 	for _, w := range st.service.workers {
 		switch {
-		case !w.open():
+		case !w.schedulable():
 			continue
 		case !w.hasLabels(st.stage.Requirements):
 			obstacle = "no worker with its labels answers"
 			continue
-		case !st.need.fitsInto(w.room):
+		case !st.need.fitsInto(w.capacity):
 			obstacle = "no worker is large enough"
 			continue
 		case !st.need.fitsInto(w.free()):
 			return "no room on any worker that it may use"
-		case !s.suits(w, st, t):
+		case !s.feasible(w, st, t):
 			return "the workers with room are shut out or hold enough of its step"
 		}
 		return "about to start"
