--- a/internal/system/scheduler/world_test.go
+++ b/internal/system/scheduler/world_test.go
@@ -12,9 +12,9 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// world is a simulated cluster round one scheduler at a time: workers that keep the wire contract, a chain that commits, a list that
+// simCluster is a simulated cluster round one scheduler at a time: workers that keep the wire contract, a chain that commits, a list that
 // trails, and jobs. Everything that it does follows from its seed.
-type world struct {
+type simCluster struct {
 	seed   uint64
 	random *rand.Rand
 	now    time.Duration
@@ -34,20 +34,20 @@
 	jobs      map[state.JobID]*simJob
 	tenants   []string // of whom jobs are handed in; nobody's where there are none
 	gangs     map[gangKey]*simGang
-	faults    worldFaults
-	calm      bool // nothing goes wrong in this world
-	fault     error
+	faults    simFaults
+	faultFree bool // nothing goes wrong in this world
+	violation error
 	trace     func(state.Command)
-	stats     worldStats
+	stats     simStats
 }
 
-// worldFaults are the shares of what goes wrong.
-type worldFaults struct {
+// simFaults are the shares of what goes wrong.
+type simFaults struct {
 	lostAnswers, lateOrders float64
 	slowCommits             float64
 }
 
-type worldStats struct {
+type simStats struct {
 	starts, ends, gangsAlone, holds, late int
 }
 
@@ -72,10 +72,10 @@
 	return popped
 }
 
-const unixZeroMs = 1_700_000_000_000
+const simEpochUnixMs = 1_700_000_000_000
 
-func newWorld(seed uint64) *world {
-	w := &world{
+func newSimCluster(seed uint64) *simCluster {
+	w := &simCluster{
 		seed:    seed,
 		random:  rand.New(rand.NewPCG(seed, seed)),
 		now:     time.Second,
@@ -84,26 +84,26 @@
 		jobs:    make(map[state.JobID]*simJob),
 		gangs:   make(map[gangKey]*simGang),
 	}
-	w.after(0, w.tellTime)
-	w.after(0, w.tellList)
+	w.schedule(0, w.sendTime)
+	w.schedule(0, w.sendList)
 	return w
 }
 
 // violated keeps the first broken rule.
-func (w *world) violated(rule, format string, arguments ...any) {
-	if w.fault == nil {
-		w.fault = fmt.Errorf("seed %d at %v: %s: %s", w.seed, w.now, rule, fmt.Sprintf(format, arguments...))
+func (w *simCluster) violated(rule, format string, arguments ...any) {
+	if w.violation == nil {
+		w.violation = fmt.Errorf("seed %d at %v: %s: %s", w.seed, w.now, rule, fmt.Sprintf(format, arguments...))
 	}
 }
 
-func (w *world) after(span time.Duration, act func()) {
+func (w *simCluster) schedule(span time.Duration, act func()) {
 	w.order++
 	heap.Push(&w.events, event{at: w.now + span, order: w.order, act: act})
 }
 
 // run plays events up to a time, or until a rule is broken.
-func (w *world) run(until time.Duration) {
-	for len(w.events) > 0 && w.fault == nil && w.events[0].at <= until {
+func (w *simCluster) run(until time.Duration) {
+	for len(w.events) > 0 && w.violation == nil && w.events[0].at <= until {
 		next := heap.Pop(&w.events).(event)
 		w.now = next.at
 		next.act()
@@ -111,16 +111,16 @@
 	}
 }
 
-func (w *world) unixMs() int64 { return unixZeroMs + w.now.Milliseconds() }
+func (w *simCluster) unixMs() int64 { return simEpochUnixMs + w.now.Milliseconds() }
 
-func (w *world) chance(share float64) bool { return w.random.Float64() < share }
+func (w *simCluster) chance(share float64) bool { return w.random.Float64() < share }
 
-func (w *world) between(low, high time.Duration) time.Duration {
+func (w *simCluster) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
 
 // elect puts a new scheduler in the place of the last one: part of what that one had proposed is committed.
-func (w *world) elect() {
+func (w *simCluster) elect() {
 	w.depose()
 	w.token++
 	options := Options{Token: w.token, Machine: w.machine, Bounds: w.bounds}
@@ -131,24 +131,24 @@
 }
 
 // depose throws the scheduler away. What is out stays out.
-func (w *world) depose() {
+func (w *simCluster) depose() {
 	if w.sched == nil {
 		return
 	}
 	kept := w.random.IntN(len(w.chain) + 1)
 	for _, command := range w.chain[:kept] {
-		w.note(w.machine.ApplyBytes(command.Encode()))
+		w.noteResult(w.machine.ApplyBytes(command.Encode()))
 	}
 	dropped := w.chain[kept:]
 	w.chain, w.sched = nil, nil
 	for _, command := range dropped { // clients try again
 		if command.Kind == state.KindJobAccepted || command.Kind == state.KindJobCancelled {
-			w.demand(command)
+			w.proposeUntilElected(command)
 		}
 	}
 }
 
-func (w *world) config() *clusterconfig.Config {
+func (w *simCluster) config() *clusterconfig.Config {
 	config := &clusterconfig.Config{Version: 1}
 	for _, worker := range w.workers {
 		config.Services = append(config.Services, clusterconfig.Service{Name: worker.backend, Preconditions: worker.guarded})
@@ -157,8 +157,8 @@
 }
 
 // drain does what the scheduler wants done, and checks it.
-func (w *world) drain() {
-	if w.sched == nil || w.fault != nil {
+func (w *simCluster) drain() {
+	if w.sched == nil || w.violation != nil {
 		return
 	}
 	output := w.sched.Drain()
@@ -172,7 +172,7 @@
 	if err := w.machine.Check(); err != nil {
 		w.violated("STATE", "%v", err)
 	}
-	w.sched.checkIdle(w)
+	w.sched.checkNoIdleCapacity(w)
 	for _, found := range output.Findings {
 		if found.Mended {
 			w.violated("FORGOTTEN", "%v after %v: %s", found.Task, found.Waited, found.Reason)
@@ -184,16 +184,16 @@
 	for _, made := range output.Calls {
 		w.call(made)
 	}
-	w.awake(output.Wake)
+	w.scheduleWake(output.Wake)
 }
 
-func (w *world) awake(at time.Duration) {
+func (w *simCluster) scheduleWake(at time.Duration) {
 	if at == 0 || w.wakeAt > w.now && w.wakeAt <= at {
 		return
 	}
 	w.wakeAt = at
 	sched := w.sched
-	w.after(at-w.now, func() {
+	w.schedule(at-w.now, func() {
 		if w.sched == sched {
 			sched.Tick(w.now)
 		}
@@ -201,7 +201,7 @@
 }
 
 // propose commits a command after a while, in order.
-func (w *world) propose(command state.Command) {
+func (w *simCluster) propose(command state.Command) {
 	w.chain = append(w.chain, command)
 	span := w.between(3*time.Millisecond, 30*time.Millisecond)
 	if w.chance(w.faults.slowCommits) {
@@ -209,42 +209,42 @@
 	}
 	w.chainAt = max(w.chainAt, w.now+span)
 	sched := w.sched
-	w.after(w.chainAt-w.now, func() {
+	w.schedule(w.chainAt-w.now, func() {
 		if w.sched == sched && sched != nil {
 			w.commit()
 		}
 	})
 }
 
-func (w *world) commit() {
+func (w *simCluster) commit() {
 	command := w.chain[0]
 	w.chain = w.chain[1:]
 	if w.trace != nil {
 		w.trace(command)
 	}
 	result := w.machine.ApplyBytes(command.Encode())
-	w.note(result)
+	w.noteResult(result)
 	w.sched.Applied(w.now, result)
 }
 
-// demand commits a command that isn't the scheduler's, or waits until there is one.
-func (w *world) demand(command state.Command) {
+// proposeUntilElected commits a command that isn't the scheduler's, or waits until there is one.
+func (w *simCluster) proposeUntilElected(command state.Command) {
 	if w.sched == nil {
-		w.after(50*time.Millisecond, func() { w.demand(command) })
+		w.schedule(50*time.Millisecond, func() { w.proposeUntilElected(command) })
 		return
 	}
 	w.propose(command)
 }
 
-func (w *world) tellTime() {
+func (w *simCluster) sendTime() {
 	if w.sched != nil {
 		w.sched.WallClock(w.now, w.unixMs())
 	}
-	w.after(time.Second, w.tellTime)
+	w.schedule(time.Second, w.sendTime)
 }
 
-// tellList shows the scheduler the list as it was a moment ago.
-func (w *world) tellList() {
+// sendList shows the scheduler the list as it was a moment ago.
+func (w *simCluster) sendList() {
 	var instances []workerapi.Instance
 	for _, worker := range w.workers {
 		if worker.listed() {
@@ -252,16 +252,16 @@
 		}
 	}
 	lag := w.between(50*time.Millisecond, 500*time.Millisecond)
-	w.after(lag, func() {
+	w.schedule(lag, func() {
 		if w.sched != nil {
 			w.sched.Listed(w.now, instances)
 		}
 	})
-	w.after(600*time.Millisecond, w.tellList)
+	w.schedule(600*time.Millisecond, w.sendList)
 }
 
 // call carries a call to its worker and the answer back.
-func (w *world) call(made Call) {
+func (w *simCluster) call(made Call) {
 	sched := w.sched
 	answered := false
 	reply := func(answer workerapi.HoldReply) {
@@ -270,30 +270,30 @@
 			sched.CallEnded(w.now, CallResult{ID: made.ID, Reply: answer})
 		}
 	}
-	w.after(made.Timeout, func() { reply(workerapi.HoldReply{}) })
-	worker := w.at(made.Worker.Address)
+	w.schedule(made.Timeout, func() { reply(workerapi.HoldReply{}) })
+	worker := w.workerAt(made.Worker.Address)
 	if worker == nil {
-		w.after(2*time.Millisecond, func() { reply(workerapi.HoldReply{Outcome: workerapi.NotSent}) })
+		w.schedule(2*time.Millisecond, func() { reply(workerapi.HoldReply{Outcome: workerapi.NotSent}) })
 		return
 	}
 	way := w.between(time.Millisecond, 8*time.Millisecond)
-	lost := w.chance(w.faults.lostAnswers) || worker.cut
-	if w.chance(w.faults.lateOrders) && made.Kind != CallHold || worker.late && w.chance(0.5) {
+	lost := w.chance(w.faults.lostAnswers) || worker.partitioned
+	if w.chance(w.faults.lateOrders) && made.Kind != CallHold || worker.delayed && w.chance(0.5) {
 		lost, way = true, w.between(2*time.Second, 12*time.Second)
 	}
-	if worker.cut && w.chance(0.7) {
+	if worker.partitioned && w.chance(0.7) {
 		return
 	}
-	w.after(way, func() {
-		worker.take(made, func(answer workerapi.HoldReply) {
+	w.schedule(way, func() {
+		worker.handleCall(made, func(answer workerapi.HoldReply) {
 			if !lost {
-				w.after(w.between(time.Millisecond, 8*time.Millisecond), func() { reply(answer) })
+				w.schedule(w.between(time.Millisecond, 8*time.Millisecond), func() { reply(answer) })
 			}
 		})
 	})
 }
 
-func (w *world) at(address string) *simWorker {
+func (w *simCluster) workerAt(address string) *simWorker {
 	for _, worker := range w.workers {
 		if worker.address == address && worker.up() {
 			return worker
