--- a/internal/system/scheduler/audit.go
+++ b/internal/system/scheduler/audit.go
@@ -9,40 +9,40 @@
 	"gaugeslip/internal/system/state"
 )
 
-// Finding is a task whose turn came long ago and of which no run is known to be there, or a worker that nobody asked.
+// Finding is a task that has been ready for long without a known run, or a worker that was not contacted.
 type Finding struct {
-	// Task is the zero name where a worker is meant.
+	// Task is the zero name if the finding is about a worker.
 	Task state.TaskName
-	// Waited is for how long its turn has come, or since it ran last.
+	// Waited is how long ago the task became ready, or its last run ended.
 	Waited time.Duration
-	// Reason is what it waits for.
+	// Reason is what the task waits for.
 	Reason string
-	// Worker is where a run of it may exist, empty if there is none.
+	// Worker is where a run of the task may exist; empty if there is none.
 	Worker string
-	// Refused tells that its starts were refused several times in turn.
+	// Refused reports that its starts were refused several times in a row.
 	Refused bool
-	// Mended tells that no reason held, and that it was put back among those that are tried or asked.
+	// Mended reports that no reason held, and that the task or worker was scheduled again.
 	Mended bool
 }
 
 const (
-	// auditInterval is how often it is looked for tasks that wait, auditMinWait for how long one has to wait to be looked at.
+	// auditInterval is how often the audit looks for waiting tasks; auditMinWait is how long a task must wait before it is looked at.
 	auditInterval = time.Second
 	auditMinWait  = 3 * time.Second
-	// reportAgainAfter is how soon a task that still waits is looked at and told of again.
+	// reportAgainAfter is how soon a task that still waits is looked at and reported again.
 	reportAgainAfter = 5 * time.Second
-	// maxAuditedTasks bounds the held tasks that one audit tries on all workers, maxFindings those that it tells of.
+	// maxAuditedTasks limits the queued tasks that one audit tries on all workers; maxFindings limits the findings that are reported.
 	maxAuditedTasks = 24
 	maxFindings     = 8
 )
 
-// auditing is where the audit stands.
+// auditing is the state of the audit.
 type auditing struct {
-	tried    int // held tasks that were tried in this audit
+	tried    int // queued tasks that this audit has tried
 	findings []Finding
 }
 
-// planAudit has the next audit made.
+// planAudit schedules the next audit.
 func (s *Scheduler) planAudit() {
 	s.runAt(s.now+auditInterval, func() {
 		s.audit()
@@ -50,8 +50,8 @@
 	})
 }
 
-// audit mends what should never be: jobs, steps and tasks that wait and are in no queue, tasks that could start and don't, workers that
-// nobody asks. It tells of that, and of tasks that have waited for long what each waits for.
+// audit repairs states that should not occur: jobs, steps and waiting tasks missing from their queue, tasks that could start but do not,
+// and workers that are not contacted. It reports these repairs, and for tasks that have waited long it reports what they wait for.
 func (s *Scheduler) audit() {
 	s.auditing.tried = 0
 	s.auditJobs()
@@ -64,7 +64,7 @@
 	}
 }
 
-// auditJobs opens jobs that aren't over and aren't known here.
+// auditJobs opens unfinished jobs that are not tracked.
 func (s *Scheduler) auditJobs() {
 	var missed []state.JobID
 	for id, record := range s.machine.Jobs() {
@@ -75,11 +75,11 @@
 	slices.Sort(missed)
 	for _, id := range missed {
 		s.openJob(s.trackJob(s.machine.Job(id)))
-		s.reportFinding(Finding{Task: state.TaskName{Job: id}, Reason: "the job wasn't known", Mended: true})
+		s.reportFinding(Finding{Task: state.TaskName{Job: id}, Reason: "the job was not tracked", Mended: true})
 	}
 }
 
-// auditWorkers asks the listed workers to which no hold is out and none is planned.
+// auditWorkers sends a hold to listed workers that have none in flight and none scheduled.
 func (s *Scheduler) auditWorkers() {
 	var missed []string
 	for instance, w := range s.workers {
@@ -90,7 +90,7 @@
 	slices.Sort(missed)
 	for _, instance := range missed {
 		w := s.workers[instance]
-		s.reportFinding(Finding{Worker: instance, Reason: "nobody asks the worker, which is " + reachNames[w.reach], Mended: true})
+		s.reportFinding(Finding{Worker: instance, Reason: "no hold is in flight or scheduled to the worker, which is " + reachNames[w.reach], Mended: true})
 		w.hold.nextAt = 0
 		s.scheduleHold(w, s.now)
 	}
@@ -101,7 +101,7 @@
 		st := t.steps[i]
 		if (st == nil || !st.opened) && j.record.StepReady(t.number, uint32(i)) {
 			s.openStep(s.ensureStep(j, t, uint32(i)))
-			s.reportFinding(Finding{Task: t.steps[i].name(0), Reason: "the step wasn't open", Mended: true})
+			s.reportFinding(Finding{Task: t.steps[i].name(0), Reason: "the step was not open", Mended: true})
 		}
 		if st != nil && st.opened && !st.closed {
 			s.auditStep(st)
@@ -112,7 +112,7 @@
 func (s *Scheduler) auditStep(st *step) {
 	if st.hasWaiting() && !st.queued {
 		s.enqueue(st)
-		s.reportFinding(Finding{Task: st.name(0), Reason: "the step wasn't held", Mended: true})
+		s.reportFinding(Finding{Task: st.name(0), Reason: "the step was not queued", Mended: true})
 	}
 	for i := range st.tasks {
 		t := &st.tasks[i]
@@ -145,7 +145,8 @@
 	}
 }
 
-// pendingRun is the run that a task waits for: its newest, or for a gang one of any member. Nil: there is none.
+// pendingRun returns the run that a task waits for: its newest, or for a gang the newest run of any member. It returns nil if there is
+// none.
 func (st *step) pendingRun(t *task) *run {
 	if len(t.runs) > 0 {
 		return t.runs[len(t.runs)-1]
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// waitReason says what a run that isn't known to be there waits for; empty: it is there.
+// waitReason returns what a run that is not known to exist waits for; empty if it exists and its worker answers.
 func (r *run) waitReason() string {
 	if r.phase == runPresent && r.worker.reach == reachAnswering {
 		return ""
@@ -169,7 +170,7 @@
 	return "its run is " + phaseNames[r.phase] + ", its worker " + reachNames[r.worker.reach]
 }
 
-// auditQueued says what a task without a run waits for. One that could start, as two audits in turn have found, is tried again.
+// auditQueued returns what a task without a run waits for. If two consecutive audits find that it could start, it is tried again.
 func (s *Scheduler) auditQueued(st *step, index uint32, t *task) (reason string, mended bool) {
 	reason, idle := s.queueReason(st, t)
 	if !idle {
@@ -185,32 +186,32 @@
 	return reason, true
 }
 
-// queueReason says why a task without a run isn't started; idle: nothing keeps it from that.
+// queueReason returns why a task without a run is not started. idle reports that nothing prevents it.
 func (s *Scheduler) queueReason(st *step, t *task) (reason string, idle bool) {
 	s.refreshLayout(st.service)
 	refused := ""
 	if t.refusals > freeRefusals {
-		refused = fmt.Sprintf(", %d starts in turn refused, the last: %v", t.refusals, t.lastRefusal)
+		refused = fmt.Sprintf(", %d consecutive starts refused, the last: %v", t.refusals, t.lastRefusal)
 	}
 	switch {
 	case st.stage.Gang && st.gang != gangWaiting || !st.stage.Gang && t.state != taskWaiting:
-		if s.now <= st.backoffUntil(t)+auditInterval { // its timer may be next
-			return "it pauses" + refused, false
+		if s.now <= st.backoffUntil(t)+auditInterval { // its timer may fire next
+			return "it is in backoff" + refused, false
 		}
-		return "it is neither held nor run" + refused, true
+		return "it is neither queued nor running" + refused, true
 	case st.service.tryAll || len(st.service.freed) > 0:
 		return "it is about to be tried" + refused, false
 	case !s.shares.fit(st):
 		return s.blockedReason(st, t) + refused, false
 	case st.stage.Gang && s.chooseGang(st) == nil:
-		return "no room for all members at once" + refused, false
+		return "no capacity for all members at once" + refused, false
 	case !st.stage.Gang && s.chooseWorker(st, t) == nil:
 		return s.blockedReason(st, t) + refused, false
 	}
-	return "there is room" + refused, true
+	return "there is free capacity" + refused, true
 }
 
-// backoffUntil is until when a task, or its whole gang, pauses.
+// backoffUntil returns until when a task, or its whole gang, is in backoff.
 func (st *step) backoffUntil(t *task) time.Duration {
 	if st.stage.Gang {
 		return st.tasks[0].backoffUntil
@@ -218,7 +219,7 @@
 	return t.backoffUntil
 }
 
-// restartCost has a task tried on all workers that waits without a reason.
+// forceRetry has a task that waits without a reason tried on all workers.
 func (s *Scheduler) forceRetry(st *step, index uint32, t *task) {
 	switch {
 	case st.stage.Gang && st.gang == gangWaiting || !st.stage.Gang && t.state == taskWaiting:
--- a/internal/system/scheduler/audit_test.go
+++ b/internal/system/scheduler/audit_test.go
@@ -52,7 +52,7 @@
 	d.advance(10 * time.Second)
 	require.Empty(t, d.repairs())
 	require.NotEmpty(t, d.findings)
-	require.Equal(t, "no room on any worker that it may use", d.findings[0].Reason)
+	require.Equal(t, "no free capacity on any worker that it may use", d.findings[0].Reason)
 	require.GreaterOrEqual(t, d.findings[0].Waited, auditMinWait)
 	require.LessOrEqual(t, len(d.findings), 2, "it is told of again only after a while")
 }
@@ -62,7 +62,7 @@
 	d.queuedStep()
 	d.sched.workers["w1"].capacity.CPU = 4000 // and nobody is told
 	d.advanceUnchecked(auditMinWait + 3*auditInterval)
-	require.Equal(t, []string{"there is room"}, d.repairs())
+	require.Equal(t, []string{"there is free capacity"}, d.repairs())
 	d.commit()
 	d.mustTakeCall(CallStart, "w1")
 }
@@ -73,7 +73,7 @@
 	d.sched.dequeue(st)
 	d.advanceUnchecked(2 * auditInterval)
 	require.True(t, st.queued)
-	require.Equal(t, []string{"the step wasn't held"}, d.repairs())
+	require.Equal(t, []string{"the step was not queued"}, d.repairs())
 	require.NoError(t, d.sched.Check())
 }
 
@@ -84,7 +84,7 @@
 	st.tasks[0].state = taskPaused
 	d.sched.workers["w1"].capacity.CPU = 4000
 	d.advanceUnchecked(auditMinWait + 3*auditInterval)
-	require.Equal(t, []string{"it is neither held nor run"}, d.repairs())
+	require.Equal(t, []string{"it is neither queued nor running"}, d.repairs())
 	d.commit()
 	d.mustTakeCall(CallStart, "w1")
 }
@@ -100,7 +100,7 @@
 	st.gang = gangPaused
 	d.list(listEntry("w1", 4000))
 	d.advanceUnchecked(auditMinWait + 3*auditInterval)
-	require.Equal(t, []string{"it is neither held nor run"}, d.repairs())
+	require.Equal(t, []string{"it is neither queued nor running"}, d.repairs())
 	d.commit()
 	require.Equal(t, 2, d.countCalls(CallStart))
 }
@@ -112,7 +112,7 @@
 	delete(d.sched.jobs, id)
 	d.list(listEntry("w1", 4000))
 	d.advanceUnchecked(2 * auditInterval)
-	require.Equal(t, []string{"the job wasn't known"}, d.repairs())
+	require.Equal(t, []string{"the job was not tracked"}, d.repairs())
 	d.commit()
 	d.mustTakeCall(CallStart, "w1")
 
@@ -123,7 +123,7 @@
 	times.steps[0] = nil
 	d.commands = nil
 	d.advanceUnchecked(2 * auditInterval)
-	require.Contains(t, d.repairs(), "the step wasn't open")
+	require.Contains(t, d.repairs(), "the step was not open")
 }
 
 func TestAuditSendsHoldToUncontactedWorkers(t *testing.T) {
@@ -134,7 +134,7 @@
 	w := d.sched.workers["w1"]
 	w.hold.callID, w.hold.nextAt = 0, 0
 	d.advanceUnchecked(auditMinWait + 2*auditInterval)
-	require.Equal(t, []string{"nobody asks the worker, which is answering"}, d.repairs())
+	require.Equal(t, []string{"no hold is in flight or scheduled to the worker, which is answering"}, d.repairs())
 	d.mustTakeCall(CallHold, "w1")
 }
 
--- a/internal/system/scheduler/calls.go
+++ b/internal/system/scheduler/calls.go
@@ -6,7 +6,7 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// CallKind tells what a call orders.
+// CallKind is the kind of order that a call carries.
 type CallKind uint8
 
 // The kinds of call.
@@ -16,9 +16,9 @@
 	CallHold
 )
 
-// Call is one call to a worker; exactly the order that Kind names is set.
+// Call is one call to a worker. Only the order that Kind names is set.
 type Call struct {
-	// ID comes back in the call's CallResult.
+	// ID identifies the call in its CallResult.
 	ID      uint64
 	Kind    CallKind
 	Worker  workerapi.Worker
@@ -28,45 +28,46 @@
 	Timeout time.Duration
 }
 
-// CallResult is the answer to a call or its failure. For starts and stops only the reply's Outcome and ClockMs count.
+// CallResult is the answer to a call or its failure. For starts and stops, only Outcome and ClockMs of the reply are used.
 type CallResult struct {
 	ID    uint64
 	Reply workerapi.HoldReply
 }
 
-// Answers are waited for a few times as long as they usually take, within bounds. A hold has its wait besides.
+// A call times out after a multiple of the mean answer time, within bounds. A hold's own wait is added to that.
 const (
 	minTimeout = 120 * time.Millisecond
 	maxTimeout = 700 * time.Millisecond
-	// timeoutFactor is how many times the mean answer time a call waits; meanSamples is over how many answers that mean goes.
+	// timeoutFactor is the multiple of the mean answer time after which a call times out; meanSamples is over how many answers that mean is
+	// taken.
 	timeoutFactor = 8
 	meanSamples   = 24
-	// maxMeanForLoss is up to which mean answer time a missing answer counts as lost: beyond it, this replica or the way is slow itself, and
-	// more calls would make that worse.
+	// maxMeanForLoss is the mean answer time up to which a missing answer counts as lost. Beyond it, this replica or the network is itself
+	// slow, and more calls would make that worse.
 	maxMeanForLoss = 25 * time.Millisecond
-	// slowMargin is by how much the mean answer may take longer than the quickest of late; baselineSamples is over how many answers that one
-	// is forgotten.
+	// slowMargin is by how much the mean answer time may exceed the baseline; baselineSamples is over how many answers the baseline rises
+	// to a longer time.
 	slowMargin      = 25 * time.Millisecond
 	baselineSamples = 4096
-	// hedgeDivisor is after which part of its time-out a start is sent a second time.
+	// hedgeDivisor sets when a start is sent a second time: after this fraction of its timeout.
 	hedgeDivisor = 4
-	// initialMean is the mean before anything was measured.
+	// initialMean is the mean before any measurement.
 	initialMean = 30 * time.Millisecond
 )
 
-// callLatency is what was learnt of how long workers take to answer, and whether answers are lost on their way.
+// callLatency tracks how long workers take to answer and whether answers get lost.
 type callLatency struct {
 	mean time.Duration
-	// baseline is how long the way takes at least, as the quickest of late show.
+	// baseline is the shortest recent answer time: roughly the network's round trip.
 	baseline time.Duration
-	// lossyUntil is how long answers are taken to be lost now and then, though the workers are there.
+	// lossyUntil is until when answers count as being lost now and then, although the workers are up.
 	lossyUntil time.Duration
 }
 
 // lossyFor is how long one lost answer counts.
 const lossyFor = 4 * time.Second
 
-// observe takes in how long an answer took.
+// observe records one answer time.
 func (a *callLatency) observe(took time.Duration) {
 	if a.mean == 0 {
 		a.mean = initialMean
@@ -79,11 +80,11 @@
 	a.baseline += (took - a.baseline) / baselineSamples
 }
 
-// slow tells whether answers take clearly longer than the way does: this replica has more to do than it gets done, and more calls would make
-// that worse.
+// slow reports whether answers take clearly longer than the baseline. Then this replica is overloaded, and more calls would make that
+// worse.
 func (a *callLatency) slow() bool { return a.mean-a.baseline > slowMargin }
 
-// timeout is how long a call waits for its answer.
+// timeout returns how long a call waits for its answer.
 func (a *callLatency) timeout() time.Duration {
 	mean := a.mean
 	if mean == 0 {
@@ -92,27 +93,27 @@
 	return min(max(timeoutFactor*mean, minTimeout), maxTimeout)
 }
 
-// hedgeDelay is after how long without an answer a start is sent once more.
+// hedgeDelay returns after how long without an answer a start is resent.
 func (a *callLatency) hedgeDelay() time.Duration { return a.timeout() / hedgeDivisor }
 
-// lossy tells whether answers are lost now and then.
+// lossy reports whether answers are being lost now and then.
 func (s *Scheduler) lossy() bool { return s.now < s.latency.lossyUntil }
 
-// callUnanswered takes note of a call without an answer; if its worker has answered another call since, the answer was lost.
+// callUnanswered handles a call without an answer. If its worker has answered another call since, the answer was lost.
 func (s *Scheduler) callUnanswered(ended *call) {
 	if ended.worker.answeredAt > ended.sentAt {
 		s.noteLostAnswer()
 	}
 }
 
-// noteLostAnswer takes note of a lost answer, unless answers are slow altogether.
+// noteLostAnswer records a lost answer, unless answers are slow in general.
 func (s *Scheduler) noteLostAnswer() {
 	if s.latency.mean < maxMeanForLoss {
 		s.latency.lossyUntil = s.now + lossyFor
 	}
 }
 
-// callAnswered takes note of a worker's answer to a call that wasn't to wait.
+// callAnswered records a worker's answer. Holds are not measured, because they wait on the worker.
 func (s *Scheduler) callAnswered(ended *call) {
 	ended.worker.answeredAt = s.now
 	if ended.kind != CallHold {
@@ -123,25 +124,25 @@
 	}
 }
 
-// call is a call that is out.
+// call is an outstanding call.
 type call struct {
 	id        uint64
 	kind      CallKind
 	worker    *worker
-	run       *run // of a start or a stop
+	run       *run // set for a start or a stop
 	sentAt    time.Duration
-	firstHold bool // it is a look at a worker that has answered nothing yet
+	firstHold bool // a hold to a worker that has not answered any yet
 }
 
-// reservedCalls are left for starts and stops when workers are asked twice.
+// reservedCalls are kept free for starts and stops when second holds are sent.
 const reservedCalls = 256
 
-// hasSpareCalls tells whether there is room for calls that could be done without.
+// hasSpareCalls reports whether optional calls may be made within the call limit.
 func (s *Scheduler) hasSpareCalls() bool {
 	return s.maxCalls == 0 || len(s.calls)+reservedCalls < s.maxCalls
 }
 
-// send puts a call out.
+// send queues a call for output and returns its ID.
 func (s *Scheduler) send(made Call, w *worker, r *run) uint64 {
 	s.lastCallID++
 	made.ID = s.lastCallID
--- a/internal/system/scheduler/check.go
+++ b/internal/system/scheduler/check.go
@@ -9,8 +9,8 @@
 	"gaugeslip/internal/system/state"
 )
 
-// Check looks for broken invariants and tells the first: sums of room, tasks that are neither held nor run, and runs that differ from
-// the replicated state. It looks at everything, which is for tests.
+// Check verifies the scheduler's invariants and returns the first violation: sums of used capacity, tasks that are neither queued nor
+// running, and runs that differ from the replicated state. It looks at everything and is meant for tests.
 func (s *Scheduler) Check() error {
 	for instance, w := range s.workers {
 		if err := s.checkWorker(w); err != nil {
@@ -26,7 +26,8 @@
 	return cmp.Or(s.checkShareReservations(), s.checkStartLimiter(), s.checkPending(), s.checkPlacements())
 }
 
-// checkStartLimiter holds that the starts under way are those that are out, or may still be committed.
+// checkStartLimiter verifies the limiter's counts: sent starts equal the outstanding calls, and proposed starts are at most the counted
+// ones.
 func (s *Scheduler) checkStartLimiter() error {
 	sent, proposed := 0, 0
 	for _, made := range s.calls {
@@ -42,23 +43,23 @@
 		}
 	}
 	if sent != s.startLimiter.sent || proposed > s.startLimiter.proposed {
-		return fmt.Errorf("%d starts are out and %d proposed, counted are %d and %d", sent, proposed, s.startLimiter.sent, s.startLimiter.proposed)
+		return fmt.Errorf("%d starts are in flight and %d proposed, but the limiter counts %d and %d", sent, proposed, s.startLimiter.sent, s.startLimiter.proposed)
 	}
 	return nil
 }
 
-// What CheckSome looks at. A step may have a hundred thousand tasks, and each is looked for among those that wait: comparisons are bounded
-// over all jobs.
+// These constants limit the work of CheckSome. A step may have a hundred thousand tasks, and each is searched for among the waiting ones, so
+// the number of comparisons is limited over all jobs.
 const (
 	sampledWorkers     = 8
 	sampledJobs        = 16
 	sampledComparisons = 20_000
 )
 
-// CheckSome is Check for a few workers and jobs, other ones each time: it is for running systems.
+// CheckSome is Check for a few workers and jobs, different ones each time. It is meant for running systems.
 func (s *Scheduler) CheckSome() error {
 	left := sampledWorkers
-	for instance, w := range s.workers { // the order of a map is another each time
+	for instance, w := range s.workers { // map iteration order varies
 		if left--; left < 0 {
 			break
 		}
@@ -80,9 +81,9 @@
 }
 
 func (s *Scheduler) checkShareReservations() error {
-	for tenant, kept := range s.shares.reservations {
-		if st := kept.step; !st.queued || st.tenant() != tenant {
-			return fmt.Errorf("the share of %q is kept for a step of %q with queued %v", tenant, st.tenant(), st.queued)
+	for tenant, reservation := range s.shares.reservations {
+		if st := reservation.step; !st.queued || st.tenant() != tenant {
+			return fmt.Errorf("the share of %q is reserved for a step of %q with queued=%v", tenant, st.tenant(), st.queued)
 		}
 	}
 	return nil
@@ -90,27 +91,27 @@
 
 func (s *Scheduler) checkWorker(w *worker) error {
 	if len(w.runList) != len(w.runs) {
-		return fmt.Errorf("%d runs are listed, %d kept", len(w.runList), len(w.runs))
+		return fmt.Errorf("%d runs in the list, %d in the map", len(w.runList), len(w.runs))
 	}
 	used := Resources{}
 	for name, r := range w.runs {
 		if r.name != name || r.worker != w {
-			return fmt.Errorf("run %v is kept under %v", r.name, name)
+			return fmt.Errorf("run %v is stored under the name %v", r.name, name)
 		}
 		if r.phase.usesCapacity() {
 			used = used.plus(r.need)
 		}
 	}
 	if used != w.used {
-		return fmt.Errorf("%v is used, counted %v", used, w.used)
+		return fmt.Errorf("the runs use %v, but %v is counted", used, w.used)
 	}
 	if w.schedulable() && len(w.withheld) == 0 && !used.fitsInto(w.capacity) && !w.hasUnorderedRuns() {
-		return fmt.Errorf("%v is used of %v", used, w.capacity)
+		return fmt.Errorf("%v is used, more than the capacity %v", used, w.capacity)
 	}
 	return nil
 }
 
-// hasUnorderedRuns tells whether something runs that isn't ours to order.
+// hasUnorderedRuns reports whether the worker has a foreign, inherited or resumed run. Such runs may exceed its capacity.
 func (w *worker) hasUnorderedRuns() bool {
 	for _, r := range w.runs {
 		if r.foreign || r.phase == runInherited || r.resumed {
@@ -120,19 +121,19 @@
 	return false
 }
 
-// checkJob looks at a job until so many comparisons are made.
+// checkJob checks a job until the comparisons are used up.
 func (s *Scheduler) checkJob(j *job, comparisons *int) error {
 	if j.record.State.Over() {
-		return fmt.Errorf("is over as %s", j.record.State)
+		return fmt.Errorf("is over with state %s", j.record.State)
 	}
 	if s.pending.contains(j) == j.begun {
-		return fmt.Errorf("is pending: %v, has begun: %v", !j.begun, j.begun)
+		return fmt.Errorf("counts as pending: %v, has begun: %v", !j.begun, j.begun)
 	}
 	for _, t := range j.occurrences {
 		for number, st := range t.steps {
 			if st == nil {
 				if j.record.StepReady(t.number, uint32(number)) {
-					return fmt.Errorf("step %d.%d is ready and not open", t.number, number)
+					return fmt.Errorf("step %d.%d is ready but not open", t.number, number)
 				}
 				continue
 			}
@@ -146,14 +147,14 @@
 
 func (s *Scheduler) checkStep(st *step, comparisons *int) error {
 	if st.queued != (st.hasWaiting() && !st.closed) {
-		return fmt.Errorf("queued is %v with %d waiting, closed %v", st.queued, len(st.waiting), st.closed)
+		return fmt.Errorf("queued is %v with %d waiting tasks, closed is %v", st.queued, len(st.waiting), st.closed)
 	}
 	for k := range st.tasks {
 		if *comparisons <= 0 {
 			return nil
 		}
 		*comparisons -= 1 + len(st.waiting)
-		i := (int(s.lastCallID) + k) % len(st.tasks) // from another one on each time
+		i := (int(s.lastCallID) + k) % len(st.tasks) // begin with another task each time
 		if err := s.checkTask(st, uint32(i)); err != nil {
 			return fmt.Errorf("task %d: %w", i, err)
 		}
@@ -169,23 +170,23 @@
 	case !st.opened || st.stage.Gang:
 		return nil
 	case done != (t.state == taskDone):
-		return fmt.Errorf("done is %v in state %d", done, t.state)
+		return fmt.Errorf("done is %v in task state %d", done, t.state)
 	case t.state == taskActive && len(t.runs) == 0:
 		return fmt.Errorf("is active without a run")
 	case (t.state == taskWaiting) != slices.Contains(st.waiting, index) && !st.stage.Speculative:
-		return fmt.Errorf("is in state %d, held: %v", t.state, slices.Contains(st.waiting, index))
+		return fmt.Errorf("is in state %d, in the waiting list: %v", t.state, slices.Contains(st.waiting, index))
 	case t.state == taskIdle:
 		return fmt.Errorf("is idle in an open step")
 	}
 	return nil
 }
 
-// checkPending holds that no job counts as pending that is over.
+// checkPending verifies that no finished job counts as pending.
 func (s *Scheduler) checkPending() error {
 	for route, queue := range s.pending {
 		for id := range queue {
 			if record := s.machine.Job(id); record == nil || record.State.Over() {
-				return fmt.Errorf("job %s of %q is over and pending", id, route)
+				return fmt.Errorf("job %s of %q is over but counts as pending", id, route)
 			}
 		}
 	}
@@ -196,7 +197,7 @@
 func (s *Scheduler) checkPlacements() error {
 	for instance, record := range s.machine.Workers() {
 		if w := s.workers[instance]; w == nil && len(record.Runs) > 0 {
-			return fmt.Errorf("%d runs on %s aren't known", len(record.Runs), instance)
+			return fmt.Errorf("%d runs on %s are not tracked", len(record.Runs), instance)
 		}
 	}
 	for instance, w := range s.workers {
@@ -207,13 +208,13 @@
 	return nil
 }
 
-// checkPlacementsOf compares the runs of one worker, both ways.
+// checkPlacementsOf compares the runs of one worker in both directions.
 func (s *Scheduler) checkPlacementsOf(instance string, w *worker) error {
 	record := s.machine.Worker(instance)
 	if record != nil {
 		for name := range record.Runs {
 			if w.runs[name] == nil {
-				return fmt.Errorf("run %v on %s isn't known", name, instance)
+				return fmt.Errorf("run %v on %s is not tracked", name, instance)
 			}
 		}
 	}
@@ -222,7 +223,7 @@
 			continue
 		}
 		if !isPlacement(record, name) {
-			return fmt.Errorf("run %v on %s, %s, is no placement", name, instance, phaseNames[r.phase])
+			return fmt.Errorf("run %v on %s, in phase %s, is not in the replicated state", name, instance, phaseNames[r.phase])
 		}
 	}
 	return nil
--- a/internal/system/scheduler/drain.go
+++ b/internal/system/scheduler/drain.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// departure is what is known of a worker's leaving.
+// departure is what is known of when a draining worker leaves.
 type departure struct {
-	earliest     time.Duration // when it is gone at the earliest; 0: it stays
-	checkPlanned bool          // another look is planned
+	earliest     time.Duration // earliest time at which it is gone; 0 if it stays
+	checkPlanned bool          // the next evacuation check is scheduled
 }
 
 const (
-	// evacuationMargin is what is kept of the time that is left, besides a stop.
+	// evacuationMargin is reserved from the remaining time, in addition to the duration of a stop.
 	evacuationMargin = 700 * time.Millisecond
-	// hopeless is how many times the time that is left a run must need to be moved at once though its progress is kept.
+	// hopelessFactor is how many times the remaining time a run must need to be moved at once although its progress is saved.
 	hopelessFactor = 3
-	// doubtfulFactor is the same for a run that loses its progress: workers often stay longer than they say.
+	// doubtfulFactor is the same for a run that loses its progress. It is above 1 because workers often stay longer than announced.
 	doubtfulFactor = 1.3
-	// evacuationInterval is how often the runs of a leaving worker are looked at.
+	// evacuationInterval is how often the runs of a draining worker are checked.
 	evacuationInterval = 250 * time.Millisecond
 )
 
-// drain takes note that a worker is to leave, and of how long it surely stays.
+// drain records that a worker is draining and how long it will certainly stay.
 func (s *Scheduler) drain(w *worker, remainingMs int64) {
 	if !w.draining {
 		w.draining = true
@@ -31,7 +31,7 @@
 	s.evacuate(w)
 }
 
-// evacuate moves the runs that won't end before their worker leaves, and looks again while something runs there.
+// evacuate moves runs that will not end before their worker leaves. It schedules the next check while runs remain.
 func (s *Scheduler) evacuate(w *worker) {
 	for _, r := range w.runList {
 		if r.phase == runPresent && !r.stopWanted && s.mustEvacuate(r) {
@@ -50,8 +50,8 @@
 	})
 }
 
-// mustEvacuate tells whether it is time to stop a run on a leaving worker: late for those that keep their progress, so that they may still
-// end, at once for those that can't end.
+// mustEvacuate reports whether a run on a draining worker has to be stopped now. Runs that keep their progress are stopped as late as
+// possible, so that they may still end; runs that cannot end in time are stopped at once.
 func (s *Scheduler) mustEvacuate(r *run) bool {
 	if r.step == nil || r.foreign {
 		return false
@@ -70,13 +70,13 @@
 	return float64(needed) > doubtfulFactor*float64(left)
 }
 
-// fitsElsewhere tells whether another worker would take the run's task now.
+// fitsElsewhere reports whether another worker could take the run's task now.
 func (s *Scheduler) fitsElsewhere(r *run) bool {
 	t := r.task()
 	return t != nil && s.bestWorker(r.step.service.workers, r.step, t) != nil
 }
 
-// moveRun stops a run to start its task elsewhere; a gang moves as a whole.
+// moveRun stops a run so that its task starts elsewhere. A gang moves as a whole.
 func (s *Scheduler) moveRun(r *run) {
 	r.moved = true
 	if t := r.task(); t != nil {
--- a/internal/system/scheduler/estimates.go
+++ b/internal/system/scheduler/estimates.go
@@ -7,13 +7,13 @@
 	"gaugeslip/policy/sizing"
 )
 
-// estimateKey names a class of tasks whose hints err alike.
+// estimateKey identifies a class of tasks whose hints are assumed to have the same error.
 type estimateKey struct {
 	route string
 	gang  bool
 }
 
-// estimate refines the hints of one class by measured run times.
+// estimate corrects the run time hints of one class by measured run times.
 type estimate struct {
 	sizing.Estimator
 }
@@ -21,12 +21,13 @@
 const (
 	// minMeasuredRuns is how many runs of a class have to be measured before its hints are corrected.
 	minMeasuredRuns = 8
-	// maxSizesPerStep is how many tasks of a step the size map takes in at most.
+	// maxSizesPerStep limits how many tasks of a step are recorded in the size map.
 	maxSizesPerStep = 8
-	// minRunTime is the least size that is expected of a task.
+	// minRunTime is the shortest expected run time.
 	minRunTime = time.Millisecond
 )
 
+// estimateOf returns the estimate of a step's class and creates it if needed.
 func (s *Scheduler) estimateOf(st *step) *estimate {
 	key := estimateKey{route: st.job.record.Route, gang: st.stage.Gang}
 	known := s.estimates[key]
@@ -46,7 +47,7 @@
 	return max(known.Size(st.stage.Estimated), minRunTime)
 }
 
-// observeArrival takes in the sizes of a step whose turn has come.
+// observeArrival records the sizes of a step that became ready.
 func (s *Scheduler) observeArrival(st *step) {
 	s.estimateOf(st).Hinted(max(st.stage.Estimated, minRunTime))
 	st.runTime = s.expectedRunTime(st)
@@ -55,7 +56,7 @@
 	}
 }
 
-// measureRun learns the size of a class and the speed of a worker from a run that was done in one go.
+// measureRun updates the class estimate and the worker's speed from a run that was done without a restart from a checkpoint.
 func (s *Scheduler) measureRun(r *run) {
 	st, w := r.step, r.worker
 	if r.resumed || st.stage.LongRunning || r.orderedAt == 0 {
@@ -69,7 +70,7 @@
 	w.health.observe(float64(sound) / float64(st.runTime))
 }
 
-// dataPenalty is how many times as long a step's tasks take on a worker for lying away from its data.
+// dataPenalty returns by what factor a step's tasks take longer on a worker that is away from their data.
 func (s *Scheduler) dataPenalty(st *step, w *worker) float64 {
 	if st.stage.Colocation == "" || w.hasLabel(st.stage.Colocation) {
 		return 1
@@ -77,12 +78,12 @@
 	return s.bounds.Far()
 }
 
-// runTimeOn is how long the step's tasks are expected to run on a worker.
+// runTimeOn returns how long the step's tasks are expected to run on a worker.
 func (s *Scheduler) runTimeOn(st *step, w *worker) time.Duration {
 	return time.Duration(float64(st.runTime) * s.dataPenalty(st, w) * w.health.factor())
 }
 
-// remaining is how much longer a run is expected to take.
+// remaining returns how much longer a run is expected to take.
 func (s *Scheduler) remaining(r *run) time.Duration {
 	if r.step == nil || r.phase == runInherited {
 		return 0
@@ -99,7 +100,7 @@
 	return max(left, (s.now-r.presentAt)/4)
 }
 
-// overdue tells whether a run takes so much longer than expected that it has to be watched.
+// overdue reports whether a run takes so much longer than expected that it has to be watched.
 func (r *run) overdue(now time.Duration) bool {
 	if r.phase != runPresent || r.step == nil || r.step.stage.LongRunning {
 		return false
@@ -109,7 +110,7 @@
 
 const overdueMargin = 500 * time.Millisecond
 
-// learnFromEnd takes in what an end tells of its worker and its class.
+// learnFromEnd updates the worker's health and the class estimate from an end.
 func (s *Scheduler) learnFromEnd(r *run, how state.How) {
 	if r.step == nil || r.foreign {
 		return
--- a/internal/system/scheduler/firstlooks.go
+++ b/internal/system/scheduler/firstlooks.go
@@ -1,23 +1,23 @@
 package scheduler
 
 const (
-	// maxFirstHolds bounds the looks that are out at workers which have answered nothing yet: a new head that asks thousands at once has
-	// no processor left for the answers, which then come too late, and none for its lease.
+	// maxFirstHolds limits the holds in flight to workers that have not answered any yet. If a new head contacts thousands at once, it has
+	// no processor time left for the answers, which then come too late, nor for renewing its lease.
 	maxFirstHolds = 128
-	// smallFleet are asked all at once: asked in turn they would only keep the head from starting anything for a moment.
+	// smallFleet is the number of workers up to which all are contacted at once. Contacting them in turn would only delay the first starts.
 	smallFleet = 640
 )
 
-// firstHoldQueue are the looks at workers that have answered no hold of this scheduler.
+// firstHoldQueue holds the workers that have not answered a hold of this scheduler and wait to be sent one.
 type firstHoldQueue struct {
 	inFlight int
 	// fleet is how many workers the last list had.
 	fleet int
-	// urgent and others wait for their turn: workers on which something may run go before those on which nothing does.
+	// urgent and others wait for their turn. Workers on which runs may exist go first.
 	urgent, others []*worker
 }
 
-// maxFirstHoldsNow is how many first looks may be out.
+// maxFirstHoldsNow returns how many first holds may be in flight.
 func (s *Scheduler) maxFirstHoldsNow() int {
 	if max(len(s.workers), s.firstHolds.fleet) <= smallFleet {
 		return smallFleet
@@ -25,7 +25,7 @@
 	return maxFirstHolds
 }
 
-// maySendHold tells whether a worker's hold may be sent now. A first look for which there is no place waits for its turn.
+// maySendHold reports whether a worker's hold may be sent now. If the limit of first holds is reached, the worker is queued.
 func (s *Scheduler) maySendHold(w *worker) bool {
 	if w.reach != reachUnheard || s.firstHolds.inFlight < s.maxFirstHoldsNow() {
 		return true
@@ -42,7 +42,7 @@
 	return false
 }
 
-// firstHoldEnded gives the place of a first look to the next worker that waits for one.
+// firstHoldEnded lets the next queued workers send their first hold.
 func (s *Scheduler) firstHoldEnded() {
 	s.firstHolds.inFlight--
 	for s.firstHolds.inFlight < s.maxFirstHoldsNow() {
@@ -57,7 +57,7 @@
 	}
 }
 
-// next takes the worker whose turn has come, nil if none waits.
+// next removes and returns the worker whose turn it is; nil if none waits.
 func (l *firstHoldQueue) next() *worker {
 	queue := &l.urgent
 	if len(*queue) == 0 {
--- a/internal/system/scheduler/gangs.go
+++ b/internal/system/scheduler/gangs.go
@@ -4,20 +4,20 @@
 	"time"
 )
 
-// gangState tells what becomes of a gang.
+// gangState is the scheduling state of a gang.
 type gangState uint8
 
 const (
 	gangIdle    gangState = iota
-	gangWaiting           // for room for all of its members at once
+	gangWaiting           // for capacity for all of its members at once
 	gangActive            // runs of it are proposed or may exist
-	gangPaused            // it is tried again after a pause
+	gangPaused            // in backoff before the next start
 )
 
 const (
-	// gangEndGrace is how long the members of a gang that is done have to be listed themselves.
+	// gangEndGrace is how long after a gang is done its members may take until their own ends are listed.
 	gangEndGrace = 500 * time.Millisecond
-	// gangRetryInterval is how often a held gang is tried while room is freed.
+	// gangRetryInterval is how often a queued gang is tried while capacity is freed.
 	gangRetryInterval = 20 * time.Millisecond
 )
 
@@ -58,7 +58,7 @@
 	s.closeStep(st)
 }
 
-// awaitGangCapacity has the whole gang wait for room, after a pause where it was refused too often.
+// awaitGangCapacity makes the whole gang wait for capacity, after a backoff if its starts were refused several times in a row.
 func (s *Scheduler) awaitGangCapacity(st *step) {
 	if st.gang == gangWaiting || st.gang == gangPaused {
 		return
@@ -85,7 +85,7 @@
 	}
 }
 
-// enqueueGang has the gang wait for room from now on.
+// enqueueGang makes the gang wait for capacity from now on.
 func (s *Scheduler) enqueueGang(st *step) {
 	st.gang = gangWaiting
 	s.enqueue(st)
@@ -94,7 +94,7 @@
 	}
 }
 
-// gangAvoids tells whether any member is to be kept from a worker now.
+// gangAvoids reports whether any member has to avoid a worker now.
 func (s *Scheduler) gangAvoids(st *step, w *worker) bool {
 	for i := range st.tasks {
 		if st.tasks[i].avoid == w && s.now < st.tasks[i].avoidUntil {
@@ -104,7 +104,7 @@
 	return false
 }
 
-// stopGang stops all members of a gang that isn't whole any more.
+// stopGang stops all members of a gang that is no longer complete.
 func (s *Scheduler) stopGang(st *step) {
 	for i := range st.tasks {
 		for _, r := range st.tasks[i].runs {
@@ -113,14 +113,14 @@
 	}
 }
 
-// stopRestOfGang stops the other members of a gang of which one wasn't started.
+// stopRestOfGang stops the other members of a gang of which one member was not started.
 func (s *Scheduler) stopRestOfGang(r *run) {
 	if r.step != nil && !r.foreign && r.step.stage.Gang && !r.step.closed {
 		s.stopGang(r.step)
 	}
 }
 
-// retryGang tries a held gang again, not too often.
+// retryGang tries a queued gang again, at most once per gangRetryInterval.
 func (s *Scheduler) retryGang(st *step) {
 	if s.now >= st.gangRetryAt {
 		s.placeGang(st)
@@ -158,7 +158,7 @@
 	}
 }
 
-// gangCheckpoint is the newest progress of any member, which serves for all.
+// gangCheckpoint returns the newest checkpoint of any member; it is valid for all members.
 func (s *Scheduler) gangCheckpoint(st *step) string {
 	newest := checkpoint{}
 	for i := range st.tasks {
@@ -173,7 +173,8 @@
 	return newest.text
 }
 
-// chooseGang finds room for all members: in one rack where the gang wants that, else anywhere. Nil: there is none.
+// chooseGang finds workers for all members: in one rack if the gang asks for that and one has capacity, else anywhere. It returns nil if
+// there are none.
 func (s *Scheduler) chooseGang(st *step) []*worker {
 	if st.stage.SameRack {
 		if members := s.chooseRack(st); members != nil {
@@ -183,7 +184,7 @@
 	return s.chooseMembers(st, func(*worker) bool { return true })
 }
 
-// chooseRack finds the rack in which all members have room with the least to spare.
+// chooseRack picks the rack that can take all members with the least capacity left over.
 func (s *Scheduler) chooseRack(st *step) []*worker {
 	room := make(map[string]int)
 	for _, w := range st.service.workers {
@@ -206,7 +207,7 @@
 	return s.chooseMembers(st, func(w *worker) bool { return w.rack() == best })
 }
 
-// gangCapacity is how many members fit on a worker.
+// gangCapacity returns how many members fit on a worker.
 func (s *Scheduler) gangCapacity(w *worker, st *step) int {
 	fits := st.need.fitCount(w.free())
 	if st.stage.AntiAffinity > 0 {
@@ -218,7 +219,7 @@
 	return fits
 }
 
-// chooseMembers deals the members out to the best workers that are allowed.
+// chooseMembers assigns the members to the best workers that are allowed.
 func (s *Scheduler) chooseMembers(st *step, allowed func(*worker) bool) []*worker {
 	members := s.scratch.members[:0]
 	s.lastMark++
@@ -238,7 +239,7 @@
 	return members
 }
 
-// bestUnusedWorker is the best worker for members that hasn't been given any in this round.
+// bestUnusedWorker returns the best worker that has been given no members in this round.
 func (s *Scheduler) bestUnusedWorker(st *step, allowed func(*worker) bool, mark uint64) *worker {
 	return s.bestAmong(st.service.workers, st, func(w *worker) bool {
 		return w.hold.gangMark != mark && allowed(w) && !s.gangAvoids(st, w) && s.feasible(w, st, &st.tasks[0])
--- a/internal/system/scheduler/health.go
+++ b/internal/system/scheduler/health.go
@@ -8,7 +8,7 @@
 	"gaugeslip/internal/system/state"
 )
 
-// health is what was learnt of one life of a worker.
+// health is the observed reliability and speed of one worker instance.
 type health struct {
 	recent           [8]endRecord // the last ends, newest first
 	ends             int
@@ -19,33 +19,34 @@
 	quarantined      bool
 	busyUntil        time.Duration
 	busyAnswers      int
-	slowLog          float64 // mean logarithm of run time against estimate
+	slowLog          float64 // weighted mean logarithm of run time divided by estimate
 	slowWeight       float64
 	slow             float64 // the same as a factor; 0 before the first run
 }
 
-// endRecord is one end, as it counts for the worker.
+// endRecord is one end of a run, as it counts for the worker's health.
 type endRecord struct {
 	failed bool
 	job    state.JobID
 }
 
 const (
-	// A worker is shut out when of its last few ends, or of some more, so many have failed, of as many jobs.
+	// A worker is quarantined when runs of shortWindowFailures different jobs failed among its last shortWindow ends, or of longWindowFailures
+	// jobs among its last longWindow ends.
 	shortWindow, shortWindowFailures = 3, 2
 	longWindow, longWindowFailures   = 8, 3
 	minQuarantine                    = 2 * time.Second
 	maxQuarantine                    = 8 * time.Second
-	// suspicionHalfLife is how soon half of the suspicion after a failure is gone.
+	// suspicionHalfLife is the time in which the suspicion after a failure halves.
 	suspicionHalfLife = 3 * time.Second
 	minBusyBackoff    = 500 * time.Millisecond
 	maxBusyBackoff    = 4 * time.Second
-	// slowThreshold is how many times as long as expected runs take on a slow worker.
+	// slowThreshold is the ratio of run time to expectation from which a worker counts as slow.
 	slowThreshold = 1.6
 	slowSamples   = 6
 )
 
-// observe takes in how long a run took against what was expected.
+// observe records the ratio of a run's time to its expectation.
 func (h *health) observe(ratio float64) {
 	h.slowWeight = min(h.slowWeight+1, slowSamples)
 	value := math.Log(min(max(ratio, 0.1), 20))
@@ -53,10 +54,10 @@
 	h.slow = math.Exp(h.slowLog)
 }
 
-// slowness is how many times as long as expected runs take here.
+// slowness returns the ratio of run times to expectations on this worker.
 func (h *health) slowness() float64 { return cmp.Or(h.slow, 1) }
 
-// factor is by how much runs here are expected to be longer; small differences don't count.
+// factor returns by how much runs here are expected to be longer. Ratios below slowThreshold do not count.
 func (h *health) factor() float64 {
 	if slow := h.slowness(); slow >= slowThreshold {
 		return slow
@@ -64,7 +65,7 @@
 	return 1
 }
 
-// suspicion is between 0 and 1: how recently something has failed here.
+// suspicion is between 0 and 1 and tells how recently a run has failed here.
 func (h *health) suspicion(now time.Duration) float64 {
 	if h.failedAt == 0 {
 		return 0
@@ -72,17 +73,17 @@
 	return math.Exp2(-float64(now-h.failedAt) / float64(suspicionHalfLife))
 }
 
-// onTrial tells whether the worker is given one task at a time only.
+// onTrial reports whether the worker is given only one task at a time.
 func (h *health) onTrial() bool { return h.quarantined }
 
-// recordEnd takes in one end, newest first.
+// recordEnd adds one end in front of the others.
 func (h *health) recordEnd(end endRecord) {
 	copy(h.recent[1:], h.recent[:])
 	h.recent[0] = end
 	h.ends++
 }
 
-// failedJobs is of how many different jobs runs have failed among the last ends.
+// failedJobs returns of how many different jobs runs have failed among the last ends.
 func (h *health) failedJobs(last int) int {
 	count := 0
 	for i := range min(h.ends, last) {
@@ -102,7 +103,7 @@
 	return false
 }
 
-// noteSuccess takes note of a clean finish: it reopens a worker that was shut out.
+// noteSuccess records a run that ended as done. It ends the worker's quarantine.
 func (s *Scheduler) noteSuccess(r *run) {
 	h := &r.worker.health
 	h.recordEnd(endRecord{job: r.name.Task.Job})
@@ -120,7 +121,7 @@
 	h.failedAt = 0
 }
 
-// excuseJob takes back what the failure of a job's task has told against the worker.
+// excuseJob removes a job's failures from the worker's record.
 func (h *health) excuseJob(job state.JobID) {
 	still := false
 	for i := range h.recent {
@@ -134,8 +135,8 @@
 	}
 }
 
-// noteFailure takes note of a failed run, and shuts the worker out if several jobs have failed there of late. A task that has failed
-// elsewhere too is taken to be at fault itself, on both workers.
+// noteFailure records a failed run, and quarantines the worker if several jobs have failed there recently. If the task has also failed on
+// another worker, the task is assumed to be the cause, and neither worker is blamed.
 func (s *Scheduler) noteFailure(r *run) {
 	if r.step.stage.LongRunning {
 		return
@@ -156,7 +157,7 @@
 	}
 }
 
-// quarantine keeps tasks from a worker for a while; after that it gets one at a time until one ends well.
+// quarantine keeps tasks from a worker for a while. After that the worker gets one task at a time until one succeeds.
 func (s *Scheduler) quarantine(w *worker) {
 	h := &w.health
 	h.quarantined = true
@@ -170,7 +171,7 @@
 	s.runAt(h.quarantinedUntil, func() { s.capacityFreed(w) })
 }
 
-// noteBusy keeps tasks from a worker that says that it isn't well.
+// noteBusy keeps tasks from a worker that answered that it is busy.
 func (s *Scheduler) noteBusy(w *worker) {
 	h := &w.health
 	pause := min(minBusyBackoff<<min(h.busyAnswers, 8), maxBusyBackoff)
@@ -179,7 +180,7 @@
 	s.runAt(h.busyUntil, func() { s.capacityFreed(w) })
 }
 
-// trusted tells whether a task may be risked on a worker.
+// trusted reports whether the worker's health allows starting a task there.
 func (s *Scheduler) trusted(w *worker, st *step, t *task) bool {
 	h := &w.health
 	if s.now < h.busyUntil {
@@ -192,13 +193,13 @@
 }
 
 const (
-	// maxProvenSuspicion is the suspicion below which a worker may be given a task that has failed before.
+	// maxProvenSuspicion is the suspicion up to which a worker may be given a task that has failed before.
 	maxProvenSuspicion = 0.25
-	// restrictFor is how long such a task waits for a worker that is proven.
+	// restrictFor is how long such a task waits for a proven worker.
 	restrictFor = 1500 * time.Millisecond
 )
 
-// proven tells whether a task that has failed before may be given to a worker; at its last try only one where runs have ended well.
+// proven reports whether a task that has failed before may be given to a worker. For its last try, the worker must also have had a success.
 func (s *Scheduler) proven(w *worker, st *step, t *task) bool {
 	h := &w.health
 	if h.suspicion(s.now) > maxProvenSuspicion || h.factor() > 1 {
--- a/internal/system/scheduler/holds.go
+++ b/internal/system/scheduler/holds.go
@@ -7,43 +7,45 @@
 )
 
 const (
-	// maxHoldWait is how long a hold waits for an end where nothing runs, runningHoldWait where something does, and lossyHoldWait while
-	// answers are lost now and then: what an end costs whose hold was lost.
+	// maxHoldWait is how long a hold waits for an end if nothing runs on the worker. runningHoldWait applies if something runs, and
+	// lossyHoldWait while answers are being lost: it limits the delay of an end whose hold was lost.
 	maxHoldWait = workerapi.MaxWaitMs * time.Millisecond
-	// In a large fleet both are longer, so that there are no more than some looks a second.
+	// In a large fleet both are longer, to limit the holds per second.
 	runningHoldWait   = 600 * time.Millisecond
 	lossyHoldWait     = 200 * time.Millisecond
 	holdWaitPerWorker = 3 * time.Millisecond
-	// silentAfter is after how many unanswered holds a worker counts as out of reach, silentAfterLossy while answers are lost.
+	// silentAfter is after how many consecutive unanswered holds a worker counts as silent; silentAfterLossy applies while answers are
+	// being lost.
 	silentAfter      = 2
 	silentAfterLossy = 4
-	// overdueHoldWait is how long a hold waits where a run is overdue.
+	// overdueHoldWait is how long a hold waits if a run is overdue.
 	overdueHoldWait = 700 * time.Millisecond
-	// commitWait is how long the next hold waits for the commit of the ends that the last one listed.
+	// commitWait is how long the next hold is delayed for the commit of the ends that the last one listed.
 	commitWait = 300 * time.Millisecond
 	minRetry   = 100 * time.Millisecond
 	maxRetry   = 500 * time.Millisecond
 	idleRetry  = 2 * time.Second
-	// earlyAnswer is how soon an answer without ends is too soon for a hold that was to wait.
+	// earlyAnswer is the time below which an answer without new ends counts as too early for a hold that was to wait; the next hold is then
+	// delayed by earlyAnswerPause.
 	earlyAnswer      = 50 * time.Millisecond
 	earlyAnswerPause = 250 * time.Millisecond
 )
 
-// holdState is the loop of holds of one worker: one is out, or the next has a time.
+// holdState is the loop of holds of one worker: one is in flight, or the next is scheduled.
 type holdState struct {
-	callID       uint64
-	probeID      uint64 // a second one, without a wait, for runs in doubt
-	listClockMs  int64  // the worker's clock at the newest list of what runs
+	callID       uint64 // the hold in flight; 0 if none
+	probeID      uint64 // a second hold: for runs in doubt, or while answers are being lost; 0 if none
+	listClockMs  int64  // the worker's clock at the newest list of running tasks
 	wait         time.Duration
-	nextAt       time.Duration // 0: none
+	nextAt       time.Duration // when the next hold is scheduled; 0 if none
 	failures     int
-	mark         uint64 // of the last list
+	mark         uint64 // of the last platform list that had the worker
 	lossCheckAt  time.Duration
-	inFirstQueue bool   // its first look waits for its turn
-	gangMark     uint64 // the gang for which it was chosen last
+	inFirstQueue bool   // its first hold waits for its turn
+	gangMark     uint64 // the gang placement for which it was chosen last
 }
 
-// scheduleHold has the next hold sent at a time, or earlier if that was settled before.
+// scheduleHold has the next hold sent at a time, unless an earlier one is scheduled.
 func (s *Scheduler) scheduleHold(w *worker, at time.Duration) {
 	if w.hold.callID != 0 || w.reach == reachOver || w.lossProposed || w.identity.Address == "" {
 		return
@@ -75,7 +77,7 @@
 	}
 }
 
-// probe looks at a worker at once, beside the hold that is out, for the sake of a run in doubt.
+// probe sends a hold without a wait, beside the one in flight, to resolve a run in doubt.
 func (s *Scheduler) probe(w *worker) {
 	if w.hold.callID == 0 || w.hold.wait == 0 {
 		s.scheduleHold(w, s.now)
@@ -86,6 +88,7 @@
 	}
 }
 
+// sendHoldOrder sends a hold and returns its call ID.
 func (s *Scheduler) sendHoldOrder(w *worker, wait time.Duration) uint64 {
 	order := workerapi.HoldOrder{
 		FenceToken: s.token,
@@ -99,8 +102,8 @@
 	return s.send(Call{Kind: CallHold, Hold: order, Timeout: wait + s.latency.timeout()}, w, nil)
 }
 
-// holdDueMs is the due time of the next hold, on the worker's clock. A worker out of reach is asked for nothing beyond what it was asked
-// for before: any hold may be carried out though no answer comes, and what runs there has to run out some time.
+// holdDueMs returns the due time of the next hold, on the worker's clock. For a silent worker it never exceeds what was sent before: any
+// hold may be carried out although no answer comes, and the runs there must expire at some point.
 func (s *Scheduler) holdDueMs(w *worker) int64 {
 	if w.reach == reachSilent {
 		return w.maxDueMs
@@ -108,8 +111,8 @@
 	return w.clock.lowerBound(s.now) + s.bounds.MaxHold().Milliseconds()
 }
 
-// lastCommittedEnd is the number up to which ends are committed. The loss of a worker takes it out of the replicated state, though the same
-// life may come back and list those ends again.
+// lastCommittedEnd returns the number up to which ends are committed. It is kept here too, because the loss of a worker removes the number
+// from the replicated state, although the same instance may come back and list those ends again.
 func (s *Scheduler) lastCommittedEnd(w *worker) uint64 {
 	if record := s.machine.Worker(w.identity.Instance); record != nil {
 		w.lastCommittedEnd = max(w.lastCommittedEnd, record.LastSeen)
@@ -117,10 +120,10 @@
 	return w.lastCommittedEnd
 }
 
-// holdWait is how long the next hold is to wait for an end.
+// holdWait returns how long the next hold may wait for an end.
 func (s *Scheduler) holdWait(w *worker) time.Duration {
 	if w.reach != reachAnswering || !w.clock.known || w.hold.failures > 0 {
-		return 0 // the sooner it answers or doesn't, the sooner nothing more is started there
+		return 0 // the sooner it answers or fails, the sooner starts there can stop
 	}
 	wait := min(maxHoldWait, s.bounds.MaxHold()/3)
 	if len(w.runs) > 0 {
@@ -137,7 +140,7 @@
 	return max(wait, 0).Truncate(time.Millisecond)
 }
 
-// holdWaitForRun is how long a hold may wait for the sake of one run.
+// holdWaitForRun returns how long a hold may wait in view of one run.
 func (s *Scheduler) holdWaitForRun(r *run) time.Duration {
 	switch {
 	case r.phase == runDoubtful:
@@ -150,7 +153,7 @@
 	return maxHoldWait
 }
 
-// holdEnded takes in the answer to a hold, or its failure.
+// holdEnded handles the answer to a hold, or its failure.
 func (s *Scheduler) holdEnded(ended *call, reply *workerapi.HoldReply) {
 	w := ended.worker
 	if ended.id == w.hold.probeID {
@@ -169,7 +172,7 @@
 	}
 }
 
-// probeEnded takes in the answer to a second hold; its loss says nothing, and the runs in doubt are looked for again.
+// probeEnded handles the answer to a probe. A lost probe has no consequence; the runs in doubt are probed again.
 func (s *Scheduler) probeEnded(ended *call, reply *workerapi.HoldReply) {
 	w := ended.worker
 	w.hold.probeID = 0
@@ -186,7 +189,7 @@
 	}
 }
 
-// markSilent takes a worker for out of reach, and looks whether it is: nothing is started there until it answers a hold.
+// markSilent marks a worker as silent and probes it. Nothing is started there until it answers a hold.
 func (s *Scheduler) markSilent(w *worker) {
 	if w.reach != reachAnswering {
 		return
@@ -197,7 +200,7 @@
 	s.probe(w)
 }
 
-// markAnswering takes a worker that has answered a hold for one in reach.
+// markAnswering marks a worker that has answered a hold as answering.
 func (s *Scheduler) markAnswering(w *worker) {
 	if w.reach == reachAnswering || w.reach == reachOver {
 		return
@@ -207,7 +210,7 @@
 	s.capacityFreed(w)
 }
 
-// holdFailed takes note of a worker that can't be reached, and tries again.
+// holdFailed handles a hold without an answer and schedules the next try.
 func (s *Scheduler) holdFailed(w *worker) {
 	w.hold.failures++
 	most := silentAfter
@@ -227,27 +230,27 @@
 	s.scheduleHold(w, s.now+retry)
 }
 
-// holdAnswered takes in both lists of a worker.
+// holdAnswered processes both lists of a worker.
 func (s *Scheduler) holdAnswered(w *worker, ended *call, reply *workerapi.HoldReply) {
 	if w.hold.failures > 0 && w.reach == reachAnswering {
 		s.noteLostAnswer()
 	}
 	w.hold.failures = 0
-	news := s.processLists(w, ended, reply)
+	hasNew := s.processLists(w, ended, reply)
 	s.markAnswering(w)
 	if reply.RemainingMs > 0 {
 		s.drain(w, reply.RemainingMs)
 	}
 	s.watchWorker(w)
-	s.scheduleHold(w, s.now+s.holdPause(w, ended, news))
+	s.scheduleHold(w, s.now+s.holdPause(w, ended, hasNew))
 }
 
-// holdPause is how long to wait before the next hold: for the commit of ends, or since the last answer came too soon.
-func (s *Scheduler) holdPause(w *worker, ended *call, news bool) time.Duration {
+// holdPause returns how long to wait before the next hold: for the commit of ends, or because the last answer came too early.
+func (s *Scheduler) holdPause(w *worker, ended *call, hasNew bool) time.Duration {
 	if w.lastProposedEnd > s.lastCommittedEnd(w) {
 		return commitWait
 	}
-	if !news && w.hold.wait > earlyAnswer && s.now-ended.sentAt < earlyAnswer {
+	if !hasNew && w.hold.wait > earlyAnswer && s.now-ended.sentAt < earlyAnswer {
 		return earlyAnswerPause
 	}
 	return 0
--- a/internal/system/scheduler/jobs.go
+++ b/internal/system/scheduler/jobs.go
@@ -9,12 +9,12 @@
 	"gaugeslip/internal/system/state"
 )
 
-// job is what the scheduler keeps of an unfinished job.
+// job is the scheduler's record of an unfinished job.
 type job struct {
 	record *state.Job
-	// accepted is when it was taken, on the steady clock.
+	// accepted is when the job was accepted, on the monotonic clock.
 	accepted time.Duration
-	// remainingWork are the longest chains of work that begin with each step; longest is the longest of all.
+	// remainingWork holds, for each step, the longest chain of estimated work that begins with it; longestChain is the longest of all.
 	remainingWork  []time.Duration
 	longestChain   time.Duration
 	occurrences    map[uint32]*occurrence
@@ -22,15 +22,15 @@
 	begun          bool // a task of it is known to have begun; only pendingJobs changes it
 }
 
-// occurrence is one run through the steps of a job.
+// occurrence is one pass through the steps of a job. A repeated job has several, each with its due time.
 type occurrence struct {
 	number uint32
-	// objectiveFrom is when its objective begins to count, on the steady clock.
+	// objectiveFrom is when its objective begins to count, on the monotonic clock.
 	objectiveFrom time.Duration
-	steps         []*step // nil where the step's turn hasn't come
+	steps         []*step // nil until the step is ready or a run of it is known
 }
 
-// trackJob makes the scheduler's record of a job.
+// trackJob creates the scheduler's record of a job.
 func (s *Scheduler) trackJob(record *state.Job) *job {
 	j := &job{
 		record:        record,
@@ -51,7 +51,7 @@
 	return min(s.now, s.wall.toSteady(record.AcceptedMs))
 }
 
-// correctAcceptance corrects when jobs were taken that were there before the time of day was known.
+// correctAcceptance recomputes acceptance times and objectives of jobs that were tracked before the wall-clock time was known.
 func (s *Scheduler) correctAcceptance() {
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
@@ -68,7 +68,7 @@
 	}
 }
 
-// objectiveFrom is when the objective of a due time begins to count.
+// objectiveFrom returns when the objective of an occurrence begins to count, on the monotonic clock.
 func (s *Scheduler) objectiveFrom(j *job, number uint32) time.Duration {
 	if !j.record.Spec.Timed() {
 		return j.accepted
@@ -86,7 +86,7 @@
 	s.openJob(s.trackJob(result.Jobs[0]))
 }
 
-// openJob opens what may run of a job.
+// openJob opens the occurrences and steps of a job that may run.
 func (s *Scheduler) openJob(j *job) {
 	for _, number := range slices.Sorted(maps.Keys(j.record.Times)) {
 		s.openOccurrence(j, number)
@@ -98,14 +98,14 @@
 	s.openOccurrence(j, 0)
 }
 
-// openNextOccurrence opens the due time that has come.
+// openNextOccurrence opens the occurrence that has fallen due.
 func (s *Scheduler) openNextOccurrence(j *job) {
 	s.openOccurrence(j, j.nextOccurrence)
 	j.nextOccurrence++
 	s.queueNextOccurrence(j)
 }
 
-// ensureOccurrence gives the record of a due time.
+// ensureOccurrence returns the record of an occurrence and creates it if needed.
 func (s *Scheduler) ensureOccurrence(j *job, number uint32) *occurrence {
 	t := j.occurrences[number]
 	if t == nil {
@@ -115,7 +115,7 @@
 	return t
 }
 
-// openOccurrence opens the steps of a due time whose turn has come.
+// openOccurrence opens the ready steps of an occurrence.
 func (s *Scheduler) openOccurrence(j *job, number uint32) {
 	if occurrenceDone(j.record, number) && j.occurrences[number] == nil {
 		return
@@ -141,7 +141,7 @@
 	return true
 }
 
-// jobsEnded ends the scheduler's record of jobs that have come to their end: all that runs of them is stopped.
+// jobsEnded stops tracking jobs that have ended and stops all of their runs.
 func (s *Scheduler) jobsEnded(finished []*state.Job) {
 	for _, record := range finished {
 		j := s.jobs[record.ID]
@@ -163,7 +163,7 @@
 	}
 }
 
-// findStep gives the record of a task's step, nil if the job is over or the step's turn hasn't come.
+// findStep returns the record of a task's step; nil if the job is over or the step is not ready.
 func (s *Scheduler) findStep(name state.TaskName) *step {
 	j := s.jobs[name.Job]
 	if j == nil {
@@ -180,7 +180,7 @@
 	return st
 }
 
-// stageSpec gives the step of a job as it was handed in, nil if it isn't known any more.
+// stageSpec returns the submitted definition of a task's step; nil if it is no longer known.
 func (s *Scheduler) stageSpec(name state.TaskName) *jobspec.Stage {
 	record := s.machine.Job(name.Job)
 	if record == nil || record.Spec == nil || int(name.Step) >= len(record.Spec.Stages) {
--- a/internal/system/scheduler/lateness.go
+++ b/internal/system/scheduler/lateness.go
@@ -8,44 +8,44 @@
 	"gaugeslip/internal/system/state"
 )
 
-// Part names what a job's time was spent on.
+// Part is one kind of use of a job's time, such as waiting or running.
 type Part uint8
 
-// The parts of a job's time. They sum to it.
+// The parts of a job's time. Their sum is the whole time.
 const (
-	// PartBefore is the time before this head knew that the job's turn had come: its acceptance, or an earlier head's time, or none.
+	// PartBefore is the time before this head knew that the job was ready: until its acceptance was applied, or under an earlier head.
 	PartBefore Part = iota
-	// PartRoom is the wait for room, for the turn of the step or for its data.
+	// PartRoom is the wait for capacity, for the step to become ready, or for capacity near the step's data.
 	PartRoom
-	// PartPause is the pause of a task that came back too often.
+	// PartPause is the backoff of a task whose starts were refused or ended early several times in a row.
 	PartPause
-	// PartOrder is the commit of a start's intent, and its order until the worker has answered.
+	// PartOrder is the time from proposing a start until the worker has answered it.
 	PartOrder
-	// PartUnanswered is the time in which an order without an answer may still be carried out.
+	// PartUnanswered is the time in which a start without an answer may still be carried out.
 	PartUnanswered
-	// PartRun is the time in which a run is there.
+	// PartRun is the time in which a run exists.
 	PartRun
-	// PartSlow is the same from when it is far behind what was expected.
+	// PartSlow is the part of that time after the run has fallen far behind its expectation.
 	PartSlow
-	// PartSilent is the same while its worker doesn't answer.
+	// PartSilent is the part of that time in which the worker does not answer.
 	PartSilent
-	// PartFailed is the whole time of runs that failed, PartStopped that of runs that were stopped, lapsed or broken off, PartLost that of runs
-	// that went with their worker.
+	// PartFailed is the whole time of runs that failed, PartStopped that of runs that were stopped, expired or broken off, PartLost that of
+	// runs that were lost with their worker.
 	PartFailed
 	PartStopped
 	PartLost
-	// PartNoted is the time from when an end was listed until it was committed.
+	// PartNoted is the time from listing an end until its commit.
 	PartNoted
-	// PartCount is how many parts there are.
+	// PartCount is the number of parts.
 	PartCount
 )
 
 var partNames = [PartCount]string{"before", "room", "pause", "order", "unanswered", "run", "slow", "silent", "failed", "stopped", "lost", "noted"}
 
-// String is the part's name in logs and figures.
+// String returns the part's name in logs and metrics.
 func (p Part) String() string { return partNames[p] }
 
-// Spent is time by part.
+// Spent is a duration per part.
 type Spent [PartCount]time.Duration
 
 func (s Spent) total() time.Duration {
@@ -63,7 +63,7 @@
 	return s
 }
 
-// String lists the parts that took time.
+// String lists the parts that took at least a millisecond.
 func (s Spent) String() string {
 	var parts []string
 	for part, length := range s {
@@ -74,23 +74,23 @@
 	return strings.Join(parts, ", ")
 }
 
-// LateJob is a job, or one due time of it, that missed its objective.
+// LateJob is a job, or one occurrence of it, that ended after its objective.
 type LateJob struct {
 	ID              state.JobID
 	Route           string
 	Took, Objective time.Duration
-	// Spent is the time of the steps and tasks that were the last to end, one after the other.
+	// Spent is the time of the critical path: the steps and tasks that ended last, one after the other.
 	Spent Spent
 }
 
-// timeAccount is one task's time since its turn has come.
+// timeAccount attributes one task's time since it became ready to parts.
 type timeAccount struct {
 	spent     Spent
 	part      Part
 	partSince time.Duration
 }
 
-// startAccount begins a task's time: its turn has come, or a new head has taken it over with its runs.
+// startAccount begins a task's time account when the task becomes ready, or when a new head takes it over with its runs.
 func (t *task) startAccount(now time.Duration) {
 	t.account = timeAccount{partSince: now, part: PartRoom}
 	for _, r := range t.runs {
@@ -98,47 +98,47 @@
 	}
 }
 
-// enter puts a task's time on another part from now on.
+// enter attributes the task's time from now on to another part.
 func (a *timeAccount) enter(now time.Duration, part Part) {
 	a.spent[a.part] += now - a.partSince
 	a.part, a.partSince = part, now
 }
 
-// totalsAt is the time by part up to now.
+// totalsAt returns the time by part up to now.
 func (a *timeAccount) totalsAt(now time.Duration) Spent {
 	spent := a.spent
 	spent[a.part] += now - a.partSince
 	return spent
 }
 
-// enterPart puts the time of a run's task on another part from now on.
+// enterPart attributes the time of a run's task from now on to another part.
 func (s *Scheduler) enterPart(r *run, part Part) {
 	if t := r.task(); t != nil && t.state != taskDone {
 		t.account.enter(s.now, part)
 	}
 }
 
-// markWasted puts all that a run has taken on what became of it.
+// markWasted attributes all the time that a run has taken to the reason why it was wasted.
 func (s *Scheduler) markWasted(r *run, part Part) {
 	t := r.task()
 	if t == nil || t.state == taskDone {
 		return
 	}
 	t.account.enter(s.now, PartNoted)
-	lost := t.account.spent.total() - r.spentBefore.total()
+	wasted := t.account.spent.total() - r.spentBefore.total()
 	t.account.spent = r.spentBefore
-	t.account.spent[part] += max(lost, 0)
+	t.account.spent[part] += max(wasted, 0)
 }
 
-// spoiledBy is the part for a run that ended in another way than done.
-func spoiledBy(how state.How) Part {
+// wastedPart returns the part for a run that ended without success.
+func wastedPart(how state.How) Part {
 	if how == state.Failed {
 		return PartFailed
 	}
 	return PartStopped
 }
 
-// enterPartOnWorker has the runs of a worker spend their time on its silence, or on running again.
+// enterPartOnWorker attributes the time of all present runs of a worker to a part.
 func (s *Scheduler) enterPartOnWorker(w *worker, part Part) {
 	for _, r := range w.runList {
 		if r.phase == runPresent {
@@ -147,7 +147,7 @@
 	}
 }
 
-// reportCompletedIfLate looks whether a job that is completed now was late.
+// reportCompletedIfLate checks whether a job that has just completed was late.
 func (s *Scheduler) reportCompletedIfLate(j *job) {
 	for _, t := range j.occurrences {
 		if t.lastStep() == nil {
@@ -157,7 +157,7 @@
 	}
 }
 
-// reportIfLate tells of a due time that has ended now, if it missed its objective.
+// reportIfLate reports an occurrence that has just ended, if it missed its objective.
 func (s *Scheduler) reportIfLate(t *occurrence) {
 	last := t.lastStep()
 	if last == nil || last.stage.LongRunning {
@@ -172,7 +172,7 @@
 	s.lateJobs = append(s.lateJobs, LateJob{ID: last.job.record.ID, Route: last.job.record.Route, Took: took, Objective: objective, Spent: spent})
 }
 
-// lastStep is the open step whose last task ended last, nil if none is known.
+// lastStep returns the open step whose last task ended last; nil if none is known.
 func (t *occurrence) lastStep() *step {
 	var last *step
 	for _, st := range t.steps {
@@ -183,7 +183,7 @@
 	return last
 }
 
-// lastChangedTask is the task whose time took another turn last.
+// lastChangedTask returns the task whose time account changed part last.
 func (st *step) lastChangedTask() *task {
 	last := &st.tasks[0]
 	for i := range st.tasks {
@@ -196,7 +196,7 @@
 
 func (st *step) lastPartChange() time.Duration { return st.lastChangedTask().account.partSince }
 
-// spentUpTo is the time of the steps that this one waited for, and of its last task.
+// spentUpTo returns the time of the steps that this one depended on, plus that of its last task.
 func (st *step) spentUpTo(now time.Duration) Spent {
 	return st.upstreamSpent.plus(st.lastChangedTask().account.totalsAt(now))
 }
--- a/internal/system/scheduler/lateness_test.go
+++ b/internal/system/scheduler/lateness_test.go
@@ -56,7 +56,7 @@
 	s.now += 900 * time.Millisecond
 	s.enterPart(r, PartSilent)
 	s.now += 200 * time.Millisecond
-	s.markWasted(r, spoiledBy(state.Failed))
+	s.markWasted(r, wastedPart(state.Failed))
 	s.now += 30 * time.Millisecond
 	spent := r.step.spentUpTo(s.now)
 	require.Equal(t, Spent{PartRoom: 50 * time.Millisecond, PartFailed: 1200 * time.Millisecond, PartNoted: 30 * time.Millisecond}, spent)
@@ -64,7 +64,7 @@
 
 func TestRunsThatEndWithoutFailureCountAsStopped(t *testing.T) {
 	for _, how := range []state.How{state.Stopped, state.Lapsed, state.Broken, state.Alone} {
-		assert.Equal(t, PartStopped, spoiledBy(how))
+		assert.Equal(t, PartStopped, wastedPart(how))
 	}
 }
 
--- a/internal/system/scheduler/lists.go
+++ b/internal/system/scheduler/lists.go
@@ -6,8 +6,9 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// processLists takes in both lists. Answers may overtake one another: a list of what runs that is older than another is passed over.
-func (s *Scheduler) processLists(w *worker, ended *call, reply *workerapi.HoldReply) (news bool) {
+// processLists handles both lists of an answer and reports whether they contain new ends. Answers may overtake one another: a list of
+// running tasks that is older than one already seen is ignored.
+func (s *Scheduler) processLists(w *worker, ended *call, reply *workerapi.HoldReply) (hasNew bool) {
 	w.clock.observe(reply.ClockMs, s.now)
 	if reply.ClockMs < w.hold.listClockMs {
 		return s.processFinished(w, reply.Finished)
@@ -16,14 +17,14 @@
 	s.lastMark++
 	mark := s.lastMark
 	s.processRunning(w, reply.Running, mark)
-	news = s.processFinished(w, reply.Finished)
+	hasNew = s.processFinished(w, reply.Finished)
 	if len(reply.Finished) < workerapi.MaxFinished {
 		s.voidAbsent(w, ended, reply.ClockMs, mark)
 	}
-	return news
+	return hasNew
 }
 
-// processRunning takes in the list of what runs.
+// processRunning handles the list of running tasks.
 func (s *Scheduler) processRunning(w *worker, running []workerapi.RunningTask, mark uint64) {
 	for i := range running {
 		listed := &running[i]
@@ -43,8 +44,8 @@
 	}
 }
 
-// processFinished takes in the list of ends and proposes those that are new.
-func (s *Scheduler) processFinished(w *worker, finished []workerapi.FinishedTask) (news bool) {
+// processFinished handles the list of ends and proposes those that are new.
+func (s *Scheduler) processFinished(w *worker, finished []workerapi.FinishedTask) (hasNew bool) {
 	seen := max(w.lastProposedEnd, s.lastCommittedEnd(w))
 	var ends []state.End
 	for i := range finished {
@@ -74,7 +75,7 @@
 	return true
 }
 
-// endHow reads the way in which a run ended; one that isn't known spends no attempt.
+// endHow converts the way in which a run ended. An unknown one counts as stopped, which uses up no attempt.
 func endHow(how workerapi.How) state.How {
 	switch how {
 	case workerapi.HowDone:
@@ -91,7 +92,7 @@
 	return state.Stopped
 }
 
-// endsCommitted takes in the commit of ends that a worker listed.
+// endsCommitted handles the commit of ends that a worker listed.
 func (s *Scheduler) endsCommitted(ended *state.TasksEnded, finished []*state.Job) {
 	w := s.workers[ended.Worker]
 	for i := range ended.Ends {
--- a/internal/system/scheduler/lost.go
+++ b/internal/system/scheduler/lost.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// clockStretch is by how much longer than stated a hold may last, since workers' clocks may be slow.
+	// clockStretch is by what factor a hold may last longer than stated, because workers' clocks may be slow.
 	clockStretch = 1.03
 	lossMargin   = 200 * time.Millisecond
 )
 
-// lossBound is when the holds of all that may run on a worker have surely run out, if it can't be reached: those that a predecessor
-// renewed, and the highest due time of this scheduler, which holds also for calls that are carried out late.
+// lossBound returns by when the holds of everything that may run on an unreachable worker have certainly expired. It covers the holds that
+// an earlier head renewed, and the highest due time that this scheduler sent, which also limits calls that are carried out late.
 func (s *Scheduler) lossBound(w *worker) time.Duration {
 	bound := s.startedAt + time.Duration(clockStretch*float64(s.bounds.MaxHold()))
 	if w.clock.known && w.maxDueMs > 0 {
@@ -22,13 +22,13 @@
 	return bound + lossMargin
 }
 
-// checkLoss gives up what runs on a worker out of reach once its holds have surely run out.
+// checkLoss gives up the runs on an unreachable worker once its holds have certainly expired.
 func (s *Scheduler) checkLoss(w *worker) {
 	if w.lossProposed || w.reach == reachAnswering || w.reach == reachOver || len(w.runs) == 0 {
 		return
 	}
 	if w.reach == reachUnheard && w.identity.Address != "" && w.hold.failures == 0 {
-		return // it hasn't been asked yet
+		return // no hold to it has been tried yet
 	}
 	bound := s.lossBound(w)
 	if s.now < bound {
@@ -41,7 +41,7 @@
 	s.proposeLoss(w)
 }
 
-// proposeLoss proposes that nothing runs any more of what ran on a worker.
+// proposeLoss proposes that none of a worker's runs exists any more.
 func (s *Scheduler) proposeLoss(w *worker) {
 	if w.lossProposed {
 		return
@@ -50,7 +50,7 @@
 	s.propose(state.Command{Kind: state.KindWorkerLost, WorkerLost: w.identity.Instance})
 }
 
-// instanceEnded takes note that another life is at the worker's address.
+// instanceEnded handles an answer by which a different instance runs at the worker's address.
 func (s *Scheduler) instanceEnded(w *worker) {
 	if w.reach == reachOver {
 		return
@@ -61,7 +61,8 @@
 	}
 }
 
-// lossCommitted takes in the commit of a worker's loss. A life that is still there is asked anew: what it lists is foreign.
+// lossCommitted handles the commit of a worker's loss. If the instance still exists it is contacted again; runs that it lists are then
+// foreign.
 func (s *Scheduler) lossCommitted(instance string) {
 	w := s.workers[instance]
 	if w == nil {
--- a/internal/system/scheduler/pace.go
+++ b/internal/system/scheduler/pace.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// The bounds of the starts under way: intents that aren't committed, and orders without an answer. After a loss of power there are a thousand
-// tasks to start at once; ordered all at once their answers come too late, so that they are ordered again, and the most urgent ones wait
+// These constants limit the starts in flight: uncommitted intents and unanswered starts. After a power loss, a thousand tasks may have to start
+// at once. If all were sent at once, their answers would come too late and the starts would be resent, and the most urgent ones would wait
 // behind all others for the head's processor.
 const (
-	minStartsInFlight     = 64 // a gang's
+	minStartsInFlight     = 64 // the largest gang
 	initialStartsInFlight = 128
 	maxStartsInFlight     = 512
-	// windowCutDivisor is the part of the window that slow answers take away.
+	// windowCutDivisor sets by what fraction slow answers reduce the window.
 	windowCutDivisor = 4
 )
 
-// startLimiter bounds the starts under way by how promptly they are answered.
+// startLimiter limits the starts in flight by how promptly they are answered.
 type startLimiter struct {
-	proposed int // intents on their way through the chain
-	sent     int // sendings of starts without an answer so far
+	proposed int // intents that are proposed and not committed
+	sent     int // sendings of starts that are not answered yet
 	window   int
 	cutAt    time.Duration
 }
 
-// atLimit tells whether no start should be added to those that are under way.
+// atLimit reports whether no more starts should be added to those in flight.
 func (p *startLimiter) atLimit() bool { return p.proposed+p.sent >= max(p.window, minStartsInFlight) }
 
-// addProposed takes note of one more intent.
+// addProposed counts a proposed intent.
 func (p *startLimiter) addProposed() { p.proposed++ }
 
-// removeProposed takes note that the fate of an intent is known.
+// removeProposed counts an intent that came back from the chain.
 func (p *startLimiter) removeProposed() { p.proposed = max(p.proposed-1, 0) }
 
-// addSent takes note of one more order.
+// addSent counts a sending of a start.
 func (p *startLimiter) addSent() { p.sent++ }
 
-// removeSent takes note that an order was answered or given up.
+// removeSent counts a sending that was answered or timed out.
 func (p *startLimiter) removeSent() { p.sent = max(p.sent-1, 0) }
 
-// adapt adapts the window: prompt answers widen it, slow ones narrow it, once in the time of an answer.
+// adapt changes the window after an answer: prompt answers widen it, slow ones narrow it, at most once per mean answer time.
 func (p *startLimiter) adapt(now time.Duration, answers *callLatency) {
 	switch {
 	case !answers.slow():
--- a/internal/system/scheduler/pending.go
+++ b/internal/system/scheduler/pending.go
@@ -2,11 +2,11 @@
 
 import "gaugeslip/internal/system/state"
 
-// pendingJobs holds the jobs of each queue of which no task is known to have begun. A start that was sent and not answered may have begun
-// nothing, so its job counts until the worker says that the run is there, or lists its end.
+// pendingJobs holds, per queue, the jobs of which no task is known to have begun. A start that was sent but not answered may not have begun
+// anything, so its job counts until the worker reports the run or lists its end.
 type pendingJobs map[string]map[state.JobID]struct{}
 
-// add takes a job in that isn't over.
+// add adds an unfinished job, unless it has begun.
 func (p pendingJobs) add(j *job) {
 	if j.begun = hasBegun(j.record); j.begun {
 		return
@@ -19,7 +19,7 @@
 	queue[j.record.ID] = struct{}{}
 }
 
-// markBegun takes note that a task of a job has begun.
+// markBegun records that a task of a job has begun.
 func (p pendingJobs) markBegun(j *job) {
 	if j.begun {
 		return
@@ -32,16 +32,17 @@
 	}
 }
 
-// remove takes a job out for good; a run of it that is seen later changes nothing any more.
+// remove removes a job that is over. A run of it that is reported later changes nothing.
 func (p pendingJobs) remove(j *job) { p.markBegun(j) }
 
-// contains tells whether a job counts.
+// contains reports whether a job counts as pending.
 func (p pendingJobs) contains(j *job) bool {
 	_, counts := p[j.record.Route][j.record.ID]
 	return counts
 }
 
-// hasBegun tells whether the replicated state shows that a task of the job has begun: an end of it was taken note of.
+// hasBegun reports whether the replicated state shows that a task of the job has begun, which is the case if an end or a checkpoint of it
+// was committed.
 func hasBegun(record *state.Job) bool {
 	for _, time := range record.Times {
 		for i := range time.Steps {
@@ -58,5 +59,5 @@
 	return false
 }
 
-// Pending is how many jobs of a queue have begun nothing, as far as is known here.
+// Pending returns how many jobs of a queue have not begun, as far as this scheduler knows.
 func (s *Scheduler) Pending(route string) int { return len(s.pending[route]) }
--- a/internal/system/scheduler/placement.go
+++ b/internal/system/scheduler/placement.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// maxLanes bounds the lanes of one worker in the demand test.
+	// maxLanes limits the lanes of one worker in the demand test.
 	maxLanes = 64
-	// maxLayoutAge is how long a service's ranges are kept while the shares of work move.
+	// maxLayoutAge is how long a service's ranges are kept while the shares of work by size change.
 	maxLayoutAge = 2 * time.Second
-	// maxNearWait is how long a task waits for room near its data at the most.
+	// maxNearWait is how long a task waits at most for capacity near its data.
 	maxNearWait = 1500 * time.Millisecond
 )
 
-// refreshLayout splits the service's workers into ranges anew where they have changed, or the shares of work may have.
+// refreshLayout recomputes the ranges of a service's workers if the number of workers has changed or the ranges are too old.
 func (s *Scheduler) refreshLayout(svc *service) {
 	if svc.layoutWorkers == len(svc.workers) && s.now-svc.layoutAt < maxLayoutAge && svc.layoutAt > 0 {
 		return
@@ -25,8 +25,8 @@
 	svc.layoutAt = max(s.now, 1)
 }
 
-// chooseWorker finds the worker for one task: in its size's range, then in the neighbouring ones, the best that passes the demand test;
-// failing that, the best that has room at all. Nil: the task is held.
+// chooseWorker returns the worker for one task: in the range for its size, then in the neighbouring ones, the best that passes the demand
+// test; failing that, the best that has capacity at all. If it returns nil, the task stays queued.
 func (s *Scheduler) chooseWorker(st *step, t *task) *worker {
 	if last := st.lastChosen; last != nil && s.mayJoinLast(st, t, last) {
 		return last
@@ -35,8 +35,8 @@
 	return st.lastChosen
 }
 
-// mayJoinLast tells whether a task may join the one of its step that was placed just before: a step is done when its last task is, so
-// that each further worker that it depends on is one more that may fail or be cut off.
+// mayJoinLast reports whether a task may join the one of its step that was placed just before. A step is done when its last task is, so
+// each further worker that it depends on is one more that may fail or become unreachable.
 func (s *Scheduler) mayJoinLast(st *step, t *task, last *worker) bool {
 	near := st.stage.Colocation == "" || last.hasLabel(st.stage.Colocation)
 	return near && s.feasible(last, st, t) && s.passesDemandTest(st, last)
@@ -50,7 +50,7 @@
 		}
 	}
 	svc := st.service
-	var room *worker
+	var fallback *worker
 	for _, r := range svc.layout.Order(svc.sizes.Range(st.runTime)) {
 		w := s.bestWorker(sizing.Workers(svc.layout, r, svc.workers), st, t)
 		if w == nil {
@@ -59,19 +59,19 @@
 		if s.passesDemandTest(st, w) {
 			return w
 		}
-		if room == nil || s.score(w, st) > s.score(room, st) {
-			room = w
+		if fallback == nil || s.score(w, st) > s.score(fallback, st) {
+			fallback = w
 		}
 	}
-	return room
+	return fallback
 }
 
-// bestWorker is the worker of highest score that suits a task, nil if none does.
+// bestWorker returns the feasible worker with the highest score for a task; nil if there is none.
 func (s *Scheduler) bestWorker(workers []*worker, st *step, t *task) *worker {
 	return s.bestAmong(workers, st, func(w *worker) bool { return s.feasible(w, st, t) })
 }
 
-// bestAmong is the worker of highest score that is allowed, nil if none is.
+// bestAmong returns the allowed worker with the highest score; nil if there is none.
 func (s *Scheduler) bestAmong(workers []*worker, st *step, allowed func(*worker) bool) *worker {
 	var found *worker
 	highest := 0.0
@@ -86,7 +86,7 @@
 	return found
 }
 
-// feasible tells whether a task may start on a worker now.
+// feasible reports whether a task may start on a worker now.
 func (s *Scheduler) feasible(w *worker, st *step, t *task) bool {
 	if !w.schedulable() || !st.need.fitsInto(w.free()) || !w.hasLabels(st.stage.Requirements) {
 		return false
@@ -111,8 +111,8 @@
 	stepFitWeight   = 1.0
 )
 
-// score ranks workers that suit: fast and near first, then sound ones, then those that take most of the step's tasks and that the task
-// fills best. GPUs are kept for tasks that need them.
+// score ranks feasible workers. Fast workers near the data come first, then workers without recent failures, then those that can take most
+// of the step's tasks and that the task fills best. Tasks without GPUs avoid GPU workers.
 func (s *Scheduler) score(w *worker, st *step) float64 {
 	score := -timeWeight * s.dataPenalty(st, w) * w.health.factor()
 	score += fitWeight * w.used.plus(st.need).dominantShare(w.capacity)
@@ -124,7 +124,7 @@
 	return score
 }
 
-// stepFit is the part of the step's tasks still to be placed that a worker can take.
+// stepFit returns the fraction of the step's unplaced tasks that a worker can take.
 func (st *step) stepFit(w *worker) float64 {
 	if st.unplaced <= 1 {
 		return 1
@@ -136,7 +136,7 @@
 	return float64(min(most, st.need.fitCount(w.free()))) / float64(st.unplaced)
 }
 
-// passesDemandTest is the demand test: whether the task, counting from now through what is accepted on the worker, ends by its deadline.
+// passesDemandTest reports whether the task would end by its deadline on the worker, given the runs already accepted there.
 func (s *Scheduler) passesDemandTest(st *step, w *worker) bool {
 	accepted := s.scratch.accepted[:0]
 	lanes := st.need.fitCount(w.free())
@@ -157,13 +157,13 @@
 	return s.scratch.demand.Passes(s.now, lanes, accepted, candidate)
 }
 
-// chooseNear finds the best worker in the rack of the step's data.
+// chooseNear returns the best worker in the rack of the step's data.
 func (s *Scheduler) chooseNear(st *step, t *task) *worker {
 	near := func(w *worker) bool { return w.hasLabel(st.stage.Colocation) && s.feasible(w, st, t) }
 	return s.bestAmong(st.service.workers, st, near)
 }
 
-// mayRunFar tells whether a task may start away from its data: when waiting for room near it costs more, or has lasted too long.
+// mayRunFar reports whether a task may start away from its data: if waiting for capacity near it would take longer, or has lasted too long.
 func (s *Scheduler) mayRunFar(st *step) bool {
 	if s.now >= st.readyAt+maxNearWait {
 		return true
@@ -171,9 +171,9 @@
 	if st.farAllowedAt > 0 {
 		return s.now >= st.farAllowedAt
 	}
-	wait, any := s.waitNearData(st)
+	wait, ok := s.waitNearData(st)
 	far := time.Duration(float64(st.runTime) * s.bounds.Far())
-	if !any || wait+st.runTime >= far {
+	if !ok || wait+st.runTime >= far {
 		return true
 	}
 	st.farAllowedAt = min(s.now+far-st.runTime, st.readyAt+maxNearWait)
@@ -181,25 +181,25 @@
 	return false
 }
 
-// dataAllows tells whether the step may be started on a worker that has room now.
+// dataAllows reports whether the step may start on a worker that has capacity now, in view of where its data is.
 func (s *Scheduler) dataAllows(st *step, w *worker) bool {
 	return st.stage.Colocation == "" || w.hasLabel(st.stage.Colocation) || s.mayRunFar(st)
 }
 
-// waitNearData estimates how soon a task of the step finds room near its data; false: there is no worker for it.
-func (s *Scheduler) waitNearData(st *step) (wait time.Duration, any bool) {
+// waitNearData estimates how soon a task of the step finds capacity near its data; ok is false if no worker there can take it.
+func (s *Scheduler) waitNearData(st *step) (wait time.Duration, ok bool) {
 	for _, w := range st.service.workers {
 		if !w.hasLabel(st.stage.Colocation) || !w.schedulable() || !w.hasLabels(st.stage.Requirements) {
 			continue
 		}
-		if soonest, fits := s.waitOn(w, st); fits && (!any || soonest < wait) {
-			wait, any = soonest, true
+		if soonest, fits := s.waitOn(w, st); fits && (!ok || soonest < wait) {
+			wait, ok = soonest, true
 		}
 	}
-	return wait, any
+	return wait, ok
 }
 
-// waitOn estimates how soon one run's end makes room for the step on a worker.
+// waitOn estimates how soon the end of one run makes enough capacity for the step on a worker.
 func (s *Scheduler) waitOn(w *worker, st *step) (wait time.Duration, fits bool) {
 	free := w.free()
 	for _, r := range w.runList {
--- a/internal/system/scheduler/queue.go
+++ b/internal/system/scheduler/queue.go
@@ -6,7 +6,7 @@
 	"gaugeslip/internal/system/state"
 )
 
-// deadlineClass ranks held steps: those that can make their job's objective, those that are late, and those that earn nothing.
+// deadlineClass ranks queued steps: those that can meet their job's objective, those that are late, and those too late to earn anything.
 type deadlineClass uint8
 
 const (
@@ -18,27 +18,27 @@
 const (
 	// lateFactor is how many objectives after its start a job still earns something.
 	lateFactor = 3
-	// classSpan and prioritySpan set the deadlines of lower standings and priorities apart from all others.
+	// classSpan and prioritySpan are added to deadlines so that lower classes and priorities sort behind all others.
 	classSpan    = 50 * 365 * 24 * time.Hour
 	prioritySpan = 20 * 365 * 24 * time.Hour
-	// trustedEstimateShare is the part of the estimated work ahead that decides whether a job still makes its objective.
+	// trustedEstimateShare is the fraction of the estimated remaining work used to decide whether a job can still meet its objective.
 	trustedEstimateShare = 0.7
 )
 
-// objective is how long the job may take from the begin of its objective on.
+// objective returns how long the job may take from the beginning of its objective.
 func (j *job) objective() time.Duration {
 	extension := max(j.record.Extension, 1)
 	target := time.Duration(j.record.TargetLatencyMs * float64(time.Millisecond))
 	return target + time.Duration(extension*float64(j.longestChain))
 }
 
-// deadline is when the step's tasks are to end at the latest, so that the steps behind it can end in time.
+// deadline returns when the step's tasks have to end so that the dependent steps can end in time.
 func (st *step) deadline() time.Duration {
 	behind := st.job.remainingWork[st.number] - st.stage.Estimated
 	return st.occurrence.objectiveFrom + st.job.objective() - behind
 }
 
-// deadlineClassAt ranks the step at a time, and tells when it falls to the next rank; 0: never.
+// deadlineClassAt returns the step's class at a time, and until when it keeps that class; 0 means for good.
 func (st *step) deadlineClassAt(now time.Duration) (rank deadlineClass, until time.Duration) {
 	if st.stage.LongRunning {
 		return onTime, 0
@@ -54,7 +54,7 @@
 	return expired, 0
 }
 
-// queueKey orders held steps: by standing, the most urgent queue before the others, then by deadline.
+// queueKey orders queued steps: by class, then the most urgent queue (priority 0) before the others, then by deadline.
 func (st *step) queueKey(rank deadlineClass) time.Duration {
 	key := st.deadline() + time.Duration(rank)*classSpan
 	if st.job.record.Priority > 0 {
@@ -63,7 +63,7 @@
 	return key
 }
 
-// enqueue holds a step of which tasks wait for room, and has it tried on all workers.
+// enqueue queues a step with waiting tasks and has it tried on all workers.
 func (s *Scheduler) enqueue(st *step) {
 	st.tryAll = true
 	st.service.tryAll = true
@@ -83,7 +83,7 @@
 	}
 }
 
-// dequeue takes a step out of the queue.
+// dequeue removes a step from the queue and releases its reservations.
 func (s *Scheduler) dequeue(st *step) {
 	if !st.queued {
 		return
@@ -96,18 +96,19 @@
 	}
 }
 
-// requeue gives a held step its present rank.
+// requeue recomputes a queued step's rank and keeps its share reservation.
 func (s *Scheduler) requeue(st *step) {
-	fresh, overdue, kept := st.tryAll, st.overdue, s.shares.reservationFor(st)
+	tryAll, overdue, reservation := st.tryAll, st.overdue, s.shares.reservationFor(st)
 	s.dequeue(st)
 	s.enqueue(st)
-	st.tryAll, st.overdue = fresh, overdue
-	if kept != nil {
-		s.shares.reservations[st.tenant()] = kept
+	st.tryAll, st.overdue = tryAll, overdue
+	if reservation != nil {
+		s.shares.reservations[st.tenant()] = reservation
 	}
 }
 
-// dispatch starts what can be started. What isn't tried since enough starts are under way is tried once some of them are answered.
+// dispatch starts what can be started. If the limit of starts in flight is reached, the remaining steps are tried when some of those are
+// answered.
 func (s *Scheduler) dispatch() {
 	s.retryShareBlocked()
 	for _, svc := range s.serviceOrder {
@@ -117,21 +118,21 @@
 	}
 }
 
-// dispatchService goes once through the held steps, earliest deadline first: those that have just come are tried on all workers,
-// the others where room has been freed.
+// dispatchService goes once through the queued steps, earliest deadline first. Steps marked tryAll are tried on all workers, the others
+// only on workers with freed capacity.
 func (s *Scheduler) dispatchService(svc *service) {
 	freed := svc.takeFreed()
 	svc.tryAll, svc.shareBlocked = false, false
-	held := s.scratch.queued[:0]
+	queued := s.scratch.queued[:0]
 	if svc.queue.Len() > 0 {
 		for _, st := range svc.queue.All() {
-			held = append(held, st)
+			queued = append(queued, st)
 		}
 		s.refreshLayout(svc)
 	}
-	for at, st := range held {
+	for at, st := range queued {
 		if s.startLimiter.atLimit() {
-			s.postpone(svc, held[at:])
+			s.postpone(svc, queued[at:])
 			break
 		}
 		if s.stillShareBlocked(st) {
@@ -151,19 +152,20 @@
 			s.considerReservingWorkers(st)
 		}
 	}
-	clear(held)
-	s.scratch.queued = held[:0]
+	clear(queued)
+	s.scratch.queued = queued[:0]
 }
 
-// postpone has held steps tried on all workers later.
-func (s *Scheduler) postpone(svc *service, held []*step) {
+// postpone has queued steps tried on all workers later.
+func (s *Scheduler) postpone(svc *service, queued []*step) {
 	svc.tryAll = true
-	for _, st := range held {
+	for _, st := range queued {
 		st.tryAll = true
 	}
 }
 
-// takeFreed gives the workers on which room has been freed; room that is freed from now on is the next round's.
+// takeFreed returns the workers on which capacity was freed, and resets the list. Capacity that is freed from now on counts for the next
+// round.
 func (svc *service) takeFreed() []*worker {
 	freed := svc.freed
 	svc.freed = nil
@@ -173,7 +175,7 @@
 	return freed
 }
 
-// hasWaiting tells whether something of the step waits for room.
+// hasWaiting reports whether tasks of the step, or its gang, wait for capacity.
 func (st *step) hasWaiting() bool {
 	if st.stage.Gang {
 		return st.gang == gangWaiting
@@ -213,7 +215,7 @@
 	st.waiting = left
 }
 
-// placeOnFreed starts tasks of the step where room has been freed.
+// placeOnFreed starts tasks of the step on workers with freed capacity.
 func (s *Scheduler) placeOnFreed(st *step, freed []*worker) {
 	if st.stage.Gang {
 		s.retryGang(st)
@@ -244,7 +246,7 @@
 	st.waiting = left
 }
 
-// reconcileTask brings a task in line with the replicated state.
+// reconcileTask reconciles a task by name, if its step is tracked.
 func (s *Scheduler) reconcileTask(name state.TaskName) {
 	if st := s.findStep(name); st != nil {
 		s.reconcile(st, name.Index)
--- a/internal/system/scheduler/reserve.go
+++ b/internal/system/scheduler/reserve.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// reservation keeps room that is freed on some workers for a held step that needs much of it at once. A service has one at a time.
+// reservation keeps capacity that is freed on some workers for a queued step that needs much of it at once. A service has at most one at a
+// time.
 type reservation struct {
 	step    *step
 	workers []*worker
 	until   time.Duration
-	// notBefore is when the next may be made: in between, what was held back leaves.
+	// notBefore is when the next reservation may be made. In between, other queued steps get their turn.
 	notBefore time.Duration
 }
 
 const (
-	// reserveAfter is the part of its slack that a step waits before room is kept for it.
+	// reserveAfter is the divisor of a step's slack: the step waits that fraction of it before workers are reserved.
 	reserveAfter = 4
-	// maxReserve bounds how long room may stand idle for it.
+	// maxReserve limits how long capacity may stay idle for a step.
 	maxReserve   = 2500 * time.Millisecond
 	reservePause = 1500 * time.Millisecond
 )
 
-// considerReservingWorkers keeps room for a step that can't be placed and has waited for long enough.
+// considerReservingWorkers reserves workers for a large step that cannot be placed and has waited long enough.
 func (s *Scheduler) considerReservingWorkers(st *step) {
 	svc := st.service
 	if svc.reserved.step != nil || s.now < svc.reserved.notBefore || !st.isLarge() {
@@ -49,7 +50,7 @@
 	})
 }
 
-// isLarge tells whether a step may starve behind smaller ones: gangs, and tasks that take half of a worker.
+// isLarge reports whether a step may starve behind smaller ones: a gang, or a step whose tasks take more than half of a worker.
 func (st *step) isLarge() bool {
 	if st.stage.Gang {
 		return true
@@ -60,7 +61,8 @@
 	return false
 }
 
-// reservableWorkers finds the workers that have room for the step soonest, enough for a whole gang or for one task.
+// reservableWorkers returns the workers that will have capacity for the step soonest, enough for a whole gang or for one task; nil if there
+// are not enough.
 func (s *Scheduler) reservableWorkers(st *step) []*worker {
 	type offer struct {
 		worker *worker
@@ -73,9 +75,9 @@
 		}
 	}
 	slices.SortStableFunc(offers, func(a, b offer) int { return cmp.Compare(a.soon, b.soon) })
-	wanted := 1
+	needed := 1
 	if st.stage.Gang {
-		wanted = len(st.tasks)
+		needed = len(st.tasks)
 	}
 	var workers []*worker
 	for _, offer := range offers {
@@ -84,14 +86,14 @@
 			fits = min(fits, st.stage.AntiAffinity)
 		}
 		workers = append(workers, offer.worker)
-		if wanted -= fits; wanted <= 0 {
+		if needed -= fits; needed <= 0 {
 			return workers
 		}
 	}
 	return nil
 }
 
-// timeToEmpty estimates how soon all that runs on a worker has ended.
+// timeToEmpty estimates how soon all runs on a worker have ended.
 func (s *Scheduler) timeToEmpty(w *worker) time.Duration {
 	longest := time.Duration(0)
 	for _, r := range w.runList {
@@ -102,7 +104,7 @@
 	return longest
 }
 
-// releaseWorkers gives up a service's reservation.
+// releaseWorkers ends a service's reservation.
 func (s *Scheduler) releaseWorkers(svc *service) {
 	for _, w := range svc.reserved.workers {
 		w.reservedFor = nil
@@ -111,8 +113,8 @@
 	svc.reserved = reservation{notBefore: s.now + reservePause}
 }
 
-// reservedAgainst tells whether the worker's room is kept for a step that goes before this one.
+// reservedAgainst reports whether the worker is reserved for another step that goes before this one.
 func (w *worker) reservedAgainst(st *step) bool {
-	kept := w.reservedFor
-	return kept != nil && kept != st && (!st.queued || kept.ticket.Deadline <= st.ticket.Deadline)
+	holder := w.reservedFor
+	return holder != nil && holder != st && (!st.queued || holder.ticket.Deadline <= st.ticket.Deadline)
 }
--- a/internal/system/scheduler/run.go
+++ b/internal/system/scheduler/run.go
@@ -7,69 +7,69 @@
 	"gaugeslip/internal/system/state"
 )
 
-// runPhase tells how much is certain of a run.
+// runPhase is what is known about the existence of a run.
 type runPhase uint8
 
 const (
-	runProposed  runPhase = iota // its intent isn't committed
-	runCommitted                 // its start hasn't been sent
-	runOrdered                   // its start is out
-	runDoubtful                  // its start got no clear answer
-	runInherited                 // a predecessor may have started it
-	runPresent                   // the worker has said that it is there
+	runProposed  runPhase = iota // its intent is not committed
+	runCommitted                 // its start has not been sent
+	runOrdered                   // its start is in flight
+	runDoubtful                  // in doubt: its start got no definite answer
+	runInherited                 // an earlier head may have started it
+	runPresent                   // the worker has reported that it exists
 	runEnded                     // the worker has listed its end
-	runVoided                    // it surely doesn't exist, and never will
+	runVoided                    // it does not exist and never will
 )
 
 var phaseNames = [...]string{"proposed", "committed", "ordered", "doubtful", "inherited", "present", "ended", "voided"}
 
-// usesCapacity tells whether a run in this phase uses its worker's room, or may come to.
+// usesCapacity reports whether a run in this phase uses its worker's capacity, or may come to use it.
 func (p runPhase) usesCapacity() bool { return p < runEnded }
 
-// mayExist tells whether a run in this phase may exist on its worker.
+// mayExist reports whether a run in this phase may exist on its worker.
 func (p runPhase) mayExist() bool { return p >= runOrdered && p < runEnded }
 
-// run is one run of a task that is proposed or may exist on a worker.
+// run is one run of a task: proposed, or possibly existing on a worker.
 type run struct {
 	name    state.Run
 	worker  *worker
-	step    *step // nil where the job is over and gone
+	step    *step // nil if the job is over and no longer tracked
 	need    Resources
 	phase   runPhase
-	foreign bool // it is no placement of the replicated state
-	slot    int  // in the list of its worker's runs
+	foreign bool // the replicated state has no such placement
+	slot    int  // index in its worker's runList
 	mark    uint64
-	dueAtMs int64 // of its start
-	resumed bool  // it was started from a checkpoint
-	// checkpoint is what its start carries, each time that it is sent: an end that comes late may change the replicated one.
+	dueAtMs int64 // due time of its start, on the worker's clock
+	resumed bool  // started from a checkpoint, or possibly so
+	// checkpoint is sent with each sending of the start. It is fixed here because a late end may change the replicated checkpoint.
 	checkpoint string
 
-	spentBefore Spent // of its task, when the run was proposed
+	spentBefore Spent // the task's time by part when the run was proposed
 
 	orderedAt       time.Duration
 	presentAt       time.Duration
 	percent         int
-	percentAt       time.Duration // when it changed last
-	percentClockMs  int64         // the same on the worker's clock; 0: nothing was listed yet
-	firstProgressAt time.Duration // the first progress that was seen, and when
+	percentAt       time.Duration // when percent last changed
+	percentClockMs  int64         // the same on the worker's clock; 0 if no progress was listed yet
+	firstProgressAt time.Duration // when progress was first listed, and its percentage
 	firstPercent    int
 
-	startsInFlight int  // sendings of its start without an answer so far
-	startInDoubt   bool // one of them surely got none
+	startsInFlight int  // sendings of its start that are not answered yet
+	startInDoubt   bool // a sending of its start ended without an answer
 
 	stopWanted     bool
 	stopInFlight   bool
-	stopSent       bool          // its stop may have been carried out
-	absentAt       time.Duration // when a list that lacks it was first seen; 0: it was listed since
+	stopSent       bool          // a stop was sent and may have been carried out
+	absentAt       time.Duration // when a list first lacked it; 0 if it was listed since
 	stopFailures   int
 	stopAnswered   bool
 	stopAnsweredAt time.Duration
-	moved          bool // its stop was ordered to start it elsewhere
+	moved          bool // its stop was ordered so that it starts elsewhere
 	countedSlow    bool // it was counted as slow
 	stopScheduled  bool
 }
 
-// setPhase is the only way in which a run's phase changes; it keeps the worker's sum of what is used.
+// setPhase changes a run's phase and keeps the worker's used capacity up to date. Apart from dropRun, nothing else may change a phase.
 func (r *run) setPhase(phase runPhase) {
 	if r.phase.usesCapacity() && !phase.usesCapacity() {
 		r.worker.used = r.worker.used.minus(r.need)
@@ -77,8 +77,8 @@
 	r.phase = phase
 }
 
-// addRun makes a run's record on its worker, where it takes room from now on. One of the same name, which the worker has listed without having been
-// ordered it, ends with that: the worker shows by the order whether it is there.
+// addRun records a run on its worker, where it uses capacity from now on. It replaces a run of the same name that the worker had listed
+// before it was ordered: the answer to the start will show whether it exists.
 func (s *Scheduler) addRun(r *run) {
 	w := r.worker
 	if listed := w.runs[r.name]; listed != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// unlist takes a run out of the list of a worker's runs; the last one takes its place.
+// unlist removes a run from the worker's runList; the last run takes its slot.
 func (w *worker) unlist(r *run) {
 	last := len(w.runList) - 1
 	w.runList[r.slot] = w.runList[last]
@@ -110,7 +110,7 @@
 	w.runList = w.runList[:last]
 }
 
-// dropRun ends a run's record, whatever was still proposed of it.
+// dropRun removes a run's record, including a void that is not committed yet.
 func (s *Scheduler) dropRun(r *run) {
 	w := r.worker
 	if w.runs[r.name] != r {
@@ -123,7 +123,7 @@
 	}
 	delete(w.runs, r.name)
 	w.unlist(r)
-	if len(w.runs) == 0 { // whatever took the room that a refusal has shown to be missing is gone
+	if len(w.runs) == 0 { // nothing is left that could use the withheld capacity
 		w.withheld = w.withheld[:0]
 	}
 	s.capacityFreed(w)
--- a/internal/system/scheduler/runs.go
+++ b/internal/system/scheduler/runs.go
@@ -7,7 +7,7 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// markPresent takes note that a run exists on its worker.
+// markPresent records that a run exists on its worker.
 func (s *Scheduler) markPresent(r *run) {
 	if r.phase == runPresent || !r.phase.usesCapacity() {
 		return
@@ -22,8 +22,8 @@
 	}
 }
 
-// addForeign makes the record of a run that the worker lists and the replicated state doesn't know there. It is stopped, and takes
-// room until it is gone: all of it, if what it needs isn't known.
+// addForeign records a run that the worker lists but the replicated state does not place there. It is stopped and uses capacity until it is
+// gone. If its requirements are unknown, it counts as using all of the worker.
 func (s *Scheduler) addForeign(w *worker, name state.Run) *run {
 	r := &run{name: name, worker: w, need: w.capacity, foreign: true, resumed: true}
 	if stage := s.stageSpec(name.Task); stage != nil {
@@ -35,7 +35,7 @@
 	return r
 }
 
-// noteProgress takes in how far a run has come.
+// noteProgress records the listed progress of a run.
 func (s *Scheduler) noteProgress(r *run, listed *workerapi.RunningTask) {
 	t := r.task()
 	if t != nil {
@@ -55,14 +55,14 @@
 	}
 }
 
-// noteCheckpoint takes in the progress that an attempt has saved.
+// noteCheckpoint records a checkpoint that an attempt has saved.
 func (t *task) noteCheckpoint(attempt uint32, text string) {
 	if text != "" && attempt >= t.checkpoint.attempt {
 		t.checkpoint = checkpoint{attempt: attempt, text: text}
 	}
 }
 
-// noteEnd takes note of an end that the worker lists: the room is free, the rest waits for the commit.
+// noteEnd handles an end that the worker lists. The capacity is free at once; everything else waits for the commit.
 func (s *Scheduler) noteEnd(r *run, end *state.End) {
 	if !r.phase.usesCapacity() {
 		return
@@ -79,7 +79,7 @@
 	if end.How == state.Done {
 		s.enterPart(r, PartNoted)
 	} else {
-		s.markWasted(r, spoiledBy(end.How))
+		s.markWasted(r, wastedPart(end.How))
 	}
 	t.noteCheckpoint(r.name.Attempt, end.Checkpoint)
 	t.avoid = nil
@@ -91,7 +91,7 @@
 	}
 }
 
-// recordEnd counts the ends of a task that lasts which came soon after its start.
+// countQuickEnd counts consecutive ends of a long-running task soon after its start.
 func (t *task) countQuickEnd(lasted time.Duration) {
 	if lasted >= quickEndLimit {
 		t.quickEnds = 0
@@ -100,11 +100,11 @@
 	t.quickEnds++
 }
 
-// voidAbsent gives up runs of which a worker's lists prove that they don't exist and never will: the start was out of time by the
-// worker's clock, or the hold was sent after a clear answer to the start or the stop, or the start can only have been a predecessor's,
-// whose orders the worker refuses since it has seen this scheduler's token.
+// voidAbsent voids runs of which a worker's lists prove that they do not exist and never will. The proof is one of these: the start is past
+// its due time by the worker's clock; the hold was sent after a definite answer to the start or the stop; or only an earlier head can have
+// sent the start, whose orders the worker refuses since it has seen this scheduler's token.
 func (s *Scheduler) voidAbsent(w *worker, hold *call, clockMs int64, mark uint64) {
-	for i := len(w.runList) - 1; i >= 0; i-- { // backwards, as one may be dropped
+	for i := len(w.runList) - 1; i >= 0; i-- { // backwards, because the current run may be dropped
 		r := w.runList[i]
 		if r.mark == mark || !r.phase.mayExist() || !absent(r, hold, clockMs) || !s.absentForGood(r, hold) {
 			continue
@@ -114,8 +114,9 @@
 	}
 }
 
-// absentForGood tells whether an absent run can't be one that is just being stopped: until its end is listed, a worker may list it
-// nowhere, though it still runs. So wherever somebody may have ordered its stop, it has to be absent for longer than a stop lasts.
+// absentForGood reports whether an absent run cannot be one that is just being stopped. A worker may omit a run from its lists while
+// stopping it, although it still runs. So if a stop may have been sent, by this head or an earlier one, the run must be absent for longer
+// than a stop lasts.
 func (s *Scheduler) absentForGood(r *run, hold *call) bool {
 	if !r.stopSent && (r.phase == runOrdered || r.phase == runDoubtful) {
 		return true
@@ -134,9 +135,11 @@
 	return hold.sentAt >= r.absentAt+lasts
 }
 
-// stopMargin is added to how long a stop lasts.
+// stopMargin is added to the longest duration of a stop.
 const stopMargin = 20 * time.Millisecond
 
+// absent reports whether a list without the run proves that it does not exist, given the hold that returned the list and the worker's
+// clock.
 func absent(r *run, hold *call, clockMs int64) bool {
 	if r.stopAnswered && hold.sentAt > r.stopAnsweredAt {
 		return true
@@ -151,7 +154,7 @@
 	}
 }
 
-// requestStop has a run stopped, and stopped again until it is gone.
+// requestStop has a run stopped; the stop is resent until the run is gone.
 func (s *Scheduler) requestStop(r *run) {
 	if r.stopWanted {
 		return
@@ -160,7 +163,7 @@
 	s.sendStop(r)
 }
 
-// sendStop orders the stop of a run that may exist.
+// sendStop sends the stop of a run that may exist.
 func (s *Scheduler) sendStop(r *run) {
 	w := r.worker
 	if r.stopInFlight || !r.phase.mayExist() || w.runs[r.name] != r || w.reach == reachOver || w.lossProposed {
@@ -175,7 +178,7 @@
 	s.send(Call{Kind: CallStop, Stop: order, Timeout: s.latency.timeout()}, w, r)
 }
 
-// stopEnded takes in the answer to a stop.
+// stopEnded handles the answer to a stop.
 func (s *Scheduler) stopEnded(ended *call, reply *workerapi.HoldReply) {
 	r, w := ended.run, ended.worker
 	r.stopInFlight = false
@@ -193,7 +196,7 @@
 	}
 }
 
-// scheduleStop repeats a stop after a while.
+// scheduleStop resends a stop after a delay.
 func (s *Scheduler) scheduleStop(r *run, after time.Duration) {
 	if r.stopScheduled || r.worker.runs[r.name] != r {
 		return
--- a/internal/system/scheduler/scheduler.go
+++ b/internal/system/scheduler/scheduler.go
@@ -1,22 +1,23 @@
-// Package scheduler is the pure core of the scheduler role: it takes in what was committed, what the platform lists and what
-// workers answered, and says which commands to propose and which calls to make.
+// Package scheduler is the deterministic core of the scheduler role. Its inputs are committed commands, the platform's list of workers and
+// workers' answers; its outputs are commands to propose and calls to make.
 //
-// It runs at the head of the chain and nowhere else, and is thrown away when that role is lost: a new one rebuilds everything from
-// the replicated state. It does no I/O, reads no clock and starts no goroutine: times are readings of one steady clock. A Scheduler
-// and its Machine belong to one goroutine.
+// It runs only at the head of the replication chain and is discarded when the node loses that role. A new head rebuilds its scheduler from
+// the replicated state. The package does no I/O, reads no clock and starts no goroutines: all times are readings of one monotonic clock,
+// passed in by the caller. A Scheduler and its Machine must be used by a single goroutine.
 //
-// A start is ordered only once its intent was committed. Whether a run exists is taken only from what proves it: the worker's own
-// answer, its lists, its clock that has passed the order's due time, or the end of its hold.
+// A start is sent only after its intent (a TasksStarting command) is committed. Whether a run exists is decided only from proof: the
+// worker's own answer, its lists, its clock having passed the start's due time, or the expiry of its hold. A hold is a long-polled call
+// that renews the worker's permission to keep running tasks and returns its lists.
 //
 // Where to look:
 //
-//   - inputs and outputs: scheduler.go; calls and their time-outs: calls.go, timers.go
-//   - jobs, steps and tasks: jobs.go, steps.go, gangs.go; counts for clients: pending.go
-//   - the order of placement: queue.go; the choice of a worker: placement.go, resources.go, estimates.go
-//   - room that is kept: reserve.go, shares.go, sharekeeping.go, tenants.go
+//   - inputs and outputs: scheduler.go; calls and their timeouts: calls.go, timers.go
+//   - jobs, steps and tasks: jobs.go, steps.go, gangs.go; pending counts for clients: pending.go
+//   - placement order: queue.go; choice of a worker: placement.go, resources.go, estimates.go
+//   - reservations: reserve.go (workers), shares.go and sharekeeping.go (tenants' accelerator shares), tenants.go
 //   - runs from intent to end: run.go, starts.go, startorders.go, pace.go, runs.go, lists.go
 //   - workers: workers.go, firstlooks.go, holds.go, clock.go, drain.go, lost.go
-//   - health: health.go, trials.go (workers that failed), stragglers.go (runs that stand still, copies)
+//   - health: health.go, trials.go (workers with failures), stragglers.go (stalled and slow runs, copies)
 //   - for operators: view.go, lateness.go, audit.go; invariants: check.go
 package scheduler
 
@@ -33,35 +34,35 @@
 	"gaugeslip/policy/sizing"
 )
 
-// Options are what a scheduler is made of.
+// Options configures a Scheduler.
 type Options struct {
-	// Token is the fencing token of all its orders: the epoch of the view.
+	// Token is the fencing token of all orders to workers: the epoch of the view.
 	Token uint64
-	// Machine is the replicated state, with everything applied that is committed.
+	// Machine is the replicated state with all committed commands applied.
 	Machine *state.Machine
-	// Calls is how many calls on workers may be out at once; 0: any number.
+	// Calls is the maximum number of outstanding calls to workers; 0 means no limit.
 	Calls int
-	// Bounds are the figures of the rules in force.
+	// Bounds holds the limits that workers and this scheduler keep to, such as the longest hold.
 	Bounds nodesettings.Bounds
 }
 
-// Output is what is to be done now.
+// Output lists the actions that the caller has to take now.
 type Output struct {
 	// Commands are to be proposed in this order.
 	Commands []state.Command
-	// Calls are to be made, in any order and at once.
+	// Calls are to be made now; they may run in any order and concurrently.
 	Calls []Call
-	// Wake is when Tick is to be called at the latest; 0: not at all.
+	// Wake is the latest time for the next Tick; 0 means that none is needed.
 	Wake time.Duration
-	// Superseded tells that a worker has seen a higher token: this scheduler orders nothing any more.
+	// Superseded reports that a worker has seen a higher token. This scheduler orders nothing any more.
 	Superseded bool
-	// Findings tell of tasks that have waited for long.
+	// Findings lists tasks that have waited for long and workers that were not contacted.
 	Findings []Finding
-	// Late tells of jobs that have missed their objective.
+	// Late lists jobs that ended after their objective.
 	Late []LateJob
 }
 
-// Scheduler is the scheduler role. Make one with New.
+// Scheduler decides which tasks run on which workers. Create one with New.
 type Scheduler struct {
 	token     uint64
 	machine   *state.Machine
@@ -72,7 +73,7 @@
 
 	workers         map[string]*worker
 	services        map[string]*service
-	serviceOrder    []*service // the services in the order in which they became known
+	serviceOrder    []*service // services in the order in which they became known
 	jobs            map[state.JobID]*job
 	pending         pendingJobs
 	estimates       map[estimateKey]*estimate
@@ -86,7 +87,7 @@
 	lastCallID      uint64
 	lastMark        uint64
 	superseded      bool
-	progressingRuns int // that have shown progress
+	progressingRuns int // runs that have shown progress
 
 	commands        []state.Command
 	newCalls        []Call
@@ -100,7 +101,7 @@
 	scratch         scratch
 }
 
-// New makes the scheduler of a new head from the replicated state alone.
+// New returns the scheduler of a new head, built from the replicated state alone.
 func New(options Options, now time.Duration) *Scheduler {
 	s := &Scheduler{
 		token:        options.Token,
@@ -125,7 +126,7 @@
 	return s
 }
 
-// rebuild takes over jobs and runs from the replicated state.
+// rebuild tracks the unfinished jobs and the placements of the replicated state.
 func (s *Scheduler) rebuild() {
 	ids := slices.Sorted(maps.Keys(s.machine.Jobs()))
 	for _, id := range ids {
@@ -151,17 +152,17 @@
 	return cmp.Or(a.Task.Compare(b.Task), cmp.Compare(a.Attempt, b.Attempt))
 }
 
-// advance brings the scheduler up to a time.
+// advance moves the scheduler's time forward to now and handles what has fallen due.
 func (s *Scheduler) advance(now time.Duration) {
 	s.now = max(s.now, now)
 	s.fireTimers()
 	s.openDueOccurrences()
 }
 
-// Tick lets time pass.
+// Tick advances the time. It handles timers and due occurrences.
 func (s *Scheduler) Tick(now time.Duration) { s.advance(now) }
 
-// WallClock tells the trusted time of day, in milliseconds since 1970.
+// WallClock sets the trusted wall-clock time, in milliseconds since 1970.
 func (s *Scheduler) WallClock(now time.Duration, unixMs int64) {
 	first := !s.wall.known
 	s.wall.set(now, unixMs)
@@ -171,7 +172,7 @@
 	s.advance(now)
 }
 
-// Configured takes in the newest committed configuration. A job keeps the service that its queue had when it was accepted.
+// Configured applies the newest committed configuration. A job keeps the service that its queue had when the job was accepted.
 func (s *Scheduler) Configured(now time.Duration, config *clusterconfig.Config) {
 	s.advance(now)
 	for i := range config.Services {
@@ -179,11 +180,11 @@
 	}
 }
 
-// Applied takes in what a committed command has changed, in the order of the chain and before the next one is applied.
+// Applied handles the result of a committed command. It must be called in commit order, before the next command is applied.
 func (s *Scheduler) Applied(now time.Duration, result state.Result) {
 	s.now = max(s.now, now)
 	s.applyResult(&result)
-	s.advance(now) // only now, as timers look at the replicated state too
+	s.advance(now) // only now, because timers read the replicated state too
 }
 
 func (s *Scheduler) applyResult(result *state.Result) {
@@ -204,7 +205,7 @@
 	}
 }
 
-// CallEnded takes in the answer or the failure of a call; one that isn't known any more is passed over.
+// CallEnded handles the answer to a call or its failure. Unknown call IDs are ignored.
 func (s *Scheduler) CallEnded(now time.Duration, result CallResult) {
 	s.advance(now)
 	ended := s.calls[result.ID]
@@ -239,7 +240,7 @@
 	}
 }
 
-// Drain gives what is to be done since the last Drain. Call it after each batch of inputs.
+// Drain returns what is to be done since the last Drain. Call it after each batch of inputs.
 func (s *Scheduler) Drain() Output {
 	if s.superseded {
 		return Output{Superseded: true}
@@ -253,7 +254,7 @@
 	return output
 }
 
-// scratch is room that is used again and again.
+// scratch holds buffers that are reused between calls.
 type scratch struct {
 	queued   []*step
 	names    []state.Run
@@ -264,16 +265,16 @@
 
 func (s *Scheduler) propose(command state.Command) { s.commands = append(s.commands, command) }
 
-// nextWake is the earliest time at which something falls due.
+// nextWake returns the earliest time at which a timer or an occurrence falls due; 0 if there is none.
 func (s *Scheduler) nextWake() time.Duration {
-	wake, any := s.timers.first()
+	wake, ok := s.timers.first()
 	if due, timed := s.occurrenceQueue.first(); timed && s.wall.known {
 		at := s.wall.toSteady(due)
-		if !any || at < wake {
-			wake, any = at, true
+		if !ok || at < wake {
+			wake, ok = at, true
 		}
 	}
-	if !any {
+	if !ok {
 		return 0
 	}
 	return max(wake, s.now+time.Millisecond)
--- a/internal/system/scheduler/sharekeeping.go
+++ b/internal/system/scheduler/sharekeeping.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// shareReservation holds a tenant's share back for a step that needs much of it at once. A tenant has one at a time.
+// shareReservation keeps part of a tenant's share of accelerators for a step that needs several at once. A tenant has at most one.
 type shareReservation struct {
 	step *step
-	// until is when it ends at the latest; 0 while the share has no room for the step yet.
+	// until is when the reservation ends at the latest; 0 while the share cannot take the step yet.
 	until time.Duration
 }
 
 const (
-	// shareReserveAfter is the part of its slack that a step waits before its tenant's share is kept back for it.
+	// shareReserveAfter is the divisor of a step's slack: the step waits that fraction of it before its tenant's share is reserved.
 	shareReserveAfter = 4
-	// maxShareReserve bounds how long a share that has room for the step stands idle while no workers have room for it; afterwards
-	// others go first for a pause. It is also how often a keeping is looked at.
+	// maxShareReserve limits how long a share that could take the step stays idle while no workers have capacity for it. After that others
+	// go first for shareReservePause. It is also how often a reservation is reviewed.
 	maxShareReserve   = 2500 * time.Millisecond
 	shareReservePause = 1500 * time.Millisecond
-	// minReservedAccelerators is the least number of accelerators at once for which a share is kept back: one is found by whoever is first.
+	// minReservedAccelerators is the least number of accelerators needed at once for which a share is reserved. A single one goes to the
+	// first step that can use it.
 	minReservedAccelerators = 2
 )
 
-// considerReservingShare keeps a tenant's share back for a step that it has kept back for long enough: from then on nothing of the tenant that has
-// a later deadline takes what the step needs.
+// considerReservingShare reserves a tenant's share for a step that has been blocked by it for long enough. From then on no step of the
+// tenant with a later deadline can take what this step needs.
 func (s *Scheduler) considerReservingShare(st *step) {
 	if !st.queued || !st.shareBlocked || st.acceleratorsAtOnce() < minReservedAccelerators {
 		return
@@ -41,7 +42,7 @@
 	s.reserveShare(st)
 }
 
-// shareReserveFrom is when a share may be kept back for the step at the earliest.
+// shareReserveFrom returns the earliest time at which a share may be reserved for the step.
 func (st *step) shareReserveFrom() time.Duration {
 	slack := st.deadline() - st.runTime - st.readyAt
 	return max(st.readyAt+max(slack/shareReserveAfter, 0), st.shareReserveNotBefore)
@@ -59,37 +60,38 @@
 }
 
 func (s *Scheduler) reserveShare(st *step) {
-	kept := &shareReservation{step: st}
-	s.shares.reservations[st.tenant()] = kept
-	s.shares.released = true // another may have been kept for, with another need
-	s.runAt(s.now+maxShareReserve, func() { s.reviewShareReservation(kept) })
+	reservation := &shareReservation{step: st}
+	s.shares.reservations[st.tenant()] = reservation
+	s.shares.released = true // the previous reservation may have been for another step, with another need
+	s.runAt(s.now+maxShareReserve, func() { s.reviewShareReservation(reservation) })
 }
 
-// reviewShareReservation gives up what came to nothing: the share had room for long enough, or won't have any.
-func (s *Scheduler) reviewShareReservation(kept *shareReservation) {
-	st := kept.step
-	if s.shares.reservations[st.tenant()] != kept {
+// reviewShareReservation ends a reservation that was not used: the share could take the step for long enough, or never will.
+func (s *Scheduler) reviewShareReservation(reservation *shareReservation) {
+	st := reservation.step
+	if s.shares.reservations[st.tenant()] != reservation {
 		return
 	}
-	if kept.until > 0 && s.now >= kept.until || !s.shareAttainable(st) {
+	if reservation.until > 0 && s.now >= reservation.until || !s.shareAttainable(st) {
 		st.shareReserveNotBefore = s.now + shareReservePause
 		s.releaseShare(st)
 		return
 	}
 	next := s.now + maxShareReserve
-	if kept.until > 0 {
-		next = min(next, kept.until)
+	if reservation.until > 0 {
+		next = min(next, reservation.until)
 	}
-	s.runAt(next, func() { s.reviewShareReservation(kept) })
+	s.runAt(next, func() { s.reviewShareReservation(reservation) })
 }
 
-// shareAttainable tells whether the step could start once all of its tenant has ended that ever does: if not, nothing is kept back for it.
+// shareAttainable reports whether the step could start once all runs of its tenant that end by themselves have ended. If not, no share is
+// reserved for it.
 func (s *Scheduler) shareAttainable(st *step) bool {
 	limit := s.machine.Quotas().Limit(st.tenant())
 	return st.acceleratorsAtOnce() <= limit-s.longRunningAccelerators(st.tenant()) && s.reservableWorkers(st) != nil
 }
 
-// longRunningAccelerators is how many accelerators those runs of a tenant take that don't end by themselves.
+// longRunningAccelerators returns how many accelerators a tenant's long-running tasks take; these do not end by themselves.
 func (s *Scheduler) longRunningAccelerators(tenant string) int64 {
 	sum := int64(0)
 	for _, w := range s.workers {
@@ -102,7 +104,7 @@
 	return sum
 }
 
-// releaseShare ends what was kept back for a step, and has those tried that it kept from starting.
+// releaseShare ends the reservation for a step, and has the steps tried that it blocked.
 func (s *Scheduler) releaseShare(st *step) {
 	if s.shares.reservationFor(st) == nil {
 		return
@@ -111,37 +113,37 @@
 	s.shares.released = true
 }
 
-// reservationFor gives what is kept back for a step, nil where nothing is.
+// reservationFor returns the reservation for a step; nil if there is none.
 func (s *shares) reservationFor(st *step) *shareReservation {
 	if len(s.reservations) == 0 {
 		return nil
 	}
-	if kept := s.reservations[st.tenant()]; kept != nil && kept.step == st {
-		return kept
+	if reservation := s.reservations[st.tenant()]; reservation != nil && reservation.step == st {
+		return reservation
 	}
 	return nil
 }
 
-// reservedAgainst is how many accelerators are kept from a step for one with an earlier deadline.
+// reservedAgainst returns how many accelerators are reserved for another step with an earlier deadline, and so are not available to st.
 func (s *shares) reservedAgainst(st *step) int64 {
 	if len(s.reservations) == 0 {
 		return 0
 	}
-	kept := s.reservations[st.tenant()]
-	if kept == nil || kept.step == st || st.deadline() < kept.step.deadline() {
+	reservation := s.reservations[st.tenant()]
+	if reservation == nil || reservation.step == st || st.deadline() < reservation.step.deadline() {
 		return 0
 	}
-	return kept.step.acceleratorsAtOnce()
+	return reservation.step.acceleratorsAtOnce()
 }
 
-// noteShareFit bounds how long a share is kept back from the time on at which it has room for the step.
+// noteShareFit sets when a reservation ends, counted from when the share first can take the step.
 func (s *Scheduler) noteShareFit(st *step, fits bool) {
-	kept := s.shares.reservationFor(st)
+	reservation := s.shares.reservationFor(st)
 	switch {
-	case kept == nil:
+	case reservation == nil:
 	case !fits:
-		kept.until = 0
-	case kept.until == 0:
-		kept.until = s.now + maxShareReserve
+		reservation.until = 0
+	case reservation.until == 0:
+		reservation.until = s.now + maxShareReserve
 	}
 }
--- a/internal/system/scheduler/sharekeeping_test.go
+++ b/internal/system/scheduler/sharekeeping_test.go
@@ -112,7 +112,7 @@
 	assert.Equal(t, state.Running, w.stateOf(plain), "no accelerators")
 	why := w.sched.Why(later.id)
 	require.Len(t, why, 1)
-	assert.Contains(t, why[0].Why, "is kept for a gang")
+	assert.Contains(t, why[0].Why, "is reserved for a gang")
 	require.NoError(t, w.runUntilAllOver(300*time.Second))
 	for _, job := range []*simJob{running, gang, early, later, urgent, plain} {
 		assert.Equal(t, state.Completed, job.state)
--- a/internal/system/scheduler/shares.go
+++ b/internal/system/scheduler/shares.go
@@ -5,15 +5,17 @@
 	"gaugeslip/internal/system/state"
 )
 
-// shares keeps what is proposed within the tenants' shares of accelerators. That none is exceeded rests on the replicated state alone.
+// shares limits what is proposed to the tenants' shares of accelerators. It only avoids useless proposals: the replicated state alone
+// ensures that no share is exceeded.
 type shares struct {
 	tracker      *quota.Desk
 	proposed     map[state.Run]claim
 	reservations map[string]*shareReservation // by tenant
-	released     bool                         // something that was kept back is free again
+	released     bool                         // a reservation was ended since the last dispatch
 }
 
-// claim is what a proposed start takes of its tenant's share; its job may be over and gone when it comes back.
+// claim is what a proposed start takes of its tenant's share. It is stored because its job may be gone when the start comes back from the
+// chain.
 type claim struct {
 	tenant string
 	need   int64
@@ -23,7 +25,7 @@
 	return shares{tracker: quota.NewDesk(ledger), proposed: make(map[state.Run]claim), reservations: make(map[string]*shareReservation)}
 }
 
-// propose takes note of a start that is proposed.
+// propose records the claim of a proposed start.
 func (s *shares) propose(name state.Run, st *step) {
 	if st.need.GPUs == 0 {
 		return
@@ -33,20 +35,20 @@
 	s.tracker.Propose(taken.tenant, taken.need)
 }
 
-// decided takes note that a start came back from the chain. Those of a predecessor were never proposed here.
+// decided records that a start came back from the chain. Starts of an earlier head were never recorded here.
 func (s *shares) decided(name state.Run, holds bool) {
-	taken, own := s.proposed[name]
-	if !own {
+	taken, ok := s.proposed[name]
+	if !ok {
 		return
 	}
 	delete(s.proposed, name)
 	s.tracker.Settle(taken.tenant, taken.need, holds)
 }
 
-// tenant is whose share the step's tasks count against.
+// tenant returns the tenant whose share the step's tasks count against.
 func (st *step) tenant() string { return st.job.record.Tenant }
 
-// acceleratorsAtOnce is how many accelerators the step needs at once: for one task, or for the whole gang.
+// acceleratorsAtOnce returns how many accelerators the step needs at once: for one task, or for the whole gang.
 func (st *step) acceleratorsAtOnce() int64 {
 	if st.stage.Gang {
 		return st.need.GPUs * int64(len(st.tasks))
@@ -54,20 +56,21 @@
 	return st.need.GPUs
 }
 
-// fit tells whether the step's tenant may take what the step needs at once. What takes no accelerators always fits.
+// fit reports whether the step's tenant may take what the step needs at once. Steps without accelerators always fit.
 func (s *shares) fit(st *step) bool {
 	need := st.acceleratorsAtOnce()
 	return need == 0 || s.tracker.Fits(st.tenant(), need+s.reservedAgainst(st))
 }
 
-// changed tells whether kept steps are to be tried again.
+// changed reports, once, whether blocked steps are to be tried again.
 func (s *shares) changed() bool {
-	moved := s.tracker.Moved() || s.released
+	changed := s.tracker.Moved() || s.released
 	s.released = false
-	return moved
+	return changed
 }
 
-// shareFits tells whether the next task of a step, or its gang, fits its tenant's share; if not, the step is kept back.
+// shareFits reports whether the next task of a step, or its gang, fits its tenant's share. If not, the step is marked as blocked by its
+// share.
 func (s *Scheduler) shareFits(st *step) bool {
 	fits := s.shares.fit(st)
 	st.shareBlocked = !fits
@@ -76,13 +79,13 @@
 		return true
 	}
 	st.service.shareBlocked = true
-	if st.service.reserved.step == st { // room that is kept for it would stand idle
+	if st.service.reserved.step == st { // workers reserved for it would stay idle
 		s.releaseWorkers(st.service)
 	}
 	return false
 }
 
-// stillShareBlocked tells whether a held step is still kept back by its tenant's share. One that isn't any more is tried on all workers.
+// stillShareBlocked reports whether a queued step is still blocked by its tenant's share. If it no longer is, it is tried on all workers.
 func (s *Scheduler) stillShareBlocked(st *step) bool {
 	if !st.shareBlocked {
 		return false
@@ -95,7 +98,7 @@
 	return false
 }
 
-// retryShareBlocked has the held steps tried again that were kept back, once some tenant may take more.
+// retryShareBlocked has blocked steps tried again once some tenant may take more.
 func (s *Scheduler) retryShareBlocked() {
 	if !s.shares.changed() {
 		return
--- a/internal/system/scheduler/startorders.go
+++ b/internal/system/scheduler/startorders.go
@@ -7,20 +7,20 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// A worker may carry out a start for as long as both sendings are waited for, within these bounds: what gets no answer is soon known to be
-// over, and answers that are slow altogether leave time for the order.
+// A worker may carry out a start for as long as answers to both of its sendings are awaited, within these bounds. So it is soon
+// certain that a start without an answer does not run, and if answers are slow in general, starts still have enough time.
 const (
 	minStartWindow = 150 * time.Millisecond
 	maxStartWindow = 300 * time.Millisecond
 )
 
-// startWindow is how long a worker may carry out a start that is sent now, from the least that its clock may show.
+// startWindow returns for how long a worker may carry out a start that is sent now, counted from the lower bound of its clock.
 func (s *Scheduler) startWindow(w *worker) time.Duration {
 	waited := s.latency.hedgeDelay() + s.latency.timeout()
 	return min(max(waited, minStartWindow), maxStartWindow) + w.clock.maxAhead(s.now)
 }
 
-// sendCommittedStarts sends the starts whose intents were committed, but for those that are unwanted by now.
+// sendCommittedStarts sends the starts whose intents were committed, and voids those that are no longer wanted.
 func (s *Scheduler) sendCommittedStarts() {
 	for _, r := range s.committedStarts {
 		if r.phase == runCommitted && !s.stillWanted(r) {
@@ -60,8 +60,8 @@
 	s.scheduleHold(w, s.now)
 }
 
-// sendStart sends the start of a run. It may be sent twice, unless answers are slow altogether: a worker takes the same run's start for the
-// same order.
+// sendStart sends the start of a run. It may be sent twice, unless answers are slow in general; a worker treats both sendings as the same
+// order.
 func (s *Scheduler) sendStart(r *run) {
 	w := r.worker
 	order := workerapi.StartOrder{
@@ -77,7 +77,7 @@
 	s.send(Call{Kind: CallStart, Start: order, Timeout: s.latency.timeout()}, w, r)
 }
 
-// startEnded takes in the answer to a start. What the worker has listed since goes before it.
+// startEnded handles the answer to a start. What the worker has listed in the meantime takes precedence.
 func (s *Scheduler) startEnded(ended *call, reply *workerapi.HoldReply) {
 	r, w := ended.run, ended.worker
 	r.startsInFlight--
@@ -108,7 +108,7 @@
 	}
 }
 
-// startRefused takes note that one sending of a start was surely not carried out; another may have been.
+// startRefused handles a sending of a start that was certainly not carried out. Another sending of it may have been.
 func (s *Scheduler) startRefused(r *run, outcome workerapi.Outcome) {
 	if r.startsInFlight > 0 || r.startInDoubt {
 		s.markDoubtful(r)
@@ -117,7 +117,7 @@
 	s.giveUpStart(r, outcome)
 }
 
-// markDoubtful takes note that a start has no clear answer, unless another sending of it still may have one.
+// markDoubtful marks a start as in doubt, unless another sending of it is still in flight.
 func (s *Scheduler) markDoubtful(r *run) {
 	if r.startsInFlight > 0 {
 		return
@@ -131,14 +131,14 @@
 	s.runAt(r.worker.clock.passedBy(r.dueAtMs), func() { s.probeForRun(r) })
 }
 
-// probeForRun looks for a run that is still in doubt.
+// probeForRun probes the worker of a run that is still in doubt.
 func (s *Scheduler) probeForRun(r *run) {
 	if r.phase == runDoubtful && r.worker.runs[r.name] == r {
 		s.probe(r.worker)
 	}
 }
 
-// giveUpStart gives up a run that the worker surely hasn't started and won't.
+// giveUpStart gives up a run that the worker certainly has not started and will not start.
 func (s *Scheduler) giveUpStart(r *run, outcome workerapi.Outcome) {
 	if t := r.task(); t != nil {
 		t.refusals++
@@ -149,7 +149,7 @@
 	s.voidRun(r)
 }
 
-// voidRun proposes that a run doesn't exist and never will.
+// voidRun proposes that a run does not exist and never will.
 func (s *Scheduler) voidRun(r *run) {
 	r.setPhase(runVoided)
 	s.capacityFreed(r.worker)
@@ -169,7 +169,7 @@
 	s.newVoids = nil
 }
 
-// voidsCommitted takes in the commit of runs that don't exist.
+// voidsCommitted handles the commit of voided runs.
 func (s *Scheduler) voidsCommitted(names []state.Run) {
 	for _, name := range names {
 		if r := s.voiding[name]; r != nil {
--- a/internal/system/scheduler/starts.go
+++ b/internal/system/scheduler/starts.go
@@ -4,7 +4,7 @@
 	"gaugeslip/internal/system/state"
 )
 
-// proposeStart sets room aside for the next run of a task and proposes its intent.
+// proposeStart reserves capacity for the next run of a task and proposes its intent.
 func (s *Scheduler) proposeStart(st *step, index uint32, w *worker) {
 	attempt, checkpoint := uint32(1), ""
 	if record := st.record(index); record != nil {
@@ -13,7 +13,7 @@
 	s.proposeRun(st, index, w, attempt, st.tasks[index].checkpoint.newest(attempt-1, checkpoint))
 }
 
-// newest is the checkpoint to start from: the one that was seen last, unless the replicated one is of a later attempt.
+// newest returns the checkpoint to start from: the last one seen, unless the replicated one is of a later attempt.
 func (c checkpoint) newest(attempt uint32, replicated string) string {
 	if c.text != "" && c.attempt >= attempt {
 		return c.text
@@ -29,10 +29,10 @@
 	s.newStarts = append(s.newStarts, state.Start{Run: name, Worker: w.identity.Instance, Checkpoint: checkpoint})
 }
 
-// maxStartsPerCommand is how many intents one command holds, but for those of one step, which stay together.
+// maxStartsPerCommand limits the intents in one command. Intents of one step stay together and may exceed it.
 const maxStartsPerCommand = 1000
 
-// proposeStarts puts the intents of this round into few commands.
+// proposeStarts proposes the intents of this round in few commands.
 func (s *Scheduler) proposeStarts() {
 	for len(s.newStarts) > 0 {
 		end := min(maxStartsPerCommand, len(s.newStarts))
@@ -49,28 +49,28 @@
 	return a.Task.Job == b.Task.Job && a.Task.Time == b.Task.Time && a.Task.Step == b.Task.Step
 }
 
-// startsCommitted takes in which intents hold: those are ordered, the others never happen.
-func (s *Scheduler) startsCommitted(all, held []state.Start) {
+// startsCommitted handles the commit of intents. Those that the state accepted are sent; the others never run.
+func (s *Scheduler) startsCommitted(all, accepted []state.Start) {
 	for i := range all {
-		holds := len(held) > 0 && held[0].Run == all[i].Run
-		if holds {
-			held = held[1:]
+		ok := len(accepted) > 0 && accepted[0].Run == all[i].Run
+		if ok {
+			accepted = accepted[1:]
 		}
-		s.startCommitted(&all[i], holds)
+		s.startCommitted(&all[i], ok)
 	}
 }
 
-func (s *Scheduler) startCommitted(start *state.Start, holds bool) {
-	s.shares.decided(start.Run, holds)
+func (s *Scheduler) startCommitted(start *state.Start, accepted bool) {
+	s.shares.decided(start.Run, accepted)
 	s.startLimiter.removeProposed()
 	w := s.ensureWorker(start.Worker)
 	r := w.runs[start.Run]
 	switch {
 	case r == nil || r.phase != runProposed:
-		if holds && r == nil {
+		if accepted && r == nil {
 			s.adoptRun(w, start.Run)
 		}
-	case holds:
+	case accepted:
 		r.setPhase(runCommitted)
 		s.committedStarts = append(s.committedStarts, r)
 	default:
@@ -79,7 +79,7 @@
 	}
 }
 
-// adoptRun takes over a run that a predecessor may have started.
+// adoptRun tracks a run that an earlier head may have started.
 func (s *Scheduler) adoptRun(w *worker, name state.Run) {
 	r := &run{name: name, worker: w, phase: runInherited, resumed: true}
 	if stage := s.stageSpec(name.Task); stage != nil {
--- a/internal/system/scheduler/steps.go
+++ b/internal/system/scheduler/steps.go
@@ -10,7 +10,7 @@
 	"gaugeslip/policy/sizing"
 )
 
-// step is one step of a job at one due time. Its tasks are alike, so that they are held together.
+// step is one step of a job in one occurrence. All of its tasks have the same requirements, so they are queued together.
 type step struct {
 	job        *job
 	occurrence *occurrence
@@ -18,77 +18,77 @@
 	stage      *jobspec.Stage
 	service    *service
 	need       Resources
-	runTime    time.Duration // of a run on a sound worker near its data, as estimated
+	runTime    time.Duration // estimated run time of a task on a sound worker near its data
 	tasks      []task
-	// waiting are the tasks that wait for room, in the order in which they leave.
+	// waiting holds the indexes of tasks that wait for capacity, in the order in which they will start.
 	waiting       []uint32
 	opened        bool
 	closed        bool
 	readyAt       time.Duration
-	upstreamSpent Spent // the time of the steps that it waited for
+	upstreamSpent Spent // time spent in the steps that this one depended on
 
 	queued       bool
 	ticket       sizing.Ticket
-	tryAll       bool // it has to be tried on all workers
-	shareBlocked bool // its tenant's share had no room for it when it was tried last
-	// overdue tells that its tasks had waited too long beside free room when that was looked at last.
+	tryAll       bool // the step has to be tried on all workers
+	shareBlocked bool // at the last try, its tenant's share could not take it
+	// overdue reports that at the last review its tasks had waited too long beside free capacity.
 	overdue bool
-	// shareReservePlanned tells that it will be considered for keeping its share back, shareReserveNotBefore when at the earliest.
+	// shareReservePlanned reports that a timer will consider reserving its tenant's share. That is not done before shareReserveNotBefore.
 	shareReservePlanned   bool
 	shareReserveNotBefore time.Duration
 	farAllowedAt          time.Duration
-	runsPerWorker         map[*worker]int // runs, where antiAffinity bounds them
+	runsPerWorker         map[*worker]int // runs per worker; set only if antiAffinity limits them
 	// unplaced is how many tasks are still to be placed in this round, lastChosen the worker that was chosen last in it.
 	unplaced    int
 	lastChosen  *worker
 	gang        gangState
-	gangRetryAt time.Duration // when a held gang is tried again at the earliest
-	// gangRetryPlanned tells that it will be, since room was freed before.
+	gangRetryAt time.Duration // earliest time of the next try for a queued gang
+	// gangRetryPlanned reports that a timer will retry it, because capacity was freed before gangRetryAt.
 	gangRetryPlanned bool
 }
 
-// taskState tells what becomes of a task.
+// taskState is the scheduling state of a task.
 type taskState uint8
 
 const (
-	taskIdle    taskState = iota // its step isn't open
-	taskWaiting                  // for room
+	taskIdle    taskState = iota // the step is not open
+	taskWaiting                  // waiting for capacity
 	taskActive                   // runs of it are proposed or may exist
-	taskPaused                   // it is started again after a pause
+	taskPaused                   // in backoff before the next start
 	taskDone
 )
 
 // task is one task of an open step.
 type task struct {
 	state      taskState
-	runs       []*run // proposed, or that may exist
-	refusals   int    // starts in turn that were refused
-	quickEnds  int    // of a task that lasts: ends in turn soon after the start
+	runs       []*run // proposed runs and runs that may exist
+	refusals   int    // consecutive refused starts
+	quickEnds  int    // for long-running tasks: consecutive ends soon after the start
 	checkpoint checkpoint
-	avoid      *worker // where it isn't started until avoidUntil
+	avoid      *worker // worker on which the task is not started until avoidUntil
 	avoidUntil time.Duration
-	failedOn   *worker // where it failed last
+	failedOn   *worker // worker on which it failed last
 	failures   uint32
-	moves      int // from workers on which it stood still or fell behind
-	copies     int // that were asked for
-	// waitingSince is when its turn came, or when its last run was there; 0 while one is.
+	moves      int // moves away from workers on which it stalled or was slow
+	copies     int // copies that were requested
+	// waitingSince is when the task became ready or when its last run ended; 0 while a run exists.
 	waitingSince time.Duration
-	reportedAt   time.Duration // when the audit told of it last
-	unexplained  bool          // the last audit has found no reason for its wait
+	reportedAt   time.Duration // when the audit last reported it
+	unexplained  bool          // the last audit found no reason for its wait
 	backoffUntil time.Duration
-	lastRefusal  workerapi.Outcome // the last one in turn
+	lastRefusal  workerapi.Outcome // outcome of the last consecutive refusal
 	account      timeAccount
-	// provenOnlyUntil is until when a task that has failed before waits for a proven worker.
+	// provenOnlyUntil is until when a task that has failed waits for a proven worker.
 	provenOnlyUntil time.Duration
 }
 
-// checkpoint is the newest progress seen, and the attempt that showed it.
+// checkpoint is the newest progress seen, and the attempt that reported it.
 type checkpoint struct {
 	attempt uint32
 	text    string
 }
 
-// ensureStep gives the record of a step, which is not opened by that.
+// ensureStep returns the record of a step. It creates the record if needed, but does not open the step.
 func (s *Scheduler) ensureStep(j *job, t *occurrence, number uint32) *step {
 	st := t.steps[number]
 	if st != nil {
@@ -112,7 +112,7 @@
 	return st
 }
 
-// openStep lets the tasks of a step wait for room whose turn has come.
+// openStep makes the tasks of a ready step wait for capacity.
 func (s *Scheduler) openStep(st *step) {
 	if st.opened {
 		return
@@ -130,13 +130,13 @@
 	return state.TaskName{Job: st.job.record.ID, Time: st.occurrence.number, Step: st.number, Index: index}
 }
 
-// record gives the replicated record of a task, nil while nothing of its due time was started.
+// record returns the replicated record of a task; nil until a start in this occurrence is committed.
 func (st *step) record(index uint32) *state.Task { return st.job.record.Task(st.name(index)) }
 
-// allDone tells whether all tasks have ended done.
+// allDone reports whether all tasks have ended as done.
 func (st *step) allDone() bool { return st.job.record.StepDone(st.occurrence.number, st.number) }
 
-// reconcile brings a task's state in line with the replicated state and with its runs. It is called after either has changed.
+// reconcile brings a task's state in line with the replicated state and with the task's runs. Call it after either has changed.
 func (s *Scheduler) reconcile(st *step, index uint32) {
 	if !st.opened {
 		return
@@ -151,7 +151,7 @@
 		return
 	}
 	switch {
-	case len(t.runs) > 0 && t.state == taskWaiting: // a copy of it is wanted
+	case len(t.runs) > 0 && t.state == taskWaiting: // a copy of it is requested
 	case len(t.runs) > 0:
 		t.state = taskActive
 	case t.state == taskWaiting || t.state == taskPaused:
@@ -160,7 +160,7 @@
 	}
 }
 
-// awaitCapacity has a task wait for room, after a pause where it came back too often.
+// awaitCapacity makes a task wait for capacity, after a backoff if its starts were refused or ended early several times in a row.
 func (s *Scheduler) awaitCapacity(st *step, index uint32) {
 	t := &st.tasks[index]
 	if pause := t.backoff(); pause > 0 {
@@ -173,14 +173,14 @@
 	s.enqueueTask(st, index)
 }
 
-// noteWaiting takes note that no run of a task is known to be there.
+// noteWaiting records that no run of the task is known to exist.
 func (s *Scheduler) noteWaiting(t *task) {
 	if t.waitingSince == 0 {
 		t.waitingSince = max(s.now, 1)
 	}
 }
 
-// enqueueTask has a task wait for room from now on.
+// enqueueTask makes a task wait for capacity from now on.
 func (s *Scheduler) enqueueTask(st *step, index uint32) {
 	t := &st.tasks[index]
 	t.state = taskWaiting
@@ -194,10 +194,11 @@
 	s.restrictPlacement(st, t)
 }
 
-// unrestricted tells whether the task may start wherever its step may.
+// unrestricted reports whether the task may start wherever its step may.
 func (t *task) unrestricted() bool { return t.avoid == nil && t.failures == 0 }
 
-// restrictPlacement keeps a task for a while from the worker where it didn't end well, and one that has failed from all that aren't proven.
+// restrictPlacement keeps the task off the worker it avoids for a while. A task that has failed may also start only on proven workers
+// during that time.
 func (s *Scheduler) restrictPlacement(st *step, t *task) {
 	if t.unrestricted() {
 		return
@@ -207,7 +208,7 @@
 	s.runAt(t.avoidUntil, func() { s.retryOnAll(st) })
 }
 
-// retryOnAll has a held step tried on all workers.
+// retryOnAll has a queued step tried on all workers in the next dispatch.
 func (s *Scheduler) retryOnAll(st *step) {
 	if st.queued {
 		st.tryAll, st.service.tryAll = true, true
@@ -228,7 +229,7 @@
 	quickEndLimit = 2 * time.Second
 )
 
-// backoff is how long the task is left alone: none at first, then longer with each refusal or quick end in turn.
+// backoff returns how long to wait before the next start: 0 at first, then growing with each consecutive refusal or early end.
 func (t *task) backoff() time.Duration {
 	again := max(t.refusals-freeRefusals, t.quickEnds-1)
 	if again <= 0 {
@@ -237,7 +238,7 @@
 	return min(minBackoff<<min(again, 8), maxBackoff)
 }
 
-// finishTask ends a task: copies that still run are stopped.
+// finishTask marks a task as done and stops copies that still run.
 func (s *Scheduler) finishTask(st *step, index uint32) {
 	t := &st.tasks[index]
 	if t.state == taskWaiting {
@@ -253,7 +254,7 @@
 	}
 }
 
-// dequeueTask takes a task out of those that wait for room.
+// dequeueTask removes a task from those that wait for capacity.
 func (s *Scheduler) dequeueTask(st *step, index uint32) {
 	if at := slices.Index(st.waiting, index); at >= 0 {
 		st.waiting = slices.Delete(st.waiting, at, at+1)
@@ -263,7 +264,7 @@
 	}
 }
 
-// closeStep ends a step all of whose tasks are done, and opens those whose turn has come by that.
+// closeStep ends a step whose tasks are all done, and opens the steps that became ready.
 func (s *Scheduler) closeStep(st *step) {
 	st.closed = true
 	s.dequeue(st)
@@ -284,7 +285,7 @@
 	}
 }
 
-// abandonStep ends a step whose job is over.
+// abandonStep ends a step whose job is over and stops its runs.
 func (s *Scheduler) abandonStep(st *step, state state.JobState) {
 	st.closed = true
 	s.dequeue(st)
@@ -296,7 +297,8 @@
 	}
 }
 
-// stopSurplus stops a run that serves nothing any more. The members of a gang that is done are about to be listed themselves.
+// stopSurplus stops a run that is no longer needed. The members of a completed gang get gangEndGrace first, because their own ends are
+// about to be listed.
 func (s *Scheduler) stopSurplus(r *run, st *step, ended state.JobState) {
 	if !st.stage.Gang || ended != state.Completed {
 		s.requestStop(r)
--- a/internal/system/scheduler/stragglers.go
+++ b/internal/system/scheduler/stragglers.go
@@ -3,29 +3,29 @@
 import "time"
 
 const (
-	// stallAfter is how long a run may show no progress at the least before it counts as standing still.
+	// stallAfter is the shortest time without progress after which a run counts as stalled.
 	stallAfter = 1500 * time.Millisecond
-	// stallDivisor is the part of its estimate for which a run may show none.
+	// stallDivisor sets the fraction of its estimate for which a run may show no progress.
 	stallDivisor = 3
-	// noProgressFactor is how many times its estimate a run may take without a word of progress.
+	// noProgressFactor is how many times its estimate a run may take without any reported progress.
 	noProgressFactor = 3
 	// minProgressingRuns is how many runs must have shown progress before a lack of it means anything.
 	minProgressingRuns = 5
-	// maxMoves is how often a task is moved for being slow or standing still.
+	// maxMoves limits how often a task is moved for being slow or stalled, and how many copies of it are requested.
 	maxMoves = 3
-	// minShownPercent is how much progress, in hundredths, makes a pace.
+	// minShownPercent is how much progress, in percent, is needed to estimate a pace.
 	minShownPercent = 5
-	// minMoveFactor is how many times as long as elsewhere a run must still take to be moved.
+	// minMoveFactor is how many times longer than elsewhere a run must still take to be moved.
 	minMoveFactor = 2
-	// minMoveGain is how much sooner a task must end for being moved.
+	// minMoveGain is how much sooner a task must end to be moved.
 	minMoveGain = 1500 * time.Millisecond
-	// restartCost is what a stop and a start cost besides.
+	// restartCost is the additional time that a stop and a start cost.
 	restartCost = 150 * time.Millisecond
-	// copyFactor is how many times its estimate a run takes before a copy of it is started, where copies may be.
+	// copyFactor is how many times its estimate a run takes before a copy of it is started, if its step allows copies.
 	copyFactor = 2
 )
 
-// watchWorker looks at what runs on a worker after each of its answers: runs that stand still or are far behind are moved.
+// watchWorker checks the runs on a worker after each of its answers. Runs that are stalled or far behind are moved.
 func (s *Scheduler) watchWorker(w *worker) {
 	if w.draining {
 		s.evacuate(w)
@@ -65,7 +65,7 @@
 	}
 }
 
-// expectedOn is how long the run ought to take on its worker, were that sound.
+// expectedOn returns how long the run should take on its worker if the worker is sound.
 func (s *Scheduler) expectedOn(r *run) time.Duration {
 	expected := time.Duration(float64(r.step.runTime) * s.dataPenalty(r.step, r.worker))
 	if r.resumed {
@@ -74,8 +74,8 @@
 	return expected
 }
 
-// stalled tells whether a run makes no progress though runs elsewhere do. What counts is the worker's own time between two of its lists:
-// that this replica was late to take one in says nothing of the run.
+// stalled reports whether a run makes no progress although other runs do. It counts the worker's own time between two of its lists, because
+// a list that this replica processed late says nothing about the run.
 func (s *Scheduler) stalled(r *run, expected, elapsed time.Duration) bool {
 	if s.progressingRuns < minProgressingRuns {
 		return elapsed > noProgressFactor*expected+2*stallAfter && r.percent == 0
@@ -84,7 +84,7 @@
 	return r.percent < 100 && r.percentClockMs > 0 && still > s.stallTimeout(r, expected)
 }
 
-// stallTimeout is for how long a run may show no progress.
+// stallTimeout returns for how long a run may show no progress.
 func (s *Scheduler) stallTimeout(r *run, expected time.Duration) time.Duration {
 	patience := max(stallAfter, expected/stallDivisor)
 	if r.resumed {
@@ -93,8 +93,8 @@
 	return patience
 }
 
-// worthMoving tells whether a run is so far behind that its task ends sooner, and by much, when it is started elsewhere, and whether
-// that matters: what it has done is lost unless it is saved.
+// worthMoving reports whether a run will miss its deadline and its task would end much sooner if it were started elsewhere. Progress that
+// is not saved is lost by a move.
 func (s *Scheduler) worthMoving(r *run, expected time.Duration) bool {
 	shown := r.percent - r.firstPercent
 	took := r.percentAt - r.firstProgressAt
@@ -113,7 +113,7 @@
 	return left > minMoveFactor*elsewhere && left-elsewhere > minMoveGain && s.fitsElsewhere(r)
 }
 
-// requestCopy has a second run of a task started, where copies may run at the same time.
+// requestCopy has a second run of a task started, if its step allows copies.
 func (s *Scheduler) requestCopy(r *run) {
 	st, t := r.step, r.task()
 	if t == nil || !st.stage.Speculative || !st.opened || st.closed || len(t.runs) != 1 || t.state != taskActive || r.stopWanted {
@@ -127,7 +127,8 @@
 	s.enqueueTask(st, r.name.Task.Index)
 }
 
-// requestCopiesOfRuns takes note that a worker has stopped answering: where copies may run at the same time, they don't wait for its loss.
+// requestCopiesOfRuns requests copies of the runs on a worker that has stopped answering, so that speculative tasks do not wait for its
+// loss.
 func (s *Scheduler) requestCopiesOfRuns(w *worker) {
 	for _, r := range w.runList {
 		if r.task() != nil && r.phase.mayExist() {
--- a/internal/system/scheduler/tenants.go
+++ b/internal/system/scheduler/tenants.go
@@ -1,14 +1,14 @@
 package scheduler
 
-// TenantView is what waits of a tenant: tasks of open steps that take accelerators.
+// TenantView counts a tenant's waiting tasks that take accelerators.
 type TenantView struct {
-	// Held tasks wait, for room or for the share.
+	// Held is how many tasks wait, for capacity or for the share.
 	Held int
-	// KeptBack are those of them that the tenant's share keeps back.
+	// KeptBack is how many of them are blocked by the tenant's share.
 	KeptBack int
 }
 
-// Tenants shows what waits of each tenant of which something does, by name; empty for jobs without one.
+// Tenants returns the counts of each tenant with waiting tasks, by name; the name is empty for jobs without a tenant.
 func (s *Scheduler) Tenants() map[string]TenantView {
 	views := make(map[string]TenantView)
 	for _, svc := range s.serviceOrder {
@@ -27,7 +27,7 @@
 	return views
 }
 
-// waitingTasks is how many tasks of a held step wait.
+// waitingTasks returns how many tasks of a queued step wait.
 func (st *step) waitingTasks() int {
 	if st.stage.Gang {
 		return len(st.tasks)
--- a/internal/system/scheduler/timers.go
+++ b/internal/system/scheduler/timers.go
@@ -8,7 +8,7 @@
 	"gaugeslip/internal/system/state"
 )
 
-// timer is something to be done at a time.
+// timer is a function to be called at a time.
 type timer struct {
 	at   time.Duration
 	fire func()
@@ -31,29 +31,29 @@
 // timerQueue holds timers, earliest first.
 type timerQueue struct{ heap timerHeap }
 
-func (q *timerQueue) first() (at time.Duration, any bool) {
+func (q *timerQueue) first() (at time.Duration, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
 	return q.heap[0].at, true
 }
 
-// after has something done at a time; whatever it is has to look whether it still applies.
+// runAt calls fire at a time. Timers are never cancelled, so fire has to check whether it still applies.
 func (s *Scheduler) runAt(at time.Duration, fire func()) {
 	heap.Push(&s.timers.heap, timer{at: at, fire: fire})
 }
 
 func (s *Scheduler) fireTimers() {
 	for {
-		at, any := s.timers.first()
-		if !any || at > s.now {
+		at, ok := s.timers.first()
+		if !ok || at > s.now {
 			return
 		}
 		heap.Pop(&s.timers.heap).(timer).fire()
 	}
 }
 
-// dueOccurrence is the next due time of a timed job.
+// dueOccurrence is the next occurrence of a timed job.
 type dueOccurrence struct {
 	unixMs int64
 	job    state.JobID
@@ -74,17 +74,17 @@
 	return popped
 }
 
-// occurrenceQueue holds one entry for each timed job of which due times are left.
+// occurrenceQueue holds one entry for each timed job with occurrences left.
 type occurrenceQueue struct{ heap dueHeap }
 
-func (q *occurrenceQueue) first() (unixMs int64, any bool) {
+func (q *occurrenceQueue) first() (unixMs int64, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
 	return q.heap[0].unixMs, true
 }
 
-// openDueOccurrences opens the due times that have come by the trusted time of day.
+// openDueOccurrences opens the occurrences that have fallen due by the trusted wall-clock time.
 func (s *Scheduler) openDueOccurrences() {
 	for s.wall.known && len(s.occurrenceQueue.heap) > 0 {
 		next := s.occurrenceQueue.heap[0]
@@ -98,7 +98,7 @@
 	}
 }
 
-// queueNextOccurrence queues the next due time of a timed job.
+// queueNextOccurrence queues the next occurrence of a timed job.
 func (s *Scheduler) queueNextOccurrence(j *job) {
 	if j.nextOccurrence < j.record.TimeCount() {
 		heap.Push(&s.occurrenceQueue.heap, dueOccurrence{unixMs: j.record.DueMs(j.nextOccurrence), job: j.record.ID})
--- a/internal/system/scheduler/trials.go
+++ b/internal/system/scheduler/trials.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// Workers on which several jobs have failed are shut out: for a pause nothing starts there, then one run at a time till one ends well. That
-// spares tasks their attempts as long as others can take them. Beside room that is mostly free it must not keep work waiting: where
-// all workers are shut out, the clean end that would reopen them may never come.
+// Workers on which several jobs have failed are quarantined: for a while nothing starts there, then one run at a time until one succeeds. That
+// saves the tasks' attempts as long as other workers can take them. While most capacity is free it must not keep work waiting: if all workers
+// are quarantined, the success that would end the quarantine may never come.
 const (
-	// trialWait is how long a task waits for a trusted worker beside such room.
+	// trialWait is how long a task waits for a trusted worker while most capacity is free.
 	trialWait = 2 * time.Second
-	// minTrialRest is how long after its last failure a worker is spared all the same: its pause at first, and time for a trial to end well.
+	// minTrialRest is how long after its last failure a worker gets no task in any case. It covers the first quarantine and time for a
+	// trial to end.
 	minTrialRest = 3 * time.Second
-	// maxMostlyFree is the share of a service's room up to which it counts as mostly free.
+	// maxMostlyFree is the used fraction of a service's capacity below which the capacity counts as mostly free.
 	maxMostlyFree = 0.5
-	// reviewInterval is how often it is looked whether steps are overdue, maxOverdueSteps how many of them are let go at a time.
+	// reviewInterval is how often queued steps are reviewed; maxOverdueSteps limits how many steps are marked overdue at a time.
 	reviewInterval  = 500 * time.Millisecond
 	maxOverdueSteps = 16
 )
 
-// mayUseQuarantined tells whether tasks of a step may go to workers where they otherwise wouldn't. Only reviewTrials changes that.
+// mayUseQuarantined reports whether tasks of a step may go to quarantined workers beyond one trial at a time. Only reviewTrials changes
+// that.
 func (st *step) mayUseQuarantined() bool { return st.overdue && st.service.useQuarantined }
 
-// mayTryQuarantined tells whether a task may be risked on a worker that is shut out.
+// mayTryQuarantined reports whether a task may be started on a quarantined worker.
 func (s *Scheduler) mayTryQuarantined(w *worker, st *step, t *task) bool {
 	h := &w.health
 	if s.now >= h.quarantinedUntil && len(w.runs) == 0 && t.failures == 0 {
@@ -29,7 +31,7 @@
 	return st.mayUseQuarantined() && s.now >= h.failedAt+minTrialRest
 }
 
-// planRestEnd has held steps tried on a worker that is shut out once it was spared for long enough.
+// planRestEnd has queued steps tried on a quarantined worker once minTrialRest has passed.
 func (s *Scheduler) planRestEnd(w *worker) {
 	s.runAt(w.health.failedAt+minTrialRest, func() {
 		if w.health.quarantined {
@@ -38,7 +40,7 @@
 	})
 }
 
-// planTrialReviews has it reviewed, now and then, which held steps are overdue.
+// planTrialReviews schedules the regular review of overdue steps.
 func (s *Scheduler) planTrialReviews() {
 	s.runAt(s.now+reviewInterval, func() {
 		for _, svc := range s.serviceOrder {
@@ -48,7 +50,7 @@
 	})
 }
 
-// reviewTrials lets the first held steps whose tasks have waited for too long beside room that is mostly free go to workers that are shut out.
+// reviewTrials lets the first queued steps whose tasks have waited too long use quarantined workers, while most capacity is free.
 func (s *Scheduler) reviewTrials(svc *service) {
 	svc.useQuarantined = svc.anyQuarantined() && svc.mostlyFree()
 	if !svc.useQuarantined {
@@ -65,15 +67,15 @@
 	}
 }
 
-// maxMostlyFree tells whether less than half of the room of the service's workers is in use.
+// mostlyFree reports whether less than half of the capacity of the service's workers is used.
 func (svc *service) mostlyFree() bool {
-	used, room := Resources{}, Resources{}
+	used, capacity := Resources{}, Resources{}
 	for _, w := range svc.workers {
 		if w.schedulable() {
-			used, room = used.plus(w.used), room.plus(w.capacity)
+			used, capacity = used.plus(w.used), capacity.plus(w.capacity)
 		}
 	}
-	return used.dominantShare(room) < maxMostlyFree
+	return used.dominantShare(capacity) < maxMostlyFree
 }
 
 func (svc *service) anyQuarantined() bool {
@@ -85,7 +87,7 @@
 	return false
 }
 
-// firstWaitingTask is the task that leaves first of those that wait, nil if none does.
+// firstWaitingTask returns the task that will start first of those that wait; nil if none does.
 func (st *step) firstWaitingTask() *task {
 	switch {
 	case !st.hasWaiting():
--- a/internal/system/scheduler/view.go
+++ b/internal/system/scheduler/view.go
@@ -8,28 +8,28 @@
 	"gaugeslip/internal/system/state"
 )
 
-// WorkerView is what an operator is shown of one life of a worker.
+// WorkerView describes one worker instance for operators.
 type WorkerView struct {
 	Instance, Address, Service string
 	Reach                      string
 	Listed, Draining           bool
 	Room, Used                 Resources
-	// Runs is how many may exist there, Withheld how many lanes refusals have cost.
+	// Runs is how many runs may exist there, Withheld how many tasks' capacity is withheld after refusals.
 	Runs, Withheld int
-	// Slowness is how many times as long as expected runs take there.
+	// Slowness is the ratio of run times to expectations on the worker.
 	Slowness float64
-	// Shut tells that it gets trial tasks only.
+	// Shut reports that the worker is quarantined.
 	Shut bool
 }
 
-// View is what an operator is shown.
+// View describes workers and queues for operators.
 type View struct {
 	Workers []WorkerView
-	// Held is how many steps have tasks that wait for room, by service.
+	// Held is how many steps are queued, by service.
 	Held map[string]int
 }
 
-// Snapshot gives a read-only view of workers and queues.
+// Snapshot returns a view of workers and queues.
 func (s *Scheduler) Snapshot() View {
 	view := View{Held: make(map[string]int, len(s.services))}
 	for _, w := range s.workers {
@@ -62,24 +62,24 @@
 	return view
 }
 
-// TaskView tells why one task of a job isn't done.
+// TaskView tells why one task of a job is not done.
 type TaskView struct {
 	Task state.TaskName
-	// State is waiting, active, paused or done.
+	// State is idle, waiting, active, paused or done.
 	State string
-	// Why says for a waiting task what keeps it from starting.
+	// Why says what keeps a waiting task from starting.
 	Why string
-	// Runs are the workers on which runs of it may exist.
+	// Runs are the workers on which runs of the task may exist.
 	Runs []string
-	// Spent is its time so far by part, with that of the steps it waited for.
+	// Spent is its time so far by part, including that of the steps it depended on.
 	Spent Spent
-	// Deadline is on the steady clock.
+	// Deadline is on the monotonic clock.
 	Deadline time.Duration
 }
 
 var taskStateNames = [...]string{taskIdle: "idle", taskWaiting: "waiting", taskActive: "active", taskPaused: "paused", taskDone: "done"}
 
-// Why tells of each task of a job's open steps that isn't done what it waits for.
+// Why returns the unfinished tasks of a job's open steps and what each waits for; nil if the job is not tracked.
 func (s *Scheduler) Why(id state.JobID) []TaskView {
 	j := s.jobs[id]
 	if j == nil {
@@ -118,27 +118,27 @@
 func (s *Scheduler) blockedReason(st *step, t *task) string {
 	if !s.shares.fit(st) {
 		if s.shares.reservedAgainst(st) > 0 {
-			return "its tenant's share of accelerators is kept for a gang or a larger task with an earlier deadline"
+			return "its tenant's share of accelerators is reserved for a gang or a larger task with an earlier deadline"
 		}
 		return "its tenant's share of accelerators is used up"
 	}
-	obstacle := "its service has no worker that answers"
+	reason := "its service has no worker that answers"
 	for _, w := range st.service.workers {
 		switch {
 		case !w.schedulable():
 			continue
 		case !w.hasLabels(st.stage.Requirements):
-			obstacle = "no worker with its labels answers"
+			reason = "no worker with its labels answers"
 			continue
 		case !st.need.fitsInto(w.capacity):
-			obstacle = "no worker is large enough"
+			reason = "no worker is large enough"
 			continue
 		case !st.need.fitsInto(w.free()):
-			return "no room on any worker that it may use"
+			return "no free capacity on any worker that it may use"
 		case !s.feasible(w, st, t):
-			return "the workers with room are shut out or hold enough of its step"
+			return "the workers with free capacity are quarantined, reserved, or have enough tasks of its step"
 		}
 		return "about to start"
 	}
-	return obstacle
+	return reason
 }
--- a/internal/system/scheduler/workers.go
+++ b/internal/system/scheduler/workers.go
@@ -10,19 +10,19 @@
 	"gaugeslip/policy/sizing"
 )
 
-// reach tells what is known of the way to a worker.
+// reach is whether a worker answers holds.
 type reach uint8
 
 const (
-	reachUnheard   reach = iota // it has answered no hold of this scheduler, so that it may not know the token
-	reachAnswering              // it has answered the last hold
-	reachSilent                 // it hasn't
-	reachOver                   // this life has ended
+	reachUnheard   reach = iota // has answered no hold of this scheduler, so it may not know the token
+	reachAnswering              // has answered the last hold
+	reachSilent                 // has not answered the last holds
+	reachOver                   // this instance has ended
 )
 
 var reachNames = [...]string{reachUnheard: "unheard", reachAnswering: "answering", reachSilent: "silent", reachOver: "over"}
 
-// worker is one life of a worker.
+// worker is one worker instance: one process lifetime of a worker.
 type worker struct {
 	identity workerapi.Worker
 	service  *service
@@ -30,38 +30,38 @@
 	labels   []string
 	listed   bool
 	draining bool
-	// unlistedAt is when it went off the list.
+	// unlistedAt is when the platform stopped listing it.
 	unlistedAt       time.Duration
 	reach            reach
-	lossProposed     bool // WorkerLost is proposed
+	lossProposed     bool // a WorkerLost command is proposed
 	clock            workerClock
-	maxDueMs         int64 // the latest due time that was sent, on its clock
+	maxDueMs         int64 // highest due time that was sent, on the worker's clock
 	hold             holdState
-	answeredAt       time.Duration // when it answered a call last
-	lastProposedEnd  uint64        // the highest number of an end that was proposed
-	lastCommittedEnd uint64        // the highest number of an end that was committed
+	answeredAt       time.Duration // when it last answered a call
+	lastProposedEnd  uint64        // highest number of an end that was proposed
+	lastCommittedEnd uint64        // highest number of an end that was committed
 	runs             map[state.Run]*run
-	runList          []*run    // the same, in an order that depends on nothing but the inputs
-	used             Resources // of all runs that count
+	runList          []*run    // the same runs in a deterministic order
+	used             Resources // by all runs whose phase uses capacity
 	withheld         []Resources
-	freed            bool // it is among its service's freed workers
+	freed            bool // it is in its service's freed list
 	health           health
 	departure        departure
-	// reservedFor is the held step for which room that is freed here is kept.
+	// reservedFor is the queued step for which the worker is reserved.
 	reservedFor *step
 }
 
-// service is the workers of one kind, and what waits for them.
+// service groups the workers of one backend and the steps that wait for them.
 type service struct {
 	name          string
 	preconditions bool
-	workers       []*worker // the listed ones, by name
+	workers       []*worker // the listed ones, ordered by instance
 	queue         *sizing.Queue[*step]
-	tryAll        bool      // some held step has to be tried on all workers
-	freed         []*worker // on which room has been freed
-	shareBlocked  bool      // some held step may be kept back by its tenant's share
+	tryAll        bool      // some queued step has to be tried on all workers
+	freed         []*worker // workers with freed capacity
+	shareBlocked  bool      // some queued step may be blocked by its tenant's share
 
-	// useQuarantined lets its overdue steps go to workers that are shut out.
+	// useQuarantined lets overdue steps use quarantined workers.
 	useQuarantined bool
 
 	reserved      reservation
@@ -71,7 +71,7 @@
 	layoutWorkers int
 }
 
-// sizeRanges is into how many ranges a service's workers are split.
+// sizeRanges is the number of ranges by task size into which a service's workers are split.
 const sizeRanges = 3
 
 func (s *Scheduler) ensureService(name string) *service {
@@ -84,7 +84,7 @@
 	return svc
 }
 
-// ensureWorker gives the record of a life of a worker.
+// ensureWorker returns the record of a worker instance and creates it if needed.
 func (s *Scheduler) ensureWorker(instance string) *worker {
 	w := s.workers[instance]
 	if w == nil {
@@ -94,7 +94,7 @@
 	return w
 }
 
-// Listed takes in a whole list of the platform.
+// Listed applies a complete list of the platform's workers.
 func (s *Scheduler) Listed(now time.Duration, instances []workerapi.Instance) {
 	s.advance(now)
 	s.lastMark++
@@ -110,7 +110,7 @@
 	}
 }
 
-// unmarkedWorkers are the workers that the last list lacks, in order.
+// unmarkedWorkers returns the workers that are not in the last list, in order.
 func (s *Scheduler) unmarkedWorkers(mark uint64) []string {
 	var instances []string
 	for instance, w := range s.workers {
@@ -122,7 +122,7 @@
 	return instances
 }
 
-// updateListed takes in what the platform tells of one worker.
+// updateListed applies what the platform lists about one worker.
 func (s *Scheduler) updateListed(w *worker, instance *workerapi.Instance) {
 	w.identity.Address = instance.Address
 	w.capacity = allocatable(instance.Allocatable)
@@ -141,7 +141,7 @@
 	}
 }
 
-// joinService puts a worker among those of its service.
+// joinService adds a worker to its service.
 func (s *Scheduler) joinService(w *worker, svc *service) {
 	w.service = svc
 	at, _ := slices.BinarySearchFunc(svc.workers, w, byInstance)
@@ -151,10 +151,10 @@
 
 func byInstance(a, b *worker) int { return cmp.Compare(a.identity.Instance, b.identity.Instance) }
 
-// forgetAfter is how long a worker that is off the list is remembered.
+// forgetAfter is how long an unlisted worker is remembered.
 const forgetAfter = 10 * time.Second
 
-// updateUnlisted takes note that the platform doesn't list a worker any more.
+// updateUnlisted handles a worker that the platform does not list.
 func (s *Scheduler) updateUnlisted(w *worker) {
 	if w.listed {
 		w.listed = false
@@ -169,7 +169,7 @@
 	}
 }
 
-// forgetWorker drops the record of a worker that is gone, and the replicated one.
+// forgetWorker removes the record of a worker that is gone, here and in the replicated state.
 func (s *Scheduler) forgetWorker(w *worker) {
 	delete(s.workers, w.identity.Instance)
 	if s.machine.Worker(w.identity.Instance) != nil {
@@ -177,12 +177,12 @@
 	}
 }
 
-// schedulable tells whether the worker may be given something.
+// schedulable reports whether starts may be sent to the worker.
 func (w *worker) schedulable() bool {
 	return w.listed && !w.draining && w.reach == reachAnswering && !w.lossProposed
 }
 
-// free is the room that is left: what was stated, less all that runs or may run, and less what a refusal has shown to be missing.
+// free returns the free capacity: what was stated, minus all runs that use or may use it, minus what refusals have shown to be missing.
 func (w *worker) free() Resources {
 	free := w.capacity.minus(w.used)
 	for _, missing := range w.withheld {
@@ -191,24 +191,24 @@
 	return free
 }
 
-// maxWithheld bounds how much is withheld after refusals.
+// maxWithheld limits how many needs are withheld after refusals.
 const maxWithheld = 4
 
-// withholdCapacity takes note that a worker refused a task for want of room.
+// withholdCapacity reduces a worker's capacity by the need of a task that it refused for lack of capacity.
 func (s *Scheduler) withholdCapacity(w *worker, need Resources) {
 	if len(w.withheld) < maxWithheld && len(w.runs) > 1 {
 		w.withheld = append(w.withheld, need)
 	}
 }
 
-// returnWithheld gives back one lane after a clean finish.
+// returnWithheld returns one withheld need after a successful run.
 func (w *worker) returnWithheld() {
 	if n := len(w.withheld); n > 0 {
 		w.withheld = w.withheld[:n-1]
 	}
 }
 
-// capacityFreed has held steps tried on a worker.
+// capacityFreed has queued steps tried on a worker.
 func (s *Scheduler) capacityFreed(w *worker) {
 	if w.freed || w.service == nil || !w.schedulable() {
 		return
@@ -228,7 +228,7 @@
 	return true
 }
 
-// rack is the label that names where the worker stands: the last one.
+// rack returns the label that names the worker's location: the last one.
 func (w *worker) rack() string {
 	if len(w.labels) == 0 {
 		return ""
