--- a/internal/system/scheduler/audit.go
+++ b/internal/system/scheduler/audit.go
@@ -83,14 +83,16 @@
 func (s *Scheduler) auditWorkers() {
 	var missed []string
 	for instance, w := range s.workers {
-		if w.listed && w.identity.Address != "" && !w.lossProposed && w.reach != reachOver && !w.hold.inFirstQueue && w.hold.callID == 0 && w.hold.nextAt+auditMinWait < s.now {
+		if w.listed && w.identity.Address != "" && !w.lossProposed && w.reach != reachOver &&
+			!w.hold.inFirstQueue && w.hold.callID == 0 && w.hold.nextAt+auditMinWait < s.now {
 			missed = append(missed, instance)
 		}
 	}
 	slices.Sort(missed)
 	for _, instance := range missed {
 		w := s.workers[instance]
-		s.reportFinding(Finding{Worker: instance, Reason: "no hold is in flight or scheduled to the worker, which is " + reachNames[w.reach], Mended: true})
+		reason := "no hold is in flight or scheduled to the worker, which is " + reachNames[w.reach]
+		s.reportFinding(Finding{Worker: instance, Reason: reason, Mended: true})
 		w.hold.nextAt = 0
 		s.scheduleHold(w, s.now)
 	}
@@ -116,7 +118,8 @@
 	}
 	for i := range st.tasks {
 		t := &st.tasks[i]
-		if t.state == taskDone || t.waitingSince == 0 || s.now-t.waitingSince < auditMinWait || s.now < t.reportedAt+reportAgainAfter && !t.unexplained {
+		if t.state == taskDone || t.waitingSince == 0 || s.now-t.waitingSince < auditMinWait ||
+			s.now < t.reportedAt+reportAgainAfter && !t.unexplained {
 			continue
 		}
 		s.auditTask(st, uint32(i), t)
--- a/internal/system/scheduler/calls.go
+++ b/internal/system/scheduler/calls.go
@@ -143,15 +143,15 @@
 }
 
 // send queues a call for output and returns its ID.
-func (s *Scheduler) send(made Call, w *worker, r *run) uint64 {
+func (s *Scheduler) send(request Call, w *worker, r *run) uint64 {
 	s.lastCallID++
-	made.ID = s.lastCallID
-	made.Worker = w.identity
-	first := made.Kind == CallHold && w.reach == reachUnheard
+	request.ID = s.lastCallID
+	request.Worker = w.identity
+	first := request.Kind == CallHold && w.reach == reachUnheard
 	if first {
 		s.firstHolds.inFlight++
 	}
-	s.calls[made.ID] = &call{id: made.ID, kind: made.Kind, worker: w, run: r, sentAt: s.now, firstHold: first}
-	s.newCalls = append(s.newCalls, made)
-	return made.ID
+	s.calls[request.ID] = &call{id: request.ID, kind: request.Kind, worker: w, run: r, sentAt: s.now, firstHold: first}
+	s.newCalls = append(s.newCalls, request)
+	return request.ID
 }
--- a/internal/system/scheduler/check.go
+++ b/internal/system/scheduler/check.go
@@ -30,8 +30,8 @@
 // ones.
 func (s *Scheduler) checkStartLimiter() error {
 	sent, proposed := 0, 0
-	for _, made := range s.calls {
-		if made.kind == CallStart {
+	for _, outstanding := range s.calls {
+		if outstanding.kind == CallStart {
 			sent++
 		}
 	}
@@ -43,7 +43,8 @@
 		}
 	}
 	if sent != s.startLimiter.sent || proposed > s.startLimiter.proposed {
-		return fmt.Errorf("%d starts are in flight and %d proposed, but the limiter counts %d and %d", sent, proposed, s.startLimiter.sent, s.startLimiter.proposed)
+		return fmt.Errorf("%d starts are in flight and %d proposed, but the limiter counts %d and %d",
+			sent, proposed, s.startLimiter.sent, s.startLimiter.proposed)
 	}
 	return nil
 }
--- a/internal/system/scheduler/check_test.go
+++ b/internal/system/scheduler/check_test.go
@@ -10,7 +10,7 @@
 	"gaugeslip/internal/system/state"
 )
 
-// wideJob is a job with one step of many tasks that all wait.
+// wideJob returns a job with one step of many waiting tasks.
 func wideJob(tasks int) *job {
 	record := &state.Job{JobAccepted: state.JobAccepted{ID: 1, Route: "barn"}, Spec: &jobspec.Spec{Stages: []jobspec.Stage{{Count: tasks}}},
 		Times: map[uint32]*state.Time{0: {Steps: []state.Step{{Tasks: make([]state.Task, tasks)}}}}}
@@ -26,7 +26,7 @@
 	return j
 }
 
-// In running systems the check of one job costs a bounded time, whatever its size.
+// In running systems the check of one job must cost a bounded time, whatever the job's size.
 func TestSampledCheckOfAWideJobIsBounded(t *testing.T) {
 	j := wideJob(jobspec.MaxTasks)
 	s := &Scheduler{pending: pendingJobs{}}
@@ -34,12 +34,12 @@
 	comparisons := sampledComparisons
 	require.NoError(t, s.checkJob(j, &comparisons))
 	assert.LessOrEqual(t, comparisons, 0)
-	assert.Greater(t, comparisons, -2*jobspec.MaxTasks, "one task more than there was room for at most")
+	assert.Greater(t, comparisons, -2*jobspec.MaxTasks, "at most one task beyond the limit is checked")
 	j.occurrences[0].steps[0].tasks[5].state = taskIdle
 	found := false
 	for call := range uint64(10) {
 		s.lastCallID, comparisons = call, sampledComparisons
 		found = found || s.checkJob(j, &comparisons) != nil
 	}
-	assert.True(t, found, "another task is looked at each time")
+	assert.True(t, found, "a different task is checked each time")
 }
--- a/internal/system/scheduler/desk_test.go
+++ b/internal/system/scheduler/desk_test.go
@@ -12,7 +12,7 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// harness is a scheduler whose commands and calls are handled by hand.
+// harness runs a scheduler whose commands and calls the test handles itself.
 type harness struct {
 	*testing.T
 	machine  *state.Machine
@@ -25,59 +25,59 @@
 }
 
 func newHarness(t *testing.T) *harness {
-	d := &harness{T: t, machine: state.New(), now: time.Second}
-	d.replaceScheduler(1)
-	return d
+	h := &harness{T: t, machine: state.New(), now: time.Second}
+	h.replaceScheduler(1)
+	return h
 }
 
-func (d *harness) replaceScheduler(token uint64) {
-	options := Options{Token: token, Machine: d.machine, Bounds: nodesettings.DefaultBounds()}
-	d.sched = New(options, d.now)
-	d.sched.WallClock(d.now, d.unixMs())
-	d.commands, d.calls = nil, nil
+func (h *harness) replaceScheduler(token uint64) {
+	options := Options{Token: token, Machine: h.machine, Bounds: nodesettings.DefaultBounds()}
+	h.sched = New(options, h.now)
+	h.sched.WallClock(h.now, h.unixMs())
+	h.commands, h.calls = nil, nil
 }
 
-func (d *harness) unixMs() int64 { return simEpochUnixMs + d.now.Milliseconds() }
+func (h *harness) unixMs() int64 { return simEpochUnixMs + h.now.Milliseconds() }
 
-// clockMs is what all workers' clocks show.
-func (d *harness) clockMs() int64 { return d.now.Milliseconds() + 5000 }
+// clockMs returns the clock reading of all workers.
+func (h *harness) clockMs() int64 { return h.now.Milliseconds() + 5000 }
 
-// drain collects what is to be done.
-func (d *harness) drain() {
-	output := d.sched.Drain()
-	require.NoError(d, d.sched.Check())
-	d.commands = append(d.commands, output.Commands...)
-	d.calls = append(d.calls, output.Calls...)
-	d.findings = append(d.findings, output.Findings...)
+// drain collects the scheduler's output and checks its invariants.
+func (h *harness) drain() {
+	output := h.sched.Drain()
+	require.NoError(h, h.sched.Check())
+	h.commands = append(h.commands, output.Commands...)
+	h.calls = append(h.calls, output.Calls...)
+	h.findings = append(h.findings, output.Findings...)
 }
 
-// advance lets time go by.
-func (d *harness) advance(span time.Duration) {
-	for end := d.now + span; d.now < end; {
-		d.now = min(d.now+10*time.Millisecond, end)
-		d.sched.Tick(d.now)
-		d.drain()
+// advance moves the time forward in small ticks.
+func (h *harness) advance(span time.Duration) {
+	for end := h.now + span; h.now < end; {
+		h.now = min(h.now+10*time.Millisecond, end)
+		h.sched.Tick(h.now)
+		h.drain()
 	}
 }
 
-// commit commits all that is proposed, also what follows from that.
-func (d *harness) commit() {
-	d.drain()
-	for len(d.commands) > 0 {
-		command := d.commands[0]
-		d.commands = d.commands[1:]
-		d.sched.Applied(d.now, d.machine.Apply(command))
-		d.drain()
+// commit commits all proposed commands, including those that follow from them.
+func (h *harness) commit() {
+	h.drain()
+	for len(h.commands) > 0 {
+		command := h.commands[0]
+		h.commands = h.commands[1:]
+		h.sched.Applied(h.now, h.machine.Apply(command))
+		h.drain()
 	}
 }
 
-// apply commits a command that isn't the scheduler's.
-func (d *harness) apply(command state.Command) {
-	d.sched.Applied(d.now, d.machine.Apply(command))
-	d.drain()
+// apply commits a command that the scheduler did not propose.
+func (h *harness) apply(command state.Command) {
+	h.sched.Applied(h.now, h.machine.Apply(command))
+	h.drain()
 }
 
-// listEntry is a worker as the platform lists it.
+// listEntry returns a worker as the platform lists it.
 func listEntry(id string, cpu int, labels ...string) workerapi.Instance {
 	room := workerapi.Allocatable{CPU: cpu, MemoryMB: 64000}
 	return workerapi.Instance{
@@ -85,86 +85,86 @@
 	}
 }
 
-// list shows the list, and answers the first holds of all workers on it.
-func (d *harness) list(instances ...workerapi.Instance) {
-	d.sched.Listed(d.now, instances)
-	d.drain()
+// list passes the platform's list to the scheduler and answers the first hold of each worker on it.
+func (h *harness) list(instances ...workerapi.Instance) {
+	h.sched.Listed(h.now, instances)
+	h.drain()
 	for _, instance := range instances {
-		d.answerHold(instance.ID, nil, nil)
+		h.answerHold(instance.ID, nil, nil)
 	}
 }
 
-// takeCall takes the call of a kind to a worker out of those that are to be made.
-func (d *harness) takeCall(kind CallKind, worker string) (Call, bool) {
-	for i, made := range d.calls {
-		if made.Kind == kind && made.Worker.Instance == worker {
-			d.calls = append(d.calls[:i:i], d.calls[i+1:]...)
-			return made, true
+// takeCall removes and returns the first queued call of a kind to a worker.
+func (h *harness) takeCall(kind CallKind, worker string) (Call, bool) {
+	for i, call := range h.calls {
+		if call.Kind == kind && call.Worker.Instance == worker {
+			h.calls = append(h.calls[:i:i], h.calls[i+1:]...)
+			return call, true
 		}
 	}
 	return Call{}, false
 }
 
-func (d *harness) mustTakeCall(kind CallKind, worker string) Call {
-	d.Helper()
-	made, found := d.takeCall(kind, worker)
-	require.True(d, found, "no call of kind %d to %s among %v", kind, worker, d.calls)
-	return made
+func (h *harness) mustTakeCall(kind CallKind, worker string) Call {
+	h.Helper()
+	call, found := h.takeCall(kind, worker)
+	require.True(h, found, "no call of kind %d to %s among %v", kind, worker, h.calls)
+	return call
 }
 
-func (d *harness) countCalls(kind CallKind) int {
+func (h *harness) countCalls(kind CallKind) int {
 	count := 0
-	for _, made := range d.calls {
-		if made.Kind == kind {
+	for _, call := range h.calls {
+		if call.Kind == kind {
 			count++
 		}
 	}
 	return count
 }
 
-func (d *harness) endCall(made Call, reply workerapi.HoldReply) {
-	d.sched.CallEnded(d.now, CallResult{ID: made.ID, Reply: reply})
-	d.drain()
+func (h *harness) endCall(call Call, reply workerapi.HoldReply) {
+	h.sched.CallEnded(h.now, CallResult{ID: call.ID, Reply: reply})
+	h.drain()
 }
 
-func (d *harness) answerCall(made Call, outcome workerapi.Outcome) {
+func (h *harness) answerCall(call Call, outcome workerapi.Outcome) {
 	reply := workerapi.HoldReply{Outcome: outcome}
 	if outcome.Answered() {
-		reply.ClockMs = d.clockMs()
+		reply.ClockMs = h.clockMs()
 	}
-	d.endCall(made, reply)
+	h.endCall(call, reply)
 }
 
-// answerHold answers the hold that is out to a worker with its lists.
-func (d *harness) answerHold(worker string, running []workerapi.RunningTask, finished []workerapi.FinishedTask) Call {
-	d.Helper()
-	made := d.mustTakeCall(CallHold, worker)
-	reply := workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: d.clockMs(), Running: running, Finished: finished}
-	d.endCall(made, reply)
-	return made
+// answerHold answers the outstanding hold to a worker with the given lists.
+func (h *harness) answerHold(worker string, running []workerapi.RunningTask, finished []workerapi.FinishedTask) Call {
+	h.Helper()
+	call := h.mustTakeCall(CallHold, worker)
+	reply := workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: h.clockMs(), Running: running, Finished: finished}
+	h.endCall(call, reply)
+	return call
 }
 
-func running(made Call, percent int) []workerapi.RunningTask {
-	return []workerapi.RunningTask{{Task: made.Start.Task, Attempt: made.Start.Attempt, Percent: percent}}
+func running(call Call, percent int) []workerapi.RunningTask {
+	return []workerapi.RunningTask{{Task: call.Start.Task, Attempt: call.Start.Attempt, Percent: percent}}
 }
 
-func finished(n uint64, made Call, how workerapi.How) []workerapi.FinishedTask {
-	return []workerapi.FinishedTask{{N: n, Task: made.Start.Task, Attempt: made.Start.Attempt, How: how}}
+func finished(n uint64, call Call, how workerapi.How) []workerapi.FinishedTask {
+	return []workerapi.FinishedTask{{N: n, Task: call.Start.Task, Attempt: call.Start.Attempt, How: how}}
 }
 
-// submit takes a job into custody.
-func (d *harness) submit(stages ...jobspec.Stage) state.JobID {
-	return d.submitSpec(&jobspec.Spec{Text: "text", Stages: stages})
+// submit commits the acceptance of a job.
+func (h *harness) submit(stages ...jobspec.Stage) state.JobID {
+	return h.submitSpec(&jobspec.Spec{Text: "text", Stages: stages})
 }
 
-func (d *harness) submitSpec(spec *jobspec.Spec) state.JobID {
-	d.jobs++
+func (h *harness) submitSpec(spec *jobspec.Spec) state.JobID {
+	h.jobs++
 	body, err := spec.Encode()
-	require.NoError(d, err)
-	id := state.JobID(d.jobs)
-	d.apply(state.Command{Kind: state.KindJobAccepted, JobAccepted: &state.JobAccepted{
+	require.NoError(h, err)
+	id := state.JobID(h.jobs)
+	h.apply(state.Command{Kind: state.KindJobAccepted, JobAccepted: &state.JobAccepted{
 		ID: id, Route: "route", Service: "farm", Priority: 1, MaxRetries: 3, Extension: 2, TargetLatencyMs: 1000,
-		AcceptedMs: d.unixMs(), Body: body,
+		AcceptedMs: h.unixMs(), Body: body,
 	}})
 	return id
 }
@@ -173,28 +173,28 @@
 	return jobspec.Stage{Count: count, CPU: cpu, MemoryMb: 100, Estimated: estimated}
 }
 
-func (d *harness) cancel(id state.JobID) {
-	d.apply(state.Command{Kind: state.KindJobCancelled, JobCancelled: &state.JobCancelled{ID: id, AtMs: d.unixMs()}})
+func (h *harness) cancel(id state.JobID) {
+	h.apply(state.Command{Kind: state.KindJobCancelled, JobCancelled: &state.JobCancelled{ID: id, AtMs: h.unixMs()}})
 }
 
-// acceptStart has a worker take the start that was ordered.
-func (d *harness) acceptStart(worker string) Call {
-	d.Helper()
-	made := d.mustTakeCall(CallStart, worker)
-	d.answerCall(made, workerapi.Done)
-	d.answerResends(made, workerapi.Done)
-	return made
+// acceptStart has a worker accept the start that was ordered, including its resends.
+func (h *harness) acceptStart(worker string) Call {
+	h.Helper()
+	call := h.mustTakeCall(CallStart, worker)
+	h.answerCall(call, workerapi.Done)
+	h.answerResends(call, workerapi.Done)
+	return call
 }
 
 // answerResends answers further sendings of a start.
-func (d *harness) answerResends(made Call, outcome workerapi.Outcome) {
-	for i := 0; i < len(d.calls); i++ {
-		again := d.calls[i]
-		if again.Kind != CallStart || again.Start != made.Start || again.Worker != made.Worker {
+func (h *harness) answerResends(call Call, outcome workerapi.Outcome) {
+	for i := 0; i < len(h.calls); i++ {
+		again := h.calls[i]
+		if again.Kind != CallStart || again.Start != call.Start || again.Worker != call.Worker {
 			continue
 		}
-		d.calls = append(d.calls[:i:i], d.calls[i+1:]...)
+		h.calls = append(h.calls[:i:i], h.calls[i+1:]...)
 		i--
-		d.answerCall(again, outcome)
+		h.answerCall(again, outcome)
 	}
 }
--- a/internal/system/scheduler/firstlooks_test.go
+++ b/internal/system/scheduler/firstlooks_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// answeringWorkers counts the workers that have answered the present head.
+// answeringWorkers counts the workers that have answered the current head, and those of them with runs.
 func (r *loadCluster) answeringWorkers() (all, withRuns int) {
 	for _, w := range r.sched.workers {
 		if w.reach != reachAnswering {
@@ -31,7 +31,7 @@
 	return count
 }
 
-// A head that deals with 2,500 holds a second takes over 3,000 workers.
+// A head that can process 2,500 holds per second takes over 3,000 workers.
 func TestNewHeadContactsThousandsOfWorkersInTurn(t *testing.T) {
 	const workers = 3000
 	r := newLoadCluster(workers, 40, 4*time.Second)
@@ -46,37 +46,37 @@
 	require.Greater(t, busy, 20)
 
 	r.run(r.now + 500*time.Millisecond)
-	_, heard := r.answeringWorkers()
-	require.Equal(t, busy, heard, "where something runs is asked first")
+	_, answeringBusy := r.answeringWorkers()
+	require.Equal(t, busy, answeringBusy, "workers with runs are contacted first")
 	r.run(r.now + 6*time.Second)
-	heard, _ = r.answeringWorkers()
-	require.Equal(t, workers, heard)
+	answering, _ := r.answeringWorkers()
+	require.Equal(t, workers, answering)
 	require.Zero(t, r.sched.firstHolds.inFlight)
 }
 
 func TestSecondHoldsLeaveCallsForStartsAndStops(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w1", 16000))
-	d.submit(stage(1, 1000, time.Second))
-	d.commit()
-	started := d.acceptStart("w1")
-	d.sched.latency.lossyUntil = d.now + time.Hour
-	d.sched.maxCalls = reservedCalls
-	d.advance(earlyAnswer)
-	d.answerHold("w1", running(started, 1), nil)
-	require.Equal(t, 1, d.countCalls(CallHold), "no second look where calls are short")
-	d.sched.maxCalls = 0
-	d.advance(earlyAnswer)
-	d.answerHold("w1", running(started, 2), nil)
-	require.Equal(t, 2, d.countCalls(CallHold))
+	h := newHarness(t)
+	h.list(listEntry("w1", 16000))
+	h.submit(stage(1, 1000, time.Second))
+	h.commit()
+	started := h.acceptStart("w1")
+	h.sched.latency.lossyUntil = h.now + time.Hour
+	h.sched.maxCalls = reservedCalls
+	h.advance(earlyAnswer)
+	h.answerHold("w1", running(started, 1), nil)
+	require.Equal(t, 1, h.countCalls(CallHold), "no second hold while calls are scarce")
+	h.sched.maxCalls = 0
+	h.advance(earlyAnswer)
+	h.answerHold("w1", running(started, 2), nil)
+	require.Equal(t, 2, h.countCalls(CallHold))
 }
 
-// Some hundred workers are asked all at once, thousands in turn.
+// Some hundred workers are contacted all at once, thousands in turn.
 func TestSmallFleetIsContactedAtOnce(t *testing.T) {
 	for _, workers := range []int{smallFleet, smallFleet + 1} {
 		r := newLoadCluster(workers, 1, time.Second)
 		r.run(r.now + time.Second)
-		r.holdCost = time.Hour // nobody answers
+		r.holdCost = time.Hour // no hold is answered
 		r.replaceScheduler()
 		want := workers
 		if workers > smallFleet {
--- a/internal/system/scheduler/guards_test.go
+++ b/internal/system/scheduler/guards_test.go
@@ -13,9 +13,9 @@
 )
 
 // countProposed counts the proposed commands of a kind.
-func (d *harness) countProposed(kind state.Kind) int {
+func (h *harness) countProposed(kind state.Kind) int {
 	count := 0
-	for _, command := range d.commands {
+	for _, command := range h.commands {
 		if command.Kind == kind {
 			count++
 		}
@@ -23,10 +23,10 @@
 	return count
 }
 
-// answerHoldIfOut answers the hold that is out to a worker, if any is, with its lists.
-func (d *harness) answerHoldIfOut(worker string, running []workerapi.RunningTask, finished []workerapi.FinishedTask) {
-	if made, out := d.takeCall(CallHold, worker); out {
-		d.endCall(made, workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: d.clockMs(), Running: running, Finished: finished})
+// answerHoldIfOut answers the outstanding hold to a worker, if there is one, with the given lists.
+func (h *harness) answerHoldIfOut(worker string, running []workerapi.RunningTask, finished []workerapi.FinishedTask) {
+	if call, out := h.takeCall(CallHold, worker); out {
+		h.endCall(call, workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: h.clockMs(), Running: running, Finished: finished})
 	}
 }
 
@@ -37,255 +37,255 @@
 }
 
 func TestStartIsNotSentToWorkerThatBeganDraining(t *testing.T) {
-	d := newHarness(t)
+	h := newHarness(t)
 	leaving := listEntry("w", 4000)
-	d.list(leaving)
-	d.submit(stage(1, 1000, time.Second))
+	h.list(leaving)
+	h.submit(stage(1, 1000, time.Second))
 	leaving.State = workerapi.StateDraining
-	d.sched.Listed(d.now, []workerapi.Instance{leaving})
-	d.commit()
-	require.Zero(t, d.countCalls(CallStart))
-	require.Empty(t, d.machine.Worker("w").Runs, "it is voided")
+	h.sched.Listed(h.now, []workerapi.Instance{leaving})
+	h.commit()
+	require.Zero(t, h.countCalls(CallStart))
+	require.Empty(t, h.machine.Worker("w").Runs, "the start is voided")
 }
 
-// Whatever was asked of a worker before it fell silent has to be over when its runs are given up.
+// Every due time sent to a worker before it became silent must have passed when its runs are given up.
 func TestWorkerLossIsProposedAfterItsLatestDueTime(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 4000))
-	d.submit(stage(1, 1000, time.Hour))
-	d.commit()
-	made := d.acceptStart("w")
-	due := made.Start.DueAtMs
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	h.submit(stage(1, 1000, time.Hour))
+	h.commit()
+	call := h.acceptStart("w")
+	due := call.Start.DueAtMs
 	for range 40 {
-		d.advance(400 * time.Millisecond)
-		if hold, out := d.takeCall(CallHold, "w"); out {
+		h.advance(400 * time.Millisecond)
+		if hold, out := h.takeCall(CallHold, "w"); out {
 			due = max(due, hold.Hold.DueAtMs)
-			d.endCall(hold, workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: d.clockMs(), Running: running(made, 1)})
+			h.endCall(hold, workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: h.clockMs(), Running: running(call, 1)})
 		}
 	}
-	for d.countProposed(state.KindWorkerLost) == 0 {
-		if hold, out := d.takeCall(CallHold, "w"); out {
+	for h.countProposed(state.KindWorkerLost) == 0 {
+		if hold, out := h.takeCall(CallHold, "w"); out {
 			due = max(due, hold.Hold.DueAtMs)
-			d.answerCall(hold, workerapi.Unknown)
+			h.answerCall(hold, workerapi.Unknown)
 		}
-		d.advance(10 * time.Millisecond)
+		h.advance(10 * time.Millisecond)
 	}
-	require.Greater(t, d.clockMs(), due)
+	require.Greater(t, h.clockMs(), due)
 }
 
 func TestNewHeadWaitsForHoldsOfItsPredecessor(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 4000))
-	d.submit(stage(1, 1000, time.Hour))
-	d.commit()
-	d.acceptStart("w")
-	d.replaceScheduler(2)
-	elected := d.now
-	d.sched.Listed(d.now, []workerapi.Instance{listEntry("w", 4000)})
-	for d.countProposed(state.KindWorkerLost) == 0 {
-		if hold, out := d.takeCall(CallHold, "w"); out {
-			d.answerCall(hold, workerapi.Unknown)
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	h.submit(stage(1, 1000, time.Hour))
+	h.commit()
+	h.acceptStart("w")
+	h.replaceScheduler(2)
+	elected := h.now
+	h.sched.Listed(h.now, []workerapi.Instance{listEntry("w", 4000)})
+	for h.countProposed(state.KindWorkerLost) == 0 {
+		if hold, out := h.takeCall(CallHold, "w"); out {
+			h.answerCall(hold, workerapi.Unknown)
 		}
-		d.advance(10 * time.Millisecond)
+		h.advance(10 * time.Millisecond)
 	}
-	require.Greater(t, d.now-elected, d.sched.bounds.MaxHold())
+	require.Greater(t, h.now-elected, h.sched.bounds.MaxHold())
 }
 
 func TestRefusalDoesNotDecideAResendInFlight(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 4000))
-	d.submit(stage(1, 1000, time.Second))
-	d.commit()
-	d.advance(d.sched.latency.hedgeDelay() + 10*time.Millisecond)
-	require.Equal(t, 2, d.countCalls(CallStart))
-	d.answerCall(d.mustTakeCall(CallStart, "w"), workerapi.NotSent)
-	require.Zero(t, d.countProposed(state.KindStartsVoided))
-	d.answerCall(d.mustTakeCall(CallStart, "w"), workerapi.Done)
-	d.commit()
-	require.Zero(t, d.countCalls(CallStart))
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	h.submit(stage(1, 1000, time.Second))
+	h.commit()
+	h.advance(h.sched.latency.hedgeDelay() + 10*time.Millisecond)
+	require.Equal(t, 2, h.countCalls(CallStart))
+	h.answerCall(h.mustTakeCall(CallStart, "w"), workerapi.NotSent)
+	require.Zero(t, h.countProposed(state.KindStartsVoided))
+	h.answerCall(h.mustTakeCall(CallStart, "w"), workerapi.Done)
+	h.commit()
+	require.Zero(t, h.countCalls(CallStart))
 }
 
 func TestListingARunResetsItsAbsence(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 4000))
-	d.submit(stage(1, 1000, time.Minute))
-	d.commit()
-	made := d.acceptStart("w")
-	for _, there := range []bool{true, false, true, false} {
-		d.advance(time.Second)
-		if there {
-			d.answerHoldIfOut("w", running(made, 1), nil)
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	h.submit(stage(1, 1000, time.Minute))
+	h.commit()
+	call := h.acceptStart("w")
+	for _, listed := range []bool{true, false, true, false} {
+		h.advance(time.Second)
+		if listed {
+			h.answerHoldIfOut("w", running(call, 1), nil)
 		} else {
-			d.answerHoldIfOut("w", nil, nil)
+			h.answerHoldIfOut("w", nil, nil)
 		}
 	}
-	require.Zero(t, d.countProposed(state.KindStartsVoided))
+	require.Zero(t, h.countProposed(state.KindStartsVoided))
 }
 
 func TestTruncatedListOfEndsDoesNotVoidRuns(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 4000))
-	d.submit(stage(1, 1000, time.Minute))
-	d.commit()
-	d.acceptStart("w")
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	h.submit(stage(1, 1000, time.Minute))
+	h.commit()
+	h.acceptStart("w")
 	var ends []workerapi.FinishedTask
 	for n := range workerapi.MaxFinished {
 		task := fmt.Sprintf("00000000000000ff.0.0.%d", n)
 		ends = append(ends, workerapi.FinishedTask{N: uint64(n + 1), Task: task, Attempt: 1, How: workerapi.HowStopped})
 	}
 	for range 5 {
-		d.advance(time.Second)
-		d.answerHoldIfOut("w", nil, ends)
+		h.advance(time.Second)
+		h.answerHoldIfOut("w", nil, ends)
 	}
-	require.Zero(t, d.countProposed(state.KindStartsVoided))
+	require.Zero(t, h.countProposed(state.KindStartsVoided))
 }
 
 func TestOlderListArrivingLaterIsIgnored(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 4000))
-	d.submit(stage(1, 1000, time.Minute))
-	d.commit()
-	made := d.acceptStart("w")
-	d.sched.latency.lossyUntil = d.now + time.Hour
-	d.advance(earlyAnswer)
-	d.answerHoldIfOut("w", running(made, 1), nil)
-	require.Equal(t, 2, d.countCalls(CallHold))
-	older := d.clockMs()
-	d.advance(earlyAnswer)
-	d.answerHoldIfOut("w", nil, finished(1, made, workerapi.HowDone))
-	d.commit()
-	d.endCall(d.mustTakeCall(CallHold, "w"), workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: older, Running: running(made, 1)})
-	require.Empty(t, d.sched.workers["w"].runs)
-	require.Zero(t, d.countCalls(CallStop))
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	h.submit(stage(1, 1000, time.Minute))
+	h.commit()
+	call := h.acceptStart("w")
+	h.sched.latency.lossyUntil = h.now + time.Hour
+	h.advance(earlyAnswer)
+	h.answerHoldIfOut("w", running(call, 1), nil)
+	require.Equal(t, 2, h.countCalls(CallHold))
+	older := h.clockMs()
+	h.advance(earlyAnswer)
+	h.answerHoldIfOut("w", nil, finished(1, call, workerapi.HowDone))
+	h.commit()
+	h.endCall(h.mustTakeCall(CallHold, "w"), workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: older, Running: running(call, 1)})
+	require.Empty(t, h.sched.workers["w"].runs)
+	require.Zero(t, h.countCalls(CallStop))
 }
 
 func TestNothingStartsOnWorkerWhoseLossIsProposed(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 4000))
-	d.sched.proposeLoss(d.sched.workers["w"])
-	d.submit(stage(1, 1000, time.Second))
-	require.Zero(t, d.countProposed(state.KindTasksStarting))
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	h.sched.proposeLoss(h.sched.workers["w"])
+	h.submit(stage(1, 1000, time.Second))
+	require.Zero(t, h.countProposed(state.KindTasksStarting))
 }
 
-// startGangOnTwo has a gang of two started on two workers.
-func (d *harness) startGangOnTwo() {
-	d.list(listEntry("w1", 1000), listEntry("w2", 1000))
-	d.submit(gangOf(2))
-	d.commit()
-	require.Len(d, d.startWorkers(), 2)
+// startGangOnTwo submits a gang of two that starts on two workers.
+func (h *harness) startGangOnTwo() {
+	h.list(listEntry("w1", 1000), listEntry("w2", 1000))
+	h.submit(gangOf(2))
+	h.commit()
+	require.Len(h, h.startWorkers(), 2)
 }
 
 func TestGangIsStoppedWhenAMemberIsLost(t *testing.T) {
-	d := newHarness(t)
-	d.startGangOnTwo()
-	d.acceptStart("w1")
-	d.acceptStart("w2")
-	d.answerCall(d.mustTakeCall(CallHold, "w2"), workerapi.OtherLife)
-	d.commit()
-	d.mustTakeCall(CallStop, "w1")
-	require.Zero(t, d.countProposed(state.KindTasksStarting))
+	h := newHarness(t)
+	h.startGangOnTwo()
+	h.acceptStart("w1")
+	h.acceptStart("w2")
+	h.answerCall(h.mustTakeCall(CallHold, "w2"), workerapi.OtherLife)
+	h.commit()
+	h.mustTakeCall(CallStop, "w1")
+	require.Zero(t, h.countProposed(state.KindTasksStarting))
 }
 
 func TestGangIsStoppedWhenAStartIsInDoubt(t *testing.T) {
-	d := newHarness(t)
-	d.startGangOnTwo()
-	d.acceptStart("w1")
-	d.answerCall(d.mustTakeCall(CallStart, "w2"), workerapi.Unknown)
-	d.mustTakeCall(CallStop, "w1")
+	h := newHarness(t)
+	h.startGangOnTwo()
+	h.acceptStart("w1")
+	h.answerCall(h.mustTakeCall(CallStart, "w2"), workerapi.Unknown)
+	h.mustTakeCall(CallStop, "w1")
 }
 
 func TestGangRestartsWithANewAttemptNumber(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w1", 1000), listEntry("w2", 1000), listEntry("w3", 1000), listEntry("w4", 1000))
-	d.submit(gangOf(2))
-	d.commit()
-	for _, worker := range d.startWorkers() {
-		d.answerCall(d.mustTakeCall(CallStart, worker), workerapi.NotSent)
+	h := newHarness(t)
+	h.list(listEntry("w1", 1000), listEntry("w2", 1000), listEntry("w3", 1000), listEntry("w4", 1000))
+	h.submit(gangOf(2))
+	h.commit()
+	for _, worker := range h.startWorkers() {
+		h.answerCall(h.mustTakeCall(CallStart, worker), workerapi.NotSent)
 	}
-	for range 20 { // not to the end, which a gang that is refused again and again has none of
-		d.drain()
-		if len(d.commands) > 0 {
-			command := d.commands[0]
-			d.commands = d.commands[1:]
-			d.sched.Applied(d.now, d.machine.Apply(command))
+	for range 20 { // a fixed number, because a gang whose starts are always refused is proposed for ever
+		h.drain()
+		if len(h.commands) > 0 {
+			command := h.commands[0]
+			h.commands = h.commands[1:]
+			h.sched.Applied(h.now, h.machine.Apply(command))
 		}
 	}
-	starts := d.startWorkers()
+	starts := h.startWorkers()
 	require.Len(t, starts, 2)
 	for _, worker := range starts {
-		require.Equal(t, 2, d.mustTakeCall(CallStart, worker).Start.Attempt)
+		require.Equal(t, 2, h.mustTakeCall(CallStart, worker).Start.Attempt)
 	}
 }
 
 func TestStepWaitsForEveryDependency(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 4000))
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
 	last := stage(1, 1000, time.Second)
 	last.DependsOn = []int{0, 1}
-	d.submit(stage(1, 1000, time.Second), stage(1, 1000, time.Minute), last)
-	d.commit()
-	require.Equal(t, 2, d.countCalls(CallStart))
-	first := d.acceptStart("w")
-	d.answerHoldIfOut("w", nil, finished(1, first, workerapi.HowDone))
-	d.drain()
-	require.Equal(t, 1, d.countProposed(state.KindTasksEnded))
-	command := d.commands[0]
-	d.commands = nil
-	d.sched.Applied(d.now, d.machine.Apply(command))
-	d.drain()
-	require.Zero(t, d.countProposed(state.KindTasksStarting))
+	h.submit(stage(1, 1000, time.Second), stage(1, 1000, time.Minute), last)
+	h.commit()
+	require.Equal(t, 2, h.countCalls(CallStart))
+	first := h.acceptStart("w")
+	h.answerHoldIfOut("w", nil, finished(1, first, workerapi.HowDone))
+	h.drain()
+	require.Equal(t, 1, h.countProposed(state.KindTasksEnded))
+	command := h.commands[0]
+	h.commands = nil
+	h.sched.Applied(h.now, h.machine.Apply(command))
+	h.drain()
+	require.Zero(t, h.countProposed(state.KindTasksStarting))
 }
 
 func TestStopIsResentUntilTheRunIsGone(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 4000))
-	id := d.submit(stage(1, 1000, time.Minute))
-	d.commit()
-	made := d.acceptStart("w")
-	d.cancel(id)
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	id := h.submit(stage(1, 1000, time.Minute))
+	h.commit()
+	call := h.acceptStart("w")
+	h.cancel(id)
 	for range 3 {
-		d.answerCall(d.mustTakeCall(CallStop, "w"), workerapi.Done)
-		d.answerHoldIfOut("w", running(made, 1), nil)
-		d.advance(d.sched.bounds.Stop() + maxRetry + 10*time.Millisecond)
+		h.answerCall(h.mustTakeCall(CallStop, "w"), workerapi.Done)
+		h.answerHoldIfOut("w", running(call, 1), nil)
+		h.advance(h.sched.bounds.Stop() + maxRetry + 10*time.Millisecond)
 	}
 }
 
 func TestNoHoldIsSentToAnEndedInstance(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 4000))
-	d.advance(time.Second)
-	d.answerCall(d.mustTakeCall(CallHold, "w"), workerapi.OtherLife)
-	d.advance(10 * time.Second)
-	require.Zero(t, d.countCalls(CallHold))
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	h.advance(time.Second)
+	h.answerCall(h.mustTakeCall(CallHold, "w"), workerapi.OtherLife)
+	h.advance(10 * time.Second)
+	require.Zero(t, h.countCalls(CallHold))
 }
 
 func TestAllOrdersCarryTheFencingToken(t *testing.T) {
-	d := newHarness(t)
-	d.replaceScheduler(9)
-	d.list(listEntry("w", 4000))
-	id := d.submit(stage(1, 1000, time.Minute))
-	d.commit()
-	require.EqualValues(t, 9, d.acceptStart("w").Start.FenceToken)
-	d.cancel(id)
-	require.EqualValues(t, 9, d.mustTakeCall(CallStop, "w").Stop.FenceToken)
-	d.advance(time.Second)
-	require.EqualValues(t, 9, d.mustTakeCall(CallHold, "w").Hold.FenceToken)
+	h := newHarness(t)
+	h.replaceScheduler(9)
+	h.list(listEntry("w", 4000))
+	id := h.submit(stage(1, 1000, time.Minute))
+	h.commit()
+	require.EqualValues(t, 9, h.acceptStart("w").Start.FenceToken)
+	h.cancel(id)
+	require.EqualValues(t, 9, h.mustTakeCall(CallStop, "w").Stop.FenceToken)
+	h.advance(time.Second)
+	require.EqualValues(t, 9, h.mustTakeCall(CallHold, "w").Hold.FenceToken)
 }
 
-// A look that was sent before the worker told of a run isn't the first of the two that show that it is gone.
+// A hold that was sent before the worker reported a run must not count as the first of the two lists that prove that the run is gone.
 func TestHoldSentBeforeARunStartedDoesNotShowItsAbsence(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 4000))
-	d.advance(time.Second)
-	d.submit(stage(1, 1000, time.Minute))
-	d.advance(10 * time.Millisecond)
-	d.commit()
-	d.advance(10 * time.Millisecond)
-	d.acceptStart("w")
-	d.answerHoldIfOut("w", nil, nil)
-	d.advance(time.Second)
-	for range d.countCalls(CallHold) {
-		d.answerHoldIfOut("w", nil, nil)
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	h.advance(time.Second)
+	h.submit(stage(1, 1000, time.Minute))
+	h.advance(10 * time.Millisecond)
+	h.commit()
+	h.advance(10 * time.Millisecond)
+	h.acceptStart("w")
+	h.answerHoldIfOut("w", nil, nil)
+	h.advance(time.Second)
+	for range h.countCalls(CallHold) {
+		h.answerHoldIfOut("w", nil, nil)
 	}
-	require.Zero(t, d.countProposed(state.KindStartsVoided))
+	require.Zero(t, h.countProposed(state.KindStartsVoided))
 }
--- a/internal/system/scheduler/lateness_test.go
+++ b/internal/system/scheduler/lateness_test.go
@@ -10,21 +10,20 @@
 	"gaugeslip/internal/system/state"
 )
 
-// checkLate holds what is told of late jobs against the world's own account: the job is completed, it missed its objective, and the parts
-// sum to its time.
+// checkLate checks reported late jobs: each missed its objective, and its parts are not negative and add up to its time.
 func (w *simCluster) checkLate(late []LateJob) {
 	for i := range late {
-		told := &late[i]
+		job := &late[i]
 		w.stats.late++
-		if told.Took <= told.Objective {
-			w.violated("LATE", "%v is told late after %v of %v", told.ID, told.Took, told.Objective)
+		if job.Took <= job.Objective {
+			w.violated("LATE", "%v is reported late after %v of %v", job.ID, job.Took, job.Objective)
 		}
-		if told.Spent.total() != told.Took {
-			w.violated("LATE", "%v took %v, its parts %v come to %v", told.ID, told.Took, told.Spent, told.Spent.total())
+		if job.Spent.total() != job.Took {
+			w.violated("LATE", "%v took %v, but its parts %v add up to %v", job.ID, job.Took, job.Spent, job.Spent.total())
 		}
-		for part, length := range told.Spent {
+		for part, length := range job.Spent {
 			if length < 0 {
-				w.violated("LATE", "%v: %v for %v", told.ID, length, Part(part))
+				w.violated("LATE", "%v: negative time %v for %v", job.ID, length, Part(part))
 			}
 		}
 	}
@@ -38,7 +37,7 @@
 	}
 }
 
-// newLateRun is a run of a task, 100 ms after it was proposed.
+// newLateRun returns a run 100 ms after it was proposed; its task had waited 50 ms for capacity.
 func newLateRun() (*Scheduler, *run) {
 	s := &Scheduler{now: time.Second}
 	st := &step{tasks: make([]task, 1)}
@@ -77,7 +76,7 @@
 	assert.Equal(t, before, r.step.tasks[0].account)
 }
 
-// A step's time goes on from that of the step that it waited for.
+// A step's time continues that of the step that it depended on.
 func TestStepTimeIncludesItsUpstreamSteps(t *testing.T) {
 	s, r := newLateRun()
 	s.enterPart(r, PartNoted)
--- a/internal/system/scheduler/load_test.go
+++ b/internal/system/scheduler/load_test.go
@@ -12,7 +12,7 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// loadCluster is a large cluster without trouble: commands commit at once, and workers answer at once and in time.
+// loadCluster simulates a large cluster without faults: commands commit at once, and workers answer in time.
 type loadCluster struct {
 	machine *state.Machine
 	sched   *Scheduler
@@ -24,9 +24,9 @@
 	jobs    uint64
 	started int
 	list    []workerapi.Instance
-	// holdCost is how long the head is busy with each hold, 0 for no time; busyUntil is when it has dealt with all that are out.
+	// holdCost is how long the head is busy with each hold, 0 for no time; busyUntil is when it will have processed all holds in flight.
 	holdCost, busyUntil time.Duration
-	unsentUntil         time.Duration // no start is sent before
+	unsentUntil         time.Duration // before this time no start can be sent
 	findings            []Finding
 }
 
@@ -58,7 +58,7 @@
 	return r
 }
 
-// replaceScheduler puts a new head in the place of the last one.
+// replaceScheduler replaces the scheduler by that of a new head.
 func (r *loadCluster) replaceScheduler() {
 	r.sched = New(Options{Token: r.sched.token + 1, Machine: r.machine, Bounds: nodesettings.DefaultBounds()}, r.now)
 	r.sched.WallClock(r.now, simEpochUnixMs+r.now.Milliseconds())
@@ -66,16 +66,16 @@
 	r.drain()
 }
 
-// timesOut takes a hold's cost into account, and tells whether its answer can't be taken in before its time is over.
-func (r *loadCluster) timesOut(made *Call) bool {
+// timesOut adds a hold's cost and reports whether its answer cannot be processed before its timeout.
+func (r *loadCluster) timesOut(call *Call) bool {
 	r.busyUntil = max(r.busyUntil, r.now) + r.holdCost
-	if r.busyUntil <= r.now+made.Timeout {
+	if r.busyUntil <= r.now+call.Timeout {
 		return false
 	}
 	sched := r.sched
-	r.after(made.Timeout, func() {
+	r.after(call.Timeout, func() {
 		if r.sched == sched {
-			sched.CallEnded(r.now, CallResult{ID: made.ID})
+			sched.CallEnded(r.now, CallResult{ID: call.ID})
 			r.drain()
 		}
 	})
@@ -117,16 +117,16 @@
 	}
 }
 
-func (r *loadCluster) call(made *Call) {
-	worker := r.workers[made.Worker.Instance]
-	if made.Kind == CallHold {
-		if r.timesOut(made) {
+func (r *loadCluster) call(call *Call) {
+	worker := r.workers[call.Worker.Instance]
+	if call.Kind == CallHold {
+		if r.timesOut(call) {
 			return
 		}
 		worker.asked++
-		worker.hold = made
+		worker.hold = call
 		asked := worker.asked
-		wait := time.Duration(made.Hold.WaitMs) * time.Millisecond
+		wait := time.Duration(call.Hold.WaitMs) * time.Millisecond
 		r.after(wait, func() {
 			if worker.asked == asked && worker.hold != nil {
 				r.answer(worker)
@@ -135,13 +135,13 @@
 		return
 	}
 	if r.now < r.unsentUntil {
-		r.sched.CallEnded(r.now, CallResult{ID: made.ID, Reply: workerapi.HoldReply{Outcome: workerapi.NotSent}})
+		r.sched.CallEnded(r.now, CallResult{ID: call.ID, Reply: workerapi.HoldReply{Outcome: workerapi.NotSent}})
 		return
 	}
 	r.started++
-	order := made.Start
+	order := call.Start
 	worker.running[order.Task] = workerapi.RunningTask{Task: order.Task, Attempt: order.Attempt}
-	r.sched.CallEnded(r.now, CallResult{ID: made.ID, Reply: workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: r.now.Milliseconds()}})
+	r.sched.CallEnded(r.now, CallResult{ID: call.ID, Reply: workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: r.now.Milliseconds()}})
 	r.after(4*time.Second+time.Duration(r.started%500)*time.Millisecond, func() { r.finish(worker, order.Task) })
 }
 
@@ -155,9 +155,9 @@
 }
 
 func (r *loadCluster) answer(worker *loadWorker) {
-	made := worker.hold
+	call := worker.hold
 	worker.hold = nil
-	for len(worker.finished) > 0 && worker.finished[0].N <= made.Hold.LastSeen {
+	for len(worker.finished) > 0 && worker.finished[0].N <= call.Hold.LastSeen {
 		worker.finished = worker.finished[1:]
 	}
 	reply := workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: r.now.Milliseconds(), Finished: worker.finished}
@@ -165,7 +165,7 @@
 		task.Percent = int(r.now/time.Second) % 100
 		reply.Running = append(reply.Running, task)
 	}
-	r.sched.CallEnded(r.now, CallResult{ID: made.ID, Reply: reply})
+	r.sched.CallEnded(r.now, CallResult{ID: call.ID, Reply: reply})
 	r.drain()
 }
 
@@ -180,7 +180,7 @@
 	r.drain()
 }
 
-// BenchmarkLargeCluster plays a second of a large cluster: 20 jobs of 40 tasks each come and go.
+// BenchmarkLargeCluster simulates a second of a large cluster in which 20 jobs of 40 tasks each are submitted and end.
 func BenchmarkLargeCluster(b *testing.B) {
 	for _, workers := range []int{530, 2300} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
@@ -204,12 +204,12 @@
 	}
 }
 
-// BenchmarkDrain hands out what is to be done while 2,000 tasks run, 40 steps are held, and room has been freed on one worker.
+// BenchmarkDrain measures a Drain while 2,000 tasks run, 40 steps are queued, and capacity was freed on one worker.
 func BenchmarkDrain(b *testing.B) {
-	const workers, tasks, running, held = 200, 50, 40, 40
+	const workers, tasks, running, queued = 200, 50, 40, 40
 	r := newLoadCluster(workers, tasks, 4*time.Second)
-	r.run(r.now + time.Second) // workers answer
-	for range running + held {
+	r.run(r.now + time.Second) // lets the workers answer
+	for range running + queued {
 		r.submit()
 	}
 	if r.started != running*tasks {
--- a/internal/system/scheduler/lyingworkers_test.go
+++ b/internal/system/scheduler/lyingworkers_test.go
@@ -16,8 +16,8 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// randomReplies draws what a worker says that keeps to nothing: runs that nobody ordered, of jobs and places that there are or aren't, ends with any
-// number, clocks that jump.
+// randomReplies generates worker replies that violate the protocol: runs that were never ordered, of jobs and places that may not exist,
+// ends with arbitrary numbers, and clocks that jump.
 type randomReplies struct {
 	random *rand.Rand
 	jobs   uint64
@@ -64,7 +64,7 @@
 	return reply
 }
 
-// seedsBelow are the seeds below a number.
+// seedsBelow yields the seeds below a number.
 func seedsBelow(count uint64) iter.Seq[uint64] {
 	return func(yield func(uint64) bool) {
 		for seed := range count {
@@ -75,18 +75,18 @@
 	}
 }
 
-// Whatever workers say, the scheduler's accounts stay right and it goes on: a head that one of them could end would be followed by another
-// that hears the same.
+// Whatever workers reply, the scheduler stays consistent and continues. If a reply could stop a head, its successor would receive the same
+// reply.
 func TestArbitraryWorkerRepliesKeepTheSchedulerConsistent(t *testing.T) {
 	const someSeeds = 150
-	for _, seed := range append(slices.Collect(seedsBelow(someSeeds)), 4730) { // a run that is listed before it is ordered
+	for _, seed := range append(slices.Collect(seedsBelow(someSeeds)), 4730) { // 4730: a run is listed before it is ordered
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 0))
 			l := &randomReplies{random: random}
-			d := newHarness(t)
+			h := newHarness(t)
 			workers := []workerapi.Instance{listEntry("w-1", 4000), listEntry("w-2", 8000, "rack-1"), listEntry("w-3", 2000)}
-			d.sched.Listed(d.now, workers)
-			d.drain()
+			h.sched.Listed(h.now, workers)
+			h.drain()
 			for range 120 {
 				switch random.IntN(8) {
 				case 0:
@@ -98,28 +98,28 @@
 						next.DependsOn = []int{0}
 						stages = append(stages, next)
 					}
-					d.submit(stages...)
-					l.jobs = d.jobs
+					h.submit(stages...)
+					l.jobs = h.jobs
 				case 1:
-					if d.jobs > 0 && random.IntN(3) == 0 {
-						d.cancel(state.JobID(1 + random.Uint64N(d.jobs)))
+					if h.jobs > 0 && random.IntN(3) == 0 {
+						h.cancel(state.JobID(1 + random.Uint64N(h.jobs)))
 					}
 				case 2:
-					d.advance(time.Duration(random.IntN(1500)) * time.Millisecond)
+					h.advance(time.Duration(random.IntN(1500)) * time.Millisecond)
 				case 3:
-					d.sched.Listed(d.now, workers[:1+random.IntN(len(workers))])
-					d.drain()
+					h.sched.Listed(h.now, workers[:1+random.IntN(len(workers))])
+					h.drain()
 				default:
-					for range min(len(d.calls), 1+random.IntN(6)) {
-						at := random.IntN(len(d.calls))
-						made := d.calls[at]
-						d.calls = append(d.calls[:at:at], d.calls[at+1:]...)
-						d.endCall(made, l.reply(d.clockMs()))
+					for range min(len(h.calls), 1+random.IntN(6)) {
+						at := random.IntN(len(h.calls))
+						call := h.calls[at]
+						h.calls = append(h.calls[:at:at], h.calls[at+1:]...)
+						h.endCall(call, l.reply(h.clockMs()))
 					}
 				}
-				d.commit()
+				h.commit()
 			}
-			require.NoError(t, d.sched.Check())
+			require.NoError(t, h.sched.Check())
 		})
 	}
 }
--- a/internal/system/scheduler/pending_test.go
+++ b/internal/system/scheduler/pending_test.go
@@ -8,7 +8,7 @@
 	"gaugeslip/internal/system/state"
 )
 
-// A job counts until a task of it has begun, whether that was seen running or only by its end, and not once it is over.
+// A job counts as pending until a task of it has begun, whether that was reported as running or only by its end, and not once it is over.
 func TestPendingJobsCountUntilTheyBegin(t *testing.T) {
 	waiting := func(id state.JobID) *job {
 		return &job{record: &state.Job{JobAccepted: state.JobAccepted{ID: id, Route: "barn"}}}
@@ -21,17 +21,17 @@
 	assert.Len(t, pending["barn"], 3)
 	pending.markBegun(first)
 	pending.markBegun(first)
-	assert.Len(t, pending["barn"], 2, "it begins once")
+	assert.Len(t, pending["barn"], 2, "marking it twice counts once")
 	pending.remove(first)
-	assert.Len(t, pending["barn"], 2, "it counted no more")
+	assert.Len(t, pending["barn"], 2, "it no longer counted")
 	pending.remove(second)
 	pending.markBegun(second)
-	assert.Len(t, pending["barn"], 1, "what is seen of it later counts for nothing")
+	assert.Len(t, pending["barn"], 1, "a later report of it changes nothing")
 	pending.remove(third)
 	assert.Empty(t, pending)
 }
 
-// A new head knows of those that have begun by what was committed of their tasks.
+// A new head knows from the committed state of tasks which jobs have begun.
 func TestNewHeadKnowsWhichJobsHaveBegun(t *testing.T) {
 	for name, step := range map[string]state.Step{
 		"done":       {Tasks: []state.Task{{}, {Done: true}}},
@@ -43,5 +43,5 @@
 		assert.True(t, hasBegun(record), name)
 	}
 	ordered := state.Step{Tasks: []state.Task{{Attempt: 2, Placements: []state.Placement{{Attempt: 2, Worker: "i-1"}}}}}
-	assert.False(t, hasBegun(&state.Job{Times: map[uint32]*state.Time{0: {Steps: []state.Step{ordered}}}}), "nobody knows yet")
+	assert.False(t, hasBegun(&state.Job{Times: map[uint32]*state.Time{0: {Steps: []state.Step{ordered}}}}), "a placement proves no begin")
 }
--- a/internal/system/scheduler/placement_test.go
+++ b/internal/system/scheduler/placement_test.go
@@ -10,252 +10,252 @@
 )
 
 func TestQueuedTasksStartEarliestDeadlineFirst(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 1000))
-	d.submit(stage(1, 1000, time.Second))
-	d.commit()
-	first := d.acceptStart("w")
-	d.submit(stage(1, 1000, 5*time.Second))
-	urgent := d.submit(stage(1, 1000, 2*time.Second))
-	d.answerHold("w", nil, finished(1, first, workerapi.HowDone))
-	d.commit()
-	require.Equal(t, urgent.String()+".0.0.0", d.mustTakeCall(CallStart, "w").Start.Task)
+	h := newHarness(t)
+	h.list(listEntry("w", 1000))
+	h.submit(stage(1, 1000, time.Second))
+	h.commit()
+	first := h.acceptStart("w")
+	h.submit(stage(1, 1000, 5*time.Second))
+	urgent := h.submit(stage(1, 1000, 2*time.Second))
+	h.answerHold("w", nil, finished(1, first, workerapi.HowDone))
+	h.commit()
+	require.Equal(t, urgent.String()+".0.0.0", h.mustTakeCall(CallStart, "w").Start.Task)
 }
 
 func TestTaskThatFitsNowhereDoesNotBlockThoseBehindIt(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 1000))
-	d.submit(stage(1, 2000, time.Second))
-	d.submit(stage(1, 1000, 9*time.Second))
-	d.commit()
-	require.Equal(t, 1, d.countCalls(CallStart))
+	h := newHarness(t)
+	h.list(listEntry("w", 1000))
+	h.submit(stage(1, 2000, time.Second))
+	h.submit(stage(1, 1000, 9*time.Second))
+	h.commit()
+	require.Equal(t, 1, h.countCalls(CallStart))
 }
 
 func TestLateTasksStartAfterTasksThatCanMeetTheirObjective(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 1000))
-	d.submit(stage(1, 1000, 20*time.Second))
-	d.commit()
-	first := d.acceptStart("w")
-	d.submit(stage(1, 1000, 100*time.Millisecond))
-	d.advance(3 * time.Second) // its objective is over
-	inTime := d.submit(stage(1, 1000, 5*time.Second))
+	h := newHarness(t)
+	h.list(listEntry("w", 1000))
+	h.submit(stage(1, 1000, 20*time.Second))
+	h.commit()
+	first := h.acceptStart("w")
+	h.submit(stage(1, 1000, 100*time.Millisecond))
+	h.advance(3 * time.Second) // its objective has passed
+	inTime := h.submit(stage(1, 1000, 5*time.Second))
 	for {
-		made, out := d.takeCall(CallHold, "w")
+		call, out := h.takeCall(CallHold, "w")
 		if !out {
-			d.advance(10 * time.Millisecond)
+			h.advance(10 * time.Millisecond)
 			continue
 		}
-		d.endCall(made, workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: d.clockMs(), Finished: finished(1, first, workerapi.HowDone)})
+		h.endCall(call, workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: h.clockMs(), Finished: finished(1, first, workerapi.HowDone)})
 		break
 	}
-	d.commit()
-	require.Equal(t, inTime.String()+".0.0.0", d.mustTakeCall(CallStart, "w").Start.Task)
+	h.commit()
+	require.Equal(t, inTime.String()+".0.0.0", h.mustTakeCall(CallStart, "w").Start.Task)
 }
 
 func TestTasksWaitNearTheirDataForALimitedTime(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w1", 1000, "a", "near"), listEntry("w2", 9000, "a", "far"))
+	h := newHarness(t)
+	h.list(listEntry("w1", 1000, "a", "near"), listEntry("w2", 9000, "a", "far"))
 	near := stage(1, 1000, 5*time.Second)
 	near.Colocation = "near"
-	d.submit(near)
-	d.commit()
-	d.acceptStart("w1")
-	d.advance(time.Second)
+	h.submit(near)
+	h.commit()
+	h.acceptStart("w1")
+	h.advance(time.Second)
 	near.Count = 2
-	d.submit(near)
-	d.commit()
-	require.Zero(t, d.countCalls(CallStart), "the others wait for room near their data")
-	d.advance(maxNearWait)
-	d.commit()
-	require.Equal(t, 2, d.countCalls(CallStart))
+	h.submit(near)
+	h.commit()
+	require.Zero(t, h.countCalls(CallStart), "the others wait for capacity near their data")
+	h.advance(maxNearWait)
+	h.commit()
+	require.Equal(t, 2, h.countCalls(CallStart))
 }
 
 func TestPlacementHonorsLabelsAndAntiAffinity(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w1", 9000, "a"), listEntry("w2", 9000, "b"), listEntry("w3", 9000, "b"))
+	h := newHarness(t)
+	h.list(listEntry("w1", 9000, "a"), listEntry("w2", 9000, "b"), listEntry("w3", 9000, "b"))
 	bound := stage(4, 1000, time.Second)
 	bound.Requirements = []string{"b"}
 	bound.AntiAffinity = 1
-	d.submit(bound)
-	d.commit()
-	require.Equal(t, 2, d.countCalls(CallStart))
-	d.mustTakeCall(CallStart, "w2")
-	d.mustTakeCall(CallStart, "w3")
+	h.submit(bound)
+	h.commit()
+	require.Equal(t, 2, h.countCalls(CallStart))
+	h.mustTakeCall(CallStart, "w2")
+	h.mustTakeCall(CallStart, "w3")
 }
 
 func TestTasksWithoutGPUsAvoidGPUWorkers(t *testing.T) {
-	d := newHarness(t)
+	h := newHarness(t)
 	rich := listEntry("w1", 4000)
 	rich.Allocatable.GPUs = 8
-	d.list(rich, listEntry("w2", 4000))
-	d.submit(stage(2, 1000, time.Second))
-	d.commit()
-	d.mustTakeCall(CallStart, "w2")
-	d.mustTakeCall(CallStart, "w2")
+	h.list(rich, listEntry("w2", 4000))
+	h.submit(stage(2, 1000, time.Second))
+	h.commit()
+	h.mustTakeCall(CallStart, "w2")
+	h.mustTakeCall(CallStart, "w2")
 }
 
 func TestGangStartsAllMembersOrNone(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w1", 1000), listEntry("w2", 1000))
-	d.submit(stage(1, 1000, time.Second))
-	d.commit()
-	blocker := d.calls[len(d.calls)-1].Worker.Instance
-	first := d.acceptStart(blocker)
+	h := newHarness(t)
+	h.list(listEntry("w1", 1000), listEntry("w2", 1000))
+	h.submit(stage(1, 1000, time.Second))
+	h.commit()
+	blocker := h.calls[len(h.calls)-1].Worker.Instance
+	first := h.acceptStart(blocker)
 	gang := stage(2, 1000, 2*time.Second)
 	gang.Gang = true
-	d.submit(gang)
-	d.advance(100 * time.Millisecond)
-	require.Empty(t, d.commands)
-	d.answerHold(blocker, nil, finished(1, first, workerapi.HowDone))
-	d.advance(gangRetryInterval)
-	d.commit()
-	one, two := d.mustTakeCall(CallStart, "w1"), d.mustTakeCall(CallStart, "w2")
+	h.submit(gang)
+	h.advance(100 * time.Millisecond)
+	require.Empty(t, h.commands)
+	h.answerHold(blocker, nil, finished(1, first, workerapi.HowDone))
+	h.advance(gangRetryInterval)
+	h.commit()
+	one, two := h.mustTakeCall(CallStart, "w1"), h.mustTakeCall(CallStart, "w2")
 	require.Equal(t, one.Start.Attempt, two.Start.Attempt)
 }
 
 func TestGangIsStoppedAndRetriedWhenAMemberIsRefused(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w1", 1000), listEntry("w2", 1000), listEntry("w3", 1000))
+	h := newHarness(t)
+	h.list(listEntry("w1", 1000), listEntry("w2", 1000), listEntry("w3", 1000))
 	gang := stage(2, 1000, 2*time.Second)
 	gang.Gang = true
-	d.submit(gang)
-	d.commit()
-	require.Len(t, d.startWorkers(), 2)
-	placed := d.startWorkers()
-	one := d.acceptStart(placed[0])
-	d.answerCall(d.mustTakeCall(CallStart, placed[1]), workerapi.Busy)
-	d.commit()
-	d.answerCall(d.mustTakeCall(CallStop, placed[0]), workerapi.Done)
-	require.Zero(t, d.countCalls(CallStart))
-	d.answerHold(placed[0], nil, finished(1, one, workerapi.HowStopped))
-	d.commit()
-	again := d.startWorkers()
+	h.submit(gang)
+	h.commit()
+	require.Len(t, h.startWorkers(), 2)
+	placed := h.startWorkers()
+	one := h.acceptStart(placed[0])
+	h.answerCall(h.mustTakeCall(CallStart, placed[1]), workerapi.Busy)
+	h.commit()
+	h.answerCall(h.mustTakeCall(CallStop, placed[0]), workerapi.Done)
+	require.Zero(t, h.countCalls(CallStart))
+	h.answerHold(placed[0], nil, finished(1, one, workerapi.HowStopped))
+	h.commit()
+	again := h.startWorkers()
 	require.Len(t, again, 2)
 	require.NotContains(t, again, placed[1])
-	require.Equal(t, 2, d.mustTakeCall(CallStart, again[0]).Start.Attempt)
-	require.Equal(t, 2, d.mustTakeCall(CallStart, again[1]).Start.Attempt)
+	require.Equal(t, 2, h.mustTakeCall(CallStart, again[0]).Start.Attempt)
+	require.Equal(t, 2, h.mustTakeCall(CallStart, again[1]).Start.Attempt)
 }
 
-// startWorkers gives the workers to which starts are to be sent.
-func (d *harness) startWorkers() []string {
+// startWorkers returns the workers to which starts are queued.
+func (h *harness) startWorkers() []string {
 	var workers []string
-	for _, made := range d.calls {
-		if made.Kind == CallStart {
-			workers = append(workers, made.Worker.Instance)
+	for _, call := range h.calls {
+		if call.Kind == CallStart {
+			workers = append(workers, call.Worker.Instance)
 		}
 	}
 	return workers
 }
 
 func TestGangPrefersOneRack(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w1", 1000, "a", "r1"), listEntry("w2", 1000, "a", "r2"), listEntry("w3", 1000, "a", "r2"))
+	h := newHarness(t)
+	h.list(listEntry("w1", 1000, "a", "r1"), listEntry("w2", 1000, "a", "r2"), listEntry("w3", 1000, "a", "r2"))
 	gang := stage(2, 1000, 2*time.Second)
 	gang.Gang, gang.SameRack = true, true
-	d.submit(gang)
-	d.commit()
-	require.ElementsMatch(t, []string{"w2", "w3"}, d.startWorkers())
+	h.submit(gang)
+	h.commit()
+	require.ElementsMatch(t, []string{"w2", "w3"}, h.startWorkers())
 }
 
 func TestWorkersAreReservedForAWaitingGang(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w1", 1000), listEntry("w2", 1000))
-	d.submit(stage(2, 1000, 10*time.Second))
-	d.commit()
-	one, two := d.acceptStart("w1"), d.acceptStart("w2")
+	h := newHarness(t)
+	h.list(listEntry("w1", 1000), listEntry("w2", 1000))
+	h.submit(stage(2, 1000, 10*time.Second))
+	h.commit()
+	one, two := h.acceptStart("w1"), h.acceptStart("w2")
 	gang := stage(2, 1000, time.Second)
 	gang.Gang = true
-	id := d.submit(gang)
-	d.submit(stage(4, 1000, 30*time.Second))
-	d.advance(1200 * time.Millisecond)
-	d.answerHold("w1", nil, finished(1, one, workerapi.HowDone))
-	d.commit()
-	require.Zero(t, d.countCalls(CallStart), "w1 is kept")
-	d.answerHold("w2", nil, finished(1, two, workerapi.HowDone))
-	d.advance(gangRetryInterval)
-	d.commit()
-	require.Len(t, d.startWorkers(), 2)
-	require.Equal(t, id.String()+".0.0.0", d.mustTakeCall(CallStart, "w1").Start.Task)
+	id := h.submit(gang)
+	h.submit(stage(4, 1000, 30*time.Second))
+	h.advance(1200 * time.Millisecond)
+	h.answerHold("w1", nil, finished(1, one, workerapi.HowDone))
+	h.commit()
+	require.Zero(t, h.countCalls(CallStart), "w1 is reserved")
+	h.answerHold("w2", nil, finished(1, two, workerapi.HowDone))
+	h.advance(gangRetryInterval)
+	h.commit()
+	require.Len(t, h.startWorkers(), 2)
+	require.Equal(t, id.String()+".0.0.0", h.mustTakeCall(CallStart, "w1").Start.Task)
 }
 
 func TestWorkerWithFailuresOfSeveralJobsIsQuarantined(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w1", 4000))
-	d.submit(stage(1, 1000, time.Second))
-	d.submit(stage(1, 1000, time.Second))
-	d.commit()
-	one, two := d.acceptStart("w1"), d.acceptStart("w1")
+	h := newHarness(t)
+	h.list(listEntry("w1", 4000))
+	h.submit(stage(1, 1000, time.Second))
+	h.submit(stage(1, 1000, time.Second))
+	h.commit()
+	one, two := h.acceptStart("w1"), h.acceptStart("w1")
 	ends := append(finished(1, one, workerapi.HowFailed), finished(2, two, workerapi.HowFailed)...)
-	d.answerHold("w1", nil, ends)
-	d.commit()
-	d.submit(stage(3, 1000, time.Second))
-	d.commit()
-	require.Zero(t, d.countCalls(CallStart))
-	d.advance(minQuarantine)
-	d.commit()
-	require.Equal(t, 1, d.countCalls(CallStart), "one trial")
+	h.answerHold("w1", nil, ends)
+	h.commit()
+	h.submit(stage(3, 1000, time.Second))
+	h.commit()
+	require.Zero(t, h.countCalls(CallStart))
+	h.advance(minQuarantine)
+	h.commit()
+	require.Equal(t, 1, h.countCalls(CallStart), "one trial")
 }
 
 func TestTaskThatFailsOnTwoWorkersDoesNotCountAgainstThem(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w1", 4000), listEntry("w2", 3000))
-	d.submit(stage(1, 1000, time.Second))
-	d.commit()
-	d.answerHold("w2", nil, finished(1, d.acceptStart("w2"), workerapi.HowFailed))
-	d.commit()
-	require.Positive(t, d.sched.workers["w2"].health.suspicion(d.now))
-	d.answerHold("w1", nil, finished(1, d.acceptStart("w1"), workerapi.HowFailed))
-	d.commit()
-	require.Zero(t, d.sched.workers["w2"].health.suspicion(d.now))
-	require.Zero(t, d.sched.workers["w1"].health.suspicion(d.now))
+	h := newHarness(t)
+	h.list(listEntry("w1", 4000), listEntry("w2", 3000))
+	h.submit(stage(1, 1000, time.Second))
+	h.commit()
+	h.answerHold("w2", nil, finished(1, h.acceptStart("w2"), workerapi.HowFailed))
+	h.commit()
+	require.Positive(t, h.sched.workers["w2"].health.suspicion(h.now))
+	h.answerHold("w1", nil, finished(1, h.acceptStart("w1"), workerapi.HowFailed))
+	h.commit()
+	require.Zero(t, h.sched.workers["w2"].health.suspicion(h.now))
+	require.Zero(t, h.sched.workers["w1"].health.suspicion(h.now))
 }
 
 func TestStalledRunIsMoved(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w1", 4000), listEntry("w2", 3000))
-	d.sched.progressingRuns = minProgressingRuns
-	d.submit(stage(1, 1000, time.Second))
-	d.commit()
-	made := d.acceptStart("w2")
-	d.answerHold("w2", running(made, 0), nil)
-	d.advance(stallAfter + 300*time.Millisecond)
-	d.answerHold("w2", running(made, 0), nil)
-	d.answerCall(d.mustTakeCall(CallStop, "w2"), workerapi.Done)
-	d.answerHold("w2", nil, finished(1, made, workerapi.HowStopped))
-	d.commit()
-	d.mustTakeCall(CallStart, "w1")
+	h := newHarness(t)
+	h.list(listEntry("w1", 4000), listEntry("w2", 3000))
+	h.sched.progressingRuns = minProgressingRuns
+	h.submit(stage(1, 1000, time.Second))
+	h.commit()
+	call := h.acceptStart("w2")
+	h.answerHold("w2", running(call, 0), nil)
+	h.advance(stallAfter + 300*time.Millisecond)
+	h.answerHold("w2", running(call, 0), nil)
+	h.answerCall(h.mustTakeCall(CallStop, "w2"), workerapi.Done)
+	h.answerHold("w2", nil, finished(1, call, workerapi.HowStopped))
+	h.commit()
+	h.mustTakeCall(CallStart, "w1")
 }
 
-// What a replica is late to take in says nothing of a run: the worker's own clock tells how long it has stood still.
+// A list that this replica processes late says nothing about a run: the worker's own clock shows how long it has made no progress.
 func TestListProcessedLateIsNotAStall(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("w", 4000))
-	d.sched.progressingRuns = minProgressingRuns
-	d.submit(stage(1, 1000, time.Second))
-	d.commit()
-	made := d.acceptStart("w")
-	d.answerHold("w", running(made, 10), nil)
-	clock := d.clockMs() + stallAfter.Milliseconds()
-	d.advance(3 * stallAfter)
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	h.sched.progressingRuns = minProgressingRuns
+	h.submit(stage(1, 1000, time.Second))
+	h.commit()
+	call := h.acceptStart("w")
+	h.answerHold("w", running(call, 10), nil)
+	clock := h.clockMs() + stallAfter.Milliseconds()
+	h.advance(3 * stallAfter)
 	for _, late := range []int64{0, 1} {
-		require.Zero(t, d.countCalls(CallStop))
-		reply := workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: clock + late, Running: running(made, 10)}
-		d.endCall(d.mustTakeCall(CallHold, "w"), reply)
+		require.Zero(t, h.countCalls(CallStop))
+		reply := workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: clock + late, Running: running(call, 10)}
+		h.endCall(h.mustTakeCall(CallHold, "w"), reply)
 	}
-	d.mustTakeCall(CallStop, "w")
+	h.mustTakeCall(CallStop, "w")
 }
 
-// The tasks of a step go to one worker where it has room for them, rather than each to the fullest.
+// The tasks of a step go to one worker if it has capacity for them, rather than each to the worker that it fills best.
 func TestTasksOfAStepSharePreferredWorker(t *testing.T) {
-	d := newHarness(t)
-	d.list(listEntry("small", 2000), listEntry("large", 8000), listEntry("other", 3000))
-	d.submit(stage(4, 1000, time.Second))
-	d.commit()
+	h := newHarness(t)
+	h.list(listEntry("small", 2000), listEntry("large", 8000), listEntry("other", 3000))
+	h.submit(stage(4, 1000, time.Second))
+	h.commit()
 	for range 4 {
-		d.mustTakeCall(CallStart, "large")
+		h.mustTakeCall(CallStart, "large")
 	}
-	d.submit(stage(1, 1000, time.Second))
-	d.commit()
-	d.mustTakeCall(CallStart, "large") // one that goes alone fills it best
+	h.submit(stage(1, 1000, time.Second))
+	h.commit()
+	h.mustTakeCall(CallStart, "large") // a single task fits it best
 }
--- a/internal/system/scheduler/scheduler_test.go
+++ b/internal/system/scheduler/scheduler_test.go
@@ -12,7 +12,7 @@
 	"gaugeslip/internal/system/state"
 )
 
-// checkNoIdleCapacity finds held tasks for which room stands idle.
+// checkNoIdleCapacity looks for queued tasks that could start on a worker.
 func (s *Scheduler) checkNoIdleCapacity(w *simCluster) {
 	for _, svc := range s.services {
 		for _, st := range svc.queue.All() {
@@ -24,14 +24,14 @@
 					continue // it may wait for a proven worker
 				}
 				if found := s.bestWorker(svc.workers, st, &st.tasks[index]); found != nil {
-					w.violated("IDLE", "%v waits, %s has room: %+v", st.name(index), found.identity.Instance, found.view())
+					w.violated("IDLE", "%v waits although %s has free capacity: %+v", st.name(index), found.identity.Instance, found.view())
 				}
 			}
 		}
 	}
 }
 
-// randomSpec draws a job of any kind.
+// randomSpec returns a random job specification of any kind.
 func (w *simCluster) randomSpec() *jobspec.Spec {
 	spec := &jobspec.Spec{Text: fmt.Sprintf("spec %d", w.random.Uint64())}
 	for i := range 1 + w.random.IntN(3) {
@@ -96,7 +96,7 @@
 	}
 }
 
-// runUntilAllOver plays on until all jobs are over, and tells which aren't.
+// runUntilAllOver runs the simulation until all jobs are over. It returns the first violation, or an error for a job that is not over.
 func (w *simCluster) runUntilAllOver(until time.Duration) error {
 	for w.violation == nil && w.now < until {
 		w.run(w.now + time.Second)
@@ -113,7 +113,7 @@
 	}
 	for id, j := range w.jobs {
 		if !j.state.Over() {
-			return fmt.Errorf("seed %d: LOST: job %v isn't over at %v: %+v", w.seed, id, w.now, w.sched.Why(id))
+			return fmt.Errorf("seed %d: LOST: job %v is not over at %v: %+v", w.seed, id, w.now, w.sched.Why(id))
 		}
 	}
 	return nil
@@ -157,7 +157,7 @@
 	require.Equal(t, first.machine.Snapshot(), second.machine.Snapshot())
 }
 
-// injectFaults draws what goes wrong until a time.
+// injectFaults injects random faults until a time.
 func (w *simCluster) injectFaults(until time.Duration) {
 	if w.now >= until {
 		return
@@ -218,7 +218,7 @@
 	}
 }
 
-// replace drains a worker, and adds another like it.
+// replace drains a worker and adds another like it.
 func (w *simCluster) replace(worker *simWorker) {
 	if !worker.up() || worker.drainSince > 0 {
 		return
@@ -240,7 +240,7 @@
 
 func runWithFaultsFromSeed(seed uint64) error { return newSimCluster(seed).runWithFaults() }
 
-// runWithFaults plays a world full of trouble to its end.
+// runWithFaults runs a simulation with faults to its end.
 func (w *simCluster) runWithFaults() error {
 	w.addFleet(6)
 	w.elect()
@@ -256,7 +256,7 @@
 	return w.runUntilAllOver(300 * time.Second)
 }
 
-// faultSeeds is how many worlds full of trouble are played.
-var faultSeeds = flag.Uint64("seeds", 120, "how many worlds full of trouble are played")
+// faultSeeds is the number of simulations with faults.
+var faultSeeds = flag.Uint64("seeds", 120, "number of simulations with faults")
 
 const seedParts = 8
--- a/internal/system/scheduler/sharekeeping_test.go
+++ b/internal/system/scheduler/sharekeeping_test.go
@@ -11,7 +11,8 @@
 	"gaugeslip/internal/system/state"
 )
 
-// newShareCluster is a calm world with two workers of 8 accelerators each and a tenant that may take some of them.
+// newShareCluster returns a cluster without faults that has two workers with 8 accelerators each and one tenant with a share of some of
+// them.
 func newShareCluster(t *testing.T, configuration string) *simCluster {
 	w := newSimCluster(1)
 	w.faultFree = true
@@ -24,7 +25,7 @@
 	return w
 }
 
-// submitSmallTasks hands small tasks in without a pause, more than the share can take.
+// submitSmallTasks submits small tasks at a steady rate, more than the share can take.
 func (w *simCluster) submitSmallTasks(span time.Duration) {
 	for at := time.Duration(0); at < span; at += 200 * time.Millisecond {
 		w.schedule(at, func() {
@@ -37,12 +38,12 @@
 	return w.submit("farm", 3, &jobspec.Spec{Stages: []jobspec.Stage{stage}}, 0)
 }
 
-// stateOf is a job's replicated state.
+// stateOf returns a job's replicated state.
 func (w *simCluster) stateOf(j *simJob) state.JobState { return w.machine.Job(j.id).State }
 
 const fourForTeff = `{"version":1,"tenants":[{"name":"teff","accelerators":4}]}`
 
-// TestSmallTasksDoNotStarveALargeStepOfTheirTenant floods a share with small tasks: what needs much of it at once starts all the same.
+// A step that needs much of a share at once starts although small tasks of its tenant flood the share.
 func TestSmallTasksDoNotStarveALargeStepOfTheirTenant(t *testing.T) {
 	for name, large := range map[string]jobspec.Stage{
 		"gang":       {Count: 4, CPU: 100, GPUs: 1, Gang: true, Estimated: time.Second},
@@ -62,32 +63,34 @@
 	}
 }
 
-// TestNoShareIsReservedForAStepThatCannotStart lets a share's small tasks go on beside a gang that the lasting runs leave no room for, or no worker.
+// Small tasks of a tenant continue beside a gang that cannot start, because long-running tasks take too much of the share or because no
+// worker has its labels.
 func TestNoShareIsReservedForAStepThatCannotStart(t *testing.T) {
 	for name, gang := range map[string]jobspec.Stage{
-		"lasting runs": {Count: 3, CPU: 100, GPUs: 1, Gang: true, Estimated: time.Second},
-		"no worker":    {Count: 2, CPU: 100, GPUs: 1, Gang: true, Estimated: time.Second, Requirements: []string{"nowhere"}},
+		"long-running tasks": {Count: 3, CPU: 100, GPUs: 1, Gang: true, Estimated: time.Second},
+		"no worker":          {Count: 2, CPU: 100, GPUs: 1, Gang: true, Estimated: time.Second, Requirements: []string{"nowhere"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newShareCluster(t, fourForTeff)
-			lasting := w.submitStage(jobspec.Stage{Count: 2, CPU: 100, GPUs: 1, LongRunning: true})
+			longRunning := w.submitStage(jobspec.Stage{Count: 2, CPU: 100, GPUs: 1, LongRunning: true})
 			w.run(w.now + time.Second)
 			w.submitSmallTasks(10 * time.Second)
-			held := w.submitStage(gang)
+			blocked := w.submitStage(gang)
 			for until := w.now; until < 12*time.Second; until += 100 * time.Millisecond {
 				w.run(until)
 				require.NoError(t, w.violation)
 				require.Empty(t, w.sched.shares.reservations)
 			}
-			assert.NotEqual(t, state.Completed, held.state)
-			w.cancel(lasting)
-			w.cancel(held)
+			assert.NotEqual(t, state.Completed, blocked.state)
+			w.cancel(longRunning)
+			w.cancel(blocked)
 			require.NoError(t, w.runUntilAllOver(300*time.Second))
 		})
 	}
 }
 
-// TestShareIsReservedAfterAQuarterOfTheSlack looks at who may start before and after, and at what is told of those that wait.
+// Before a quarter of a gang's slack has passed, other steps may use the share; after that, only steps with earlier deadlines or without
+// accelerators start.
 func TestShareIsReservedAfterAQuarterOfTheSlack(t *testing.T) {
 	w := newShareCluster(t, fourForTeff)
 	running := w.submitStage(jobspec.Stage{Count: 2, CPU: 100, GPUs: 1, Estimated: 20 * time.Second})
@@ -108,8 +111,8 @@
 	plain := w.submitStage(jobspec.Stage{Count: 1, CPU: 100, Estimated: 16 * time.Second})
 	w.run(w.now + 500*time.Millisecond)
 	assert.Equal(t, state.Pending, w.stateOf(later))
-	assert.Equal(t, state.Running, w.stateOf(urgent), "an earlier deadline")
-	assert.Equal(t, state.Running, w.stateOf(plain), "no accelerators")
+	assert.Equal(t, state.Running, w.stateOf(urgent), "it has an earlier deadline")
+	assert.Equal(t, state.Running, w.stateOf(plain), "it needs no accelerators")
 	why := w.sched.Why(later.id)
 	require.Len(t, why, 1)
 	assert.Contains(t, why[0].Why, "is reserved for a gang")
@@ -119,7 +122,7 @@
 	}
 }
 
-// TestCancelledGangReleasesItsShareReservation frees what was kept back when its step is over.
+// Cancelling a gang releases its share reservation.
 func TestCancelledGangReleasesItsShareReservation(t *testing.T) {
 	w := newShareCluster(t, fourForTeff)
 	w.submitStage(jobspec.Stage{Count: 3, CPU: 100, GPUs: 1, Estimated: 30 * time.Second})
--- a/internal/system/scheduler/shares_test.go
+++ b/internal/system/scheduler/shares_test.go
@@ -13,7 +13,8 @@
 	"gaugeslip/internal/system/state"
 )
 
-// randomTenant draws whose a job is. Worlds without tenants draw nothing, and stay as they are.
+// randomTenant returns the tenant of a new job. In clusters without tenants it draws no random number, so that their random streams stay
+// the same.
 func (w *simCluster) randomTenant() string {
 	if len(w.tenants) == 0 {
 		return ""
@@ -21,7 +22,7 @@
 	return w.tenants[w.random.IntN(len(w.tenants))]
 }
 
-// checkShare compares what really runs of a tenant with the ledger.
+// checkShare compares the accelerators used by a tenant's existing runs with the ledger.
 func (w *simCluster) checkShare(r *simRun) {
 	if len(w.tenants) == 0 {
 		return
@@ -35,11 +36,11 @@
 		}
 	}
 	if used := w.machine.Quotas().Used(tenant); running > used {
-		w.violated("SHARE", "%d accelerators of %q run, counted are %d", running, tenant, used)
+		w.violated("SHARE", "%d accelerators of %q are in use, but %d are counted", running, tenant, used)
 	}
 }
 
-// changeShares puts other shares in force.
+// changeShares commits a configuration with other shares.
 func (w *simCluster) changeShares(most int64) {
 	version := w.machine.Config().Version + 1
 	body := ""
@@ -50,7 +51,7 @@
 	w.proposeUntilElected(state.Command{Kind: state.KindConfigReplaced, ConfigReplaced: next})
 }
 
-// randomAcceleratorSpec draws a job that takes accelerators, no more than any share at once.
+// randomAcceleratorSpec returns a random job that takes accelerators, at once no more than any share.
 func (w *simCluster) randomAcceleratorSpec() *jobspec.Spec {
 	spec := w.randomSpec()
 	for i := range spec.Stages {
@@ -123,10 +124,10 @@
 	}
 }
 
-// tenantSeeds is how many worlds of either kind are played.
+// tenantSeeds is the number of simulations of either kind.
 const tenantSeeds = 100
 
-// TestStepOverItsShareIsNotProposed looks at what is proposed while a share is used up, and once it is free again.
+// Tasks beyond a used-up share are not proposed until the share is free again.
 func TestStepOverItsShareIsNotProposed(t *testing.T) {
 	w := newSimCluster(1)
 	w.faultFree = true
@@ -146,7 +147,7 @@
 	assert.Equal(t, "its tenant's share of accelerators is used up", why[5].Why)
 	assert.Equal(t, map[string]TenantView{"teff": {Held: 2, KeptBack: 2}}, w.sched.Tenants())
 	require.NoError(t, w.runUntilAllOver(60*time.Second))
-	assert.Equal(t, 6, proposed, "what doesn't fit is never proposed")
+	assert.Equal(t, 6, proposed, "tasks that do not fit the share are never proposed")
 }
 
 func TestGangOverItsShareIsNotProposed(t *testing.T) {
--- a/internal/system/scheduler/simchecks_test.go
+++ b/internal/system/scheduler/simchecks_test.go
@@ -11,12 +11,12 @@
 func (w *simCluster) checkCompleted(j *simJob) {
 	for name, task := range j.tasks {
 		if !task.done {
-			w.violated("MIXED", "%v isn't done", name)
+			w.violated("MIXED", "%v is not done", name)
 		}
 	}
 }
 
-// checkFailed tells whether a job was shown as failed without cause.
+// checkFailed checks that a failed job had enough failures.
 func (w *simCluster) checkFailed(j *simJob) {
 	for _, task := range j.tasks {
 		failed := 0
@@ -32,7 +32,7 @@
 	w.violated("LOST", "job %v failed without cause", j.id)
 }
 
-// checkStopped tells whether anything of a cancelled job still runs where nothing goes wrong.
+// checkStopped checks that nothing of a cancelled job still runs in a cluster without faults.
 func (w *simCluster) checkStopped(j *simJob) {
 	if !w.faultFree {
 		return
@@ -44,7 +44,7 @@
 	}
 }
 
-// checkBudget looks for a start after as many failures as are allowed.
+// checkBudget looks for a start after the allowed number of failures.
 func (w *simCluster) checkBudget(task *simTask) {
 	var noted []time.Duration
 	for _, end := range task.ends {
@@ -64,15 +64,15 @@
 	}
 }
 
-// checkStart checks what a start must hold by itself.
+// checkStart checks a start against its job and task.
 func (w *simCluster) checkStart(r *simRun, order *workerapi.StartOrder) {
 	task, j := r.task, r.task.job
 	stage := task.stage.spec
 	if order.Spec != j.spec.Text {
-		w.violated("UNASKED", "%v carries another spec", r.name)
+		w.violated("UNASKED", "%v carries a different spec", r.name)
 	}
 	if _, known := task.saved[order.Checkpoint]; order.Checkpoint != "" && !known {
-		w.violated("UNASKED", "%v carries a checkpoint that isn't its own: %q", r.name, order.Checkpoint)
+		w.violated("UNASKED", "%v carries a checkpoint of another task: %q", r.name, order.Checkpoint)
 	}
 	if j.cancelledAt > 0 && w.now > j.cancelledAt+w.bounds.Cancel() {
 		w.violated("UNASKED", "%v was cancelled at %v", r.name, j.cancelledAt)
@@ -84,7 +84,7 @@
 	task.starts = append(task.starts, w.now)
 	for _, end := range task.ends {
 		if end.how == workerapi.HowDone && end.acknowledged && !end.lapsed && !stage.LongRunning && !stage.Speculative {
-			w.violated("TWICE", "%v has ended done before", r.name)
+			w.violated("TWICE", "%v was started after it ended as done", r.name)
 		}
 	}
 	if !stage.LongRunning && !stage.Gang {
@@ -101,12 +101,12 @@
 		for i := range j.spec.Stages[earlier].Count {
 			name := state.TaskName{Job: j.id, Time: r.name.Task.Time, Step: uint32(earlier), Index: uint32(i)}
 			if !j.tasks[name].done {
-				w.violated("ORDER", "%v before %v", r.name, name)
+				w.violated("ORDER", "%v was started before %v was done", r.name, name)
 			}
 		}
 	}
 	if j.spec.Timed() && w.unixMs()+int64(w.bounds.EarlyMs) < j.spec.DueAt(r.name.Task.Time).Milliseconds() {
-		w.violated("ORDER", "%v is too early", r.name)
+		w.violated("ORDER", "%v was started before its due time", r.name)
 	}
 }
 
@@ -114,15 +114,15 @@
 func (w *simCluster) checkPlace(r *simRun) {
 	worker, stage := r.worker, r.task.stage.spec
 	if worker.backend != r.task.job.accepted.Service {
-		w.violated("ROUTE", "%v on a worker of %s", r.name, worker.backend)
+		w.violated("ROUTE", "%v was started on a worker of %s", r.name, worker.backend)
 	}
 	for _, label := range stage.Requirements {
 		if !slices.Contains(worker.labels, label) {
-			w.violated("ROUTE", "%v without %s", r.name, label)
+			w.violated("ROUTE", "%v was started on a worker without the label %s", r.name, label)
 		}
 	}
 	if !worker.used().fitsInto(worker.capacity) {
-		w.violated("LIMIT", "%v on %s: %v of %v", r.name, worker.instance, worker.used(), worker.capacity)
+		w.violated("LIMIT", "%v on %s: %v is used of %v", r.name, worker.instance, worker.used(), worker.capacity)
 	}
 	w.checkShare(r)
 	held := 0
@@ -132,6 +132,6 @@
 		}
 	}
 	if stage.AntiAffinity > 0 && held > stage.AntiAffinity {
-		w.violated("ROUTE", "%v: %d on %s", r.name, held, worker.instance)
+		w.violated("ROUTE", "%v: its step has %d runs on %s", r.name, held, worker.instance)
 	}
 }
--- a/internal/system/scheduler/simhold_test.go
+++ b/internal/system/scheduler/simhold_test.go
@@ -40,7 +40,7 @@
 	answer := worker.answer(workerapi.Done)
 	for _, r := range worker.sorted() {
 		if r.stopping {
-			continue // the bench's workers list it nowhere until it has ended
+			continue // the benchmark's workers do not list it until it has ended
 		}
 		answer.Running = append(answer.Running, workerapi.RunningTask{
 			Task: r.name.Task.String(), Attempt: int(r.name.Attempt), Checkpoint: r.gang.savedText, Percent: r.gang.percent(),
--- a/internal/system/scheduler/simjobs_test.go
+++ b/internal/system/scheduler/simjobs_test.go
@@ -8,7 +8,7 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// simJob is what the world knows of a job.
+// simJob is the simulation's record of a job.
 type simJob struct {
 	id          state.JobID
 	spec        *jobspec.Spec
@@ -32,7 +32,7 @@
 	ownFailures, failed int
 }
 
-// simTask is what the world knows of a task.
+// simTask is the simulation's record of a task.
 type simTask struct {
 	job         *simJob
 	stage       *simStage
@@ -41,13 +41,13 @@
 	running     []*simRun
 	ends        []*simEnd
 	starts      []time.Duration
-	done        bool // some run has ended so
+	done        bool // a run has ended as done
 	ownFailures int
 	failed      int
 	saved       map[string]time.Duration
 }
 
-// submit hands a job in. ownFailures is how often each task fails by its own fault.
+// submit submits a job. ownFailures is how often each task fails through its own fault.
 func (w *simCluster) submit(service string, retries int, spec *jobspec.Spec, ownFailures int) *simJob {
 	id := state.JobID(w.random.Uint64())
 	body, err := spec.Encode()
@@ -90,7 +90,7 @@
 	}
 }
 
-// cancel has a job cancelled.
+// cancel cancels a job.
 func (w *simCluster) cancel(j *simJob) {
 	w.proposeUntilElected(state.Command{Kind: state.KindJobCancelled, JobCancelled: &state.JobCancelled{ID: j.id, AtMs: w.unixMs()}})
 }
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// noteResult takes in what a commit has shown to clients.
+// noteResult checks job states that a commit has made visible to clients.
 func (w *simCluster) noteResult(result state.Result) {
 	for _, record := range result.Finished {
 		j := w.jobs[record.ID]
@@ -119,7 +119,7 @@
 	}
 }
 
-// recordEnd takes note of an end where it happens.
+// recordEnd records an end when it happens on the worker.
 func (w *simCluster) recordEnd(end *simEnd, r *simRun) {
 	task := end.task
 	task.ends = append(task.ends, end)
@@ -139,7 +139,7 @@
 	}
 }
 
-// checkEndAcknowledged checks what was started since an end that is now taken note of.
+// checkEndAcknowledged checks the starts of a task against an end that is now acknowledged.
 func (w *simCluster) checkEndAcknowledged(end *simEnd) {
 	task := end.task
 	if end.lapsed || task.stage.spec.Speculative || task.stage.spec.LongRunning {
@@ -159,7 +159,7 @@
 
 func (w *simCluster) savedProgress(task *simTask, text string) time.Duration { return task.saved[text] }
 
-// recordCheckpoint takes note of progress that was saved.
+// recordCheckpoint records saved progress.
 func (w *simCluster) recordCheckpoint(g *simGang) {
 	for _, r := range g.members {
 		r.task.saved[g.savedText] = g.saved
--- a/internal/system/scheduler/simrun_test.go
+++ b/internal/system/scheduler/simrun_test.go
@@ -40,10 +40,10 @@
 	savedText string
 	settledAt time.Duration
 	epoch     int
-	failAt    time.Duration // of progress; 0: never
+	failAt    time.Duration // progress at which it fails; 0: never
 }
 
-// begin makes a run present, and checks that it may be.
+// begin starts a run and checks that it is allowed.
 func (w *simCluster) begin(worker *simWorker, task *simTask, name state.Run, order *workerapi.StartOrder) {
 	w.stats.starts++
 	r := &simRun{worker: worker, task: task, name: name}
@@ -86,7 +86,7 @@
 		w.schedule(w.bounds.Gang(), func() {
 			if !r.over && !g.begun {
 				if w.faultFree {
-					w.violated("GANG", "%v is alone", r.name)
+					w.violated("GANG", "%v waits for its gang alone", r.name)
 				}
 				w.stats.gangsAlone++
 				r.end(workerapi.HowAlone)
@@ -109,7 +109,7 @@
 	return g.world.bounds.Restore()
 }
 
-// drawFailure settles whether and when this run fails.
+// drawFailure decides whether and at what progress this run fails.
 func (g *simGang) drawFailure(r *simRun) {
 	work := g.stage.work
 	switch {
@@ -131,7 +131,7 @@
 	return false
 }
 
-// pace is the time that one unit of work takes, 0 for a standstill.
+// pace returns the time that one unit of work takes; 0 if the work is stalled.
 func (g *simGang) pace() float64 {
 	pace := 1.0
 	for _, r := range g.members {
@@ -147,7 +147,7 @@
 	return pace
 }
 
-// settle brings the progress up to now.
+// settle updates the progress to the current time.
 func (g *simGang) settle() {
 	w := g.world
 	if !g.begun || g.halted || w.now <= g.settledAt {
@@ -164,7 +164,7 @@
 	g.epoch++
 }
 
-// schedule plans the next point of the work: its end, its failure, or a save.
+// schedule schedules the next event of the work: its end, its failure, or a save.
 func (g *simGang) schedule() {
 	pace := g.pace()
 	if g.halted || pace == 0 {
@@ -221,7 +221,7 @@
 	return int(min(100*g.progress/max(g.stage.work, 1), 100))
 }
 
-// removeMember takes a member away: what had begun together ends together.
+// removeMember removes a member. If the gang has begun, the other members are broken off too.
 func (g *simGang) removeMember(gone *simRun) {
 	gone.over = true
 	gone.task.running = slices.DeleteFunc(gone.task.running, func(r *simRun) bool { return r == gone })
@@ -236,7 +236,7 @@
 	}
 }
 
-// end ends a run and lists it.
+// end ends a run and lists the end.
 func (r *simRun) end(how workerapi.How) {
 	if r.over || r.worker.runs[r.name] != r {
 		return
--- a/internal/system/scheduler/simworker_test.go
+++ b/internal/system/scheduler/simworker_test.go
@@ -9,7 +9,7 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// simWorker is a simulated worker at one address; its lives follow one another.
+// simWorker is a simulated worker at one address. Its instances follow one another.
 type simWorker struct {
 	world    *simCluster
 	address  string
@@ -23,7 +23,7 @@
 	born       time.Duration
 	down       bool
 	gone       bool
-	listedDown time.Duration // a crashed life stays on the list until then
+	listedDown time.Duration // a crashed instance stays on the platform's list until then
 	leavesAt   time.Duration
 	drainSince time.Duration
 	fence      uint64
@@ -44,7 +44,7 @@
 	answer func()
 }
 
-// simEnd is one end that is listed until it is acknowledged.
+// simEnd is one end, listed until it is acknowledged.
 type simEnd struct {
 	number       uint64
 	run          state.Run
@@ -115,32 +115,32 @@
 	return workerapi.HoldReply{Outcome: outcome, ClockMs: worker.clockMs()}
 }
 
-// handleCall carries out a call.
-func (worker *simWorker) handleCall(made Call, reply func(workerapi.HoldReply)) {
+// handleCall handles a call.
+func (worker *simWorker) handleCall(call Call, reply func(workerapi.HoldReply)) {
 	switch {
 	case !worker.up():
 		return
-	case made.Worker.Instance != worker.instance:
+	case call.Worker.Instance != worker.instance:
 		reply(workerapi.HoldReply{Outcome: workerapi.OtherLife})
 		return
-	case worker.busy && made.Kind == CallStart:
+	case worker.busy && call.Kind == CallStart:
 		reply(workerapi.HoldReply{Outcome: workerapi.Busy})
 		return
 	}
-	token := max(made.Start.FenceToken, made.Stop.FenceToken, made.Hold.FenceToken)
+	token := max(call.Start.FenceToken, call.Stop.FenceToken, call.Hold.FenceToken)
 	if token < worker.fence {
 		reply(worker.answer(workerapi.RefusedFence))
 		return
 	}
 	worker.fence = token
-	switch made.Kind {
+	switch call.Kind {
 	case CallStart:
-		reply(worker.answer(worker.start(&made.Start)))
+		reply(worker.answer(worker.start(&call.Start)))
 	case CallStop:
-		worker.stop(&made.Stop)
+		worker.stop(&call.Stop)
 		reply(worker.answer(workerapi.Done))
 	case CallHold:
-		worker.hold(&made.Hold, reply)
+		worker.hold(&call.Hold, reply)
 	}
 }
 
@@ -183,7 +183,7 @@
 	}
 	task := worker.world.findTask(name)
 	if task == nil {
-		worker.world.violated("UNASKED", "%s isn't known", order.Task)
+		worker.world.violated("UNASKED", "%s is not known", order.Task)
 		return workerapi.BadRequest
 	}
 	if worker.guarded && !task.stage.need.fitsInto(worker.capacity.minus(worker.used())) {
@@ -216,7 +216,7 @@
 	worker.world.schedule(worker.world.between(0, worker.world.bounds.Stop()), func() { r.end(workerapi.HowStopped) })
 }
 
-// crash ends this life; another is there after a while, or never.
+// crash ends this instance. A new one starts after a while, unless the worker is gone for good.
 func (worker *simWorker) crash(away time.Duration, forGood bool) {
 	if !worker.up() {
 		return
@@ -237,7 +237,7 @@
 	})
 }
 
-// drain has the worker leave after a while.
+// drain announces that the worker leaves, and removes it after a while.
 func (worker *simWorker) drain(stays time.Duration) {
 	if !worker.up() || worker.drainSince > 0 {
 		return
--- a/internal/system/scheduler/world_test.go
+++ b/internal/system/scheduler/world_test.go
@@ -12,8 +12,8 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// simCluster is a simulated cluster round one scheduler at a time: workers that keep the wire contract, a chain that commits, a list that
-// trails, and jobs. Everything that it does follows from its seed.
+// simCluster simulates a cluster with one scheduler at a time: workers that follow the wire protocol, a chain that commits, a platform list
+// that lags, and jobs. Everything is determined by the seed.
 type simCluster struct {
 	seed   uint64
 	random *rand.Rand
@@ -32,16 +32,16 @@
 	workers   []*simWorker
 	instances int
 	jobs      map[state.JobID]*simJob
-	tenants   []string // of whom jobs are handed in; nobody's where there are none
+	tenants   []string // submitters of jobs; if empty, jobs have no tenant
 	gangs     map[gangKey]*simGang
 	faults    simFaults
-	faultFree bool // nothing goes wrong in this world
+	faultFree bool // no faults are injected
 	violation error
 	trace     func(state.Command)
 	stats     simStats
 }
 
-// simFaults are the shares of what goes wrong.
+// simFaults holds the probabilities of message and commit faults.
 type simFaults struct {
 	lostAnswers, lateOrders float64
 	slowCommits             float64
@@ -89,7 +89,7 @@
 	return w
 }
 
-// violated keeps the first broken rule.
+// violated records the first violation of a rule.
 func (w *simCluster) violated(rule, format string, arguments ...any) {
 	if w.violation == nil {
 		w.violation = fmt.Errorf("seed %d at %v: %s: %s", w.seed, w.now, rule, fmt.Sprintf(format, arguments...))
@@ -101,7 +101,7 @@
 	heap.Push(&w.events, event{at: w.now + span, order: w.order, act: act})
 }
 
-// run plays events up to a time, or until a rule is broken.
+// run processes events up to a time, or until a rule is violated.
 func (w *simCluster) run(until time.Duration) {
 	for len(w.events) > 0 && w.violation == nil && w.events[0].at <= until {
 		next := heap.Pop(&w.events).(event)
@@ -119,7 +119,7 @@
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
 
-// elect puts a new scheduler in the place of the last one: part of what that one had proposed is committed.
+// elect replaces the scheduler by a new one. A part of what the old one had proposed is committed.
 func (w *simCluster) elect() {
 	w.depose()
 	w.token++
@@ -130,7 +130,7 @@
 	w.wakeAt = 0
 }
 
-// depose throws the scheduler away. What is out stays out.
+// depose discards the scheduler. Calls in flight stay in flight.
 func (w *simCluster) depose() {
 	if w.sched == nil {
 		return
@@ -141,7 +141,7 @@
 	}
 	dropped := w.chain[kept:]
 	w.chain, w.sched = nil, nil
-	for _, command := range dropped { // clients try again
+	for _, command := range dropped { // clients retry
 		if command.Kind == state.KindJobAccepted || command.Kind == state.KindJobCancelled {
 			w.proposeUntilElected(command)
 		}
@@ -156,7 +156,7 @@
 	return config
 }
 
-// drain does what the scheduler wants done, and checks it.
+// drain carries out the scheduler's output and checks its invariants.
 func (w *simCluster) drain() {
 	if w.sched == nil || w.violation != nil {
 		return
@@ -181,8 +181,8 @@
 	for _, command := range output.Commands {
 		w.propose(command)
 	}
-	for _, made := range output.Calls {
-		w.call(made)
+	for _, call := range output.Calls {
+		w.call(call)
 	}
 	w.scheduleWake(output.Wake)
 }
@@ -200,7 +200,7 @@
 	})
 }
 
-// propose commits a command after a while, in order.
+// propose commits a command after a delay, in order.
 func (w *simCluster) propose(command state.Command) {
 	w.chain = append(w.chain, command)
 	span := w.between(3*time.Millisecond, 30*time.Millisecond)
@@ -227,7 +227,7 @@
 	w.sched.Applied(w.now, result)
 }
 
-// proposeUntilElected commits a command that isn't the scheduler's, or waits until there is one.
+// proposeUntilElected commits a command that does not come from the scheduler. Without a scheduler it waits for the next one.
 func (w *simCluster) proposeUntilElected(command state.Command) {
 	if w.sched == nil {
 		w.schedule(50*time.Millisecond, func() { w.proposeUntilElected(command) })
@@ -243,7 +243,7 @@
 	w.schedule(time.Second, w.sendTime)
 }
 
-// sendList shows the scheduler the list as it was a moment ago.
+// sendList passes the platform's list to the scheduler after a delay.
 func (w *simCluster) sendList() {
 	var instances []workerapi.Instance
 	for _, worker := range w.workers {
@@ -260,32 +260,32 @@
 	w.schedule(600*time.Millisecond, w.sendList)
 }
 
-// call carries a call to its worker and the answer back.
-func (w *simCluster) call(made Call) {
+// call delivers a call to its worker and the answer back.
+func (w *simCluster) call(call Call) {
 	sched := w.sched
 	answered := false
 	reply := func(answer workerapi.HoldReply) {
 		if !answered && w.sched == sched {
 			answered = true
-			sched.CallEnded(w.now, CallResult{ID: made.ID, Reply: answer})
+			sched.CallEnded(w.now, CallResult{ID: call.ID, Reply: answer})
 		}
 	}
-	w.schedule(made.Timeout, func() { reply(workerapi.HoldReply{}) })
-	worker := w.workerAt(made.Worker.Address)
+	w.schedule(call.Timeout, func() { reply(workerapi.HoldReply{}) })
+	worker := w.workerAt(call.Worker.Address)
 	if worker == nil {
 		w.schedule(2*time.Millisecond, func() { reply(workerapi.HoldReply{Outcome: workerapi.NotSent}) })
 		return
 	}
-	way := w.between(time.Millisecond, 8*time.Millisecond)
+	delay := w.between(time.Millisecond, 8*time.Millisecond)
 	lost := w.chance(w.faults.lostAnswers) || worker.partitioned
-	if w.chance(w.faults.lateOrders) && made.Kind != CallHold || worker.delayed && w.chance(0.5) {
-		lost, way = true, w.between(2*time.Second, 12*time.Second)
+	if w.chance(w.faults.lateOrders) && call.Kind != CallHold || worker.delayed && w.chance(0.5) {
+		lost, delay = true, w.between(2*time.Second, 12*time.Second)
 	}
 	if worker.partitioned && w.chance(0.7) {
 		return
 	}
-	w.schedule(way, func() {
-		worker.handleCall(made, func(answer workerapi.HoldReply) {
+	w.schedule(delay, func() {
+		worker.handleCall(call, func(answer workerapi.HoldReply) {
 			if !lost {
 				w.schedule(w.between(time.Millisecond, 8*time.Millisecond), func() { reply(answer) })
 			}
