--- a/internal/system/scheduler/audit.go
+++ b/internal/system/scheduler/audit.go
@@ -53,7 +53,7 @@
 // audit repairs states that should not occur: jobs, steps and waiting tasks missing from their queue, tasks that could start but do not,
 // and workers that are not contacted. It reports these repairs, and for tasks that have waited long it reports what they wait for.
 func (s *Scheduler) audit() {
-	s.auditing.tried = 0
+	s.audits.tried = 0
 	s.auditJobs()
 	s.auditWorkers()
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
@@ -131,8 +131,8 @@
 	found := Finding{Task: st.name(index), Waited: s.now - t.waitingSince}
 	if r := st.pendingRun(t); r != nil {
 		found.Worker, found.Reason = r.worker.identity.Instance, r.waitReason()
-	} else if s.auditing.tried < maxAuditedTasks {
-		s.auditing.tried++
+	} else if s.audits.tried < maxAuditedTasks {
+		s.audits.tried++
 		found.Reason, found.Mended = s.auditQueued(st, index, t)
 		found.Refused = t.refusals > freeRefusals
 	}
@@ -143,8 +143,8 @@
 }
 
 func (s *Scheduler) reportFinding(found Finding) {
-	if len(s.auditing.findings) < maxFindings {
-		s.auditing.findings = append(s.auditing.findings, found)
+	if len(s.audits.findings) < maxFindings {
+		s.audits.findings = append(s.audits.findings, found)
 	}
 }
 
--- a/internal/system/scheduler/audit_test.go
+++ b/internal/system/scheduler/audit_test.go
@@ -81,7 +81,7 @@
 	h := newHarness(t)
 	st := h.queuedStep()
 	h.sched.dequeueTask(st, 0)
-	st.tasks[0].state = taskPaused
+	st.tasks[0].state = taskInBackoff
 	h.sched.workers["w1"].capacity.CPU = 4000
 	h.advanceUnchecked(auditMinWait + 3*auditInterval)
 	require.Equal(t, []string{"it is neither queued nor running"}, h.repairs())
@@ -97,7 +97,7 @@
 	h.commit()
 	st := h.sched.jobs[id].occurrences[0].steps[0]
 	h.sched.dequeue(st)
-	st.gang = gangPaused
+	st.gang = gangInBackoff
 	h.list(listEntry("w1", 4000))
 	h.advanceUnchecked(auditMinWait + 3*auditInterval)
 	require.Equal(t, []string{"it is neither queued nor running"}, h.repairs())
--- a/internal/system/scheduler/gangs.go
+++ b/internal/system/scheduler/gangs.go
@@ -8,10 +8,10 @@
 type gangState uint8
 
 const (
-	gangIdle    gangState = iota
-	gangWaiting           // for capacity for all of its members at once
-	gangActive            // runs of it are proposed or may exist
-	gangPaused            // in backoff before the next start
+	gangIdle      gangState = iota
+	gangWaiting             // for capacity for all of its members at once
+	gangActive              // runs of it are proposed or may exist
+	gangInBackoff           // in backoff before the next start
 )
 
 const (
@@ -30,16 +30,16 @@
 		s.finishGang(st)
 		return
 	}
-	with := 0
+	withRuns := 0
 	for i := range st.tasks {
 		if len(st.tasks[i].runs) > 0 {
-			with++
+			withRuns++
 		}
 	}
 	switch {
-	case with == 0:
+	case withRuns == 0:
 		s.awaitGangCapacity(st)
-	case with < len(st.tasks):
+	case withRuns < len(st.tasks):
 		st.gang = gangActive
 		s.stopGang(st)
 	default:
@@ -60,27 +60,27 @@
 
 // awaitGangCapacity makes the whole gang wait for capacity, after a backoff if its starts were refused several times in a row.
 func (s *Scheduler) awaitGangCapacity(st *step) {
-	if st.gang == gangWaiting || st.gang == gangPaused {
+	if st.gang == gangWaiting || st.gang == gangInBackoff {
 		return
 	}
-	pause := time.Duration(0)
+	backoff := time.Duration(0)
 	for i := range st.tasks {
 		st.tasks[i].state = taskWaiting
 		st.tasks[i].account.enter(s.now, PartRoom)
 		s.noteWaiting(&st.tasks[i])
-		pause = max(pause, st.tasks[i].backoff())
+		backoff = max(backoff, st.tasks[i].backoff())
 	}
-	if pause > 0 {
-		st.gang = gangPaused
-		st.tasks[0].backoffUntil = s.now + pause
-		s.runAt(s.now+pause, func() { s.gangPauseOver(st) })
+	if backoff > 0 {
+		st.gang = gangInBackoff
+		st.tasks[0].backoffUntil = s.now + backoff
+		s.runAt(s.now+backoff, func() { s.gangBackoffOver(st) })
 		return
 	}
 	s.enqueueGang(st)
 }
 
-func (s *Scheduler) gangPauseOver(st *step) {
-	if st.gang == gangPaused && !st.closed {
+func (s *Scheduler) gangBackoffOver(st *step) {
+	if st.gang == gangInBackoff && !st.closed {
 		s.enqueueGang(st)
 	}
 }
--- a/internal/system/scheduler/health.go
+++ b/internal/system/scheduler/health.go
@@ -165,18 +165,18 @@
 	if s.now < h.quarantinedUntil {
 		return
 	}
-	pause := min(minQuarantine<<min(h.quarantines, 8), maxQuarantine)
+	duration := min(minQuarantine<<min(h.quarantines, 8), maxQuarantine)
 	h.quarantines++
-	h.quarantinedUntil = s.now + pause
+	h.quarantinedUntil = s.now + duration
 	s.runAt(h.quarantinedUntil, func() { s.capacityFreed(w) })
 }
 
 // noteBusy keeps tasks from a worker that answered that it is busy.
 func (s *Scheduler) noteBusy(w *worker) {
 	h := &w.health
-	pause := min(minBusyBackoff<<min(h.busyAnswers, 8), maxBusyBackoff)
+	backoff := min(minBusyBackoff<<min(h.busyAnswers, 8), maxBusyBackoff)
 	h.busyAnswers++
-	h.busyUntil = max(h.busyUntil, s.now+pause)
+	h.busyUntil = max(h.busyUntil, s.now+backoff)
 	s.runAt(h.busyUntil, func() { s.capacityFreed(w) })
 }
 
--- a/internal/system/scheduler/holds.go
+++ b/internal/system/scheduler/holds.go
@@ -36,10 +36,10 @@
 	callID       uint64 // the hold in flight; 0 if none
 	probeID      uint64 // a second hold: for runs in doubt, or while answers are being lost; 0 if none
 	listClockMs  int64  // the worker's clock at the newest list of running tasks
-	wait         time.Duration
+	sentWait     time.Duration
 	nextAt       time.Duration // when the next hold is scheduled; 0 if none
 	failures     int
-	mark         uint64 // of the last platform list that had the worker
+	listMark     uint64 // of the last platform list that had the worker
 	lossCheckAt  time.Duration
 	inFirstQueue bool   // its first hold waits for its turn
 	gangMark     uint64 // the gang placement for which it was chosen last
@@ -70,16 +70,16 @@
 		return
 	}
 	w.hold.nextAt = 0
-	w.hold.wait = s.holdWait(w)
-	w.hold.callID = s.sendHoldOrder(w, w.hold.wait)
+	w.hold.sentWait = s.holdWait(w)
+	w.hold.callID = s.sendHoldOrder(w, w.hold.sentWait)
 	if s.lossy() && len(w.runs) > 0 && w.hold.probeID == 0 && s.hasSpareCalls() {
-		w.hold.probeID = s.sendHoldOrder(w, w.hold.wait)
+		w.hold.probeID = s.sendHoldOrder(w, w.hold.sentWait)
 	}
 }
 
 // probe sends a hold without a wait, beside the one in flight, to resolve a run in doubt.
 func (s *Scheduler) probe(w *worker) {
-	if w.hold.callID == 0 || w.hold.wait == 0 {
+	if w.hold.callID == 0 || w.hold.sentWait == 0 {
 		s.scheduleHold(w, s.now)
 		return
 	}
@@ -250,7 +250,7 @@
 	if w.lastProposedEnd > s.lastCommittedEnd(w) {
 		return commitWait
 	}
-	if !hasNew && w.hold.wait > earlyAnswer && s.now-ended.sentAt < earlyAnswer {
+	if !hasNew && w.hold.sentWait > earlyAnswer && s.now-ended.sentAt < earlyAnswer {
 		return earlyAnswerPause
 	}
 	return 0
--- a/internal/system/scheduler/lists.go
+++ b/internal/system/scheduler/lists.go
@@ -37,7 +37,7 @@
 		if r == nil {
 			r = s.addForeign(w, key)
 		}
-		r.mark = mark
+		r.listMark = mark
 		r.absentAt = 0
 		s.markPresent(r)
 		s.noteProgress(r, listed)
--- a/internal/system/scheduler/run.go
+++ b/internal/system/scheduler/run.go
@@ -31,16 +31,16 @@
 
 // run is one run of a task: proposed, or possibly existing on a worker.
 type run struct {
-	name    state.Run
-	worker  *worker
-	step    *step // nil if the job is over and no longer tracked
-	need    Resources
-	phase   runPhase
-	foreign bool // the replicated state has no such placement
-	slot    int  // index in its worker's runList
-	mark    uint64
-	dueAtMs int64 // due time of its start, on the worker's clock
-	resumed bool  // started from a checkpoint, or possibly so
+	name     state.Run
+	worker   *worker
+	step     *step // nil if the job is over and no longer tracked
+	need     Resources
+	phase    runPhase
+	foreign  bool // the replicated state has no such placement
+	slot     int  // index in its worker's runList
+	listMark uint64
+	dueAtMs  int64 // due time of its start, on the worker's clock
+	resumed  bool  // started from a checkpoint, or possibly so
 	// checkpoint is sent with each sending of the start. It is fixed here because a late end may change the replicated checkpoint.
 	checkpoint string
 
--- a/internal/system/scheduler/runs.go
+++ b/internal/system/scheduler/runs.go
@@ -106,7 +106,7 @@
 func (s *Scheduler) voidAbsent(w *worker, hold *call, clockMs int64, mark uint64) {
 	for i := len(w.runList) - 1; i >= 0; i-- { // backwards, because the current run may be dropped
 		r := w.runList[i]
-		if r.mark == mark || !r.phase.mayExist() || !absent(r, hold, clockMs) || !s.absentForGood(r, hold) {
+		if r.listMark == mark || !r.phase.mayExist() || !absent(r, hold, clockMs) || !s.absentForGood(r, hold) {
 			continue
 		}
 		s.stopRestOfGang(r)
--- a/internal/system/scheduler/scheduler.go
+++ b/internal/system/scheduler/scheduler.go
@@ -96,7 +96,7 @@
 	voiding         map[state.Run]*run
 	committedStarts []*run
 	shares          shares
-	auditing        auditing
+	audits          auditing
 	lateJobs        []LateJob
 	scratch         scratch
 }
@@ -249,8 +249,8 @@
 	s.proposeVoids()
 	s.dispatch()
 	s.proposeStarts()
-	output := Output{Commands: s.commands, Calls: s.newCalls, Wake: s.nextWake(), Findings: s.auditing.findings, Late: s.lateJobs}
-	s.commands, s.newCalls, s.auditing.findings, s.lateJobs = nil, nil, nil, nil
+	output := Output{Commands: s.commands, Calls: s.newCalls, Wake: s.nextWake(), Findings: s.audits.findings, Late: s.lateJobs}
+	s.commands, s.newCalls, s.audits.findings, s.lateJobs = nil, nil, nil, nil
 	return output
 }
 
--- a/internal/system/scheduler/steps.go
+++ b/internal/system/scheduler/steps.go
@@ -51,10 +51,10 @@
 type taskState uint8
 
 const (
-	taskIdle    taskState = iota // the step is not open
-	taskWaiting                  // waiting for capacity
-	taskActive                   // runs of it are proposed or may exist
-	taskPaused                   // in backoff before the next start
+	taskIdle      taskState = iota // the step is not open
+	taskWaiting                    // waiting for capacity
+	taskActive                     // runs of it are proposed or may exist
+	taskInBackoff                  // in backoff before the next start
 	taskDone
 )
 
@@ -154,7 +154,7 @@
 	case len(t.runs) > 0 && t.state == taskWaiting: // a copy of it is requested
 	case len(t.runs) > 0:
 		t.state = taskActive
-	case t.state == taskWaiting || t.state == taskPaused:
+	case t.state == taskWaiting || t.state == taskInBackoff:
 	default:
 		s.awaitCapacity(st, index)
 	}
@@ -163,11 +163,11 @@
 // awaitCapacity makes a task wait for capacity, after a backoff if its starts were refused or ended early several times in a row.
 func (s *Scheduler) awaitCapacity(st *step, index uint32) {
 	t := &st.tasks[index]
-	if pause := t.backoff(); pause > 0 {
-		t.state, t.backoffUntil = taskPaused, s.now+pause
+	if backoff := t.backoff(); backoff > 0 {
+		t.state, t.backoffUntil = taskInBackoff, s.now+backoff
 		t.account.enter(s.now, PartPause)
 		s.noteWaiting(t)
-		s.runAt(s.now+pause, func() { s.pauseOver(st, index) })
+		s.runAt(s.now+backoff, func() { s.backoffOver(st, index) })
 		return
 	}
 	s.enqueueTask(st, index)
@@ -215,17 +215,20 @@
 	}
 }
 
-func (s *Scheduler) pauseOver(st *step, index uint32) {
+func (s *Scheduler) backoffOver(st *step, index uint32) {
 	t := &st.tasks[index]
-	if t.state == taskPaused && !st.closed {
+	if t.state == taskInBackoff && !st.closed {
 		s.enqueueTask(st, index)
 	}
 }
 
 const (
-	minBackoff    = 25 * time.Millisecond
-	maxBackoff    = time.Second
-	freeRefusals  = 2
+	// The backoff before the next start begins at minBackoff and doubles up to maxBackoff.
+	minBackoff = 25 * time.Millisecond
+	maxBackoff = time.Second
+	// freeRefusals is how many consecutive refused starts cause no backoff.
+	freeRefusals = 2
+	// quickEndLimit is the run time below which an end of a long-running task counts as early.
 	quickEndLimit = 2 * time.Second
 )
 
--- a/internal/system/scheduler/trials_test.go
+++ b/internal/system/scheduler/trials_test.go
@@ -15,10 +15,10 @@
 const maxWaitBesideFreeWorkers = 3 * time.Second
 
 // quarantine quarantines workers whose last failure was failedAgo ago.
-func (h *harness) quarantine(failedAgo, pause time.Duration, workers ...string) {
+func (h *harness) quarantine(failedAgo, remaining time.Duration, workers ...string) {
 	for _, name := range workers {
 		health := &h.sched.workers[name].health
-		health.quarantined, health.failedAt, health.quarantinedUntil = true, h.now-failedAgo, h.now+pause
+		health.quarantined, health.failedAt, health.quarantinedUntil = true, h.now-failedAgo, h.now+remaining
 	}
 }
 
--- a/internal/system/scheduler/view.go
+++ b/internal/system/scheduler/view.go
@@ -77,7 +77,7 @@
 	Deadline time.Duration
 }
 
-var taskStateNames = [...]string{taskIdle: "idle", taskWaiting: "waiting", taskActive: "active", taskPaused: "paused", taskDone: "done"}
+var taskStateNames = [...]string{taskIdle: "idle", taskWaiting: "waiting", taskActive: "active", taskInBackoff: "paused", taskDone: "done"}
 
 // Why returns the unfinished tasks of a job's open steps and what each waits for; nil if the job is not tracked.
 func (s *Scheduler) Why(id state.JobID) []TaskView {
--- a/internal/system/scheduler/workers.go
+++ b/internal/system/scheduler/workers.go
@@ -16,7 +16,7 @@
 const (
 	reachUnheard   reach = iota // has answered no hold of this scheduler, so it may not know the token
 	reachAnswering              // has answered the last hold
-	reachSilent                 // has not answered the last holds
+	reachSilent                 // has stopped answering
 	reachOver                   // this instance has ended
 )
 
@@ -102,7 +102,7 @@
 	s.firstHolds.fleet = len(instances)
 	for i := range instances {
 		w := s.ensureWorker(instances[i].ID)
-		w.hold.mark = mark
+		w.hold.listMark = mark
 		s.updateListed(w, &instances[i])
 	}
 	for _, instance := range s.unmarkedWorkers(mark) {
@@ -114,7 +114,7 @@
 func (s *Scheduler) unmarkedWorkers(mark uint64) []string {
 	var instances []string
 	for instance, w := range s.workers {
-		if w.hold.mark != mark {
+		if w.hold.listMark != mark {
 			instances = append(instances, instance)
 		}
 	}
