--- a/coord/chain/chain.go
+++ b/coord/chain/chain.go
@@ -103,9 +103,9 @@
 	return &Chain{cfg: cfg, env: env, log: log, synced: log.Last(), committed: log.Base(), delivered: log.Base()}
 }
 
-// Resume takes the disk's word on how far the log is committed and delivers that much. What is committed never changes, whatever view is
+// RestoreCommitted takes the disk's word on how far the log is committed and delivers that much. What is committed never changes, whatever view is
 // in force by now.
-func (c *Chain) Resume(committed uint64) {
+func (c *Chain) RestoreCommitted(committed uint64) {
 	c.committed = max(c.committed, min(committed, c.log.Last()))
 	c.deliver()
 }
@@ -122,16 +122,16 @@
 // InStep tells whether the log has been settled with the predecessor in this epoch.
 func (c *Chain) InStep() bool { return c.active && c.inStep }
 
-// Leave stops all work on the present view.
-func (c *Chain) Leave() {
+// LeaveView stops all work on the present view.
+func (c *Chain) LeaveView() {
 	c.active, c.inStep, c.opened = false, false, false
 	c.down, c.learners = nil, nil
 	c.noteAt = 0
 }
 
-// Enter takes a place in a view. The view has to be on disk.
-func (c *Chain) Enter(now time.Duration, role Role) {
-	c.Leave()
+// EnterView takes a place in a view. The view has to be on disk.
+func (c *Chain) EnterView(now time.Duration, role Role) {
+	c.LeaveView()
 	c.role = role
 	c.active, c.inStep = true, role.Head
 	c.ackSent = 0
@@ -156,8 +156,8 @@
 	return first
 }
 
-// Mark says that what has been stored so far will be on disk with this token.
-func (c *Chain) Mark(token uint64) {
+// AssignSyncToken says that what has been stored so far will be on disk with this token.
+func (c *Chain) AssignSyncToken(token uint64) {
 	c.marks = append(c.marks, mark{token, c.log.Last()})
 }
 
--- a/coord/chain/downstream.go
+++ b/coord/chain/downstream.go
@@ -33,8 +33,8 @@
 	c.learners = slices.DeleteFunc(c.learners, func(l *link) bool { return l.peer.ID == id })
 }
 
-// Invite takes a learner's word that it is there, and asks it to begin where it isn't known.
-func (c *Chain) Invite(now time.Duration, member view.Member) {
+// InviteLearner takes a learner's word that it is there, and asks it to begin where it isn't known.
+func (c *Chain) InviteLearner(now time.Duration, member view.Member) {
 	if !c.active || !c.role.Head {
 		return
 	}
@@ -131,8 +131,8 @@
 	c.acknowledge(now)
 }
 
-// WantsSnapshot tells whether a learner waits for a snapshot that isn't there.
-func (c *Chain) WantsSnapshot() bool {
+// NeedsSnapshot tells whether a learner waits for a snapshot that isn't there.
+func (c *Chain) NeedsSnapshot() bool {
 	for _, l := range c.learners {
 		if l.wants {
 			return true
@@ -141,8 +141,8 @@
 	return false
 }
 
-// Offer gives the state after all delivered entries up to index, for those that are too far behind.
-func (c *Chain) Offer(now time.Duration, index uint64, data []byte) {
+// OfferSnapshot gives the state after all delivered entries up to index, for those that are too far behind.
+func (c *Chain) OfferSnapshot(now time.Duration, index uint64, data []byte) {
 	epoch, ok := c.log.EpochAt(index)
 	if !ok || index > c.delivered {
 		return
--- a/coord/chain/example_test.go
+++ b/coord/chain/example_test.go
@@ -38,7 +38,7 @@
 		m.chain.Receive(now, m.other.member, body)
 	}
 	m.token++
-	m.chain.Mark(m.token)
+	m.chain.AssignSyncToken(m.token)
 	m.chain.SyncedTo(now, m.token)
 	m.chain.Tick(now)
 }
@@ -50,8 +50,8 @@
 	head.chain = chain.New(chain.Config{Life: 1, KeepEntries: 100, KeepBytes: 1 << 20}, head, chain.Log{})
 	tail.chain = chain.New(chain.Config{Life: 2, KeepEntries: 100, KeepBytes: 1 << 20}, tail, chain.Log{})
 	now := time.Second
-	head.chain.Enter(now, chain.Role{Epoch: 1, Head: true, Downstream: &tail.member})
-	tail.chain.Enter(now, chain.Role{Epoch: 1, Upstream: head.member})
+	head.chain.EnterView(now, chain.Role{Epoch: 1, Head: true, Downstream: &tail.member})
+	tail.chain.EnterView(now, chain.Role{Epoch: 1, Upstream: head.member})
 
 	head.chain.Append(now, [][]byte{[]byte("plough")})
 	for head.chain.Committed() < 1 || tail.chain.Committed() < 1 {
--- a/coord/chain/rig_test.go
+++ b/coord/chain/rig_test.go
@@ -47,7 +47,7 @@
 func (r *rig) take() (sent []posted)             { sent, r.sent = r.sent, nil; return sent }
 func (r *rig) after(d time.Duration)             { r.now += d; r.Tick(r.now) }
 func (r *rig) gets(from view.Member, body *Body) { r.Receive(r.now, from, body) }
-func (r *rig) sync(token uint64)                 { r.Mark(token); r.SyncedTo(r.now, token) }
+func (r *rig) sync(token uint64)                 { r.AssignSyncToken(token); r.SyncedTo(r.now, token) }
 func (r *rig) write(data ...string) (last uint64) {
 	for _, d := range data {
 		last = r.Append(r.now, [][]byte{[]byte(d)})
@@ -83,7 +83,7 @@
 func trimmedHead(t *testing.T, count int) *rig {
 	head := newRig(t, headMember, 1)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 0, 0
-	head.Enter(head.now, Role{Epoch: 2, Head: true})
+	head.EnterView(head.now, Role{Epoch: 2, Head: true})
 	for range count {
 		head.write("x")
 	}
@@ -96,7 +96,7 @@
 // newLearner is a replica with an empty disk that has been asked by the head of an epoch to begin.
 func newLearner(t *testing.T, epoch uint64) *rig {
 	learner := newRig(t, learnerMember, 7)
-	learner.Enter(learner.now, Role{Epoch: epoch, Upstream: headMember})
+	learner.EnterView(learner.now, Role{Epoch: epoch, Upstream: headMember})
 	return learner
 }
 
@@ -153,7 +153,7 @@
 	if successor {
 		role.Downstream = &learnerMember
 	}
-	r.Enter(r.now, role)
+	r.EnterView(r.now, role)
 	return r
 }
 
--- a/coord/chain/serve_test.go
+++ b/coord/chain/serve_test.go
@@ -11,7 +11,7 @@
 // serving is a head of epoch 5 with these entries on disk and a successor that has opened session 9 with an empty log.
 func serving(t *testing.T, entries ...Entry) *rig {
 	head := newRig(t, headMember, 1, entries...)
-	head.Enter(head.now, Role{Epoch: 5, Head: true, Downstream: &learnerMember})
+	head.EnterView(head.now, Role{Epoch: 5, Head: true, Downstream: &learnerMember})
 	head.opensBehind(9, 0, Run{Epoch: 0})
 	return head
 }
@@ -41,7 +41,7 @@
 // A peer may hold more than this replica, of an epoch that lost: its word counts as far as both are the same.
 func TestAHelloCountsAsFarAsTheLogsAreTheSame(t *testing.T) {
 	head := newRig(t, headMember, 1, entriesOf(1, 1, 5, 5)...)
-	head.Enter(head.now, Role{Epoch: 5, Head: true, Downstream: &learnerMember})
+	head.EnterView(head.now, Role{Epoch: 5, Head: true, Downstream: &learnerMember})
 	head.opensBehind(9, 4, Run{Epoch: 0}, Run{Epoch: 1, First: 1, Last: 2}, Run{Epoch: 3, First: 3, Last: 4})
 	assert.Equal(t, uint64(2), head.Acked())
 	sent := appendsOf(head.take())
@@ -65,7 +65,7 @@
 func TestARepeatedHelloLeavesATransferAlone(t *testing.T) {
 	head, learner := trimmedHead(t, 10), newLearner(t, 2)
 	carry(learner, head, nil)
-	head.Offer(head.now, 10, state('a', 4*chunkBytes))
+	head.OfferSnapshot(head.now, 10, state('a', 4*chunkBytes))
 	carry(head, learner, nil)
 	carry(learner, head, nil)
 	head.take()
@@ -73,7 +73,7 @@
 	require.Positive(t, acked)
 	learner.repeatHello(learner.now)
 	carry(learner, head, nil)
-	assert.False(t, head.WantsSnapshot())
+	assert.False(t, head.NeedsSnapshot())
 	assert.Equal(t, acked, head.learners[0].transfer.acked)
 }
 
@@ -89,7 +89,7 @@
 // Another disk may answer at the place of a learner: what the one before had doesn't count for it.
 func TestALearnerThatBeginsAnewHasAcknowledgedNothing(t *testing.T) {
 	head := newRig(t, headMember, 1, entriesOf(1, 1)...)
-	head.Enter(head.now, Role{Epoch: 5, Head: true})
+	head.EnterView(head.now, Role{Epoch: 5, Head: true})
 	head.opensBehind(1<<sessionBits|1, 2, Run{Epoch: 0}, Run{Epoch: 1, First: 1, Last: 2})
 	acked, _, ok := head.Learner(learnerMember.ID)
 	require.True(t, ok)
@@ -104,7 +104,7 @@
 	carry(learner, head, nil)
 	_, _, ok := head.Learner(learnerMember.ID)
 	assert.False(t, ok, "it waits for a snapshot")
-	head.Offer(head.now, 10, state('a', 4*chunkBytes))
+	head.OfferSnapshot(head.now, 10, state('a', 4*chunkBytes))
 	_, _, ok = head.Learner(learnerMember.ID)
 	assert.False(t, ok, "a snapshot is under way")
 	settleDown(head, learner)
@@ -117,13 +117,13 @@
 	head, learner := trimmedHead(t, 10), newLearner(t, 2)
 	carry(learner, head, nil)
 	head.write("x")
-	head.Offer(head.now, 11, state('a', 1))
-	assert.True(t, head.WantsSnapshot(), "11 isn't committed")
-	head.Offer(head.now, 9, state('a', 1))
-	assert.True(t, head.WantsSnapshot(), "the epoch of 9 isn't known any more")
+	head.OfferSnapshot(head.now, 11, state('a', 1))
+	assert.True(t, head.NeedsSnapshot(), "11 isn't committed")
+	head.OfferSnapshot(head.now, 9, state('a', 1))
+	assert.True(t, head.NeedsSnapshot(), "the epoch of 9 isn't known any more")
 	assert.Empty(t, chunksOf(head.take()))
-	head.Offer(head.now, 10, state('a', 1))
-	assert.False(t, head.WantsSnapshot())
+	head.OfferSnapshot(head.now, 10, state('a', 1))
+	assert.False(t, head.NeedsSnapshot())
 	sent := chunksOf(head.take())
 	require.Equal(t, 1, len(sent))
 	assert.Equal(t, uint64(10), sent[0].Index)
@@ -133,7 +133,7 @@
 func TestWordOnAnotherSnapshotCountsForNothing(t *testing.T) {
 	head, learner := trimmedHead(t, 10), newLearner(t, 2)
 	carry(learner, head, nil)
-	head.Offer(head.now, 10, state('a', 8*chunkBytes))
+	head.OfferSnapshot(head.now, 10, state('a', 8*chunkBytes))
 	head.take()
 	session := head.learners[0].session
 	for _, ack := range []ChunkAck{{Session: session, Index: 9, Offset: chunkBytes}, {Session: session + 1, Index: 10, Offset: chunkBytes}} {
@@ -148,7 +148,7 @@
 func TestLostChunksAreSentAgain(t *testing.T) {
 	head, learner := trimmedHead(t, 10), newLearner(t, 2)
 	carry(learner, head, nil)
-	head.Offer(head.now, 10, state('a', 3*chunkBytes))
+	head.OfferSnapshot(head.now, 10, state('a', 3*chunkBytes))
 	head.take() // lost
 	head.after(transferStall)
 	sent := chunksOf(head.take())
@@ -171,7 +171,7 @@
 // A peer that needs entries which have been dropped meanwhile begins anew.
 func TestAPeerThatWasOvertakenByTheTrimBeginsAnew(t *testing.T) {
 	head := newRig(t, headMember, 1)
-	head.Enter(head.now, Role{Epoch: 5, Head: true})
+	head.EnterView(head.now, Role{Epoch: 5, Head: true})
 	head.opensBehind(9, 0, Run{Epoch: 0})
 	head.take()
 	for range 40 { // more than the window lets through
@@ -191,7 +191,7 @@
 func TestTheLogIsDroppedUpToWhatIsDeliveredAtMost(t *testing.T) {
 	head := newRig(t, headMember, 1)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 0, 0
-	head.Enter(head.now, Role{Epoch: 5, Head: true})
+	head.EnterView(head.now, Role{Epoch: 5, Head: true})
 	head.write("a", "b")
 	head.sync(1)
 	head.write("c")
@@ -202,7 +202,7 @@
 
 func TestASilentLearnerIsForgotten(t *testing.T) {
 	head := newRig(t, headMember, 1)
-	head.Enter(head.now, Role{Epoch: 5, Head: true})
+	head.EnterView(head.now, Role{Epoch: 5, Head: true})
 	head.opensBehind(9, 0, Run{Epoch: 0})
 	head.after(learnerSilence)
 	assert.Len(t, head.learners, 1)
--- a/coord/chain/snapshot_test.go
+++ b/coord/chain/snapshot_test.go
@@ -14,9 +14,9 @@
 func TestSnapshotsAreNeverMixed(t *testing.T) {
 	head, learner := trimmedHead(t, 10), newLearner(t, 2)
 	carry(learner, head, nil)
-	require.True(t, head.WantsSnapshot())
+	require.True(t, head.NeedsSnapshot())
 	const size = 8 * chunkBytes
-	head.Offer(head.now, 10, state('a', size))
+	head.OfferSnapshot(head.now, 10, state('a', size))
 	for range 2 { // a part of it gets through
 		carry(head, learner, nil)
 		carry(learner, head, nil)
@@ -31,8 +31,8 @@
 	head.sync(2)
 	head.Commit(head.now)
 	carry(learner, head, nil)
-	require.True(t, head.WantsSnapshot())
-	head.Offer(head.now, 12, state('b', size))
+	require.True(t, head.NeedsSnapshot())
+	head.OfferSnapshot(head.now, 12, state('b', size))
 	settleDown(head, learner)
 	require.NoError(t, learner.fault)
 	require.Equal(t, 1, len(learner.installed))
@@ -116,10 +116,10 @@
 
 func TestASnapshotOfLessThanIsCommittedIsRefused(t *testing.T) {
 	learner := newRig(t, learnerMember, 7, entriesOf(1, 1, 1)...)
-	learner.Enter(learner.now, Role{Epoch: 2, Upstream: headMember})
+	learner.EnterView(learner.now, Role{Epoch: 2, Upstream: headMember})
 	learner.gets(headMember, &Body{Append: &Append{Session: learner.session, Start: true, Target: 3, Prev: 3, PrevEpoch: 1, Commit: 3}})
 	require.Equal(t, uint64(3), learner.Committed())
-	learner.Enter(learner.now, Role{Epoch: 3, Upstream: headMember})
+	learner.EnterView(learner.now, Role{Epoch: 3, Upstream: headMember})
 	learner.gets(headMember, &Body{Chunk: chunksFor(learner.session, 2, state('a', 1))[0]})
 	assert.ErrorIs(t, learner.fault, ErrDiverged)
 	assert.Zero(t, len(learner.installed)+len(learner.snapshots))
@@ -129,11 +129,11 @@
 // What stands on the disk of the log that a snapshot replaces says nothing about the snapshot.
 func TestASnapshotIsAcknowledgedOnceItIsOnDisk(t *testing.T) {
 	learner := newRig(t, learnerMember, 7, entriesOf(1, 1, 1)...)
-	learner.Enter(learner.now, Role{Epoch: 2, Upstream: headMember})
+	learner.EnterView(learner.now, Role{Epoch: 2, Upstream: headMember})
 	learner.gets(headMember, &Body{Chunk: chunksFor(learner.session, 10, state('a', 1))[0]})
 	assert.Zero(t, learner.Synced())
 	assert.Zero(t, hellosOf(learner.take())[1].Acked)
-	learner.Mark(5)
+	learner.AssignSyncToken(5)
 	learner.SyncedTo(learner.now, 4)
 	assert.Zero(t, learner.Synced())
 	learner.SyncedTo(learner.now, 5)
@@ -147,9 +147,9 @@
 	carry(learner, head, nil)
 	token, offers := uint64(1), 0
 	for range 40 {
-		if head.WantsSnapshot() {
+		if head.NeedsSnapshot() {
 			offers++
-			head.Offer(head.now, head.Committed(), state('a', 8*chunkBytes))
+			head.OfferSnapshot(head.now, head.Committed(), state('a', 8*chunkBytes))
 		}
 		carry(head, learner, nil)
 		token++
@@ -173,7 +173,7 @@
 	head, learner := trimmedHead(t, 10), newLearner(t, 2)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 10, 1<<20
 	carry(learner, head, nil)
-	head.Offer(head.now, 10, state('a', 8*chunkBytes))
+	head.OfferSnapshot(head.now, 10, state('a', 8*chunkBytes))
 	for token := range uint64(400) {
 		head.write("x")
 		head.sync(token + 2)
@@ -197,7 +197,7 @@
 	for _, p := range old {
 		head.gets(learnerMember, p.body)
 	}
-	head.Offer(head.now, 10, state('a', 10))
+	head.OfferSnapshot(head.now, 10, state('a', 10))
 	settleDown(head, learner)
 	require.Equal(t, 1, len(learner.installed))
 	var late []*Body
@@ -217,13 +217,13 @@
 	for _, body := range late {
 		head.gets(learnerMember, body)
 	}
-	require.True(t, head.WantsSnapshot())
-	head.Offer(head.now, 12, state('b', 10))
+	require.True(t, head.NeedsSnapshot())
+	head.OfferSnapshot(head.now, 12, state('b', 10))
 	learner.after(rehelloAfter)
 	for range 4 {
 		carry(head, learner, nil)
 		carry(learner, head, nil)
-		head.Offer(head.now, 12, state('b', 10))
+		head.OfferSnapshot(head.now, 12, state('b', 10))
 	}
 	require.NoError(t, learner.fault)
 	require.Equal(t, 2, len(learner.installed))
@@ -243,7 +243,7 @@
 	learner := newLearner(t, 2)
 	before := chunksFor(learner.session, 12, state('a', 2*chunkBytes))
 	learner.gets(headMember, &Body{Chunk: before[0]})
-	learner.Enter(learner.now, Role{Epoch: 3, Upstream: middleMember})
+	learner.EnterView(learner.now, Role{Epoch: 3, Upstream: middleMember})
 	learner.take()
 	after := chunksFor(learner.session, 11, state('b', 2*chunkBytes))
 	learner.gets(headMember, &Body{Chunk: before[1]})
@@ -262,7 +262,7 @@
 	head, learner := trimmedHead(t, 10), newLearner(t, 2)
 	head.cfg.KeepEntries, head.cfg.KeepBytes = 100, 1<<20
 	carry(learner, head, nil)
-	head.Offer(head.now, 10, state('a', 3*chunkBytes))
+	head.OfferSnapshot(head.now, 10, state('a', 3*chunkBytes))
 	head.write("b", "c")
 	head.sync(2)
 	head.Commit(head.now)
--- a/coord/chain/step_test.go
+++ b/coord/chain/step_test.go
@@ -12,7 +12,7 @@
 	r := follower(t, false, entriesOf(1, 1, 1)...)
 	r.starts(3, 1, 3, 2)
 	require.Equal(t, uint64(2), r.Committed())
-	r.Enter(r.now, Role{Epoch: 6, Upstream: headMember})
+	r.EnterView(r.now, Role{Epoch: 6, Upstream: headMember})
 	r.starts(1, 1, 1, 1)
 	assert.ErrorIs(t, r.fault, ErrDiverged)
 	assert.Empty(t, r.truncated)
@@ -36,10 +36,10 @@
 func TestWhatIsCutOffOnItsWayToDiskDoesNotCountLater(t *testing.T) {
 	r := follower(t, false, entriesOf(1)...)
 	r.starts(1, 1, 3, 0, entry(2, 5), entry(3, 5))
-	r.Mark(1)
-	r.Enter(r.now, Role{Epoch: 6, Upstream: headMember})
+	r.AssignSyncToken(1)
+	r.EnterView(r.now, Role{Epoch: 6, Upstream: headMember})
 	r.starts(1, 1, 3, 0, entry(2, 6), entry(3, 6))
-	r.Mark(2)
+	r.AssignSyncToken(2)
 	r.SyncedTo(r.now, 1)
 	assert.Equal(t, uint64(1), r.Synced())
 	r.SyncedTo(r.now, 2)
@@ -90,7 +90,7 @@
 func TestAMemberThatHasLeftAcknowledgesNothing(t *testing.T) {
 	r := follower(t, true, entriesOf(1, 1)...)
 	r.starts(2, 1, 2, 0)
-	r.Leave()
+	r.LeaveView()
 	assert.Zero(t, r.Acked())
 	assert.False(t, r.InStep())
 	r.take()
@@ -126,11 +126,11 @@
 
 func TestADiskIsBelievedUpToItsToken(t *testing.T) {
 	head := newRig(t, headMember, 1)
-	head.Enter(head.now, Role{Epoch: 1, Head: true})
+	head.EnterView(head.now, Role{Epoch: 1, Head: true})
 	head.write("a")
-	head.Mark(1)
+	head.AssignSyncToken(1)
 	head.write("b")
-	head.Mark(2)
+	head.AssignSyncToken(2)
 	head.SyncedTo(head.now, 1)
 	head.Commit(head.now)
 	assert.Equal(t, uint64(1), head.Committed())
@@ -161,7 +161,7 @@
 // The target is all that the predecessor holds, also what its first message has no room for.
 func TestTheTargetIsAllThatThePredecessorHas(t *testing.T) {
 	head := newRig(t, headMember, 1)
-	head.Enter(head.now, Role{Epoch: 1, Head: true, Downstream: &learnerMember})
+	head.EnterView(head.now, Role{Epoch: 1, Head: true, Downstream: &learnerMember})
 	head.write(string(state('a', batchBytes)), string(state('b', batchBytes)))
 	head.take()
 	head.opensBehind(9, 0, Run{Epoch: 0})
--- a/coord/replica/audit.go
+++ b/coord/replica/audit.go
@@ -152,7 +152,7 @@
 		r.out.Events = append(r.out.Events, LostHead{Epoch: r.head.announcedE, Cause: Cause{Kind: CauseState}})
 	}
 	r.entered = false // so that this is neither head nor tail
-	r.chain.Leave()
+	r.chain.LeaveView()
 }
 
 // ending takes the inputs of a replica whose state differs: only the word that its disk is marked counts.
--- a/coord/replica/audit_test.go
+++ b/coord/replica/audit_test.go
@@ -159,7 +159,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := auditing(t)
 			r.peers["b"].digests, r.peers["c"].digests = []view.Digest{c.b}, []view.Digest{c.c}
-			out := r.Step(0, Audited{c.own})
+			out := r.Step(0, StateDigest{c.own})
 			assert.Equal(t, c.told, differing(out))
 			assert.Equal(t, c.stops, r.audit.fault != nil)
 		})
@@ -169,7 +169,7 @@
 func TestASecondMemberIsToldLater(t *testing.T) {
 	r := auditing(t)
 	r.peers["b"].digests, r.peers["c"].digests = []view.Digest{digest(64, 2)}, []view.Digest{digest(64, 3)}
-	assert.Equal(t, []string{"b"}, differing(r.Step(0, Audited{digest(64, 1)})))
+	assert.Equal(t, []string{"b"}, differing(r.Step(0, StateDigest{digest(64, 1)})))
 	r.peers["b"].digests = nil // gone
 	r.peers["c"].digests = []view.Digest{digest(64, 1), digest(128, 3)}
 	r.peers["b"].digests = []view.Digest{digest(128, 1)}
@@ -177,17 +177,17 @@
 	for _, p := range r.peers {
 		p.ackedAt, p.heard.at = soon, soon
 	}
-	assert.Empty(t, differing(r.Step(soon, Audited{digest(128, 1)})))
+	assert.Empty(t, differing(r.Step(soon, StateDigest{digest(128, 1)})))
 }
 
 func TestNobodyIsToldWhereNoMajorityWouldBeLeft(t *testing.T) {
 	r := auditing(t)
 	r.peers["b"].digests, r.peers["c"].digests = []view.Digest{digest(64, 1)}, []view.Digest{digest(64, 3)}
 	r.peers["b"].ackedAt = -r.cfg.DropAfter - time.Millisecond
-	assert.Empty(t, differing(r.Step(0, Audited{digest(64, 1)})))
+	assert.Empty(t, differing(r.Step(0, StateDigest{digest(64, 1)})))
 	r.peers["b"].ackedAt = 0
 	r.peers["b"].echo = 0
-	assert.Empty(t, differing(r.Step(0, Audited{digest(128, 1)})))
+	assert.Empty(t, differing(r.Step(0, StateDigest{digest(128, 1)})))
 }
 
 // With f+1 members in the chain nobody is told: the next loss could take the only copy.
@@ -195,9 +195,9 @@
 	r := auditing(t)
 	r.view.Chain = r.view.Chain[:2]
 	r.peers["b"].digests = []view.Digest{digest(64, 2)}
-	assert.Empty(t, differing(r.Step(0, Audited{digest(64, 1)})))
+	assert.Empty(t, differing(r.Step(0, StateDigest{digest(64, 1)})))
 	r.cfg.Tolerance = 0
-	assert.Equal(t, []string{"b"}, differing(r.Step(0, Audited{digest(128, 1)})))
+	assert.Equal(t, []string{"b"}, differing(r.Step(0, StateDigest{digest(128, 1)})))
 }
 
 // stopping is a member of a chain of three that has found its state to differ.
@@ -206,7 +206,7 @@
 	r.peers["b"].digests, r.peers["c"].digests = []view.Digest{digest(64, 1)}, []view.Digest{digest(64, 1)}
 	r.head.leaseUntil = time.Hour
 	require.True(t, r.IsHead(0))
-	return r, r.Step(0, Audited{digest(64, 2)})
+	return r, r.Step(0, StateDigest{digest(64, 2)})
 }
 
 // A tail that was permitted to answer reads must not do so from a state that differs.
@@ -218,7 +218,7 @@
 	r.Step(0, Synced{Token: out.Token})
 	r.tail.readUntil = time.Hour
 	require.True(t, r.IsTail(0))
-	r.Step(0, Audited{digest(64, 2)})
+	r.Step(0, StateDigest{digest(64, 2)})
 	agreed := digest(64, 1)
 	r.Step(0, Receive{&Message{From: v.Chain[0], To: "a", Epoch: v.Epoch, Differs: &agreed}})
 	require.NotNil(t, r.audit.fault)
@@ -258,7 +258,7 @@
 
 func TestOnlyTheHeadsWordOnTheStateCounts(t *testing.T) {
 	r := auditing(t)
-	r.Step(0, Audited{digest(64, 2)})
+	r.Step(0, StateDigest{digest(64, 2)})
 	agreed := digest(64, 1)
 	r.Step(0, Receive{&Message{From: r.view.Chain[1], To: "a", Epoch: r.view.Epoch, Differs: &agreed}})
 	assert.Nil(t, r.audit.fault)
@@ -278,7 +278,7 @@
 	p, err := Restore([]Record{encodeIdentity("a"), entry, out.Persist[0]})
 	require.NoError(t, err)
 	assert.Contains(t, p.Unfit, "differs")
-	p, err = Restore(Blank("other"))
+	p, err = Restore(BlankDisk("other"))
 	require.NoError(t, err)
 	assert.Empty(t, p.Unfit)
 	assert.Equal(t, view.ReplicaID("other"), p.Identity)
--- a/coord/replica/election.go
+++ b/coord/replica/election.go
@@ -38,7 +38,7 @@
 	r.because(now, cause)
 	r.abdicate(now)
 	r.outbidAt = 0
-	r.proposer.AcceptAtOnce(now, &next)
+	r.proposer.AcceptWithoutPrepare(now, &next)
 	r.repeat(now)
 }
 
@@ -75,7 +75,7 @@
 	}
 	r.repeatAt = now + ballotRepeat
 	for _, voter := range r.view.Voters {
-		if !r.proposer.Missing(voter.ID) {
+		if !r.proposer.AwaitsVote(voter.ID) {
 			continue
 		}
 		m := &Message{View: r.viewCopy()}
--- a/coord/replica/enter.go
+++ b/coord/replica/enter.go
@@ -30,7 +30,7 @@
 	r.early = nil
 	r.tail = tailState{}
 	r.resetHead(now)
-	r.chain.Leave()
+	r.chain.LeaveView()
 	r.entered = false
 	r.enterAt = r.pendingToken()
 	r.joinAt = now
@@ -54,11 +54,11 @@
 	at := r.position()
 	switch {
 	case at < 0:
-		r.chain.Enter(now, chain.Role{Epoch: r.view.Epoch, Upstream: r.view.Head()})
+		r.chain.EnterView(now, chain.Role{Epoch: r.view.Epoch, Upstream: r.view.Head()})
 	case at == 0 && !r.head.allowed:
 		r.entered = false // an earlier life's epoch: a new one has to come
 	default:
-		r.chain.Enter(now, r.role(at))
+		r.chain.EnterView(now, r.role(at))
 		r.head.inherited = r.chain.Log().Last()
 	}
 	if !r.entered {
--- a/coord/replica/head.go
+++ b/coord/replica/head.go
@@ -165,7 +165,7 @@
 func (r *Replica) beat(now time.Duration) {
 	sequence := r.head.lease.Sent(now)
 	r.head.beatAt = now + r.cfg.HeartbeatEvery
-	if r.view.IsVoter(r.self.ID) && !r.acceptor.PromisedAway(r.self.ID) {
+	if r.view.IsVoter(r.self.ID) && !r.acceptor.PromisedToOther(r.self.ID) {
 		r.grant = max(r.grant, now+r.cfg.Grant)
 		r.head.lease.Granted(r.self.ID, sequence)
 		r.renewLease(now)
--- a/coord/replica/inspect.go
+++ b/coord/replica/inspect.go
@@ -90,8 +90,8 @@
 	return status
 }
 
-// Inspected is what one record says; exactly the field that Kind names is set.
-type Inspected struct {
+// RecordContent is what one record says; exactly the field that Kind names is set.
+type RecordContent struct {
 	Kind     RecordKind
 	Entry    *chain.Entry
 	Truncate uint64 // all after this index is dropped
@@ -105,9 +105,9 @@
 }
 
 // Inspect reads one record by itself. The error wraps view.ErrCorrupt.
-func Inspect(record Record) (Inspected, error) {
+func Inspect(record Record) (RecordContent, error) {
 	var alone Persisted
-	found := Inspected{Kind: record.Kind}
+	found := RecordContent{Kind: record.Kind}
 	if record.Kind == KindEntry {
 		entry, err := decodeEntry(record.Data)
 		found.Entry = &entry
--- a/coord/replica/join.go
+++ b/coord/replica/join.go
@@ -96,7 +96,7 @@
 	}
 	l.member, l.heardAt = m.From, now
 	r.head.governAt = now
-	r.chain.Invite(now, m.From)
+	r.chain.InviteLearner(now, m.From)
 }
 
 // noteReplaced notes that another disk has taken the address of a member of the present view, by word of a replica that knows that view.
--- a/coord/replica/machine_test.go
+++ b/coord/replica/machine_test.go
@@ -89,7 +89,7 @@
 		return
 	}
 	if restored.Unfit != "" {
-		m.records = Blank(view.ReplicaID(fmt.Sprintf("%x", w.random.Uint64())))
+		m.records = BlankDisk(view.ReplicaID(fmt.Sprintf("%x", w.random.Uint64())))
 		restored, _ = Restore(m.records)
 		m.durable = restored
 	}
@@ -208,7 +208,7 @@
 	life, digest := m.life, view.Digest{Index: m.applied, Format: 1, Sum: m.sum ^ m.wrong}
 	m.world.after(0, func() {
 		if m.life == life {
-			m.input(Audited{digest})
+			m.input(StateDigest{digest})
 		}
 	})
 }
--- a/coord/replica/message.go
+++ b/coord/replica/message.go
@@ -60,10 +60,10 @@
 	Data  []byte
 }
 
-// Audited gives the digest of the state after all delivered entries up to its index.
-type Audited struct{ Digest view.Digest }
+// StateDigest gives the digest of the state after all delivered entries up to its index.
+type StateDigest struct{ Digest view.Digest }
 
-func (Audited) input()       {}
+func (StateDigest) input()   {}
 func (Receive) input()       {}
 func (Tick) input()          {}
 func (Synced) input()        {}
--- a/coord/replica/persist.go
+++ b/coord/replica/persist.go
@@ -253,9 +253,9 @@
 	return Record{Kind: KindUnfit, Data: []byte(err.Error())}
 }
 
-// Blank gives the records of a disk that holds nothing but a new identity. They take the place of those of a disk that is unfit. The
+// BlankDisk gives the records of a disk that holds nothing but a new identity. They take the place of those of a disk that is unfit. The
 // identity must never have been used.
-func Blank(id view.ReplicaID) []Record { return []Record{encodeIdentity(id)} }
+func BlankDisk(id view.ReplicaID) []Record { return []Record{encodeIdentity(id)} }
 
 func uvarint(data []byte) (uint64, []byte, error) {
 	value, n := binary.Uvarint(data)
--- a/coord/replica/receive.go
+++ b/coord/replica/receive.go
@@ -125,7 +125,7 @@
 	if r.position() < 0 || r.chain.InStep() { // else the log may hold what an earlier epoch never committed
 		ack.Received, ack.Synced, ack.Acked = r.LastIndex(), r.chain.Synced(), r.chain.Acked()
 	}
-	if r.view.IsVoter(r.self.ID) && !r.acceptor.PromisedAway(m.From.ID) {
+	if r.view.IsVoter(r.self.ID) && !r.acceptor.PromisedToOther(m.From.ID) {
 		r.grant = max(r.grant, now+r.cfg.Grant)
 		ack.Granted = true
 	}
--- a/coord/replica/replica.go
+++ b/coord/replica/replica.go
@@ -103,7 +103,7 @@
 	r.head.lease = view.NewLease(cfg.Grant, r.numbering)
 	r.fresh = restored.Identity == "" && cfg.Genesis == nil
 	r.storedCommitted = restored.Committed
-	r.chain.Resume(restored.Committed)
+	r.chain.RestoreCommitted(restored.Committed)
 	if restored.Identity == "" {
 		r.begin(now)
 	} else {
@@ -159,8 +159,8 @@
 	case Contacts:
 		r.contacts = in.Addresses
 	case SnapshotReady:
-		r.chain.Offer(now, in.Index, in.Data)
-	case Audited:
+		r.chain.OfferSnapshot(now, in.Index, in.Data)
+	case StateDigest:
 		r.onAudited(now, in.Digest)
 	}
 	return r.finish(now)
@@ -209,12 +209,12 @@
 	if r.audit.fault != nil {
 		return r.end(now)
 	}
-	r.out.NeedSnapshot = r.chain.WantsSnapshot()
+	r.out.NeedSnapshot = r.chain.NeedsSnapshot()
 	r.storeCommitted()
 	if len(r.out.Persist) > 0 {
 		r.token++
 		r.out.Token = r.token
-		r.chain.Mark(r.token)
+		r.chain.AssignSyncToken(r.token)
 		r.writes = append(r.writes, write{r.token, now})
 	}
 	r.out.Wake = r.wake(now)
@@ -268,9 +268,9 @@
 // LastIndex is the last index held.
 func (r *Replica) LastIndex() uint64 { return r.chain.Log().Last() }
 
-// Held is the entries after an index that are held here, committed or not. The index must not lie before the last one that came out as
+// EntriesAfter is the entries after an index that are held here, committed or not. The index must not lie before the last one that came out as
 // committed. They must not be changed.
-func (r *Replica) Held(after uint64) []chain.Entry {
+func (r *Replica) EntriesAfter(after uint64) []chain.Entry {
 	entries, _ := r.chain.Log().Slice(after+1, math.MaxInt)
 	return entries
 }
--- a/coord/replica/seats_test.go
+++ b/coord/replica/seats_test.go
@@ -179,7 +179,7 @@
 		m, other := w.others()[0], w.others()[1]
 		require.True(t, m.process.acceptor.Prepare(view.Ballot{Round: 1, Owner: other.member().ID}))
 		w.run(w.now + refusedRefresh + time.Second)
-		assert.False(t, m.process.acceptor.PromisedAway(w.head().member().ID), "seed %d", w.seed)
+		assert.False(t, m.process.acceptor.PromisedToOther(w.head().member().ID), "seed %d", w.seed)
 		other.losePower()
 		w.run(w.now + 2*time.Second)
 		assert.Less(t, w.untilCommitted(time.Second), 200*time.Millisecond, "seed %d", w.seed)
--- a/coord/view/acceptor.go
+++ b/coord/view/acceptor.go
@@ -49,7 +49,7 @@
 	return true
 }
 
-// PromisedAway tells whether another than the head has been promised a ballot: no more grants then.
-func (a *Acceptor) PromisedAway(head ReplicaID) bool {
+// PromisedToOther tells whether another than the head has been promised a ballot: no more grants then.
+func (a *Acceptor) PromisedToOther(head ReplicaID) bool {
 	return !a.Promised.IsZero() && a.Promised.Owner != head
 }
--- a/coord/view/proposer.go
+++ b/coord/view/proposer.go
@@ -49,8 +49,8 @@
 	p.adopted, p.found = Ballot{}, nil
 }
 
-// AcceptAtOnce begins the ballot of round 0, which is the head's alone and needs no promises.
-func (p *Proposer) AcceptAtOnce(now time.Duration, value *View) {
+// AcceptWithoutPrepare begins the ballot of round 0, which is the head's alone and needs no promises.
+func (p *Proposer) AcceptWithoutPrepare(now time.Duration, value *View) {
 	p.Value = value
 	p.begin(now, Accepting, Ballot{Owner: p.self, Life: p.life})
 }
@@ -117,5 +117,5 @@
 // Leaving tells whether a replica has said that it wants out.
 func (p *Proposer) Leaving(id ReplicaID) bool { return p.leaving[id] }
 
-// Missing tells whether the vote of a replica is still to come in this phase.
-func (p *Proposer) Missing(id ReplicaID) bool { return !p.voted[id] }
+// AwaitsVote tells whether the vote of a replica is still to come in this phase.
+func (p *Proposer) AwaitsVote(id ReplicaID) bool { return !p.voted[id] }
--- a/coord/view/view_test.go
+++ b/coord/view/view_test.go
@@ -118,9 +118,9 @@
 
 func TestPromisedAway(t *testing.T) {
 	var a Acceptor
-	assert.False(t, a.PromisedAway("a"))
+	assert.False(t, a.PromisedToOther("a"))
 	require.True(t, a.Prepare(Ballot{Round: 2, Owner: "b"}))
-	assert.True(t, a.PromisedAway("a"))
+	assert.True(t, a.PromisedToOther("a"))
 	assert.False(t, a.Prepare(Ballot{Round: 1, Owner: "c"}))
 	assert.False(t, a.Accept(Ballot{Owner: "a"}, View{}), "the head's own round comes too late")
 }
--- a/coord/wal/disk.go
+++ b/coord/wal/disk.go
@@ -14,8 +14,8 @@
 	Rename(oldName, newName string) error
 	// Remove takes a file out of the folder.
 	Remove(name string) error
-	// SyncFolder makes all names that were made, changed or removed last.
-	SyncFolder() error
+	// SyncDir makes all names that were made, changed or removed last.
+	SyncDir() error
 }
 
 // File is a file open for appending.
--- a/coord/wal/osdisk.go
+++ b/coord/wal/osdisk.go
@@ -69,7 +69,7 @@
 	return os.Remove(d.path(name))
 }
 
-func (d osDisk) SyncFolder() error {
+func (d osDisk) SyncDir() error {
 	folder, err := os.Open(d.folder)
 	if err != nil {
 		return err
--- a/coord/wal/read.go
+++ b/coord/wal/read.go
@@ -8,8 +8,8 @@
 // ErrNoLog says that a folder holds no complete log of the name.
 var ErrNoLog = errors.New("no log")
 
-// Reading is what a look at a log found.
-type Reading struct {
+// ReadResult is what a look at a log found.
+type ReadResult struct {
 	// Records are in the order in which they were appended.
 	Records []Record
 	// File is the name of the file that counts.
@@ -24,19 +24,19 @@
 
 // Read reads a log and changes nothing, so that it may be called while another process writes to the log; a record that is just
 // being appended then shows as torn. What it returns may not last yet. The error wraps ErrNoLog if there is no complete log.
-func Read(disk Disk, name string) (Reading, error) {
+func Read(disk Disk, name string) (ReadResult, error) {
 	generations, err := listGenerations(disk, name)
 	if err != nil {
-		return Reading{}, err
+		return ReadResult{}, err
 	}
 	found, complete, err := newestComplete(disk, name, generations)
 	if err != nil {
-		return Reading{}, err
+		return ReadResult{}, err
 	}
 	if !complete {
-		return Reading{}, fmt.Errorf("%w of the name %s (%d incomplete files)", ErrNoLog, name, len(generations))
+		return ReadResult{}, fmt.Errorf("%w of the name %s (%d incomplete files)", ErrNoLog, name, len(generations))
 	}
 	generation := found.header.generation
-	return Reading{Records: found.records, File: generationName(name, generation), Generation: generation, Bytes: found.size,
+	return ReadResult{Records: found.records, File: generationName(name, generation), Generation: generation, Bytes: found.size,
 		Torn: found.torn}, nil
 }
--- a/coord/wal/rewrite.go
+++ b/coord/wal/rewrite.go
@@ -117,5 +117,5 @@
 	if err := file.Sync(); err != nil {
 		return err
 	}
-	return disk.SyncFolder()
+	return disk.SyncDir()
 }
--- a/coord/wal/simdisk/disk_test.go
+++ b/coord/wal/simdisk/disk_test.go
@@ -89,7 +89,7 @@
 		require.NoError(t, create(t, disk, "a", "old").Sync())
 		require.NoError(t, create(t, disk, "b", "new").Sync())
 		require.NoError(t, disk.Process().Rename("b", "a"))
-		require.NoError(t, disk.Process().SyncFolder())
+		require.NoError(t, disk.Process().SyncDir())
 	})
 	require.Equal(t, map[string]int{"new": seeds}, counts)
 }
--- a/coord/wal/simdisk/process.go
+++ b/coord/wal/simdisk/process.go
@@ -112,8 +112,8 @@
 	})
 }
 
-// SyncFolder implements wal.Disk.
-func (p *process) SyncFolder() error {
+// SyncDir implements wal.Disk.
+func (p *process) SyncDir() error {
 	return p.change(func(d *Disk) error {
 		failed := d.happens(d.faults.Folder)
 		if !failed || d.evenChance() {
--- a/internal/system/clusterconfig/parse.go
+++ b/internal/system/clusterconfig/parse.go
@@ -72,7 +72,7 @@
 	version, err := strconv.ParseInt(string(written), 10, 64)
 	if err != nil {
 		figure, notFigure := strconv.ParseFloat(string(written), 64)
-		whole, ok := quantity.Whole(figure)
+		whole, ok := quantity.Integer(figure)
 		if notFigure != nil || !ok {
 			r.found.Add("version", "%.40s is not a whole number", written)
 			return 0
@@ -142,7 +142,7 @@
 }
 
 func (r *reader) whole(at item, field string, figure float64) int64 {
-	whole, ok := quantity.Whole(math.Max(0, r.figure(at, field, figure)))
+	whole, ok := quantity.Integer(math.Max(0, r.figure(at, field, figure)))
 	if !ok {
 		r.found.Add(at.place(field), "%v is not a whole number", figure)
 	}
--- a/internal/system/clusterconfig/quotas_test.go
+++ b/internal/system/clusterconfig/quotas_test.go
@@ -25,7 +25,7 @@
 	assert.Equal(t, Quotas{}, quotas)
 	plan := quotas.Plan()
 	assert.False(t, plan.InForce())
-	assert.Equal(t, quota.Unlimited, plan.Rest())
+	assert.Equal(t, quota.Unlimited, plan.Remainder())
 }
 
 func TestTenantsArePromisedWholeAccelerators(t *testing.T) {
@@ -35,7 +35,7 @@
 		{Name: "barley", Accelerators: 16}, {Name: "coffee", Accelerators: 754}, {Name: "teff", Accelerators: 128}, {Name: "none"},
 	}}, quotas)
 	plan := quotas.Plan()
-	assert.Equal(t, int64(2600-16-754-128), plan.Rest())
+	assert.Equal(t, int64(2600-16-754-128), plan.Remainder())
 	assert.Equal(t, map[string]int64{"barley": 16, "coffee": 754, "teff": 128, "none": 0}, plan.Promised)
 }
 
@@ -43,7 +43,7 @@
 	quotas := quotasOf(t, `{"version":1,"tenants":[{"name":"teff","accelerators":8}]}`)
 	plan := quotas.Plan()
 	assert.True(t, plan.InForce())
-	assert.Equal(t, quota.Unlimited, plan.Rest())
+	assert.Equal(t, quota.Unlimited, plan.Remainder())
 }
 
 func TestARouteNamesItsTenant(t *testing.T) {
--- a/internal/system/control/backlog_test.go
+++ b/internal/system/control/backlog_test.go
@@ -59,12 +59,12 @@
 // A replica that takes thousands of entries at once, as after a restart, has no time for their digests; it sums up again from there on.
 func TestABacklogIsNotSummedUp(t *testing.T) {
 	s := newBacklogStand()
-	s.applyAll(s.entries(0, state.AuditEvery))
+	s.applyAll(s.entries(0, state.AuditInterval))
 	assert.Len(t, s.digests, 1)
 	s.applyAll(s.entries(0, auditBacklog+1))
 	s.turnsLeft()
 	assert.Len(t, s.digests, 1, "the backlog's")
-	s.applyAll(s.entries(0, 2*state.AuditEvery))
+	s.applyAll(s.entries(0, 2*state.AuditInterval))
 	assert.Len(t, s.digests, 2, "of the part that was seen from its start")
 }
 
--- a/internal/system/control/digests.go
+++ b/internal/system/control/digests.go
@@ -15,7 +15,7 @@
 	if e.catchingUp() {
 		return
 	}
-	if sum, due := e.audit.Applied(entry.Index, entry.Data, result, e.machine); due {
+	if sum, due := e.audit.RecordEntry(entry.Index, entry.Data, result, e.machine); due {
 		e.digests = append(e.digests, view.Digest{Index: entry.Index, Format: state.AuditFormat, Sum: sum})
 	}
 }
@@ -25,6 +25,6 @@
 	for len(e.digests) > 0 {
 		digest := e.digests[0]
 		e.digests = e.digests[1:]
-		e.step(replica.Audited{Digest: digest})
+		e.step(replica.StateDigest{Digest: digest})
 	}
 }
--- a/internal/system/control/engine_test.go
+++ b/internal/system/control/engine_test.go
@@ -303,7 +303,7 @@
 		folder := simdisk.New(seed)
 		file, _, err := wal.Open(folder.Process(), logName)
 		require.NoError(t, err)
-		held := append(toLog(replica.Blank("old")), wal.Record{Kind: replica.KindUnfit, Data: []byte("why")})
+		held := append(toLog(replica.BlankDisk("old")), wal.Record{Kind: replica.KindUnfit, Data: []byte("why")})
 		require.NoError(t, file.Append(held...))
 		require.NoError(t, file.Sync())
 		node := testNode()
--- a/internal/system/control/figures.go
+++ b/internal/system/control/figures.go
@@ -16,7 +16,7 @@
 	commits uint64
 	latency figures.Histogram
 	starts  uint64
-	ends    [state.Alone + 1]uint64
+	ends    [state.GangIncomplete + 1]uint64
 	lost    uint64
 	views   uint64
 	late    lateCounts
@@ -113,7 +113,7 @@
 	w.Counter("views_total", "Views learnt here since the start.", float64(c.views))
 	w.Counter("starts_total", "Runs of tasks whose intent was committed.", float64(c.starts))
 	ends := make([]figures.Labelled, 0, len(c.ends))
-	for how := state.Done; how <= state.Alone; how++ {
+	for how := state.Done; how <= state.GangIncomplete; how++ {
 		ends = append(ends, figures.Labelled{Label: how.String(), Value: float64(c.ends[how])})
 	}
 	w.Counters("ends_total", "Ends of runs that were committed, by how.", "how", ends)
--- a/internal/system/control/invariants.go
+++ b/internal/system/control/invariants.go
@@ -57,14 +57,14 @@
 // checkEntry holds that an entry is the next one.
 func (e *engine) checkEntry(entry chain.Entry) {
 	if entry.Index != e.appliedTo+1 {
-		e.options.invariants.Broken(appliedInOrder, "entry %d after %d", entry.Index, e.appliedTo)
+		e.options.invariants.Violated(appliedInOrder, "entry %d after %d", entry.Index, e.appliedTo)
 	}
 }
 
 // checkConfig holds that the version in force doesn't fall.
 func (n *Node) checkConfig(version uint64) {
 	if version < n.watched.config {
-		n.invariants.Broken(configRises, "version %d after %d", version, n.watched.config)
+		n.invariants.Violated(configRises, "version %d after %d", version, n.watched.config)
 	}
 	n.watched.config = max(n.watched.config, version)
 }
@@ -75,7 +75,7 @@
 // checkTold holds that what is acknowledged or shown is no older than what was before.
 func (n *Node) checkTold(version uint64) {
 	if version < n.watched.told {
-		n.invariants.Broken(readIsCurrent, "version %d is shown after %d", version, n.watched.told)
+		n.invariants.Violated(readIsCurrent, "version %d is shown after %d", version, n.watched.told)
 	}
 	n.watched.told = max(n.watched.told, version)
 }
@@ -83,7 +83,7 @@
 // checkResult holds that a command has broken nothing in the state.
 func (n *Node) checkResult(result *state.Result) {
 	if result.Broken != "" {
-		n.invariants.Broken(stateConsistent, "command of kind %d: %s", result.Command.Kind, result.Broken)
+		n.invariants.Violated(stateConsistent, "command of kind %d: %s", result.Command.Kind, result.Broken)
 	}
 }
 
@@ -115,7 +115,7 @@
 
 func (n *Node) checkToken(token uint64, sender sending) {
 	if token < n.watched.token || token > sender.epoch {
-		n.invariants.Broken(tokenRises, "token %d after %d in epoch %d", token, n.watched.token, sender.epoch)
+		n.invariants.Violated(tokenRises, "token %d after %d in epoch %d", token, n.watched.token, sender.epoch)
 	}
 	n.watched.token = max(n.watched.token, token)
 }
@@ -126,11 +126,11 @@
 	job := n.engine.machine.Job(name.Job)
 	worker := n.engine.machine.Worker(call.Worker.Instance)
 	if !ok || job == nil || worker == nil {
-		n.invariants.Broken(startIsCommitted, "run %q on %s: the state knows no such job or worker", call.Start.Task, call.Worker.Instance)
+		n.invariants.Violated(startIsCommitted, "run %q on %s: the state knows no such job or worker", call.Start.Task, call.Worker.Instance)
 		return
 	}
 	if _, held := worker.Runs[run]; !held || !sender.head {
-		n.invariants.Broken(startIsCommitted, "run %v on %s: held by the state %v, head %v", run, call.Worker.Instance, held, sender.head)
+		n.invariants.Violated(startIsCommitted, "run %v on %s: held by the state %v, head %v", run, call.Worker.Instance, held, sender.head)
 		return
 	}
 	n.checkAlone(job, run)
@@ -140,12 +140,12 @@
 func (n *Node) checkAlone(job *state.Job, run state.Run) {
 	task := job.Task(run.Task)
 	if job.Spec == nil || task == nil {
-		n.invariants.Broken(startIsAlone, "run %v of a job that is %s and has forgotten it", run, job.State)
+		n.invariants.Violated(startIsAlone, "run %v of a job that is %s and has forgotten it", run, job.State)
 		return
 	}
 	stage := &job.Spec.Stages[run.Task.Step]
 	if task.Done || len(task.Placements) > 1 && !stage.Speculative {
-		n.invariants.Broken(startIsAlone, "run %v: done %v, runs that may exist: %v", run, task.Done, task.Placements)
+		n.invariants.Violated(startIsAlone, "run %v: done %v, runs that may exist: %v", run, task.Done, task.Placements)
 	}
 }
 
@@ -153,7 +153,7 @@
 func (n *Node) checkLastSeen(call *scheduler.Call) {
 	worker := n.engine.machine.Worker(call.Worker.Instance)
 	if worker != nil && call.Hold.LastSeen > worker.LastSeen {
-		n.invariants.Broken(endsAreCommitted, "ends of %s up to %d, committed up to %d", call.Worker.Instance, call.Hold.LastSeen, worker.LastSeen)
+		n.invariants.Violated(endsAreCommitted, "ends of %s up to %d, committed up to %d", call.Worker.Instance, call.Hold.LastSeen, worker.LastSeen)
 	}
 }
 
@@ -167,6 +167,6 @@
 	}
 	n.watched.schedulerAt = now + checkSchedulerEvery
 	if err := n.scheduler.CheckSome(); err != nil {
-		n.invariants.Broken(schedulerConsistent, "%v", err)
+		n.invariants.Violated(schedulerConsistent, "%v", err)
 	}
 }
--- a/internal/system/control/jobdetail.go
+++ b/internal/system/control/jobdetail.go
@@ -102,7 +102,7 @@
 	if record := d.job.Task(name); record != nil {
 		fillFromRecord(&task, record)
 	}
-	if d.job.State.Over() && task.State != "done" {
+	if d.job.State.Finished() && task.State != "done" {
 		task.State, task.Why = d.job.State.String(), ""
 		return task
 	}
--- a/internal/system/control/reads.go
+++ b/internal/system/control/reads.go
@@ -24,7 +24,7 @@
 func (e *engine) readJob(id state.JobID, answer func(current bool)) {
 	index, ok := e.readIndex()
 	if ok && index > e.appliedTo && !e.catchingUp() {
-		e.unapplied.look(e.replica.Held(max(e.unapplied.seen, e.appliedTo)))
+		e.unapplied.look(e.replica.EntriesAfter(max(e.unapplied.seen, e.appliedTo)))
 		index = min(index, e.unapplied.lastOf(id))
 	}
 	e.await(index, ok, answer)
--- a/internal/system/control/roles.go
+++ b/internal/system/control/roles.go
@@ -212,7 +212,7 @@
 	over := make(map[state.JobID]time.Duration, len(n.overSince))
 	var old []state.JobID
 	for id, job := range n.engine.machine.Jobs() {
-		if !job.State.Over() || job.Runs > 0 {
+		if !job.State.Finished() || job.Runs > 0 {
 			continue
 		}
 		since, seen := n.overSince[id]
--- a/internal/system/control/shares_test.go
+++ b/internal/system/control/shares_test.go
@@ -179,7 +179,7 @@
 	wanted := map[string]int64{} // the most that waits at once, by tenant
 	waiting := map[state.TaskName]*state.Job{}
 	for _, job := range r.engine.machine.Jobs() {
-		if job.State.Over() {
+		if job.State.Finished() {
 			view.over++
 			continue
 		}
@@ -190,7 +190,7 @@
 	}
 	for name, job := range waiting {
 		need := needAtOnce(job)
-		if need <= r.engine.machine.Quotas().Free(job.Tenant) && need == wanted[job.Tenant] && hasRoom(free[job.Service], job) {
+		if need <= r.engine.machine.Quotas().Available(job.Tenant) && need == wanted[job.Tenant] && hasRoom(free[job.Service], job) {
 			view.idle = append(view.idle, name)
 		}
 	}
--- a/internal/system/control/unapplied.go
+++ b/internal/system/control/unapplied.go
@@ -27,7 +27,7 @@
 		if err != nil {
 			continue // it changes nothing
 		}
-		if command.Touched(func(id state.JobID) { u.jobs[id] = entry.Index }) {
+		if command.AffectedJobs(func(id state.JobID) { u.jobs[id] = entry.Index }) {
 			u.any = entry.Index
 		}
 	}
--- a/internal/system/control/unfit.go
+++ b/internal/system/control/unfit.go
@@ -22,7 +22,7 @@
 	}
 	kept := keepUnfit(folder, records)
 	id := view.ReplicaID(fmt.Sprintf("%s#%016x", n.self().Address, rand.Uint64()))
-	blank := toLog(replica.Blank(id))
+	blank := toLog(replica.BlankDisk(id))
 	if err := file.Rewrite(blank); err != nil {
 		return nil, errors.Join(err, file.Close())
 	}
--- a/internal/system/dataplane/invariants.go
+++ b/internal/system/dataplane/invariants.go
@@ -31,16 +31,16 @@
 func (d *Dispatcher) checkSubmitted(id jobspec.ID, reply *answer, end *conclusion) {
 	refuses := reply.status != http.StatusOK && reply.status != http.StatusGatewayTimeout
 	if refuses && end.inDoubt {
-		d.options.Invariants.Broken(refusalIsCertain, "job %s is answered %d after a try that may be carried out", id, reply.status)
+		d.options.Invariants.Violated(refusalIsCertain, "job %s is answered %d after a try that may be carried out", id, reply.status)
 	}
 	if reply.status == http.StatusOK && end.reply == nil {
-		d.options.Invariants.Broken(acceptanceIsConfirmed, "job %s is answered %d without the head's word", id, reply.status)
+		d.options.Invariants.Violated(acceptanceIsConfirmed, "job %s is answered %d without the head's word", id, reply.status)
 	}
 }
 
 // checkConfiguration holds that the configuration in force is the one that its version names.
 func (p *Process) checkConfiguration(config *Configuration) {
 	if parsed := config.Router.Config(); uint64(parsed.Version) != config.Version {
-		p.options.Invariants.Broken(configIsWhole, "version %d has the body of %d", config.Version, parsed.Version)
+		p.options.Invariants.Violated(configIsWhole, "version %d has the body of %d", config.Version, parsed.Version)
 	}
 }
--- a/internal/system/findings/quantity/quantity.go
+++ b/internal/system/findings/quantity/quantity.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// MostWhole is the largest whole number up to which every whole number has a float64 of its own.
-const MostWhole = 1 << 53
+// MaxExactInteger is the largest whole number up to which every whole number has a float64 of its own.
+const MaxExactInteger = 1 << 53
 
 // Milliseconds is the duration of so many milliseconds.
 func Milliseconds(figure float64) time.Duration {
@@ -20,17 +20,17 @@
 	return duration(figure, time.Second)
 }
 
-// Whole is the whole number that the figure is; ok is false when it has a fraction or is too large to be told from its
+// Integer is the whole number that the figure is; ok is false when it has a fraction or is too large to be told from its
 // neighbours.
-func Whole(figure float64) (number int64, ok bool) {
-	if figure != math.Trunc(figure) || math.Abs(figure) > MostWhole {
+func Integer(figure float64) (number int64, ok bool) {
+	if figure != math.Trunc(figure) || math.Abs(figure) > MaxExactInteger {
 		return 0, false
 	}
 	return int64(figure), true
 }
 
-// AtLeast is the smallest whole number that isn't below the figure, and most at the most.
-func AtLeast(figure float64, most int64) int64 {
+// CeilClamped is the smallest whole number that isn't below the figure, and most at the most.
+func CeilClamped(figure float64, most int64) int64 {
 	if figure >= float64(most) {
 		return most
 	}
--- a/internal/system/findings/quantity/quantity_test.go
+++ b/internal/system/findings/quantity/quantity_test.go
@@ -20,22 +20,22 @@
 }
 
 func TestWhole(t *testing.T) {
-	for _, figure := range []float64{0, 1, -3, 100_000, MostWhole} {
-		number, ok := Whole(figure)
+	for _, figure := range []float64{0, 1, -3, 100_000, MaxExactInteger} {
+		number, ok := Integer(figure)
 		assert.True(t, ok)
 		assert.Equal(t, int64(figure), number)
 	}
-	for _, figure := range []float64{0.5, -1.25, 2 * MostWhole, math.Inf(1), math.NaN()} {
-		_, ok := Whole(figure)
+	for _, figure := range []float64{0.5, -1.25, 2 * MaxExactInteger, math.Inf(1), math.NaN()} {
+		_, ok := Integer(figure)
 		assert.False(t, ok, "%v", figure)
 	}
 }
 
 func TestAtLeastRoundsUpAndStaysBelowTheMost(t *testing.T) {
-	assert.EqualValues(t, 0, AtLeast(0, 10))
-	assert.EqualValues(t, 3, AtLeast(2.1, 10))
-	assert.EqualValues(t, 10, AtLeast(9.5, 10))
-	assert.EqualValues(t, 10, AtLeast(1e300, 10))
+	assert.EqualValues(t, 0, CeilClamped(0, 10))
+	assert.EqualValues(t, 3, CeilClamped(2.1, 10))
+	assert.EqualValues(t, 10, CeilClamped(9.5, 10))
+	assert.EqualValues(t, 10, CeilClamped(1e300, 10))
 }
 
 func TestMoreIsNeverShorter(t *testing.T) {
--- a/internal/system/invariant/invariant.go
+++ b/internal/system/invariant/invariant.go
@@ -33,8 +33,8 @@
 	return s
 }
 
-// Broken takes note of a violation. On a nil Set it panics.
-func (s *Set) Broken(name Name, format string, arguments ...any) {
+// Violated takes note of a violation. On a nil Set it panics.
+func (s *Set) Violated(name Name, format string, arguments ...any) {
 	detail := fmt.Sprintf(format, arguments...)
 	if s == nil {
 		panic(fmt.Sprintf("invariant broken: %s: %s", name, detail))
--- a/internal/system/jobspec/parse.go
+++ b/internal/system/jobspec/parse.go
@@ -45,7 +45,7 @@
 	spec.Repetitions = r.whole(job, "repetitions", wire.Repetitions, MaxRepetitions)
 	spec.FirstRun = r.milliseconds(job, "firstRunMs", wire.FirstRunMs)
 	spec.Interval = r.milliseconds(job, "intervalMs", wire.IntervalMs)
-	last := spec.FirstRun.Seconds() + float64(spec.Times()-1)*spec.Interval.Seconds()
+	last := spec.FirstRun.Seconds() + float64(spec.OccurrenceCount()-1)*spec.Interval.Seconds()
 	if last > mostTime.Seconds() {
 		r.found.Add("firstRunMs", "the last time falls due too late")
 	}
@@ -72,7 +72,7 @@
 	stage.CPU = r.amount(index, "cpu", wire.CPU)
 	stage.MemoryMb = r.amount(index, "memMb", wire.MemoryMb)
 	stage.GPUs = r.amount(index, "gpus", wire.GPUs)
-	stage.Estimated = min(MostEstimate, r.milliseconds(index, "estimatedMs", wire.EstimatedMs))
+	stage.Estimated = min(MaxEstimate, r.milliseconds(index, "estimatedMs", wire.EstimatedMs))
 	stage.DependsOn = r.dependsOn(index, wire.DependsOn)
 	stage.Requirements = wire.Requirements
 	stage.Colocation = wire.Colocation
@@ -90,7 +90,7 @@
 	}
 	steps := make([]int, 0, len(written))
 	for _, figure := range written {
-		step, ok := quantity.Whole(figure)
+		step, ok := quantity.Integer(figure)
 		if !ok || step < 0 || step >= int64(index) {
 			r.found.Add(place(index, "dependsOn"), "%v is not the number of an earlier step", figure)
 			continue
@@ -111,7 +111,7 @@
 		r.found.Add(place(index, field), "%.12g is more than %d", figure, most)
 		return 0
 	}
-	whole, ok := quantity.Whole(figure)
+	whole, ok := quantity.Integer(figure)
 	if !ok {
 		r.found.Add(place(index, field), "%v is not a whole number", figure)
 	}
@@ -120,7 +120,7 @@
 
 // amount reads a demand; a fraction counts as the next whole number, so that what is set aside always suffices.
 func (r *reader) amount(index int, field string, figure float64) int64 {
-	return quantity.AtLeast(r.figure(index, field, figure), MostAmount)
+	return quantity.CeilClamped(r.figure(index, field, figure), MaxAmount)
 }
 
 func (r *reader) milliseconds(index int, field string, figure float64) time.Duration {
--- a/internal/system/jobspec/parse_test.go
+++ b/internal/system/jobspec/parse_test.go
@@ -46,8 +46,8 @@
 		Repetitions: 3, FirstRun: 1_700_000_000 * time.Second, Interval: 1500 * time.Millisecond,
 	}, spec)
 	assert.Equal(t, 25, spec.Tasks())
-	assert.Equal(t, 3, spec.Times())
-	assert.True(t, spec.Timed())
+	assert.Equal(t, 3, spec.OccurrenceCount())
+	assert.True(t, spec.HasSchedule())
 	assert.True(t, spec.LongRunning())
 	assert.Equal(t, 1_700_000_003*time.Second, spec.DueAt(2))
 }
@@ -61,8 +61,8 @@
 		spec, err := Parse([]byte(body))
 		require.NoError(t, err, body)
 		assert.Zero(t, spec.Tasks(), body)
-		assert.Equal(t, 1, spec.Times(), body)
-		assert.False(t, spec.Timed(), body)
+		assert.Equal(t, 1, spec.OccurrenceCount(), body)
+		assert.False(t, spec.HasSchedule(), body)
 		assert.False(t, spec.LongRunning(), body)
 		for _, stage := range spec.Stages {
 			assert.Empty(t, stage.Requirements, body)
@@ -82,11 +82,11 @@
 	spec, err := Parse([]byte(`{"stages":[{"cpu":1e300,"memMb":1e20,"gpus":0.1,"estimatedMs":1e200,"antiAffinity":1e100}]}`))
 	require.NoError(t, err)
 	stage := spec.Stages[0]
-	assert.EqualValues(t, MostAmount, stage.CPU)
-	assert.EqualValues(t, MostAmount, stage.MemoryMb)
+	assert.EqualValues(t, MaxAmount, stage.CPU)
+	assert.EqualValues(t, MaxAmount, stage.MemoryMb)
 	assert.EqualValues(t, 1, stage.GPUs)
-	assert.Equal(t, MostEstimate, stage.Estimated)
-	assert.EqualValues(t, MostAmount, stage.AntiAffinity)
+	assert.Equal(t, MaxEstimate, stage.Estimated)
+	assert.EqualValues(t, MaxAmount, stage.AntiAffinity)
 }
 
 func TestTheLimitsThemselvesAreTaken(t *testing.T) {
@@ -209,7 +209,7 @@
 	}
 	require.LessOrEqual(t, len(spec.Text), MaxSpecBytes)
 	require.LessOrEqual(t, spec.Tasks(), MaxTotalTasks)
-	require.GreaterOrEqual(t, spec.LongestChain(), time.Duration(0))
+	require.GreaterOrEqual(t, spec.CriticalPath(), time.Duration(0))
 	require.GreaterOrEqual(t, spec.Work(), 0.0)
 	for index, stage := range spec.Stages {
 		for _, step := range stage.DependsOn {
@@ -231,8 +231,8 @@
 	for index := range spec.Stages {
 		spec.Stages[index] = Stage{
 			Count:        rapid.IntRange(0, 1000).Draw(t, "count"),
-			CPU:          rapid.Int64Range(0, MostAmount).Draw(t, "cpu"),
-			MemoryMb:     rapid.Int64Range(0, MostAmount).Draw(t, "memory"),
+			CPU:          rapid.Int64Range(0, MaxAmount).Draw(t, "cpu"),
+			MemoryMb:     rapid.Int64Range(0, MaxAmount).Draw(t, "memory"),
 			GPUs:         rapid.Int64Range(0, 16).Draw(t, "gpus"),
 			Estimated:    time.Duration(rapid.Int64Range(0, 1e6).Draw(t, "estimated")) * time.Millisecond,
 			Requirements: drawLabels(t),
--- a/internal/system/jobspec/spec.go
+++ b/internal/system/jobspec/spec.go
@@ -12,11 +12,11 @@
 	MaxRepetitions = 1_000_000
 )
 
-// MostAmount is what a larger demand for processor, memory or GPUs is cut to; no worker has as much.
-const MostAmount = 1 << 40
+// MaxAmount is what a larger demand for processor, memory or GPUs is cut to; no worker has as much.
+const MaxAmount = 1 << 40
 
-// MostEstimate is what a longer guess of a task's time is cut to.
-const MostEstimate = 1_000_000 * time.Second
+// MaxEstimate is what a longer guess of a task's time is cut to.
+const MaxEstimate = 1_000_000 * time.Second
 
 // GPUCores is how many cores a GPU counts for.
 const GPUCores = 8
@@ -64,11 +64,11 @@
 	LongRunning bool
 }
 
-// Times is how often the steps are run: at least once.
-func (s *Spec) Times() int { return max(1, s.Repetitions) }
+// OccurrenceCount is how often the steps are run: at least once.
+func (s *Spec) OccurrenceCount() int { return max(1, s.Repetitions) }
 
-// Timed says that the job runs at times of its own.
-func (s *Spec) Timed() bool { return s.Repetitions > 0 }
+// HasSchedule says that the job runs at times of its own.
+func (s *Spec) HasSchedule() bool { return s.Repetitions > 0 }
 
 // DueAt is the time since 1970 at which that time of a timed job falls due.
 func (s *Spec) DueAt(number uint32) time.Duration {
--- a/internal/system/jobspec/work.go
+++ b/internal/system/jobspec/work.go
@@ -25,17 +25,17 @@
 	return work
 }
 
-// LongestChain is the estimated time of the longest chain of steps that wait for one another, one task of each.
-func (s *Spec) LongestChain() time.Duration {
+// CriticalPath is the estimated time of the longest chain of steps that wait for one another, one task of each.
+func (s *Spec) CriticalPath() time.Duration {
 	longest := time.Duration(0)
-	for _, chain := range s.ChainsUpTo() {
+	for _, chain := range s.LongestPathsTo() {
 		longest = max(longest, chain)
 	}
 	return longest
 }
 
-// ChainsUpTo gives for each step the longest chain that ends with it, its own estimate included.
-func (s *Spec) ChainsUpTo() []time.Duration {
+// LongestPathsTo gives for each step the longest chain that ends with it, its own estimate included.
+func (s *Spec) LongestPathsTo() []time.Duration {
 	chains := make([]time.Duration, len(s.Stages))
 	for index := range s.Stages {
 		stage := &s.Stages[index]
@@ -48,8 +48,8 @@
 	return chains
 }
 
-// ChainsFrom gives for each step the longest chain that begins with it, its own estimate included.
-func (s *Spec) ChainsFrom() []time.Duration {
+// LongestPathsFrom gives for each step the longest chain that begins with it, its own estimate included.
+func (s *Spec) LongestPathsFrom() []time.Duration {
 	chains := make([]time.Duration, len(s.Stages))
 	for index := len(s.Stages) - 1; index >= 0; index-- {
 		stage := &s.Stages[index]
--- a/internal/system/jobspec/work_test.go
+++ b/internal/system/jobspec/work_test.go
@@ -22,10 +22,10 @@
 
 func TestChains(t *testing.T) {
 	spec := diamond()
-	assert.Equal(t, 7*time.Second, spec.LongestChain())
-	assert.Equal(t, []time.Duration{1e9, 3e9, 6e9, 7e9, 4e9}, spec.ChainsUpTo())
-	assert.Equal(t, []time.Duration{7e9, 3e9, 6e9, 1e9, 4e9}, spec.ChainsFrom())
-	assert.Zero(t, (&Spec{}).LongestChain())
+	assert.Equal(t, 7*time.Second, spec.CriticalPath())
+	assert.Equal(t, []time.Duration{1e9, 3e9, 6e9, 7e9, 4e9}, spec.LongestPathsTo())
+	assert.Equal(t, []time.Duration{7e9, 3e9, 6e9, 1e9, 4e9}, spec.LongestPathsFrom())
+	assert.Zero(t, (&Spec{}).CriticalPath())
 }
 
 func TestWorkCountsAGPUAsCores(t *testing.T) {
@@ -38,7 +38,7 @@
 func TestChainsMeetInEveryStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := drawSpec(t)
-		longest, upTo, from := spec.LongestChain(), spec.ChainsUpTo(), spec.ChainsFrom()
+		longest, upTo, from := spec.CriticalPath(), spec.LongestPathsTo(), spec.LongestPathsFrom()
 		reached := len(spec.Stages) == 0
 		for index := range spec.Stages {
 			through := upTo[index] + from[index] - spec.Stages[index].Estimated
--- a/internal/system/localcluster/faultydisk/faultydisk.go
+++ b/internal/system/localcluster/faultydisk/faultydisk.go
@@ -106,12 +106,12 @@
 	return &file{File: inner, disk: d}, nil
 }
 
-// SyncFolder implements wal.Disk.
-func (d *Disk) SyncFolder() error {
+// SyncDir implements wal.Disk.
+func (d *Disk) SyncDir() error {
 	if err := d.suffer(false); err != nil {
 		return err
 	}
-	return d.Disk.SyncFolder()
+	return d.Disk.SyncDir()
 }
 
 // file keeps in memory what isn't synced yet.
--- a/internal/system/logfile/check.go
+++ b/internal/system/logfile/check.go
@@ -30,7 +30,7 @@
 
 // Check replays the log as a replica would at its start and looks at the invariants. Entries are taken for committed up to the last
 // one, though the last few may not be. The error wraps ErrBroken and names the place.
-func Check(reading wal.Reading) (Report, error) {
+func Check(reading wal.ReadResult) (Report, error) {
 	records := make([]replica.Record, len(reading.Records))
 	for i, record := range reading.Records {
 		records[i] = replica.Record{Kind: record.Kind, Data: record.Data}
--- a/internal/system/logfile/logfile.go
+++ b/internal/system/logfile/logfile.go
@@ -38,15 +38,15 @@
 }
 
 // Read reads the log of that name in a folder.
-func Read(folder, name string) (wal.Reading, error) {
+func Read(folder, name string) (wal.ReadResult, error) {
 	if found, err := os.Stat(folder); err != nil {
-		return wal.Reading{}, fmt.Errorf("data folder: %w", err)
+		return wal.ReadResult{}, fmt.Errorf("data folder: %w", err)
 	} else if !found.IsDir() {
-		return wal.Reading{}, fmt.Errorf("data folder: %s is a file: give the folder, dataDir of the settings", folder)
+		return wal.ReadResult{}, fmt.Errorf("data folder: %s is a file: give the folder, dataDir of the settings", folder)
 	}
 	disk, err := wal.OSDisk(folder)
 	if err != nil {
-		return wal.Reading{}, fmt.Errorf("data folder: %w", err)
+		return wal.ReadResult{}, fmt.Errorf("data folder: %w", err)
 	}
 	return wal.Read(disk, name)
 }
@@ -76,7 +76,7 @@
 }
 
 // fill tells what a readable record says.
-func fill(line *Line, found *replica.Inspected) {
+func fill(line *Line, found *replica.RecordContent) {
 	switch {
 	case found.Entry != nil:
 		line.Index, line.Epoch = found.Entry.Index, found.Entry.Epoch
--- a/internal/system/logfile/logfile_test.go
+++ b/internal/system/logfile/logfile_test.go
@@ -186,7 +186,7 @@
 		"a view that can't be read": append(reading.Records[:len(reading.Records):len(reading.Records)], wal.Record{Kind: replica.KindView, Data: []byte{1}}),
 	}
 	for name, records := range cases {
-		_, err := Check(wal.Reading{Records: records})
+		_, err := Check(wal.ReadResult{Records: records})
 		assert.ErrorIs(t, err, ErrBroken, name)
 	}
 	lines := Lines(cases["unknown kind of record"])
--- a/internal/system/nodesettings/fill.go
+++ b/internal/system/nodesettings/fill.go
@@ -122,7 +122,7 @@
 	if !ok {
 		return
 	}
-	whole, ok := quantity.Whole(figure)
+	whole, ok := quantity.Integer(figure)
 	if !ok {
 		f.found.Add(path, "%v is not a whole number", value)
 		return
--- a/internal/system/quota/bench_test.go
+++ b/internal/system/quota/bench_test.go
@@ -15,7 +15,7 @@
 	}
 	ledger := NewLedger()
 	ledger.Configure(plan)
-	desk := NewDesk(ledger)
+	desk := NewProposalTracker(ledger)
 	b.ReportAllocs()
 	index := 0
 	for b.Loop() {
--- a/internal/system/quota/ledger.go
+++ b/internal/system/quota/ledger.go
@@ -9,10 +9,10 @@
 // Ledger is the account of all tenants. Make one with NewLedger.
 type Ledger struct {
 	accounts map[string]*account
-	// rest is the common account of all tenants that the plan doesn't name.
-	rest     account
-	inForce  bool
-	releases uint64
+	// remainder is the common account of all tenants that the plan doesn't name.
+	remainder account
+	inForce   bool
+	releases  uint64
 }
 
 // account is what one tenant may take and takes.
@@ -33,7 +33,7 @@
 
 // NewLedger gives a ledger without a plan, in which nothing is used.
 func NewLedger() *Ledger {
-	return &Ledger{accounts: make(map[string]*account), rest: account{limit: Unlimited}}
+	return &Ledger{accounts: make(map[string]*account), remainder: account{limit: Unlimited}}
 }
 
 // Configure puts another plan in force. What runs stays, also where it is more than the tenant may take from now on: then nothing
@@ -44,11 +44,11 @@
 	for tenant, promised := range plan.Promised {
 		l.open(tenant).limit = promised
 	}
-	l.rest = account{limit: plan.Rest()}
+	l.remainder = account{limit: plan.Remainder()}
 	for tenant, a := range l.accounts {
 		_, a.named = plan.Promised[tenant]
 		if !a.named {
-			l.rest.used += a.used
+			l.remainder.used += a.used
 			l.forget(tenant, a)
 		}
 	}
@@ -59,15 +59,15 @@
 
 // Fits tells whether a tenant may take so many more accelerators. What takes none always fits.
 func (l *Ledger) Fits(tenant string, need int64) bool {
-	return need <= 0 || need <= l.Free(tenant)
+	return need <= 0 || need <= l.Available(tenant)
 }
 
-// Free is how many more accelerators a tenant may take; it is below 0 where the tenant's share has become smaller than what it uses.
-func (l *Ledger) Free(tenant string) int64 {
+// Available is how many more accelerators a tenant may take; it is below 0 where the tenant's share has become smaller than what it uses.
+func (l *Ledger) Available(tenant string) int64 {
 	if !l.inForce {
 		return Unlimited
 	}
-	return l.bounding(tenant).free()
+	return l.bounding(tenant).available()
 }
 
 // Limit is how many accelerators a tenant may take, all in all.
@@ -130,8 +130,8 @@
 			return fmt.Errorf("tenant %q uses %d accelerators and has no account", tenant, count)
 		}
 	}
-	if rest != l.rest.used {
-		return fmt.Errorf("tenants without a share use %d accelerators, counted %d", rest, l.rest.used)
+	if rest != l.remainder.used {
+		return fmt.Errorf("tenants without a share use %d accelerators, counted %d", rest, l.remainder.used)
 	}
 	return nil
 }
@@ -141,10 +141,10 @@
 	if a := l.accounts[tenant]; a != nil && a.named {
 		return a
 	}
-	return &l.rest
+	return &l.remainder
 }
 
-func (a *account) free() int64 {
+func (a *account) available() int64 {
 	if a.limit == Unlimited {
 		return Unlimited
 	}
@@ -164,7 +164,7 @@
 	a := l.open(tenant)
 	a.used += change
 	if !a.named {
-		l.rest.used += change
+		l.remainder.used += change
 		l.forget(tenant, a)
 	}
 }
--- a/internal/system/quota/ledger_test.go
+++ b/internal/system/quota/ledger_test.go
@@ -53,7 +53,7 @@
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 8}})
 	ledger.Charge("teff", 8)
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 4}})
-	assert.EqualValues(t, -4, ledger.Free("teff"))
+	assert.EqualValues(t, -4, ledger.Available("teff"))
 	assert.True(t, ledger.Fits("teff", 0), "what takes none starts all the same")
 	ledger.Release("teff", 4)
 	assert.False(t, ledger.Fits("teff", 1))
@@ -65,13 +65,13 @@
 	ledger := NewLedger()
 	ledger.Charge("gone", 2)
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 6}, Pool: 10, Pooled: true})
-	assert.EqualValues(t, 2, ledger.Free(""))
+	assert.EqualValues(t, 2, ledger.Available(""))
 	ledger.Charge("", 2)
 	assert.False(t, ledger.Fits("gone", 1))
 	assert.True(t, ledger.Fits("teff", 6), "they can't take what another was promised")
 	ledger.Configure(Plan{Promised: map[string]int64{"teff": 6, "gone": 2}, Pool: 10, Pooled: true})
-	assert.EqualValues(t, 0, ledger.Free("gone"), "what ran before counts against the new share")
-	assert.EqualValues(t, 0, ledger.Free(""))
+	assert.EqualValues(t, 0, ledger.Available("gone"), "what ran before counts against the new share")
+	assert.EqualValues(t, 0, ledger.Available(""))
 	assert.Equal(t, []Account{
 		{Tenant: "", Limit: 2, Used: 2}, {Tenant: "gone", Named: true, Limit: 2, Used: 2}, {Tenant: "teff", Named: true, Limit: 6},
 	}, ledger.Accounts())
@@ -83,7 +83,7 @@
 	require.NoError(t, ledger.Check(map[string]int64{"teff": 2}))
 	assert.EqualError(t, ledger.Check(map[string]int64{"teff": 3}), `tenant "teff" uses 3 accelerators, counted 2`)
 	assert.EqualError(t, ledger.Check(map[string]int64{"teff": 2, "rye": 1}), `tenant "rye" uses 1 accelerators and has no account`)
-	ledger.rest.used = 1
+	ledger.remainder.used = 1
 	assert.EqualError(t, ledger.Check(map[string]int64{"teff": 2}), "tenants without a share use 2 accelerators, counted 1")
 }
 
@@ -106,10 +106,10 @@
 	if promised, named := b.plan.Promised[tenant]; named {
 		return promised - b.used[tenant]
 	}
-	if b.plan.Rest() == Unlimited {
+	if b.plan.Remainder() == Unlimited {
 		return Unlimited
 	}
-	free := b.plan.Rest()
+	free := b.plan.Remainder()
 	for other, used := range b.used {
 		if _, named := b.plan.Promised[other]; !named {
 			free -= used
@@ -159,7 +159,7 @@
 			"": func(t *rapid.T) {
 				require.NoError(t, ledger.Check(plain.used))
 				for _, who := range []string{"", "0", "1", "2", "3", "4"} {
-					require.Equal(t, plain.free(who), ledger.Free(who), "tenant %q", who)
+					require.Equal(t, plain.free(who), ledger.Available(who), "tenant %q", who)
 				}
 			},
 		})
--- a/internal/system/quota/plan.go
+++ b/internal/system/quota/plan.go
@@ -33,8 +33,8 @@
 // InForce tells whether the plan bounds anybody.
 func (p *Plan) InForce() bool { return len(p.Promised) > 0 }
 
-// Rest is what all tenants together may take that the plan doesn't name.
-func (p *Plan) Rest() int64 {
+// Remainder is what all tenants together may take that the plan doesn't name.
+func (p *Plan) Remainder() int64 {
 	if !p.InForce() || !p.Pooled {
 		return Unlimited
 	}
--- a/internal/system/scheduler/audit.go
+++ b/internal/system/scheduler/audit.go
@@ -68,7 +68,7 @@
 func (s *Scheduler) auditJobs() {
 	var missed []state.JobID
 	for id, record := range s.machine.Jobs() {
-		if !record.State.Over() && s.jobs[id] == nil {
+		if !record.State.Finished() && s.jobs[id] == nil {
 			missed = append(missed, id)
 		}
 	}
--- a/internal/system/scheduler/check.go
+++ b/internal/system/scheduler/check.go
@@ -124,7 +124,7 @@
 
 // checkJob checks a job until the comparisons are used up.
 func (s *Scheduler) checkJob(j *job, comparisons *int) error {
-	if j.record.State.Over() {
+	if j.record.State.Finished() {
 		return fmt.Errorf("is over with state %s", j.record.State)
 	}
 	if s.pending.contains(j) == j.begun {
@@ -186,7 +186,7 @@
 func (s *Scheduler) checkPending() error {
 	for route, queue := range s.pending {
 		for id := range queue {
-			if record := s.machine.Job(id); record == nil || record.State.Over() {
+			if record := s.machine.Job(id); record == nil || record.State.Finished() {
 				return fmt.Errorf("job %s of %q is over but counts as pending", id, route)
 			}
 		}
--- a/internal/system/scheduler/check_test.go
+++ b/internal/system/scheduler/check_test.go
@@ -13,7 +13,7 @@
 // wideJob returns a job with one step of many waiting tasks.
 func wideJob(tasks int) *job {
 	record := &state.Job{JobAccepted: state.JobAccepted{ID: 1, Route: "barn"}, Spec: &jobspec.Spec{Stages: []jobspec.Stage{{Count: tasks}}},
-		Times: map[uint32]*state.Time{0: {Steps: []state.Step{{Tasks: make([]state.Task, tasks)}}}}}
+		Times: map[uint32]*state.Occurrence{0: {Steps: []state.Step{{Tasks: make([]state.Task, tasks)}}}}}
 	j := &job{record: record, occurrences: map[uint32]*occurrence{}}
 	t := &occurrence{steps: make([]*step, 1)}
 	j.occurrences[0] = t
--- a/internal/system/scheduler/estimates.go
+++ b/internal/system/scheduler/estimates.go
@@ -41,7 +41,7 @@
 // expectedRunTime estimates the run time of a step's tasks on a sound worker near its data.
 func (s *Scheduler) expectedRunTime(st *step) time.Duration {
 	known := s.estimateOf(st)
-	if known.Measured() < minMeasuredRuns {
+	if known.Runs() < minMeasuredRuns {
 		return max(st.stage.Estimated, minRunTime)
 	}
 	return max(known.Size(st.stage.Estimated), minRunTime)
@@ -49,7 +49,7 @@
 
 // observeArrival records the sizes of a step that became ready.
 func (s *Scheduler) observeArrival(st *step) {
-	s.estimateOf(st).Hinted(max(st.stage.Estimated, minRunTime))
+	s.estimateOf(st).ObserveHint(max(st.stage.Estimated, minRunTime))
 	st.runTime = s.expectedRunTime(st)
 	for range min(len(st.tasks), maxSizesPerStep) {
 		st.service.sizes.Observe(st.runTime)
@@ -65,7 +65,7 @@
 	took := max(s.now-r.orderedAt, minRunTime)
 	sound := time.Duration(float64(took) / s.dataPenalty(st, w))
 	if w.health.slowness() < slowThreshold {
-		s.estimateOf(st).Observe(max(st.stage.Estimated, minRunTime), sound)
+		s.estimateOf(st).ObserveRun(max(st.stage.Estimated, minRunTime), sound)
 	}
 	w.health.observe(float64(sound) / float64(st.runTime))
 }
@@ -111,7 +111,7 @@
 const overdueMargin = 500 * time.Millisecond
 
 // learnFromEnd updates the worker's health and the class estimate from an end.
-func (s *Scheduler) learnFromEnd(r *run, how state.How) {
+func (s *Scheduler) learnFromEnd(r *run, how state.EndReason) {
 	if r.step == nil || r.foreign {
 		return
 	}
--- a/internal/system/scheduler/jobs.go
+++ b/internal/system/scheduler/jobs.go
@@ -35,8 +35,8 @@
 	j := &job{
 		record:        record,
 		accepted:      s.acceptedAt(record),
-		remainingWork: record.Spec.ChainsFrom(),
-		longestChain:  record.Spec.LongestChain(),
+		remainingWork: record.Spec.LongestPathsFrom(),
+		longestChain:  record.Spec.CriticalPath(),
 		occurrences:   make(map[uint32]*occurrence),
 	}
 	s.jobs[record.ID] = j
@@ -70,7 +70,7 @@
 
 // objectiveFrom returns when the objective of an occurrence begins to count, on the monotonic clock.
 func (s *Scheduler) objectiveFrom(j *job, number uint32) time.Duration {
-	if !j.record.Spec.Timed() {
+	if !j.record.Spec.HasSchedule() {
 		return j.accepted
 	}
 	if !s.wall.known {
@@ -80,7 +80,7 @@
 }
 
 func (s *Scheduler) jobAccepted(result *state.Result) {
-	if result.Outcome != state.Applied || len(result.Jobs) == 0 || result.Jobs[0].State.Over() {
+	if result.Outcome != state.Applied || len(result.Jobs) == 0 || result.Jobs[0].State.Finished() {
 		return
 	}
 	s.openJob(s.trackJob(result.Jobs[0]))
@@ -91,7 +91,7 @@
 	for _, number := range slices.Sorted(maps.Keys(j.record.Times)) {
 		s.openOccurrence(j, number)
 	}
-	if j.record.Spec.Timed() {
+	if j.record.Spec.HasSchedule() {
 		s.queueNextOccurrence(j)
 		return
 	}
@@ -129,7 +129,7 @@
 }
 
 func occurrenceDone(record *state.Job, number uint32) bool {
-	t := record.Time(number)
+	t := record.Occurrence(number)
 	if t == nil {
 		return false
 	}
--- a/internal/system/scheduler/lateness.go
+++ b/internal/system/scheduler/lateness.go
@@ -131,7 +131,7 @@
 }
 
 // wastedPart returns the part for a run that ended without success.
-func wastedPart(how state.How) Part {
+func wastedPart(how state.EndReason) Part {
 	if how == state.Failed {
 		return PartFailed
 	}
--- a/internal/system/scheduler/lateness_test.go
+++ b/internal/system/scheduler/lateness_test.go
@@ -62,7 +62,7 @@
 }
 
 func TestRunsThatEndWithoutFailureCountAsStopped(t *testing.T) {
-	for _, how := range []state.How{state.Stopped, state.Lapsed, state.Broken, state.Alone} {
+	for _, how := range []state.EndReason{state.Stopped, state.Lapsed, state.GangBroken, state.GangIncomplete} {
 		assert.Equal(t, PartStopped, wastedPart(how))
 	}
 }
--- a/internal/system/scheduler/lists.go
+++ b/internal/system/scheduler/lists.go
@@ -76,7 +76,7 @@
 }
 
 // endHow converts the way in which a run ended. An unknown one counts as stopped, which uses up no attempt.
-func endHow(how workerapi.How) state.How {
+func endHow(how workerapi.How) state.EndReason {
 	switch how {
 	case workerapi.HowDone:
 		return state.Done
@@ -85,9 +85,9 @@
 	case workerapi.HowLapsed:
 		return state.Lapsed
 	case workerapi.HowBroken:
-		return state.Broken
+		return state.GangBroken
 	case workerapi.HowAlone:
-		return state.Alone
+		return state.GangIncomplete
 	}
 	return state.Stopped
 }
--- a/internal/system/scheduler/pending_test.go
+++ b/internal/system/scheduler/pending_test.go
@@ -39,9 +39,9 @@
 		"saved":      {Tasks: []state.Task{{Checkpoint: "text"}}},
 		"gang broke": {Tasks: []state.Task{{}}, GangFailures: 1},
 	} {
-		record := &state.Job{Times: map[uint32]*state.Time{0: {Steps: []state.Step{step}}}}
+		record := &state.Job{Times: map[uint32]*state.Occurrence{0: {Steps: []state.Step{step}}}}
 		assert.True(t, hasBegun(record), name)
 	}
 	ordered := state.Step{Tasks: []state.Task{{Attempt: 2, Placements: []state.Placement{{Attempt: 2, Worker: "i-1"}}}}}
-	assert.False(t, hasBegun(&state.Job{Times: map[uint32]*state.Time{0: {Steps: []state.Step{ordered}}}}), "a placement proves no begin")
+	assert.False(t, hasBegun(&state.Job{Times: map[uint32]*state.Occurrence{0: {Steps: []state.Step{ordered}}}}), "a placement proves no begin")
 }
--- a/internal/system/scheduler/placement.go
+++ b/internal/system/scheduler/placement.go
@@ -154,7 +154,7 @@
 	}
 	s.scratch.accepted = accepted
 	candidate := sizing.Task{Remaining: s.runTimeOn(st, w), Deadline: st.deadline()}
-	return s.scratch.demand.Passes(s.now, lanes, accepted, candidate)
+	return s.scratch.demand.Admits(s.now, lanes, accepted, candidate)
 }
 
 // chooseNear returns the best worker in the rack of the step's data.
--- a/internal/system/scheduler/scheduler.go
+++ b/internal/system/scheduler/scheduler.go
@@ -130,7 +130,7 @@
 func (s *Scheduler) rebuild() {
 	ids := slices.Sorted(maps.Keys(s.machine.Jobs()))
 	for _, id := range ids {
-		if record := s.machine.Job(id); !record.State.Over() {
+		if record := s.machine.Job(id); !record.State.Finished() {
 			s.trackJob(record)
 		}
 	}
--- a/internal/system/scheduler/scheduler_test.go
+++ b/internal/system/scheduler/scheduler_test.go
@@ -112,7 +112,7 @@
 		return w.violation
 	}
 	for id, j := range w.jobs {
-		if !j.state.Over() {
+		if !j.state.Finished() {
 			return fmt.Errorf("seed %d: LOST: job %v is not over at %v: %+v", w.seed, id, w.now, w.sched.Why(id))
 		}
 	}
@@ -122,7 +122,7 @@
 func (w *simCluster) unfinishedJobs() int {
 	open := 0
 	for _, j := range w.jobs {
-		if !j.state.Over() {
+		if !j.state.Finished() {
 			open++
 		}
 	}
--- a/internal/system/scheduler/shares.go
+++ b/internal/system/scheduler/shares.go
@@ -8,7 +8,7 @@
 // shares limits what is proposed to the tenants' shares of accelerators. It only avoids useless proposals: the replicated state alone
 // ensures that no share is exceeded.
 type shares struct {
-	tracker      *quota.Desk
+	tracker      *quota.ProposalTracker
 	proposed     map[state.Run]claim
 	reservations map[string]*shareReservation // by tenant
 	released     bool                         // a reservation was ended since the last dispatch
@@ -22,7 +22,7 @@
 }
 
 func newShares(ledger *quota.Ledger) shares {
-	return shares{tracker: quota.NewDesk(ledger), proposed: make(map[state.Run]claim), reservations: make(map[string]*shareReservation)}
+	return shares{tracker: quota.NewProposalTracker(ledger), proposed: make(map[state.Run]claim), reservations: make(map[string]*shareReservation)}
 }
 
 // propose records the claim of a proposed start.
@@ -64,7 +64,7 @@
 
 // changed reports, once, whether blocked steps are to be tried again.
 func (s *shares) changed() bool {
-	changed := s.tracker.Moved() || s.released
+	changed := s.tracker.CapacityFreed() || s.released
 	s.released = false
 	return changed
 }
--- a/internal/system/scheduler/simchecks_test.go
+++ b/internal/system/scheduler/simchecks_test.go
@@ -105,7 +105,7 @@
 			}
 		}
 	}
-	if j.spec.Timed() && w.unixMs()+int64(w.bounds.EarlyMs) < j.spec.DueAt(r.name.Task.Time).Milliseconds() {
+	if j.spec.HasSchedule() && w.unixMs()+int64(w.bounds.EarlyMs) < j.spec.DueAt(r.name.Task.Time).Milliseconds() {
 		w.violated("ORDER", "%v was started before its due time", r.name)
 	}
 }
--- a/internal/system/scheduler/simjobs_test.go
+++ b/internal/system/scheduler/simjobs_test.go
@@ -75,7 +75,7 @@
 }
 
 func (w *simCluster) prepareTasks(j *simJob, ownFailures int) {
-	for k := range uint32(j.spec.Times()) {
+	for k := range uint32(j.spec.OccurrenceCount()) {
 		for s := range j.spec.Stages {
 			step := &simStep{ownFailures: ownFailures}
 			j.steps[[2]uint32{k, uint32(s)}] = step
--- a/internal/system/scheduler/timers.go
+++ b/internal/system/scheduler/timers.go
@@ -100,7 +100,7 @@
 
 // queueNextOccurrence queues the next occurrence of a timed job.
 func (s *Scheduler) queueNextOccurrence(j *job) {
-	if j.nextOccurrence < j.record.TimeCount() {
+	if j.nextOccurrence < j.record.OccurrenceCount() {
 		heap.Push(&s.occurrenceQueue.heap, dueOccurrence{unixMs: j.record.DueMs(j.nextOccurrence), job: j.record.ID})
 	}
 }
--- a/internal/system/state/admission_test.go
+++ b/internal/system/state/admission_test.go
@@ -16,7 +16,7 @@
 func (w *admitters) submit() {
 	held := 0
 	for _, job := range w.machine.Jobs() {
-		if !job.State.Over() {
+		if !job.State.Finished() {
 			held++
 		}
 	}
@@ -49,7 +49,7 @@
 		return
 	}
 	runs := slices.SortedFunc(maps.Keys(record.Runs), func(a, b state.Run) int { return a.Task.Compare(b.Task) })
-	how := []state.How{state.Done, state.Done, state.Failed, state.Stopped, state.Lapsed}[w.random.IntN(5)]
+	how := []state.EndReason{state.Done, state.Done, state.Failed, state.Stopped, state.Lapsed}[w.random.IntN(5)]
 	end := state.End{Run: runs[w.random.IntN(len(runs))], Number: record.LastSeen + 1, How: how}
 	w.commit(proposal{command: state.Command{Kind: state.KindTasksEnded,
 		TasksEnded: &state.TasksEnded{Worker: worker, Ends: []state.End{end}}}})
--- a/internal/system/state/admitters_test.go
+++ b/internal/system/state/admitters_test.go
@@ -24,7 +24,7 @@
 type admitter struct {
 	machine *state.Machine
 	seen    int // entries of the chain that it has applied
-	desk    *quota.Desk
+	desk    *quota.ProposalTracker
 	flying  map[state.TaskName]int64  // what its own proposals need: the chain may have ended their jobs meanwhile
 	placed  map[string]int64          // accelerators of its own proposals, by worker
 	held    map[state.TaskName]string // tasks that their share kept back, until that may have changed
@@ -66,7 +66,7 @@
 }
 
 func newAdmitter(machine *state.Machine, seen int) *admitter {
-	return &admitter{machine: machine, seen: seen, desk: quota.NewDesk(machine.Quotas()), flying: map[state.TaskName]int64{},
+	return &admitter{machine: machine, seen: seen, desk: quota.NewProposalTracker(machine.Quotas()), flying: map[state.TaskName]int64{},
 		placed: map[string]int64{}, held: map[state.TaskName]string{}}
 }
 
@@ -105,7 +105,7 @@
 	if promised, named := plan.Promised[tenant]; named {
 		return promised - used[tenant]
 	}
-	rest := plan.Rest()
+	rest := plan.Remainder()
 	if rest == quota.Unlimited {
 		return rest
 	}
@@ -214,7 +214,7 @@
 
 // admit proposes what a replica thinks may start. A task that its share has kept back is tried again only when the desk says so.
 func (w *admitters) admit(a *admitter) bool {
-	if a.desk.Moved() {
+	if a.desk.CapacityFreed() {
 		clear(a.held)
 	}
 	var starts []state.Start
--- a/internal/system/state/audit.go
+++ b/internal/system/state/audit.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// AuditEvery is after how many entries of the chain a digest is taken.
-	AuditEvery = 64
+	// AuditInterval is after how many entries of the chain a digest is taken.
+	AuditInterval = 64
 	// AuditFormat stands for what goes into a digest and how. It has to be raised with any change of that, so that replicas of two versions
 	// don't compare what can't be the same.
 	AuditFormat = 1
@@ -16,33 +16,33 @@
 	auditJobs = 128
 )
 
-// Audit sums up what entries come to, so that replicas can compare. Digests are taken after each AuditEvery entries, over those entries, the
+// Audit sums up what entries come to, so that replicas can compare. Digests are taken after each AuditInterval entries, over those entries, the
 // outcome of each, and a part of the state after the last; as many digests in a row as there are parts cover the whole state. It belongs
 // to one goroutine.
 type Audit struct {
 	next uint64 // the index that follows
-	sum  uint64 // over the entries since the last multiple of AuditEvery
+	sum  uint64 // over the entries since the last multiple of AuditInterval
 	gap  bool   // not all of those were seen
 }
 
 // NewAudit follows a state after all entries up to an index.
 func NewAudit(index uint64) *Audit {
-	return &Audit{next: index + 1, gap: index%AuditEvery != 0}
+	return &Audit{next: index + 1, gap: index%AuditInterval != 0}
 }
 
-// Applied takes in the next entry and what it came to; an empty entry has no result. It gives the digest where one is due; none is given
+// RecordEntry takes in the next entry and what it came to; an empty entry has no result. It gives the digest where one is due; none is given
 // for a run of entries of which not all were seen.
-func (a *Audit) Applied(index uint64, data []byte, result *Result, machine *Machine) (digest uint64, due bool) {
+func (a *Audit) RecordEntry(index uint64, data []byte, result *Result, machine *Machine) (digest uint64, due bool) {
 	a.gap = a.gap || index != a.next
 	a.next = index + 1
 	a.add(crc64.Checksum(data, sumTable))
 	if result != nil {
 		a.outcome(result)
 	}
-	if index%AuditEvery != 0 {
+	if index%AuditInterval != 0 {
 		return 0, false
 	}
-	digest, due = mix(a.sum^machine.digest(index/AuditEvery)), !a.gap
+	digest, due = mix(a.sum^machine.digest(index/AuditInterval)), !a.gap
 	a.sum, a.gap = 0, false
 	return digest, due
 }
--- a/internal/system/state/audit_test.go
+++ b/internal/system/state/audit_test.go
@@ -24,11 +24,11 @@
 func (a *audited) feed(command *Command) (digest uint64, due bool) {
 	a.index++
 	if command == nil {
-		return a.audit.Applied(a.index, nil, nil, a.Machine)
+		return a.audit.RecordEntry(a.index, nil, nil, a.Machine)
 	}
 	data := command.Encode()
 	result := a.ApplyBytes(data)
-	return a.audit.Applied(a.index, data, &result, a.Machine)
+	return a.audit.RecordEntry(a.index, data, &result, a.Machine)
 }
 
 // restored is the same state by way of a snapshot.
@@ -43,15 +43,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a := newAudited(0)
 		var other *audited
-		from := rapid.IntRange(0, 2*AuditEvery).Draw(t, "from")
+		from := rapid.IntRange(0, 2*AuditInterval).Draw(t, "from")
 		compared := 0
-		for i := range 4 * AuditEvery {
+		for i := range 4 * AuditInterval {
 			if i == from {
 				other = a.restored(t)
 			}
 			command := drawCommand(t)
 			digest, due := a.feed(&command)
-			require.Equal(t, (i+1)%AuditEvery == 0, due)
+			require.Equal(t, (i+1)%AuditInterval == 0, due)
 			if other == nil {
 				continue
 			}
@@ -83,7 +83,7 @@
 	for jobs := len(one.jobs); jobs >= auditJobs; jobs /= 2 {
 		turns *= 2
 	}
-	for range (turns + 2) * AuditEvery {
+	for range (turns + 2) * AuditInterval {
 		digest, due := one.feed(nil)
 		again, dueToo := other.feed(nil)
 		require.True(t, due == dueToo || !dueToo)
@@ -134,7 +134,7 @@
 	lose := Command{Kind: KindWorkerLost, WorkerLost: "none"}
 	run := func(last func(a *audited)) uint64 {
 		a := newAudited(0)
-		for range AuditEvery - 2 {
+		for range AuditInterval - 2 {
 			a.feed(nil)
 		}
 		last(a)
@@ -150,13 +150,13 @@
 		a.index++
 		result := a.Apply(cancel)
 		result.Outcome = Repeated
-		a.audit.Applied(a.index, cancel.Encode(), &result, a.Machine)
+		a.audit.RecordEntry(a.index, cancel.Encode(), &result, a.Machine)
 	}), "another outcome")
 	touched := func(state JobState) uint64 {
 		return run(func(a *audited) {
 			a.index++
 			job := &Job{JobAccepted: JobAccepted{ID: 1}, State: state}
-			a.audit.Applied(a.index, cancel.Encode(), &Result{Jobs: []*Job{job}}, a.Machine)
+			a.audit.RecordEntry(a.index, cancel.Encode(), &Result{Jobs: []*Job{job}}, a.Machine)
 		})
 	}
 	assert.NotEqual(t, touched(Pending), touched(Running), "another effect on a job")
@@ -165,19 +165,19 @@
 // A digest of which entries are missing can't be compared, and isn't given.
 func TestADigestNeedsAllItsEntries(t *testing.T) {
 	m := New()
-	for _, start := range []uint64{0, 1, AuditEvery - 1, AuditEvery} {
+	for _, start := range []uint64{0, 1, AuditInterval - 1, AuditInterval} {
 		a := NewAudit(start)
-		for index := start + 1; index <= 2*AuditEvery; index++ {
-			_, due := a.Applied(index, nil, nil, m)
-			assert.Equal(t, index%AuditEvery == 0 && index >= start+AuditEvery, due, "from %d at %d", start, index)
+		for index := start + 1; index <= 2*AuditInterval; index++ {
+			_, due := a.RecordEntry(index, nil, nil, m)
+			assert.Equal(t, index%AuditInterval == 0 && index >= start+AuditInterval, due, "from %d at %d", start, index)
 		}
 	}
 	a := NewAudit(0)
-	for index := uint64(1); index <= AuditEvery; index++ {
+	for index := uint64(1); index <= AuditInterval; index++ {
 		if index == 5 {
 			continue
 		}
-		_, due := a.Applied(index, nil, nil, m)
+		_, due := a.RecordEntry(index, nil, nil, m)
 		assert.False(t, due)
 	}
 }
--- a/internal/system/state/capture.go
+++ b/internal/system/state/capture.go
@@ -59,7 +59,7 @@
 	if c == nil {
 		return
 	}
-	if all := command.Touched(c.keep); all {
+	if all := command.AffectedJobs(c.keep); all {
 		c.keepRunsOf(command.WorkerLost)
 	}
 }
--- a/internal/system/state/command.go
+++ b/internal/system/state/command.go
@@ -85,30 +85,30 @@
 type End struct {
 	Run
 	Number     uint64
-	How        How
+	How        EndReason
 	Checkpoint string
 }
 
-// How tells in which way a run ended.
-type How byte
+// EndReason tells in which way a run ended.
+type EndReason byte
 
 // The ways in which a run ends.
 const (
-	Done How = iota + 1
+	Done EndReason = iota + 1
 	Failed
 	Stopped
 	Lapsed
-	Broken // another member of its gang ended
-	Alone  // it waited too long for the others of its gang
+	GangBroken     // another member of its gang ended
+	GangIncomplete // it waited too long for the others of its gang
 )
 
-var howNames = map[How]string{Done: "done", Failed: "failed", Stopped: "stopped", Lapsed: "lapsed", Broken: "broken", Alone: "alone"}
+var howNames = map[EndReason]string{Done: "done", Failed: "failed", Stopped: "stopped", Lapsed: "lapsed", GangBroken: "broken", GangIncomplete: "alone"}
 
 // String gives the word that workers use.
-func (h How) String() string { return howNames[h] }
+func (h EndReason) String() string { return howNames[h] }
 
-// ParseHow reads the word that workers use; a word that isn't known counts as Stopped, which spends no attempt.
-func ParseHow(word string) How {
+// ParseEndReason reads the word that workers use; a word that isn't known counts as Stopped, which spends no attempt.
+func ParseEndReason(word string) EndReason {
 	for how, name := range howNames {
 		if name == word {
 			return how
@@ -156,9 +156,9 @@
 	return w.data
 }
 
-// Touched calls touch with each job that the command may change, some of them more than once. all is true where any job may be
+// AffectedJobs calls touch with each job that the command may change, some of them more than once. all is true where any job may be
 // among them, as that depends on the state; it isn't called then.
-func (c *Command) Touched(touch func(JobID)) (all bool) {
+func (c *Command) AffectedJobs(touch func(JobID)) (all bool) {
 	switch c.Kind {
 	case KindJobAccepted:
 		touch(c.JobAccepted.ID)
@@ -250,7 +250,7 @@
 func (r *reader) ended() *TasksEnded {
 	ended := &TasksEnded{Worker: r.string(), Ends: make([]End, r.count())}
 	for i := range ended.Ends {
-		ended.Ends[i] = End{Run: r.run(), Number: r.uint(), How: How(r.byte()), Checkpoint: r.string()}
+		ended.Ends[i] = End{Run: r.run(), Number: r.uint(), How: EndReason(r.byte()), Checkpoint: r.string()}
 	}
 	return ended
 }
--- a/internal/system/state/ends.go
+++ b/internal/system/state/ends.go
@@ -21,10 +21,10 @@
 	if task == nil || end.Attempt > task.Attempt {
 		return
 	}
-	if end.Checkpoint != "" && !job.State.Over() {
+	if end.Checkpoint != "" && !job.State.Finished() {
 		task.Checkpoint = end.Checkpoint
 	}
-	if !job.State.Over() {
+	if !job.State.Finished() {
 		m.count(job, task, end, result)
 	}
 	m.removePlacement(job, end.Run)
@@ -86,7 +86,7 @@
 
 // advance completes a job all of whose tasks are done.
 func (m *Machine) advance(job *Job, result *Result) {
-	if uint32(len(job.Times)) < job.TimeCount() {
+	if uint32(len(job.Times)) < job.OccurrenceCount() {
 		return
 	}
 	for _, time := range job.Times {
--- a/internal/system/state/guards_test.go
+++ b/internal/system/state/guards_test.go
@@ -28,7 +28,7 @@
 	return len(m.Apply(Command{Kind: KindTasksStarting, TasksStarting: starts}).Started)
 }
 
-func (m *Machine) ended(worker string, number uint64, run Run, how How) Result {
+func (m *Machine) ended(worker string, number uint64, run Run, how EndReason) Result {
 	ends := []End{{Run: run, Number: number, How: how}}
 	return m.Apply(Command{Kind: KindTasksEnded, TasksEnded: &TasksEnded{Worker: worker, Ends: ends}})
 }
--- a/internal/system/state/job.go
+++ b/internal/system/state/job.go
@@ -30,8 +30,8 @@
 	return "unknown"
 }
 
-// Over tells whether the job starts nothing any more.
-func (s JobState) Over() bool { return s >= Completed }
+// Finished tells whether the job starts nothing any more.
+func (s JobState) Finished() bool { return s >= Completed }
 
 // Job is an accepted job.
 type Job struct {
@@ -41,13 +41,13 @@
 	// OverMs is the time of day at which it was over, as the command that ended it told or, failing that, when it was accepted.
 	OverMs int64
 	// Times holds each due time of which something was started, by its number.
-	Times map[uint32]*Time
+	Times map[uint32]*Occurrence
 	// Runs is how many runs may exist on workers.
 	Runs int
 }
 
-// Time is one run through the steps of a job.
-type Time struct {
+// Occurrence is one run through the steps of a job.
+type Occurrence struct {
 	Steps []Step
 	open  int
 }
@@ -76,8 +76,8 @@
 	Worker  string
 }
 
-// Time gives due time k, nil while nothing of it was started.
-func (j *Job) Time(k uint32) *Time { return j.Times[k] }
+// Occurrence gives due time k, nil while nothing of it was started.
+func (j *Job) Occurrence(k uint32) *Occurrence { return j.Times[k] }
 
 // Task gives a task's record, nil while nothing of its due time was started or when there is no such task.
 func (j *Job) Task(name TaskName) *Task {
@@ -107,25 +107,25 @@
 	return true
 }
 
-// TimeCount is how many due times the job has, one if it isn't timed.
-func (j *Job) TimeCount() uint32 {
-	return uint32(j.Spec.Times())
+// OccurrenceCount is how many due times the job has, one if it isn't timed.
+func (j *Job) OccurrenceCount() uint32 {
+	return uint32(j.Spec.OccurrenceCount())
 }
 
 // DueMs is the time of day, in milliseconds since 1970, before which due time k must not start; 0 if the job isn't timed.
 func (j *Job) DueMs(k uint32) int64 {
-	if !j.Spec.Timed() {
+	if !j.Spec.HasSchedule() {
 		return 0
 	}
 	return j.Spec.DueAt(k).Milliseconds()
 }
 
 // openTime gives due time k, made when it is first asked for.
-func (j *Job) openTime(k uint32) *Time {
+func (j *Job) openTime(k uint32) *Occurrence {
 	if time := j.Times[k]; time != nil {
 		return time
 	}
-	time := &Time{Steps: make([]Step, len(j.Spec.Stages)), open: len(j.Spec.Stages)}
+	time := &Occurrence{Steps: make([]Step, len(j.Spec.Stages)), open: len(j.Spec.Stages)}
 	for i := range time.Steps {
 		count := j.Spec.Stages[i].Count
 		time.Steps[i] = Step{Tasks: make([]Task, count), Open: count}
@@ -143,7 +143,7 @@
 
 // release drops what only a job that runs needs.
 func (j *Job) release() {
-	if !j.State.Over() || j.Runs > 0 {
+	if !j.State.Finished() || j.Runs > 0 {
 		return
 	}
 	j.Times, j.Spec, j.Body = nil, nil, nil
--- a/internal/system/state/machine.go
+++ b/internal/system/state/machine.go
@@ -127,7 +127,7 @@
 		result.Outcome = Malformed
 		return
 	}
-	job := &Job{JobAccepted: *accepted, Spec: spec, Times: map[uint32]*Time{}}
+	job := &Job{JobAccepted: *accepted, Spec: spec, Times: map[uint32]*Occurrence{}}
 	m.jobs[job.ID] = job
 	m.pending[job.Route]++
 	result.Jobs = append(result.Jobs, job)
@@ -143,7 +143,7 @@
 		return
 	}
 	result.Jobs = append(result.Jobs, job)
-	if job.State.Over() {
+	if job.State.Finished() {
 		result.Outcome = Repeated
 		return
 	}
@@ -152,7 +152,7 @@
 
 // finish moves a job into a final state.
 func (m *Machine) finish(job *Job, state JobState, atMs int64, result *Result) {
-	if job.State.Over() {
+	if job.State.Finished() {
 		result.breaks("job %s, %s, is finished as %s", job.ID, job.State, state)
 	}
 	if m.pending[job.Route] <= 0 {
@@ -215,7 +215,7 @@
 
 func (m *Machine) forget(ids []JobID) {
 	for _, id := range ids {
-		if job := m.jobs[id]; job != nil && job.State.Over() && job.Runs == 0 {
+		if job := m.jobs[id]; job != nil && job.State.Finished() && job.Runs == 0 {
 			delete(m.jobs, id)
 		}
 	}
--- a/internal/system/state/machine_test.go
+++ b/internal/system/state/machine_test.go
@@ -86,7 +86,7 @@
 	case KindTasksEnded:
 		ended := &TasksEnded{Worker: drawWorker(t), Ends: make([]End, rapid.IntRange(1, 4).Draw(t, "ends"))}
 		for i := range ended.Ends {
-			how := How(rapid.IntRange(int(Done), int(Alone)).Draw(t, "how"))
+			how := EndReason(rapid.IntRange(int(Done), int(GangIncomplete)).Draw(t, "how"))
 			number := rapid.Uint64Range(1, 60).Draw(t, "number")
 			ended.Ends[i] = End{Run: drawRun(t), Number: number, How: how, Checkpoint: drawText(t)}
 		}
--- a/internal/system/state/snapshot.go
+++ b/internal/system/state/snapshot.go
@@ -145,7 +145,7 @@
 		if err != nil {
 			return fmt.Errorf("snapshot's job %s: %w", job.ID, err)
 		}
-		job.Spec, job.Times = spec, map[uint32]*Time{}
+		job.Spec, job.Times = spec, map[uint32]*Occurrence{}
 	}
 	for range times {
 		if job.Spec == nil {
@@ -158,7 +158,7 @@
 	}
 	m.chargeAll(job)
 	m.jobs[job.ID] = job
-	if !job.State.Over() {
+	if !job.State.Finished() {
 		m.pending[job.Route]++
 	}
 	return nil
--- a/internal/system/state/starts.go
+++ b/internal/system/state/starts.go
@@ -3,11 +3,11 @@
 // MayStart tells whether the intent to start a run holds in the present state, but for its tenant's share.
 func (m *Machine) MayStart(start *Start) bool {
 	job := m.jobs[start.Task.Job]
-	if job == nil || job.State.Over() || int(start.Task.Step) >= len(job.Spec.Stages) {
+	if job == nil || job.State.Finished() || int(start.Task.Step) >= len(job.Spec.Stages) {
 		return false
 	}
 	stage := &job.Spec.Stages[start.Task.Step]
-	if int(start.Task.Index) >= stage.Count || start.Task.Time >= job.TimeCount() || !job.StepReady(start.Task.Time, start.Task.Step) {
+	if int(start.Task.Index) >= stage.Count || start.Task.Time >= job.OccurrenceCount() || !job.StepReady(start.Task.Time, start.Task.Step) {
 		return false
 	}
 	task := job.Task(start.Task)
--- a/internal/system/state/touched_test.go
+++ b/internal/system/state/touched_test.go
@@ -26,7 +26,7 @@
 			before := m.snapshots()
 			command := drawCommand(t)
 			touched := map[JobID]bool{}
-			all := command.Touched(func(id JobID) { touched[id] = true })
+			all := command.AffectedJobs(func(id JobID) { touched[id] = true })
 			m.Apply(command)
 			after := m.snapshots()
 			for id := range before {
--- a/policy/estimate_sizing_test.go
+++ b/policy/estimate_sizing_test.go
@@ -19,14 +19,14 @@
 		for range rapid.IntRange(1, 400).Draw(t, "tasks") {
 			hint, measured := duration.Draw(t, "hint"), duration.Draw(t, "measured")
 			line.hinted(math.Log(float64(hint)))
-			estimator.Hinted(hint)
+			estimator.ObserveHint(hint)
 			if size := line.size(float64(hint)); size < math.MaxInt64 {
 				require.Equal(t, time.Duration(size), estimator.Size(hint))
 			} else {
 				require.Equal(t, time.Duration(math.MaxInt64), estimator.Size(hint))
 			}
 			line.learn(math.Log(float64(hint)), math.Log(float64(measured)))
-			estimator.Observe(hint, measured)
+			estimator.ObserveRun(hint, measured)
 		}
 	})
 }
--- a/policy/sizing/demand.go
+++ b/policy/sizing/demand.go
@@ -19,20 +19,20 @@
 	free []time.Duration // when each lane is free, ascending
 }
 
-// Passes tells whether the new task, and each accepted one that it delays, ends by its deadline. See Ends.
-func (d *Demand) Passes(now time.Duration, lanes int, accepted []Task, candidate Task) bool {
-	_, ok := d.Ends(now, lanes, accepted, candidate)
+// Admits tells whether the new task, and each accepted one that it delays, ends by its deadline. See Ends.
+func (d *Demand) Admits(now time.Duration, lanes int, accepted []Task, candidate Task) bool {
+	_, ok := d.EndTime(now, lanes, accepted, candidate)
 	return ok
 }
 
-// Ends tells when a new task ends if it is let onto the lanes, and whether it and each accepted one that it delays ends by
+// EndTime tells when a new task ends if it is let onto the lanes, and whether it and each accepted one that it delays ends by
 // its deadline. Counted from now, started tasks run on, and the others start by deadline, the new one behind its equals, none
 // before the one ahead of it. Accepted tasks are sorted by deadline. Those ahead of the new one are not judged: it doesn't
 // delay them.
 //
 // The answer holds, too, if runs turn out shorter than told. With one lane a set that fails can't be run in time in any other
 // order either. A test takes O(len(accepted) x lanes), and doesn't allocate but for more lanes than ever before.
-func (d *Demand) Ends(now time.Duration, lanes int, accepted []Task, candidate Task) (ends time.Duration, ok bool) {
+func (d *Demand) EndTime(now time.Duration, lanes int, accepted []Task, candidate Task) (ends time.Duration, ok bool) {
 	if width(candidate) > lanes {
 		return 0, false
 	}
--- a/policy/sizing/demand_test.go
+++ b/policy/sizing/demand_test.go
@@ -50,7 +50,7 @@
 		candidate, accepted := tasks[0], tasks[1:]
 		sortByDeadline(accepted)
 		want := inSomeOrder(demandNow, tasks)
-		require.Equal(t, want, demand.Passes(demandNow, 1, accepted, candidate))
+		require.Equal(t, want, demand.Admits(demandNow, 1, accepted, candidate))
 	})
 }
 
@@ -116,7 +116,7 @@
 		for i := at; i < len(order); i++ {
 			want = want && wantEnds[i] <= order[i].Deadline
 		}
-		ends, ok := demand.Ends(demandNow, lanes, accepted, candidate)
+		ends, ok := demand.EndTime(demandNow, lanes, accepted, candidate)
 		require.Equal(t, want, ok)
 		require.Equal(t, wantEnds[at], ends)
 	})
@@ -141,7 +141,7 @@
 // What passes still passes when runs turn out shorter.
 func TestDemandHoldsForShorterRuns(t *testing.T) {
 	var demand Demand
-	passes := func(of demandOf) bool { return demand.Passes(demandNow, of.lanes, of.accepted, of.candidate) }
+	passes := func(of demandOf) bool { return demand.Admits(demandNow, of.lanes, of.accepted, of.candidate) }
 	passing := rapid.Custom(drawDemand).Filter(passes)
 	rapid.Check(t, func(t *rapid.T) {
 		of := passing.Draw(t, "demand")
@@ -158,14 +158,14 @@
 	long := Task{Remaining: 10 * second, Deadline: 20 * second, Started: true}
 	late := Task{Remaining: 5 * second, Deadline: second}
 	brief := Task{Remaining: second, Deadline: 2 * second}
-	assert.False(t, demand.Passes(0, 0, nil, brief), "no lanes")
-	assert.True(t, demand.Passes(0, 1, nil, brief), "an idle lane")
-	assert.False(t, demand.Passes(0, 1, []Task{long}, brief), "behind what runs, whatever its deadline")
-	assert.True(t, demand.Passes(0, 2, []Task{long}, brief), "beside what runs")
-	assert.False(t, demand.Passes(0, 1, nil, Task{Remaining: second, Deadline: 9 * second, Lanes: 2}), "wider than the lanes")
-	assert.True(t, demand.Passes(0, 1, []Task{late}, Task{Remaining: second, Deadline: 9 * second}),
+	assert.False(t, demand.Admits(0, 0, nil, brief), "no lanes")
+	assert.True(t, demand.Admits(0, 1, nil, brief), "an idle lane")
+	assert.False(t, demand.Admits(0, 1, []Task{long}, brief), "behind what runs, whatever its deadline")
+	assert.True(t, demand.Admits(0, 2, []Task{long}, brief), "beside what runs")
+	assert.False(t, demand.Admits(0, 1, nil, Task{Remaining: second, Deadline: 9 * second, Lanes: 2}), "wider than the lanes")
+	assert.True(t, demand.Admits(0, 1, []Task{late}, Task{Remaining: second, Deadline: 9 * second}),
 		"one that is lost already keeps nobody out")
-	assert.True(t, demand.Passes(0, 1, []Task{{Remaining: second, Deadline: 5 * second, Started: true, Lanes: 3}}, brief),
+	assert.True(t, demand.Admits(0, 1, []Task{{Remaining: second, Deadline: 5 * second, Started: true, Lanes: 3}}, brief),
 		"a lane less than what runs")
 }
 
@@ -177,6 +177,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		demand.Passes(0, 16, accepted, Task{Remaining: time.Second, Deadline: time.Hour})
+		demand.Admits(0, 16, accepted, Task{Remaining: time.Second, Deadline: time.Hour})
 	}
 }
--- a/policy/sizing/estimator.go
+++ b/policy/sizing/estimator.go
@@ -32,15 +32,15 @@
 	return Estimator{variance: 1, covariance: untaughtSlope}
 }
 
-// Hinted takes in the hint of a task that arrives. All that arrive count, run or not: those that are run in time are smaller
+// ObserveHint takes in the hint of a task that arrives. All that arrive count, run or not: those that are run in time are smaller
 // than the mean. Call it before Size and Observe for the task.
-func (e *Estimator) Hinted(hint time.Duration) {
+func (e *Estimator) ObserveHint(hint time.Duration) {
 	e.hinted++
 	e.meanHint += (logarithm(hint) - e.meanHint) / min(e.hinted, memory)
 }
 
-// Observe takes in the measured length of a run and the hint that the task came with.
-func (e *Estimator) Observe(hint, measured time.Duration) {
+// ObserveRun takes in the measured length of a run and the hint that the task came with.
+func (e *Estimator) ObserveRun(hint, measured time.Duration) {
 	e.measured++
 	rate := 1 / min(e.measured+prior, memory)
 	size := logarithm(measured)
@@ -59,8 +59,8 @@
 	return duration(math.Exp(e.meanHint + e.shift + e.covariance/e.variance*distance))
 }
 
-// Measured returns how many runs have been taken in.
-func (e *Estimator) Measured() int { return int(e.measured) }
+// Runs returns how many runs have been taken in.
+func (e *Estimator) Runs() int { return int(e.measured) }
 
 // logarithm takes what is not positive for the shortest time there is.
 func logarithm(d time.Duration) float64 { return math.Log(float64(max(d, 1))) }
--- a/policy/sizing/estimator_test.go
+++ b/policy/sizing/estimator_test.go
@@ -23,13 +23,13 @@
 		for range 4000 {
 			hint := time.Duration(middle * math.Exp(rng.NormFloat64()))
 			noise := math.Exp(0.2 * rng.NormFloat64())
-			estimator.Hinted(hint)
-			estimator.Observe(hint, time.Duration(truth(hint)*noise))
+			estimator.ObserveHint(hint)
+			estimator.ObserveRun(hint, time.Duration(truth(hint)*noise))
 		}
 		for _, hint := range []time.Duration{middle / 4, middle, middle * 4} {
 			require.InDelta(t, 0, math.Log(float64(estimator.Size(hint))/truth(hint)), 0.4, "hint %v", hint)
 		}
-		require.Equal(t, 4000, estimator.Measured())
+		require.Equal(t, 4000, estimator.Runs())
 	})
 }
 
@@ -40,9 +40,9 @@
 		estimator := NewEstimator()
 		for range rapid.IntRange(0, 50).Draw(t, "tasks") {
 			hint := durations.Draw(t, "hint")
-			estimator.Hinted(hint)
+			estimator.ObserveHint(hint)
 			require.GreaterOrEqual(t, estimator.Size(hint), time.Duration(0))
-			estimator.Observe(hint, durations.Draw(t, "measured"))
+			estimator.ObserveRun(hint, durations.Draw(t, "measured"))
 		}
 		require.GreaterOrEqual(t, estimator.Size(durations.Draw(t, "last")), time.Duration(0))
 	})
@@ -50,9 +50,9 @@
 
 func TestEstimatorBeforeAnyRun(t *testing.T) {
 	estimator := NewEstimator()
-	estimator.Hinted(time.Second)
+	estimator.ObserveHint(time.Second)
 	assert.InDelta(t, time.Second, estimator.Size(time.Second), 10, "a hint is believed")
 	assert.InDelta(t, time.Second, estimator.Size(0), 10, "no hint stands for the mean one")
 	assert.InDelta(t, 2*time.Second, estimator.Size(4*time.Second), 10, "half of its distance from the mean, as logarithms")
-	assert.Zero(t, estimator.Measured())
+	assert.Zero(t, estimator.Runs())
 }
