--- a/internal/system/scheduler/calls.go
+++ b/internal/system/scheduler/calls.go
@@ -6,7 +6,7 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// CallKind tells what a call orders.
+// CallKind is the kind of order that a call carries.
 type CallKind uint8
 
 // The kinds of call.
@@ -16,9 +16,9 @@
 	CallHold
 )
 
-// Call is one call to a worker; exactly the order that Kind names is set.
+// Call is one call to a worker. Only the order that Kind names is set.
 type Call struct {
-	// ID comes back in the call's CallResult.
+	// ID identifies the call in its CallResult.
 	ID      uint64
 	Kind    CallKind
 	Worker  workerapi.Worker
@@ -28,129 +28,130 @@
 	Timeout time.Duration
 }
 
-// CallResult is the answer to a call or its failure. For starts and stops only the reply's Outcome and ClockMs count.
+// CallResult is the answer to a call or its failure. For starts and stops, only Outcome and ClockMs of the reply are used.
 type CallResult struct {
 	ID    uint64
 	Reply workerapi.HoldReply
 }
 
-// Answers are waited for a few times as long as they usually take, within bounds. A hold has its wait besides.
+// A call times out after a multiple of the mean answer time, within bounds. A hold's own wait is added to that.
 const (
-	shortestTimeout = 120 * time.Millisecond
-	longestTimeout  = 700 * time.Millisecond
-	// timeoutFactor is how many times the mean answer time a call waits; answerMemory is over how many answers that mean goes.
+	minTimeout = 120 * time.Millisecond
+	maxTimeout = 700 * time.Millisecond
+	// timeoutFactor is the multiple of the mean answer time after which a call times out; meanSamples is over how many answers that mean is
+	// taken.
 	timeoutFactor = 8
-	answerMemory  = 24
-	// promptAnswer is up to which mean answer time a missing answer counts as lost: beyond it, this replica or the way is slow itself, and
-	// more calls would make that worse.
-	promptAnswer = 25 * time.Millisecond
-	// slowAnswer is by how much the mean answer may take longer than the quickest of late; promptMemory is over how many answers that one
-	// is forgotten.
-	slowAnswer   = 25 * time.Millisecond
-	promptMemory = 4096
-	// hedgePart is after which part of its time-out a start is sent a second time.
-	hedgePart = 4
-	// firstAnswerTime is the mean before anything was measured.
-	firstAnswerTime = 30 * time.Millisecond
+	meanSamples   = 24
+	// maxMeanForLoss is the mean answer time up to which a missing answer counts as lost. Beyond it, this replica or the network is itself
+	// slow, and more calls would make that worse.
+	maxMeanForLoss = 25 * time.Millisecond
+	// slowMargin is by how much the mean answer time may exceed the baseline; baselineSamples is over how many answers the baseline rises
+	// to a longer time.
+	slowMargin      = 25 * time.Millisecond
+	baselineSamples = 4096
+	// hedgeDivisor sets when a start is sent a second time: after this fraction of its timeout.
+	hedgeDivisor = 4
+	// initialMean is the mean before any measurement.
+	initialMean = 30 * time.Millisecond
 )
 
-// answerTimes is what was learnt of how long workers take to answer, and whether answers are lost on their way.
-type answerTimes struct {
+// callLatency tracks how long workers take to answer and whether answers get lost.
+type callLatency struct {
 	mean time.Duration
-	// prompt is how long the way takes at least, as the quickest of late show.
-	prompt time.Duration
-	// lossyUntil is how long answers are taken to be lost now and then, though the workers are there.
+	// baseline is the shortest recent answer time: roughly the network's round trip.
+	baseline time.Duration
+	// lossyUntil is until when answers count as being lost now and then, although the workers are up.
 	lossyUntil time.Duration
 }
 
 // lossyFor is how long one lost answer counts.
 const lossyFor = 4 * time.Second
 
-// measured takes in how long an answer took.
-func (a *answerTimes) measured(took time.Duration) {
+// observe records one answer time.
+func (a *callLatency) observe(took time.Duration) {
 	if a.mean == 0 {
-		a.mean = firstAnswerTime
+		a.mean = initialMean
 	}
-	a.mean += (took - a.mean) / answerMemory
-	if a.prompt == 0 || took < a.prompt {
-		a.prompt = took
+	a.mean += (took - a.mean) / meanSamples
+	if a.baseline == 0 || took < a.baseline {
+		a.baseline = took
 		return
 	}
-	a.prompt += (took - a.prompt) / promptMemory
+	a.baseline += (took - a.baseline) / baselineSamples
 }
 
-// slow tells whether answers take clearly longer than the way does: this replica has more to do than it gets done, and more calls would make
-// that worse.
-func (a *answerTimes) slow() bool { return a.mean-a.prompt > slowAnswer }
+// slow reports whether answers take clearly longer than the baseline. Then this replica is overloaded, and more calls would make that
+// worse.
+func (a *callLatency) slow() bool { return a.mean-a.baseline > slowMargin }
 
-// timeout is how long a call waits for its answer.
-func (a *answerTimes) timeout() time.Duration {
+// timeout returns how long a call waits for its answer.
+func (a *callLatency) timeout() time.Duration {
 	mean := a.mean
 	if mean == 0 {
-		mean = firstAnswerTime
+		mean = initialMean
 	}
-	return min(max(timeoutFactor*mean, shortestTimeout), longestTimeout)
+	return min(max(timeoutFactor*mean, minTimeout), maxTimeout)
 }
 
-// hedge is after how long without an answer a start is sent once more.
-func (a *answerTimes) hedge() time.Duration { return a.timeout() / hedgePart }
+// hedgeDelay returns after how long without an answer a start is resent.
+func (a *callLatency) hedgeDelay() time.Duration { return a.timeout() / hedgeDivisor }
 
-// lossy tells whether answers are lost now and then.
-func (s *Scheduler) lossy() bool { return s.now < s.answers.lossyUntil }
+// lossy reports whether answers are being lost now and then.
+func (s *Scheduler) lossy() bool { return s.now < s.latency.lossyUntil }
 
-// unanswered takes note of a call without an answer; if its worker has answered another call since, the answer was lost.
-func (s *Scheduler) unanswered(ended *call) {
+// callUnanswered handles a call without an answer. If its worker has answered another call since, the answer was lost.
+func (s *Scheduler) callUnanswered(ended *call) {
 	if ended.worker.answeredAt > ended.sentAt {
-		s.answerLost()
+		s.noteLostAnswer()
 	}
 }
 
-// answerLost takes note of a lost answer, unless answers are slow altogether.
-func (s *Scheduler) answerLost() {
-	if s.answers.mean < promptAnswer {
-		s.answers.lossyUntil = s.now + lossyFor
+// noteLostAnswer records a lost answer, unless answers are slow in general.
+func (s *Scheduler) noteLostAnswer() {
+	if s.latency.mean < maxMeanForLoss {
+		s.latency.lossyUntil = s.now + lossyFor
 	}
 }
 
-// answered takes note of a worker's answer to a call that wasn't to wait.
-func (s *Scheduler) answered(ended *call) {
+// callAnswered records a worker's answer. Holds are not measured, because they wait on the worker.
+func (s *Scheduler) callAnswered(ended *call) {
 	ended.worker.answeredAt = s.now
 	if ended.kind != CallHold {
-		s.answers.measured(s.now - ended.sentAt)
+		s.latency.observe(s.now - ended.sentAt)
 	}
 	if ended.kind == CallStart {
-		s.pace.answered(s.now, &s.answers)
+		s.startLimiter.adapt(s.now, &s.latency)
 	}
 }
 
-// call is a call that is out.
+// call is an outstanding call.
 type call struct {
-	id     uint64
-	kind   CallKind
-	worker *worker
-	run    *run // of a start or a stop
-	sentAt time.Duration
-	first  bool // it is a look at a worker that has answered nothing yet
+	id        uint64
+	kind      CallKind
+	worker    *worker
+	run       *run // set for a start or a stop
+	sentAt    time.Duration
+	firstHold bool // a hold to a worker that has not answered any yet
 }
 
-// spareCalls are left for starts and stops when workers are asked twice.
-const spareCalls = 256
+// reservedCalls are kept free for starts and stops when second holds are sent.
+const reservedCalls = 256
 
-// callsLeft tells whether there is room for calls that could be done without.
-func (s *Scheduler) callsLeft() bool {
-	return s.mostCalls == 0 || len(s.calls)+spareCalls < s.mostCalls
+// hasSpareCalls reports whether optional calls may be made within the call limit.
+func (s *Scheduler) hasSpareCalls() bool {
+	return s.maxCalls == 0 || len(s.calls)+reservedCalls < s.maxCalls
 }
 
-// send puts a call out.
-func (s *Scheduler) send(made Call, w *worker, r *run) uint64 {
-	s.lastCall++
-	made.ID = s.lastCall
-	made.Worker = w.life
-	first := made.Kind == CallHold && w.reach == unheard
+// send queues a call for output and returns its ID.
+func (s *Scheduler) send(request Call, w *worker, r *run) uint64 {
+	s.lastCallID++
+	request.ID = s.lastCallID
+	request.Worker = w.identity
+	first := request.Kind == CallHold && w.reach == reachUnheard
 	if first {
-		s.looks.out++
+		s.firstHolds.inFlight++
 	}
-	s.calls[made.ID] = &call{id: made.ID, kind: made.Kind, worker: w, run: r, sentAt: s.now, first: first}
-	s.out = append(s.out, made)
-	return made.ID
+	s.calls[request.ID] = &call{id: request.ID, kind: request.Kind, worker: w, run: r, sentAt: s.now, firstHold: first}
+	s.newCalls = append(s.newCalls, request)
+	return request.ID
 }
--- a/internal/system/scheduler/firstlooks_test.go
+++ b/internal/system/scheduler/firstlooks_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heard counts the workers that have answered the present head.
-func (r *rush) heard() (all, withRuns int) {
+// answeringWorkers counts the workers that have answered the current head, and those of them with runs.
+func (r *loadCluster) answeringWorkers() (all, withRuns int) {
 	for _, w := range r.sched.workers {
-		if w.reach != answering {
+		if w.reach != reachAnswering {
 			continue
 		}
 		all++
@@ -21,7 +21,7 @@
 	return all, withRuns
 }
 
-func (r *rush) workersWithRuns() int {
+func (r *loadCluster) workersWithRuns() int {
 	count := 0
 	for _, w := range r.sched.workers {
 		if len(w.runs) > 0 {
@@ -31,57 +31,57 @@
 	return count
 }
 
-// A head that deals with 2,500 holds a second takes over 3,000 workers.
-func TestNewHeadHearsThousandsOfWorkersOneAfterTheOther(t *testing.T) {
+// A head that can process 2,500 holds per second takes over 3,000 workers.
+func TestNewHeadContactsThousandsOfWorkersInTurn(t *testing.T) {
 	const workers = 3000
-	r := newRush(workers, 40, 4*time.Second)
+	r := newLoadCluster(workers, 40, 4*time.Second)
 	r.run(r.now + time.Second)
 	for range 20 {
 		r.submit()
 	}
 	r.run(r.now + time.Second)
-	r.holdCosts = 400 * time.Microsecond
-	r.elect()
+	r.holdCost = 400 * time.Microsecond
+	r.replaceScheduler()
 	busy := r.workersWithRuns()
 	require.Greater(t, busy, 20)
 
 	r.run(r.now + 500*time.Millisecond)
-	_, heard := r.heard()
-	require.Equal(t, busy, heard, "where something runs is asked first")
+	_, answeringBusy := r.answeringWorkers()
+	require.Equal(t, busy, answeringBusy, "workers with runs are contacted first")
 	r.run(r.now + 6*time.Second)
-	heard, _ = r.heard()
-	require.Equal(t, workers, heard)
-	require.Zero(t, r.sched.looks.out)
+	answering, _ := r.answeringWorkers()
+	require.Equal(t, workers, answering)
+	require.Zero(t, r.sched.firstHolds.inFlight)
 }
 
-func TestSecondLooksLeaveCallsForOrders(t *testing.T) {
-	d := newDesk(t)
-	d.list(entry("w1", 16000))
-	d.submit(stage(1, 1000, time.Second))
-	d.commit()
-	started := d.start("w1")
-	d.sched.answers.lossyUntil = d.now + time.Hour
-	d.sched.mostCalls = spareCalls
-	d.pass(quickAnswer)
-	d.hold("w1", running(started, 1), nil)
-	require.Equal(t, 1, d.count(CallHold), "no second look where calls are short")
-	d.sched.mostCalls = 0
-	d.pass(quickAnswer)
-	d.hold("w1", running(started, 2), nil)
-	require.Equal(t, 2, d.count(CallHold))
+func TestSecondHoldsLeaveCallsForStartsAndStops(t *testing.T) {
+	h := newHarness(t)
+	h.list(listEntry("w1", 16000))
+	h.submit(stage(1, 1000, time.Second))
+	h.commit()
+	started := h.acceptStart("w1")
+	h.sched.latency.lossyUntil = h.now + time.Hour
+	h.sched.maxCalls = reservedCalls
+	h.advance(earlyAnswer)
+	h.answerHold("w1", running(started, 1), nil)
+	require.Equal(t, 1, h.countCalls(CallHold), "no second hold while calls are scarce")
+	h.sched.maxCalls = 0
+	h.advance(earlyAnswer)
+	h.answerHold("w1", running(started, 2), nil)
+	require.Equal(t, 2, h.countCalls(CallHold))
 }
 
-// Some hundred workers are asked all at once, thousands in turn.
-func TestFewWorkersAreAskedAtOnce(t *testing.T) {
-	for _, workers := range []int{fewWorkers, fewWorkers + 1} {
-		r := newRush(workers, 1, time.Second)
+// Some hundred workers are contacted all at once, thousands in turn.
+func TestSmallFleetIsContactedAtOnce(t *testing.T) {
+	for _, workers := range []int{smallFleet, smallFleet + 1} {
+		r := newLoadCluster(workers, 1, time.Second)
 		r.run(r.now + time.Second)
-		r.holdCosts = time.Hour // nobody answers
-		r.elect()
+		r.holdCost = time.Hour // no hold is answered
+		r.replaceScheduler()
 		want := workers
-		if workers > fewWorkers {
-			want = mostFirstLooks
+		if workers > smallFleet {
+			want = maxFirstHolds
 		}
-		require.Equal(t, want, r.sched.looks.out)
+		require.Equal(t, want, r.sched.firstHolds.inFlight)
 	}
 }
--- a/internal/system/scheduler/holdrules_test.go
+++ b/internal/system/scheduler/holdrules_test.go
@@ -10,121 +10,121 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-func TestHigherTokenEndsTheScheduler(t *testing.T) {
-	d := newDesk(t)
-	d.list(entry("w", 4000))
-	d.submit(stage(1, 1000, time.Second))
-	d.commit()
-	d.answer(d.must(CallStart, "w"), workerapi.RefusedFence)
-	output := d.sched.Drain()
+func TestHigherTokenSupersedesTheScheduler(t *testing.T) {
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	h.submit(stage(1, 1000, time.Second))
+	h.commit()
+	h.answerCall(h.mustTakeCall(CallStart, "w"), workerapi.RefusedFence)
+	output := h.sched.Drain()
 	require.True(t, output.Superseded)
 	require.Empty(t, output.Calls)
 }
 
-func TestEndsAreAcknowledgedOnlyOnceCommitted(t *testing.T) {
-	d := newDesk(t)
-	d.list(entry("w", 4000))
-	d.submit(stage(1, 1000, time.Second))
-	d.commit()
-	made := d.start("w")
-	d.hold("w", nil, finished(1, made, workerapi.HowDone))
-	require.Zero(t, d.count(CallHold), "the next hold waits for the commit")
-	d.pass(commitPatience)
-	again := d.hold("w", nil, finished(1, made, workerapi.HowDone))
+func TestEndsAreAcknowledgedOnlyAfterCommit(t *testing.T) {
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	h.submit(stage(1, 1000, time.Second))
+	h.commit()
+	call := h.acceptStart("w")
+	h.answerHold("w", nil, finished(1, call, workerapi.HowDone))
+	require.Zero(t, h.countCalls(CallHold), "the next hold waits for the commit")
+	h.advance(commitWait)
+	again := h.answerHold("w", nil, finished(1, call, workerapi.HowDone))
 	require.Zero(t, again.Hold.LastSeen)
-	require.Len(t, d.commands, 1, "proposed once")
-	d.commit()
-	require.Equal(t, state.Completed, d.machine.Job(1).State)
-	d.pass(commitPatience)
-	require.Equal(t, uint64(1), d.must(CallHold, "w").Hold.LastSeen)
+	require.Len(t, h.commands, 1, "proposed once")
+	h.commit()
+	require.Equal(t, state.Completed, h.machine.Job(1).State)
+	h.advance(commitWait)
+	require.Equal(t, uint64(1), h.mustTakeCall(CallHold, "w").Hold.LastSeen)
 }
 
-func TestRoomIsFreeOnceTheEndIsListed(t *testing.T) {
-	d := newDesk(t)
-	d.list(entry("w", 4000))
-	d.submit(stage(2, 4000, time.Second))
-	d.commit()
-	made := d.start("w")
-	d.hold("w", nil, finished(1, made, workerapi.HowDone))
+func TestCapacityIsFreedWhenTheEndIsListed(t *testing.T) {
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	h.submit(stage(2, 4000, time.Second))
+	h.commit()
+	call := h.acceptStart("w")
+	h.answerHold("w", nil, finished(1, call, workerapi.HowDone))
 	kinds := []state.Kind{}
-	for _, command := range d.commands {
+	for _, command := range h.commands {
 		kinds = append(kinds, command.Kind)
 	}
 	require.Equal(t, []state.Kind{state.KindTasksEnded, state.KindTasksStarting}, kinds)
 }
 
-func TestLostWorkerIsGivenUpOnlyWhenItsHoldsHaveRunOut(t *testing.T) {
-	d := newDesk(t)
-	d.list(entry("w1", 4000), entry("w2", 3000))
-	d.submit(stage(1, 1000, 10*time.Second))
-	d.commit()
-	d.start("w2")
-	d.answer(d.must(CallHold, "w2"), workerapi.Unknown)
-	d.hold("w1", nil, nil)
-	silentSince := d.now
-	for len(d.commands) == 0 {
-		if made, out := d.take(CallHold, "w2"); out {
-			d.answer(made, workerapi.Unknown)
+func TestWorkerLossIsProposedOnlyAfterItsHoldsExpire(t *testing.T) {
+	h := newHarness(t)
+	h.list(listEntry("w1", 4000), listEntry("w2", 3000))
+	h.submit(stage(1, 1000, 10*time.Second))
+	h.commit()
+	h.acceptStart("w2")
+	h.answerCall(h.mustTakeCall(CallHold, "w2"), workerapi.Unknown)
+	h.answerHold("w1", nil, nil)
+	silentSince := h.now
+	for len(h.commands) == 0 {
+		if call, out := h.takeCall(CallHold, "w2"); out {
+			h.answerCall(call, workerapi.Unknown)
 		}
-		if made, out := d.take(CallHold, "w1"); out {
-			d.end(made, workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: d.clockMs()})
+		if call, out := h.takeCall(CallHold, "w1"); out {
+			h.endCall(call, workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: h.clockMs()})
 		}
-		d.pass(50 * time.Millisecond)
-		require.Less(t, d.now, silentSince+8*time.Second)
+		h.advance(50 * time.Millisecond)
+		require.Less(t, h.now, silentSince+8*time.Second)
 	}
-	require.Greater(t, d.now, silentSince+6*time.Second)
-	require.Equal(t, "w2", d.commands[0].WorkerLost)
-	d.commit()
-	require.Equal(t, 2, d.must(CallStart, "w1").Start.Attempt)
+	require.Greater(t, h.now, silentSince+6*time.Second)
+	require.Equal(t, "w2", h.commands[0].WorkerLost)
+	h.commit()
+	require.Equal(t, 2, h.mustTakeCall(CallStart, "w1").Start.Attempt)
 }
 
-func TestAnotherLifeAtTheAddressEndsTheFormerAtOnce(t *testing.T) {
-	d := newDesk(t)
-	d.list(entry("w1", 4000), entry("w2", 3000))
-	d.submit(stage(1, 1000, 10*time.Second))
-	d.commit()
-	d.start("w2")
-	d.answer(d.must(CallHold, "w2"), workerapi.OtherLife)
-	d.commit()
-	require.Equal(t, 2, d.must(CallStart, "w1").Start.Attempt)
+func TestNewInstanceAtTheAddressEndsTheOldOneAtOnce(t *testing.T) {
+	h := newHarness(t)
+	h.list(listEntry("w1", 4000), listEntry("w2", 3000))
+	h.submit(stage(1, 1000, 10*time.Second))
+	h.commit()
+	h.acceptStart("w2")
+	h.answerCall(h.mustTakeCall(CallHold, "w2"), workerapi.OtherLife)
+	h.commit()
+	require.Equal(t, 2, h.mustTakeCall(CallStart, "w1").Start.Attempt)
 }
 
-func TestSuccessorSettlesWhatItsPredecessorBegan(t *testing.T) {
-	d := newDesk(t)
-	d.list(entry("w", 4000))
-	d.submit(stage(2, 1000, 10*time.Second))
-	d.commit()
-	present, absentOne := d.must(CallStart, "w"), d.must(CallStart, "w")
-	d.elect(2)
-	d.sched.Listed(d.now, []workerapi.Instance{entry("w", 4000)})
-	d.drain()
-	first := d.hold("w", running(present, 10), nil)
-	require.Zero(t, first.Hold.DueAtMs, "its clock isn't known yet")
-	d.commit()
-	require.Zero(t, d.count(CallStart), "the predecessor may have ordered its stop, which lasts a while")
-	d.pass(600 * time.Millisecond)
-	for range d.count(CallHold) {
-		d.hold("w", running(present, 15), nil)
+func TestSuccessorResolvesRunsOfItsPredecessor(t *testing.T) {
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	h.submit(stage(2, 1000, 10*time.Second))
+	h.commit()
+	present, absent := h.mustTakeCall(CallStart, "w"), h.mustTakeCall(CallStart, "w")
+	h.replaceScheduler(2)
+	h.sched.Listed(h.now, []workerapi.Instance{listEntry("w", 4000)})
+	h.drain()
+	first := h.answerHold("w", running(present, 10), nil)
+	require.Zero(t, first.Hold.DueAtMs, "the worker's clock is not known yet")
+	h.commit()
+	require.Zero(t, h.countCalls(CallStart), "the predecessor may have sent a stop that is still being carried out")
+	h.advance(600 * time.Millisecond)
+	for range h.countCalls(CallHold) {
+		h.answerHold("w", running(present, 15), nil)
 	}
-	d.commit()
-	made := d.must(CallStart, "w")
-	require.Equal(t, absentOne.Start.Task, made.Start.Task)
-	require.Equal(t, 2, made.Start.Attempt)
-	require.Equal(t, uint64(2), made.Start.FenceToken)
-	require.Zero(t, d.count(CallStart))
+	h.commit()
+	call := h.mustTakeCall(CallStart, "w")
+	require.Equal(t, absent.Start.Task, call.Start.Task)
+	require.Equal(t, 2, call.Start.Attempt)
+	require.Equal(t, uint64(2), call.Start.FenceToken)
+	require.Zero(t, h.countCalls(CallStart))
 }
 
-func TestForeignRunsAreStoppedAndTakeRoomUntilGone(t *testing.T) {
-	d := newDesk(t)
-	d.list(entry("w", 4000))
-	stranger := Call{Start: workerapi.StartOrder{Task: "00000000000000ff.0.0.0", Attempt: 3}}
-	d.hold("w", running(stranger, 5), nil)
-	require.Equal(t, 3, d.must(CallStop, "w").Stop.Attempt)
-	d.submit(stage(1, 1000, time.Second))
-	d.commit()
-	require.Zero(t, d.count(CallStart))
-	d.pass(emptyInterval)
-	d.hold("w", nil, finished(1, stranger, workerapi.HowStopped))
-	d.commit()
-	require.Equal(t, 1, d.count(CallStart))
+func TestForeignRunsAreStoppedAndUseCapacityUntilGone(t *testing.T) {
+	h := newHarness(t)
+	h.list(listEntry("w", 4000))
+	foreignStart := Call{Start: workerapi.StartOrder{Task: "00000000000000ff.0.0.0", Attempt: 3}}
+	h.answerHold("w", running(foreignStart, 5), nil)
+	require.Equal(t, 3, h.mustTakeCall(CallStop, "w").Stop.Attempt)
+	h.submit(stage(1, 1000, time.Second))
+	h.commit()
+	require.Zero(t, h.countCalls(CallStart))
+	h.advance(earlyAnswerPause)
+	h.answerHold("w", nil, finished(1, foreignStart, workerapi.HowStopped))
+	h.commit()
+	require.Equal(t, 1, h.countCalls(CallStart))
 }
--- a/internal/system/scheduler/jobs.go
+++ b/internal/system/scheduler/jobs.go
@@ -9,35 +9,35 @@
 	"gaugeslip/internal/system/state"
 )
 
-// job is what the scheduler keeps of an unfinished job.
+// job is the scheduler's record of an unfinished job.
 type job struct {
 	record *state.Job
-	// accepted is when it was taken, on the steady clock.
+	// accepted is when the job was accepted, on the monotonic clock.
 	accepted time.Duration
-	// chains are the longest chains of work that begin with each step; longest is the longest of all.
-	chains   []time.Duration
-	longest  time.Duration
-	times    map[uint32]*jobTime
-	nextTime uint32
-	begun    bool // a task of it is known to have begun; only pendingJobs changes it
+	// remainingWork holds, for each step, the longest chain of estimated work that begins with it; longestChain is the longest of all.
+	remainingWork  []time.Duration
+	longestChain   time.Duration
+	occurrences    map[uint32]*occurrence
+	nextOccurrence uint32
+	begun          bool // a task of it is known to have begun; only pendingJobs changes it
 }
 
-// jobTime is one run through the steps of a job.
-type jobTime struct {
+// occurrence is one pass through the steps of a job. A repeated job has several, each with its due time.
+type occurrence struct {
 	number uint32
-	// from is when its objective begins to count, on the steady clock.
-	from  time.Duration
-	steps []*step // nil where the step's turn hasn't come
+	// objectiveFrom is when its objective begins to count, on the monotonic clock.
+	objectiveFrom time.Duration
+	steps         []*step // nil until the step is ready or a run of it is known
 }
 
-// addJob makes the scheduler's record of a job.
-func (s *Scheduler) addJob(record *state.Job) *job {
+// trackJob creates the scheduler's record of a job.
+func (s *Scheduler) trackJob(record *state.Job) *job {
 	j := &job{
-		record:   record,
-		accepted: s.acceptedAt(record),
-		chains:   record.Spec.LongestPathsFrom(),
-		longest:  record.Spec.CriticalPath(),
-		times:    make(map[uint32]*jobTime),
+		record:        record,
+		accepted:      s.acceptedAt(record),
+		remainingWork: record.Spec.LongestPathsFrom(),
+		longestChain:  record.Spec.CriticalPath(),
+		occurrences:   make(map[uint32]*occurrence),
 	}
 	s.jobs[record.ID] = j
 	s.pending.add(j)
@@ -48,17 +48,17 @@
 	if !s.wall.known {
 		return s.now
 	}
-	return min(s.now, s.wall.steady(record.AcceptedMs))
+	return min(s.now, s.wall.toSteady(record.AcceptedMs))
 }
 
-// recallAcceptance corrects when jobs were taken that were there before the time of day was known.
-func (s *Scheduler) recallAcceptance() {
+// correctAcceptance recomputes acceptance times and objectives of jobs that were tracked before the wall-clock time was known.
+func (s *Scheduler) correctAcceptance() {
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
 		j.accepted = s.acceptedAt(j.record)
-		for _, number := range slices.Sorted(maps.Keys(j.times)) {
-			t := j.times[number]
-			t.from = s.objectiveFrom(j, t.number)
+		for _, number := range slices.Sorted(maps.Keys(j.occurrences)) {
+			t := j.occurrences[number]
+			t.objectiveFrom = s.objectiveFrom(j, t.number)
 			for _, st := range t.steps {
 				if st != nil && st.queued {
 					s.requeue(st)
@@ -68,7 +68,7 @@
 	}
 }
 
-// objectiveFrom is when the objective of a due time begins to count.
+// objectiveFrom returns when the objective of an occurrence begins to count, on the monotonic clock.
 func (s *Scheduler) objectiveFrom(j *job, number uint32) time.Duration {
 	if !j.record.Spec.HasSchedule() {
 		return j.accepted
@@ -76,51 +76,51 @@
 	if !s.wall.known {
 		return s.now
 	}
-	return s.wall.steady(j.record.DueMs(number))
+	return s.wall.toSteady(j.record.DueMs(number))
 }
 
 func (s *Scheduler) jobAccepted(result *state.Result) {
 	if result.Outcome != state.Applied || len(result.Jobs) == 0 || result.Jobs[0].State.Finished() {
 		return
 	}
-	s.openJob(s.addJob(result.Jobs[0]))
+	s.openJob(s.trackJob(result.Jobs[0]))
 }
 
-// openJob opens what may run of a job.
+// openJob opens the occurrences and steps of a job that may run.
 func (s *Scheduler) openJob(j *job) {
 	for _, number := range slices.Sorted(maps.Keys(j.record.Times)) {
-		s.openTime(j, number)
+		s.openOccurrence(j, number)
 	}
 	if j.record.Spec.HasSchedule() {
-		s.awaitDue(j)
+		s.queueNextOccurrence(j)
 		return
 	}
-	s.openTime(j, 0)
+	s.openOccurrence(j, 0)
 }
 
-// openNextTime opens the due time that has come.
-func (s *Scheduler) openNextTime(j *job) {
-	s.openTime(j, j.nextTime)
-	j.nextTime++
-	s.awaitDue(j)
+// openNextOccurrence opens the occurrence that has fallen due.
+func (s *Scheduler) openNextOccurrence(j *job) {
+	s.openOccurrence(j, j.nextOccurrence)
+	j.nextOccurrence++
+	s.queueNextOccurrence(j)
 }
 
-// ensureTime gives the record of a due time.
-func (s *Scheduler) ensureTime(j *job, number uint32) *jobTime {
-	t := j.times[number]
+// ensureOccurrence returns the record of an occurrence and creates it if needed.
+func (s *Scheduler) ensureOccurrence(j *job, number uint32) *occurrence {
+	t := j.occurrences[number]
 	if t == nil {
-		t = &jobTime{number: number, from: s.objectiveFrom(j, number), steps: make([]*step, len(j.record.Spec.Stages))}
-		j.times[number] = t
+		t = &occurrence{number: number, objectiveFrom: s.objectiveFrom(j, number), steps: make([]*step, len(j.record.Spec.Stages))}
+		j.occurrences[number] = t
 	}
 	return t
 }
 
-// openTime opens the steps of a due time whose turn has come.
-func (s *Scheduler) openTime(j *job, number uint32) {
-	if timeDone(j.record, number) && j.times[number] == nil {
+// openOccurrence opens the ready steps of an occurrence.
+func (s *Scheduler) openOccurrence(j *job, number uint32) {
+	if occurrenceDone(j.record, number) && j.occurrences[number] == nil {
 		return
 	}
-	t := s.ensureTime(j, number)
+	t := s.ensureOccurrence(j, number)
 	for i := range t.steps {
 		if j.record.StepReady(number, uint32(i)) {
 			s.openStep(s.ensureStep(j, t, uint32(i)))
@@ -128,7 +128,7 @@
 	}
 }
 
-func timeDone(record *state.Job, number uint32) bool {
+func occurrenceDone(record *state.Job, number uint32) bool {
 	t := record.Occurrence(number)
 	if t == nil {
 		return false
@@ -141,20 +141,20 @@
 	return true
 }
 
-// jobsOver ends the scheduler's record of jobs that have come to their end: all that runs of them is stopped.
-func (s *Scheduler) jobsOver(finished []*state.Job) {
+// jobsEnded stops tracking jobs that have ended and stops all of their runs.
+func (s *Scheduler) jobsEnded(finished []*state.Job) {
 	for _, record := range finished {
 		j := s.jobs[record.ID]
 		if j == nil {
 			continue
 		}
 		if record.State == state.Completed {
-			s.judgeCompleted(j)
+			s.reportCompletedIfLate(j)
 		}
 		delete(s.jobs, record.ID)
-		s.pending.over(j)
-		for _, number := range slices.Sorted(maps.Keys(j.times)) {
-			for _, st := range j.times[number].steps {
+		s.pending.remove(j)
+		for _, number := range slices.Sorted(maps.Keys(j.occurrences)) {
+			for _, st := range j.occurrences[number].steps {
 				if st != nil {
 					s.abandonStep(st, record.State)
 				}
@@ -163,13 +163,13 @@
 	}
 }
 
-// findStep gives the record of a task's step, nil if the job is over or the step's turn hasn't come.
+// findStep returns the record of a task's step; nil if the job is over or the step is not ready.
 func (s *Scheduler) findStep(name state.TaskName) *step {
 	j := s.jobs[name.Job]
 	if j == nil {
 		return nil
 	}
-	t := j.times[name.Time]
+	t := j.occurrences[name.Time]
 	if t == nil || int(name.Step) >= len(t.steps) {
 		return nil
 	}
@@ -180,8 +180,8 @@
 	return st
 }
 
-// stageOf gives the step of a job as it was handed in, nil if it isn't known any more.
-func (s *Scheduler) stageOf(name state.TaskName) *jobspec.Stage {
+// stageSpec returns the submitted definition of a task's step; nil if it is no longer known.
+func (s *Scheduler) stageSpec(name state.TaskName) *jobspec.Stage {
 	record := s.machine.Job(name.Job)
 	if record == nil || record.Spec == nil || int(name.Step) >= len(record.Spec.Stages) {
 		return nil
--- a/internal/system/scheduler/pace.go
+++ b/internal/system/scheduler/pace.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// The bounds of the starts under way: intents that aren't committed, and orders without an answer. After a loss of power there are a thousand
-// tasks to start at once; ordered all at once their answers come too late, so that they are ordered again, and the most urgent ones wait
+// These constants limit the starts in flight: uncommitted intents and unanswered starts. After a power loss, a thousand tasks may have to start
+// at once. If all were sent at once, their answers would come too late and the starts would be resent, and the most urgent ones would wait
 // behind all others for the head's processor.
 const (
-	leastStarts = 64 // a gang's
-	firstStarts = 128
-	mostStarts  = 512
-	// startsCutPart is the part of the window that slow answers take away.
-	startsCutPart = 4
+	minStartsInFlight     = 64 // the largest gang
+	initialStartsInFlight = 128
+	maxStartsInFlight     = 512
+	// windowCutDivisor sets by what fraction slow answers reduce the window.
+	windowCutDivisor = 4
 )
 
-// startPace bounds the starts under way by how promptly they are answered.
-type startPace struct {
-	proposed int // intents on their way through the chain
-	sent     int // sendings of starts without an answer so far
+// startLimiter limits the starts in flight by how promptly they are answered.
+type startLimiter struct {
+	proposed int // intents that are proposed and not committed
+	sent     int // sendings of starts that are not answered yet
 	window   int
 	cutAt    time.Duration
 }
 
-// full tells whether no start should be added to those that are under way.
-func (p *startPace) full() bool { return p.proposed+p.sent >= max(p.window, leastStarts) }
+// atLimit reports whether no more starts should be added to those in flight.
+func (p *startLimiter) atLimit() bool { return p.proposed+p.sent >= max(p.window, minStartsInFlight) }
 
-// proposing takes note of one more intent.
-func (p *startPace) proposing() { p.proposed++ }
+// addProposed counts a proposed intent.
+func (p *startLimiter) addProposed() { p.proposed++ }
 
-// committed takes note that the fate of an intent is known.
-func (p *startPace) committed() { p.proposed = max(p.proposed-1, 0) }
+// removeProposed counts an intent that came back from the chain.
+func (p *startLimiter) removeProposed() { p.proposed = max(p.proposed-1, 0) }
 
-// sending takes note of one more order.
-func (p *startPace) sending() { p.sent++ }
+// addSent counts a sending of a start.
+func (p *startLimiter) addSent() { p.sent++ }
 
-// ended takes note that an order was answered or given up.
-func (p *startPace) ended() { p.sent = max(p.sent-1, 0) }
+// removeSent counts a sending that was answered or timed out.
+func (p *startLimiter) removeSent() { p.sent = max(p.sent-1, 0) }
 
-// answered adapts the window: prompt answers widen it, slow ones narrow it, once in the time of an answer.
-func (p *startPace) answered(now time.Duration, answers *answerTimes) {
+// adapt changes the window after an answer: prompt answers widen it, slow ones narrow it, at most once per mean answer time.
+func (p *startLimiter) adapt(now time.Duration, answers *callLatency) {
 	switch {
 	case !answers.slow():
-		p.window = min(p.window+1, mostStarts)
+		p.window = min(p.window+1, maxStartsInFlight)
 	case now-p.cutAt >= answers.mean:
-		p.window = max(p.window-p.window/startsCutPart, leastStarts)
+		p.window = max(p.window-p.window/windowCutDivisor, minStartsInFlight)
 		p.cutAt = now
 	}
 }
--- a/internal/system/scheduler/pace_test.go
+++ b/internal/system/scheduler/pace_test.go
@@ -14,126 +14,126 @@
 )
 
 const (
-	pacedJobs   = 60
-	pacedWidth  = 10
-	pacedWorker = 1000 * 1000 // thousandths of a core
+	limiterJobs        = 60
+	limiterTasksPerJob = 10
+	limiterWorkerCPU   = 1000 * 1000 // thousandths of a core
 )
 
-// submitMany takes jobs of one step into custody.
-func (d *desk) submitMany(jobs int) {
+// submitWideJobs commits the acceptance of jobs with one step of many tasks.
+func (h *harness) submitWideJobs(jobs int) {
 	for range jobs {
-		d.submit(stage(pacedWidth, 100, time.Second))
+		h.submit(stage(limiterTasksPerJob, 100, time.Second))
 	}
 }
 
-// submitUrgent takes a job of the most urgent queue into custody.
-func (d *desk) submitUrgent() state.JobID {
+// submitUrgent commits the acceptance of a job in the most urgent queue.
+func (h *harness) submitUrgent() state.JobID {
 	id := state.JobID(1 << 40)
 	body, err := (&jobspec.Spec{Text: "text", Stages: []jobspec.Stage{stage(1, 100, time.Second)}}).Encode()
-	require.NoError(d, err)
-	d.apply(state.Command{Kind: state.KindJobAccepted, JobAccepted: &state.JobAccepted{ID: id, Route: "urgent", Service: "farm",
-		MaxRetries: 3, Extension: 2, TargetLatencyMs: 1000, AcceptedMs: d.unixMs(), Body: body}})
+	require.NoError(h, err)
+	h.apply(state.Command{Kind: state.KindJobAccepted, JobAccepted: &state.JobAccepted{ID: id, Route: "urgent", Service: "farm",
+		MaxRetries: 3, Extension: 2, TargetLatencyMs: 1000, AcceptedMs: h.unixMs(), Body: body}})
 	return id
 }
 
-// Of a thousand tasks that could start at once only so many are under way, and all of them are started in the end.
-func TestStartsUnderWayAreBounded(t *testing.T) {
-	d := newDesk(t)
-	d.list(entry("w", pacedWorker))
-	d.submitMany(pacedJobs)
-	d.commit()
+// If hundreds of tasks could start at once, only a limited number of starts are in flight, and all tasks are started in the end.
+func TestStartsInFlightAreBounded(t *testing.T) {
+	h := newHarness(t)
+	h.list(listEntry("w", limiterWorkerCPU))
+	h.submitWideJobs(limiterJobs)
+	h.commit()
 	started := map[string]bool{}
-	for len(started) < pacedJobs*pacedWidth {
-		out := d.count(CallStart)
+	for len(started) < limiterJobs*limiterTasksPerJob {
+		out := h.countCalls(CallStart)
 		require.NotZero(t, out, "after %d starts", len(started))
-		require.LessOrEqual(t, out, mostStarts+pacedWidth)
+		require.LessOrEqual(t, out, maxStartsInFlight+limiterTasksPerJob)
 		if len(started) == 0 {
-			require.LessOrEqual(t, out, firstStarts+pacedWidth)
+			require.LessOrEqual(t, out, initialStartsInFlight+limiterTasksPerJob)
 		}
-		made := d.must(CallStart, "w")
-		require.False(t, started[made.Start.Task], "started again: %s", made.Start.Task)
-		started[made.Start.Task] = true
-		d.answer(made, workerapi.Done)
-		d.commit()
+		call := h.mustTakeCall(CallStart, "w")
+		require.False(t, started[call.Start.Task], "started again: %s", call.Start.Task)
+		started[call.Start.Task] = true
+		h.answerCall(call, workerapi.Done)
+		h.commit()
 	}
 }
 
-// What is held back while enough starts are under way leaves in the order of urgency, whenever it came.
-func TestUrgentWorkGoesBeforeWhatIsPutOff(t *testing.T) {
-	d := newDesk(t)
-	d.list(entry("w", pacedWorker))
-	d.submitMany(pacedJobs)
-	d.commit()
-	urgent := d.submitUrgent()
+// Steps postponed by the limit of starts in flight start in the order of urgency, whenever they arrived.
+func TestUrgentWorkOvertakesPostponedSteps(t *testing.T) {
+	h := newHarness(t)
+	h.list(listEntry("w", limiterWorkerCPU))
+	h.submitWideJobs(limiterJobs)
+	h.commit()
+	urgent := h.submitUrgent()
 	name := state.TaskName{Job: urgent}.String()
-	for range 2 * pacedWidth {
-		d.answer(d.must(CallStart, "w"), workerapi.Done)
-		d.commit()
-		if slices.ContainsFunc(d.calls, func(made Call) bool { return made.Start.Task == name }) {
+	for range 2 * limiterTasksPerJob {
+		h.answerCall(h.mustTakeCall(CallStart, "w"), workerapi.Done)
+		h.commit()
+		if slices.ContainsFunc(h.calls, func(call Call) bool { return call.Start.Task == name }) {
 			return
 		}
 	}
-	t.Fatal("the urgent job waits behind the others")
+	t.Fatal("the urgent job was not started before the postponed ones")
 }
 
 // Slow answers narrow the window, prompt ones widen it again, within bounds.
-func TestTheWindowOfStartsFollowsTheAnswers(t *testing.T) {
-	pace := startPace{window: firstStarts}
-	answers := answerTimes{mean: 100 * time.Millisecond, prompt: 5 * time.Millisecond}
+func TestStartWindowAdaptsToAnswerTimes(t *testing.T) {
+	limiter := startLimiter{window: initialStartsInFlight}
+	answers := callLatency{mean: 100 * time.Millisecond, baseline: 5 * time.Millisecond}
 	now := time.Second
 	for range 20 {
-		pace.answered(now, &answers)
-		pace.answered(now, &answers) // once in the time of an answer
+		limiter.adapt(now, &answers)
+		limiter.adapt(now, &answers) // no second cut within a mean answer time
 		now += answers.mean
 	}
-	assert.Equal(t, leastStarts, pace.window)
+	assert.Equal(t, minStartsInFlight, limiter.window)
 	answers.mean = 20 * time.Millisecond
-	pace.answered(now, &answers)
-	assert.Equal(t, leastStarts+1, pace.window)
-	for range 2 * mostStarts {
-		pace.answered(now, &answers)
+	limiter.adapt(now, &answers)
+	assert.Equal(t, minStartsInFlight+1, limiter.window)
+	for range 2 * maxStartsInFlight {
+		limiter.adapt(now, &answers)
 	}
-	assert.Equal(t, mostStarts, pace.window)
+	assert.Equal(t, maxStartsInFlight, limiter.window)
 	answers.mean = 100 * time.Millisecond
-	pace.answered(now, &answers)
-	assert.Equal(t, mostStarts-mostStarts/startsCutPart, pace.window)
-	pace.answered(now, &answers)
-	assert.Equal(t, mostStarts-mostStarts/startsCutPart, pace.window)
+	limiter.adapt(now, &answers)
+	assert.Equal(t, maxStartsInFlight-maxStartsInFlight/windowCutDivisor, limiter.window)
+	limiter.adapt(now, &answers)
+	assert.Equal(t, maxStartsInFlight-maxStartsInFlight/windowCutDivisor, limiter.window)
 }
 
-// A long way isn't slow: what counts is how much longer answers take than the quickest of late.
-func TestALongWayIsNotSlow(t *testing.T) {
-	var answers answerTimes
+// A long round trip does not count as slow: what counts is the excess over the recent baseline.
+func TestHighBaselineLatencyIsNotSlow(t *testing.T) {
+	var answers callLatency
 	for range 200 {
-		answers.measured(80 * time.Millisecond)
+		answers.observe(80 * time.Millisecond)
 	}
 	assert.False(t, answers.slow())
 	for range 200 {
-		answers.measured(200 * time.Millisecond)
+		answers.observe(200 * time.Millisecond)
 	}
 	assert.True(t, answers.slow())
-	for range 3 * promptMemory {
-		answers.measured(200 * time.Millisecond)
+	for range 3 * baselineSamples {
+		answers.observe(200 * time.Millisecond)
 	}
-	assert.False(t, answers.slow(), "the way has become longer")
+	assert.False(t, answers.slow(), "the baseline has risen")
 }
 
-// While answers are slow altogether a start isn't sent a second time.
-func TestNoSecondSendingWhileAnswersAreSlow(t *testing.T) {
+// While answers are slow in general, a start is not resent.
+func TestStartIsNotResentWhileAnswersAreSlow(t *testing.T) {
 	for _, slow := range []bool{false, true} {
-		d := newDesk(t)
-		d.list(entry("w", 4000))
-		d.sched.answers = answerTimes{mean: 12 * time.Millisecond, prompt: 2 * time.Millisecond}
+		h := newHarness(t)
+		h.list(listEntry("w", 4000))
+		h.sched.latency = callLatency{mean: 12 * time.Millisecond, baseline: 2 * time.Millisecond}
 		if slow {
-			d.sched.answers.mean = 50 * time.Millisecond
+			h.sched.latency.mean = 50 * time.Millisecond
 		}
-		d.submit(stage(1, 1000, time.Second))
-		d.commit()
-		d.pass(d.sched.answers.hedge() + 20*time.Millisecond)
+		h.submit(stage(1, 1000, time.Second))
+		h.commit()
+		h.advance(h.sched.latency.hedgeDelay() + 20*time.Millisecond)
 		want := 2
 		if slow {
 			want = 1
 		}
-		assert.Equal(t, want, d.count(CallStart))
+		assert.Equal(t, want, h.countCalls(CallStart))
 	}
 }
--- a/internal/system/scheduler/simhold_test.go
+++ b/internal/system/scheduler/simhold_test.go
@@ -15,7 +15,7 @@
 		reply(worker.lists())
 		return
 	}
-	wait := &simWait{}
+	wait := &waitingHold{}
 	instance := worker.instance
 	wait.answer = func() {
 		if !wait.done && worker.instance == instance && worker.up() {
@@ -24,15 +24,15 @@
 		}
 	}
 	worker.waiting = append(worker.waiting, wait)
-	worker.world.after(time.Duration(order.WaitMs)*time.Millisecond, wait.answer)
+	worker.world.schedule(time.Duration(order.WaitMs)*time.Millisecond, wait.answer)
 }
 
 func (worker *simWorker) acknowledge(lastSeen uint64) {
 	for len(worker.finished) > 0 && worker.finished[0].number <= lastSeen {
 		end := worker.finished[0]
 		worker.finished = worker.finished[1:]
-		end.noted = true
-		worker.world.endNoted(end)
+		end.acknowledged = true
+		worker.world.checkEndAcknowledged(end)
 	}
 }
 
@@ -40,7 +40,7 @@
 	answer := worker.answer(workerapi.Done)
 	for _, r := range worker.sorted() {
 		if r.stopping {
-			continue // the bench's workers list it nowhere until it has ended
+			continue // the benchmark's workers do not list it until it has ended
 		}
 		answer.Running = append(answer.Running, workerapi.RunningTask{
 			Task: r.name.Task.String(), Attempt: int(r.name.Attempt), Checkpoint: r.gang.savedText, Percent: r.gang.percent(),
--- a/internal/system/scheduler/timers.go
+++ b/internal/system/scheduler/timers.go
@@ -8,7 +8,7 @@
 	"gaugeslip/internal/system/state"
 )
 
-// timer is something to be done at a time.
+// timer is a function to be called at a time.
 type timer struct {
 	at   time.Duration
 	fire func()
@@ -31,42 +31,42 @@
 // timerQueue holds timers, earliest first.
 type timerQueue struct{ heap timerHeap }
 
-func (q *timerQueue) first() (at time.Duration, any bool) {
+func (q *timerQueue) first() (at time.Duration, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
 	return q.heap[0].at, true
 }
 
-// after has something done at a time; whatever it is has to look whether it still applies.
-func (s *Scheduler) at(at time.Duration, fire func()) {
+// runAt calls fire at a time. Timers are never cancelled, so fire has to check whether it still applies.
+func (s *Scheduler) runAt(at time.Duration, fire func()) {
 	heap.Push(&s.timers.heap, timer{at: at, fire: fire})
 }
 
 func (s *Scheduler) fireTimers() {
 	for {
-		at, any := s.timers.first()
-		if !any || at > s.now {
+		at, ok := s.timers.first()
+		if !ok || at > s.now {
 			return
 		}
 		heap.Pop(&s.timers.heap).(timer).fire()
 	}
 }
 
-// due is the next due time of a timed job.
-type due struct {
+// dueOccurrence is the next occurrence of a timed job.
+type dueOccurrence struct {
 	unixMs int64
 	job    state.JobID
 }
 
-type dueHeap []due
+type dueHeap []dueOccurrence
 
 func (h dueHeap) Len() int { return len(h) }
 func (h dueHeap) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(h[i].unixMs, h[j].unixMs), cmp.Compare(h[i].job, h[j].job)) < 0
 }
 func (h dueHeap) Swap(i, j int)   { h[i], h[j] = h[j], h[i] }
-func (h *dueHeap) Push(added any) { *h = append(*h, added.(due)) }
+func (h *dueHeap) Push(added any) { *h = append(*h, added.(dueOccurrence)) }
 func (h *dueHeap) Pop() any {
 	last := len(*h) - 1
 	popped := (*h)[last]
@@ -74,33 +74,33 @@
 	return popped
 }
 
-// dueQueue holds one entry for each timed job of which due times are left.
-type dueQueue struct{ heap dueHeap }
+// occurrenceQueue holds one entry for each timed job with occurrences left.
+type occurrenceQueue struct{ heap dueHeap }
 
-func (q *dueQueue) first() (unixMs int64, any bool) {
+func (q *occurrenceQueue) first() (unixMs int64, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
 	return q.heap[0].unixMs, true
 }
 
-// openDueTimes opens the due times that have come by the trusted time of day.
-func (s *Scheduler) openDueTimes() {
-	for s.wall.known && len(s.dues.heap) > 0 {
-		next := s.dues.heap[0]
-		if s.wall.steady(next.unixMs) > s.now {
+// openDueOccurrences opens the occurrences that have fallen due by the trusted wall-clock time.
+func (s *Scheduler) openDueOccurrences() {
+	for s.wall.known && len(s.occurrenceQueue.heap) > 0 {
+		next := s.occurrenceQueue.heap[0]
+		if s.wall.toSteady(next.unixMs) > s.now {
 			return
 		}
-		heap.Pop(&s.dues.heap)
+		heap.Pop(&s.occurrenceQueue.heap)
 		if j := s.jobs[next.job]; j != nil {
-			s.openNextTime(j)
+			s.openNextOccurrence(j)
 		}
 	}
 }
 
-// awaitDue queues the next due time of a timed job.
-func (s *Scheduler) awaitDue(j *job) {
-	if j.nextTime < j.record.OccurrenceCount() {
-		heap.Push(&s.dues.heap, due{unixMs: j.record.DueMs(j.nextTime), job: j.record.ID})
+// queueNextOccurrence queues the next occurrence of a timed job.
+func (s *Scheduler) queueNextOccurrence(j *job) {
+	if j.nextOccurrence < j.record.OccurrenceCount() {
+		heap.Push(&s.occurrenceQueue.heap, dueOccurrence{unixMs: j.record.DueMs(j.nextOccurrence), job: j.record.ID})
 	}
 }
--- a/internal/system/scheduler/workers.go
+++ b/internal/system/scheduler/workers.go
@@ -10,111 +10,111 @@
 	"gaugeslip/policy/sizing"
 )
 
-// reach tells what is known of the way to a worker.
+// reach is whether a worker answers holds.
 type reach uint8
 
 const (
-	unheard   reach = iota // it has answered no hold of this scheduler, so that it may not know the token
-	answering              // it has answered the last hold
-	silent                 // it hasn't
-	over                   // this life has ended
+	reachUnheard   reach = iota // has answered no hold of this scheduler, so it may not know the token
+	reachAnswering              // has answered the last hold
+	reachSilent                 // has stopped answering
+	reachOver                   // this instance has ended
 )
 
-var reachNames = [...]string{unheard: "unheard", answering: "answering", silent: "silent", over: "over"}
+var reachNames = [...]string{reachUnheard: "unheard", reachAnswering: "answering", reachSilent: "silent", reachOver: "over"}
 
-// worker is one life of a worker.
+// worker is one worker instance: one process lifetime of a worker.
 type worker struct {
-	life     workerapi.Worker
+	identity workerapi.Worker
 	service  *service
-	room     Resources
+	capacity Resources
 	labels   []string
 	listed   bool
 	draining bool
-	// unlistedAt is when it went off the list.
-	unlistedAt time.Duration
-	reach      reach
-	losing     bool // WorkerLost is proposed
-	clock      workerClock
-	highestDue int64 // the latest due time that was sent, on its clock
-	hold       holdState
-	answeredAt time.Duration // when it answered a call last
-	seen       uint64        // the highest number of an end that was proposed
-	committed  uint64        // the highest number of an end that was committed
-	runs       map[state.Run]*run
-	list       []*run    // the same, in an order that depends on nothing but the inputs
-	used       Resources // of all runs that count
-	withheld   []Resources
-	freed      bool // it is among its service's freed workers
-	health     health
-	leave      leave
-	// reservedFor is the held step for which room that is freed here is kept.
+	// unlistedAt is when the platform stopped listing it.
+	unlistedAt       time.Duration
+	reach            reach
+	lossProposed     bool // a WorkerLost command is proposed
+	clock            workerClock
+	maxDueMs         int64 // highest due time that was sent, on the worker's clock
+	hold             holdState
+	answeredAt       time.Duration // when it last answered a call
+	lastProposedEnd  uint64        // highest number of an end that was proposed
+	lastCommittedEnd uint64        // highest number of an end that was committed
+	runs             map[state.Run]*run
+	runList          []*run    // the same runs in a deterministic order
+	used             Resources // by all runs whose phase uses capacity
+	withheld         []Resources
+	freed            bool // it is in its service's freed list
+	health           health
+	departure        departure
+	// reservedFor is the queued step for which the worker is reserved.
 	reservedFor *step
 }
 
-// service is the workers of one kind, and what waits for them.
+// service groups the workers of one backend and the steps that wait for them.
 type service struct {
-	name    string
-	guarded bool
-	workers []*worker // the listed ones, by name
-	queue   *sizing.Queue[*step]
-	fresh   bool      // some held step has to be tried on all workers
-	freed   []*worker // on which room has been freed
-	kept    bool      // some held step may be kept back by its tenant's share
+	name          string
+	preconditions bool
+	workers       []*worker // the listed ones, ordered by instance
+	queue         *sizing.Queue[*step]
+	tryAll        bool      // some queued step has to be tried on all workers
+	freed         []*worker // workers with freed capacity
+	shareBlocked  bool      // some queued step may be blocked by its tenant's share
 
-	// lenient lets its overdue steps go to workers that are shut out.
-	lenient bool
+	// useQuarantined lets overdue steps use quarantined workers.
+	useQuarantined bool
 
-	reserved  reservation
-	sizes     *sizing.Map
-	layout    sizing.Layout
-	layoutAt  time.Duration
-	layoutFor int
+	reserved      reservation
+	sizes         *sizing.Map
+	layout        sizing.Layout
+	layoutAt      time.Duration
+	layoutWorkers int
 }
 
-// sizeRanges is into how many ranges a service's workers are split.
+// sizeRanges is the number of ranges by task size into which a service's workers are split.
 const sizeRanges = 3
 
-func (s *Scheduler) openService(name string) *service {
+func (s *Scheduler) ensureService(name string) *service {
 	svc := s.services[name]
 	if svc == nil {
 		svc = &service{name: name, queue: sizing.NewQueue[*step](), sizes: sizing.NewMap(sizeRanges)}
 		s.services[name] = svc
-		s.kinds = append(s.kinds, svc)
+		s.serviceOrder = append(s.serviceOrder, svc)
 	}
 	return svc
 }
 
-// openWorker gives the record of a life of a worker.
-func (s *Scheduler) openWorker(instance string) *worker {
+// ensureWorker returns the record of a worker instance and creates it if needed.
+func (s *Scheduler) ensureWorker(instance string) *worker {
 	w := s.workers[instance]
 	if w == nil {
-		w = &worker{life: workerapi.Worker{Instance: instance}, runs: make(map[state.Run]*run), unlistedAt: s.now}
+		w = &worker{identity: workerapi.Worker{Instance: instance}, runs: make(map[state.Run]*run), unlistedAt: s.now}
 		s.workers[instance] = w
 	}
 	return w
 }
 
-// Listed takes in a whole list of the platform.
+// Listed applies a complete list of the platform's workers.
 func (s *Scheduler) Listed(now time.Duration, instances []workerapi.Instance) {
 	s.advance(now)
 	s.lastMark++
 	mark := s.lastMark
-	s.looks.fleet = len(instances)
+	s.firstHolds.fleet = len(instances)
 	for i := range instances {
-		w := s.openWorker(instances[i].ID)
-		w.hold.mark = mark
-		s.listed(w, &instances[i])
+		w := s.ensureWorker(instances[i].ID)
+		w.hold.listMark = mark
+		s.updateListed(w, &instances[i])
 	}
-	for _, instance := range s.unmarked(mark) {
-		s.unlisted(s.workers[instance])
+	for _, instance := range s.unmarkedWorkers(mark) {
+		s.updateUnlisted(s.workers[instance])
 	}
 }
 
-// unmarked are the workers that the last list lacks, in order.
-func (s *Scheduler) unmarked(mark uint64) []string {
+// unmarkedWorkers returns the workers that are not in the last list, in order.
+func (s *Scheduler) unmarkedWorkers(mark uint64) []string {
 	var instances []string
 	for instance, w := range s.workers {
-		if w.hold.mark != mark {
+		if w.hold.listMark != mark {
 			instances = append(instances, instance)
 		}
 	}
@@ -122,10 +122,10 @@
 	return instances
 }
 
-// listed takes in what the platform tells of one worker.
-func (s *Scheduler) listed(w *worker, instance *workerapi.Instance) {
-	w.life.Address = instance.Address
-	w.room = statedRoom(instance.Allocatable)
+// updateListed applies what the platform lists about one worker.
+func (s *Scheduler) updateListed(w *worker, instance *workerapi.Instance) {
+	w.identity.Address = instance.Address
+	w.capacity = allocatable(instance.Allocatable)
 	if !slices.Equal(w.labels, instance.Labels) {
 		w.labels = instance.Labels
 	}
@@ -134,28 +134,28 @@
 	}
 	if !w.listed {
 		w.listed = true
-		s.join(w, s.openService(instance.Backend))
+		s.joinService(w, s.ensureService(instance.Backend))
 	}
-	if w.reach == unheard {
-		s.holdAt(w, s.now)
+	if w.reach == reachUnheard {
+		s.scheduleHold(w, s.now)
 	}
 }
 
-// join puts a worker among those of its service.
-func (s *Scheduler) join(w *worker, svc *service) {
+// joinService adds a worker to its service.
+func (s *Scheduler) joinService(w *worker, svc *service) {
 	w.service = svc
 	at, _ := slices.BinarySearchFunc(svc.workers, w, byInstance)
 	svc.workers = slices.Insert(svc.workers, at, w)
-	s.roomFreed(w)
+	s.capacityFreed(w)
 }
 
-func byInstance(a, b *worker) int { return cmp.Compare(a.life.Instance, b.life.Instance) }
+func byInstance(a, b *worker) int { return cmp.Compare(a.identity.Instance, b.identity.Instance) }
 
-// forgetAfter is how long a worker that is off the list is remembered.
+// forgetAfter is how long an unlisted worker is remembered.
 const forgetAfter = 10 * time.Second
 
-// unlisted takes note that the platform doesn't list a worker any more.
-func (s *Scheduler) unlisted(w *worker) {
+// updateUnlisted handles a worker that the platform does not list.
+func (s *Scheduler) updateUnlisted(w *worker) {
 	if w.listed {
 		w.listed = false
 		w.unlistedAt = s.now
@@ -164,53 +164,53 @@
 		}
 	}
 	s.checkLoss(w)
-	if len(w.runs) == 0 && !w.losing && s.now-w.unlistedAt > forgetAfter {
-		s.forget(w)
+	if len(w.runs) == 0 && !w.lossProposed && s.now-w.unlistedAt > forgetAfter {
+		s.forgetWorker(w)
 	}
 }
 
-// forget drops the record of a worker that is gone, and the replicated one.
-func (s *Scheduler) forget(w *worker) {
-	delete(s.workers, w.life.Instance)
-	if s.machine.Worker(w.life.Instance) != nil {
-		s.propose(state.Command{Kind: state.KindWorkerForgotten, WorkerForgotten: w.life.Instance})
+// forgetWorker removes the record of a worker that is gone, here and in the replicated state.
+func (s *Scheduler) forgetWorker(w *worker) {
+	delete(s.workers, w.identity.Instance)
+	if s.machine.Worker(w.identity.Instance) != nil {
+		s.propose(state.Command{Kind: state.KindWorkerForgotten, WorkerForgotten: w.identity.Instance})
 	}
 }
 
-// open tells whether the worker may be given something.
-func (w *worker) open() bool {
-	return w.listed && !w.draining && w.reach == answering && !w.losing
+// schedulable reports whether starts may be sent to the worker.
+func (w *worker) schedulable() bool {
+	return w.listed && !w.draining && w.reach == reachAnswering && !w.lossProposed
 }
 
-// free is the room that is left: what was stated, less all that runs or may run, and less what a refusal has shown to be missing.
+// free returns the free capacity: what was stated, minus all runs that use or may use it, minus what refusals have shown to be missing.
 func (w *worker) free() Resources {
-	free := w.room.minus(w.used)
+	free := w.capacity.minus(w.used)
 	for _, missing := range w.withheld {
 		free = free.minus(missing)
 	}
 	return free
 }
 
-// mostWithheld bounds how much is withheld after refusals.
-const mostWithheld = 4
+// maxWithheld limits how many needs are withheld after refusals.
+const maxWithheld = 4
 
-// full takes note that a worker refused a task for want of room.
-func (s *Scheduler) full(w *worker, need Resources) {
-	if len(w.withheld) < mostWithheld && len(w.runs) > 1 {
+// withholdCapacity reduces a worker's capacity by the need of a task that it refused for lack of capacity.
+func (s *Scheduler) withholdCapacity(w *worker, need Resources) {
+	if len(w.withheld) < maxWithheld && len(w.runs) > 1 {
 		w.withheld = append(w.withheld, need)
 	}
 }
 
-// regain gives back one lane after a clean finish.
-func (w *worker) regain() {
+// returnWithheld returns one withheld need after a successful run.
+func (w *worker) returnWithheld() {
 	if n := len(w.withheld); n > 0 {
 		w.withheld = w.withheld[:n-1]
 	}
 }
 
-// roomFreed has held steps tried on a worker.
-func (s *Scheduler) roomFreed(w *worker) {
-	if w.freed || w.service == nil || !w.open() {
+// capacityFreed has queued steps tried on a worker.
+func (s *Scheduler) capacityFreed(w *worker) {
+	if w.freed || w.service == nil || !w.schedulable() {
 		return
 	}
 	w.freed = true
@@ -228,7 +228,7 @@
 	return true
 }
 
-// rack is the label that names where the worker stands: the last one.
+// rack returns the label that names the worker's location: the last one.
 func (w *worker) rack() string {
 	if len(w.labels) == 0 {
 		return ""
