--- a/internal/system/control/events.go
+++ b/internal/system/control/events.go
@@ -107,7 +107,7 @@
 		found := &findings[i]
 		fields := []any{"task", found.Task, "waited", found.Waited.Round(time.Millisecond), "reason", found.Reason, "worker", found.Worker}
 		switch {
-		case found.Mended:
+		case found.Repaired:
 			n.logger.Warn("forgotten, tried again", fields...)
 		case found.Worker != "" || found.Refused:
 			n.logger.Info("task waits", fields...)
--- a/internal/system/control/events_test.go
+++ b/internal/system/control/events_test.go
@@ -122,6 +122,6 @@
 	node.tellOfWaits([]scheduler.Finding{{Task: task, Waited: 3 * time.Second, Reason: "it pauses", Refused: true}})
 	assert.Contains(t, out.String(), "INFO task waits")
 	out.Reset()
-	node.tellOfWaits([]scheduler.Finding{{Task: task, Waited: 3 * time.Second, Reason: "there is room", Mended: true}})
+	node.tellOfWaits([]scheduler.Finding{{Task: task, Waited: 3 * time.Second, Reason: "there is room", Repaired: true}})
 	assert.Contains(t, out.String(), "WARN forgotten, tried again")
 }
--- a/internal/system/control/figures.go
+++ b/internal/system/control/figures.go
@@ -130,7 +130,7 @@
 	switch {
 	case worker.Draining:
 		return "draining"
-	case worker.Shut:
+	case worker.Quarantined:
 		return "shut"
 	case !worker.Listed:
 		return "unlisted"
@@ -149,7 +149,7 @@
 		running += view.Workers[i].Runs
 	}
 	held := 0
-	for _, steps := range view.Held {
+	for _, steps := range view.QueuedSteps {
 		held += steps
 	}
 	workers := make([]figures.Labelled, 0, len(workerStates))
--- a/internal/system/control/headship.go
+++ b/internal/system/control/headship.go
@@ -38,7 +38,7 @@
 	if event.Continued && n.scheduler != nil {
 		return
 	}
-	options := scheduler.Options{Token: event.Epoch, Machine: n.engine.machine, Bounds: n.settings.Bounds, Calls: n.workerConnections()}
+	options := scheduler.Options{Token: event.Epoch, Machine: n.engine.machine, Bounds: n.settings.Bounds, MaxCalls: n.workerConnections()}
 	n.scheduler = scheduler.New(options, n.now())
 	n.schedulerEpoch = event.Epoch
 	if n.config != nil {
--- a/internal/system/control/jobdetail.go
+++ b/internal/system/control/jobdetail.go
@@ -29,7 +29,7 @@
 		return internalapi.JobDetailReply{Verdict: internalapi.NotKnown}
 	}
 	detail := jobDetail{job: job, waits: map[state.TaskName]scheduler.TaskView{}, nowMs: n.now().Milliseconds()}
-	for _, task := range n.scheduler.Why(id) {
+	for _, task := range n.scheduler.ExplainJob(id) {
 		detail.waits[task.Task] = task
 	}
 	detail.collect()
@@ -107,7 +107,7 @@
 		return task
 	}
 	if shown, open := d.waits[name]; open {
-		task.State, task.Why, task.Spent = shown.State, shown.Why, shown.Spent.String()
+		task.State, task.Why, task.Spent = shown.State, shown.Reason, shown.Spent.String()
 		task.HasDeadline, task.DeadlineMs = true, shown.Deadline.Milliseconds()-d.nowMs
 		if len(shown.Runs) > 0 {
 			task.Workers = shown.Runs
--- a/internal/system/control/late.go
+++ b/internal/system/control/late.go
@@ -61,10 +61,10 @@
 }
 
 var lateHelp = [scheduler.PartCount]string{
-	scheduler.PartBefore:     "before this head knew that their turn had come",
-	scheduler.PartRoom:       "waiting for room, for their turn or near their data",
-	scheduler.PartPause:      "pausing after starts that were refused or ends that came too soon",
-	scheduler.PartOrder:      "from a start's intent to the worker's answer",
+	scheduler.PartBeforeHead: "before this head knew that their turn had come",
+	scheduler.PartCapacity:   "waiting for room, for their turn or near their data",
+	scheduler.PartBackoff:    "pausing after starts that were refused or ends that came too soon",
+	scheduler.PartStart:      "from a start's intent to the worker's answer",
 	scheduler.PartUnanswered: "while an order without an answer might still be carried out",
 	scheduler.PartRun:        "running",
 	scheduler.PartSlow:       "running, far behind what was expected",
@@ -72,5 +72,5 @@
 	scheduler.PartFailed:     "on runs that failed",
 	scheduler.PartStopped:    "on runs that were stopped, lapsed or broken off",
 	scheduler.PartLost:       "on runs that went with their worker",
-	scheduler.PartNoted:      "from a listed end to its commit",
+	scheduler.PartEndCommit:  "from a listed end to its commit",
 }
--- a/internal/system/control/late_test.go
+++ b/internal/system/control/late_test.go
@@ -18,7 +18,7 @@
 	n.tellOfLateJobs(tellLateEvery)
 	assert.Empty(t, text.String(), "there were none")
 	n.counts.late.note([]scheduler.LateJob{
-		{ID: 1, Spent: scheduler.Spent{scheduler.PartRoom: 2 * time.Second, scheduler.PartRun: time.Second}},
+		{ID: 1, Spent: scheduler.Spent{scheduler.PartCapacity: 2 * time.Second, scheduler.PartRun: time.Second}},
 		{ID: 2, Spent: scheduler.Spent{scheduler.PartRun: time.Second}},
 	})
 	n.tellOfLateJobs(2*tellLateEvery - 1)
--- a/internal/system/control/looks.go
+++ b/internal/system/control/looks.go
@@ -23,7 +23,7 @@
 		return internalapi.WorkersReply{Verdict: internalapi.NotHead, View: n.engine.view()}
 	}
 	shown := n.scheduler.Snapshot()
-	reply := internalapi.WorkersReply{Verdict: internalapi.Done, Held: shown.Held}
+	reply := internalapi.WorkersReply{Verdict: internalapi.Done, Held: shown.QueuedSteps}
 	for i := range shown.Workers {
 		reply.Workers = append(reply.Workers, workerOverview(&shown.Workers[i]))
 	}
@@ -33,8 +33,8 @@
 func workerOverview(worker *scheduler.WorkerView) internalapi.WorkerOverview {
 	return internalapi.WorkerOverview{
 		Instance: worker.Instance, Address: worker.Address, Service: worker.Service, Reach: worker.Reach,
-		Listed: worker.Listed, Draining: worker.Draining, Shut: worker.Shut,
-		RoomCPU: worker.Room.CPU, RoomMemoryMb: worker.Room.MemoryMb, RoomGPUs: worker.Room.GPUs,
+		Listed: worker.Listed, Draining: worker.Draining, Shut: worker.Quarantined,
+		RoomCPU: worker.Capacity.CPU, RoomMemoryMb: worker.Capacity.MemoryMb, RoomGPUs: worker.Capacity.GPUs,
 		UsedCPU: worker.Used.CPU, UsedMemoryMb: worker.Used.MemoryMb, UsedGPUs: worker.Used.GPUs,
 		Runs: worker.Runs, Withheld: worker.Withheld, Slowness: worker.Slowness,
 	}
--- a/internal/system/control/service.go
+++ b/internal/system/control/service.go
@@ -184,7 +184,7 @@
 			answer(s.node.notHead())
 			return
 		}
-		answer(internalapi.JobReply{Verdict: internalapi.Done, Pending: s.node.scheduler.Pending(args.Route)})
+		answer(internalapi.JobReply{Verdict: internalapi.Done, Pending: s.node.scheduler.PendingJobs(args.Route)})
 	})
 	return nil
 }
--- a/internal/system/control/tenants.go
+++ b/internal/system/control/tenants.go
@@ -25,13 +25,13 @@
 	reply := internalapi.TenantsReply{Verdict: internalapi.Done}
 	for _, account := range ledger.Accounts() {
 		shown := tenantOverview(account)
-		shown.Held, shown.KeptBack = waiting[account.Tenant].Held, waiting[account.Tenant].KeptBack
+		shown.Held, shown.KeptBack = waiting[account.Tenant].WaitingTasks, waiting[account.Tenant].ShareBlocked
 		delete(waiting, account.Tenant)
 		reply.Tenants = append(reply.Tenants, shown)
 	}
 	for name, view := range waiting {
 		shown := tenantOverview(quota.Account{Tenant: name, Limit: ledger.Limit(name)})
-		shown.Held, shown.KeptBack = view.Held, view.KeptBack
+		shown.Held, shown.KeptBack = view.WaitingTasks, view.ShareBlocked
 		reply.Tenants = append(reply.Tenants, shown)
 	}
 	slices.SortFunc(reply.Tenants, func(a, b internalapi.TenantOverview) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/system/decisionlab/head.go
+++ b/internal/system/decisionlab/head.go
@@ -50,7 +50,7 @@
 // elect makes a new scheduler from the replicated state.
 func (h *head) elect() {
 	h.token++
-	h.sched = scheduler.New(scheduler.Options{Token: h.token, Machine: h.machine, Calls: callsAtOnce, Bounds: h.bounds}, h.now)
+	h.sched = scheduler.New(scheduler.Options{Token: h.token, Machine: h.machine, MaxCalls: callsAtOnce, Bounds: h.bounds}, h.now)
 	h.committedAt, h.wakeAt = h.now, 0
 	h.readClock(h.sched)
 	h.readList(h.sched)
--- a/internal/system/scheduler/audit.go
+++ b/internal/system/scheduler/audit.go
@@ -21,8 +21,8 @@
 	Worker string
 	// Refused reports that its starts were refused several times in a row.
 	Refused bool
-	// Mended reports that no reason held, and that the task or worker was scheduled again.
-	Mended bool
+	// Repaired reports that no reason held, and that the task or worker was scheduled again.
+	Repaired bool
 }
 
 const (
@@ -75,7 +75,7 @@
 	slices.Sort(missed)
 	for _, id := range missed {
 		s.openJob(s.trackJob(s.machine.Job(id)))
-		s.reportFinding(Finding{Task: state.TaskName{Job: id}, Reason: "the job was not tracked", Mended: true})
+		s.reportFinding(Finding{Task: state.TaskName{Job: id}, Reason: "the job was not tracked", Repaired: true})
 	}
 }
 
@@ -92,7 +92,7 @@
 	for _, instance := range missed {
 		w := s.workers[instance]
 		reason := "no hold is in flight or scheduled to the worker, which is " + reachNames[w.reach]
-		s.reportFinding(Finding{Worker: instance, Reason: reason, Mended: true})
+		s.reportFinding(Finding{Worker: instance, Reason: reason, Repaired: true})
 		w.hold.nextAt = 0
 		s.scheduleHold(w, s.now)
 	}
@@ -103,7 +103,7 @@
 		st := t.steps[i]
 		if (st == nil || !st.opened) && j.record.StepReady(t.number, uint32(i)) {
 			s.openStep(s.ensureStep(j, t, uint32(i)))
-			s.reportFinding(Finding{Task: t.steps[i].name(0), Reason: "the step was not open", Mended: true})
+			s.reportFinding(Finding{Task: t.steps[i].name(0), Reason: "the step was not open", Repaired: true})
 		}
 		if st != nil && st.opened && !st.closed {
 			s.auditStep(st)
@@ -114,7 +114,7 @@
 func (s *Scheduler) auditStep(st *step) {
 	if st.hasWaiting() && !st.queued {
 		s.enqueue(st)
-		s.reportFinding(Finding{Task: st.name(0), Reason: "the step was not queued", Mended: true})
+		s.reportFinding(Finding{Task: st.name(0), Reason: "the step was not queued", Repaired: true})
 	}
 	for i := range st.tasks {
 		t := &st.tasks[i]
@@ -133,7 +133,7 @@
 		found.Worker, found.Reason = r.worker.identity.Instance, r.waitReason()
 	} else if s.audits.tried < maxAuditedTasks {
 		s.audits.tried++
-		found.Reason, found.Mended = s.auditQueued(st, index, t)
+		found.Reason, found.Repaired = s.auditQueued(st, index, t)
 		found.Refused = t.refusals > freeRefusals
 	}
 	if found.Reason != "" {
--- a/internal/system/scheduler/audit_test.go
+++ b/internal/system/scheduler/audit_test.go
@@ -15,7 +15,7 @@
 func (h *harness) repairs() []string {
 	var reasons []string
 	for _, found := range h.findings {
-		if found.Mended {
+		if found.Repaired {
 			reasons = append(reasons, found.Reason)
 		}
 	}
@@ -175,7 +175,7 @@
 	}
 	require.Equal(t, jobs*tasks, r.started)
 	for _, found := range r.findings {
-		require.False(t, found.Mended, "%+v", found)
+		require.False(t, found.Repaired, "%+v", found)
 	}
 	require.NoError(t, r.sched.Check())
 }
--- a/internal/system/scheduler/gangs.go
+++ b/internal/system/scheduler/gangs.go
@@ -49,7 +49,7 @@
 
 func (s *Scheduler) finishGang(st *step) {
 	for i := range st.tasks {
-		st.tasks[i].account.enter(s.now, PartNoted)
+		st.tasks[i].account.enter(s.now, PartEndCommit)
 		st.tasks[i].state = taskDone
 		for _, r := range st.tasks[i].runs {
 			s.runAt(s.now+gangEndGrace, func() { s.requestStop(r) })
@@ -66,7 +66,7 @@
 	backoff := time.Duration(0)
 	for i := range st.tasks {
 		st.tasks[i].state = taskWaiting
-		st.tasks[i].account.enter(s.now, PartRoom)
+		st.tasks[i].account.enter(s.now, PartCapacity)
 		s.noteWaiting(&st.tasks[i])
 		backoff = max(backoff, st.tasks[i].backoff())
 	}
--- a/internal/system/scheduler/lateness.go
+++ b/internal/system/scheduler/lateness.go
@@ -13,14 +13,14 @@
 
 // The parts of a job's time. Their sum is the whole time.
 const (
-	// PartBefore is the time before this head knew that the job was ready: until its acceptance was applied, or under an earlier head.
-	PartBefore Part = iota
-	// PartRoom is the wait for capacity, for the step to become ready, or for capacity near the step's data.
-	PartRoom
-	// PartPause is the backoff of a task whose starts were refused or ended early several times in a row.
-	PartPause
-	// PartOrder is the time from proposing a start until the worker has answered it.
-	PartOrder
+	// PartBeforeHead is the time before this head knew that the job was ready: until its acceptance was applied, or under an earlier head.
+	PartBeforeHead Part = iota
+	// PartCapacity is the wait for capacity, for the step to become ready, or for capacity near the step's data.
+	PartCapacity
+	// PartBackoff is the backoff of a task whose starts were refused or ended early several times in a row.
+	PartBackoff
+	// PartStart is the time from proposing a start until the worker has answered it.
+	PartStart
 	// PartUnanswered is the time in which a start without an answer may still be carried out.
 	PartUnanswered
 	// PartRun is the time in which a run exists.
@@ -34,8 +34,8 @@
 	PartFailed
 	PartStopped
 	PartLost
-	// PartNoted is the time from listing an end until its commit.
-	PartNoted
+	// PartEndCommit is the time from listing an end until its commit.
+	PartEndCommit
 	// PartCount is the number of parts.
 	PartCount
 )
@@ -92,7 +92,7 @@
 
 // startAccount begins a task's time account when the task becomes ready, or when a new head takes it over with its runs.
 func (t *task) startAccount(now time.Duration) {
-	t.account = timeAccount{partSince: now, part: PartRoom}
+	t.account = timeAccount{partSince: now, part: PartCapacity}
 	for _, r := range t.runs {
 		r.spentBefore, t.account.part = Spent{}, PartRun
 	}
@@ -124,7 +124,7 @@
 	if t == nil || t.state == taskDone {
 		return
 	}
-	t.account.enter(s.now, PartNoted)
+	t.account.enter(s.now, PartEndCommit)
 	wasted := t.account.spent.total() - r.spentBefore.total()
 	t.account.spent = r.spentBefore
 	t.account.spent[part] += max(wasted, 0)
@@ -168,7 +168,7 @@
 		return
 	}
 	spent := last.spentUpTo(s.now)
-	spent[PartBefore] += max(took-spent.total(), 0)
+	spent[PartBeforeHead] += max(took-spent.total(), 0)
 	s.lateJobs = append(s.lateJobs, LateJob{ID: last.job.record.ID, Route: last.job.record.Route, Took: took, Objective: objective, Spent: spent})
 }
 
--- a/internal/system/scheduler/lateness_test.go
+++ b/internal/system/scheduler/lateness_test.go
@@ -30,7 +30,7 @@
 }
 
 func TestSpentString(t *testing.T) {
-	spent := Spent{PartRoom: 120 * time.Millisecond, PartRun: time.Second, PartOrder: time.Microsecond}
+	spent := Spent{PartCapacity: 120 * time.Millisecond, PartRun: time.Second, PartStart: time.Microsecond}
 	assert.Equal(t, "room 120ms, run 1000ms", spent.String())
 	for part := range PartCount {
 		assert.NotEmpty(t, part.String())
@@ -43,7 +43,7 @@
 	st := &step{tasks: make([]task, 1)}
 	st.tasks[0].startAccount(s.now)
 	s.now += 50 * time.Millisecond
-	st.tasks[0].account.enter(s.now, PartOrder)
+	st.tasks[0].account.enter(s.now, PartStart)
 	r := &run{step: st, name: state.Run{}, spentBefore: st.tasks[0].account.spent}
 	s.now += 100 * time.Millisecond
 	return s, r
@@ -58,7 +58,7 @@
 	s.markWasted(r, wastedPart(state.Failed))
 	s.now += 30 * time.Millisecond
 	spent := r.step.spentUpTo(s.now)
-	require.Equal(t, Spent{PartRoom: 50 * time.Millisecond, PartFailed: 1200 * time.Millisecond, PartNoted: 30 * time.Millisecond}, spent)
+	require.Equal(t, Spent{PartCapacity: 50 * time.Millisecond, PartFailed: 1200 * time.Millisecond, PartEndCommit: 30 * time.Millisecond}, spent)
 }
 
 func TestRunsThatEndWithoutFailureCountAsStopped(t *testing.T) {
@@ -79,11 +79,11 @@
 // A step's time continues that of the step that it depended on.
 func TestStepTimeIncludesItsUpstreamSteps(t *testing.T) {
 	s, r := newLateRun()
-	s.enterPart(r, PartNoted)
+	s.enterPart(r, PartEndCommit)
 	next := &step{tasks: make([]task, 2), upstreamSpent: r.step.spentUpTo(s.now)}
 	next.tasks[0].startAccount(s.now)
 	next.tasks[1].startAccount(s.now)
 	s.now += time.Second
-	next.tasks[1].account.enter(s.now, PartNoted)
-	assert.Equal(t, Spent{PartRoom: 50*time.Millisecond + time.Second, PartOrder: 100 * time.Millisecond}, next.spentUpTo(s.now))
+	next.tasks[1].account.enter(s.now, PartEndCommit)
+	assert.Equal(t, Spent{PartCapacity: 50*time.Millisecond + time.Second, PartStart: 100 * time.Millisecond}, next.spentUpTo(s.now))
 }
--- a/internal/system/scheduler/pending.go
+++ b/internal/system/scheduler/pending.go
@@ -59,5 +59,5 @@
 	return false
 }
 
-// Pending returns how many jobs of a queue have not begun, as far as this scheduler knows.
-func (s *Scheduler) Pending(route string) int { return len(s.pending[route]) }
+// PendingJobs returns how many jobs of a queue have not begun, as far as this scheduler knows.
+func (s *Scheduler) PendingJobs(route string) int { return len(s.pending[route]) }
--- a/internal/system/scheduler/run.go
+++ b/internal/system/scheduler/run.go
@@ -94,7 +94,7 @@
 	t := &r.step.tasks[r.name.Task.Index]
 	t.runs = append(t.runs, r)
 	t.state = taskActive
-	t.account.enter(s.now, PartOrder)
+	t.account.enter(s.now, PartStart)
 	r.spentBefore = t.account.spent
 	if r.step.runsPerWorker != nil {
 		r.step.runsPerWorker[w]++
--- a/internal/system/scheduler/runs.go
+++ b/internal/system/scheduler/runs.go
@@ -77,7 +77,7 @@
 	s.pending.markBegun(r.step.job)
 	s.noteWaiting(t)
 	if end.How == state.Done {
-		s.enterPart(r, PartNoted)
+		s.enterPart(r, PartEndCommit)
 	} else {
 		s.markWasted(r, wastedPart(end.How))
 	}
--- a/internal/system/scheduler/scheduler.go
+++ b/internal/system/scheduler/scheduler.go
@@ -40,8 +40,8 @@
 	Token uint64
 	// Machine is the replicated state with all committed commands applied.
 	Machine *state.Machine
-	// Calls is the maximum number of outstanding calls to workers; 0 means no limit.
-	Calls int
+	// MaxCalls is the maximum number of outstanding calls to workers; 0 means no limit.
+	MaxCalls int
 	// Bounds holds the limits that workers and this scheduler keep to, such as the longest hold.
 	Bounds nodesettings.Bounds
 }
@@ -108,7 +108,7 @@
 		machine:      options.Machine,
 		bounds:       options.Bounds,
 		startedAt:    now,
-		maxCalls:     options.Calls,
+		maxCalls:     options.MaxCalls,
 		now:          now,
 		workers:      make(map[string]*worker),
 		services:     make(map[string]*service),
--- a/internal/system/scheduler/scheduler_test.go
+++ b/internal/system/scheduler/scheduler_test.go
@@ -113,7 +113,7 @@
 	}
 	for id, j := range w.jobs {
 		if !j.state.Finished() {
-			return fmt.Errorf("seed %d: LOST: job %v is not over at %v: %+v", w.seed, id, w.now, w.sched.Why(id))
+			return fmt.Errorf("seed %d: LOST: job %v is not over at %v: %+v", w.seed, id, w.now, w.sched.ExplainJob(id))
 		}
 	}
 	return nil
--- a/internal/system/scheduler/sharekeeping_test.go
+++ b/internal/system/scheduler/sharekeeping_test.go
@@ -113,9 +113,9 @@
 	assert.Equal(t, state.Pending, w.stateOf(later))
 	assert.Equal(t, state.Running, w.stateOf(urgent), "it has an earlier deadline")
 	assert.Equal(t, state.Running, w.stateOf(plain), "it needs no accelerators")
-	why := w.sched.Why(later.id)
+	why := w.sched.ExplainJob(later.id)
 	require.Len(t, why, 1)
-	assert.Contains(t, why[0].Why, "is reserved for a gang")
+	assert.Contains(t, why[0].Reason, "is reserved for a gang")
 	require.NoError(t, w.runUntilAllOver(300*time.Second))
 	for _, job := range []*simJob{running, gang, early, later, urgent, plain} {
 		assert.Equal(t, state.Completed, job.state)
--- a/internal/system/scheduler/shares_test.go
+++ b/internal/system/scheduler/shares_test.go
@@ -142,10 +142,10 @@
 	long := w.submit("farm", 3, &jobspec.Spec{Stages: []jobspec.Stage{{Count: 6, CPU: 100, GPUs: 1, Estimated: 5 * time.Second}}}, 0)
 	w.run(3 * time.Second)
 	assert.Equal(t, 4, proposed)
-	why := w.sched.Why(long.id)
+	why := w.sched.ExplainJob(long.id)
 	require.Len(t, why, 6)
-	assert.Equal(t, "its tenant's share of accelerators is used up", why[5].Why)
-	assert.Equal(t, map[string]TenantView{"teff": {Held: 2, KeptBack: 2}}, w.sched.Tenants())
+	assert.Equal(t, "its tenant's share of accelerators is used up", why[5].Reason)
+	assert.Equal(t, map[string]TenantView{"teff": {WaitingTasks: 2, ShareBlocked: 2}}, w.sched.Tenants())
 	require.NoError(t, w.runUntilAllOver(60*time.Second))
 	assert.Equal(t, 6, proposed, "tasks that do not fit the share are never proposed")
 }
--- a/internal/system/scheduler/steps.go
+++ b/internal/system/scheduler/steps.go
@@ -165,7 +165,7 @@
 	t := &st.tasks[index]
 	if backoff := t.backoff(); backoff > 0 {
 		t.state, t.backoffUntil = taskInBackoff, s.now+backoff
-		t.account.enter(s.now, PartPause)
+		t.account.enter(s.now, PartBackoff)
 		s.noteWaiting(t)
 		s.runAt(s.now+backoff, func() { s.backoffOver(st, index) })
 		return
@@ -184,7 +184,7 @@
 func (s *Scheduler) enqueueTask(st *step, index uint32) {
 	t := &st.tasks[index]
 	t.state = taskWaiting
-	t.account.enter(s.now, PartRoom)
+	t.account.enter(s.now, PartCapacity)
 	s.noteWaiting(t)
 	st.waiting = append(st.waiting, index)
 	s.enqueue(st)
@@ -247,7 +247,7 @@
 	if t.state == taskWaiting {
 		s.dequeueTask(st, index)
 	}
-	t.account.enter(s.now, PartNoted)
+	t.account.enter(s.now, PartEndCommit)
 	t.state = taskDone
 	for _, r := range t.runs {
 		s.requestStop(r)
--- a/internal/system/scheduler/tenants.go
+++ b/internal/system/scheduler/tenants.go
@@ -2,10 +2,10 @@
 
 // TenantView counts a tenant's waiting tasks that take accelerators.
 type TenantView struct {
-	// Held is how many tasks wait, for capacity or for the share.
-	Held int
-	// KeptBack is how many of them are blocked by the tenant's share.
-	KeptBack int
+	// WaitingTasks is how many tasks wait, for capacity or for the share.
+	WaitingTasks int
+	// ShareBlocked is how many of them are blocked by the tenant's share.
+	ShareBlocked int
 }
 
 // Tenants returns the counts of each tenant with waiting tasks, by name; the name is empty for jobs without a tenant.
@@ -17,9 +17,9 @@
 				continue
 			}
 			view := views[st.tenant()]
-			view.Held += st.waitingTasks()
+			view.WaitingTasks += st.waitingTasks()
 			if !s.shares.fit(st) {
-				view.KeptBack += st.waitingTasks()
+				view.ShareBlocked += st.waitingTasks()
 			}
 			views[st.tenant()] = view
 		}
--- a/internal/system/scheduler/view.go
+++ b/internal/system/scheduler/view.go
@@ -13,48 +13,48 @@
 	Instance, Address, Service string
 	Reach                      string
 	Listed, Draining           bool
-	Room, Used                 Resources
+	Capacity, Used             Resources
 	// Runs is how many runs may exist there, Withheld how many tasks' capacity is withheld after refusals.
 	Runs, Withheld int
 	// Slowness is the ratio of run times to expectations on the worker.
 	Slowness float64
-	// Shut reports that the worker is quarantined.
-	Shut bool
+	// Quarantined reports that the worker is quarantined.
+	Quarantined bool
 }
 
 // View describes workers and queues for operators.
 type View struct {
 	Workers []WorkerView
-	// Held is how many steps are queued, by service.
-	Held map[string]int
+	// QueuedSteps is how many steps are queued, by service.
+	QueuedSteps map[string]int
 }
 
 // Snapshot returns a view of workers and queues.
 func (s *Scheduler) Snapshot() View {
-	view := View{Held: make(map[string]int, len(s.services))}
+	view := View{QueuedSteps: make(map[string]int, len(s.services))}
 	for _, w := range s.workers {
 		view.Workers = append(view.Workers, w.view())
 	}
 	slices.SortFunc(view.Workers, func(a, b WorkerView) int { return cmp.Compare(a.Instance, b.Instance) })
 	for name, svc := range s.services {
-		view.Held[name] = svc.queue.Len()
+		view.QueuedSteps[name] = svc.queue.Len()
 	}
 	return view
 }
 
 func (w *worker) view() WorkerView {
 	view := WorkerView{
-		Instance: w.identity.Instance,
-		Address:  w.identity.Address,
-		Reach:    reachNames[w.reach],
-		Listed:   w.listed,
-		Draining: w.draining,
-		Room:     w.capacity,
-		Used:     w.used,
-		Runs:     len(w.runs),
-		Withheld: len(w.withheld),
-		Slowness: w.health.slowness(),
-		Shut:     w.health.quarantined,
+		Instance:    w.identity.Instance,
+		Address:     w.identity.Address,
+		Reach:       reachNames[w.reach],
+		Listed:      w.listed,
+		Draining:    w.draining,
+		Capacity:    w.capacity,
+		Used:        w.used,
+		Runs:        len(w.runs),
+		Withheld:    len(w.withheld),
+		Slowness:    w.health.slowness(),
+		Quarantined: w.health.quarantined,
 	}
 	if w.service != nil {
 		view.Service = w.service.name
@@ -67,8 +67,8 @@
 	Task state.TaskName
 	// State is idle, waiting, active, paused or done.
 	State string
-	// Why says what keeps a waiting task from starting.
-	Why string
+	// Reason says what keeps a waiting task from starting.
+	Reason string
 	// Runs are the workers on which runs of the task may exist.
 	Runs []string
 	// Spent is its time so far by part, including that of the steps it depended on.
@@ -79,8 +79,8 @@
 
 var taskStateNames = [...]string{taskIdle: "idle", taskWaiting: "waiting", taskActive: "active", taskInBackoff: "paused", taskDone: "done"}
 
-// Why returns the unfinished tasks of a job's open steps and what each waits for; nil if the job is not tracked.
-func (s *Scheduler) Why(id state.JobID) []TaskView {
+// ExplainJob returns the unfinished tasks of a job's open steps and what each waits for; nil if the job is not tracked.
+func (s *Scheduler) ExplainJob(id state.JobID) []TaskView {
 	j := s.jobs[id]
 	if j == nil {
 		return nil
@@ -109,7 +109,7 @@
 		view.Runs = append(view.Runs, r.worker.identity.Instance)
 	}
 	if t.state == taskWaiting {
-		view.Why = s.blockedReason(st, t)
+		view.Reason = s.blockedReason(st, t)
 	}
 	return view
 }
--- a/internal/system/scheduler/world_test.go
+++ b/internal/system/scheduler/world_test.go
@@ -174,7 +174,7 @@
 	}
 	w.sched.checkNoIdleCapacity(w)
 	for _, found := range output.Findings {
-		if found.Mended {
+		if found.Repaired {
 			w.violated("FORGOTTEN", "%v after %v: %s", found.Task, found.Waited, found.Reason)
 		}
 	}
