--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -16,7 +16,7 @@
 }
 
 // A reserved port opens by its number, again and again and at any address of loopback, and answers nobody before that.
-func TestAReservedPortOpensByItsNumber(t *testing.T) {
+func TestReservedPortCanBeOpenedByNumber(t *testing.T) {
 	reservation := reserve(t)
 	for range 3 {
 		_, err := net.Dial("tcp", reservation.Address())
@@ -45,7 +45,7 @@
 }
 
 // No connection goes out from a reserved port.
-func TestNoConnectionHasAReservedPort(t *testing.T) {
+func TestNoConnectionUsesAReservedPort(t *testing.T) {
 	const dialled = 2000
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/net/cluster/cluster.go
+++ b/internal/net/cluster/cluster.go
@@ -34,8 +34,8 @@
 	Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error
 }
 
-// entry is one host of the list.
-type entry struct {
+// hostEntry is one host of the list.
+type hostEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -46,25 +46,25 @@
 	BornMS float64 `json:"born_ms"`
 }
 
-type list struct {
-	Seq   uint64  `json:"seq"`
-	Whole bool    `json:"whole"`
-	Hosts []entry `json:"hosts"`
+type hostList struct {
+	Seq   uint64      `json:"seq"`
+	Whole bool        `json:"whole"`
+	Hosts []hostEntry `json:"hosts"`
 }
 
-var states = map[string]policy.State{"in_service": policy.Ready, "terminating": policy.Draining,
+var healthStates = map[string]policy.State{"in_service": policy.Ready, "terminating": policy.Draining,
 	"terminated": policy.Gone}
 
 // Decode reads one list, whole or of changes. An entry that makes no sense is an error: to skip it could
 // be to miss a drain.
 func Decode(text []byte, s *settings.Settings) (dispatch.Listed, error) {
-	var l list
+	var l hostList
 	if err := json.Unmarshal(text, &l); err != nil {
 		return dispatch.Listed{}, fmt.Errorf("cluster: %w", err)
 	}
 	out := dispatch.Listed{Version: l.Seq, Whole: l.Whole, Hosts: make([]dispatch.Host, 0, len(l.Hosts))}
 	for _, e := range l.Hosts {
-		state, ok := states[e.Health]
+		state, ok := healthStates[e.Health]
 		if !ok || e.Host == "" {
 			return dispatch.Listed{}, fmt.Errorf("cluster: host %q: health: unknown %q", e.Host, e.Health)
 		}
@@ -120,13 +120,13 @@
 	alive()
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(make([]byte, 0, 4096), maxLine)
-	var text object
+	var text objectReader
 	for lines.Scan() {
 		whole, err := text.add(lines.Bytes())
 		if err != nil {
 			return errors.Join(err, lines.Err())
 		}
-		if !text.begun() { // an empty line
+		if !text.started() { // an empty line
 			alive()
 		}
 		if !whole {
@@ -142,8 +142,8 @@
 	return errors.Join(errors.New("cluster: the watch ended"), lines.Err())
 }
 
-// object gathers the lines of one JSON object, which may be indented.
-type object struct {
+// objectReader gathers the lines of one JSON object, which may be indented.
+type objectReader struct {
 	text   []byte
 	depth  int
 	quoted bool // in a string
@@ -151,8 +151,8 @@
 }
 
 // add takes a line, and tells whether the object is whole with it.
-func (o *object) add(line []byte) (whole bool, err error) {
-	if !o.begun() && len(bytes.TrimSpace(line)) == 0 {
+func (o *objectReader) add(line []byte) (whole bool, err error) {
+	if !o.started() && len(bytes.TrimSpace(line)) == 0 {
 		return false, nil
 	}
 	if len(o.text)+len(line) >= maxLine {
@@ -177,12 +177,12 @@
 	return o.depth <= 0, nil
 }
 
-// begun tells whether some of an object is there.
-func (o *object) begun() bool { return len(o.text) > 0 }
+// started tells whether some of an object is there.
+func (o *objectReader) started() bool { return len(o.text) > 0 }
 
 // take returns the whole object, valid until the next add.
-func (o *object) take() []byte {
+func (o *objectReader) take() []byte {
 	t := o.text
-	*o = object{text: o.text[:0]}
+	*o = objectReader{text: o.text[:0]}
 	return t
 }
--- a/internal/net/cluster/endings_test.go
+++ b/internal/net/cluster/endings_test.go
@@ -28,7 +28,7 @@
 
 // A watch that trickles, so that no single read waits long, tells nothing all the same: it is as broken as a silent one.
 // Guards against a time limit on each read in place of one on each line.
-func TestTrickle(t *testing.T) {
+func TestTricklingWatchTimesOut(t *testing.T) {
 	for name, begin := range map[string]string{"from the head on": "", "after a list": nettest.Chunks(line),
 		"within a list": nettest.Chunks(line, `{"seq":44,`)} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/net/cluster/pace_test.go
+++ b/internal/net/cluster/pace_test.go
@@ -12,9 +12,9 @@
 	"gaugeslip/internal/dispatch"
 )
 
-// discovery works off calls in turn, 90 ms each, and answers 503 to one that has waited for 2 s, which it still works off.
+// simulateDiscovery works off calls in turn, 90 ms each, and answers 503 to one that has waited for 2 s, which it still works off.
 // It returns how many of n dispatchers had their list in 20 s, when each waits next() before a call.
-func discovery(n int, next func(i int, failed bool) time.Duration) (served int) {
+func simulateDiscovery(n int, next func(i int, failed bool) time.Duration) (served int) {
 	const cost, patience, until, done = 90 * time.Millisecond, 2 * time.Second, 20 * time.Second, time.Hour
 	ask, free := make([]time.Duration, n), time.Duration(0)
 	for i := range ask {
@@ -42,13 +42,13 @@
 	for i := range paces {
 		paces[i] = NewPace(n, uint64(i), 10*time.Second, 0)
 	}
-	assert.Equal(t, n, discovery(n, func(i int, failed bool) time.Duration {
+	assert.Equal(t, n, simulateDiscovery(n, func(i int, failed bool) time.Duration {
 		if failed {
 			paces[i].Ended(false, false)
 		}
 		return paces[i].Next()
 	}), "all have the list")
-	assert.Less(t, discovery(n, func(i int, failed bool) time.Duration {
+	assert.Less(t, simulateDiscovery(n, func(i int, failed bool) time.Duration {
 		if failed {
 			return 500 * time.Millisecond
 		}
@@ -63,7 +63,7 @@
 		}
 		return most
 	}
-	few := NewPace(few, 1, 10*time.Second, 0)
+	few := NewPace(unpacedReplicas, 1, 10*time.Second, 0)
 	few.Ended(false, false)
 	assert.Zero(t, longest(few), "ten dispatchers ask at once, as one does")
 	assert.LessOrEqual(t, longest(NewPace(1000, 1, 10*time.Second, 0)), 8., "asked before it counts as told")
@@ -91,16 +91,16 @@
 	assert.InDelta(t, 7, longest(p), 0.5, "a watch that told something forgives the failures")
 }
 
-// lost is a source whose every call fails.
-type lost struct{ calls int }
+// failingSource is a source whose every call fails.
+type failingSource struct{ calls int }
 
-func (l *lost) Watch(context.Context, uint64, func(dispatch.Listed)) error {
+func (l *failingSource) Watch(context.Context, uint64, func(dispatch.Listed)) error {
 	l.calls++
 	return errors.New("status 503")
 }
 
-func TestPacedGivesUpWithItsContext(t *testing.T) {
-	l := &lost{}
+func TestPacedEndsWithItsContext(t *testing.T) {
+	l := &failingSource{}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	s := &Paced{Source: l, Pace: NewPace(80, 1, 0, 0)}
--- a/internal/net/cluster/pushed.go
+++ b/internal/net/cluster/pushed.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// retryFirst is the wait after a first call that failed where lists are pushed; it doubles with each further one.
-	retryFirst = 25 * time.Millisecond
-	// retryPart is the part of the time within which a drain has to be obeyed that a wait between such calls may take.
-	retryPart = 4
-	// retryMost bounds that wait.
-	retryMost = 250 * time.Millisecond
+	// minRetryWait is the wait after a first call that failed where lists are pushed; it doubles with each further one.
+	minRetryWait = 25 * time.Millisecond
+	// graceDivisor is the part of the time within which a drain has to be obeyed that a wait between such calls may take.
+	graceDivisor = 4
+	// maxRetryWait bounds that wait.
+	maxRetryWait = 250 * time.Millisecond
 )
 
 // Pushed is the Source where the settings say that lists are pushed: what the service's agent has counts as told whether or
@@ -29,9 +29,9 @@
 
 // Watch follows the source until ctx ends.
 func (s *Pushed) Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error {
-	most := retryMost
+	most := maxRetryWait
 	if s.Grace > 0 {
-		most = min(most, max(retryFirst, s.Grace/retryPart))
+		most = min(most, max(minRetryWait, s.Grace/graceDivisor))
 	}
 	for wait := time.Duration(0); ; {
 		told := false
@@ -48,7 +48,7 @@
 			continue
 		}
 		slog.Debug("pushed lists can't be had", "error", err)
-		wait = min(max(retryFirst, 2*wait), most)
+		wait = min(max(minRetryWait, 2*wait), most)
 		if err := pause.For(ctx, wait/2+rand.N(wait/2)); err != nil {
 			return err
 		}
--- a/internal/net/operators/limit.go
+++ b/internal/net/operators/limit.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// limit is the door's listener: it holds so many connections at once, and at the limit closes the one that has
+// connLimiter is the door's listener: it holds so many connections at once, and at the limit closes the one that has
 // waited longest without a whole call, so that callers who say nothing take no place from those who do.
-type limit struct {
+type connLimiter struct {
 	net.Listener
 	max   int
 	mu    sync.Mutex
-	conns map[*caller]struct{}
+	conns map[*limitedConn]struct{}
 }
 
-type caller struct {
+type limitedConn struct {
 	net.Conn
-	l        *limit
-	accepted time.Time
-	spoken   bool // a whole head has come
-	gone     bool
+	limiter     *connLimiter
+	accepted    time.Time
+	requestRead bool // a whole head has come
+	evicted     bool
 }
 
-func newLimit(ln net.Listener, most int) *limit {
-	return &limit{Listener: ln, max: max(most, 2), conns: map[*caller]struct{}{}}
+func newConnLimiter(ln net.Listener, most int) *connLimiter {
+	return &connLimiter{Listener: ln, max: max(most, 2), conns: map[*limitedConn]struct{}{}}
 }
 
 // Accept takes the next connection and makes room for it.
-func (l *limit) Accept() (net.Conn, error) {
+func (l *connLimiter) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
 		if err != nil {
@@ -42,19 +42,19 @@
 }
 
 // admit finds a place for a connection; nil: every place is owed an answer, and it is closed.
-func (l *limit) admit(nc net.Conn) *caller {
-	c := &caller{Conn: nc, l: l, accepted: time.Now()}
-	var victim *caller
+func (l *connLimiter) admit(nc net.Conn) *limitedConn {
+	c := &limitedConn{Conn: nc, limiter: l, accepted: time.Now()}
+	var victim *limitedConn
 	l.mu.Lock()
 	if len(l.conns) >= l.max {
 		for o := range l.conns {
-			if !o.spoken && (victim == nil || o.accepted.Before(victim.accepted)) {
+			if !o.requestRead && (victim == nil || o.accepted.Before(victim.accepted)) {
 				victim = o
 			}
 		}
 		if victim != nil {
 			delete(l.conns, victim)
-			victim.gone = true
+			victim.evicted = true
 		}
 	}
 	full := len(l.conns) >= l.max
@@ -72,18 +72,18 @@
 	return c
 }
 
-func (l *limit) state(nc net.Conn, s http.ConnState) {
-	if c, ok := nc.(*caller); ok && s == http.StateActive {
+func (l *connLimiter) connState(nc net.Conn, s http.ConnState) {
+	if c, ok := nc.(*limitedConn); ok && s == http.StateActive {
 		l.mu.Lock()
-		c.spoken = true
+		c.requestRead = true
 		l.mu.Unlock()
 	}
 }
 
 // Close frees the connection's place.
-func (c *caller) Close() error {
-	c.l.mu.Lock()
-	delete(c.l.conns, c)
-	c.l.mu.Unlock()
+func (c *limitedConn) Close() error {
+	c.limiter.mu.Lock()
+	delete(c.limiter.conns, c)
+	c.limiter.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/net/operators/server.go
+++ b/internal/net/operators/server.go
@@ -19,9 +19,9 @@
 const (
 	headTimeout  = 2 * time.Second // from the accept to the end of the head; silent callers go then
 	writeTimeout = 2 * time.Second
-	handFor      = 800 * time.Millisecond // what the loop has to take a call by hand in
-	bodyMost     = 4 << 10                // calls carry no body to speak of
-	pollEvery    = 250 * time.Millisecond // for changes of the file by another process
+	coreTimeout  = 800 * time.Millisecond // what the loop has to take a call by hand in
+	maxBody      = 4 << 10                // calls carry no body to speak of
+	pollInterval = 250 * time.Millisecond // for changes of the file by another process
 )
 
 // Core is what the server needs of the loop.
@@ -47,10 +47,10 @@
 
 // Server answers the operators. Each call has a connection of its own: every answer closes it.
 type Server struct {
-	cfg  Config
-	http *http.Server
-	gate *limit
-	mu   sync.Mutex // of the store
+	cfg      Config
+	http     *http.Server
+	listener *connLimiter
+	mu       sync.Mutex // of the store
 }
 
 // NewServer makes a server that has no address yet.
@@ -60,21 +60,21 @@
 	mux.HandleFunc("GET /healthcheck", s.health)
 	mux.Handle("GET /stats", promhttp.HandlerFor(cfg.Figures.Gatherer(), promhttp.HandlerOpts{
 		ErrorHandling: promhttp.ContinueOnError, MaxRequestsInFlight: 4, Timeout: time.Second}))
-	mux.HandleFunc("POST /game-workers/{id}/maint", func(w http.ResponseWriter, r *http.Request) { s.hand(w, r, true) })
-	mux.HandleFunc("POST /game-workers/{id}/ready", func(w http.ResponseWriter, r *http.Request) { s.hand(w, r, false) })
+	mux.HandleFunc("POST /game-workers/{id}/maint", func(w http.ResponseWriter, r *http.Request) { s.setOut(w, r, true) })
+	mux.HandleFunc("POST /game-workers/{id}/ready", func(w http.ResponseWriter, r *http.Request) { s.setOut(w, r, false) })
 	for path, view := range cfg.Views {
 		mux.HandleFunc("GET /"+path, func(w http.ResponseWriter, _ *http.Request) {
 			text, err := json.Marshal(view())
 			if err != nil {
-				say(w, http.StatusInternalServerError, err.Error())
+				writeText(w, http.StatusInternalServerError, err.Error())
 				return
 			}
-			answer(w, http.StatusOK, "application/json", string(text))
+			writeAnswer(w, http.StatusOK, "application/json", string(text))
 		})
 	}
-	s.http = &http.Server{Handler: framed(mux), ReadHeaderTimeout: headTimeout, ReadTimeout: headTimeout,
+	s.http = &http.Server{Handler: checkFraming(mux), ReadHeaderTimeout: headTimeout, ReadTimeout: headTimeout,
 		WriteTimeout: writeTimeout, MaxHeaderBytes: 8 << 10,
-		ConnState: func(nc net.Conn, state http.ConnState) { s.gate.state(nc, state) },
+		ConnState: func(nc net.Conn, state http.ConnState) { s.listener.connState(nc, state) },
 		ErrorLog:  slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
 	s.http.SetKeepAlivesEnabled(false)
 	return s
@@ -86,8 +86,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("ops: %w", err)
 	}
-	s.gate = newLimit(ln, s.cfg.MaxConns)
-	return s.gate, nil
+	s.listener = newConnLimiter(ln, s.cfg.MaxConns)
+	return s.listener, nil
 }
 
 // Restore tells the core what the store holds, at a start. A file that can't be read is named in the log and
@@ -112,7 +112,7 @@
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	failed := make(chan error, 1)
 	go func() { failed <- s.http.Serve(ln) }()
-	tick := time.NewTicker(pollEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -123,13 +123,13 @@
 			<-failed
 			return nil
 		case <-tick.C:
-			s.follow()
+			s.reloadIfChanged()
 		}
 	}
 }
 
-// follow takes in what another process of the same dispatcher has written to the store.
-func (s *Server) follow() {
+// reloadIfChanged takes in what another process of the same dispatcher has written to the store.
+func (s *Server) reloadIfChanged() {
 	if s.cfg.Store == nil {
 		return
 	}
@@ -147,15 +147,15 @@
 	s.cfg.Core.HandSet(names)
 }
 
-// framed refuses bodies that are framed twice or too long, before any handler.
-func framed(next http.Handler) http.Handler {
+// checkFraming refuses bodies that are framed twice or too long, before any handler.
+func checkFraming(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case len(r.TransferEncoding) > 0 || r.Header.Get("Content-Length") != "" && r.Header.Get("Transfer-Encoding") != "":
-			say(w, http.StatusBadRequest, "no Transfer-Encoding here")
+			writeText(w, http.StatusBadRequest, "no Transfer-Encoding here")
 			return
-		case r.ContentLength > bodyMost:
-			say(w, http.StatusRequestEntityTooLarge, "calls carry no body")
+		case r.ContentLength > maxBody:
+			writeText(w, http.StatusRequestEntityTooLarge, "calls carry no body")
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -164,42 +164,42 @@
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
 	if s.cfg.Ready() {
-		say(w, http.StatusOK, "ok")
+		writeText(w, http.StatusOK, "ok")
 		return
 	}
-	say(w, http.StatusServiceUnavailable, "not serving")
+	writeText(w, http.StatusServiceUnavailable, "not serving")
 }
 
-// hand takes a game worker out, or puts it back. A name that nobody has gets a 404 and changes nothing.
-func (s *Server) hand(w http.ResponseWriter, r *http.Request, out bool) {
-	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, bodyMost)); err != nil {
-		say(w, http.StatusBadRequest, "body: "+err.Error())
+// setOut takes a game worker out, or puts it back. A name that nobody has gets a 404 and changes nothing.
+func (s *Server) setOut(w http.ResponseWriter, r *http.Request, out bool) {
+	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBody)); err != nil {
+		writeText(w, http.StatusBadRequest, "body: "+err.Error())
 		return
 	}
 	name := r.PathValue("id")
 	if !ValidName(name) {
-		say(w, http.StatusBadRequest, "not a game worker's name")
+		writeText(w, http.StatusBadRequest, "not a game worker's name")
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), handFor)
+	ctx, cancel := context.WithTimeout(r.Context(), coreTimeout)
 	defer cancel()
 	known, err := s.cfg.Core.Hand(ctx, name, out)
 	switch {
 	case err != nil:
-		say(w, http.StatusServiceUnavailable, "not taken in time; ask again")
+		writeText(w, http.StatusServiceUnavailable, "not taken in time; ask again")
 		return
 	case !known:
-		say(w, http.StatusNotFound, "no game worker of that name")
+		writeText(w, http.StatusNotFound, "no game worker of that name")
 		return
 	}
-	s.keep(name, out)
+	s.saveChange(name, out)
 	verb := map[bool]string{true: "out", false: "back"}[out]
 	slog.Info("game worker "+verb+" by hand", "host", name)
-	say(w, http.StatusOK, verb)
+	writeText(w, http.StatusOK, verb)
 }
 
-// keep writes a change to the store, on top of what is there now: another process may have written it last.
-func (s *Server) keep(name string, out bool) {
+// saveChange writes a change to the store, on top of what is there now: another process may have written it last.
+func (s *Server) saveChange(name string, out bool) {
 	if s.cfg.Store == nil {
 		return
 	}
@@ -223,12 +223,12 @@
 	}
 }
 
-// say sends a short answer and closes.
-func say(w http.ResponseWriter, status int, text string) {
-	answer(w, status, "text/plain; charset=utf-8", text)
+// writeText sends a short answer and closes.
+func writeText(w http.ResponseWriter, status int, text string) {
+	writeAnswer(w, status, "text/plain; charset=utf-8", text)
 }
 
-func answer(w http.ResponseWriter, status int, kind, text string) {
+func writeAnswer(w http.ResponseWriter, status int, kind, text string) {
 	w.Header().Set("Content-Type", kind)
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)+1))
 	w.Header().Set("Connection", "close")
--- a/internal/net/operators/server_test.go
+++ b/internal/net/operators/server_test.go
@@ -18,8 +18,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// core is a loop that knows some names and remembers what it was told.
-type core struct {
+// fakeCore is a loop that knows some names and remembers what it was told.
+type fakeCore struct {
 	mu    sync.Mutex
 	names map[string]bool
 	out   map[string]bool
@@ -27,7 +27,7 @@
 	stuck bool
 }
 
-func (c *core) Hand(ctx context.Context, name string, out bool) (bool, error) {
+func (c *fakeCore) Hand(ctx context.Context, name string, out bool) (bool, error) {
 	if c.stuck {
 		<-ctx.Done()
 		return false, ctx.Err()
@@ -41,14 +41,14 @@
 	return true, nil
 }
 
-func (c *core) HandSet(names []string) {
+func (c *fakeCore) HandSet(names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sets = append(c.sets, names)
 }
 
-// door starts a door on a free loopback port.
-func door(t *testing.T, c *core, ready *atomic.Bool, dir string) string {
+// startServer starts a door on a free loopback port.
+func startServer(t *testing.T, c *fakeCore, ready *atomic.Bool, dir string) string {
 	f := NewFigures([]string{"plot-load", "harvest-sale"}, Gauges{
 		InFlight: func() float64 { return 14 },
 		Workers:  func() (float64, float64) { return 5, 2 }})
@@ -93,10 +93,10 @@
 	return "POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
 }
 
-func TestDoorCalls(t *testing.T) {
-	c := &core{names: map[string]bool{"s-0000000a": true}, out: map[string]bool{}}
+func TestServerAnswersCalls(t *testing.T) {
+	c := &fakeCore{names: map[string]bool{"s-0000000a": true}, out: map[string]bool{}}
 	var ready atomic.Bool
-	addr := door(t, c, &ready, "")
+	addr := startServer(t, c, &ready, "")
 	status, _ := call(t, addr, get("/healthcheck"))
 	assert.Equal(t, 503, status, "not yet able to serve")
 	ready.Store(true)
@@ -128,9 +128,9 @@
 	assert.Equal(t, map[string]bool{"s-0000000a": false}, c.out)
 }
 
-func TestStatsAreThePrometheusText(t *testing.T) {
+func TestStatsInPrometheusText(t *testing.T) {
 	var ready atomic.Bool
-	addr := door(t, &core{}, &ready, "")
+	addr := startServer(t, &fakeCore{}, &ready, "")
 	status, body := call(t, addr, get("/stats"))
 	require.Equal(t, 200, status)
 	for _, line := range []string{
@@ -152,10 +152,10 @@
 
 // Callers that connect and say nothing, or half a call, take no place from those who call: the door holds four
 // connections here, and forty silent ones come first.
-func TestSilentCallersTakeNoPlace(t *testing.T) {
+func TestSilentConnectionsAreEvicted(t *testing.T) {
 	var ready atomic.Bool
 	ready.Store(true)
-	addr := door(t, &core{}, &ready, "")
+	addr := startServer(t, &fakeCore{}, &ready, "")
 	for i := range 40 {
 		c, err := net.Dial("tcp", addr)
 		require.NoError(t, err)
@@ -171,20 +171,20 @@
 }
 
 // A loop that does not take a call in time makes it a no, within the caller's second.
-func TestStuckCoreIsANo(t *testing.T) {
+func TestStuckCoreTimesOut(t *testing.T) {
 	var ready atomic.Bool
-	addr := door(t, &core{stuck: true}, &ready, "")
+	addr := startServer(t, &fakeCore{stuck: true}, &ready, "")
 	status, _ := call(t, addr, post("/game-workers/s-0000000a/maint"))
 	assert.Equal(t, 503, status)
 }
 
 // What is done by hand is kept in the store for a successor, and a change that another process writes there is
 // followed.
-func TestHandsAreKeptAndFollowed(t *testing.T) {
+func TestManualChangesAreStoredAndReloaded(t *testing.T) {
 	dir := t.TempDir()
-	c := &core{names: map[string]bool{"s-0000000a": true, "s-0000000b": true}, out: map[string]bool{}}
+	c := &fakeCore{names: map[string]bool{"s-0000000a": true, "s-0000000b": true}, out: map[string]bool{}}
 	var ready atomic.Bool
-	addr := door(t, c, &ready, dir)
+	addr := startServer(t, c, &ready, dir)
 	call(t, addr, post("/game-workers/s-0000000a/maint"))
 	call(t, addr, post("/game-workers/s-0000000b/maint"))
 	call(t, addr, post("/game-workers/s-0000000b/ready"))
@@ -200,7 +200,7 @@
 	}, 5*time.Second, 10*time.Millisecond)
 }
 
-func TestStoreReadsOnlyItsOwn(t *testing.T) {
+func TestStoreRejectsForeignFiles(t *testing.T) {
 	dir := t.TempDir()
 	s := NewStore(dir, "n1/x")
 	names, err := s.Load()
--- a/internal/net/operators/store.go
+++ b/internal/net/operators/store.go
@@ -14,14 +14,14 @@
 
 // The file of hosts out by hand: small, and written whole each time, by a rename.
 const (
-	storeVersion = 1
-	storeMost    = 64 << 10 // bytes; a longer file is none of ours
-	namesMost    = 1024     // names in it
-	nameMost     = 128      // bytes of a name
+	storeVersion  = 1
+	maxStoreBytes = 64 << 10 // bytes; a longer file is none of ours
+	maxNames      = 1024     // names in it
+	maxNameBytes  = 128      // bytes of a name
 )
 
-// stored is the form of the file.
-type stored struct {
+// storedSet is the form of the file.
+type storedSet struct {
 	V    int      `json:"v"`
 	Node string   `json:"node"`
 	Out  []string `json:"out"`
@@ -31,19 +31,19 @@
 func Encode(node string, out []string) []byte {
 	names := slices.Clone(out)
 	slices.Sort(names)
-	b, _ := json.Marshal(stored{V: storeVersion, Node: node, Out: slices.Compact(names)})
+	b, _ := json.Marshal(storedSet{V: storeVersion, Node: node, Out: slices.Compact(names)})
 	return append(b, '\n')
 }
 
 // Decode reads a file that Encode wrote for node. Anything else, a torn or foreign file too, is an error that says
 // what is wrong with it.
 func Decode(node string, b []byte) ([]string, error) {
-	if len(b) > storeMost {
-		return nil, fmt.Errorf("%d bytes, more than %d", len(b), storeMost)
+	if len(b) > maxStoreBytes {
+		return nil, fmt.Errorf("%d bytes, more than %d", len(b), maxStoreBytes)
 	}
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
-	var s stored
+	var s storedSet
 	if err := d.Decode(&s); err != nil {
 		return nil, fmt.Errorf("not a list of hosts out by hand: %w", err)
 	}
@@ -52,8 +52,8 @@
 		return nil, fmt.Errorf("version %d, not %d", s.V, storeVersion)
 	case s.Node != node:
 		return nil, fmt.Errorf("of dispatcher %q, not %q", s.Node, node)
-	case len(s.Out) > namesMost:
-		return nil, fmt.Errorf("%d names, more than %d", len(s.Out), namesMost)
+	case len(s.Out) > maxNames:
+		return nil, fmt.Errorf("%d names, more than %d", len(s.Out), maxNames)
 	}
 	for _, n := range s.Out {
 		if !ValidName(n) {
@@ -65,7 +65,7 @@
 
 // ValidName tells whether a text can be the name of a game worker: printable, without spaces or slashes.
 func ValidName(n string) bool {
-	return n != "" && len(n) <= nameMost && !strings.ContainsFunc(n, func(r rune) bool {
+	return n != "" && len(n) <= maxNameBytes && !strings.ContainsFunc(n, func(r rune) bool {
 		return r <= ' ' || r == '/' || r >= 0x7f
 	})
 }
@@ -74,7 +74,7 @@
 // its successor. It is used by one goroutine at a time.
 type Store struct {
 	node, path string
-	seen       stamp // of the file as last read or written
+	lastSeen   stamp // of the file as last read or written
 }
 
 // stamp tells whether a file has changed since.
@@ -128,15 +128,15 @@
 func (s *Store) Load() ([]string, error) {
 	info, err := os.Stat(s.path)
 	if errors.Is(err, os.ErrNotExist) {
-		s.seen = stamp{}
+		s.lastSeen = stamp{}
 		return nil, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.path, err)
 	}
-	s.seen = stamp{info.ModTime(), info.Size()}
-	if info.Size() > storeMost {
-		return nil, fmt.Errorf("%s: %d bytes, more than %d", s.path, info.Size(), storeMost)
+	s.lastSeen = stamp{info.ModTime(), info.Size()}
+	if info.Size() > maxStoreBytes {
+		return nil, fmt.Errorf("%s: %d bytes, more than %d", s.path, info.Size(), maxStoreBytes)
 	}
 	b, err := os.ReadFile(s.path)
 	if err != nil {
@@ -153,9 +153,9 @@
 func (s *Store) Changed() bool {
 	info, err := os.Stat(s.path)
 	if err != nil {
-		return s.seen != stamp{}
+		return s.lastSeen != stamp{}
 	}
-	return stamp{info.ModTime(), info.Size()} != s.seen
+	return stamp{info.ModTime(), info.Size()} != s.lastSeen
 }
 
 // Save writes the set, whole.
@@ -164,7 +164,7 @@
 		return fmt.Errorf("out by hand: %s: %w", s.path, err)
 	}
 	if info, err := os.Stat(s.path); err == nil {
-		s.seen = stamp{info.ModTime(), info.Size()}
+		s.lastSeen = stamp{info.ModTime(), info.Size()}
 	}
 	return nil
 }
--- a/internal/net/peers/limits.go
+++ b/internal/net/peers/limits.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// mostMembers bounds the fleet; more would not fit in what one leader can hear.
-const mostMembers = 2000
+// maxMembers bounds the fleet; more would not fit in what one leader can hear.
+const maxMembers = 2000
 
 // Limits are the settings of the block peers.
 type Limits struct {
@@ -33,8 +33,8 @@
 		}
 	}
 	switch {
-	case len(l.Members) < 2 || len(l.Members) > mostMembers:
-		return fmt.Errorf("members: out of range, 2 to %d", mostMembers)
+	case len(l.Members) < 2 || len(l.Members) > maxMembers:
+		return fmt.Errorf("members: out of range, 2 to %d", maxMembers)
 	case l.Voters < 1 || l.Voters > len(l.Members) || l.Voters > 63 || l.Voters%2 == 0:
 		return errors.New("voters: out of range, an odd number up to that of the members")
 	case !(l.Drift >= 0.0001 && l.Drift <= 0.2):
--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -34,7 +34,7 @@
 
 	sent, heard, dropped atomic.Uint64
 
-	looks sync.WaitGroup // at suspects
+	probes sync.WaitGroup // at suspects
 
 	mu       sync.Mutex
 	bound    bool
@@ -63,24 +63,24 @@
 	if err != nil || s == nil {
 		return err
 	}
-	defer s.end()
-	defer p.disown() // before anyone else can hold the address
-	p.set(func() { p.bound = true })
+	defer s.stop()
+	defer p.releaseShares() // before anyone else can hold the address
+	p.locked(func() { p.bound = true })
 	slog.Info("talk with the other dispatchers begins", "listen", p.cfg.Listen, "number", p.cfg.Self, "members", len(p.cfg.Members))
-	s.begin()
-	p.divide(ctx, s.sender)
+	s.start()
+	p.runBudget(ctx, s.sender)
 	return nil
 }
 
-func (p *Peers) disown() {
+func (p *Peers) releaseShares() {
 	for b := range p.cfg.Ledger.Accounts() {
 		p.cfg.Ledger.Own(p.cfg.Now(), b, budget.Share{})
 	}
-	p.set(func() { p.bound = false })
+	p.locked(func() { p.bound = false })
 }
 
-// say tells all members a word about one.
-func (p *Peers) say(member int, word gossip.Version) {
+// announce tells all members a word about one.
+func (p *Peers) announce(member int, word gossip.Version) {
 	p.mu.Lock()
 	tell := p.gossip
 	p.mu.Unlock()
@@ -89,14 +89,14 @@
 	}
 }
 
-// learn takes in a word about a member, the own ones too.
-func (p *Peers) learn(value gossip.Value) {
+// onValue takes in a word about a member, the own ones too.
+func (p *Peers) onValue(value gossip.Value) {
 	member := number(string(value.Key), len(p.cfg.Members))
 	if member < 0 {
 		return
 	}
 	if member == p.cfg.Self {
-		p.answer(value.Version)
+		p.refute(value.Version)
 		return
 	}
 	p.mu.Lock()
@@ -108,17 +108,17 @@
 	}
 }
 
-// answer answers a word of others about this process.
-func (p *Peers) answer(word gossip.Version) {
+// refute answers a word of others about this process.
+func (p *Peers) refute(word gossip.Version) {
 	p.mu.Lock()
 	own, wanted := p.roster.refute(word)
 	p.mu.Unlock()
 	if wanted {
-		p.say(p.cfg.Self, own)
+		p.announce(p.cfg.Self, own)
 	}
 }
 
-func (p *Peers) set(do func()) {
+func (p *Peers) locked(do func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	do()
--- a/internal/net/peers/peers_test.go
+++ b/internal/net/peers/peers_test.go
@@ -15,11 +15,11 @@
 	"gaugeslip/internal/freeport/freeporttest"
 )
 
-// talkers starts members of a fleet on loopback, and stops them at the test's end.
-func talkers(t *testing.T, n int) (all []*Peers, addrs []string) {
+// startMembers starts members of a fleet on loopback, and stops them at the test's end.
+func startMembers(t *testing.T, n int) (all []*Peers, addrs []string) {
 	addrs = freeAddresses(t, n)
 	for i := range n {
-		all = append(all, talker(addrs, i, uint64(i+1)))
+		all = append(all, newMember(addrs, i, uint64(i+1)))
 		run(t, all[i])
 	}
 	return all, addrs
@@ -33,8 +33,8 @@
 	return addrs
 }
 
-// An address that a test has taken goes to nobody else who asks for any, as the relays of TestStates do, and programs beside the test.
-func TestFreeAddressesGoToNobodyElse(t *testing.T) {
+// An address that a test has taken goes to nobody else who asks for any, as the relays of TestMemberStates do, and programs beside the test.
+func TestFreeAddressesAreReserved(t *testing.T) {
 	const asked = 150_000 // several times as often as there are ports
 	taken := freeAddresses(t, 3)
 	for range asked {
@@ -47,7 +47,7 @@
 
 var began = time.Now()
 
-func talker(addrs []string, i int, life uint64) *Peers {
+func newMember(addrs []string, i int, life uint64) *Peers {
 	l := Defaults()
 	l.Listen, l.Members, l.Voters = addrs[i], addrs, 3
 	return New(Config{Limits: l, Self: i, Floor: budget.Whole / 16, Life: life,
@@ -72,9 +72,9 @@
 
 // Three members find one another and own the whole together, never more; what is not a message is counted and dropped; who leaves
 // owns nothing, and a successor at its address waits until it is free.
-func TestTalk(t *testing.T) {
+func TestMembersShareTheWholeBudget(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	all, addrs := talkers(t, 3)
+	all, addrs := startMembers(t, 3)
 	eventually := func(what string, ok func() bool) {
 		t.Helper()
 		require.Eventually(t, func() bool {
@@ -106,16 +106,16 @@
 	})
 	assert.Equal(t, before+2, all[1].View().Dropped)
 
-	twin := talker(addrs, 2, 99) // a second process under one name
+	twin := newMember(addrs, 2, 99) // a second process under one name
 	run(t, twin)
-	require.Never(t, func() bool { return owned(twin) > 0 }, 3*bindEvery, bindEvery/4, "it does not hold the address")
+	require.Never(t, func() bool { return owned(twin) > 0 }, 3*bindInterval, bindInterval/4, "it does not hold the address")
 	assert.False(t, twin.View().Bound)
 	old := all[2]
 	all = append(all, twin)
 	eventually("still whole", func() bool { return owned(all...) > 0.99 })
 	oldCtx, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.NoError(t, talker(addrs, 2, 100).Run(oldCtx), "one that is stopped while it waits")
+	assert.NoError(t, newMember(addrs, 2, 100).Run(oldCtx), "one that is stopped while it waits")
 	assert.Positive(t, owned(old))
 }
 
--- a/internal/net/peers/presence_test.go
+++ b/internal/net/peers/presence_test.go
@@ -32,7 +32,7 @@
 	r.work.Go(r.accept)
 	t.Cleanup(func() {
 		ln.Close()
-		r.set(true)
+		r.setCut(true)
 		r.work.Wait()
 	})
 	return r
@@ -44,14 +44,14 @@
 		if err != nil {
 			return
 		}
-		r.work.Go(func() { r.carry(near) })
+		r.work.Go(func() { r.forward(near) })
 	}
 }
 
-func (r *relay) carry(near net.Conn) {
+func (r *relay) forward(near net.Conn) {
 	defer near.Close()
 	far, err := net.Dial("tcp", r.to)
-	if err != nil || !r.keep(near, far) {
+	if err != nil || !r.track(near, far) {
 		return
 	}
 	defer far.Close()
@@ -62,8 +62,8 @@
 	io.Copy(near, far)
 }
 
-// keep has the connections closed by a cut; false: there is one.
-func (r *relay) keep(conns ...net.Conn) bool {
+// track has the connections closed by a cut; false: there is one.
+func (r *relay) track(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conns = append(r.conns, conns...)
@@ -75,7 +75,7 @@
 	return !r.cut
 }
 
-func (r *relay) set(cut bool) {
+func (r *relay) setCut(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cut = cut
@@ -87,11 +87,11 @@
 	}
 }
 
-const patience = 30 * time.Second
+const timeout = 30 * time.Second
 
 // A member that one other can't reach stays alive as long as a third does; one that nobody reaches is silent, and alive again when it
 // is reached; one that leaves has left, and its successor is alive.
-func TestStates(t *testing.T) {
+func TestMemberStates(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	addrs := freeAddresses(t, 3)
 	var ways [3][3]*relay // by from and to
@@ -107,7 +107,7 @@
 		}
 	}
 	member := func(i int, life uint64) *Peers {
-		p := talker(seen[i], i, life)
+		p := newMember(seen[i], i, life)
 		p.cfg.Listen = addrs[i]
 		return p
 	}
@@ -118,7 +118,7 @@
 	}
 	sees := func(who, of int, state string) {
 		t.Helper()
-		require.Eventually(t, func() bool { return all[who].View().Members[of].State == state }, patience, 5*time.Millisecond,
+		require.Eventually(t, func() bool { return all[who].View().Members[of].State == state }, timeout, 5*time.Millisecond,
 			"member %d sees %d as %s", who, of, state)
 	}
 	for who := range 3 {
@@ -127,11 +127,11 @@
 		}
 	}
 
-	ways[0][2].set(true)
-	require.Never(t, func() bool { return all[0].Count(stateAlive) < 3 }, suspectFor+2*time.Second, 20*time.Millisecond, "member 1 reaches it")
+	ways[0][2].setCut(true)
+	require.Never(t, func() bool { return all[0].Count(stateAlive) < 3 }, suspicionTimeout+2*time.Second, 20*time.Millisecond, "member 1 reaches it")
 
 	for _, pair := range [][2]int{{1, 2}, {2, 0}, {2, 1}} {
-		ways[pair[0]][pair[1]].set(true)
+		ways[pair[0]][pair[1]].setCut(true)
 	}
 	sees(0, 2, stateSilent)
 	sees(1, 2, stateSilent)
@@ -139,7 +139,7 @@
 	assert.Equal(t, 2.0, all[0].Count(stateAlive))
 
 	for _, pair := range [][2]int{{0, 2}, {1, 2}, {2, 0}, {2, 1}} {
-		ways[pair[0]][pair[1]].set(false)
+		ways[pair[0]][pair[1]].setCut(false)
 	}
 	sees(0, 2, stateAlive)
 	sees(1, 2, stateAlive)
@@ -164,26 +164,26 @@
 		rosters := make([]roster, members)
 		for i := range rosters {
 			rosters[i] = newRoster(i, members)
-			said = append(said, word(i, rosters[i].begin(rng.Uint64N(3))))
+			said = append(said, value(i, rosters[i].join(rng.Uint64N(3))))
 		}
 		hear := func(i int, v gossip.Value) {
 			of := number(string(v.Key), members)
 			if of != i {
 				rosters[i].learn(of, v.Version)
 			} else if answer, wanted := rosters[i].refute(v.Version); wanted {
-				said = append(said, word(i, answer))
+				said = append(said, value(i, answer))
 			}
 		}
 		for range 100 {
 			i := rng.IntN(members)
 			hear(i, said[rng.IntN(len(said))])
 			if of := rng.IntN(members); of != i && rosters[i].alive(of) && rng.IntN(4) == 0 {
-				slander := word(of, withStatus(rosters[i].words[of], statusSilent))
+				slander := value(of, withStatus(rosters[i].versions[of], statusSilent))
 				said = append(said, slander)
 				hear(i, slander)
 			}
 		}
-		said = append(said, word(0, rosters[0].leave()))
+		said = append(said, value(0, rosters[0].leave()))
 		for k := 0; k < len(said); k++ { // answers grow the list
 			for i := range rosters {
 				hear(i, said[k])
@@ -196,13 +196,13 @@
 					want = stateLeft
 				}
 				require.Equal(t, want, rosters[i].state(of), "seed %d: %d of %d", seed, i, of)
-				require.Equal(t, rosters[of].words[of], rosters[i].words[of])
+				require.Equal(t, rosters[of].versions[of], rosters[i].versions[of])
 			}
 		}
 	}
 }
 
-func word(member int, version gossip.Version) gossip.Value {
+func value(member int, version gossip.Version) gossip.Value {
 	return gossip.Value{Key: gossip.Key(name(member)), Version: version}
 }
 
--- a/internal/net/peers/session.go
+++ b/internal/net/peers/session.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	bindEvery    = 200 * time.Millisecond // while another process holds the address
-	roundEvery   = 500 * time.Millisecond // exchanges with any member
-	contactEvery = time.Second            // each member calls another one, in turn
+	bindInterval   = 200 * time.Millisecond // while another process holds the address
+	gossipInterval = 500 * time.Millisecond // exchanges with any member
+	memberInterval = time.Second            // each member calls another one, in turn
 )
 
 // session is what there is while this process holds its member's address.
 type session struct {
-	peers   *Peers
-	server  *transport.Server
-	client  *transport.Client
-	contact *contact
-	node    *membership.Node
-	sender  *sender
-	halt    context.CancelFunc // of the looks at suspects
-	served  sync.WaitGroup
+	peers        *Peers
+	server       *transport.Server
+	client       *transport.Client
+	prober       *prober
+	node         *membership.Node
+	sender       *sender
+	cancelProbes context.CancelFunc // of the looks at suspects
+	served       sync.WaitGroup
 }
 
-// label sets fleets of different settings apart: the services of one are not found by another's members.
-func (p *Peers) label() string {
+// servicePrefix sets fleets of different settings apart: the services of one are not found by another's members.
+func (p *Peers) servicePrefix() string {
 	return fmt.Sprintf("gaugeslip/%d/%d/", len(p.cfg.Members), p.cfg.Voters)
 }
 
-// service is the prefix of the services of a member; whoever else is at its address does not answer to it.
-func (p *Peers) service(member int) string { return p.label() + name(member) + "/" }
+// memberPrefix is the prefix of the services of a member; whoever else is at its address does not answer to it.
+func (p *Peers) memberPrefix(member int) string { return p.servicePrefix() + name(member) + "/" }
 
 // bind opens the address as soon as nobody else holds it. Both nil: ctx has ended.
 func (p *Peers) bind(ctx context.Context) (*session, error) {
@@ -51,7 +51,7 @@
 		if !said {
 			slog.Warn("this dispatcher's address for talk is taken: it owns no share until it is free", "listen", p.cfg.Listen, "error", err)
 		}
-		if pause.For(ctx, bindEvery) != nil {
+		if pause.For(ctx, bindInterval) != nil {
 			return nil, nil
 		}
 	}
@@ -60,15 +60,15 @@
 // newSession makes a session that isn't served yet.
 func (p *Peers) newSession(server *transport.Server) (*session, error) {
 	s := &session{peers: p, server: server, client: transport.NewClient(transport.Options{MaxConnections: len(p.cfg.Members)})}
-	s.contact = &contact{peers: p, client: s.client}
-	s.contact.ctx, s.halt = context.WithCancel(context.Background())
-	s.node = membership.New(s.contact, p.membership())
-	talk := p.label() + talkService
+	s.prober = &prober{peers: p, client: s.client}
+	s.prober.ctx, s.cancelProbes = context.WithCancel(context.Background())
+	s.node = membership.New(s.prober, p.membership())
+	talk := p.servicePrefix() + talkService
 	s.sender = transport.NewSender[[]byte](s.client, talk+".Receive", transport.SenderOptions{AnswerTimeout: answerTimeout})
 	for service, answers := range map[string]any{
-		p.service(p.cfg.Self) + membership.ServiceName: s.node.Service(),
-		p.service(p.cfg.Self) + presenceService:        &Presence{contact: s.contact},
-		talk:                                           transport.NewReceiver(p.deliver),
+		p.memberPrefix(p.cfg.Self) + membership.ServiceName: s.node.Service(),
+		p.memberPrefix(p.cfg.Self) + presenceService:        &Presence{prober: s.prober},
+		talk: transport.NewReceiver(p.deliver),
 	} {
 		if err := server.Register(service, answers); err != nil {
 			s.close()
@@ -87,22 +87,22 @@
 		}
 	}
 	return membership.Options{
-		Self:              peersampling.Peer{Address: name(p.cfg.Self), Incarnation: life()},
+		Self:              peersampling.Peer{Address: name(p.cfg.Self), Incarnation: incarnation()},
 		Seeds:             others,
 		RandomSeed:        rand.Uint64(),
-		Interval:          roundEvery,
+		Interval:          gossipInterval,
 		CallTimeout:       callTimeout,
 		Preferred:         func() []string { return others },
-		PreferredInterval: contactEvery,
+		PreferredInterval: memberInterval,
 	}
 }
 
-// life numbers this process among all that have had its address: by the time of its start. Where that has gone back, a
+// incarnation numbers this process among all that have had its address: by the time of its start. Where that has gone back, a
 // process answers to what is said of the earlier one.
-func life() uint64 { return uint64(time.Now().UnixMilli()) }
+func incarnation() uint64 { return uint64(time.Now().UnixMilli()) }
 
-// begin serves, and takes part in the gossip.
-func (s *session) begin() {
+// start serves, and takes part in the gossip.
+func (s *session) start() {
 	s.served.Go(func() {
 		if err := s.server.Serve(); err != nil {
 			slog.Error("talk with the other dispatchers isn't heard any more", "error", err)
@@ -110,35 +110,35 @@
 	})
 	p := s.peers
 	var own gossip.Version
-	p.set(func() {
-		p.gossip = s.tell
-		own = p.roster.begin(life())
+	p.locked(func() {
+		p.gossip = s.setValue
+		own = p.roster.join(incarnation())
 	})
-	s.node.Subscribe(p.learn)
-	p.say(p.cfg.Self, own)
+	s.node.Subscribe(p.onValue)
+	p.announce(p.cfg.Self, own)
 	s.node.Start()
 }
 
-// tell hands a word to the gossip. It has no data, so it can't be too long.
-func (s *session) tell(value gossip.Value) { _ = s.node.Set(value) }
+// setValue hands a word to the gossip. It has no data, so it can't be too long.
+func (s *session) setValue(value gossip.Value) { _ = s.node.Set(value) }
 
-// end tells the others that this process leaves, for a call's time at most, and frees the address.
-func (s *session) end() {
+// stop tells the others that this process leaves, for a call's time at most, and frees the address.
+func (s *session) stop() {
 	p := s.peers
 	var last gossip.Version
-	p.set(func() { last = p.roster.leave() })
-	p.say(p.cfg.Self, last)
+	p.locked(func() { last = p.roster.leave() })
+	p.announce(p.cfg.Self, last)
 	s.node.Stop()
-	p.set(func() { p.gossip = nil })
+	p.locked(func() { p.gossip = nil })
 	s.close()
 }
 
 // close ends all connections and frees the address.
 func (s *session) close() {
-	s.peers.set(s.halt) // no look begins after this
+	s.peers.locked(s.cancelProbes) // no look begins after this
 	_ = s.sender.Close()
 	_ = s.client.Close()
-	s.peers.looks.Wait()
+	s.peers.probes.Wait()
 	_ = s.server.Close()
 	s.served.Wait()
 }
--- a/internal/net/peers/status.go
+++ b/internal/net/peers/status.go
@@ -44,8 +44,8 @@
 	statusMask = 1<<statusBits - 1
 )
 
-// firstWord is a member's own at the start of a life.
-func firstWord(life uint64) gossip.Version { return gossip.Version{Major: life} }
+// firstVersion is a member's own at the start of a life.
+func firstVersion(life uint64) gossip.Version { return gossip.Version{Major: life} }
 
 // statusOf reads a word.
 func statusOf(word gossip.Version) status { return status(word.Minor & statusMask) }
@@ -56,8 +56,8 @@
 	return word
 }
 
-// nextWord is a member's answer to a word about it.
-func nextWord(word gossip.Version, s status) gossip.Version {
+// nextVersion is a member's answer to a word about it.
+func nextVersion(word gossip.Version, s status) gossip.Version {
 	word.Minor += statusMask + 1
 	return withStatus(word, s)
 }
--- a/internal/net/peers/talk.go
+++ b/internal/net/peers/talk.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	inboxSize  = 4096                  // messages; what does not fit is dropped, like any that is lost
-	stepsApart = 10 * time.Millisecond // steps are not taken more often
+	inboxSize       = 4096                  // messages; what does not fit is dropped, like any that is lost
+	minStepInterval = 10 * time.Millisecond // steps are not taken more often
 	// answerTimeout is how long a connection may say nothing while messages are out; messages behind it are lost.
 	answerTimeout = 500 * time.Millisecond
 	// talkService is what the receiver of the messages of internal/budget is registered as.
@@ -37,8 +37,8 @@
 	}
 }
 
-// divide runs the member of internal/budget until ctx ends.
-func (p *Peers) divide(ctx context.Context, to *sender) {
+// runBudget runs the member of internal/budget until ctx ends.
+func (p *Peers) runBudget(ctx context.Context, to *sender) {
 	accounts := p.cfg.Ledger.Accounts()
 	every, term := budget.Pace(len(p.cfg.Members))
 	node := budget.NewNode(budget.Config{Self: p.cfg.Self, Members: len(p.cfg.Members), Voters: p.cfg.Voters, Budgets: accounts,
@@ -70,8 +70,8 @@
 		for i := range out {
 			p.send(to, &out[i])
 		}
-		p.set(func() { p.leader, p.leading = node.Leader(), node.Leads(now) })
-		timer.Reset(max(node.Wake()-p.cfg.Now(), stepsApart))
+		p.locked(func() { p.leader, p.leading = node.Leader(), node.Leads(now) })
+		timer.Reset(max(node.Wake()-p.cfg.Now(), minStepInterval))
 	}
 }
 
--- a/internal/seeds/seeds_test.go
+++ b/internal/seeds/seeds_test.go
@@ -31,7 +31,7 @@
 	assert.Equal(t, []uint64{1<<64 - 1}, Played(t, aloneVariable, manyVariable, 5, 3))
 }
 
-func TestTextThatIsNoSeedEndsTheTest(t *testing.T) {
+func TestInvalidSeedEndsTheTest(t *testing.T) {
 	for _, text := range []string{"-1", "x", "1.5", "18446744073709551616"} {
 		t.Setenv(aloneVariable, text)
 		r := &recorder{TB: t}
--- a/internal/waiting/accept.go
+++ b/internal/waiting/accept.go
@@ -6,181 +6,181 @@
 )
 
 // Fresh takes in a job that does not wait. False: it has its answer already and must not go on.
-func (r *Room) Fresh(now time.Duration, j *Job) bool {
-	if r.names[j.Name] != 0 {
-		r.refuse(j, StatusConflict, "the id is already used", 0)
+func (q *Room) Fresh(now time.Duration, j *Job) bool {
+	if q.byName[j.Name] != 0 {
+		q.refuse(j, StatusConflict, "the id is already used", 0)
 		return false
 	}
-	if j.Class < len(r.patience) {
-		r.patience[j.Class] = max(r.patience[j.Class], min(j.Deadline-j.Arrived, r.fleet.Classes[j.Class].Deadline))
+	if j.Class < len(q.longestBudget) {
+		q.longestBudget[j.Class] = max(q.longestBudget[j.Class], min(j.Deadline-j.Arrived, q.fleet.Classes[j.Class].Deadline))
 	}
-	i := r.add(j, fresh|attached)
-	e := r.all.at(i)
+	i := q.add(j, fresh|attached)
+	e := q.entries.at(i)
 	e.state, e.entered, e.ready = Released, now, now
 	e.flags |= unsent
-	if r.lim.Fresh {
+	if q.limits.Fresh {
 		e.flags |= indexed
-		r.names[e.name] = i
+		q.byName[e.name] = i
 	}
-	r.stats.Fresh++
+	q.stats.Fresh++
 	return true
 }
 
-func (r *Room) add(j *Job, flags uint16) uint32 {
-	i := r.take()
-	e := r.all.at(i)
+func (q *Room) add(j *Job, flags uint16) uint32 {
+	i := q.allocEntry()
+	e := q.entries.at(i)
 	*e = entry{name: j.Name, number: j.Number, arrived: j.Arrived, deadline: j.Deadline, size: j.Size,
-		class: int16(j.Class), tenant: int16(j.Tenant), slots: int16(j.Slots), bytes: uint32(j.Bytes), flags: flags}
-	r.open[j.Number] = i
+		class: int16(j.Class), tenant: int16(j.Tenant), slots: int16(j.Slots), bodyBytes: uint32(j.Bytes), flags: flags}
+	q.active[j.Number] = i
 	return i
 }
 
-func (r *Room) refuse(j *Job, status int, why string, after time.Duration) {
-	r.do(Action{Kind: Answer, Job: Job{Number: j.Number}, Status: status, Why: why, After: after})
+func (q *Room) refuse(j *Job, status int, why string, after time.Duration) {
+	q.emit(Action{Kind: Answer, Job: Job{Number: j.Number}, Status: status, Why: why, After: after})
 }
 
 // Submit takes in a job that asks to wait. It is held and, if nobody is attached to it, accepted; or it has its answer.
 //
 // A job can only wait for jobs that are known when it comes, and is itself known only after that: whatever it waits
 // for is older, so no cycle can be made.
-func (r *Room) Submit(now time.Duration, j *Job) {
-	r.stats.Submitted++
-	if r.names[j.Name] != 0 {
-		r.refuse(j, StatusConflict, "the id is already used", 0)
+func (q *Room) Submit(now time.Duration, j *Job) {
+	q.stats.Submitted++
+	if q.byName[j.Name] != 0 {
+		q.refuse(j, StatusConflict, "the id is already used", 0)
 		return
 	}
 	due := j.Due
 	if due == 0 {
-		due = r.lim.DefaultDue
+		due = q.limits.DefaultDue
 	}
 	switch {
-	case due > r.lim.MaxDue:
-		r.refuse(j, 400, "X-Due-Ms: more than max_due allows", 0)
+	case due > q.limits.MaxDue:
+		q.refuse(j, 400, "X-Due-Ms: more than max_due allows", 0)
 		return
-	case j.NotBefore-j.Arrived > r.lim.MaxDelay: // however late it is looked at
-		r.refuse(j, 400, "X-Not-Before-Ms: more than max_delay allows", 0)
+	case j.NotBefore-j.Arrived > q.limits.MaxDelay: // however late it is looked at
+		q.refuse(j, 400, "X-Not-Before-Ms: more than max_delay allows", 0)
 		return
-	case len(j.After) > maxAfter:
-		r.refuse(j, 400, "X-After: more than 16 ids", 0)
+	case len(j.After) > maxPredecessors:
+		q.refuse(j, 400, "X-After: more than 16 ids", 0)
 		return
-	case r.closing:
-		r.refuse(j, StatusFull, "stopping", time.Second)
+	case q.closing:
+		q.refuse(j, StatusFull, "stopping", time.Second)
 		return
-	case j.Attached && max(j.NotBefore, now) >= j.Deadline-lastCall:
-		r.refuse(j, StatusRefused, "the wait does not fit into the time that is left", 0)
+	case j.Attached && max(j.NotBefore, now) >= j.Deadline-answerMargin:
+		q.refuse(j, StatusRefused, "the wait does not fit into the time that is left", 0)
 		return
 	}
-	unmet, met := [maxAfter]uint32{}, true
+	unmet, met := [maxPredecessors]uint32{}, true
 	n := 0
 	for _, name := range j.After {
-		p := r.names[name]
+		p := q.byName[name]
 		switch {
 		case p == 0:
-			r.refuse(j, StatusConflict, "X-After: unknown id "+name, 0)
+			q.refuse(j, StatusConflict, "X-After: unknown id "+name, 0)
 			return
-		case r.all.at(p).state == Served || r.all.at(p).state.Final() && r.lim.RunOnFailure:
-		case r.all.at(p).state.Final():
+		case q.entries.at(p).state == Served || q.entries.at(p).state.Final() && q.limits.RunOnFailure:
+		case q.entries.at(p).state.Final():
 			met = false
 		case !slices.Contains(unmet[:n], p):
 			unmet[n] = p
 			n++
 		}
 	}
-	if why := r.full(j); why != "" {
-		r.stats.Full++
-		r.refuse(j, StatusFull, why, r.advice(now))
+	if why := q.exceededLimit(j); why != "" {
+		q.stats.Full++
+		q.refuse(j, StatusFull, why, q.retryAfter(now))
 		return
 	}
 	flags := indexed
 	if j.Attached {
 		flags |= attached
 	}
-	i := r.add(j, flags)
-	e := r.all.at(i)
+	i := q.add(j, flags)
+	e := q.entries.at(i)
 	e.ready, e.dueMS = j.NotBefore, uint32((due+time.Millisecond-1)/time.Millisecond)
-	r.names[e.name] = i
-	r.held++
-	r.count(e, j.Client)
-	r.bodies += int64(e.bytes)
+	q.byName[e.name] = i
+	q.held++
+	q.countForClient(e, j.Client)
+	q.bodyBytes += int64(e.bodyBytes)
 	if !met {
-		r.finish(now, i, Failed, StatusDependency, "a job that it waits for was not served", true)
+		q.finish(now, i, Failed, StatusDependency, "a job that it waits for was not served", true)
 		return
 	}
 	if !j.Attached {
-		e.flags |= promised
-		if r.records != nil {
+		e.flags |= accepted
+		if q.records != nil {
 			kept := *j
 			kept.Due, kept.After = e.due(), nil
 			for _, p := range unmet[:n] {
-				kept.After = append(kept.After, r.all.at(p).name)
+				kept.After = append(kept.After, q.entries.at(p).name)
 			}
-			r.note(now, e, Record{Kind: Promised, Job: kept})
+			q.record(now, e, Record{Kind: JobAccepted, Job: kept})
 		}
-		r.do(Action{Kind: Accept, Job: Job{Number: j.Number}})
+		q.emit(Action{Kind: Accept, Job: Job{Number: j.Number}})
 	} else {
-		r.ends.push(i, e.deadline-lastCall)
+		q.deadlines.push(i, e.deadline-answerMargin)
 	}
 	for _, p := range unmet[:n] {
-		r.all.at(p).edges = r.link(i, e.number, r.all.at(p).edges)
+		q.entries.at(p).dependants = q.addEdge(i, e.number, q.entries.at(p).dependants)
 	}
-	e.preds = uint8(n)
+	e.unmetPreds = uint8(n)
 	if e.ready > now {
-		r.timers.push(i, e.ready)
+		q.timers.push(i, e.ready)
 	} else if n == 0 {
-		r.makeReady(now, i)
+		q.makeReady(now, i)
 	}
 }
 
-// share is how many jobs one client has here.
-type share struct {
+// clientJobs is how many jobs one client has here.
+type clientJobs struct {
 	name string
 	jobs int
 }
 
-// count books a job for its client.
-func (r *Room) count(e *entry, client string) {
-	s := r.shares[client]
+// countForClient books a job for its client.
+func (q *Room) countForClient(e *entry, client string) {
+	s := q.byClient[client]
 	if s == nil {
-		s = &share{name: client}
-		r.shares[client] = s
+		s = &clientJobs{name: client}
+		q.byClient[client] = s
 	}
 	s.jobs++
-	e.client = s
+	e.clientJobs = s
 }
 
-// link makes an edge.
-func (r *Room) link(of uint32, number uint64, next uint32) uint32 {
+// addEdge makes an edge.
+func (q *Room) addEdge(of uint32, number uint64, next uint32) uint32 {
 	x := edge{of, number, next}
-	if i := r.spare; i != 0 {
-		r.spare = r.edges.at(i).next
-		*r.edges.at(i) = x
+	if i := q.freeEdges; i != 0 {
+		q.freeEdges = q.edges.at(i).next
+		*q.edges.at(i) = x
 		return i
 	}
-	return r.edges.push(x)
+	return q.edges.push(x)
 }
 
-// full tells which bound a job would pass; "": none.
-func (r *Room) full(j *Job) string {
+// exceededLimit tells which bound a job would pass; "": none.
+func (q *Room) exceededLimit(j *Job) string {
 	switch {
-	case r.held >= r.lim.MaxJobs:
+	case q.held >= q.limits.MaxJobs:
 		return "as many jobs wait as may"
-	case r.bodies+int64(j.Bytes) > r.lim.MaxBytes:
+	case q.bodyBytes+int64(j.Bytes) > q.limits.MaxBytes:
 		return "the bodies of waiting jobs take all the room there is"
-	case r.shares[j.Client] != nil && r.shares[j.Client].jobs >= max(1, int(r.lim.ClientShare*float64(r.lim.MaxJobs))):
+	case q.byClient[j.Client] != nil && q.byClient[j.Client].jobs >= max(1, int(q.limits.ClientShare*float64(q.limits.MaxJobs))):
 		return "this client has as many waiting jobs as it may"
 	}
 	return ""
 }
 
-// advice is when a place may come free for one who is turned away: the soonest end there can be, and after it, at
+// retryAfter is when a place may come free for one who is turned away: the soonest end there can be, and after it, at
 // the pace at which places came free, for each that was told so before. Nobody is sent to a place that is promised to
 // another.
-func (r *Room) advice(now time.Duration) time.Duration {
-	gap := max(r.freeGap, time.Millisecond)
+func (q *Room) retryAfter(now time.Duration) time.Duration {
+	gap := max(q.meanFreeInterval, time.Millisecond)
 	first := gap
-	if at, ok := r.timers.next(); ok && r.pace.in+r.ready.len()+r.again.len() == 0 {
+	if at, ok := q.timers.earliest(); ok && q.pacer.turns+q.ready.len()+q.backoff.len() == 0 {
 		first = max(at-now, gap)
 	}
-	r.advised++
-	return min(max(first+time.Duration(r.advised)*gap, time.Second), time.Hour).Round(time.Millisecond)
+	q.advisedClients++
+	return min(max(first+time.Duration(q.advisedClients)*gap, time.Second), time.Hour).Round(time.Millisecond)
 }
--- a/internal/waiting/asks.go
+++ b/internal/waiting/asks.go
@@ -7,110 +7,110 @@
 )
 
 // Asked answers a question: at once, or when the job ends, or when the question's time is over.
-func (r *Room) Asked(now time.Duration, q *Ask) {
-	if q.Name == "" {
-		r.list(now, q)
+func (q *Room) Asked(now time.Duration, query *Ask) {
+	if query.Name == "" {
+		q.list(now, query)
 		return
 	}
-	i := r.names[q.Name]
+	i := q.byName[query.Name]
 	if i == 0 {
-		r.do(Action{Kind: Tell, Ask: q.Number, Status: StatusUnknown})
+		q.emit(Action{Kind: Tell, Ask: query.Number, Status: StatusUnknown})
 		return
 	}
-	e := r.all.at(i)
+	e := q.entries.at(i)
 	status := StatusServed
 	switch {
-	case q.Cancel && e.state == Cancelled: // said twice is no mistake
-	case q.Cancel && (e.state.Final() || e.is(fresh|maybe) || e.out > 0):
+	case query.Cancel && e.state == Cancelled: // said twice is no mistake
+	case query.Cancel && (e.state.Final() || e.has(fresh|mayHaveRun) || e.sendsOut > 0):
 		status = StatusConflict
-	case q.Cancel:
+	case query.Cancel:
 		if e.state == Released {
-			r.do(Action{Kind: Withdraw, Job: Job{Number: e.number}})
+			q.emit(Action{Kind: Withdraw, Job: Job{Number: e.number}})
 		}
-		r.finish(now, i, Cancelled, StatusCancelled, "cancelled", true)
-	case !e.state.Final() && q.Until > now && len(r.asks) < maxAsks && !r.closing:
-		r.asks[q.Number] = &waiter{i, q.Until}
-		r.askers[i] = append(r.askers[i], q.Number)
-		if len(r.asks) == 1 || q.Until < r.asksAt {
-			r.asksAt = q.Until
+		q.finish(now, i, Cancelled, StatusCancelled, "cancelled", true)
+	case !e.state.Final() && query.Until > now && len(q.queries) < maxQueries && !q.closing:
+		q.queries[query.Number] = &pendingQuery{i, query.Until}
+		q.queriesByEntry[i] = append(q.queriesByEntry[i], query.Number)
+		if len(q.queries) == 1 || query.Until < q.nextQueryTimeout {
+			q.nextQueryTimeout = query.Until
 		}
 		return
 	}
-	r.do(Action{Kind: Tell, Ask: q.Number, Status: status, Info: r.info(now, i)})
+	q.emit(Action{Kind: Tell, Ask: query.Number, Status: status, Info: q.info(now, i)})
 }
 
 // Unasked forgets a question whose asker has gone.
-func (r *Room) Unasked(number uint64) {
-	if w := r.asks[number]; w != nil {
-		r.unask(number, w)
+func (q *Room) Unasked(number uint64) {
+	if w := q.queries[number]; w != nil {
+		q.removeQuery(number, w)
 	}
 }
 
-func (r *Room) unask(number uint64, w *waiter) {
-	delete(r.asks, number)
-	list := r.askers[w.of]
+func (q *Room) removeQuery(number uint64, w *pendingQuery) {
+	delete(q.queries, number)
+	list := q.queriesByEntry[w.entry]
 	for k, n := range list {
 		if n == number {
 			list = append(list[:k], list[k+1:]...)
 			break
 		}
 	}
-	if r.askers[w.of] = list; len(list) == 0 {
-		delete(r.askers, w.of)
+	if q.queriesByEntry[w.entry] = list; len(list) == 0 {
+		delete(q.queriesByEntry, w.entry)
 	}
 }
 
-// overdueAsks tells how things stand to those whose time is over.
-func (r *Room) overdueAsks(now time.Duration) {
-	if len(r.asks) == 0 || now < r.asksAt {
+// answerOverdueQueries tells how things stand to those whose time is over.
+func (q *Room) answerOverdueQueries(now time.Duration) {
+	if len(q.queries) == 0 || now < q.nextQueryTimeout {
 		return
 	}
-	r.asksAt = math.MaxInt64
+	q.nextQueryTimeout = math.MaxInt64
 	var over []uint64
-	for n, w := range r.asks {
-		if w.until <= now {
+	for n, w := range q.queries {
+		if w.deadline <= now {
 			over = append(over, n)
 		} else {
-			r.asksAt = min(r.asksAt, w.until)
+			q.nextQueryTimeout = min(q.nextQueryTimeout, w.deadline)
 		}
 	}
 	for _, n := range sorted(over) {
-		w := r.asks[n]
-		r.unask(n, w)
-		r.do(Action{Kind: Tell, Ask: n, Status: StatusServed, Info: r.info(now, w.of)})
+		w := q.queries[n]
+		q.removeQuery(n, w)
+		q.emit(Action{Kind: Tell, Ask: n, Status: StatusServed, Info: q.info(now, w.entry)})
 	}
 }
 
 // list tells of up to q.Most jobs that asked to wait, in the order of their entries.
-func (r *Room) list(now time.Duration, q *Ask) {
+func (q *Room) list(now time.Duration, query *Ask) {
 	i := uint32(0)
-	if q.From != "" {
-		if i = r.names[q.From]; i == 0 {
-			r.do(Action{Kind: Tell, Ask: q.Number, Status: StatusUnknown})
+	if query.From != "" {
+		if i = q.byName[query.From]; i == 0 {
+			q.emit(Action{Kind: Tell, Ask: query.Number, Status: StatusUnknown})
 			return
 		}
 	}
 	var list []Info
-	for i++; int(i) < r.all.len() && len(list) < q.Most; i++ {
-		if e := r.all.at(i); e.is(indexed) && !e.is(fresh) {
-			info := r.info(now, i)
+	for i++; int(i) < q.entries.len() && len(list) < query.Most; i++ {
+		if e := q.entries.at(i); e.has(indexed) && !e.has(fresh) {
+			info := q.info(now, i)
 			info.Result = ""
 			list = append(list, *info)
 		}
 	}
-	r.do(Action{Kind: Tell, Ask: q.Number, Status: StatusServed, Board: &Board{list, r.Stats()}})
+	q.emit(Action{Kind: Tell, Ask: query.Number, Status: StatusServed, Board: &Board{list, q.Stats()}})
 }
 
 // info is what is told of a job.
-func (r *Room) info(now time.Duration, i uint32) *Info {
-	e := r.all.at(i)
+func (q *Room) info(now time.Duration, i uint32) *Info {
+	e := q.entries.at(i)
 	n := &Info{Name: e.name, State: e.state, Due: e.due(), Attempts: int(e.attempts), Status: int(e.status),
-		Result: e.result, Shed: e.is(shed)}
-	if int(e.class) < len(r.fleet.Classes) {
-		n.Class = r.fleet.Classes[e.class].Name
+		Result: e.result, Shed: e.has(resultShed)}
+	if int(e.class) < len(q.fleet.Classes) {
+		n.Class = q.fleet.Classes[e.class].Name
 	}
 	switch {
-	case e.state.Final() || e.out > 0:
+	case e.state.Final() || e.sendsOut > 0:
 		n.Waited = max(0, e.sent-e.ready)
 	case e.state != Waiting:
 		n.Waited = now - e.ready
--- a/internal/waiting/bench_test.go
+++ b/internal/waiting/bench_test.go
@@ -72,9 +72,9 @@
 	for range b.N {
 		b.StopTimer()
 		r := filled(b, size())
-		r.rule = func(*pacer, float64) (float64, int) { return 1e9, 1 << 30 }
+		r.windowRule = func(*pacer, float64) (float64, int) { return 1e9, 1 << 30 }
 		b.StartTimer()
-		for now := epoch; r.pace.in < size() && now < epoch+2*time.Hour; now += 100 * ms {
+		for now := epoch; r.pacer.turns < size() && now < epoch+2*time.Hour; now += 100 * ms {
 			for more := true; more; {
 				r.Tick(now)
 				at, ok := r.Wake(now)
@@ -91,7 +91,7 @@
 	for i := range b.N {
 		r.Submit(epoch, &Job{Number: uint64(1e9 + i), Name: fmt.Sprintf("n%015x", i), Client: "c", Slots: 1})
 	}
-	r.rule = func(*pacer, float64) (float64, int) { return 1e9, 1 << 30 }
+	r.windowRule = func(*pacer, float64) (float64, int) { return 1e9, 1 << 30 }
 	for r.Stats().Released < b.N {
 		r.Tick(epoch)
 		r.Actions()
--- a/internal/waiting/delay_test.go
+++ b/internal/waiting/delay_test.go
@@ -8,7 +8,7 @@
 )
 
 // How far off a job may be is counted from its arrival: a room that gets to it late takes no more than one that gets to it at once.
-func TestTheLongestDelayCountsFromTheArrival(t *testing.T) {
+func TestMaxDelayCountsFromArrival(t *testing.T) {
 	for _, late := range []time.Duration{0, time.Millisecond, time.Minute} {
 		for _, test := range []struct {
 			beyond time.Duration
--- a/internal/waiting/export_test.go
+++ b/internal/waiting/export_test.go
@@ -4,11 +4,11 @@
 
 // The rules that were weighed against the one in use, for weigh_test.go.
 var rules = map[string]func(share, lanes float64) func(p *pacer, most float64) (float64, int){
-	"by need": func(float64, float64) func(*pacer, float64) (float64, int) { return byNeed },
+	"by need": func(float64, float64) func(*pacer, float64) (float64, int) { return demandRule },
 	// All that are ready have their turn, the oldest claim first.
 	"strict ageing": func(float64, float64) func(*pacer, float64) (float64, int) {
 		return func(p *pacer, _ float64) (float64, int) {
-			p.extra = math.Inf(1)
+			p.adaptiveWindow = math.Inf(1)
 			return math.Inf(1), math.MaxInt32
 		}
 	},
@@ -16,7 +16,7 @@
 	"reserved share": func(share, lanes float64) func(*pacer, float64) (float64, int) {
 		w := max(1, share*lanes)
 		return func(p *pacer, _ float64) (float64, int) {
-			p.extra = w
+			p.adaptiveWindow = w
 			return w, int(w)
 		}
 	},
@@ -24,8 +24,8 @@
 	"virtual time": func(share, _ float64) func(*pacer, float64) (float64, int) {
 		return func(p *pacer, _ float64) (float64, int) {
 			owed := float64(p.sentFresh)*share/(1-share) - float64(p.sent)
-			w := max(1, float64(p.in)+math.Ceil(owed))
-			p.extra = w
+			w := max(1, float64(p.turns)+math.Ceil(owed))
+			p.adaptiveWindow = w
 			return w, int(w)
 		}
 	},
@@ -35,4 +35,4 @@
 var Rules = []string{"by need", "strict ageing", "reserved share", "virtual time"}
 
 // SetRule makes a Room pace by one of Rules.
-func (r *Room) SetRule(name string, share, lanes float64) { r.rule = rules[name](share, lanes) }
+func (q *Room) SetRule(name string, share, lanes float64) { q.windowRule = rules[name](share, lanes) }
--- a/internal/waiting/finish.go
+++ b/internal/waiting/finish.go
@@ -5,115 +5,115 @@
 )
 
 // finish gives a job its one final state. With answer the program is told; else it has heard from elsewhere.
-func (r *Room) finish(now time.Duration, i uint32, s State, status int, why string, answer bool) {
-	e := r.all.at(i)
+func (q *Room) finish(now time.Duration, i uint32, s State, status int, why string, answer bool) {
+	e := q.entries.at(i)
 	if e.state.Final() {
 		return
 	}
-	r.pace.out -= int(e.out) // what is still out of it is not heard of any more
-	r.leave(now, i, s)
-	r.note(now, e, Record{Kind: Over, State: s, Status: status, Result: e.result})
-	for _, q := range []*queue{&r.timers, &r.ready, &r.again, &r.ends} {
-		q.remove(i)
+	q.pacer.sendsOut -= int(e.sendsOut) // what is still out of it is not heard of any more
+	q.endTurn(now, i, s)
+	q.record(now, e, Record{Kind: Finished, State: s, Status: status, Result: e.result})
+	for _, h := range []*timeHeap{&q.timers, &q.ready, &q.backoff, &q.deadlines} {
+		h.remove(i)
 	}
-	if !e.is(fresh) {
-		r.held--
-		r.bodies -= int64(e.bytes)
-		if e.client.jobs--; e.client.jobs == 0 {
-			delete(r.shares, e.client.name)
+	if !e.has(fresh) {
+		q.held--
+		q.bodyBytes -= int64(e.bodyBytes)
+		if e.clientJobs.jobs--; e.clientJobs.jobs == 0 {
+			delete(q.byClient, e.clientJobs.name)
 		}
-		if r.freedAt > 0 {
-			r.freeGap += (min(now-r.freedAt, time.Minute) - r.freeGap) / 8
+		if q.lastFreed > 0 {
+			q.meanFreeInterval += (min(now-q.lastFreed, time.Minute) - q.meanFreeInterval) / 8
 		}
-		r.freedAt, r.advised = now, max(0, r.advised-1)
+		q.lastFreed, q.advisedClients = now, max(0, q.advisedClients-1)
 		switch s {
 		case Served:
-			r.stats.Served++
+			q.stats.Served++
 		case Refused:
-			r.stats.Refused++
+			q.stats.Refused++
 		case Failed:
-			r.stats.Failed++
+			q.stats.Failed++
 		case Cancelled:
-			r.stats.Cancelled++
+			q.stats.Cancelled++
 		}
 	}
-	delete(r.open, e.number)
-	e.state, e.status, e.client, e.bytes = s, uint16(status), nil, 0
+	delete(q.active, e.number)
+	e.state, e.status, e.clientJobs, e.bodyBytes = s, uint16(status), nil, 0
 	e.sent = max(e.sent, e.ready)
 	if answer {
-		r.do(Action{Kind: Answer, Job: Job{Number: e.number}, Status: status, Why: why})
+		q.emit(Action{Kind: Answer, Job: Job{Number: e.number}, Status: status, Why: why})
 	}
-	for _, a := range r.askers[i] {
-		delete(r.asks, a)
-		r.do(Action{Kind: Tell, Ask: a, Status: StatusServed, Info: r.info(now, i)})
+	for _, a := range q.queriesByEntry[i] {
+		delete(q.queries, a)
+		q.emit(Action{Kind: Tell, Ask: a, Status: StatusServed, Info: q.info(now, i)})
 	}
-	delete(r.askers, i)
-	if e.edges != 0 {
-		r.ended = append(r.ended, i)
+	delete(q.queriesByEntry, i)
+	if e.dependants != 0 {
+		q.unnotified = append(q.unnotified, i)
 	}
-	if !e.is(indexed) {
-		r.drop(i)
+	if !e.has(indexed) {
+		q.freeEntry(i)
 		return
 	}
 	e.entered = now // from here on: when it ended
-	if r.newest != 0 {
-		r.all.at(r.newest).next = i
+	if q.newestKept != 0 {
+		q.entries.at(q.newestKept).next = i
 	} else {
-		r.oldest = i
+		q.oldestKept = i
 	}
-	r.newest, e.next = i, 0
-	r.stats.Kept++
-	if r.shedAt == 0 {
-		r.shedAt = i
+	q.newestKept, e.next = i, 0
+	q.stats.Kept++
+	if q.nextToShed == 0 {
+		q.nextToShed = i
 	}
-	r.shed()
+	q.shedResults()
 }
 
-// keep stores a result, for which others may have to go.
-func (r *Room) keep(e *entry, result []byte) {
-	if e.is(fresh) {
+// storeResult stores a result, for which others may have to go.
+func (q *Room) storeResult(e *entry, result []byte) {
+	if e.has(fresh) {
 		return // its client had it on its connection
 	}
 	e.result = string(result)
-	r.results += int64(len(result))
+	q.resultBytes += int64(len(result))
 }
 
-// shed lets the oldest results go where bodies and results are more than they may be. Their jobs stay known.
-func (r *Room) shed() {
-	for r.bodies+r.results > r.lim.MaxBytes && r.shedAt != 0 {
-		e := r.all.at(r.shedAt)
+// shedResults lets the oldest results go where bodies and results are more than they may be. Their jobs stay known.
+func (q *Room) shedResults() {
+	for q.bodyBytes+q.resultBytes > q.limits.MaxBytes && q.nextToShed != 0 {
+		e := q.entries.at(q.nextToShed)
 		if len(e.result) > 0 {
-			r.results -= int64(len(e.result))
+			q.resultBytes -= int64(len(e.result))
 			e.result = ""
-			e.flags |= shed
-			r.stats.ResultsShed++
+			e.flags |= resultShed
+			q.stats.ResultsShed++
 		}
-		r.shedAt = e.next
+		q.nextToShed = e.next
 	}
 }
 
-// forget lets final jobs go: when their time is over, or the oldest where there are too many.
-func (r *Room) forget(now time.Duration, work *int) {
-	for ; *work > 0 && r.oldest != 0; *work-- {
-		i := r.oldest
-		e := r.all.at(i)
-		old := now-e.entered >= r.lim.Retention
-		if !old && r.stats.Kept <= r.lim.MaxKept || e.edges != 0 { // dependants hear of it first
+// evictKept lets final jobs go: when their time is over, or the oldest where there are too many.
+func (q *Room) evictKept(now time.Duration, work *int) {
+	for ; *work > 0 && q.oldestKept != 0; *work-- {
+		i := q.oldestKept
+		e := q.entries.at(i)
+		old := now-e.entered >= q.limits.Retention
+		if !old && q.stats.Kept <= q.limits.MaxKept || e.dependants != 0 { // dependants hear of it first
 			return
 		}
 		if !old {
-			r.stats.ForgottenEarly++
+			q.stats.ForgottenEarly++
 		}
-		r.oldest = e.next
-		if r.newest == i {
-			r.newest = 0
+		q.oldestKept = e.next
+		if q.newestKept == i {
+			q.newestKept = 0
 		}
-		if r.shedAt == i {
-			r.shedAt = e.next
+		if q.nextToShed == i {
+			q.nextToShed = e.next
 		}
-		r.results -= int64(len(e.result))
-		r.stats.Kept--
-		delete(r.names, e.name)
-		r.drop(i)
+		q.resultBytes -= int64(len(e.result))
+		q.stats.Kept--
+		delete(q.byName, e.name)
+		q.freeEntry(i)
 	}
 }
--- a/internal/waiting/queue.go
+++ b/internal/waiting/queue.go
@@ -2,88 +2,88 @@
 
 import "time"
 
-// queue is a 4-ary min-heap of entries by time. An entry's place in it is kept beside the entries, so that one in the
+// timeHeap is a 4-ary min-heap of entries by time. An entry's place in it is kept beside the entries, so that one in the
 // middle is removed in O(log n) and without a search. Queues that never hold one entry together share their places.
 // Ties go by the entries' numbers, which equal histories make equal.
-type queue struct {
-	nodes slab[node]
-	place *slab[uint32] // by entry; 0: in no queue, else the node's index + 1
+type timeHeap struct {
+	nodes slab[heapNode]
+	index *slab[uint32] // by entry; 0: in no queue, else the node's index + 1
 }
 
-type node struct {
-	at time.Duration
-	of uint32
+type heapNode struct {
+	at    time.Duration
+	entry uint32
 }
 
-func (a *node) before(b *node) bool { return a.at < b.at || a.at == b.at && a.of < b.of }
+func (a *heapNode) before(b *heapNode) bool { return a.at < b.at || a.at == b.at && a.entry < b.entry }
 
-func (q *queue) len() int { return q.nodes.n }
+func (h *timeHeap) len() int { return h.nodes.n }
 
-// next is the earliest time in the queue.
-func (q *queue) next() (time.Duration, bool) {
-	if q.nodes.n == 0 {
+// earliest is the earliest time in the queue.
+func (h *timeHeap) earliest() (time.Duration, bool) {
+	if h.nodes.n == 0 {
 		return 0, false
 	}
-	return q.nodes.at(0).at, true
+	return h.nodes.at(0).at, true
 }
 
 // due is the first entry, if its time has come.
-func (q *queue) due(now time.Duration) (uint32, bool) {
-	if q.nodes.n == 0 || q.nodes.at(0).at > now {
+func (h *timeHeap) due(now time.Duration) (uint32, bool) {
+	if h.nodes.n == 0 || h.nodes.at(0).at > now {
 		return 0, false
 	}
-	return q.nodes.at(0).of, true
+	return h.nodes.at(0).entry, true
 }
 
-func (q *queue) push(of uint32, at time.Duration) {
-	q.up(q.nodes.push(node{at, of}))
+func (h *timeHeap) push(of uint32, at time.Duration) {
+	h.up(h.nodes.push(heapNode{at, of}))
 }
 
-// holds tells whether an entry is in this queue.
-func (q *queue) holds(of uint32) bool {
-	p := *q.place.at(of)
-	return p > 0 && int(p) <= q.nodes.n && q.nodes.at(p-1).of == of
+// contains tells whether an entry is in this queue.
+func (h *timeHeap) contains(of uint32) bool {
+	p := *h.index.at(of)
+	return p > 0 && int(p) <= h.nodes.n && h.nodes.at(p-1).entry == of
 }
 
 // remove takes an entry out, if it is in this queue.
-func (q *queue) remove(of uint32) {
-	if !q.holds(of) {
+func (h *timeHeap) remove(of uint32) {
+	if !h.contains(of) {
 		return
 	}
-	i := *q.place.at(of) - 1
-	*q.place.at(of) = 0
-	last := uint32(q.nodes.n - 1)
-	moved := *q.nodes.at(last)
-	if q.nodes.pop(); i == last {
+	i := *h.index.at(of) - 1
+	*h.index.at(of) = 0
+	last := uint32(h.nodes.n - 1)
+	moved := *h.nodes.at(last)
+	if h.nodes.pop(); i == last {
 		return
 	}
-	*q.nodes.at(i) = moved
-	if q.up(i); q.nodes.at(i).of == moved.of {
-		q.down(i)
+	*h.nodes.at(i) = moved
+	if h.up(i); h.nodes.at(i).entry == moved.entry {
+		h.down(i)
 	}
 }
 
-func (q *queue) set(i uint32, n node) {
-	*q.nodes.at(i) = n
-	*q.place.at(n.of) = i + 1
+func (h *timeHeap) set(i uint32, n heapNode) {
+	*h.nodes.at(i) = n
+	*h.index.at(n.entry) = i + 1
 }
 
-func (q *queue) up(i uint32) {
-	n := *q.nodes.at(i)
+func (h *timeHeap) up(i uint32) {
+	n := *h.nodes.at(i)
 	for i > 0 {
 		p := (i - 1) / 4
-		if !n.before(q.nodes.at(p)) {
+		if !n.before(h.nodes.at(p)) {
 			break
 		}
-		q.set(i, *q.nodes.at(p))
+		h.set(i, *h.nodes.at(p))
 		i = p
 	}
-	q.set(i, n)
+	h.set(i, n)
 }
 
-func (q *queue) down(i uint32) {
-	n := *q.nodes.at(i)
-	size := uint32(q.nodes.n)
+func (h *timeHeap) down(i uint32) {
+	n := *h.nodes.at(i)
+	size := uint32(h.nodes.n)
 	for {
 		first := 4*i + 1
 		if first >= size {
@@ -91,15 +91,15 @@
 		}
 		least := first
 		for c := first + 1; c < min(first+4, size); c++ {
-			if q.nodes.at(c).before(q.nodes.at(least)) {
+			if h.nodes.at(c).before(h.nodes.at(least)) {
 				least = c
 			}
 		}
-		if !q.nodes.at(least).before(&n) {
+		if !h.nodes.at(least).before(&n) {
 			break
 		}
-		q.set(i, *q.nodes.at(least))
+		h.set(i, *h.nodes.at(least))
 		i = least
 	}
-	q.set(i, n)
+	h.set(i, n)
 }
--- a/internal/waiting/records.go
+++ b/internal/waiting/records.go
@@ -12,8 +12,8 @@
 // is made, and the intent to send before the send. A Step whose records could not be kept is not carried out; its jobs
 // are refused.
 type Store interface {
-	// Keep writes records, in order. Once it has returned nil they outlive the process.
-	Keep(records []Record) error
+	// Append writes records, in order. Once it has returned nil they outlive the process.
+	Append(records []Record) error
 	// Load passes on all that was kept, in order.
 	Load(each func(Record) error) error
 }
@@ -23,11 +23,11 @@
 
 // The kinds.
 const (
-	Promised RecordKind = iota // Job: it was accepted, without its connection
-	MayRun                     // a host may have it from here on
-	NotRun                     // every send of it provably never ran
-	IsReady                    // whatever it waited for has come
-	Over                       // State, Status, Result: final
+	JobAccepted RecordKind = iota // Job: it was accepted, without its connection
+	MayRun                        // a host may have it from here on
+	NotRun                        // every send of it provably never ran
+	BecameReady                   // whatever it waited for has come
+	Finished                      // State, Status, Result: final
 )
 
 // Record is one thing that has to be known again after a restart.
@@ -43,31 +43,31 @@
 }
 
 // Record makes the Room give records from now on; without it they cost nothing.
-func (r *Room) Record() { r.records = make([]Record, 0, 16) }
+func (q *Room) Record() { q.records = make([]Record, 0, 16) }
 
 // Records gives what is to be kept since the last call, see Store. It is valid until the next call of any method.
-func (r *Room) Records() []Record {
-	out := r.records
+func (q *Room) Records() []Record {
+	out := q.records
 	if out != nil {
-		r.records = r.records[len(out):]
-		if cap(r.records) < 16 {
-			r.records = make([]Record, 0, 64)
+		q.records = q.records[len(out):]
+		if cap(q.records) < 16 {
+			q.records = make([]Record, 0, 64)
 		}
 	}
 	return out
 }
 
-// note records something about a job that lives on without its connection.
-func (r *Room) note(now time.Duration, e *entry, x Record) {
-	if r.records == nil || !e.is(promised) {
+// record records something about a job that lives on without its connection.
+func (q *Room) record(now time.Duration, e *entry, x Record) {
+	if q.records == nil || !e.has(accepted) {
 		return
 	}
 	x.At, x.Name = now, e.name
-	r.records = append(r.records, x)
+	q.records = append(q.records, x)
 }
 
-// past is what the records say of one job.
-type past struct {
+// jobHistory is what the records say of one job.
+type jobHistory struct {
 	job      Job
 	ready    bool
 	mayRun   bool
@@ -79,32 +79,32 @@
 // What never went out waits on; what may have run and is safe to repeat waits for another turn; what may have run and is
 // not ends failed, never with a second send; finals stay finals until their retention is over. A job whose predecessor
 // was not recorded (it had a connection, which died with the process) takes it for not served. It tells which jobs live on.
-func (r *Room) Restore(now time.Duration, next func() uint64, load func(each func(Record) error) error) ([]Job, error) {
-	if len(r.names) > 0 {
-		return nil, fmt.Errorf("waiting: a room with %d jobs can't be restored", len(r.names))
+func (q *Room) Restore(now time.Duration, next func() uint64, load func(each func(Record) error) error) ([]Job, error) {
+	if len(q.byName) > 0 {
+		return nil, fmt.Errorf("waiting: a room with %d jobs can't be restored", len(q.byName))
 	}
-	known := map[string]*past{}
+	known := map[string]*jobHistory{}
 	var order []string
 	err := load(func(x Record) error {
 		p := known[x.Name]
-		if p == nil && x.Kind != Promised {
+		if p == nil && x.Kind != JobAccepted {
 			return fmt.Errorf("waiting: job %q: a record without a promise", x.Name)
 		}
 		switch x.Kind {
-		case Promised:
+		case JobAccepted:
 			if p == nil || p.end != nil { // an id that was forgotten can be used again
 				if p == nil {
 					order = append(order, x.Name)
 				}
-				known[x.Name] = &past{job: x.Job}
+				known[x.Name] = &jobHistory{job: x.Job}
 			}
 		case MayRun:
 			p.mayRun, p.attempts = true, x.Attempts
 		case NotRun:
 			p.mayRun = false
-		case IsReady:
+		case BecameReady:
 			p.ready = true
-		case Over:
+		case Finished:
 			if p.end == nil {
 				p.end = &x
 			}
@@ -120,60 +120,60 @@
 	for _, name := range order {
 		p := known[name]
 		j := &p.job
-		if p.end != nil && now-p.end.At >= r.lim.Retention {
+		if p.end != nil && now-p.end.At >= q.limits.Retention {
 			continue
 		}
 		j.Number = next()
-		if r.takeAgain(now, p); p.end == nil && r.open[j.Number] != 0 {
+		if q.restoreJob(now, p); p.end == nil && q.active[j.Number] != 0 {
 			live = append(live, *j)
 		}
 	}
-	r.out = r.out[:0] // nobody is on the line
-	r.stats = Stats{Kept: r.stats.Kept}
+	q.actions = q.actions[:0] // nobody is on the line
+	q.stats = Stats{Kept: q.stats.Kept}
 	return live, nil
 }
 
-// takeAgain takes one job in again. Older ones, for which it may wait, are there already.
-func (r *Room) takeAgain(now time.Duration, p *past) {
+// restoreJob takes one job in again. Older ones, for which it may wait, are there already.
+func (q *Room) restoreJob(now time.Duration, p *jobHistory) {
 	j := &p.job
-	i := r.add(j, indexed|promised)
-	e := r.all.at(i)
+	i := q.add(j, indexed|accepted)
+	e := q.entries.at(i)
 	e.ready, e.dueMS, e.attempts = j.NotBefore, uint32(j.Due/time.Millisecond), uint16(p.attempts)
-	r.names[e.name] = i
-	r.held++
-	r.count(e, j.Client)
-	r.bodies += int64(e.bytes)
+	q.byName[e.name] = i
+	q.held++
+	q.countForClient(e, j.Client)
+	q.bodyBytes += int64(e.bodyBytes)
 	switch {
 	case p.end != nil:
 		e.result = p.end.Result
-		r.results += int64(len(e.result))
-		records := r.records
-		r.records = nil // it is recorded already
-		r.finish(p.end.At, i, p.end.State, p.end.Status, "", false)
-		r.records = records
+		q.resultBytes += int64(len(e.result))
+		records := q.records
+		q.records = nil // it is recorded already
+		q.finish(p.end.At, i, p.end.State, p.end.Status, "", false)
+		q.records = records
 		return
-	case p.mayRun && !r.repeatable(e):
-		r.finish(now, i, Failed, StatusFailed, "", false)
+	case p.mayRun && !q.repeatable(e):
+		q.finish(now, i, Failed, StatusFailed, "", false)
 		return
 	case p.mayRun:
-		e.flags |= maybe
+		e.flags |= mayHaveRun
 	}
 	if !p.ready && !p.mayRun {
 		for _, name := range j.After {
-			switch o := r.names[name]; {
-			case o == 0 && !r.lim.RunOnFailure, o != 0 && r.all.at(o).state.Final() && r.all.at(o).state != Served &&
-				!r.lim.RunOnFailure:
-				r.finish(now, i, Failed, StatusDependency, "", false)
+			switch o := q.byName[name]; {
+			case o == 0 && !q.limits.RunOnFailure, o != 0 && q.entries.at(o).state.Final() && q.entries.at(o).state != Served &&
+				!q.limits.RunOnFailure:
+				q.finish(now, i, Failed, StatusDependency, "", false)
 				return
-			case o != 0 && !r.all.at(o).state.Final():
-				r.all.at(o).edges = r.link(i, e.number, r.all.at(o).edges)
-				e.preds++
+			case o != 0 && !q.entries.at(o).state.Final():
+				q.entries.at(o).dependants = q.addEdge(i, e.number, q.entries.at(o).dependants)
+				e.unmetPreds++
 			}
 		}
 	}
 	if e.ready > now {
-		r.timers.push(i, e.ready)
-	} else if e.preds == 0 {
-		r.makeReady(now, i)
+		q.timers.push(i, e.ready)
+	} else if e.unmetPreds == 0 {
+		q.makeReady(now, i)
 	}
 }
--- a/internal/waiting/records_test.go
+++ b/internal/waiting/records_test.go
@@ -19,13 +19,13 @@
 // history drives a room that records at random, and keeps what the outside has learned at which record.
 func history(t *testing.T, seed uint64) (records []Record, facts []fact, now time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 3))
-	b := newBench(t, nil)
-	b.r.Record()
+	b := newHarness(t, nil)
+	b.queue.Record()
 	names, classes, out := map[uint64]string{}, map[uint64]int{}, []uint64(nil)
 	accepted := map[uint64]bool{}
 	look := func() {
-		records = append(records, b.r.Records()...)
-		for _, a := range b.r.Actions() {
+		records = append(records, b.queue.Records()...)
+		for _, a := range b.queue.Actions() {
 			n := a.Job.Number
 			switch a.Kind {
 			case Accept:
@@ -55,10 +55,10 @@
 				j.After = []string{fmt.Sprint("j", 1+rng.IntN(int(b.next)-1))}
 			}
 			names[j.Number], classes[j.Number] = j.Name, j.Class
-			b.r.Submit(b.now, &j)
+			b.queue.Submit(b.now, &j)
 		case 2:
 			b.now += time.Duration(rng.IntN(1500)) * ms
-			b.r.Tick(b.now)
+			b.queue.Tick(b.now)
 		case 3:
 			if len(out) == 0 {
 				continue
@@ -66,26 +66,26 @@
 			k := rng.IntN(len(out))
 			n := out[k]
 			out = append(out[:k], out[k+1:]...)
-			if b.r.open[n] == 0 {
+			if b.queue.active[n] == 0 {
 				continue
 			}
-			b.r.Sent(b.now, n)
+			b.queue.Sent(b.now, n)
 			look()
 			facts = append(facts, fact{kept: len(records), name: names[n], sent: classes[n] == 1})
 			switch rng.IntN(3) {
 			case 0:
-				b.r.Ended(b.now, n, OK, []byte("r"))
+				b.queue.Ended(b.now, n, OK, []byte("r"))
 				look()
 				facts = append(facts, fact{kept: len(records), name: names[n], end: Served})
 			case 1:
-				b.r.Ended(b.now, n, NeverRan, nil)
+				b.queue.Ended(b.now, n, NeverRan, nil)
 				look()
 				facts = append(facts, fact{kept: len(records), name: names[n], back: true})
-				b.r.Refused(b.now, n)
+				b.queue.Refused(b.now, n)
 			case 2:
-				b.r.Ended(b.now, n, MayHave, nil)
-				if !b.r.repeatable(b.r.all.at(b.r.open[n])) {
-					b.r.Failed(b.now, n)
+				b.queue.Ended(b.now, n, MayHave, nil)
+				if !b.queue.repeatable(b.queue.entries.at(b.queue.active[n])) {
+					b.queue.Failed(b.now, n)
 				}
 			}
 		}
@@ -102,10 +102,10 @@
 		records, facts, now := history(t, seed+1)
 		for k := range len(records) + 1 {
 			points++
-			b := newBench(t, nil)
-			b.r.Record()
+			b := newHarness(t, nil)
+			b.queue.Record()
 			next := uint64(1 << 32)
-			live, err := b.r.Restore(now, func() uint64 { next++; return next }, func(each func(Record) error) error {
+			live, err := b.queue.Restore(now, func() uint64 { next++; return next }, func(each func(Record) error) error {
 				for _, x := range records[:k] {
 					if err := each(x); err != nil {
 						return err
@@ -121,7 +121,7 @@
 				if f.kept > k {
 					break
 				}
-				if b.r.names[f.name] == 0 {
+				if b.queue.byName[f.name] == 0 {
 					t.Fatalf("seed %d, record %d: %s is lost", seed+1, k, f.name)
 				}
 				if unsafe[f.name] = (unsafe[f.name] || f.sent) && !f.back; f.end != 0 {
@@ -129,7 +129,7 @@
 				}
 			}
 			for name, s := range ends {
-				if got := b.r.all.at(b.r.names[name]).state; got != s {
+				if got := b.queue.entries.at(b.queue.byName[name]).state; got != s {
 					t.Fatalf("seed %d, record %d: %s was told as %v and is %v", seed+1, k, name, s, got)
 				}
 			}
@@ -137,18 +137,18 @@
 			b.tick(4 * second)
 			for range 200 { // whoever has a turn ends well
 				for _, n := range b.turns {
-					e := b.r.all.at(b.r.open[n])
-					if b.r.open[n] != 0 && unsafe[e.name] {
+					e := b.queue.entries.at(b.queue.active[n])
+					if b.queue.active[n] != 0 && unsafe[e.name] {
 						t.Fatalf("seed %d, record %d: %s may have run and has another turn", seed+1, k, e.name)
 					}
-					b.r.Sent(b.now, n)
-					b.r.Ended(b.now, n, OK, nil)
+					b.queue.Sent(b.now, n)
+					b.queue.Ended(b.now, n, OK, nil)
 				}
 				b.turns = b.turns[:0]
 				b.tick(50 * ms)
 			}
-			if b.r.Held() != 0 {
-				t.Fatalf("seed %d, record %d: %d of %d that live on have no end", seed+1, k, b.r.Held(), len(live))
+			if b.queue.Held() != 0 {
+				t.Fatalf("seed %d, record %d: %d of %d that live on have no end", seed+1, k, b.queue.Held(), len(live))
 			}
 		}
 	}
@@ -167,15 +167,15 @@
 			return nil
 		}
 	}
-	for name, x := range map[string]Record{"no promise": {Kind: Over, Name: "a"}, "kind": {Kind: 99, Name: "a"}} {
-		b := newBench(t, nil)
-		if _, err := b.r.Restore(epoch, nil, load(x)); err == nil {
+	for name, x := range map[string]Record{"no promise": {Kind: Finished, Name: "a"}, "kind": {Kind: 99, Name: "a"}} {
+		b := newHarness(t, nil)
+		if _, err := b.queue.Restore(epoch, nil, load(x)); err == nil {
 			t.Error(name)
 		}
 	}
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.submit("a", nil)
-	if _, err := b.r.Restore(epoch, nil, load()); err == nil {
+	if _, err := b.queue.Restore(epoch, nil, load()); err == nil {
 		t.Error("a room in use")
 	}
 }
--- a/internal/waiting/tick.go
+++ b/internal/waiting/tick.go
@@ -5,109 +5,109 @@
 )
 
 // makeReady: all that the job waited for has come.
-func (r *Room) makeReady(now time.Duration, i uint32) {
-	e := r.all.at(i)
+func (q *Room) makeReady(now time.Duration, i uint32) {
+	e := q.entries.at(i)
 	e.state, e.ready = Ready, now
-	r.note(now, e, Record{Kind: IsReady})
-	r.ready.push(i, now+e.due())
-	r.arm(i)
-	r.pace.stale = true
+	q.record(now, e, Record{Kind: BecameReady})
+	q.ready.push(i, now+e.due())
+	q.armDeadline(i)
+	q.pacer.demandStale = true
 }
 
-// arm sets when a job that is ready, or in its turn and not sent, must be answered.
-func (r *Room) arm(i uint32) {
-	e := r.all.at(i)
-	at := e.ready + longWait*e.due()
-	if e.deadline > 0 && e.is(attached) {
-		at = min(at, e.deadline-lastCall)
+// armDeadline sets when a job that is ready, or in its turn and not sent, must be answered.
+func (q *Room) armDeadline(i uint32) {
+	e := q.entries.at(i)
+	at := e.ready + maxWaitFactor*e.due()
+	if e.deadline > 0 && e.has(attached) {
+		at = min(at, e.deadline-answerMargin)
 	}
-	r.ends.remove(i)
-	r.ends.push(i, at)
+	q.deadlines.remove(i)
+	q.deadlines.push(i, at)
 }
 
 // Tick lets time pass: what has come due happens, and jobs whose turn it is are released. It touches a bounded number
 // of entries; Wake tells when to call it again.
-func (r *Room) Tick(now time.Duration) {
-	work := tickWork
-	r.forget(now, &work)
+func (q *Room) Tick(now time.Duration) {
+	work := maxTickWork
+	q.evictKept(now, &work)
 	for ; work > 0; work-- {
-		i, ok := r.ends.due(now)
+		i, ok := q.deadlines.due(now)
 		if !ok {
 			break
 		}
-		r.tooLate(now, i)
+		q.expire(now, i)
 	}
 	for ; work > 0; work-- {
-		i, ok := r.timers.due(now)
+		i, ok := q.timers.due(now)
 		if !ok {
 			break
 		}
-		r.timers.remove(i)
-		if r.all.at(i).preds == 0 {
-			r.makeReady(now, i)
+		q.timers.remove(i)
+		if q.entries.at(i).unmetPreds == 0 {
+			q.makeReady(now, i)
 		}
 	}
 	for ; work > 0; work-- {
-		i, ok := r.again.due(now)
+		i, ok := q.backoff.due(now)
 		if !ok {
 			break
 		}
-		r.again.remove(i)
-		r.ready.push(i, r.all.at(i).ready+r.all.at(i).due())
+		q.backoff.remove(i)
+		q.ready.push(i, q.entries.at(i).ready+q.entries.at(i).due())
 	}
-	r.tell(now, &work)
-	r.overdueAsks(now)
-	r.more = work <= 0
-	r.release(now)
+	q.notifyDependants(now, &work)
+	q.answerOverdueQueries(now)
+	q.moreWork = work <= 0
+	q.releaseReady(now)
 }
 
-// tooLate answers a job that has waited for as long as it may.
-func (r *Room) tooLate(now time.Duration, i uint32) {
-	e := r.all.at(i)
+// expire answers a job that has waited for as long as it may.
+func (q *Room) expire(now time.Duration, i uint32) {
+	e := q.entries.at(i)
 	if e.state == Released {
-		r.do(Action{Kind: Withdraw, Job: Job{Number: e.number}})
+		q.emit(Action{Kind: Withdraw, Job: Job{Number: e.number}})
 	}
-	if e.is(maybe) && !r.repeatable(e) {
-		r.finish(now, i, Failed, StatusFailed, "failed", true)
+	if e.has(mayHaveRun) && !q.repeatable(e) {
+		q.finish(now, i, Failed, StatusFailed, "failed", true)
 		return
 	}
-	r.finish(now, i, Refused, StatusRefused, "no room came in the time that it could wait", true)
+	q.finish(now, i, Refused, StatusRefused, "no room came in the time that it could wait", true)
 }
 
-func (r *Room) repeatable(e *entry) bool {
-	return int(e.class) < len(r.fleet.Classes) && r.fleet.Classes[e.class].Repeatable
+func (q *Room) repeatable(e *entry) bool {
+	return int(e.class) < len(q.fleet.Classes) && q.fleet.Classes[e.class].Repeatable
 }
 
-// tell lets the dependants of ended jobs know. It is a list of work and no recursion: a chain of any length takes no
+// notifyDependants lets the dependants of ended jobs know. It is a list of work and no recursion: a chain of any length takes no
 // stack, and a job on which many wait no long Tick.
-func (r *Room) tell(now time.Duration, work *int) {
-	for *work > 0 && len(r.ended) > 0 {
-		p := r.ended[len(r.ended)-1]
-		x := r.all.at(p).edges
+func (q *Room) notifyDependants(now time.Duration, work *int) {
+	for *work > 0 && len(q.unnotified) > 0 {
+		p := q.unnotified[len(q.unnotified)-1]
+		x := q.entries.at(p).dependants
 		*work--
-		g := *r.edges.at(x)
-		if r.all.at(p).edges = g.next; g.next == 0 { // off the list at once: its entry may soon hold another job
-			r.ended = r.ended[:len(r.ended)-1]
+		g := *q.edges.at(x)
+		if q.entries.at(p).dependants = g.next; g.next == 0 { // off the list at once: its entry may soon hold another job
+			q.unnotified = q.unnotified[:len(q.unnotified)-1]
 		}
-		*r.edges.at(x) = edge{next: r.spare}
-		r.spare = x
-		e := r.all.at(g.of)
+		*q.edges.at(x) = edge{next: q.freeEdges}
+		q.freeEdges = x
+		e := q.entries.at(g.dependant)
 		if e.number != g.number || e.state != Waiting {
 			continue // it has ended meanwhile
 		}
-		if r.all.at(p).state != Served && !r.lim.RunOnFailure {
-			r.finish(now, g.of, Failed, StatusDependency, "a job that it waited for was not served", true)
+		if q.entries.at(p).state != Served && !q.limits.RunOnFailure {
+			q.finish(now, g.dependant, Failed, StatusDependency, "a job that it waited for was not served", true)
 			continue
 		}
-		if e.preds--; e.preds == 0 && !r.timers.holds(g.of) {
-			r.makeReady(now, g.of)
+		if e.unmetPreds--; e.unmetPreds == 0 && !q.timers.contains(g.dependant) {
+			q.makeReady(now, g.dependant)
 		}
 	}
 }
 
 // Wake tells when the next Tick is due though nothing happens.
-func (r *Room) Wake(now time.Duration) (at time.Duration, ok bool) {
-	if r.more || len(r.ended) > 0 {
+func (q *Room) Wake(now time.Duration) (at time.Duration, ok bool) {
+	if q.moreWork || len(q.unnotified) > 0 {
 		return now, true
 	}
 	sooner := func(t time.Duration, there bool) {
@@ -115,14 +115,14 @@
 			at, ok = t, true
 		}
 	}
-	sooner(r.timers.next())
-	sooner(r.again.next())
-	sooner(r.ends.next())
-	if r.oldest != 0 {
-		sooner(r.all.at(r.oldest).entered+r.lim.Retention, true)
-		sooner(now, r.stats.Kept > r.lim.MaxKept)
+	sooner(q.timers.earliest())
+	sooner(q.backoff.earliest())
+	sooner(q.deadlines.earliest())
+	if q.oldestKept != 0 {
+		sooner(q.entries.at(q.oldestKept).entered+q.limits.Retention, true)
+		sooner(now, q.stats.Kept > q.limits.MaxKept)
 	}
-	sooner(r.asksAt, len(r.asks) > 0)
-	sooner(r.nextTurn(now))
+	sooner(q.nextQueryTimeout, len(q.queries) > 0)
+	sooner(q.nextRelease(now))
 	return at, ok
 }
--- a/internal/waiting/types.go
+++ b/internal/waiting/types.go
@@ -25,9 +25,9 @@
 	Cancelled              // called off before it went out
 )
 
-var names = [...]string{"waiting", "ready", "released", "served", "refused", "failed", "cancelled"}
+var stateNames = [...]string{"waiting", "ready", "released", "served", "refused", "failed", "cancelled"}
 
-func (s State) String() string { return names[s] }
+func (s State) String() string { return stateNames[s] }
 
 // Final tells whether nothing more becomes of a job.
 func (s State) Final() bool { return s >= Served }
--- a/internal/waiting/weigh_test.go
+++ b/internal/waiting/weigh_test.go
@@ -25,21 +25,21 @@
 	{Name: "harvest-sale", OnTime: 2 * second, Stretch: 2, Deadline: 25 * second, Worth: 10, Kind: -1,
 		Effect: policy.Unsafe}}
 
-// world is a small fleet in virtual time round a real chain: hosts with lanes and a queue, clients that come at random.
+// simulation is a small fleet in virtual time round a real chain: hosts with lanes and a queue, clients that come at random.
 // Equal seeds give equal runs.
-type world struct {
+type simulation struct {
 	rng    *rand.Rand
 	chain  *dispatch.Chain
 	room   *waiting.Room
 	now    time.Duration
-	events calendar
+	events eventQueue
 	seq    int
 	in     []dispatch.Message
 	hosts  map[string]*host
-	jobs   map[uint64]*made
+	jobs   map[uint64]*simJob
 	out    map[dispatch.Key]*run
 	next   uint64
-	total  int // lanes
+	lanes  int // lanes
 
 	freshInTime int
 }
@@ -49,8 +49,8 @@
 	queue       []*run
 }
 
-// made is a job that somebody handed in.
-type made struct {
+// simJob is a job that somebody handed in.
+type simJob struct {
 	class   int
 	size    time.Duration
 	arrived time.Duration
@@ -72,21 +72,21 @@
 	do  func()
 }
 
-type calendar []event
+type eventQueue []event
 
-func (c calendar) Len() int { return len(c) }
-func (c calendar) Less(i, j int) bool {
+func (c eventQueue) Len() int { return len(c) }
+func (c eventQueue) Less(i, j int) bool {
 	return c[i].at < c[j].at || c[i].at == c[j].at && c[i].seq < c[j].seq
 }
-func (c calendar) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
-func (c *calendar) Push(x any)   { *c = append(*c, x.(event)) }
-func (c *calendar) Pop() any {
+func (c eventQueue) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
+func (c *eventQueue) Push(x any)   { *c = append(*c, x.(event)) }
+func (c *eventQueue) Pop() any {
 	last := (*c)[len(*c)-1]
 	*c = (*c)[:len(*c)-1]
 	return last
 }
 
-func newWorld(tb testing.TB, seed uint64, hosts, lanes int, lim waiting.Limits) *world {
+func newSimulation(tb testing.TB, seed uint64, hosts, lanes int, lim waiting.Limits) *simulation {
 	tb.Helper()
 	cfg := policy.Config{Replicas: 1, Zones: 1, Kinds: 1, MaxAttempts: 6, WorthByWork: true, TellsStart: true, Probes: true,
 		ReportInProbes: true, PriceProbe: 0.002, MaxRetryAfter: 2 * second, Classes: classes}
@@ -95,8 +95,8 @@
 		tb.Fatal(err)
 	}
 	gate := dispatch.NewWaitingGate(lim, cfg)
-	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), chain: dispatch.NewChain(core, dispatch.Gates{Waiting: gate}), room: gate.Room(), now: epoch,
-		hosts: map[string]*host{}, jobs: map[uint64]*made{}, out: map[dispatch.Key]*run{}, total: hosts * lanes}
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), chain: dispatch.NewChain(core, dispatch.Gates{Waiting: gate}), room: gate.Room(), now: epoch,
+		hosts: map[string]*host{}, jobs: map[uint64]*simJob{}, out: map[dispatch.Key]*run{}, lanes: hosts * lanes}
 	var list []dispatch.Host
 	for i := range hosts {
 		addr := fmt.Sprintf("127.0.0.1:%d", i+1)
@@ -107,14 +107,14 @@
 	return w
 }
 
-func (w *world) at(t time.Duration, do func()) {
+func (w *simulation) at(t time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{max(t, w.now), w.seq, do})
 }
 
-// draw makes a job: of every hundred 62 light ones and 38 sales, their sizes spread by a factor of about two.
-func (w *world) draw(fresh bool) *made {
-	m := &made{arrived: w.now, fresh: fresh}
+// newJob makes a job: of every hundred 62 light ones and 38 sales, their sizes spread by a factor of about two.
+func (w *simulation) newJob(fresh bool) *simJob {
+	m := &simJob{arrived: w.now, fresh: fresh}
 	mean := 0.7
 	if w.rng.Float64() < 0.38 {
 		m.class, mean = 1, 4
@@ -128,25 +128,25 @@
 const meanWork = 0.62*0.7 + 0.38*4
 
 // arrive hands a job in; wait nil: it is fresh.
-func (w *world) arrive(m *made, id uint64, wait *dispatch.Wait) {
+func (w *simulation) arrive(m *simJob, id uint64, wait *dispatch.Wait) {
 	budget := classes[m.class].Deadline
 	w.in = append(w.in, dispatch.Arrived{Job: id, Name: fmt.Sprint("j", id), Client: "c", Class: m.class, Tenant: -1,
 		At: w.now, Budget: budget, Size: m.size, Slots: 1, Wait: wait})
 }
 
 // flood has fresh jobs come at a multiple of what the fleet can do, until an end.
-func (w *world) flood(load float64, until time.Duration) {
-	gap := meanWork / float64(w.total) / load
+func (w *simulation) flood(load float64, until time.Duration) {
+	gap := meanWork / float64(w.lanes) / load
 	w.at(w.now+time.Duration(w.rng.ExpFloat64()*gap*1e9), func() {
 		if w.now < until {
-			w.arrive(w.draw(true), w.next, nil)
+			w.arrive(w.newJob(true), w.next, nil)
 			w.flood(load, until)
 		}
 	})
 }
 
 // run goes on until an end, and calls each after every Step.
-func (w *world) run(until time.Duration) {
+func (w *simulation) run(until time.Duration) {
 	for {
 		at, ok := w.chain.Wake()
 		if len(w.in) > 0 {
@@ -166,12 +166,12 @@
 		in := w.in
 		w.in = nil
 		for _, c := range w.chain.Step(w.now, in) {
-			w.carry(c)
+			w.execute(c)
 		}
 	}
 }
 
-func (w *world) carry(c dispatch.Command) {
+func (w *simulation) execute(c dispatch.Command) {
 	switch c := c.(type) {
 	case dispatch.Send:
 		w.jobs[c.Job].sends++
@@ -191,7 +191,7 @@
 	}
 }
 
-func (h *host) take(w *world, r *run) {
+func (h *host) take(w *simulation, r *run) {
 	if r.over {
 		return
 	}
@@ -203,7 +203,7 @@
 	h.start(w)
 }
 
-func (h *host) start(w *world) {
+func (h *host) start(w *simulation) {
 	for h.busy < h.lanes && len(h.queue) > 0 {
 		r := h.queue[0]
 		if h.queue = h.queue[1:]; r.over {
@@ -220,7 +220,7 @@
 }
 
 // end tells the one outcome of a send.
-func (w *world) end(r *run, result policy.Result) {
+func (w *simulation) end(r *run, result policy.Result) {
 	if r.over {
 		return
 	}
@@ -240,19 +240,19 @@
 	w.in = append(w.in, dispatch.Ended{Key: r.key, Result: result})
 }
 
-// figures are what one run of the experiment gives.
-type figures struct {
+// results are what one run of the experiment gives.
+type results struct {
 	before, during, longest, served float64
 	turns                           uint64
 }
 
 // experiment floods a fleet for three minutes; after the first, a backlog becomes ready at one moment, due in the two
 // that are left.
-func experiment(tb testing.TB, seed uint64, rule string, hosts, lanes int, load, part float64) figures {
+func experiment(tb testing.TB, seed uint64, rule string, hosts, lanes int, load, part float64) results {
 	lim := waiting.Defaults()
 	lim.MaxJobs, lim.ClientShare, lim.DefaultDue = 1_000_000, 1, 2*time.Minute
-	w := newWorld(tb, seed, hosts, lanes, lim)
-	w.room.SetRule(rule, lim.Share, float64(w.total))
+	w := newSimulation(tb, seed, hosts, lanes, lim)
+	w.room.SetRule(rule, lim.Share, float64(w.lanes))
 	end := epoch + 3*time.Minute
 	w.flood(load, end)
 	w.run(epoch + 20*second) // it takes a while until the fleet is full
@@ -267,15 +267,15 @@
 	t0, a0 := count()
 	w.run(epoch + time.Minute)
 	t1, a1 := count()
-	backlog := int(part * float64(w.total) * 120 / meanWork)
+	backlog := int(part * float64(w.lanes) * 120 / meanWork)
 	for range backlog {
-		w.arrive(w.draw(false), w.next, &dispatch.Wait{Detached: true})
+		w.arrive(w.newJob(false), w.next, &dispatch.Wait{Detached: true})
 	}
 	w.run(end)
 	t2, a2 := count()
 	w.run(end + 3*time.Minute)
 	s := w.room.Stats()
-	return figures{before: float64(t1-t0) / float64(a1-a0), during: float64(t2-t1) / float64(a2-a1), longest: s.Longest,
+	return results{before: float64(t1-t0) / float64(a1-a0), during: float64(t2-t1) / float64(a2-a1), longest: s.Longest,
 		served: float64(s.Served) / float64(max(backlog, 1)), turns: s.Turns}
 }
 
@@ -289,7 +289,7 @@
 	for _, load := range []float64{0.6, 1.2, 3} {
 		for _, part := range []float64{0.1, 0.25, 0.45} {
 			for _, rule := range waiting.Rules {
-				var sum figures
+				var sum results
 				const seeds = 5
 				for seed := range uint64(seeds) {
 					f := experiment(t, seed+1, rule, 10, 2, load, part)
@@ -308,7 +308,7 @@
 
 // Under a flood of 1.2 times what the fleet can do no waiting job waits longer than twice its due time, as long as the
 // fleet can carry their share; nor do they shut out the fresh ones.
-func TestFloodStarvesNone(t *testing.T) {
+func TestFloodStarvesNoWaitingJob(t *testing.T) {
 	for seed := range uint64(3) {
 		f := experiment(t, seed+1, "by need", 10, 2, 1.2, 0.25)
 		if f.longest > 2 || f.served < 1 || f.during < f.before/2 {
