--- a/internal/waiting/accept.go
+++ b/internal/waiting/accept.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Fresh takes in a job that does not wait. False: it has its answer already and must not go on.
+// Fresh adds a job that does not wait. If it returns false, the job has been answered and must not be passed on.
 func (q *Room) Fresh(now time.Duration, j *Job) bool {
 	if q.byName[j.Name] != 0 {
 		q.refuse(j, StatusConflict, "the id is already used", 0)
@@ -39,10 +39,11 @@
 	q.emit(Action{Kind: Answer, Job: Job{Number: j.Number}, Status: status, Why: why, After: after})
 }
 
-// Submit takes in a job that asks to wait. It is held and, if nobody is attached to it, accepted; or it has its answer.
+// Submit adds a job that asks to wait. The job is either answered at once or held; a detached job that is held is also
+// accepted.
 //
-// A job can only wait for jobs that are known when it comes, and is itself known only after that: whatever it waits
-// for is older, so no cycle can be made.
+// A job can wait only for jobs that are known when it arrives, and becomes known itself only afterwards. Predecessors
+// are always older, so there can be no cycle.
 func (q *Room) Submit(now time.Duration, j *Job) {
 	q.stats.Submitted++
 	if q.byName[j.Name] != 0 {
@@ -57,7 +58,7 @@
 	case due > q.limits.MaxDue:
 		q.refuse(j, 400, "X-Due-Ms: more than max_due allows", 0)
 		return
-	case j.NotBefore-j.Arrived > q.limits.MaxDelay: // however late it is looked at
+	case j.NotBefore-j.Arrived > q.limits.MaxDelay: // measured from the arrival, so that late processing makes no difference
 		q.refuse(j, 400, "X-Not-Before-Ms: more than max_delay allows", 0)
 		return
 	case len(j.After) > maxPredecessors:
@@ -131,13 +132,13 @@
 	}
 }
 
-// clientJobs is how many jobs one client has here.
+// clientJobs counts the held jobs of one client.
 type clientJobs struct {
 	name string
 	jobs int
 }
 
-// countForClient books a job for its client.
+// countForClient adds a job to the count of its client.
 func (q *Room) countForClient(e *entry, client string) {
 	s := q.byClient[client]
 	if s == nil {
@@ -148,7 +149,7 @@
 	e.clientJobs = s
 }
 
-// addEdge makes an edge.
+// addEdge creates an edge and returns its index.
 func (q *Room) addEdge(of uint32, number uint64, next uint32) uint32 {
 	x := edge{of, number, next}
 	if i := q.freeEdges; i != 0 {
@@ -159,7 +160,7 @@
 	return q.edges.push(x)
 }
 
-// exceededLimit tells which bound a job would pass; "": none.
+// exceededLimit names the limit that a job would exceed; "": none.
 func (q *Room) exceededLimit(j *Job) string {
 	switch {
 	case q.held >= q.limits.MaxJobs:
@@ -172,9 +173,9 @@
 	return ""
 }
 
-// retryAfter is when a place may come free for one who is turned away: the soonest end there can be, and after it, at
-// the pace at which places came free, for each that was told so before. Nobody is sent to a place that is promised to
-// another.
+// retryAfter estimates when a rejected client can find free space: after the earliest possible end of a held job, plus
+// the mean interval between freed places for each client that was already told to retry. Each client is thereby
+// directed to a place of its own.
 func (q *Room) retryAfter(now time.Duration) time.Duration {
 	gap := max(q.meanFreeInterval, time.Millisecond)
 	first := gap
--- a/internal/waiting/asks.go
+++ b/internal/waiting/asks.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Asked answers a question: at once, or when the job ends, or when the question's time is over.
+// Asked answers a query: at once, when the job ends, or when the query times out.
 func (q *Room) Asked(now time.Duration, query *Ask) {
 	if query.Name == "" {
 		q.list(now, query)
@@ -20,7 +20,7 @@
 	e := q.entries.at(i)
 	status := StatusServed
 	switch {
-	case query.Cancel && e.state == Cancelled: // said twice is no mistake
+	case query.Cancel && e.state == Cancelled: // cancelling twice is not an error
 	case query.Cancel && (e.state.Final() || e.has(fresh|mayHaveRun) || e.sendsOut > 0):
 		status = StatusConflict
 	case query.Cancel:
@@ -39,7 +39,7 @@
 	q.emit(Action{Kind: Tell, Ask: query.Number, Status: status, Info: q.info(now, i)})
 }
 
-// Unasked forgets a question whose asker has gone.
+// Unasked removes a query whose caller has left.
 func (q *Room) Unasked(number uint64) {
 	if w := q.queries[number]; w != nil {
 		q.removeQuery(number, w)
@@ -60,7 +60,7 @@
 	}
 }
 
-// answerOverdueQueries tells how things stand to those whose time is over.
+// answerOverdueQueries answers the queries that have timed out with the present state.
 func (q *Room) answerOverdueQueries(now time.Duration) {
 	if len(q.queries) == 0 || now < q.nextQueryTimeout {
 		return
@@ -81,7 +81,7 @@
 	}
 }
 
-// list tells of up to q.Most jobs that asked to wait, in the order of their entries.
+// list replies with up to query.Most jobs that asked to wait, in the order of their entries.
 func (q *Room) list(now time.Duration, query *Ask) {
 	i := uint32(0)
 	if query.From != "" {
@@ -101,7 +101,7 @@
 	q.emit(Action{Kind: Tell, Ask: query.Number, Status: StatusServed, Board: &Board{list, q.Stats()}})
 }
 
-// info is what is told of a job.
+// info describes the present state of a job.
 func (q *Room) info(now time.Duration, i uint32) *Info {
 	e := q.entries.at(i)
 	n := &Info{Name: e.name, State: e.state, Due: e.due(), Attempts: int(e.attempts), Status: int(e.status),
--- a/internal/waiting/closing.go
+++ b/internal/waiting/closing.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Close begins the end of the program, which answers until by. What waits with a client on the line and can't be
-// ready by then is refused now, the rest by then; nothing more is taken.
+// Close begins the shutdown of the program, which answers clients until the time by. Attached jobs that cannot become
+// ready by then are refused now, other attached jobs by then. No further jobs are accepted.
 func (q *Room) Close(now, by time.Duration) {
 	q.closing = true
 	for _, w := range q.queries {
@@ -15,12 +15,12 @@
 	}
 	q.nextQueryTimeout = now
 	q.answerOverdueQueries(now)
-	numbers := slices.Sorted(maps.Keys(q.active)) // an order that does not hang on the map's
+	numbers := slices.Sorted(maps.Keys(q.active)) // for an order that does not depend on map iteration
 	for _, n := range numbers {
 		i := q.active[n]
 		e := q.entries.at(i)
 		if !e.has(attached) || e.has(fresh) || e.state > Ready {
-			if e.has(attached) && e.state == Released { // what the module then refuses is not held once more
+			if e.has(attached) && e.state == Released { // if the decision module refuses it, it is not queued again
 				e.deadline = min(e.deadline, by)
 			}
 			continue
@@ -34,8 +34,8 @@
 	}
 }
 
-// Crashed tells that the module has forgotten all that it held: what was before it may have run and has failed. The
-// program answers those itself.
+// Crashed records that the decision module has lost all jobs it held. Jobs that were released may have run and end as
+// failed. The program sends their answers itself.
 func (q *Room) Crashed(now time.Duration) {
 	for _, n := range slices.Sorted(maps.Keys(q.active)) {
 		if i := q.active[n]; q.entries.at(i).state == Released {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Keeps tells whether a job is held and not before the module: it outlives the module's end.
+// Keeps reports whether a job is held and not released, so that a crash of the decision module does not affect it.
 func (q *Room) Keeps(number uint64) bool {
 	i := q.active[number]
 	return i != 0 && q.entries.at(i).state < Released
--- a/internal/waiting/finish.go
+++ b/internal/waiting/finish.go
@@ -4,13 +4,14 @@
 	"time"
 )
 
-// finish gives a job its one final state. With answer the program is told; else it has heard from elsewhere.
+// finish puts a job into its final state. It emits an answer only if answer is set; otherwise the answer comes from
+// elsewhere.
 func (q *Room) finish(now time.Duration, i uint32, s State, status int, why string, answer bool) {
 	e := q.entries.at(i)
 	if e.state.Final() {
 		return
 	}
-	q.pacer.sendsOut -= int(e.sendsOut) // what is still out of it is not heard of any more
+	q.pacer.sendsOut -= int(e.sendsOut) // later outcomes of these sends are ignored
 	q.endTurn(now, i, s)
 	q.record(now, e, Record{Kind: Finished, State: s, Status: status, Result: e.result})
 	for _, h := range []*timeHeap{&q.timers, &q.ready, &q.backoff, &q.deadlines} {
@@ -55,7 +56,7 @@
 		q.freeEntry(i)
 		return
 	}
-	e.entered = now // from here on: when it ended
+	e.entered = now // from here on entered is the time at which the job ended
 	if q.newestKept != 0 {
 		q.entries.at(q.newestKept).next = i
 	} else {
@@ -69,16 +70,16 @@
 	q.shedResults()
 }
 
-// storeResult stores a result, for which others may have to go.
+// storeResult stores the result of a job. shedResults may have to drop older ones for it.
 func (q *Room) storeResult(e *entry, result []byte) {
 	if e.has(fresh) {
-		return // its client had it on its connection
+		return // its client has received it on its connection
 	}
 	e.result = string(result)
 	q.resultBytes += int64(len(result))
 }
 
-// shedResults lets the oldest results go where bodies and results are more than they may be. Their jobs stay known.
+// shedResults drops the oldest results while bodies and results exceed MaxBytes. Their jobs stay known.
 func (q *Room) shedResults() {
 	for q.bodyBytes+q.resultBytes > q.limits.MaxBytes && q.nextToShed != 0 {
 		e := q.entries.at(q.nextToShed)
@@ -92,13 +93,13 @@
 	}
 }
 
-// evictKept lets final jobs go: when their time is over, or the oldest where there are too many.
+// evictKept forgets final jobs whose retention has ended, and the oldest ones if there are more than MaxKept.
 func (q *Room) evictKept(now time.Duration, work *int) {
 	for ; *work > 0 && q.oldestKept != 0; *work-- {
 		i := q.oldestKept
 		e := q.entries.at(i)
 		old := now-e.entered >= q.limits.Retention
-		if !old && q.stats.Kept <= q.limits.MaxKept || e.dependants != 0 { // dependants hear of it first
+		if !old && q.stats.Kept <= q.limits.MaxKept || e.dependants != 0 { // its dependants must be notified first
 			return
 		}
 		if !old {
--- a/internal/waiting/queue.go
+++ b/internal/waiting/queue.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// timeHeap is a 4-ary min-heap of entries by time. An entry's place in it is kept beside the entries, so that one in the
-// middle is removed in O(log n) and without a search. Queues that never hold one entry together share their places.
-// Ties go by the entries' numbers, which equal histories make equal.
+// timeHeap is a 4-ary min-heap of entries by time. The position of each entry is stored beside the entries, so that one
+// in the middle is removed in O(log n) without a search. Heaps that never hold the same entry at the same time share
+// one index. Ties are broken by entry number, which makes equal histories give equal orders.
 type timeHeap struct {
 	nodes slab[heapNode]
-	index *slab[uint32] // by entry; 0: in no queue, else the node's index + 1
+	index *slab[uint32] // by entry; 0: in no heap, else the node's position + 1
 }
 
 type heapNode struct {
@@ -19,7 +19,7 @@
 
 func (h *timeHeap) len() int { return h.nodes.n }
 
-// earliest is the earliest time in the queue.
+// earliest returns the earliest time in the heap.
 func (h *timeHeap) earliest() (time.Duration, bool) {
 	if h.nodes.n == 0 {
 		return 0, false
@@ -27,7 +27,7 @@
 	return h.nodes.at(0).at, true
 }
 
-// due is the first entry, if its time has come.
+// due returns the first entry if its time has come.
 func (h *timeHeap) due(now time.Duration) (uint32, bool) {
 	if h.nodes.n == 0 || h.nodes.at(0).at > now {
 		return 0, false
@@ -39,13 +39,13 @@
 	h.up(h.nodes.push(heapNode{at, of}))
 }
 
-// contains tells whether an entry is in this queue.
+// contains reports whether an entry is in this heap.
 func (h *timeHeap) contains(of uint32) bool {
 	p := *h.index.at(of)
 	return p > 0 && int(p) <= h.nodes.n && h.nodes.at(p-1).entry == of
 }
 
-// remove takes an entry out, if it is in this queue.
+// remove removes an entry if it is in this heap.
 func (h *timeHeap) remove(of uint32) {
 	if !h.contains(of) {
 		return
--- a/internal/waiting/records.go
+++ b/internal/waiting/records.go
@@ -5,47 +5,48 @@
 	"time"
 )
 
-// Store is what a Room needs of whoever keeps its promises beyond the process. The Room decides what is recorded and in
-// which order (Records), the Store only that it is there again afterwards.
+// Store keeps the records of accepted jobs beyond the process. The queue decides what is recorded and in which order
+// (Records); the store only has to return the records after a restart.
 //
-// The contract: the records of a Step are kept before anything of that Step is done, so that a promise is on disk before it
-// is made, and the intent to send before the send. A Step whose records could not be kept is not carried out; its jobs
-// are refused.
+// The records of a step must be durable before any action of that step is carried out, so that an accepted job is on
+// disk before the client is told, and the intent to send before the send. If the records of a step cannot be stored,
+// the step is not carried out and its jobs are refused.
 type Store interface {
 	// Append writes records, in order. Once it has returned nil they outlive the process.
 	Append(records []Record) error
-	// Load passes on all that was kept, in order.
+	// Load passes all stored records to each, in order.
 	Load(each func(Record) error) error
 }
 
-// RecordKind says what a Record tells.
+// RecordKind is the kind of a Record.
 type RecordKind uint8
 
-// The kinds.
+// The kinds. Each comment names the fields that are set.
 const (
-	JobAccepted RecordKind = iota // Job: it was accepted, without its connection
-	MayRun                        // a host may have it from here on
-	NotRun                        // every send of it provably never ran
-	BecameReady                   // whatever it waited for has come
-	Finished                      // State, Status, Result: final
+	JobAccepted RecordKind = iota // Job: it was accepted, independent of its connection
+	MayRun                        // Attempts: from here on a host may run it
+	NotRun                        // all its sends provably did not run
+	BecameReady                   // its set time and its predecessors are over
+	Finished                      // State, Status, Result: it is final
 )
 
-// Record is one thing that has to be known again after a restart.
+// Record is a fact about a job that must be known after a restart.
 type Record struct {
 	Kind     RecordKind
 	At       time.Duration
 	Name     string
-	Job      Job // of Promised
-	Attempts int // of MayRun: this one counted
+	Job      Job // of JobAccepted
+	Attempts int // of MayRun, this one included
 	State    State
 	Status   int
 	Result   string
 }
 
-// Record makes the Room give records from now on; without it they cost nothing.
+// Record turns recording on. Without it, records cost nothing.
 func (q *Room) Record() { q.records = make([]Record, 0, 16) }
 
-// Records gives what is to be kept since the last call, see Store. It is valid until the next call of any method.
+// Records returns the records to store since the last call, see Store. The slice is valid until the next call of any
+// method.
 func (q *Room) Records() []Record {
 	out := q.records
 	if out != nil {
@@ -57,7 +58,7 @@
 	return out
 }
 
-// record records something about a job that lives on without its connection.
+// record adds a record about an accepted job.
 func (q *Room) record(now time.Duration, e *entry, x Record) {
 	if q.records == nil || !e.has(accepted) {
 		return
@@ -66,7 +67,7 @@
 	q.records = append(q.records, x)
 }
 
-// jobHistory is what the records say of one job.
+// jobHistory is what the records say about one job.
 type jobHistory struct {
 	job      Job
 	ready    bool
@@ -75,24 +76,25 @@
 	end      *Record
 }
 
-// Restore fills an empty Room from records, in the order in which they were kept; next gives a number that no job has.
-// What never went out waits on; what may have run and is safe to repeat waits for another turn; what may have run and is
-// not ends failed, never with a second send; finals stay finals until their retention is over. A job whose predecessor
-// was not recorded (it had a connection, which died with the process) takes it for not served. It tells which jobs live on.
+// Restore fills an empty queue from stored records, in the order in which they were stored. next returns a job number
+// that is not in use. A job that was never sent waits on. A job that may have run waits for another turn if its class
+// is safe to repeat; otherwise it ends as failed and is never sent a second time. Final jobs stay final until their
+// retention ends. A predecessor that was not recorded, because it had a connection, which ended with the process,
+// counts as not served. Restore returns the jobs that are not final.
 func (q *Room) Restore(now time.Duration, next func() uint64, load func(each func(Record) error) error) ([]Job, error) {
 	if len(q.byName) > 0 {
-		return nil, fmt.Errorf("waiting: a room with %d jobs can't be restored", len(q.byName))
+		return nil, fmt.Errorf("waiting: cannot restore into a queue that knows %d jobs", len(q.byName))
 	}
 	known := map[string]*jobHistory{}
 	var order []string
 	err := load(func(x Record) error {
 		p := known[x.Name]
 		if p == nil && x.Kind != JobAccepted {
-			return fmt.Errorf("waiting: job %q: a record without a promise", x.Name)
+			return fmt.Errorf("waiting: job %q: a record precedes its acceptance", x.Name)
 		}
 		switch x.Kind {
 		case JobAccepted:
-			if p == nil || p.end != nil { // an id that was forgotten can be used again
+			if p == nil || p.end != nil { // the id of a forgotten job can be used again
 				if p == nil {
 					order = append(order, x.Name)
 				}
@@ -109,7 +111,7 @@
 				p.end = &x
 			}
 		default:
-			return fmt.Errorf("waiting: job %q: a record of unknown kind %d", x.Name, x.Kind)
+			return fmt.Errorf("waiting: job %q: unknown kind of record %d", x.Name, x.Kind)
 		}
 		return nil
 	})
@@ -128,12 +130,12 @@
 			live = append(live, *j)
 		}
 	}
-	q.actions = q.actions[:0] // nobody is on the line
+	q.actions = q.actions[:0] // no client is connected
 	q.stats = Stats{Kept: q.stats.Kept}
 	return live, nil
 }
 
-// restoreJob takes one job in again. Older ones, for which it may wait, are there already.
+// restoreJob restores one job. Older jobs, which it may wait for, are already restored.
 func (q *Room) restoreJob(now time.Duration, p *jobHistory) {
 	j := &p.job
 	i := q.add(j, indexed|accepted)
--- a/internal/waiting/room.go
+++ b/internal/waiting/room.go
@@ -4,54 +4,54 @@
 	"time"
 )
 
-// Room holds the jobs. See New.
+// Room holds the waiting jobs. Use New to create one.
 type Room struct {
 	limits           Limits
 	fleet            Fleet
-	entries          slab[entry] // the first of each slab is of no use
+	entries          slab[entry] // index 0 of each slab is unused
 	freeEntries      uint32
 	edges            slab[edge]
 	freeEdges        uint32
 	byName           map[string]uint32
-	active           map[uint64]uint32 // by number, those not final
+	active           map[uint64]uint32 // by job number; jobs that are not final
 	byClient         map[string]*clientJobs
-	heapIndex        slab[uint32] // in timers, ready or again
-	timers           timeHeap     // that wait for their time
-	ready            timeHeap     // whose turn it may be, by the time at which they ought to have gone out
-	backoff          timeHeap     // that the module has refused, by when they try again
+	heapIndex        slab[uint32] // of timers, ready and backoff
+	timers           timeHeap     // jobs that wait for their set time
+	ready            timeHeap     // ready jobs, by the time at which they should be sent
+	backoff          timeHeap     // jobs that the decision module refused, by the time of their next attempt
 	deadlineIndex    slab[uint32]
-	deadlines        timeHeap // by when they must have gone out, or be answered
-	unnotified       []uint32 // final ones whose dependants have not heard yet
-	oldestKept       uint32   // of the kept
+	deadlines        timeHeap // jobs by the time at which they must have been sent, or be answered
+	unnotified       []uint32 // final jobs whose dependants are not notified yet
+	oldestKept       uint32   // list of kept jobs, oldest first
 	newestKept       uint32
-	nextToShed       uint32 // the oldest kept that may have a result
+	nextToShed       uint32 // oldest kept job that may have a result
 	queriesByEntry   map[uint32][]uint64
 	queries          map[uint64]*pendingQuery
-	nextQueryTimeout time.Duration // no ask is due before
+	nextQueryTimeout time.Duration // no query times out before
 
 	held                   int // waiting, ready and released jobs that asked to wait
 	bodyBytes, resultBytes int64
 	hosts                  int
 	closing                bool
-	moreWork               bool // a Tick has left work
+	moreWork               bool // the last Tick left work
 	pacer                  pacer
 	windowRule             func(p *pacer, most float64) (floor float64, window int)
 	stats                  Stats
-	records                []Record // nil: none are wanted
+	records                []Record // nil: recording is off
 	actions, spareActions  []Action
 	advisedClients         int
-	lastFreed              time.Duration // a place came free last
-	meanFreeInterval       time.Duration // mean time between places that come free
+	lastFreed              time.Duration // when a place last came free
+	meanFreeInterval       time.Duration // between places that come free
 	longestBudget          []time.Duration
 }
 
-// pendingQuery is an Ask that waits for an end.
+// pendingQuery is a query that waits for the end of a job.
 type pendingQuery struct {
 	entry    uint32
 	deadline time.Duration
 }
 
-// New makes an empty Room. The limits must be sound, see Limits.Check.
+// New creates an empty queue. The limits must be valid, see Limits.Check.
 func New(lim Limits, fleet Fleet) *Room {
 	q := &Room{limits: lim, fleet: fleet, byName: map[string]uint32{}, active: map[uint64]uint32{}, byClient: map[string]*clientJobs{},
 		queriesByEntry: map[uint32][]uint64{}, queries: map[uint64]*pendingQuery{}, pacer: newPacer(), windowRule: demandRule,
@@ -64,25 +64,26 @@
 	return q
 }
 
-// Actions gives what is to be done since the last call. It is valid until the next call of it.
+// Actions returns the actions that have become necessary since the last call. The slice is valid until the next call of
+// Actions.
 func (q *Room) Actions() []Action {
 	out := q.actions
 	if q.actions, q.spareActions = q.spareActions[:0], out; cap(out) > maxTickWork {
-		q.spareActions = nil // a rare crowd must not hold its memory for good
+		q.spareActions = nil // do not retain the memory of a rare burst
 	}
 	return out
 }
 
 func (q *Room) emit(a Action) { q.actions = append(q.actions, a) }
 
-// SetLimits changes the limits. What is held stays, though it be more than the new limits allow: the room then takes
-// no more until it fits.
+// SetLimits changes the limits. Jobs already held stay even if they exceed the new limits; no more are accepted until
+// they fit.
 func (q *Room) SetLimits(lim Limits) { q.limits = lim }
 
-// Hosts tells how many hosts are ready.
+// Hosts sets how many hosts are ready.
 func (q *Room) Hosts(n int) { q.hosts = n }
 
-// Stats counts what is held and was done.
+// Stats returns counts of what is held and what was done.
 func (q *Room) Stats() Stats {
 	s := q.stats
 	s.Ready, s.Released = q.ready.len()+q.backoff.len(), q.pacer.turns
@@ -91,10 +92,10 @@
 	return s
 }
 
-// Held is how many jobs wait, are ready or are out, those that went on at once not counted.
+// Held returns how many jobs are waiting, ready or released, not counting fresh jobs.
 func (q *Room) Held() int { return q.held }
 
-// Out is how many jobs without a connection are before the module or at a host.
+// Out returns how many detached jobs are released: with the decision module or at a host.
 func (q *Room) Out() (n int) {
 	for _, i := range q.active {
 		if e := q.entries.at(i); e.state == Released && !e.has(attached|fresh) {
@@ -104,7 +105,7 @@
 	return n
 }
 
-// allocEntry makes an entry.
+// allocEntry returns the index of an empty entry.
 func (q *Room) allocEntry() uint32 {
 	if i := q.freeEntries; i != 0 {
 		q.freeEntries = q.entries.at(i).next
--- a/internal/waiting/slab.go
+++ b/internal/waiting/slab.go
@@ -5,8 +5,8 @@
 	chunkLen  = 1 << chunkBits
 )
 
-// slab is a list that grows by chunks and never moves what it holds: a slice of a million entries would stall the one
-// that appends to it for as long as copying them takes.
+// slab is a list that grows by chunks and never moves its elements. Appending to a slice of a million entries would
+// stall the caller for as long as copying them takes.
 type slab[T any] struct {
 	chunks [][]T
 	n      int
@@ -16,7 +16,7 @@
 
 func (s *slab[T]) at(i uint32) *T { return &s.chunks[i>>chunkBits][i&(chunkLen-1)] }
 
-// push appends and tells where.
+// push appends an element and returns its index.
 func (s *slab[T]) push(v T) uint32 {
 	i := uint32(s.n)
 	if s.n++; int(i>>chunkBits) == len(s.chunks) {
@@ -26,7 +26,7 @@
 	return i
 }
 
-// pop takes the last one off. Of the chunks that are empty one is kept.
+// pop removes the last element. It keeps one empty chunk.
 func (s *slab[T]) pop() {
 	var none T
 	s.n--
--- a/internal/waiting/tick.go
+++ b/internal/waiting/tick.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// makeReady: all that the job waited for has come.
+// makeReady makes a job ready, since all that it waited for has happened.
 func (q *Room) makeReady(now time.Duration, i uint32) {
 	e := q.entries.at(i)
 	e.state, e.ready = Ready, now
@@ -14,7 +14,7 @@
 	q.pacer.demandStale = true
 }
 
-// armDeadline sets when a job that is ready, or in its turn and not sent, must be answered.
+// armDeadline sets the time by which a job must be answered that is ready, or in its turn and not sent.
 func (q *Room) armDeadline(i uint32) {
 	e := q.entries.at(i)
 	at := e.ready + maxWaitFactor*e.due()
@@ -25,8 +25,8 @@
 	q.deadlines.push(i, at)
 }
 
-// Tick lets time pass: what has come due happens, and jobs whose turn it is are released. It touches a bounded number
-// of entries; Wake tells when to call it again.
+// Tick advances the time: it handles what has become due and releases jobs. It handles a bounded number of entries;
+// Wake returns when to call it again.
 func (q *Room) Tick(now time.Duration) {
 	work := maxTickWork
 	q.evictKept(now, &work)
@@ -61,7 +61,7 @@
 	q.releaseReady(now)
 }
 
-// expire answers a job that has waited for as long as it may.
+// expire answers a job that has waited as long as it may.
 func (q *Room) expire(now time.Duration, i uint32) {
 	e := q.entries.at(i)
 	if e.state == Released {
@@ -78,22 +78,22 @@
 	return int(e.class) < len(q.fleet.Classes) && q.fleet.Classes[e.class].Repeatable
 }
 
-// notifyDependants lets the dependants of ended jobs know. It is a list of work and no recursion: a chain of any length takes no
-// stack, and a job on which many wait no long Tick.
+// notifyDependants notifies the dependants of ended jobs. It works through a list instead of recursing, so that a chain
+// of any length uses no stack and a job with many dependants does not make a Tick long.
 func (q *Room) notifyDependants(now time.Duration, work *int) {
 	for *work > 0 && len(q.unnotified) > 0 {
 		p := q.unnotified[len(q.unnotified)-1]
 		x := q.entries.at(p).dependants
 		*work--
 		g := *q.edges.at(x)
-		if q.entries.at(p).dependants = g.next; g.next == 0 { // off the list at once: its entry may soon hold another job
+		if q.entries.at(p).dependants = g.next; g.next == 0 { // remove it at once: its entry may soon hold another job
 			q.unnotified = q.unnotified[:len(q.unnotified)-1]
 		}
 		*q.edges.at(x) = edge{next: q.freeEdges}
 		q.freeEdges = x
 		e := q.entries.at(g.dependant)
 		if e.number != g.number || e.state != Waiting {
-			continue // it has ended meanwhile
+			continue // it has already ended
 		}
 		if q.entries.at(p).state != Served && !q.limits.RunOnFailure {
 			q.finish(now, g.dependant, Failed, StatusDependency, "a job that it waited for was not served", true)
@@ -105,7 +105,7 @@
 	}
 }
 
-// Wake tells when the next Tick is due though nothing happens.
+// Wake returns when the next Tick is due if nothing else happens.
 func (q *Room) Wake(now time.Duration) (at time.Duration, ok bool) {
 	if q.moreWork || len(q.unnotified) > 0 {
 		return now, true
--- a/internal/waiting/turns.go
+++ b/internal/waiting/turns.go
@@ -6,41 +6,43 @@
 	"time"
 )
 
-// A turn is one visit of a job to the decision module, from Release to a final answer or a refusal that is taken back.
+// A turn is one pass of a job through the decision module, from Release to its final answer or to a refusal after which
+// the job is queued again.
 
-// pacer says how many jobs may have their turn at a time. See docs/design/waiting.md for what was weighed.
+// pacer decides how many jobs may be in their turn at a time. docs/design/waiting.md compares the alternatives.
 //
-// While the fleet has room to spare, as many as the module takes: the window grows with each job that is sent at once,
-// doubling at first, by one a window later, and is halved when a fresh job is refused, as TCP's does for a loss
-// (Jacobson, Congestion Avoidance and Control, 1988). It never falls below the floor: what the ready jobs need to go
-// out by their due times, but no more than the share of the fleet that the settings give them.
+// While the fleet has spare capacity, as many jobs are released as the decision module accepts: the window grows with
+// each job that is sent promptly, at first exponentially, above slowStartLimit by one per window, and is halved when a
+// fresh job is refused, as the congestion window of TCP is after a loss (Jacobson, Congestion Avoidance and Control,
+// 1988). The window never falls below the floor: the number of turns that lets the ready jobs go out by their due
+// times, limited to the share of the fleet that the settings grant them.
 type pacer struct {
-	turns, unsent, sendsOut        int // turns; those not sent yet; sends that are out, of fresh jobs too
+	turns, unsent, sendsOut        int // jobs in their turn; those of them not sent yet; sends in progress, fresh jobs included
 	window                         int
-	adaptiveWindow, slowStartLimit float64       // window without the floor; where it ceases to double
-	floor, lanes                   float64       // as last computed; and lanes that turns may take by the floor alone
-	demand                         float64       // jobs a second that the due times ask for
-	demandComputedAt               time.Duration // computed last
+	adaptiveWindow, slowStartLimit float64       // window without the floor; size above which it grows linearly
+	floor, lanes                   float64       // as last computed; lanes that turns may use because of the floor alone
+	demand                         float64       // jobs per second that the due times require
+	demandComputedAt               time.Duration // when demand was last computed
 	demandStale                    bool          // jobs have become ready since
-	meanTurn, meanRun              float64       // mean length of a turn, and of the part of it that is spent out, in seconds
+	meanTurn, meanRun              float64       // mean length of a turn, and of its part after the send, in seconds
 	sent, sentFresh                uint64        // first sends of turns, and of fresh jobs
-	freshRefusedAt, halvedAt       time.Duration // a fresh job was refused; the window was halved
-	pausedUntil, nextPause         time.Duration // no turn before; and the next pause's length
+	freshRefusedAt, halvedAt       time.Duration // when a fresh job was last refused; when the window was last halved
+	pausedUntil, nextPause         time.Duration // no turn begins before; length of the next pause
 }
 
 const (
 	maxTurnsPerTick      = 32
-	maxUnsent            = 4                      // turns not sent: beyond, lanes are short and no window grows
-	growthHoldOff        = time.Second            // since a fresh job was refused
-	minHalvingInterval   = 250 * time.Millisecond // the window is halved
-	promptSend           = 50 * time.Millisecond  // a send so soon after its turn began met a free lane
-	minPause             = 2 * time.Millisecond   // after a refusal that was taken back
+	maxUnsent            = 4                      // turns not sent yet; above this, lanes are short and the window does not grow
+	growthHoldOff        = time.Second            // no growth this soon after a fresh job was refused
+	minHalvingInterval   = 250 * time.Millisecond // between halvings of the window
+	promptSend           = 50 * time.Millisecond  // a job sent this soon after its turn began found a free lane
+	minPause             = 2 * time.Millisecond   // after a refusal whose job was queued again
 	maxPause             = 50 * time.Millisecond
-	minBackoff           = 10 * time.Millisecond // until a refused job tries again
+	minBackoff           = 10 * time.Millisecond // until a refused job is retried
 	maxBackoff           = 2 * time.Second
 	demandInterval       = 100 * time.Millisecond
-	maxDemandSample      = 1 << 16          // ready jobs looked at for it
-	demandIntervalPerJob = time.Microsecond // added for each ready job, so that the count stays a small part of the time
+	maxDemandSample      = 1 << 16          // ready jobs that are examined at most
+	demandIntervalPerJob = time.Microsecond // added for each ready job, to keep the cost of the computation small
 	demandMargin         = 1.25
 )
 
@@ -48,7 +50,7 @@
 	return pacer{adaptiveWindow: maxUnsent, slowStartLimit: math.Inf(1), meanTurn: 1, meanRun: 1, nextPause: minPause}
 }
 
-// releaseReady gives jobs their turn, the one that is to go out earliest first.
+// releaseReady starts the turns of ready jobs, the one with the earliest target time first.
 func (q *Room) releaseReady(now time.Duration) {
 	p := &q.pacer
 	if q.ready.len() == 0 {
@@ -69,7 +71,7 @@
 		q.stats.Turns++
 		a := Action{Kind: Release, Tried: int(e.attempts), Job: Job{Number: e.number, Name: e.name, Class: int(e.class),
 			Tenant: int(e.tenant), Size: e.size, Slots: int(e.slots), Arrived: now, Attached: e.has(attached)}}
-		if e.has(attached) { // its deadline is its client's; the wait was its own wish
+		if e.has(attached) { // its deadline is its client's, and it waited at its own request
 			a.Job.Arrived, a.Budget, a.Waited = e.arrived, e.deadline-e.arrived, now-e.arrived
 		} else {
 			a.Budget = q.turnBudget(int(e.class))
@@ -78,8 +80,8 @@
 	}
 }
 
-// turnBudget is the time that a job without a client is given for one turn: as much as clients bring themselves, since the
-// module takes the longest it has seen for a client's whole patience.
+// turnBudget returns the time that a job without a client gets for one turn. It is the longest budget that a client has
+// set, because the decision module takes the longest budget it has seen as the full time that a client waits.
 func (q *Room) turnBudget(class int) time.Duration {
 	if class < len(q.longestBudget) && q.longestBudget[class] > 0 {
 		return q.longestBudget[class]
@@ -90,7 +92,7 @@
 	return q.limits.DefaultDue
 }
 
-// mayRelease tells whether another job may have its turn now.
+// mayRelease reports whether another job may begin its turn now.
 func (q *Room) mayRelease(now time.Duration) bool {
 	p := &q.pacer
 	switch {
@@ -102,8 +104,8 @@
 	return float64(p.turns) < p.adaptiveWindow || float64(p.turns-p.unsent) < p.lanes
 }
 
-// updateWindow finds the floor and the window. Nothing here looks at a job alone: an hour's backlog costs no more than
-// the count of it now and then.
+// updateWindow computes the floor and the window. It examines single jobs only when it recomputes the demand, which
+// happens less often the longer the backlog is.
 func (q *Room) updateWindow(now time.Duration) {
 	p := &q.pacer
 	wait := demandInterval + time.Duration(q.ready.len())*demandIntervalPerJob
@@ -111,21 +113,22 @@
 		p.demand, p.demandComputedAt, p.demandStale = q.requiredRate(now), now, false
 	}
 	share := q.limits.Share
-	// What is out tells how many lanes there are when it matters, when all are taken. Before a lane a turn may wait in
-	// the module: by Little's law it takes more turns, by as much, to keep a share of the lanes.
+	// The number of sends in progress shows how many lanes there are when it matters, that is when all are taken. A
+	// turn may also wait for a lane in the decision module; by Little's law, keeping a share of the lanes then takes
+	// proportionally more turns.
 	p.lanes = max(1, share*max(float64(q.hosts)/float64(max(q.fleet.Replicas, 1)), float64(p.sendsOut)))
 	p.floor, p.window = q.windowRule(p, p.lanes*max(1, p.meanTurn/p.meanRun))
 }
 
-// demandRule is the rule that is in use: see pacer.
+// demandRule is the rule in use, see pacer.
 func demandRule(p *pacer, most float64) (floor float64, window int) {
 	floor = max(1, min(most, p.demand*p.meanTurn*demandMargin))
 	return floor, int(math.Ceil(max(floor, p.adaptiveWindow)))
 }
 
-// requiredRate is the rate in jobs a second at which the ready jobs have to go out so that each does by its due time: the
-// steepest line from now to any point of their demand curve. Times left are sorted into bins a quarter of an octave
-// wide, and taken for the lower edge of theirs.
+// requiredRate returns the rate in jobs per second at which the ready jobs must be sent so that each is sent by its due
+// time: the slope of the steepest line from now to any point of their demand curve. Remaining times are sorted into
+// bins a quarter of an octave wide, and each counts as the lower edge of its bin.
 func (q *Room) requiredRate(now time.Duration) float64 {
 	const least = 100 * time.Millisecond
 	var bins [256]int
@@ -134,7 +137,7 @@
 		n := bits.Len64(left)
 		bins[n*4+int(left>>(n-3))&3] += jobs
 	}
-	// Of very many a sample does: one in step of them stands for as many.
+	// A large heap is sampled: one in step jobs stands for step jobs.
 	step := uint32(q.ready.len()/maxDemandSample + 1)
 	for k := uint32(0); k < uint32(q.ready.len()); k += step {
 		count(q.ready.nodes.at(k).at, int(step))
@@ -153,7 +156,7 @@
 	return steepest
 }
 
-// nextRelease is when a ready job may have its turn though nothing happens.
+// nextRelease returns when a ready job may begin its turn if nothing else happens.
 func (q *Room) nextRelease(now time.Duration) (time.Duration, bool) {
 	p := &q.pacer
 	if q.ready.len() == 0 {
@@ -163,12 +166,12 @@
 		return p.pausedUntil, true
 	}
 	if q.mayRelease(now) {
-		return now, true // a Tick's turns were used up
+		return now, true // the limit of turns per Tick was reached
 	}
 	return max(p.demandComputedAt+demandInterval+time.Duration(q.ready.len())*demandIntervalPerJob, now+time.Millisecond), true
 }
 
-// Sent tells that a job has gone out to a host.
+// Sent records that a job was sent to a host.
 func (q *Room) Sent(now time.Duration, number uint64) {
 	i := q.active[number]
 	if i == 0 {
@@ -197,7 +200,7 @@
 	if waited > 1 {
 		q.stats.Overdue++
 	}
-	if now-e.entered <= promptSend && now-p.freshRefusedAt > growthHoldOff && 2*float64(p.turns) >= p.adaptiveWindow { // it is in use
+	if now-e.entered <= promptSend && now-p.freshRefusedAt > growthHoldOff && 2*float64(p.turns) >= p.adaptiveWindow { // the window is in use
 		if p.adaptiveWindow < p.slowStartLimit {
 			p.adaptiveWindow++
 		} else {
@@ -206,7 +209,7 @@
 	}
 }
 
-// Ended tells how a send ended. The first OK ends the job.
+// Ended records the outcome of a send. The first OK ends the job.
 func (q *Room) Ended(now time.Duration, number uint64, o Outcome, result []byte) {
 	q.pacer.pausedUntil = min(q.pacer.pausedUntil, now) // a lane may be free
 	i := q.active[number]
@@ -235,11 +238,11 @@
 		q.finishAbandoned(now, i)
 	} else if o == NeverRan && !e.has(fresh|mayHaveRun) {
 		q.record(now, e, Record{Kind: NotRun})
-		q.armDeadline(i) // it waits again, for the module to send it once more
+		q.armDeadline(i) // it waits for the decision module to send it once more
 	}
 }
 
-// finishAbandoned ends a job that nobody waits for and of which no send is out.
+// finishAbandoned ends a job whose client has left and of which no send is in progress.
 func (q *Room) finishAbandoned(now time.Duration, i uint32) {
 	if q.entries.at(i).has(mayHaveRun) {
 		q.finish(now, i, Failed, StatusFailed, "", false)
@@ -248,8 +251,8 @@
 	q.finish(now, i, Cancelled, StatusCancelled, "", false)
 }
 
-// Refused tells that the module has refused a job. True: the refusal is taken back, and the job gets another turn.
-// That is harmless where no send may have run, or the class is safe to repeat.
+// Refused records that the decision module refused a job. If it returns true, the job is queued again for another turn
+// and the refusal must not be passed on. This is safe if no send may have run or the class is safe to repeat.
 func (q *Room) Refused(now time.Duration, number uint64) bool {
 	i := q.active[number]
 	if i == 0 {
@@ -287,12 +290,12 @@
 	return true
 }
 
-// backoffDelay is how long a refused job stands back: the less time it has, the sooner it tries again.
+// backoffDelay returns how long a refused job is held back. The delay shrinks as the job approaches its latest time.
 func (q *Room) backoffDelay(now time.Duration, e *entry) time.Duration {
 	return min(max((e.ready+maxWaitFactor*e.due()-now)/32, minBackoff), maxBackoff)
 }
 
-// endTurn ends a turn, if the job has one.
+// endTurn ends a job's turn, if it has one.
 func (q *Room) endTurn(now time.Duration, i uint32, to State) {
 	e, p := q.entries.at(i), &q.pacer
 	if e.state != Released {
@@ -312,14 +315,14 @@
 	}
 }
 
-// Failed tells that the module has failed a job.
+// Failed records that the decision module failed a job.
 func (q *Room) Failed(now time.Duration, number uint64) {
 	if i := q.active[number]; i != 0 {
 		q.finish(now, i, Failed, StatusFailed, "", false)
 	}
 }
 
-// Left tells that the client of a job has gone. True: the module has to hear of it.
+// Left records that the client of a job has left. If it returns true, the decision module must be notified.
 func (q *Room) Left(now time.Duration, number uint64) bool {
 	i := q.active[number]
 	if i == 0 {
--- a/internal/waiting/types.go
+++ b/internal/waiting/types.go
@@ -1,9 +1,9 @@
-// Package waiting decides about jobs that wait: for a set time, for the end of earlier jobs, or for both. It says
-// when such a job comes before the decision module, paces what becomes ready together, lets nothing starve behind
-// fresh traffic, and keeps one final state of each job for a while.
+// Package waiting holds jobs that wait for a set time, for the end of earlier jobs, or for both. It decides when a
+// waiting job is passed to the decision module, paces jobs that become ready together, keeps waiting jobs from starving
+// behind fresh traffic, and remembers the final state of each job for a limited time.
 //
-// A Room does no I/O, reads no clock and starts no goroutine: equal calls give equal Actions. It is not safe for use
-// by more than one goroutine. Times are on the caller's clock; it never goes back.
+// The queue does no I/O, reads no clock and starts no goroutine: equal calls produce equal actions. It is not safe for
+// concurrent use. Times are readings of the caller's clock, which must not go backwards.
 package waiting
 
 import (
@@ -11,62 +11,62 @@
 	"time"
 )
 
-// State is what has become of a job.
+// State is the state of a job.
 type State uint8
 
-// The states. From Served on they are final: a job has exactly one of these, once.
+// The states. Served and all later ones are final: a job enters exactly one of them, once.
 const (
-	Waiting   State = iota // for its time or for an earlier job
+	Waiting   State = iota // waits for its set time or for an earlier job
 	Ready                  // may run; waits for its turn
-	Released               // before the decision module, or out at a host
-	Served                 // a host gave its result
-	Refused                // it never ran, or may be repeated: trying again is harmless
-	Failed                 // no promise is made
-	Cancelled              // called off before it went out
+	Released               // passed to the decision module, or sent to a host
+	Served                 // a host returned its result
+	Refused                // it did not run, or its class is safe to repeat: a retry does no harm
+	Failed                 // it may or may not have run
+	Cancelled              // cancelled before it was sent
 )
 
 var stateNames = [...]string{"waiting", "ready", "released", "served", "refused", "failed", "cancelled"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Final tells whether nothing more becomes of a job.
+// Final reports whether the state can no longer change.
 func (s State) Final() bool { return s >= Served }
 
-// Statuses of final jobs, as HTTP has them.
+// Final statuses of jobs, as HTTP status codes.
 const (
 	StatusServed     = 200
-	StatusUnknown    = 404 // of an Ask: no such job, or forgotten
-	StatusConflict   = 409 // an id used twice, an unknown predecessor, a cancel that came too late
+	StatusUnknown    = 404 // reply to a query: no such job, or already forgotten
+	StatusConflict   = 409 // an id used twice, an unknown predecessor, or a cancellation that came too late
 	StatusCancelled  = 410
-	StatusDependency = 424 // a job that it waited for was not served
+	StatusDependency = 424 // a predecessor was not served
 	StatusRefused    = 429
 	StatusFailed     = 500
-	StatusFull       = 503 // there is no room
+	StatusFull       = 503 // a limit on jobs or bytes is reached, or the program is stopping
 )
 
-// Limits bound a Room. They are set by the operators and may change while it is in use.
+// Limits are the operators' limits for the queue. They may change while it is in use.
 type Limits struct {
-	MaxJobs      int           // jobs that wait, are ready or are out, at once
-	MaxKept      int           // final ones remembered; the oldest are forgotten first, before their time if need be
-	MaxBytes     int64         // bodies that wait and results that are kept, together
+	MaxJobs      int           // jobs that are waiting, ready or released at any one time
+	MaxKept      int           // final jobs remembered; beyond this the oldest are forgotten before their retention ends
+	MaxBytes     int64         // bodies of waiting jobs and kept results together
 	Retention    time.Duration // how long a final state is kept
-	DefaultDue   time.Duration // due time of a job that names none
+	DefaultDue   time.Duration // due time of a job that sets none
 	MaxDue       time.Duration
-	MaxDelay     time.Duration // how far ahead a set time may lie
-	Share        float64       // of the fleet, that waiting jobs may claim while fresh ones are refused; 0 to 1
-	ClientShare  float64       // of MaxJobs, that one client may hold; 0 to 1
-	RunOnFailure bool          // a job whose predecessor was not served runs all the same; else it fails with 424
-	Fresh        bool          // jobs that do not wait are remembered too, so that others can wait for them
+	MaxDelay     time.Duration // how far in the future a set time may lie
+	Share        float64       // part of the fleet that waiting jobs may claim while fresh jobs are refused; 0 to 1
+	ClientShare  float64       // part of MaxJobs that one client may hold; 0 to 1
+	RunOnFailure bool          // run a job even if a predecessor was not served; otherwise it fails with 424
+	Fresh        bool          // remember jobs that do not wait too, so that others can wait for them
 }
 
-// Defaults are the limits where the settings name none.
+// Defaults returns the limits that apply where the settings set none.
 func Defaults() Limits {
 	return Limits{MaxJobs: 10_000, MaxKept: 10_000, MaxBytes: 4 << 20, Retention: 10 * time.Minute,
 		DefaultDue: 30 * time.Second, MaxDue: time.Hour, MaxDelay: 24 * time.Hour, Share: 0.5, ClientShare: 0.25,
 		Fresh: true}
 }
 
-// Check finds limits that make no sense. The error begins with the key as the settings file has it.
+// Check validates the limits. The error begins with the key as it stands in the settings file.
 func (l *Limits) Check() error {
 	for _, c := range []struct {
 		key  string
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// Fleet is what a Room has to know of the program round it.
+// Fleet describes the dispatchers and job classes around the queue.
 type Fleet struct {
 	Replicas    int // dispatchers that share the hosts
 	MaxAttempts int // sends of one job, over all its turns
@@ -100,118 +100,118 @@
 // Class is a class of jobs.
 type Class struct {
 	Name       string
-	Deadline   time.Duration // what a client waits over all its tries
+	Deadline   time.Duration // how long a client waits over all its attempts
 	Repeatable bool          // a second run does no harm
 }
 
-// Job is a job to be held, or one that goes on at once (Fresh).
+// Job is a job to hold, or a fresh one that is passed on at once.
 type Job struct {
-	Number   uint64 // the program's, never used twice
+	Number   uint64 // assigned by the program, never reused
 	Name     string // the client's id
-	Client   string // whose share it counts for
+	Client   string // the client whose quota it counts against
 	Class    int
 	Tenant   int
 	Size     time.Duration
 	Slots    int
 	Arrived  time.Duration
-	Deadline time.Duration // when its client gives up; of an attached job
-	Bytes    int           // of its body
+	Deadline time.Duration // when the client of an attached job gives up
+	Bytes    int           // size of its body
 
-	Attached  bool          // its client waits on its connection, and no longer than Deadline
+	Attached  bool          // its client waits on its connection, until Deadline at most
 	NotBefore time.Duration // absolute; 0: none
 	After     []string
-	Due       time.Duration // from when it is ready; 0: the default
+	Due       time.Duration // counted from when the job is ready; 0: the default
 }
 
-// ActionKind says which fields of an Action count.
+// ActionKind determines which fields of an Action are set.
 type ActionKind uint8
 
-// The actions.
+// The kinds of actions. Each comment names the fields that are set.
 const (
-	Release  ActionKind = iota // Job, Budget, Tried, Waited: it goes before the decision module now
-	Accept                     // Job: it is held and lives on without its connection
-	Answer                     // Job, Status, Why, After: its final answer; a detached one's goes nowhere
-	Withdraw                   // Job: it is held by the module and must not go out any more
-	Tell                       // Ask, Status, Info: the answer to an Ask
+	Release  ActionKind = iota // Job, Budget, Tried, Waited: pass the job to the decision module now
+	Accept                     // Job: the job is held and no longer depends on its connection
+	Answer                     // Job, Status, Why, After: the final answer; that of a detached job is not sent to anyone
+	Withdraw                   // Job: the decision module holds the job and must not send it any more
+	Tell                       // Ask, Status, Info: the reply to a query
 )
 
-// Action is one thing for the program to do, in the order given.
+// Action is something that the program has to do. Actions are carried out in order.
 type Action struct {
 	Kind   ActionKind
-	Job    Job // of Release whole, without After; else its Number only
+	Job    Job // for Release the whole job except After; otherwise only its Number
 	Budget time.Duration
 	Tried  int           // sends in earlier turns
-	Waited time.Duration // of an attached job's time, by its own wish
+	Waited time.Duration // time that an attached job has waited at its own request
 	Status int
 	Why    string
-	After  time.Duration // advice when to come back; 0: none
+	After  time.Duration // value for Retry-After; 0: none
 	Ask    uint64
-	Info   *Info  // nil where Status says that there is none
+	Info   *Info  // nil if Status says that there is none
 	Board  *Board // of a list
 }
 
-// Board is a list of jobs, and what the room holds in all.
+// Board is a list of jobs, with the counts of the whole queue.
 type Board struct {
 	Jobs  []Info
 	Stats Stats
 }
 
-// Outcome is how one send ended.
+// Outcome is the outcome of one send.
 type Outcome uint8
 
 // The outcomes.
 const (
-	OK        Outcome = iota // with the result
-	NeverRan                 // proved
-	MayHave                  // run
-	TurnedOff                // the host will not take a job like this one, now or later
+	OK        Outcome = iota // the host returned the result
+	NeverRan                 // the job provably did not run
+	MayHave                  // the job may have run
+	TurnedOff                // the host will not accept a job like this one, now or later
 )
 
-// Info is what is told of a job.
+// Info describes a job to those who query it.
 type Info struct {
 	Name     string
 	State    State
 	Class    string
 	Due      time.Duration
-	Waited   time.Duration // from ready to its last send, or to now
+	Waited   time.Duration // from ready to its last send, or until now
 	Attempts int
-	Status   int // of a final one
+	Status   int // of a final job
 	Result   string
-	Shed     bool // there was a result, but no room to keep it
+	Shed     bool // there was a result, but it was dropped for lack of space
 }
 
-// Ask is a question about one job, or about all.
+// Ask is a query about one job or about all, or the cancellation of a job.
 type Ask struct {
-	Number uint64 // the asker's
+	Number uint64 // assigned by the caller
 	Name   string // empty: a list
 	Until  time.Duration
 	Cancel bool
-	Most   int    // of a list: how many jobs are told
-	From   string // of a list: the id after which it goes on
+	Most   int    // of a list: maximum number of jobs
+	From   string // of a list: the id after which it starts
 }
 
-// Stats counts what a Room holds and has done.
+// Stats counts what the queue holds and has done.
 type Stats struct {
 	Waiting  int   `json:"waiting"`
 	Ready    int   `json:"ready"`
 	Released int   `json:"released"`
-	Kept     int   `json:"kept"` // final ones remembered
+	Kept     int   `json:"kept"` // final jobs that are remembered
 	Bytes    int64 `json:"bytes"`
-	Window   int   `json:"window"` // how many may be released at once
+	Window   int   `json:"window"` // how many jobs may be released at once
 
 	Submitted uint64 `json:"submitted"`
 	Served    uint64 `json:"served"`
 	Refused   uint64 `json:"refused"`
 	Failed    uint64 `json:"failed"`
 	Cancelled uint64 `json:"cancelled"`
-	Full      uint64 `json:"full"`  // turned away for want of room
-	Fresh     uint64 `json:"fresh"` // that did not ask to wait
+	Full      uint64 `json:"full"`  // rejected because a limit was reached
+	Fresh     uint64 `json:"fresh"` // jobs that did not ask to wait
 
 	Turns     uint64  `json:"turns"`
-	TurnsBack uint64  `json:"turns_back"` // refused by the module, and taken back
-	Overdue   uint64  `json:"overdue"`    // sent later than their due time
-	Longest   float64 `json:"longest"`    // wait of those sent, in due times
+	TurnsBack uint64  `json:"turns_back"` // refused by the decision module and queued again
+	Overdue   uint64  `json:"overdue"`    // sent after their due time
+	Longest   float64 `json:"longest"`    // longest wait of a sent job, as a multiple of its due time
 
-	ForgottenEarly uint64 `json:"forgotten_early"` // before their retention was over, by max_kept
-	ResultsShed    uint64 `json:"results_shed"`    // by max_bytes
+	ForgottenEarly uint64 `json:"forgotten_early"` // before their retention ended, because of max_kept
+	ResultsShed    uint64 `json:"results_shed"`    // because of max_bytes
 }
