--- a/internal/net/cluster/cluster.go
+++ b/internal/net/cluster/cluster.go
@@ -1,4 +1,4 @@
-// Package cluster follows discovery's list of upstream hosts.
+// Package cluster follows the list of upstream hosts that discovery serves.
 package cluster
 
 import (
@@ -19,18 +19,19 @@
 	"gaugeslip/policy"
 )
 
-// StallAfter is how long a watch may stay silent: it sends a line every 2 s, a call may wait 3 s for its turn,
-// and what there is to tell counts as told 6 s later though it never arrives, 4 s after a move of the service.
+// StallAfter is how long a watch may stay silent before it counts as broken. Discovery sends a line every 2 s and a
+// call may wait 3 s for its turn. Discovery counts a change as delivered after 6 s even if it never arrives, or after 4
+// s if the service has moved.
 const StallAfter = 3500 * time.Millisecond
 
 const (
 	maxLine     = 1 << 20
-	dialTimeout = 1500 * time.Millisecond // a lost first packet is sent again after 1 s
+	dialTimeout = 1500 * time.Millisecond // longer than 1 s, after which a lost first packet is sent again
 )
 
-// Source is where the list of upstream hosts comes from.
+// Source provides the list of upstream hosts.
 type Source interface {
-	// Watch passes on all changes after a version until the watch breaks or ctx ends; it never returns nil.
+	// Watch passes on all changes after a version until the watch breaks or ctx ends. The returned error is never nil.
 	Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error
 }
 
@@ -55,8 +56,8 @@
 var healthStates = map[string]policy.State{"in_service": policy.Ready, "terminating": policy.Draining,
 	"terminated": policy.Gone}
 
-// Decode reads one list, whole or of changes. An entry that makes no sense is an error: to skip it could
-// be to miss a drain.
+// Decode reads one list, either whole or of changes. An invalid entry is an error, since skipping it could mean missing
+// a drain.
 func Decode(text []byte, s *settings.Settings) (dispatch.Listed, error) {
 	var l hostList
 	if err := json.Unmarshal(text, &l); err != nil {
@@ -75,7 +76,7 @@
 	return out, nil
 }
 
-// Known reads the list that the configuration holds, which may be old; with none there the cluster is empty.
+// Known reads the list of the configuration, which may be out of date. Without one the cluster is empty.
 func Known(text []byte, s *settings.Settings) (dispatch.Listed, error) {
 	if len(text) == 0 {
 		text = []byte("{}")
@@ -85,10 +86,10 @@
 	return l, err
 }
 
-// Discovery is the Source that speaks HTTP.
+// Discovery is the Source that uses discovery's HTTP interface.
 type Discovery struct {
 	Addr     string
-	Stall    time.Duration // how long it may stay silent, see StallAfter
+	Stall    time.Duration // how long a watch may stay silent, see StallAfter
 	Settings *settings.Settings
 }
 
@@ -101,8 +102,8 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	// Each line has its own limit: a machine that vanishes leaves the connection open and silent, and one that trickles
-	// tells nothing either.
+	// The deadline applies to each list, not to each read: a machine that vanishes leaves a silent connection open, and
+	// one that sends byte by byte makes no progress either.
 	alive := func() { conn.SetDeadline(time.Now().Add(d.Stall)) }
 	alive()
 	req := "GET /discovery/hosts?stream=1&index=" + strconv.FormatUint(after, 10) +
@@ -134,7 +135,7 @@
 		}
 		alive()
 		l, err := Decode(text.take(), d.Settings)
-		if err != nil { // of the last line it may be that the watch broke within it
+		if err != nil { // an error in the last list may be due to a watch that broke within it
 			return errors.Join(err, lines.Err())
 		}
 		each(l)
@@ -142,21 +143,21 @@
 	return errors.Join(errors.New("cluster: the watch ended"), lines.Err())
 }
 
-// objectReader gathers the lines of one JSON object, which may be indented.
+// objectReader collects the lines of one JSON object, which may be indented.
 type objectReader struct {
 	text   []byte
 	depth  int
-	quoted bool // in a string
-	escape bool // after a backslash in one
+	quoted bool // within a string
+	escape bool // after a backslash in a string
 }
 
-// add takes a line, and tells whether the object is whole with it.
+// add appends a line and reports whether the object is complete.
 func (o *objectReader) add(line []byte) (whole bool, err error) {
 	if !o.started() && len(bytes.TrimSpace(line)) == 0 {
 		return false, nil
 	}
 	if len(o.text)+len(line) >= maxLine {
-		return false, errors.New("cluster: a list is too long")
+		return false, errors.New("cluster: host list is too long")
 	}
 	o.text = append(append(o.text, line...), '\n')
 	for _, b := range line {
@@ -177,10 +178,10 @@
 	return o.depth <= 0, nil
 }
 
-// started tells whether some of an object is there.
+// started reports whether part of an object has been read.
 func (o *objectReader) started() bool { return len(o.text) > 0 }
 
-// take returns the whole object, valid until the next add.
+// take returns the complete object and starts a new one. The slice is valid until the next add.
 func (o *objectReader) take() []byte {
 	t := o.text
 	*o = objectReader{text: o.text[:0]}
--- a/internal/net/cluster/pace.go
+++ b/internal/net/cluster/pace.go
@@ -12,39 +12,42 @@
 )
 
 const (
-	// unpacedReplicas is how many dispatchers one discovery serves at once without any noticing the others.
+	// unpacedReplicas is how many dispatchers one discovery can serve at the same time without delay.
 	unpacedReplicas = 10
-	// callInterval is the time that each dispatcher beyond these gives discovery for its call. One call took it 60 to 90 ms
-	// on the large fleet's days; a call that has waited over 2 s fails and is worked off all the same.
+	// callInterval is how much each further dispatcher lengthens the window. In the large fleet a call took discovery
+	// 60 to 90 ms. A call that has waited for more than 2 s fails, but discovery still processes it.
 	callInterval = 100 * time.Millisecond
-	// maxDoublings bounds the growth of the window: 16 times the first one.
+	// maxDoublings limits the window to 16 times the first one.
 	maxDoublings = 4
-	// deliveredAfter is when what a silent watch misses counts as told, from its last line; reopenTime is what passes of that
-	// beside the silence itself and the pace: the module's wait and the call.
+	// deliveredAfter is the time from the last line of a watch after which discovery counts changes as delivered
+	// although the watch is silent. reopenTime is the part of it that passes apart from the silence itself and the
+	// pace: the wait of the decision module and the call.
 	deliveredAfter = 6 * time.Second
 	reopenTime     = 1500 * time.Millisecond
-	// askWithinFactor is the part of a time within which a dispatcher has to have asked that the pace uses.
+	// askWithinFactor is the part of the permitted time that the pace uses.
 	askWithinFactor = 0.8
-	// failureFactor is how many times as long the list may be held after a call that failed.
+	// failureFactor is how many times that time the window may reach after failed calls.
 	failureFactor = 4
 )
 
-// Pace says how long to wait before each call for the list: full jitter over a window that grows with the number of
-// dispatchers and doubles with each call that failed. Dispatchers that start or lose their watch together would else ask
-// together, fail together after the same wait, and ask together again: discovery, which works off calls that nobody waits
-// for any more, then serves none of them. Few dispatchers don't wait at all. The zero value is that of few.
+// Pace determines how long to wait before each call for the list: full jitter over a window that grows with the number
+// of dispatchers and doubles with each failed call. Otherwise dispatchers that start or lose their watch at the same
+// time would all call at the same time, fail at the same time and repeat that after equal waits. Discovery also
+// processes calls whose clients have given up, and would then serve none of them. A small number of dispatchers does
+// not wait at all; the zero value is the pace of such a dispatcher.
 type Pace struct {
-	firstWindow  time.Duration // bounded, as a dispatcher that hasn't asked for long counts as told
-	silentWindow time.Duration // after a watch that fell silent: bounded by when what it misses counts as told
+	firstWindow  time.Duration // bounded, since lists count as delivered to a dispatcher that has not asked for too long
+	silentWindow time.Duration // after a watch that fell silent; ends before the changes it misses count as delivered
 	window       time.Duration
-	maxWindow    time.Duration // after calls that failed
+	maxWindow    time.Duration // after failed calls
 	rng          *rand.Rand
 	failures     int
-	lastSilent   bool // the last watch fell silent
+	lastSilent   bool // the last watch broke by silence
 }
 
-// NewPace makes the pace of one of so many dispatchers. askWithin is the time after the start within which it has to have
-// asked, 0: there is no such time; grace is how long after it was told of a drain a dispatcher may still send.
+// NewPace returns the pace of one of replicas dispatchers. askWithin is the time after the start within which the
+// dispatcher must have asked, or 0 if there is none. grace is how long after the notice of a drain a dispatcher may
+// still send to the host.
 func NewPace(replicas int, seed uint64, askWithin, grace time.Duration) *Pace {
 	window := time.Duration(max(0, replicas-unpacedReplicas)) * callInterval
 	p := &Pace{firstWindow: window, window: window, maxWindow: window << maxDoublings, rng: rand.New(rand.NewPCG(seed, 1))}
@@ -56,7 +59,7 @@
 	return p
 }
 
-// Next is the wait before the next call.
+// Next returns the wait before the next call.
 func (p *Pace) Next() time.Duration {
 	if p.window <= 0 {
 		return 0
@@ -71,30 +74,31 @@
 	return time.Duration(p.rng.Float64() * float64(window))
 }
 
-// Ended takes in how a call went: whether discovery told anything before it broke, and whether it broke by silence.
-func (p *Pace) Ended(told, silent bool) {
-	if p.failures++; told {
+// Ended records the outcome of a call: whether discovery sent anything before it broke, and whether it broke by
+// silence.
+func (p *Pace) Ended(received, silent bool) {
+	if p.failures++; received {
 		p.failures = 0
 	}
-	p.lastSilent = told && silent
+	p.lastSilent = received && silent
 }
 
-// Paced is a Source whose calls are paced. Like any Source it is for one watch at a time.
+// Paced is a Source whose calls are paced. Like any Source it serves one watch at a time.
 type Paced struct {
 	Source
 	Pace *Pace
 }
 
-// Watch waits its turn, then watches.
+// Watch waits as long as the pace requires, then watches.
 func (s *Paced) Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error {
 	if err := pause.For(ctx, s.Pace.Next()); err != nil {
 		return err
 	}
-	told := false
+	received := false
 	err := s.Source.Watch(ctx, after, func(l dispatch.Listed) {
-		told = true
+		received = true
 		each(l)
 	})
-	s.Pace.Ended(told, errors.Is(err, os.ErrDeadlineExceeded))
+	s.Pace.Ended(received, errors.Is(err, os.ErrDeadlineExceeded))
 	return err
 }
--- a/internal/net/cluster/pushed.go
+++ b/internal/net/cluster/pushed.go
@@ -11,20 +11,22 @@
 )
 
 const (
-	// minRetryWait is the wait after a first call that failed where lists are pushed; it doubles with each further one.
+	// minRetryWait is the wait after the first failed call where lists are pushed; it doubles with each further
+	// failure.
 	minRetryWait = 25 * time.Millisecond
-	// graceDivisor is the part of the time within which a drain has to be obeyed that a wait between such calls may take.
+	// graceDivisor limits the wait between calls to this fraction of Pushed.Grace.
 	graceDivisor = 4
-	// maxRetryWait bounds that wait.
+	// maxRetryWait is the upper limit of that wait.
 	maxRetryWait = 250 * time.Millisecond
 )
 
-// Pushed is the Source where the settings say that lists are pushed: what the service's agent has counts as told whether or
-// not a watch is open, so there is one always. One that broke is opened again at once, and one that can't be after a wait
-// that stays short against Grace. Nobody is told of a loss: there is nothing that the module could ask for.
+// Pushed is the Source to use if the settings say that lists are pushed. Discovery's agent then counts a list as
+// delivered whether or not a watch is open, so a watch should always be open. One that breaks is reopened at once; if
+// that fails, it is retried after a wait that is short compared with Grace. The loss is not reported to the decision
+// module, which could not request anything in response.
 type Pushed struct {
 	Source
-	Grace time.Duration // how long after it was told of a drain a dispatcher may still send; 0: not said
+	Grace time.Duration // how long after the notice of a drain a dispatcher may still send to the host; 0: unknown
 }
 
 // Watch follows the source until ctx ends.
@@ -34,20 +36,20 @@
 		most = min(most, max(minRetryWait, s.Grace/graceDivisor))
 	}
 	for wait := time.Duration(0); ; {
-		told := false
+		received := false
 		err := s.Source.Watch(ctx, after, func(l dispatch.Listed) {
-			told, after = true, l.Version
+			received, after = true, l.Version
 			each(l)
 		})
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if told {
-			slog.Info("pushed lists lost, opened again", "error", err)
+		if received {
+			slog.Info("watch of pushed lists broke; reopening it", "error", err)
 			wait = 0
 			continue
 		}
-		slog.Debug("pushed lists can't be had", "error", err)
+		slog.Debug("cannot open the watch of pushed lists", "error", err)
 		wait = min(max(minRetryWait, 2*wait), most)
 		if err := pause.For(ctx, wait/2+rand.N(wait/2)); err != nil {
 			return err
--- a/internal/net/operators/figures.go
+++ b/internal/net/operators/figures.go
@@ -1,7 +1,7 @@
-// Package operators is the operators' door of a dispatcher: a small HTTP/1.1 server of its own beside the clients' one,
-// which tells whether the process can serve, shows its figures in the Prometheus text format, and takes game workers
-// out by hand and puts them back. It also keeps what was done by hand in a file, so that a successor of the process
-// holds to it. What any of it means for the choice of hosts is the module's: see dispatch.Hand.
+// Package operators is the operators' HTTP/1.1 server of a dispatcher, separate from the server for clients. It reports
+// whether the process can serve, exposes metrics in the Prometheus text format, and lets operators take game workers
+// out of use and put them back. It stores which game workers were taken out by hand in a file, so that the next process
+// of the same dispatcher keeps them out. See dispatch.Hand for the effect on the choice of hosts.
 package operators
 
 import (
@@ -12,14 +12,13 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// Gauges are the figures that are read, not counted, each time they are shown.
+// Gauges are the functions that are called for the values of gauges each time the metrics are read.
 type Gauges struct {
-	InFlight func() float64                   // jobs taken and not yet answered
-	Workers  func() (known, excluded float64) // game workers listed; of them, those kept away from
+	InFlight func() float64                   // jobs accepted and not answered yet
+	Workers  func() (known, excluded float64) // listed game workers, and those of them that are not used
 }
 
-// Figures counts what a dispatcher does where it happens. Its methods are safe for concurrent use and never wait
-// for the core.
+// Figures holds the metrics of a dispatcher. Its methods are safe for concurrent use and never wait for the core.
 type Figures struct {
 	registry                 *prometheus.Registry
 	served, refused, failed  []prometheus.Counter // by class
@@ -27,7 +26,7 @@
 	attempts                 prometheus.Counter
 }
 
-// NewFigures makes the figures of a dispatcher with these classes, by their numbers in the settings.
+// NewFigures creates the metrics of a dispatcher with these classes, in the order of their numbers in the settings.
 func NewFigures(classes []string, g Gauges) *Figures {
 	f := &Figures{registry: prometheus.NewRegistry()}
 	f.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -40,7 +39,7 @@
 	f.servedV = vec("served_total", "Jobs of a class whose client got a game worker's answer, since the start.")
 	f.refusedV = vec("refused_total", "Jobs of a class refused with 429 or 503, since the start.")
 	f.failV = vec("failed_total", "Jobs of a class that failed with any other answer, since the start.")
-	for _, c := range classes { // every class shows, from 0 on
+	for _, c := range classes { // so that every class is exposed from 0 on
 		f.served = append(f.served, f.servedV.WithLabelValues(c))
 		f.refused = append(f.refused, f.refusedV.WithLabelValues(c))
 		f.failed = append(f.failed, f.failV.WithLabelValues(c))
@@ -60,14 +59,15 @@
 	return f
 }
 
-// Gauge adds a figure that is read each time the figures are shown, from any goroutine. A name is added once.
+// Gauge adds a gauge whose value is read, from any goroutine, each time the metrics are read. Each name may be added
+// once.
 func (f *Figures) Gauge(name, help string, read func() float64) {
 	f.registry.MustRegister(prometheus.NewGaugeFunc(
 		prometheus.GaugeOpts{Namespace: "edge_node", Name: name, Help: help}, read))
 }
 
-// Labelled adds a figure as Gauge does, one of several of a name, each with its own value of a label. A name that ends in _total
-// is a counter's.
+// Labelled adds a metric like Gauge, with one label. Several metrics may have the same name if the label's values
+// differ. A name that ends in _total makes a counter.
 func (f *Figures) Labelled(name, help, label, value string, read func() float64) {
 	l := prometheus.Labels{label: value}
 	if strings.HasSuffix(name, "_total") {
@@ -79,8 +79,8 @@
 		prometheus.GaugeOpts{Namespace: "edge_node", Name: name, Help: help, ConstLabels: l}, read))
 }
 
-// Answered counts the final answer to a job of a class, by its status as the client sees it: 200 is served, 429 and
-// 503 are refused, any other has failed. A class that the settings do not have is not counted.
+// Answered counts the final answer to a job by its class and the status that the client sees: 200 counts as served, 429
+// and 503 as refused, any other as failed. A class that is not in the settings is not counted.
 func (f *Figures) Answered(class, status int) {
 	if f == nil || class < 0 || class >= len(f.served) {
 		return
@@ -102,5 +102,5 @@
 	}
 }
 
-// Gatherer is what /stats shows.
+// Gatherer returns what GET /stats exposes.
 func (f *Figures) Gatherer() prometheus.Gatherer { return f.registry }
--- a/internal/net/operators/limit.go
+++ b/internal/net/operators/limit.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// connLimiter is the door's listener: it holds so many connections at once, and at the limit closes the one that has
-// waited longest without a whole call, so that callers who say nothing take no place from those who do.
+// connLimiter is a listener with a limited number of connections. At the limit it closes the connection that has been
+// open longest without a complete request head, so that silent clients cannot keep others out.
 type connLimiter struct {
 	net.Listener
 	max   int
@@ -20,7 +20,7 @@
 	net.Conn
 	limiter     *connLimiter
 	accepted    time.Time
-	requestRead bool // a whole head has come
+	requestRead bool // a complete request head was read
 	evicted     bool
 }
 
@@ -28,7 +28,7 @@
 	return &connLimiter{Listener: ln, max: max(most, 2), conns: map[*limitedConn]struct{}{}}
 }
 
-// Accept takes the next connection and makes room for it.
+// Accept returns the next connection, after making room for it.
 func (l *connLimiter) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
@@ -41,7 +41,8 @@
 	}
 }
 
-// admit finds a place for a connection; nil: every place is owed an answer, and it is closed.
+// admit registers a connection. If every connection at the limit has an answer to come, it closes the new one and
+// returns nil.
 func (l *connLimiter) admit(nc net.Conn) *limitedConn {
 	c := &limitedConn{Conn: nc, limiter: l, accepted: time.Now()}
 	var victim *limitedConn
@@ -65,7 +66,7 @@
 	if victim != nil {
 		victim.Conn.Close()
 	}
-	if full { // this caller may ask again
+	if full { // the client may try again
 		nc.Close()
 		return nil
 	}
@@ -80,7 +81,7 @@
 	}
 }
 
-// Close frees the connection's place.
+// Close closes the connection and frees its place.
 func (c *limitedConn) Close() error {
 	c.limiter.mu.Lock()
 	delete(c.limiter.conns, c)
--- a/internal/net/operators/server.go
+++ b/internal/net/operators/server.go
@@ -15,45 +15,46 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// The bounds of the server. A caller waits 1 s for its answer, however busy the dispatcher is.
+// Limits of the server. They make sure that a client is answered within 1 s, however busy the dispatcher is.
 const (
-	headTimeout  = 2 * time.Second // from the accept to the end of the head; silent callers go then
+	headTimeout  = 2 * time.Second // from the accept to the end of the head; then silent connections are closed
 	writeTimeout = 2 * time.Second
-	coreTimeout  = 800 * time.Millisecond // what the loop has to take a call by hand in
-	maxBody      = 4 << 10                // calls carry no body to speak of
-	pollInterval = 250 * time.Millisecond // for changes of the file by another process
+	coreTimeout  = 800 * time.Millisecond // time within which the loop must accept a change by hand
+	maxBody      = 4 << 10                // requests need no body
+	pollInterval = 250 * time.Millisecond // between checks whether another process has changed the file
 )
 
-// Core is what the server needs of the loop.
+// Core is the part of the dispatcher's loop that the server uses.
 type Core interface {
-	// Hand takes a host out by hand, or puts it back; known: the name is that of a listed host or of one out by
-	// hand. Once it returns, the module has heard of it.
+	// Hand takes a host out by hand or puts it back. known is false if the host is neither listed nor out by hand. When
+	// Hand returns, the decision module has been notified.
 	Hand(ctx context.Context, name string, out bool) (known bool, err error)
-	// HandSet makes the set of hosts out by hand the one given.
+	// HandSet replaces the set of hosts that are out by hand.
 	HandSet(names []string)
 }
 
-// Config is what a Server must keep to.
+// Config configures a Server.
 type Config struct {
 	Addr     string
-	MaxConns int         // connections at once; at the limit the oldest that has not sent a whole call is closed
-	Ready    func() bool // the process can serve
+	MaxConns int         // connections at any one time; at the limit the oldest without a complete request head is closed
+	Ready    func() bool // reports whether the process can serve
 	Figures  *Figures
 	Core     Core
-	Store    *Store // nil: what is done by hand is not kept beyond the process
-	// Views are further things to look at, by path below /: GET answers with what each gives, as JSON. They must not wait.
+	Store    *Store // nil: changes by hand are lost when the process ends
+	// Views are further resources by path below /. GET answers with the returned value as JSON. The functions must not
+	// block.
 	Views map[string]func() any
 }
 
-// Server answers the operators. Each call has a connection of its own: every answer closes it.
+// Server serves the operators. Each connection carries one request and is closed after the answer.
 type Server struct {
 	cfg      Config
 	http     *http.Server
 	listener *connLimiter
-	mu       sync.Mutex // of the store
+	mu       sync.Mutex // guards the store
 }
 
-// NewServer makes a server that has no address yet.
+// NewServer creates a server that does not listen yet.
 func NewServer(cfg Config) *Server {
 	s := &Server{cfg: cfg}
 	mux := http.NewServeMux()
@@ -80,7 +81,7 @@
 	return s
 }
 
-// Listen opens the address.
+// Listen opens the listener.
 func (s *Server) Listen() (net.Listener, error) {
 	ln, err := net.Listen("tcp", s.cfg.Addr)
 	if err != nil {
@@ -90,8 +91,8 @@
 	return s.listener, nil
 }
 
-// Restore tells the core what the store holds, at a start. A file that can't be read is named in the log and
-// counts as none.
+// Restore passes the content of the store to the core at the start of the process. A file that cannot be read is logged
+// and counts as empty.
 func (s *Server) Restore() {
 	if s.cfg.Store == nil {
 		return
@@ -100,7 +101,7 @@
 	names, err := s.cfg.Store.Load()
 	s.mu.Unlock()
 	if err != nil {
-		slog.Error("hosts out by hand: the file is not read, none are out", "error", err)
+		slog.Error("hosts out by hand: cannot read the file; no hosts are out", "error", err)
 	}
 	if len(names) > 0 {
 		slog.Info("hosts out by hand, as kept", "hosts", names)
@@ -108,7 +109,7 @@
 	s.cfg.Core.HandSet(names)
 }
 
-// Serve answers calls until ctx ends, and follows the changes that another process makes to the store.
+// Serve answers requests until ctx ends, and applies changes that another process makes to the store.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	failed := make(chan error, 1)
 	go func() { failed <- s.http.Serve(ln) }()
@@ -128,7 +129,7 @@
 	}
 }
 
-// reloadIfChanged takes in what another process of the same dispatcher has written to the store.
+// reloadIfChanged applies the store's content if another process of the same dispatcher has written it.
 func (s *Server) reloadIfChanged() {
 	if s.cfg.Store == nil {
 		return
@@ -141,13 +142,13 @@
 	names, err := s.cfg.Store.Load()
 	s.mu.Unlock()
 	if err != nil {
-		slog.Error("hosts out by hand: the file is not read, what is out stays so", "error", err)
+		slog.Error("hosts out by hand: cannot read the file; the set stays unchanged", "error", err)
 		return
 	}
 	s.cfg.Core.HandSet(names)
 }
 
-// checkFraming refuses bodies that are framed twice or too long, before any handler.
+// checkFraming rejects requests with a Transfer-Encoding or with too long a body, before any handler runs.
 func checkFraming(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
@@ -170,7 +171,7 @@
 	writeText(w, http.StatusServiceUnavailable, "not serving")
 }
 
-// setOut takes a game worker out, or puts it back. A name that nobody has gets a 404 and changes nothing.
+// setOut takes a game worker out or puts it back. An unknown name is answered with 404 and changes nothing.
 func (s *Server) setOut(w http.ResponseWriter, r *http.Request, out bool) {
 	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBody)); err != nil {
 		writeText(w, http.StatusBadRequest, "body: "+err.Error())
@@ -198,7 +199,7 @@
 	writeText(w, http.StatusOK, verb)
 }
 
-// saveChange writes a change to the store, on top of what is there now: another process may have written it last.
+// saveChange adds a change to the present content of the file, which another process may have written last.
 func (s *Server) saveChange(name string, out bool) {
 	if s.cfg.Store == nil {
 		return
@@ -207,7 +208,7 @@
 	defer s.mu.Unlock()
 	names, err := s.cfg.Store.Load()
 	if err != nil {
-		slog.Error("hosts out by hand: the file is not read, it is written anew", "error", err)
+		slog.Error("hosts out by hand: cannot read the file; replacing it", "error", err)
 	}
 	kept := names[:0:0]
 	for _, n := range names {
@@ -219,11 +220,11 @@
 		kept = append(kept, name)
 	}
 	if err := s.cfg.Store.Save(kept); err != nil {
-		slog.Error("hosts out by hand: not kept for a successor", "error", err)
+		slog.Error("hosts out by hand: cannot store the set; it is lost when the process ends", "error", err)
 	}
 }
 
-// writeText sends a short answer and closes.
+// writeText sends a short answer and closes the connection.
 func writeText(w http.ResponseWriter, status int, text string) {
 	writeAnswer(w, status, "text/plain; charset=utf-8", text)
 }
--- a/internal/net/operators/store.go
+++ b/internal/net/operators/store.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// The file of hosts out by hand: small, and written whole each time, by a rename.
+// The file of hosts taken out by hand is small, and replaced as a whole by a rename.
 const (
 	storeVersion  = 1
-	maxStoreBytes = 64 << 10 // bytes; a longer file is none of ours
-	maxNames      = 1024     // names in it
-	maxNameBytes  = 128      // bytes of a name
+	maxStoreBytes = 64 << 10 // a longer file was not written by a dispatcher
+	maxNames      = 1024     // in one file
+	maxNameBytes  = 128
 )
 
-// storedSet is the form of the file.
+// storedSet is the content of the file.
 type storedSet struct {
 	V    int      `json:"v"`
 	Node string   `json:"node"`
 	Out  []string `json:"out"`
 }
 
-// Encode writes the set of hosts out by hand for a dispatcher.
+// Encode returns the content of the file for a dispatcher and its set of hosts taken out by hand.
 func Encode(node string, out []string) []byte {
 	names := slices.Clone(out)
 	slices.Sort(names)
@@ -35,8 +35,8 @@
 	return append(b, '\n')
 }
 
-// Decode reads a file that Encode wrote for node. Anything else, a torn or foreign file too, is an error that says
-// what is wrong with it.
+// Decode reads a file that Encode wrote for node. Any other content, for example a truncated file or one of another
+// dispatcher, is an error that says what is wrong.
 func Decode(node string, b []byte) ([]string, error) {
 	if len(b) > maxStoreBytes {
 		return nil, fmt.Errorf("%d bytes, more than %d", len(b), maxStoreBytes)
@@ -63,33 +63,33 @@
 	return s.Out, nil
 }
 
-// ValidName tells whether a text can be the name of a game worker: printable, without spaces or slashes.
+// ValidName reports whether a text can be the name of a game worker: printable ASCII without spaces or slashes.
 func ValidName(n string) bool {
 	return n != "" && len(n) <= maxNameBytes && !strings.ContainsFunc(n, func(r rune) bool {
 		return r <= ' ' || r == '/' || r >= 0x7f
 	})
 }
 
-// Store keeps the hosts out by hand of one dispatcher in a file of $TMPDIR, which outlives a process and is read by
-// its successor. It is used by one goroutine at a time.
+// Store keeps the hosts taken out by hand of one dispatcher in a file of $TMPDIR, where the next process of the
+// dispatcher finds them. It is not safe for concurrent use.
 type Store struct {
 	node, path string
-	lastSeen   stamp // of the file as last read or written
+	lastSeen   stamp // of the file when last read or written
 }
 
-// stamp tells whether a file has changed since.
+// stamp identifies a version of the file by its time of modification and size.
 type stamp struct {
 	mod  time.Time
 	size int64
 }
 
-// NewStore keeps the file of a dispatcher in dir.
+// NewStore returns the store of a dispatcher, with its file in dir.
 func NewStore(dir, node string) *Store {
 	return &Store{node: node, path: FileOf(dir, node, "out-by-hand")}
 }
 
-// FileOf is the file of $TMPDIR that the processes of one dispatcher share for a purpose. Of the dispatcher's name it keeps
-// letters, digits, - and _.
+// FileOf returns the path of the file in dir that the processes of one dispatcher share for a purpose. All characters
+// of the dispatcher's name other than letters, digits, - and _ are replaced by _.
 func FileOf(dir, node, purpose string) string {
 	safe := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' {
@@ -100,14 +100,14 @@
 	return filepath.Join(dir, "gaugeslip-"+safe+"-"+purpose+".json")
 }
 
-// WriteWhole writes a file whole, by a rename, so that a reader sees the old file or the new one and never a part. With sync it
-// is on the disk when the call returns.
+// WriteWhole replaces a file atomically by a rename: a reader sees either the old content or the new one. With sync
+// set, the content is on disk when the call returns.
 func WriteWhole(path string, text []byte, sync bool) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+"-*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(tmp.Name()) // after the rename, of nothing
+	defer os.Remove(tmp.Name()) // has no effect after the rename
 	if _, err = tmp.Write(text); err == nil && sync {
 		err = tmp.Sync()
 	}
@@ -120,11 +120,11 @@
 	return err
 }
 
-// Path is the file's.
+// Path returns the path of the file.
 func (s *Store) Path() string { return s.path }
 
-// Load reads the set. A missing file is an empty set; one that can't be read is an empty set and an error that names
-// it.
+// Load reads the set. A missing file is an empty set. If the file cannot be read, Load returns an empty set and an
+// error with the path.
 func (s *Store) Load() ([]string, error) {
 	info, err := os.Stat(s.path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -149,7 +149,8 @@
 	return names, nil
 }
 
-// Changed tells whether the file differs from what was last read or written here: another process has written it.
+// Changed reports whether the file differs from what this Store last read or wrote, that is whether another process has
+// written it.
 func (s *Store) Changed() bool {
 	info, err := os.Stat(s.path)
 	if err != nil {
@@ -158,7 +159,7 @@
 	return stamp{info.ModTime(), info.Size()} != s.lastSeen
 }
 
-// Save writes the set, whole.
+// Save replaces the file with this set.
 func (s *Store) Save(out []string) error {
 	if err := WriteWhole(s.path, Encode(s.node, out), true); err != nil {
 		return fmt.Errorf("out by hand: %s: %w", s.path, err)
--- a/internal/net/peers/contact.go
+++ b/internal/net/peers/contact.go
@@ -14,22 +14,22 @@
 
 const (
 	callTimeout      = 300 * time.Millisecond
-	suspicionTimeout = 2 * time.Second // between a call without answer and the look that decides
+	suspicionTimeout = 2 * time.Second // from a call without an answer to the probe that decides
 	helpers          = 3               // members that are asked whether they reach a suspect
-	// presenceService is what the service of members' looks at one another is registered as.
+	// presenceService is the name under which the members' probe service is registered.
 	presenceService = "Presence"
 )
 
 var errNoMember = errors.New("peers: no member has this name")
 
-// prober calls members by name, at the address that the own settings have for each, and looks after those that don't answer.
+// prober calls members by name, at the addresses in this process's settings, and probes those that do not answer.
 type prober struct {
 	peers  *Peers
 	client *transport.Client
-	ctx    context.Context // ends the looks
+	ctx    context.Context // ends the probes
 }
 
-// Call calls a method of a member; it is membership.Caller's.
+// Call calls a method of a member. It implements membership.Caller.
 func (c *prober) Call(address, method string, args, reply any, timeout time.Duration) error {
 	member := number(address, len(c.peers.cfg.Members))
 	if member < 0 {
@@ -46,19 +46,19 @@
 	return c.client.Call(c.peers.cfg.Members[member], c.peers.memberPrefix(member)+method, args, reply, timeout)
 }
 
-// ping tells whether a member answers.
+// ping reports whether a member answers.
 func (c *prober) ping(member int) bool {
 	return c.call(member, presenceService+".Ping", PingArgs{}, &PingReply{}, callTimeout) == nil
 }
 
-// reachedBy tells whether another member reaches a suspect.
+// reachedBy reports whether another member reaches a suspect.
 func (c *prober) reachedBy(helper, suspect int) bool {
 	var reply ReachReply
 	err := c.call(helper, presenceService+".Reach", ReachArgs{Member: suspect}, &reply, 2*callTimeout)
 	return err == nil && reply.Reached
 }
 
-// suspect has a member that did not answer looked at again after a while, unless that is under way.
+// suspect schedules a probe of a member that did not answer, unless one is in progress.
 func (c *prober) suspect(member int) {
 	p := c.peers
 	p.mu.Lock()
@@ -67,31 +67,32 @@
 		return
 	}
 	p.suspects[member] = true
-	word := p.roster.versions[member]
-	p.probes.Go(func() { c.probe(member, word) })
+	version := p.roster.versions[member]
+	p.probes.Go(func() { c.probe(member, version) })
 }
 
-// probe decides about a suspect: it is silent if it has said nothing newer, and neither this process nor any helper reaches it.
-func (c *prober) probe(member int, word gossip.Version) {
+// probe decides about a suspect after the timeout. The suspect is silent if it has published nothing newer and neither
+// this process nor any helper reaches it.
+func (c *prober) probe(member int, version gossip.Version) {
 	waited := pause.For(c.ctx, suspicionTimeout) == nil
-	silent := waited && c.isCurrent(member, word) && !c.reachable(member)
+	silent := waited && c.isCurrent(member, version) && !c.reachable(member)
 	p := c.peers
 	p.mu.Lock()
 	delete(p.suspects, member)
 	p.mu.Unlock()
 	if silent && c.ctx.Err() == nil {
-		p.announce(member, withStatus(word, statusSilent))
+		p.announce(member, withStatus(version, statusSilent))
 	}
 }
 
-// isCurrent tells whether a word is still the last about a member.
-func (c *prober) isCurrent(member int, word gossip.Version) bool {
+// isCurrent reports whether a version is still the latest about a member.
+func (c *prober) isCurrent(member int, version gossip.Version) bool {
 	c.peers.mu.Lock()
 	defer c.peers.mu.Unlock()
-	return c.peers.roster.versions[member] == word
+	return c.peers.roster.versions[member] == version
 }
 
-// reachable looks at a member itself, then through others.
+// reachable probes a member directly, then through helpers.
 func (c *prober) reachable(member int) bool {
 	if c.ping(member) {
 		return true
@@ -104,7 +105,7 @@
 	return false
 }
 
-// helpers draws some members that may be asked about a suspect.
+// helpers returns random members that may be asked about a suspect.
 func (c *prober) helpers(suspect int) (drawn []int) {
 	p := c.peers
 	p.mu.Lock()
@@ -126,19 +127,19 @@
 	PingReply struct{}
 )
 
-// ReachArgs ask whether a member is reached.
+// ReachArgs ask whether a member can be reached.
 type ReachArgs struct{ Member int }
 
-// ReachReply answers that.
+// ReachReply is the reply to ReachArgs.
 type ReachReply struct{ Reached bool }
 
-// Presence is the net/rpc service by which members look at one another.
+// Presence is the net/rpc service with which members probe one another.
 type Presence struct{ prober *prober }
 
-// Ping answers.
+// Ping replies at once.
 func (*Presence) Ping(PingArgs, *PingReply) error { return nil }
 
-// Reach looks at another member for the caller.
+// Reach probes another member for the caller.
 func (p *Presence) Reach(args ReachArgs, reply *ReachReply) error {
 	if args.Member < 0 || args.Member >= len(p.prober.peers.cfg.Members) {
 		return errNoMember
--- a/internal/net/peers/limits.go
+++ b/internal/net/peers/limits.go
@@ -7,21 +7,21 @@
 	"slices"
 )
 
-// maxMembers bounds the fleet; more would not fit in what one leader can hear.
+// maxMembers bounds the fleet. One leader could not process the messages of more members.
 const maxMembers = 2000
 
 // Limits are the settings of the block peers.
 type Limits struct {
-	Listen  string   // this member's address, TCP
-	Members []string // address of each member by number, as it is reached from here; the own one too
-	Voters  int      // the first so many decide who leads
-	Drift   float64  // of any member's clock against real time, at most
+	Listen  string   // TCP address of this member
+	Members []string // addresses of all members by number, this one included, as seen from this process
+	Voters  int      // this many members, counted from the first, elect the leader
+	Drift   float64  // maximum deviation of any member's clock rate from real time, as a fraction
 }
 
-// Defaults is what an empty block means, but for the addresses, which it has to have.
+// Defaults returns the settings of an empty block. The addresses have no default.
 func Defaults() Limits { return Limits{Voters: 3, Drift: 0.01} }
 
-// Check finds settings that can't be kept. An error begins with the faulty key.
+// Check validates the settings. An error begins with the faulty key.
 func (l *Limits) Check() error {
 	for i, a := range append(slices.Clone(l.Members), l.Listen) {
 		key := "members"
@@ -29,7 +29,7 @@
 			key = "listen"
 		}
 		if host, port, err := net.SplitHostPort(a); err != nil || net.ParseIP(host) == nil || port == "" || port == "0" {
-			return fmt.Errorf("%s: %q is no IP address with a port", key, a)
+			return fmt.Errorf("%s: %q is not an IP address with a port", key, a)
 		}
 	}
 	switch {
--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -1,9 +1,10 @@
-// Package peers lets dispatchers talk to one another where an installation allows it: membership by coord/membership, and over the
-// same connections the messages of internal/budget. Every member has a number and an address in the settings; who does not hold
-// that address is no member. Where a member is called is looked up by its name in the own settings, never in what others say, so
-// that each way can be another for each member.
+// Package peers connects the dispatchers of a fleet, where an installation allows it. It runs membership by
+// coord/membership and, over the same connections, carries the messages of internal/budget. Every member has a number
+// and an address in the settings, and only the process that listens at the address is the member. Members are called at
+// the addresses in the caller's own settings, never at addresses that others report, since the route to a member may
+// differ for each caller.
 //
-// Who is there is for the staff's eyes: nothing that is given out rests on it.
+// The state of membership is for display only. No decision about budgets depends on it.
 package peers
 
 import (
@@ -17,35 +18,35 @@
 	"gaugeslip/internal/budget"
 )
 
-// Config is what Peers must keep to.
+// Config configures Peers.
 type Config struct {
 	Limits
 	Self   int
 	Floor  budget.Units
 	Ledger *budget.Ledger
 	Now    func() time.Duration // monotonic
-	Life   uint64               // another one for each start of a process
+	Life   uint64               // different for each start of a process
 }
 
-// Peers is this process's part in the talk.
+// Peers is this process's member of the fleet.
 type Peers struct {
 	cfg   Config
 	inbox chan budget.Message
 
 	sent, heard, dropped atomic.Uint64
 
-	probes sync.WaitGroup // at suspects
+	probes sync.WaitGroup // of suspects
 
 	mu       sync.Mutex
 	bound    bool
 	roster   roster
 	suspects map[int]bool
-	gossip   func(gossip.Value) // nil: this process takes no part
+	gossip   func(gossip.Value) // nil: this process has not joined the gossip
 	leader   int
 	leading  bool
 }
 
-// New makes it; nothing is owned until Run holds the address.
+// New creates the member. It owns no budget share until Run listens at the address.
 func New(c Config) *Peers {
 	return &Peers{
 		cfg:      c,
@@ -56,17 +57,17 @@
 	}
 }
 
-// Run takes part until ctx ends, and owns nothing any more when it returns. While another process holds the address, which is this
-// member's forerunner, it waits.
+// Run takes part until ctx ends; when it returns, the member owns no share any more. While another process, an earlier
+// one of the same member, holds the address, Run waits.
 func (p *Peers) Run(ctx context.Context) error {
 	s, err := p.bind(ctx)
 	if err != nil || s == nil {
 		return err
 	}
 	defer s.stop()
-	defer p.releaseShares() // before anyone else can hold the address
+	defer p.releaseShares() // before another process can listen at the address
 	p.locked(func() { p.bound = true })
-	slog.Info("talk with the other dispatchers begins", "listen", p.cfg.Listen, "number", p.cfg.Self, "members", len(p.cfg.Members))
+	slog.Info("joined the other dispatchers", "listen", p.cfg.Listen, "number", p.cfg.Self, "members", len(p.cfg.Members))
 	s.start()
 	p.runBudget(ctx, s.sender)
 	return nil
@@ -79,17 +80,17 @@
 	p.locked(func() { p.bound = false })
 }
 
-// announce tells all members a word about one.
-func (p *Peers) announce(member int, word gossip.Version) {
+// announce gossips a version about a member.
+func (p *Peers) announce(member int, version gossip.Version) {
 	p.mu.Lock()
 	tell := p.gossip
 	p.mu.Unlock()
 	if tell != nil {
-		tell(gossip.Value{Key: gossip.Key(name(member)), Version: word})
+		tell(gossip.Value{Key: gossip.Key(name(member)), Version: version})
 	}
 }
 
-// onValue takes in a word about a member, the own ones too.
+// onValue handles a gossiped version about any member, this one included.
 func (p *Peers) onValue(value gossip.Value) {
 	member := number(string(value.Key), len(p.cfg.Members))
 	if member < 0 {
@@ -108,10 +109,10 @@
 	}
 }
 
-// refute answers a word of others about this process.
-func (p *Peers) refute(word gossip.Version) {
+// refute answers what others say about this process, if necessary.
+func (p *Peers) refute(version gossip.Version) {
 	p.mu.Lock()
-	own, wanted := p.roster.refute(word)
+	own, wanted := p.roster.refute(version)
 	p.mu.Unlock()
 	if wanted {
 		p.announce(p.cfg.Self, own)
--- a/internal/net/peers/roster.go
+++ b/internal/net/peers/roster.go
@@ -2,7 +2,7 @@
 
 import "gaugeslip/coord/gossip"
 
-// roster is what is known of each member. It is pure; Peers' lock guards it.
+// roster holds the latest version about each member. It has no side effects and is guarded by the lock of Peers.
 type roster struct {
 	self     int
 	known    []bool
@@ -14,7 +14,7 @@
 	return roster{self: self, known: make([]bool, members), versions: make([]gossip.Version, members)}
 }
 
-// state names what is known of a member.
+// state returns the name of a member's state.
 func (r *roster) state(member int) string {
 	if !r.known[member] {
 		return stateUnseen
@@ -22,40 +22,40 @@
 	return statusOf(r.versions[member]).String()
 }
 
-// alive tells whether a member is known, and neither silent nor gone.
+// alive reports whether a member is known and neither silent nor left.
 func (r *roster) alive(member int) bool { return r.state(member) == stateAlive }
 
-// learn takes in a word and tells whether it changes the member's state.
-func (r *roster) learn(member int, word gossip.Version) (changed bool) {
+// learn records a version and reports whether it changes the member's state.
+func (r *roster) learn(member int, version gossip.Version) (changed bool) {
 	before := r.state(member)
-	if r.known[member] && !word.Newer(r.versions[member]) {
+	if r.known[member] && !version.Newer(r.versions[member]) {
 		return false
 	}
 	r.known[member] = true
-	r.versions[member] = word
+	r.versions[member] = version
 	return r.state(member) != before
 }
 
-// join is this process's first word.
-func (r *roster) join(life uint64) gossip.Version {
-	r.learn(r.self, firstVersion(life))
+// join returns the first version of this process.
+func (r *roster) join(incarnation uint64) gossip.Version {
+	r.learn(r.self, firstVersion(incarnation))
 	return r.versions[r.self]
 }
 
-// refute gives the answer to a word about this process that it has not said itself, if it wants one.
-func (r *roster) refute(word gossip.Version) (answer gossip.Version, wanted bool) {
-	if !word.Newer(r.versions[r.self]) {
+// refute returns the answer to a version about this process that it did not publish itself, if one is needed.
+func (r *roster) refute(version gossip.Version) (answer gossip.Version, wanted bool) {
+	if !version.Newer(r.versions[r.self]) {
 		return gossip.Version{}, false
 	}
 	status := statusAlive
 	if r.leaving {
 		status = statusLeft
 	}
-	r.versions[r.self] = nextVersion(word, status)
+	r.versions[r.self] = nextVersion(version, status)
 	return r.versions[r.self], true
 }
 
-// leave is this process's last word.
+// leave returns the last version of this process.
 func (r *roster) leave() gossip.Version {
 	r.leaving = true
 	r.versions[r.self] = nextVersion(r.versions[r.self], statusLeft)
--- a/internal/net/peers/session.go
+++ b/internal/net/peers/session.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	bindInterval   = 200 * time.Millisecond // while another process holds the address
-	gossipInterval = 500 * time.Millisecond // exchanges with any member
-	memberInterval = time.Second            // each member calls another one, in turn
+	bindInterval   = 200 * time.Millisecond // between attempts while another process holds the address
+	gossipInterval = 500 * time.Millisecond // between exchanges with a random member
+	memberInterval = time.Second            // between calls to another member, in turn
 )
 
-// session is what there is while this process holds its member's address.
+// session holds what exists while this process listens at its member's address.
 type session struct {
 	peers        *Peers
 	server       *transport.Server
@@ -29,19 +29,19 @@
 	prober       *prober
 	node         *membership.Node
 	sender       *sender
-	cancelProbes context.CancelFunc // of the looks at suspects
+	cancelProbes context.CancelFunc // of suspects
 	served       sync.WaitGroup
 }
 
-// servicePrefix sets fleets of different settings apart: the services of one are not found by another's members.
+// servicePrefix keeps fleets with different settings apart: their members do not find one another's services.
 func (p *Peers) servicePrefix() string {
 	return fmt.Sprintf("gaugeslip/%d/%d/", len(p.cfg.Members), p.cfg.Voters)
 }
 
-// memberPrefix is the prefix of the services of a member; whoever else is at its address does not answer to it.
+// memberPrefix is the prefix of a member's services. Another member at the same address does not answer to it.
 func (p *Peers) memberPrefix(member int) string { return p.servicePrefix() + name(member) + "/" }
 
-// bind opens the address as soon as nobody else holds it. Both nil: ctx has ended.
+// bind listens at the address as soon as no other process does. Both results are nil if ctx has ended.
 func (p *Peers) bind(ctx context.Context) (*session, error) {
 	for said := false; ; said = true {
 		server, err := transport.Listen(p.cfg.Listen)
@@ -49,7 +49,7 @@
 			return p.newSession(server)
 		}
 		if !said {
-			slog.Warn("this dispatcher's address for talk is taken: it owns no share until it is free", "listen", p.cfg.Listen, "error", err)
+			slog.Warn("peer address is in use by another process: no budget share is owned until it is free", "listen", p.cfg.Listen, "error", err)
 		}
 		if pause.For(ctx, bindInterval) != nil {
 			return nil, nil
@@ -57,7 +57,7 @@
 	}
 }
 
-// newSession makes a session that isn't served yet.
+// newSession creates a session that does not serve yet.
 func (p *Peers) newSession(server *transport.Server) (*session, error) {
 	s := &session{peers: p, server: server, client: transport.NewClient(transport.Options{MaxConnections: len(p.cfg.Members)})}
 	s.prober = &prober{peers: p, client: s.client}
@@ -78,7 +78,7 @@
 	return s, nil
 }
 
-// membership says how this process takes part in the gossip. Members go by their names.
+// membership returns the options of this process for the gossip, in which members are addressed by their names.
 func (p *Peers) membership() membership.Options {
 	var others []string
 	for i := range p.cfg.Members {
@@ -97,15 +97,15 @@
 	}
 }
 
-// incarnation numbers this process among all that have had its address: by the time of its start. Where that has gone back, a
-// process answers to what is said of the earlier one.
+// incarnation numbers the processes that use this member's address by the time of their start. If the clock has gone
+// back, the process refutes what is said about the earlier one.
 func incarnation() uint64 { return uint64(time.Now().UnixMilli()) }
 
-// start serves, and takes part in the gossip.
+// start serves requests and joins the gossip.
 func (s *session) start() {
 	s.served.Go(func() {
 		if err := s.server.Serve(); err != nil {
-			slog.Error("talk with the other dispatchers isn't heard any more", "error", err)
+			slog.Error("peer server stopped: no more messages from other dispatchers are received", "error", err)
 		}
 	})
 	p := s.peers
@@ -119,10 +119,10 @@
 	s.node.Start()
 }
 
-// setValue hands a word to the gossip. It has no data, so it can't be too long.
+// setValue passes a value to the gossip. The value has no data, so it cannot be too long.
 func (s *session) setValue(value gossip.Value) { _ = s.node.Set(value) }
 
-// stop tells the others that this process leaves, for a call's time at most, and frees the address.
+// stop announces that this process leaves, which takes at most the time of one call, and frees the address.
 func (s *session) stop() {
 	p := s.peers
 	var last gossip.Version
@@ -135,7 +135,7 @@
 
 // close ends all connections and frees the address.
 func (s *session) close() {
-	s.peers.locked(s.cancelProbes) // no look begins after this
+	s.peers.locked(s.cancelProbes) // no probe starts after this
 	_ = s.sender.Close()
 	_ = s.client.Close()
 	s.peers.probes.Wait()
--- a/internal/net/peers/status.go
+++ b/internal/net/peers/status.go
@@ -7,7 +7,7 @@
 	"gaugeslip/coord/gossip"
 )
 
-// status is what is said of a member. Of two words with the same number the higher status stands.
+// status is the status of a member. Of two versions with the same number the one with the higher status wins.
 type status uint64
 
 // The statuses.
@@ -36,36 +36,37 @@
 	}
 }
 
-// What is said of a member is a version of the gossip's value under its name, without data: the major part is the member's life,
-// the minor one numbers the words about that life and has their status in its lowest bits. A member that hears itself called
-// silent answers with the next word.
+// The status of a member is gossiped as the version of a value without data, whose key is the member's name. The major
+// part of the version is the member's incarnation. The minor part is a sequence number within that incarnation, with
+// the status in its lowest bits. A member that learns that it is considered silent publishes a version with the next
+// number.
 const (
 	statusBits = 2
 	statusMask = 1<<statusBits - 1
 )
 
-// firstVersion is a member's own at the start of a life.
-func firstVersion(life uint64) gossip.Version { return gossip.Version{Major: life} }
+// firstVersion is the version with which a member starts an incarnation.
+func firstVersion(incarnation uint64) gossip.Version { return gossip.Version{Major: incarnation} }
 
-// statusOf reads a word.
-func statusOf(word gossip.Version) status { return status(word.Minor & statusMask) }
+// statusOf returns the status in a version.
+func statusOf(version gossip.Version) status { return status(version.Minor & statusMask) }
 
-// withStatus is the same word with another status.
-func withStatus(word gossip.Version, s status) gossip.Version {
-	word.Minor = word.Minor&^statusMask | uint64(s)
-	return word
+// withStatus returns the same version with another status.
+func withStatus(version gossip.Version, s status) gossip.Version {
+	version.Minor = version.Minor&^statusMask | uint64(s)
+	return version
 }
 
-// nextVersion is a member's answer to a word about it.
-func nextVersion(word gossip.Version, s status) gossip.Version {
-	word.Minor += statusMask + 1
-	return withStatus(word, s)
+// nextVersion returns the version with which a member refutes or replaces a version about itself.
+func nextVersion(version gossip.Version, s status) gossip.Version {
+	version.Minor += statusMask + 1
+	return withStatus(version, s)
 }
 
-// name is a member's, by number; it stands for its address, which is another one for each who calls it.
+// name returns the name of a member. Names are used in place of addresses, which may differ for each caller.
 func name(number int) string { return "m" + strconv.Itoa(number) }
 
-// number is the member with a name, of so many; -1: none has it.
+// number returns the number of the member with a name, or -1 if there is none.
 func number(name string, members int) int {
 	digits, found := strings.CutPrefix(name, "m")
 	n, err := strconv.Atoi(digits)
--- a/internal/net/peers/talk.go
+++ b/internal/net/peers/talk.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	inboxSize       = 4096                  // messages; what does not fit is dropped, like any that is lost
-	minStepInterval = 10 * time.Millisecond // steps are not taken more often
-	// answerTimeout is how long a connection may say nothing while messages are out; messages behind it are lost.
+	inboxSize       = 4096                  // messages; further ones are dropped, like any lost message
+	minStepInterval = 10 * time.Millisecond // between steps of the budget protocol
+	// answerTimeout is how long a connection may stay silent while messages await their answers. After that, the
+	// messages queued behind them are lost.
 	answerTimeout = 500 * time.Millisecond
-	// talkService is what the receiver of the messages of internal/budget is registered as.
+	// talkService is the name under which the receiver of internal/budget messages is registered.
 	talkService = "Talk"
 )
 
-// sender carries encoded messages of internal/budget.
+// sender sends encoded messages of internal/budget.
 type sender = transport.Sender[[]byte]
 
-// deliver takes in messages. It must not block.
+// deliver puts received messages into the inbox. It must not block.
 func (p *Peers) deliver(messages [][]byte) {
 	for _, text := range messages {
 		m, err := budget.Read(text)
@@ -37,7 +38,7 @@
 	}
 }
 
-// runBudget runs the member of internal/budget until ctx ends.
+// runBudget runs this member of internal/budget until ctx ends.
 func (p *Peers) runBudget(ctx context.Context, to *sender) {
 	accounts := p.cfg.Ledger.Accounts()
 	every, term := budget.Pace(len(p.cfg.Members))
@@ -75,7 +76,7 @@
 	}
 }
 
-// drain adds what has come in beside the first message.
+// drain appends all further messages of the inbox.
 func (p *Peers) drain(in []budget.Message) []budget.Message {
 	for len(in) < inboxSize {
 		select {
@@ -88,7 +89,7 @@
 	return in
 }
 
-// send sends a message; one that is lost the protocol bears.
+// send sends a message. The protocol tolerates its loss.
 func (p *Peers) send(to *sender, m *budget.Message) {
 	p.sent.Add(1)
 	to.Send(p.cfg.Members[m.To], budget.Append(nil, m))
--- a/internal/net/peers/view.go
+++ b/internal/net/peers/view.go
@@ -1,24 +1,24 @@
 package peers
 
-// Member is another dispatcher as membership has it.
+// Member describes a dispatcher of the fleet.
 type Member struct {
 	Number int    `json:"number"`
 	State  string `json:"state"` // "alive", "silent", "left", or "unseen"
 	Self   bool   `json:"self,omitempty"`
-	Leads  bool   `json:"leads,omitempty"` // as far as is known here
+	Leads  bool   `json:"leads,omitempty"` // as far as this process knows
 }
 
-// View is what is known of the fleet.
+// View is this process's view of the fleet.
 type View struct {
-	Bound   bool     `json:"bound"` // this process holds its member's address
+	Bound   bool     `json:"bound"` // this process listens at its member's address
 	Members []Member `json:"members"`
 	Sent    uint64   `json:"messages_sent"`
 	Heard   uint64   `json:"messages_heard"`
-	Dropped uint64   `json:"messages_dropped"` // that could not be read, or had no room
+	Dropped uint64   `json:"messages_dropped"` // invalid messages, and those for which the inbox had no space
 	Leads   bool     `json:"leads"`
 }
 
-// View tells what is known of the fleet now.
+// View returns the present view of the fleet.
 func (p *Peers) View() View {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,7 +36,7 @@
 	return v
 }
 
-// Count is how many members are in a state.
+// Count returns how many members are in a state.
 func (p *Peers) Count(state string) (n float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
