--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,5 +1,6 @@
-// Package freeport reserves ports of this machine for listeners to come. A port that was found by opening and closing a listener may go to
-// anybody before it is used; a reserved one goes to nobody who asks for any port, and to whoever asks for it by its number.
+// Package freeport reserves ports of this machine for future listeners. A port that was found by opening and closing a listener may be
+// assigned to another process before it is used. A reserved port is never assigned to sockets that ask for any free port, but can be opened
+// by its number.
 package freeport
 
 import (
@@ -9,9 +10,9 @@
 	"syscall"
 )
 
-// Reservation holds one TCP port on all IPv4 addresses. A socket is bound to it that never listens: the operating system gives the port to no
-// other socket by itself, neither to a listener nor to a connection, and a listener that names it, with SO_REUSEADDR as those of
-// package net have, may still open.
+// Reservation holds one TCP port on all IPv4 addresses. It binds a socket to the port that never listens. The operating system then assigns
+// the port to no other socket by itself, neither to a listener nor to a connection, while a listener that names the port and sets
+// SO_REUSEADDR, as those of package net do, can still open it.
 type Reservation struct {
 	socket int
 	port   int
@@ -50,11 +51,11 @@
 	return address.Port, nil
 }
 
-// Port is the reserved port.
+// Port returns the reserved port.
 func (r *Reservation) Port() int { return r.port }
 
-// Address is the port at 127.0.0.1.
+// Address returns the address of the port on 127.0.0.1.
 func (r *Reservation) Address() string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(r.port)) }
 
-// Close gives the port back; listeners on it stay.
+// Close ends the reservation. Listeners on the port stay open.
 func (r *Reservation) Close() error { return syscall.Close(r.socket) }
--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -15,7 +15,8 @@
 	return reservation
 }
 
-// A reserved port opens by its number, again and again and at any address of loopback, and answers nobody before that.
+// A reserved port can be opened by its number, repeatedly and on any loopback address. Until then connections to it are
+// refused.
 func TestReservedPortCanBeOpenedByNumber(t *testing.T) {
 	reservation := reserve(t)
 	for range 3 {
@@ -34,7 +35,7 @@
 	require.NoError(t, listener.Close())
 }
 
-// exchange makes a connection to a listener and ends it.
+// exchange accepts one connection at a listener and closes it.
 func exchange(t *testing.T, listener net.Listener) {
 	client, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
@@ -44,7 +45,7 @@
 	require.NoError(t, server.Close())
 }
 
-// No connection goes out from a reserved port.
+// The operating system assigns no reserved port to an outgoing connection.
 func TestNoConnectionUsesAReservedPort(t *testing.T) {
 	const dialled = 2000
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/freeport/freeporttest/freeporttest.go
+++ b/internal/freeport/freeporttest/freeporttest.go
@@ -1,4 +1,4 @@
-// Package freeporttest reserves ports for tests, until their end.
+// Package freeporttest reserves ports for the duration of a test.
 package freeporttest
 
 import (
@@ -18,13 +18,13 @@
 	return reservation
 }
 
-// Port is a port that opens for whoever asks for it by its number.
+// Port returns a port that can be opened by its number only.
 func Port(t testing.TB) int {
 	t.Helper()
 	return reserve(t).Port()
 }
 
-// Address is such a port at 127.0.0.1. Till a listener opens there, connections to it are refused.
+// Address returns the address of such a port on 127.0.0.1. Connections to it are refused until a listener opens it.
 func Address(t testing.TB) string {
 	t.Helper()
 	return reserve(t).Address()
--- a/internal/heaptest/heaptest.go
+++ b/internal/heaptest/heaptest.go
@@ -1,9 +1,9 @@
-// Package heaptest tells tests what the heap of this process holds.
+// Package heaptest measures the heap of a test process.
 package heaptest
 
 import "runtime"
 
-// Held is how many bytes are reachable.
+// Held returns the number of reachable bytes, after a garbage collection.
 func Held() int64 {
 	var figures runtime.MemStats
 	runtime.GC()
--- a/internal/net/cluster/cluster_test.go
+++ b/internal/net/cluster/cluster_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// The configuration's copy of the list may be old, and may be missing.
+// The configuration's copy of the list may be out of date or missing.
 func TestKnown(t *testing.T) {
 	for _, text := range []string{"", `{"seq":5,"whole":false}`} {
 		l, err := Known([]byte(text), nettest.Settings(t))
@@ -51,7 +51,7 @@
 	return p, got, err
 }
 
-// A watch passes on every line, a whole list too, skips the empty ones and says when it breaks.
+// A watch passes on every list, also a whole one, skips empty lines and returns an error when it breaks.
 func TestWatch(t *testing.T) {
 	p, got, err := watch(t, nettest.Patience, func(c *nettest.Call) {
 		c.Say(nettest.Chunks(line, "", `{"seq":44,"whole":true}`))
@@ -62,7 +62,7 @@
 	assert.Equal(t, "/discovery/hosts?stream=1&index=41", nettest.Wait(t, p.Calls).RequestURI)
 }
 
-// Each way in which a call can fail ends the watch with an error, silence included.
+// Each way in which a call can fail, silence included, ends the watch with an error.
 func TestWatchFails(t *testing.T) {
 	for name, say := range map[string]string{
 		"503":       "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
@@ -81,12 +81,12 @@
 		_, got, err := watch(t, stall, func(c *nettest.Call) { c.Say(say) })
 		assert.Error(t, err, name)
 		if name == "half line" {
-			assert.Equal(t, []dispatch.Listed{want}, got, "what came whole counts")
+			assert.Equal(t, []dispatch.Listed{want}, got, "complete lists are passed on")
 		}
 	}
 }
 
-// Lines that keep coming keep a watch up for longer than its limit for silence.
+// Lines that keep arriving keep a watch open beyond its limit for silence.
 func TestWatchStaysUp(t *testing.T) {
 	const stall = time.Second
 	_, got, err := watch(t, stall, func(c *nettest.Call) {
--- a/internal/net/cluster/endings_test.go
+++ b/internal/net/cluster/endings_test.go
@@ -14,20 +14,20 @@
 	"gaugeslip/internal/net/nettest"
 )
 
-// trickle sends a text byte by byte, a chunk each, until the other side has had enough.
+// trickle sends a text byte by byte, one chunk each, until the other side closes the connection.
 func trickle(c *nettest.Call, text string) {
 	for {
 		for i := range len(text) {
 			if _, err := c.Conn.Write([]byte("1\r\n" + text[i:i+1] + "\r\n")); err != nil {
 				return
 			}
-			time.Sleep(time.Millisecond) // the trickle's pace: nothing waits for it
+			time.Sleep(time.Millisecond) // sets the rate; the test waits for nothing here
 		}
 	}
 }
 
-// A watch that trickles, so that no single read waits long, tells nothing all the same: it is as broken as a silent one.
-// Guards against a time limit on each read in place of one on each line.
+// A watch that receives single bytes, so that no read waits long, must time out like a silent one. Guards against a
+// deadline for each read instead of one for each list.
 func TestTricklingWatchTimesOut(t *testing.T) {
 	for name, begin := range map[string]string{"from the head on": "", "after a list": nettest.Chunks(line),
 		"within a list": nettest.Chunks(line, `{"seq":44,`)} {
@@ -53,13 +53,13 @@
 			}()
 			e := nettest.Wait(t, ended)
 			assert.True(t, errors.Is(e.err, os.ErrDeadlineExceeded), "%v", e.err)
-			assert.Len(t, e.got, min(1, len(begin)), "what came whole counts")
+			assert.Len(t, e.got, min(1, len(begin)), "complete lists are passed on")
 		})
 	}
 }
 
-// Lists may come indented, on a watch too, whole or as changes, and with what looks like an end in a name. Guards against
-// reading each line as an object of its own.
+// Lists may be indented, also on a watch and both whole and as changes, and a name may contain what looks like an end.
+// Guards against parsing each line as an object.
 func TestIndentedLists(t *testing.T) {
 	const odd = `{"seq":44,"whole":false,"hosts":[{"host":"}]\"{","dial":"127.0.0.1:1","health":"in_service"}]}`
 	indent := func(s string) string {
--- a/internal/net/cluster/pace_test.go
+++ b/internal/net/cluster/pace_test.go
@@ -12,8 +12,9 @@
 	"gaugeslip/internal/dispatch"
 )
 
-// simulateDiscovery works off calls in turn, 90 ms each, and answers 503 to one that has waited for 2 s, which it still works off.
-// It returns how many of n dispatchers had their list in 20 s, when each waits next() before a call.
+// simulateDiscovery simulates a discovery that processes calls in turn, 90 ms each. It answers 503 to a call that has
+// waited for 2 s, but processes it nevertheless. It returns how many of n dispatchers had their list within 20 s if
+// each waits next() before a call.
 func simulateDiscovery(n int, next func(i int, failed bool) time.Duration) (served int) {
 	const cost, patience, until, done = 90 * time.Millisecond, 2 * time.Second, 20 * time.Second, time.Hour
 	ask, free := make([]time.Duration, n), time.Duration(0)
@@ -35,7 +36,7 @@
 	}
 }
 
-// 80 dispatchers that start at once, on a discovery that needs 7 s for them all.
+// 80 dispatchers start at the same time with a discovery that needs 7 s for all of them.
 func TestPaceOfManyStarts(t *testing.T) {
 	const n = 80
 	paces := make([]*Pace, n)
@@ -53,7 +54,7 @@
 			return 500 * time.Millisecond
 		}
 		return time.Duration(i) * 5 * time.Millisecond
-	}), n/2, "a wait that knows nothing of how many there are: the model has no such failure otherwise")
+	}), n/2, "waits that ignore the number of dispatchers must fail in this model")
 }
 
 func TestPaceWindows(t *testing.T) {
@@ -66,18 +67,19 @@
 	few := NewPace(unpacedReplicas, 1, 10*time.Second, 0)
 	few.Ended(false, false)
 	assert.Zero(t, longest(few), "ten dispatchers ask at once, as one does")
-	assert.LessOrEqual(t, longest(NewPace(1000, 1, 10*time.Second, 0)), 8., "asked before it counts as told")
-	// A watch that fell silent 3.5 s ago has to be opened anew before what it misses counts as told, however many there are.
+	assert.LessOrEqual(t, longest(NewPace(1000, 1, 10*time.Second, 0)), 8., "calls before the list counts as delivered")
+	// A watch that fell silent 3.5 s ago must be reopened before discovery counts what it misses as delivered, whatever
+	// the number of dispatchers.
 	for grace, want := range map[time.Duration]float64{500 * time.Millisecond: 1.5, 3 * time.Second: 4} {
 		silent := NewPace(300, 1, 10*time.Second, grace)
 		silent.Ended(true, true)
 		assert.LessOrEqual(t, longest(silent), want)
 		silent.Ended(false, true)
-		assert.Greater(t, longest(silent), 8., "a call that was not answered failed")
+		assert.Greater(t, longest(silent), 8., "an unanswered call counts as failed")
 		for range 20 {
 			silent.Ended(false, false)
 		}
-		assert.LessOrEqual(t, longest(silent), 32., "held to its list for four times as long, and asked before")
+		assert.LessOrEqual(t, longest(silent), 32., "calls within four times the permitted time")
 	}
 	p := NewPace(80, 1, 0, 0)
 	assert.InDelta(t, 7, longest(p), 0.5)
@@ -88,7 +90,7 @@
 	}
 	assert.LessOrEqual(t, longest(p), 7.*(1<<maxDoublings))
 	p.Ended(true, false)
-	assert.InDelta(t, 7, longest(p), 0.5, "a watch that told something forgives the failures")
+	assert.InDelta(t, 7, longest(p), 0.5, "a watch that received a list resets the failures")
 }
 
 // failingSource is a source whose every call fails.
--- a/internal/net/nettest/nettest.go
+++ b/internal/net/nettest/nettest.go
@@ -1,5 +1,5 @@
-// Package nettest is the one helper that the tests of the network code share: scripted peers on loopback
-// sockets, and settings to run a dispatcher by.
+// Package nettest has the shared helpers of the network tests: scripted HTTP servers on loopback sockets, a client, and
+// settings for a dispatcher.
 package nettest
 
 import (
@@ -18,10 +18,11 @@
 	"gaugeslip/internal/settings"
 )
 
-// Patience is how long a test waits for an event that has to come.
+// Patience is how long a test waits for an event that must happen.
 const Patience = 20 * time.Second
 
-// SettingsJSON is the settings of a small deployment: a class that is safe to repeat and one that is not.
+// SettingsJSON holds the settings of a small deployment with two classes, of which one is safe to repeat and the other
+// is not.
 const SettingsJSON = `{"family-info":{"class-stretch":[2.0,2.0],"report-x0":"free slots","tells-start":true},
 "kinds":["k"],"limits":{"conn-idle":30000.0,"connect-timeout":250.0,"max-attempts":3,"max-retry-after":1500.0,
 "most-held":100,"retry-after":true,"probes":false},"localities":["z"],"locality":"z","ordinal":0,
@@ -31,7 +32,7 @@
 "registry-mode":"ask","rules":{"cold-from":0.12,"warm-up":3600000.0,"tip-multiple":3.0,"overload-for":2000.0},
 "report":{"fields":["q","rif","x0"],"how":"pull"},"value-by":"work"}`
 
-// Settings is SettingsJSON, read.
+// Settings returns the parsed SettingsJSON.
 func Settings(t testing.TB) *settings.Settings {
 	t.Helper()
 	s, err := settings.Parse([]byte(SettingsJSON))
@@ -39,12 +40,12 @@
 	return s
 }
 
-// Call is one request that a Peer has read whole.
+// Call is one request that a Peer has read completely.
 type Call struct {
 	*http.Request
-	Text string // its body
+	Text string // the body
 	Conn net.Conn
-	Nth  int // its number on its connection, from 0
+	Nth  int // the number of the request on its connection, from 0
 }
 
 // Serve answers a job with its own body as the result.
@@ -52,26 +53,27 @@
 	c.Say(Chunked(`{"id":"` + c.Header.Get("X-Trace-Id") + `","state":"done","result":"` + c.Text + `"}`))
 }
 
-// Say writes raw text back.
+// Say writes raw text to the connection.
 func (c *Call) Say(text string) { io.WriteString(c.Conn, text) }
 
-// Reset ends the connection with a RST.
+// Reset closes the connection with a RST.
 func (c *Call) Reset() {
 	c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Conn.Close()
 }
 
-// Peer listens on a loopback address and plays a script for each request that comes.
+// Peer is a server on a loopback address that runs a script for each request.
 type Peer struct {
 	Addr  string
-	Calls chan *Call // every request, in the order read
+	Calls chan *Call // every request, in the order in which it was read
 	ln    net.Listener
 	mu    sync.Mutex
 	conns []net.Conn
 	work  sync.WaitGroup
 }
 
-// Listen starts a peer; script answers a request, and may leave it unanswered. The peer ends with the test.
+// Listen starts a Peer. The script may answer a request or leave it unanswered. The Peer is closed at the end of the
+// test.
 func Listen(t testing.TB, script func(*Call)) *Peer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -93,14 +95,14 @@
 	return p
 }
 
-// Close ends the peer and all its connections.
+// Close stops the Peer and closes all its connections.
 func (p *Peer) Close() {
 	p.ln.Close()
 	p.Hangup()
 	p.work.Wait()
 }
 
-// Hangup ends the connections that are open.
+// Hangup closes the open connections.
 func (p *Peer) Hangup() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,7 +112,7 @@
 	p.conns = nil
 }
 
-// Conns is how many connections have been accepted since the last Hangup.
+// Conns returns how many connections have been accepted since the last Hangup.
 func (p *Peer) Conns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,22 +136,22 @@
 	}
 }
 
-// Wait receives what has to come.
+// Wait receives a value. The test fails if none arrives in time.
 func Wait[T any](t testing.TB, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(Patience):
-		require.FailNow(t, "waited in vain")
+		require.FailNow(t, "nothing arrived in time")
 		panic("unreachable")
 	}
 }
 
-// Chunked is a whole chunked answer with one chunk for each line.
+// Chunked returns a complete chunked answer with one chunk for each line.
 func Chunked(lines ...string) string { return Chunks(lines...) + "0\r\n\r\n" }
 
-// Chunks is a chunked answer whose end is still to come.
+// Chunks returns a chunked answer without its last chunk.
 func Chunks(lines ...string) string {
 	text := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, l := range lines {
@@ -158,17 +160,17 @@
 	return text
 }
 
-// Chunk is one chunk that holds a line.
+// Chunk returns one chunk with a line.
 func Chunk(l string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(l)+1, l) }
 
-// Client is one client's connection.
+// Client is the connection of a client.
 type Client struct {
 	net.Conn
 	t testing.TB
 	r *bufio.Reader
 }
 
-// Dial connects to a dispatcher; the connection ends with the test.
+// Dial connects to a dispatcher. The connection is closed at the end of the test.
 func Dial(t testing.TB, addr string) *Client {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -202,7 +204,7 @@
 	return resp, string(body)
 }
 
-// Closed waits for the other side to close.
+// Closed waits until the other side has closed the connection.
 func (c *Client) Closed() {
 	c.t.Helper()
 	c.SetReadDeadline(time.Now().Add(Patience))
--- a/internal/net/operators/server_test.go
+++ b/internal/net/operators/server_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeCore is a loop that knows some names and remembers what it was told.
+// fakeCore is a core that knows some names and records the calls.
 type fakeCore struct {
 	mu    sync.Mutex
 	names map[string]bool
@@ -47,7 +47,7 @@
 	c.sets = append(c.sets, names)
 }
 
-// startServer starts a door on a free loopback port.
+// startServer starts a server on a free loopback port and returns its address.
 func startServer(t *testing.T, c *fakeCore, ready *atomic.Bool, dir string) string {
 	f := NewFigures([]string{"plot-load", "harvest-sale"}, Gauges{
 		InFlight: func() float64 { return 14 },
@@ -72,12 +72,12 @@
 	return ln.Addr().String()
 }
 
-// call makes one call on a connection of its own, as operators do, and gives status and body.
+// call sends one request on a connection of its own, as operators do, and returns status and body.
 func call(t *testing.T, addr, text string) (int, string) {
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Second)) // what a caller waits
+	c.SetDeadline(time.Now().Add(time.Second)) // how long operators wait
 	_, err = io.WriteString(c, text)
 	require.NoError(t, err)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -109,7 +109,7 @@
 		{post("/healthcheck"), 405, ""},
 		{get("/nothing"), 404, ""},
 		{post("/game-workers/s-0000000a/maint"), 200, "out"},
-		{post("/game-workers/s-0000000a/maint"), 200, "out"}, // twice out, once back
+		{post("/game-workers/s-0000000a/maint"), 200, "out"}, // out twice is undone by back once
 		{post("/game-workers/s-0000000a/ready"), 200, "back"},
 		{post("/game-workers/s-0000000b/maint"), 404, "no game worker"},
 		{post("/game-workers/s-0000000b/ready"), 404, "no game worker"},
@@ -145,13 +145,13 @@
 	} {
 		assert.Contains(t, body, line+"\n")
 	}
-	for _, line := range []string{"go_goroutines ", "process_open_fds "} { // the runtime's own, for on call
+	for _, line := range []string{"go_goroutines ", "process_open_fds "} { // metrics of the Go runtime and the process
 		assert.Contains(t, body, "\n"+line)
 	}
 }
 
-// Callers that connect and say nothing, or half a call, take no place from those who call: the door holds four
-// connections here, and forty silent ones come first.
+// Silent connections, and those with incomplete requests, must not keep others out: 40 of them come before a request,
+// on a server limited to four connections.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	var ready atomic.Bool
 	ready.Store(true)
@@ -170,7 +170,7 @@
 	assert.Less(t, time.Since(start), time.Second)
 }
 
-// A loop that does not take a call in time makes it a no, within the caller's second.
+// A core that does not accept a change in time leads to 503 within the second that operators wait.
 func TestStuckCoreTimesOut(t *testing.T) {
 	var ready atomic.Bool
 	addr := startServer(t, &fakeCore{stuck: true}, &ready, "")
@@ -178,8 +178,7 @@
 	assert.Equal(t, 503, status)
 }
 
-// What is done by hand is kept in the store for a successor, and a change that another process writes there is
-// followed.
+// Changes by hand are stored for the next process, and a change that another process writes to the store is applied.
 func TestManualChangesAreStoredAndReloaded(t *testing.T) {
 	dir := t.TempDir()
 	c := &fakeCore{names: map[string]bool{"s-0000000a": true, "s-0000000b": true}, out: map[string]bool{}}
@@ -191,7 +190,7 @@
 	names, err := NewStore(dir, "n1").Load()
 	require.NoError(t, err)
 	assert.Equal(t, []string{"s-0000000a"}, names)
-	other := NewStore(dir, "n1") // a successor
+	other := NewStore(dir, "n1") // the next process
 	require.NoError(t, other.Save([]string{"s-0000000a", "s-0000000b"}))
 	require.Eventually(t, func() bool {
 		c.mu.Lock()
@@ -204,7 +203,7 @@
 	dir := t.TempDir()
 	s := NewStore(dir, "n1/x")
 	names, err := s.Load()
-	assert.NoError(t, err, "a missing file is none")
+	assert.NoError(t, err, "a missing file is an empty set")
 	assert.Empty(t, names)
 	for _, k := range []struct{ text, fault string }{
 		{string(Encode("n1/x", []string{"b", "a", "a"})), ""},
--- a/internal/net/peers/peers_test.go
+++ b/internal/net/peers/peers_test.go
@@ -15,7 +15,7 @@
 	"gaugeslip/internal/freeport/freeporttest"
 )
 
-// startMembers starts members of a fleet on loopback, and stops them at the test's end.
+// startMembers starts the members of a fleet on loopback, and stops them at the end of the test.
 func startMembers(t *testing.T, n int) (all []*Peers, addrs []string) {
 	addrs = freeAddresses(t, n)
 	for i := range n {
@@ -25,7 +25,7 @@
 	return all, addrs
 }
 
-// freeAddresses are addresses of loopback for listeners to come.
+// freeAddresses returns loopback addresses for future listeners.
 func freeAddresses(t *testing.T, n int) (addrs []string) {
 	for range n {
 		addrs = append(addrs, freeporttest.Address(t))
@@ -33,9 +33,10 @@
 	return addrs
 }
 
-// An address that a test has taken goes to nobody else who asks for any, as the relays of TestMemberStates do, and programs beside the test.
+// An address that a test has reserved is not assigned to sockets that ask for any free port, such as the relays of TestMemberStates or
+// those of other programs.
 func TestFreeAddressesAreReserved(t *testing.T) {
-	const asked = 150_000 // several times as often as there are ports
+	const asked = 150_000 // several times the number of ports
 	taken := freeAddresses(t, 3)
 	for range asked {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,8 +71,8 @@
 	return sum
 }
 
-// Three members find one another and own the whole together, never more; what is not a message is counted and dropped; who leaves
-// owns nothing, and a successor at its address waits until it is free.
+// Three members find one another and own the whole budget together, never more. Invalid messages are counted and dropped. A member
+// that leaves owns nothing, and the next process at its address waits until the address is free.
 func TestMembersShareTheWholeBudget(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	all, addrs := startMembers(t, 3)
@@ -102,11 +103,11 @@
 	before := all[1].View().Dropped
 	all[1].deliver([][]byte{
 		[]byte("not a message"),
-		budget.Append(nil, &budget.Message{Kind: budget.Ask, To: 2, Life: 5}), // another's
+		budget.Append(nil, &budget.Message{Kind: budget.Ask, To: 2, Life: 5}), // addressed to another member
 	})
 	assert.Equal(t, before+2, all[1].View().Dropped)
 
-	twin := newMember(addrs, 2, 99) // a second process under one name
+	twin := newMember(addrs, 2, 99) // a second process of the same member
 	run(t, twin)
 	require.Never(t, func() bool { return owned(twin) > 0 }, 3*bindInterval, bindInterval/4, "it does not hold the address")
 	assert.False(t, twin.View().Bound)
@@ -115,7 +116,7 @@
 	eventually("still whole", func() bool { return owned(all...) > 0.99 })
 	oldCtx, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.NoError(t, newMember(addrs, 2, 100).Run(oldCtx), "one that is stopped while it waits")
+	assert.NoError(t, newMember(addrs, 2, 100).Run(oldCtx), "stopped while it waits for the address")
 	assert.Positive(t, owned(old))
 }
 
--- a/internal/net/peers/presence_test.go
+++ b/internal/net/peers/presence_test.go
@@ -15,7 +15,7 @@
 	"gaugeslip/coord/gossip"
 )
 
-// relay is a way to an address that can be cut.
+// relay forwards connections to an address until it is cut.
 type relay struct {
 	to    string
 	ln    net.Listener
@@ -62,7 +62,7 @@
 	io.Copy(near, far)
 }
 
-// track has the connections closed by a cut; false: there is one.
+// track registers connections to be closed by a cut. It returns false if the relay is cut.
 func (r *relay) track(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,8 +89,8 @@
 
 const timeout = 30 * time.Second
 
-// A member that one other can't reach stays alive as long as a third does; one that nobody reaches is silent, and alive again when it
-// is reached; one that leaves has left, and its successor is alive.
+// A member that one other cannot reach stays alive as long as a third can reach it. One that nobody reaches becomes silent, and alive
+// again once it is reached. One that leaves has left, and the next process of it is alive.
 func TestMemberStates(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	addrs := freeAddresses(t, 3)
@@ -155,7 +155,7 @@
 	sees(2, 0, stateAlive)
 }
 
-// Rosters that hear all words in any order, with repeats, agree in the end, and nobody is held to be gone who says that it is not.
+// Rosters that learn all versions in any order, with repeats, agree in the end, and no member that refutes its silence stays silent.
 func TestRostersAgree(t *testing.T) {
 	const members = 4
 	for seed := range uint64(200) {
@@ -184,7 +184,7 @@
 			}
 		}
 		said = append(said, value(0, rosters[0].leave()))
-		for k := 0; k < len(said); k++ { // answers grow the list
+		for k := 0; k < len(said); k++ { // answers extend the list
 			for i := range rosters {
 				hear(i, said[k])
 			}
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause lets time pass in goroutines that a context can end.
+// Package pause suspends goroutines for a time that a context can cut short.
 package pause
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For returns after a length of time, or as soon as ctx ends, with its error. A length of zero or less is over at once, with no
-// look at ctx.
+// For waits for the given time or until ctx ends, in which case it returns the error of ctx. For a time of zero or less it
+// returns nil at once, even if ctx has ended.
 func For(ctx context.Context, length time.Duration) error {
 	if length <= 0 {
 		return nil
--- a/internal/seeds/seeds.go
+++ b/internal/seeds/seeds.go
@@ -1,4 +1,5 @@
-// Package seeds says which seeds a random test plays: one alone, or as many as the environment asks for. It is for tests only.
+// Package seeds determines which seeds a randomized test runs: a single one, or as many as an environment variable says. It is for
+// tests only.
 package seeds
 
 import (
@@ -7,7 +8,8 @@
 	"testing"
 )
 
-// Alone gives the one seed that an environment variable asks for; ok is false where it is unset. Text that is no seed ends the test.
+// Alone returns the single seed that an environment variable sets. ok is false if the variable is unset. An invalid value fails the
+// test.
 func Alone(t testing.TB, variable string) (seed uint64, ok bool) {
 	t.Helper()
 	text := os.Getenv(variable)
@@ -21,7 +23,7 @@
 	return seed, true
 }
 
-// Count gives how many seeds an environment variable asks for, or the preset where it is unset. Text that is no number ends the test.
+// Count returns the number of seeds that an environment variable sets, or preset if it is unset. An invalid value fails the test.
 func Count(t testing.TB, variable string, preset int) int {
 	t.Helper()
 	count, ok := Alone(t, variable)
@@ -31,8 +33,8 @@
 	return int(count)
 }
 
-// Played gives the seeds to play: the one that alone asks for, or else those from first on, as many as many asks for or the preset.
-// An empty name asks for nothing.
+// Played returns the seeds to run: the one that the variable alone sets, or else consecutive ones from first on, whose number is set
+// by the variable many or is preset. An empty variable name counts as unset.
 func Played(t testing.TB, alone, many string, first uint64, preset int) []uint64 {
 	t.Helper()
 	if seed, ok := Alone(t, alone); ok {
--- a/internal/seeds/seeds_test.go
+++ b/internal/seeds/seeds_test.go
@@ -12,7 +12,7 @@
 	manyVariable  = "SEEDS_TEST_MANY"
 )
 
-// recorder is a test of which only the end is noted.
+// recorder records whether a test was ended by Fatalf.
 type recorder struct {
 	testing.TB
 	ended bool
--- a/internal/waiting/bench_test.go
+++ b/internal/waiting/bench_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// filled makes a room with n jobs, each with a set time within the next hour or with a job to wait for.
+// filled returns a queue with n jobs, each with a set time within the next hour.
 func filled(tb testing.TB, n int) *Room {
 	lim := Defaults()
 	lim.MaxJobs, lim.MaxKept, lim.ClientShare, lim.MaxBytes, lim.DefaultDue = 10_000_000, 10_000_000, 1, 1<<40, 55*time.Minute
@@ -33,7 +33,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// Bytes a waiting job, its id's text counted, at SIZE jobs (100,000 where that is not set).
+// BenchmarkBytesAJob measures the bytes per waiting job, its id included, with SIZE jobs (100,000 if unset).
 func BenchmarkBytesAJob(b *testing.B) {
 	n := size()
 	for range b.N {
@@ -51,7 +51,7 @@
 	return 100_000
 }
 
-// Submit, release and end of one job among SIZE others.
+// BenchmarkSubmit measures the submission of one job among SIZE others.
 func BenchmarkSubmit(b *testing.B) {
 	r := filled(b, size())
 	jobs := make([]Job, b.N)
@@ -67,7 +67,7 @@
 	}
 }
 
-// All of SIZE jobs, from the timer to the module: each becomes ready and has its turn.
+// BenchmarkRelease measures how SIZE jobs become ready and get their turns.
 func BenchmarkRelease(b *testing.B) {
 	for range b.N {
 		b.StopTimer()
@@ -85,7 +85,7 @@
 	}
 }
 
-// Send and end of a job that has its turn, among SIZE others.
+// BenchmarkEnd measures the send and end of a job that has its turn, among SIZE others.
 func BenchmarkEnd(b *testing.B) {
 	r := filled(b, size())
 	for i := range b.N {
@@ -104,7 +104,7 @@
 	}
 }
 
-// The longest Tick while SIZE jobs become ready at one moment.
+// BenchmarkBacklog measures the longest Tick while SIZE jobs become ready at one time.
 func BenchmarkBacklog(b *testing.B) {
 	for range b.N {
 		b.StopTimer()
@@ -118,7 +118,7 @@
 			r.Actions()
 			longest = max(longest, time.Since(start))
 		}
-		start := time.Now() // and one with the whole backlog to count
+		start := time.Now() // a Tick that computes the demand of the whole backlog
 		r.Tick(now + time.Minute)
 		b.ReportMetric(float64(time.Since(start))/1e6, "ms/count")
 		b.ReportMetric(float64(longest)/1e6, "ms/longest")
--- a/internal/waiting/delay_test.go
+++ b/internal/waiting/delay_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// How far off a job may be is counted from its arrival: a room that gets to it late takes no more than one that gets to it at once.
+// The maximum delay counts from the arrival of a job, so that a queue that processes it late accepts no more than
+// others.
 func TestMaxDelayCountsFromArrival(t *testing.T) {
 	for _, late := range []time.Duration{0, time.Millisecond, time.Minute} {
 		for _, test := range []struct {
--- a/internal/waiting/export_test.go
+++ b/internal/waiting/export_test.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// The rules that were weighed against the one in use, for weigh_test.go.
+// The rules that weigh_test.go compares with the one in use.
 var rules = map[string]func(share, lanes float64) func(p *pacer, most float64) (float64, int){
 	"by need": func(float64, float64) func(*pacer, float64) (float64, int) { return demandRule },
-	// All that are ready have their turn, the oldest claim first.
+	// All ready jobs get their turn, the one with the earliest target time first.
 	"strict ageing": func(float64, float64) func(*pacer, float64) (float64, int) {
 		return func(p *pacer, _ float64) (float64, int) {
 			p.adaptiveWindow = math.Inf(1)
 			return math.Inf(1), math.MaxInt32
 		}
 	},
-	// A share of the lanes, whatever is due when.
+	// A fixed share of the lanes, whatever is due when.
 	"reserved share": func(share, lanes float64) func(*pacer, float64) (float64, int) {
 		w := max(1, share*lanes)
 		return func(p *pacer, _ float64) (float64, int) {
@@ -31,8 +31,8 @@
 	},
 }
 
-// Rules names them.
+// Rules lists the names of the rules.
 var Rules = []string{"by need", "strict ageing", "reserved share", "virtual time"}
 
-// SetRule makes a Room pace by one of Rules.
+// SetRule sets the rule by which the queue paces its jobs to one of Rules.
 func (q *Room) SetRule(name string, share, lanes float64) { q.windowRule = rules[name](share, lanes) }
--- a/internal/waiting/records_test.go
+++ b/internal/waiting/records_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// fact is what somebody outside knows once a number of records are kept.
+// fact is what an observer knows once a number of records are stored.
 type fact struct {
 	kept int
 	name string
-	end  State // final; or 0
+	end  State // the final state; or 0
 	sent bool  // it must not run twice, and may run from here on
-	back bool  // and provably did not
+	back bool  // it provably did not run
 }
 
-// history drives a room that records at random, and keeps what the outside has learned at which record.
+// history runs a recording queue with random events. It returns the records, and what was observed at which record.
 func history(t *testing.T, seed uint64) (records []Record, facts []fact, now time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	b := newHarness(t, nil)
@@ -34,7 +34,7 @@
 			case Release:
 				out = append(out, n)
 			case Answer:
-				if !accepted[n] { // nothing was promised
+				if !accepted[n] { // it was not accepted
 					continue
 				}
 				for s := Served; s <= Cancelled; s++ {
@@ -94,8 +94,8 @@
 	return records, facts, b.now
 }
 
-// A crash after any record: every promise is known again, finals are what they were, a job that must not run twice and may
-// have run is failed and has no other turn, and everything else has its turn.
+// A crash after any record: every accepted job is known afterwards, final states are unchanged, a job that must not run
+// twice and may have run has failed and gets no turn, and all others get their turn.
 func TestRestoreAfterEveryRecord(t *testing.T) {
 	points := 0
 	for seed := range uint64(10) {
@@ -130,12 +130,12 @@
 			}
 			for name, s := range ends {
 				if got := b.queue.entries.at(b.queue.byName[name]).state; got != s {
-					t.Fatalf("seed %d, record %d: %s was told as %v and is %v", seed+1, k, name, s, got)
+					t.Fatalf("seed %d, record %d: %s was reported as %v and is %v", seed+1, k, name, s, got)
 				}
 			}
 			b.now = now
 			b.tick(4 * second)
-			for range 200 { // whoever has a turn ends well
+			for range 200 { // every job that has a turn is served
 				for _, n := range b.turns {
 					e := b.queue.entries.at(b.queue.active[n])
 					if b.queue.active[n] != 0 && unsafe[e.name] {
@@ -148,14 +148,14 @@
 				b.tick(50 * ms)
 			}
 			if b.queue.Held() != 0 {
-				t.Fatalf("seed %d, record %d: %d of %d that live on have no end", seed+1, k, b.queue.Held(), len(live))
+				t.Fatalf("seed %d, record %d: %d of %d restored jobs did not end", seed+1, k, b.queue.Held(), len(live))
 			}
 		}
 	}
 	t.Logf("%d crash points", points)
 }
 
-// Records that can't be are refused, and a room that is in use is not restored.
+// Invalid records are refused, and a queue that is in use cannot be restored.
 func TestRestoreRefuses(t *testing.T) {
 	load := func(x ...Record) func(func(Record) error) error {
 		return func(each func(Record) error) error {
--- a/internal/waiting/room_test.go
+++ b/internal/waiting/room_test.go
@@ -13,7 +13,7 @@
 	epoch  = 1_700_000_000 * second
 )
 
-// harness drives a Room by hand and keeps what it says.
+// harness drives a queue step by step and records its actions.
 type harness struct {
 	*testing.T
 	queue     *Room
@@ -23,7 +23,7 @@
 	replies   map[uint64]Action
 	turns     []uint64
 	budgets   []time.Duration
-	withdrawn map[uint64]int // withdrawn from the module
+	withdrawn map[uint64]int // how often each was withdrawn from the decision module
 }
 
 func newHarness(t *testing.T, change func(*Limits)) *harness {
@@ -41,7 +41,7 @@
 	return b
 }
 
-// readActions takes what the Room says. A job has one answer at most.
+// readActions records the actions of the queue. It fails the test if a job is answered twice.
 func (b *harness) readActions() {
 	b.Helper()
 	for _, a := range b.queue.Actions() {
@@ -61,7 +61,7 @@
 	}
 }
 
-// tick lets time pass, in as many Ticks as are due at that moment.
+// tick advances the time and calls Tick as often as is due at that time.
 func (b *harness) tick(d time.Duration) {
 	b.Helper()
 	b.now += d
@@ -72,12 +72,12 @@
 			return
 		}
 		if n > 1_000_000 {
-			b.Fatal("Ticks without end")
+			b.Fatal("Tick never comes to rest")
 		}
 	}
 }
 
-// submit hands in a job by its name; attached where it has a deadline.
+// submit submits a job of a name, detached unless change attaches it.
 func (b *harness) submit(name string, change func(*Job)) uint64 {
 	b.Helper()
 	b.next++
@@ -100,12 +100,12 @@
 	b.Helper()
 	b.next++
 	if !b.queue.Fresh(b.now, &Job{Number: b.next, Name: name, Arrived: b.now, Deadline: b.now + second, Attached: true}) {
-		b.Fatalf("%s does not go on", name)
+		b.Fatalf("fresh job %s is not passed on", name)
 	}
 	return b.next
 }
 
-// serve sends a job that has its turn, and ends it well.
+// serve sends a job that has its turn and ends it with a result.
 func (b *harness) serve(n uint64) {
 	b.Helper()
 	b.queue.Sent(b.now, n)
@@ -144,7 +144,7 @@
 	}
 }
 
-// A set time, a predecessor, and both: a job has its turn when all has come, and not before.
+// A job gets its turn when its set time has come and its predecessors have ended, and not earlier.
 func TestWaitsForTimeAndPredecessors(t *testing.T) {
 	for name, c := range map[string]struct{ delay, end time.Duration }{
 		"time last": {3 * second, second}, "job last": {second, 3 * second}, "together": {second, second},
@@ -176,7 +176,7 @@
 	}
 }
 
-// What becomes of a job whose predecessor ended otherwise than well, by the settings; it has its answer either way.
+// A predecessor that was not served makes its dependant fail with 424, or lets it run if RunOnFailure is set.
 func TestPredecessors(t *testing.T) {
 	ways := map[string]func(b *harness, n uint64){
 		"fails":   func(b *harness, n uint64) { b.queue.Sent(b.now, n); b.queue.Failed(b.now, n) },
@@ -189,7 +189,7 @@
 	}
 	for way, end := range ways {
 		for _, run := range []bool{false, true} {
-			for _, late := range []bool{false, true} { // the dependant comes after the end
+			for _, late := range []bool{false, true} { // the dependant is submitted after the end
 				t.Run(fmt.Sprint(way, run, late), func(t *testing.T) {
 					b := newHarness(t, func(l *Limits) { l.RunOnFailure = run })
 					n := b.submit("a", sale)
@@ -219,7 +219,7 @@
 	}
 }
 
-// The predecessor comes, runs and ends between two Ticks, in one Step with the job that waits for it.
+// A predecessor arrives, runs and ends between two Ticks, in one step with the job that waits for it.
 func TestPredecessorInOneStep(t *testing.T) {
 	b := newHarness(t, nil)
 	n := b.fresh("a")
@@ -258,7 +258,7 @@
 	}
 }
 
-// Many wait for one: no Tick is long, and each has its end.
+// Many jobs wait for one: no Tick handles more than its limit, and each job ends.
 func TestFanOut(t *testing.T) {
 	const width = 10_000
 	b := newHarness(t, func(l *Limits) { l.ClientShare = 1; l.MaxJobs = width + 1; l.MaxKept = 2 * width })
@@ -278,7 +278,7 @@
 	}
 }
 
-// A backlog due at one moment: a Tick touches a bounded part, and the turns are as few as the window says.
+// A backlog becomes due at one time: each Tick handles a bounded part, and the turns stay within the window.
 func TestBacklogAtOnce(t *testing.T) {
 	const n = 100_000
 	b := newHarness(t, func(l *Limits) { l.MaxJobs, l.ClientShare, l.MaxBytes = n, 1, 1<<30; l.DefaultDue = 10 * time.Minute })
@@ -302,14 +302,14 @@
 	if s := b.queue.Stats(); s.Released > s.Window || s.Released == 0 || s.Ready+s.Released != n {
 		t.Errorf("%+v", s)
 	}
-	// Half an hour later nothing has been sent: all have been answered, in time.
+	// 20 minutes later nothing has been sent: all jobs have been answered in time.
 	b.tick(20 * time.Minute)
 	if s := b.queue.Stats(); s.Refused != n || b.queue.Held() != 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// The clock jumps: what came due meanwhile happens, once.
+// The clock jumps ahead: everything that became due meanwhile happens, once.
 func TestClockJumps(t *testing.T) {
 	b := newHarness(t, nil)
 	late := b.submit("late", at(epoch+50*second))
@@ -327,7 +327,7 @@
 	}
 }
 
-// An unsafe job that may have run is never let in again; its state is failed. One that provably never ran is.
+// An unsafe job that may have run gets no second turn and ends as failed. One that provably did not run gets one.
 func TestUnsafeRunsOnce(t *testing.T) {
 	for outcome, again := range map[Outcome]bool{MayHave: false, TurnedOff: false, NeverRan: true} {
 		b := newHarness(t, nil)
@@ -336,7 +336,7 @@
 		b.queue.Sent(b.now, n)
 		b.queue.Ended(b.now, n, outcome, nil)
 		if got := b.queue.Refused(b.now, n); got != again {
-			t.Errorf("outcome %d: taken back %v", outcome, got)
+			t.Errorf("outcome %d: queued again %v", outcome, got)
 		}
 		b.tick(3 * second)
 		b.wantTurns(n, map[bool]int{true: 2, false: 1}[again])
@@ -352,7 +352,7 @@
 	b.wantState("a", Failed, StatusFailed)
 }
 
-// Refusals are taken back for as long as the job may wait, more and more often, and each attempt counts.
+// A job is queued again after each refusal while it may wait, at shrinking intervals, and each attempt counts.
 func TestRefusalsAreTakenBack(t *testing.T) {
 	b := newHarness(t, nil)
 	n := b.submit("a", nil)
@@ -375,7 +375,7 @@
 	if waited := b.now - epoch; waited > 2*30*second {
 		t.Errorf("answered after %v", waited)
 	}
-	// A host that turns it away every time uses up its attempts.
+	// a job that hosts reject every time uses up its attempts
 	b = newHarness(t, nil)
 	n = b.submit("a", nil)
 	for range 4 {
@@ -388,7 +388,8 @@
 	b.wantState("a", Refused, StatusRefused)
 }
 
-// A cancel that crosses the release: before a send it takes the job back from the module, after it comes too late.
+// A cancellation that crosses the release: before a send it withdraws the job from the decision module, after it it is
+// refused.
 func TestCancel(t *testing.T) {
 	b := newHarness(t, nil)
 	cancel := func(name string) int {
@@ -411,11 +412,11 @@
 		}
 	}
 	if b.withdrawn[held] != 1 {
-		t.Error("the module still holds a job that was called off")
+		t.Error("a cancelled job was not withdrawn from the decision module")
 	}
 	b.queue.Ended(b.now, out, OK, nil)
 	if got := cancel("out"); got != StatusConflict {
-		t.Errorf("a served one: %d", got)
+		t.Errorf("cancellation of a served job: status %d", got)
 	}
 	b.tick(time.Minute)
 	b.wantState("waits", Cancelled, StatusCancelled)
@@ -431,12 +432,12 @@
 		}
 	}
 	if b.queue.Fresh(b.now, &Job{Number: 99, Name: "a"}) {
-		t.Error("a fresh job with a waiting one's id goes on")
+		t.Error("a fresh job with the id of a waiting one is passed on")
 	}
 	b.wantState("a", Waiting, 0)
 }
 
-// A client that leaves while its job waits has called it off; while it is out, its end is still told.
+// A client that leaves while its job waits cancels the job. If a send is out, its outcome still decides the state.
 func TestClientGone(t *testing.T) {
 	b := newHarness(t, nil)
 	attach := func(j *Job) { j.Attached, j.Deadline, j.Class = true, b.now+10*second, 1 }
@@ -462,7 +463,7 @@
 	}
 }
 
-// Every bound, what is said at it, and that room comes back. Advice is never for one place twice.
+// Every limit has its answer, and space that comes free can be used. No two clients get the same Retry-After.
 func TestFull(t *testing.T) {
 	b := newHarness(t, func(l *Limits) { l.MaxJobs, l.ClientShare, l.MaxBytes = 4, 0.5, 64<<10 })
 	by := func(client string, bytes int) func(*Job) {
@@ -488,7 +489,7 @@
 	}
 }
 
-// A wait that can't fit is refused at once, and one that turns out not to in time for its client to hear.
+// An attached job whose wait cannot fit is refused at once, and one whose wait turns out too long is refused in time.
 func TestAttached(t *testing.T) {
 	b := newHarness(t, nil)
 	n := b.submit("a", func(j *Job) { j.Attached, j.Deadline, j.NotBefore = true, b.now+second, b.now+second })
@@ -508,7 +509,8 @@
 	}
 }
 
-// Those who wait for an end hear of it; the retention can't end before that. Afterwards the id is unknown.
+// Queries that wait for the end of a job are answered then. The retention starts at the end; after it the id is
+// unknown.
 func TestRetention(t *testing.T) {
 	b := newHarness(t, func(l *Limits) { l.Retention = 10 * second })
 	n := b.submit("a", at(b.now+time.Minute))
@@ -526,7 +528,7 @@
 		t.Errorf("%+v", a)
 	}
 	if _, ok := b.replies[1002]; ok {
-		t.Error("told to one who has gone")
+		t.Error("a removed query was answered")
 	}
 	b.tick(10*second - ms)
 	b.wantState("a", Served, 200)
@@ -536,11 +538,11 @@
 		t.Errorf("%+v", b.answers[m])
 	}
 	if len(b.queue.byName)+len(b.queue.active)+len(b.queue.queries)+len(b.queue.queriesByEntry) != 0 || b.queue.resultBytes != 0 {
-		t.Errorf("left behind: %+v", b.queue.Stats())
+		t.Errorf("not all was forgotten: %+v", b.queue.Stats())
 	}
 }
 
-// Bounds that are made smaller: what is held stays, nothing is taken until it fits, and of the kept the oldest go.
+// When limits shrink, held jobs stay, no job is accepted until they fit, and the oldest kept jobs are forgotten.
 func TestSmallerBounds(t *testing.T) {
 	b := newHarness(t, nil)
 	for i := range 10 {
@@ -568,7 +570,7 @@
 	}
 }
 
-// Results give way to the room that others need; their jobs stay known.
+// Results are dropped when others need the space. Their jobs stay known.
 func TestResultsAreShed(t *testing.T) {
 	b := newHarness(t, func(l *Limits) { l.MaxBytes = 64 << 10 })
 	for i := range 3 {
@@ -588,7 +590,7 @@
 	}
 }
 
-// The end of the program: those on the line have their answer by then, and nothing more is promised.
+// On shutdown attached jobs are answered in time, and no further jobs are accepted.
 func TestClose(t *testing.T) {
 	b := newHarness(t, nil)
 	attach := func(not time.Duration) func(*Job) {
@@ -612,7 +614,7 @@
 	}
 }
 
-// The module has forgotten what was before it: that has failed, the rest waits on.
+// The decision module has lost its jobs: those that were released have failed, the others wait on.
 func TestCrashed(t *testing.T) {
 	b := newHarness(t, nil)
 	out, waits := b.submit("out", nil), b.submit("waits", at(b.now+second))
@@ -621,7 +623,7 @@
 	b.queue.Sent(b.now, out)
 	b.queue.Crashed(b.now)
 	if b.queue.Keeps(out) || !b.queue.Keeps(waits) {
-		t.Error("keeps the wrong one")
+		t.Error("Keeps reports the wrong job")
 	}
 	b.tick(second)
 	b.wantState("out", Failed, StatusFailed)
@@ -631,7 +633,7 @@
 	}
 }
 
-// The need of a backlog is the steepest line to its demand curve, within the width of a bin.
+// The required rate is the slope of the steepest line to the demand curve, to within the width of a bin.
 func TestRequiredRate(t *testing.T) {
 	b := newHarness(t, nil)
 	for i := range 600 {
@@ -642,11 +644,11 @@
 	}
 	b.queue.Actions()
 	if got := b.queue.requiredRate(b.now); got < 25 || got > 25*1.25 {
-		t.Errorf("need %v a second, want 25 to 31", got)
+		t.Errorf("required rate %v a second, want 25 to 31", got)
 	}
 }
 
-// The window grows while fresh jobs are served, halves when one is refused, and keeps its floor.
+// The window grows while jobs are sent promptly, halves when a fresh job is refused, and never falls below its floor.
 func TestWindow(t *testing.T) {
 	b := newHarness(t, func(l *Limits) { l.ClientShare = 1; l.DefaultDue = 10 * time.Minute; l.Share = 0.5 })
 	b.queue.Hosts(10)
@@ -657,7 +659,7 @@
 	b.tick(0)
 	for range 4 {
 		sent := served
-		for ; sent < min(len(b.turns), served+40); b.tick(0) { // the fleet has so many lanes
+		for ; sent < min(len(b.turns), served+40); b.tick(0) { // the fleet has 40 lanes
 			b.queue.Sent(b.now, b.turns[sent])
 			sent++
 		}
@@ -672,7 +674,7 @@
 	}
 	n := b.fresh("f")
 	if b.queue.Refused(b.now, n) {
-		t.Error("a fresh job's refusal is taken back")
+		t.Error("a refused fresh job is queued again")
 	}
 	b.tick(100 * ms)
 	if w := b.queue.Stats().Window; w > grown/2+1 {
@@ -682,19 +684,19 @@
 		b.queue.Refused(b.now, b.fresh(fmt.Sprint("f", i)))
 		b.tick(300 * ms)
 	}
-	// 2000 jobs in 600 s at a stay of a moment need little: one at a time, and never none.
+	// 2000 jobs in 600 s with very short turns need little: one at a time, but never none.
 	if w := b.queue.Stats().Window; w < 1 || w > 7 {
 		t.Errorf("window %d", w)
 	}
 }
 
-// A dependant that has gone leaves nothing by which its predecessor's end could meet the job that has its place now.
+// After a dependant was forgotten, the end of its predecessor must not affect the job that reuses its entry.
 func TestReusedEntryIsNotNotified(t *testing.T) {
 	b := newHarness(t, func(l *Limits) { l.Retention = second })
 	n := b.submit("a", at(b.now+time.Minute))
 	b.submit("b", after("a"))
 	b.queue.Asked(b.now, &Ask{Number: 999, Name: "b", Cancel: true})
-	b.tick(second) // forgotten
+	b.tick(second) // b is forgotten
 	m := b.submit("c", at(b.now+time.Hour))
 	if b.queue.active[m] != 2 {
 		t.Fatalf("c has place %d", b.queue.active[m])
--- a/internal/waiting/weigh_test.go
+++ b/internal/waiting/weigh_test.go
@@ -25,8 +25,8 @@
 	{Name: "harvest-sale", OnTime: 2 * second, Stretch: 2, Deadline: 25 * second, Worth: 10, Kind: -1,
 		Effect: policy.Unsafe}}
 
-// simulation is a small fleet in virtual time round a real chain: hosts with lanes and a queue, clients that come at random.
-// Equal seeds give equal runs.
+// simulation is a small fleet in virtual time around a real chain: hosts with lanes and a queue, and clients that
+// arrive at random. Equal seeds give equal runs.
 type simulation struct {
 	rng    *rand.Rand
 	chain  *dispatch.Chain
@@ -39,7 +39,7 @@
 	jobs   map[uint64]*simJob
 	out    map[dispatch.Key]*run
 	next   uint64
-	lanes  int // lanes
+	lanes  int
 
 	freshInTime int
 }
@@ -49,7 +49,7 @@
 	queue       []*run
 }
 
-// simJob is a job that somebody handed in.
+// simJob is a job that a client has submitted.
 type simJob struct {
 	class   int
 	size    time.Duration
@@ -112,7 +112,7 @@
 	heap.Push(&w.events, event{max(t, w.now), w.seq, do})
 }
 
-// newJob makes a job: of every hundred 62 light ones and 38 sales, their sizes spread by a factor of about two.
+// newJob creates a job: 62 % are light ones and 38 % sales, with sizes spread by a factor of about two.
 func (w *simulation) newJob(fresh bool) *simJob {
 	m := &simJob{arrived: w.now, fresh: fresh}
 	mean := 0.7
@@ -127,14 +127,14 @@
 
 const meanWork = 0.62*0.7 + 0.38*4
 
-// arrive hands a job in; wait nil: it is fresh.
+// arrive submits a job; with wait nil it is a fresh one.
 func (w *simulation) arrive(m *simJob, id uint64, wait *dispatch.Wait) {
 	budget := classes[m.class].Deadline
 	w.in = append(w.in, dispatch.Arrived{Job: id, Name: fmt.Sprint("j", id), Client: "c", Class: m.class, Tenant: -1,
 		At: w.now, Budget: budget, Size: m.size, Slots: 1, Wait: wait})
 }
 
-// flood has fresh jobs come at a multiple of what the fleet can do, until an end.
+// flood submits fresh jobs at a multiple of the fleet's capacity until a time.
 func (w *simulation) flood(load float64, until time.Duration) {
 	gap := meanWork / float64(w.lanes) / load
 	w.at(w.now+time.Duration(w.rng.ExpFloat64()*gap*1e9), func() {
@@ -145,7 +145,7 @@
 	})
 }
 
-// run goes on until an end, and calls each after every Step.
+// run runs the simulation until a time.
 func (w *simulation) run(until time.Duration) {
 	for {
 		at, ok := w.chain.Wake()
@@ -219,7 +219,7 @@
 	}
 }
 
-// end tells the one outcome of a send.
+// end reports the outcome of a send, once.
 func (w *simulation) end(r *run, result policy.Result) {
 	if r.over {
 		return
@@ -240,14 +240,14 @@
 	w.in = append(w.in, dispatch.Ended{Key: r.key, Result: result})
 }
 
-// results are what one run of the experiment gives.
+// results are the results of one run of the experiment.
 type results struct {
 	before, during, longest, served float64
 	turns                           uint64
 }
 
-// experiment floods a fleet for three minutes; after the first, a backlog becomes ready at one moment, due in the two
-// that are left.
+// experiment floods a fleet for three minutes. After the first minute a backlog becomes ready at one time, due within
+// the other two.
 func experiment(tb testing.TB, seed uint64, rule string, hosts, lanes int, load, part float64) results {
 	lim := waiting.Defaults()
 	lim.MaxJobs, lim.ClientShare, lim.DefaultDue = 1_000_000, 1, 2*time.Minute
@@ -255,7 +255,7 @@
 	w.room.SetRule(rule, lim.Share, float64(w.lanes))
 	end := epoch + 3*time.Minute
 	w.flood(load, end)
-	w.run(epoch + 20*second) // it takes a while until the fleet is full
+	w.run(epoch + 20*second) // until then the fleet fills up
 	count := func() (inTime, all int) {
 		for _, m := range w.jobs {
 			if m.fresh {
@@ -279,7 +279,7 @@
 		served: float64(s.Served) / float64(max(backlog, 1)), turns: s.Turns}
 }
 
-// Each rule under the same flood and backlog. The table is in docs/design/waiting.md:
+// TestWeigh compares the rules under the same flood and backlog. The table is in docs/design/waiting.md. To run it:
 //
 //	WEIGH=1 go test ./internal/waiting -run Weigh -v
 func TestWeigh(t *testing.T) {
@@ -306,8 +306,8 @@
 	}
 }
 
-// Under a flood of 1.2 times what the fleet can do no waiting job waits longer than twice its due time, as long as the
-// fleet can carry their share; nor do they shut out the fresh ones.
+// Under a flood of 1.2 times the fleet's capacity, no waiting job waits longer than twice its due time as long as the
+// fleet can carry their share. Waiting jobs do not shut out fresh ones either.
 func TestFloodStarvesNoWaitingJob(t *testing.T) {
 	for seed := range uint64(3) {
 		f := experiment(t, seed+1, "by need", 10, 2, 1.2, 0.25)
