--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -15,8 +15,9 @@
 	return reservation
 }
 
-// A reserved port opens by its number, again and again and at any address of loopback, and answers nobody before that.
-func TestAReservedPortOpensByItsNumber(t *testing.T) {
+// A reserved port can be opened by its number, repeatedly and on any loopback address. Until then connections to it are
+// refused.
+func TestReservedPortCanBeOpenedByNumber(t *testing.T) {
 	reservation := reserve(t)
 	for range 3 {
 		_, err := net.Dial("tcp", reservation.Address())
@@ -34,7 +35,7 @@
 	require.NoError(t, listener.Close())
 }
 
-// exchange makes a connection to a listener and ends it.
+// exchange accepts one connection at a listener and closes it.
 func exchange(t *testing.T, listener net.Listener) {
 	client, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
@@ -44,8 +45,8 @@
 	require.NoError(t, server.Close())
 }
 
-// No connection goes out from a reserved port.
-func TestNoConnectionHasAReservedPort(t *testing.T) {
+// The operating system assigns no reserved port to an outgoing connection.
+func TestNoConnectionUsesAReservedPort(t *testing.T) {
 	const dialled = 2000
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/net/operators/server.go
+++ b/internal/net/operators/server.go
@@ -15,83 +15,84 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// The bounds of the server. A caller waits 1 s for its answer, however busy the dispatcher is.
+// Limits of the server. They make sure that a client is answered within 1 s, however busy the dispatcher is.
 const (
-	headTimeout  = 2 * time.Second // from the accept to the end of the head; silent callers go then
+	headTimeout  = 2 * time.Second // from the accept to the end of the head; then silent connections are closed
 	writeTimeout = 2 * time.Second
-	handFor      = 800 * time.Millisecond // what the loop has to take a call by hand in
-	bodyMost     = 4 << 10                // calls carry no body to speak of
-	pollEvery    = 250 * time.Millisecond // for changes of the file by another process
+	coreTimeout  = 800 * time.Millisecond // time within which the loop must accept a change by hand
+	maxBody      = 4 << 10                // requests need no body
+	pollInterval = 250 * time.Millisecond // between checks whether another process has changed the file
 )
 
-// Core is what the server needs of the loop.
+// Core is the part of the dispatcher's loop that the server uses.
 type Core interface {
-	// Hand takes a host out by hand, or puts it back; known: the name is that of a listed host or of one out by
-	// hand. Once it returns, the module has heard of it.
+	// Hand takes a host out by hand or puts it back. known is false if the host is neither listed nor out by hand. When
+	// Hand returns, the decision module has been notified.
 	Hand(ctx context.Context, name string, out bool) (known bool, err error)
-	// HandSet makes the set of hosts out by hand the one given.
+	// HandSet replaces the set of hosts that are out by hand.
 	HandSet(names []string)
 }
 
-// Config is what a Server must keep to.
+// Config configures a Server.
 type Config struct {
 	Addr     string
-	MaxConns int         // connections at once; at the limit the oldest that has not sent a whole call is closed
-	Ready    func() bool // the process can serve
+	MaxConns int         // connections at any one time; at the limit the oldest without a complete request head is closed
+	Ready    func() bool // reports whether the process can serve
 	Figures  *Figures
 	Core     Core
-	Store    *Store // nil: what is done by hand is not kept beyond the process
-	// Views are further things to look at, by path below /: GET answers with what each gives, as JSON. They must not wait.
+	Store    *Store // nil: changes by hand are lost when the process ends
+	// Views are further resources by path below /. GET answers with the returned value as JSON. The functions must not
+	// block.
 	Views map[string]func() any
 }
 
-// Server answers the operators. Each call has a connection of its own: every answer closes it.
+// Server serves the operators. Each connection carries one request and is closed after the answer.
 type Server struct {
-	cfg  Config
-	http *http.Server
-	gate *limit
-	mu   sync.Mutex // of the store
+	cfg      Config
+	http     *http.Server
+	listener *connLimiter
+	mu       sync.Mutex // guards the store
 }
 
-// NewServer makes a server that has no address yet.
+// NewServer creates a server that does not listen yet.
 func NewServer(cfg Config) *Server {
 	s := &Server{cfg: cfg}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthcheck", s.health)
 	mux.Handle("GET /stats", promhttp.HandlerFor(cfg.Figures.Gatherer(), promhttp.HandlerOpts{
 		ErrorHandling: promhttp.ContinueOnError, MaxRequestsInFlight: 4, Timeout: time.Second}))
-	mux.HandleFunc("POST /game-workers/{id}/maint", func(w http.ResponseWriter, r *http.Request) { s.hand(w, r, true) })
-	mux.HandleFunc("POST /game-workers/{id}/ready", func(w http.ResponseWriter, r *http.Request) { s.hand(w, r, false) })
+	mux.HandleFunc("POST /game-workers/{id}/maint", func(w http.ResponseWriter, r *http.Request) { s.setOut(w, r, true) })
+	mux.HandleFunc("POST /game-workers/{id}/ready", func(w http.ResponseWriter, r *http.Request) { s.setOut(w, r, false) })
 	for path, view := range cfg.Views {
 		mux.HandleFunc("GET /"+path, func(w http.ResponseWriter, _ *http.Request) {
 			text, err := json.Marshal(view())
 			if err != nil {
-				say(w, http.StatusInternalServerError, err.Error())
+				writeText(w, http.StatusInternalServerError, err.Error())
 				return
 			}
-			answer(w, http.StatusOK, "application/json", string(text))
+			writeAnswer(w, http.StatusOK, "application/json", string(text))
 		})
 	}
-	s.http = &http.Server{Handler: framed(mux), ReadHeaderTimeout: headTimeout, ReadTimeout: headTimeout,
+	s.http = &http.Server{Handler: checkFraming(mux), ReadHeaderTimeout: headTimeout, ReadTimeout: headTimeout,
 		WriteTimeout: writeTimeout, MaxHeaderBytes: 8 << 10,
-		ConnState: func(nc net.Conn, state http.ConnState) { s.gate.state(nc, state) },
+		ConnState: func(nc net.Conn, state http.ConnState) { s.listener.connState(nc, state) },
 		ErrorLog:  slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
 	s.http.SetKeepAlivesEnabled(false)
 	return s
 }
 
-// Listen opens the address.
+// Listen opens the listener.
 func (s *Server) Listen() (net.Listener, error) {
 	ln, err := net.Listen("tcp", s.cfg.Addr)
 	if err != nil {
 		return nil, fmt.Errorf("ops: %w", err)
 	}
-	s.gate = newLimit(ln, s.cfg.MaxConns)
-	return s.gate, nil
+	s.listener = newConnLimiter(ln, s.cfg.MaxConns)
+	return s.listener, nil
 }
 
-// Restore tells the core what the store holds, at a start. A file that can't be read is named in the log and
-// counts as none.
+// Restore passes the content of the store to the core at the start of the process. A file that cannot be read is logged
+// and counts as empty.
 func (s *Server) Restore() {
 	if s.cfg.Store == nil {
 		return
@@ -100,7 +101,7 @@
 	names, err := s.cfg.Store.Load()
 	s.mu.Unlock()
 	if err != nil {
-		slog.Error("hosts out by hand: the file is not read, none are out", "error", err)
+		slog.Error("hosts out by hand: cannot read the file; no hosts are out", "error", err)
 	}
 	if len(names) > 0 {
 		slog.Info("hosts out by hand, as kept", "hosts", names)
@@ -108,11 +109,11 @@
 	s.cfg.Core.HandSet(names)
 }
 
-// Serve answers calls until ctx ends, and follows the changes that another process makes to the store.
+// Serve answers requests until ctx ends, and applies changes that another process makes to the store.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	failed := make(chan error, 1)
 	go func() { failed <- s.http.Serve(ln) }()
-	tick := time.NewTicker(pollEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -123,13 +124,13 @@
 			<-failed
 			return nil
 		case <-tick.C:
-			s.follow()
+			s.reloadIfChanged()
 		}
 	}
 }
 
-// follow takes in what another process of the same dispatcher has written to the store.
-func (s *Server) follow() {
+// reloadIfChanged applies the store's content if another process of the same dispatcher has written it.
+func (s *Server) reloadIfChanged() {
 	if s.cfg.Store == nil {
 		return
 	}
@@ -141,21 +142,21 @@
 	names, err := s.cfg.Store.Load()
 	s.mu.Unlock()
 	if err != nil {
-		slog.Error("hosts out by hand: the file is not read, what is out stays so", "error", err)
+		slog.Error("hosts out by hand: cannot read the file; the set stays unchanged", "error", err)
 		return
 	}
 	s.cfg.Core.HandSet(names)
 }
 
-// framed refuses bodies that are framed twice or too long, before any handler.
-func framed(next http.Handler) http.Handler {
+// checkFraming rejects requests with a Transfer-Encoding or with too long a body, before any handler runs.
+func checkFraming(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case len(r.TransferEncoding) > 0 || r.Header.Get("Content-Length") != "" && r.Header.Get("Transfer-Encoding") != "":
-			say(w, http.StatusBadRequest, "no Transfer-Encoding here")
+			writeText(w, http.StatusBadRequest, "no Transfer-Encoding here")
 			return
-		case r.ContentLength > bodyMost:
-			say(w, http.StatusRequestEntityTooLarge, "calls carry no body")
+		case r.ContentLength > maxBody:
+			writeText(w, http.StatusRequestEntityTooLarge, "calls carry no body")
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -164,42 +165,42 @@
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
 	if s.cfg.Ready() {
-		say(w, http.StatusOK, "ok")
+		writeText(w, http.StatusOK, "ok")
 		return
 	}
-	say(w, http.StatusServiceUnavailable, "not serving")
+	writeText(w, http.StatusServiceUnavailable, "not serving")
 }
 
-// hand takes a game worker out, or puts it back. A name that nobody has gets a 404 and changes nothing.
-func (s *Server) hand(w http.ResponseWriter, r *http.Request, out bool) {
-	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, bodyMost)); err != nil {
-		say(w, http.StatusBadRequest, "body: "+err.Error())
+// setOut takes a game worker out or puts it back. An unknown name is answered with 404 and changes nothing.
+func (s *Server) setOut(w http.ResponseWriter, r *http.Request, out bool) {
+	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBody)); err != nil {
+		writeText(w, http.StatusBadRequest, "body: "+err.Error())
 		return
 	}
 	name := r.PathValue("id")
 	if !ValidName(name) {
-		say(w, http.StatusBadRequest, "not a game worker's name")
+		writeText(w, http.StatusBadRequest, "not a game worker's name")
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), handFor)
+	ctx, cancel := context.WithTimeout(r.Context(), coreTimeout)
 	defer cancel()
 	known, err := s.cfg.Core.Hand(ctx, name, out)
 	switch {
 	case err != nil:
-		say(w, http.StatusServiceUnavailable, "not taken in time; ask again")
+		writeText(w, http.StatusServiceUnavailable, "not taken in time; ask again")
 		return
 	case !known:
-		say(w, http.StatusNotFound, "no game worker of that name")
+		writeText(w, http.StatusNotFound, "no game worker of that name")
 		return
 	}
-	s.keep(name, out)
+	s.saveChange(name, out)
 	verb := map[bool]string{true: "out", false: "back"}[out]
 	slog.Info("game worker "+verb+" by hand", "host", name)
-	say(w, http.StatusOK, verb)
+	writeText(w, http.StatusOK, verb)
 }
 
-// keep writes a change to the store, on top of what is there now: another process may have written it last.
-func (s *Server) keep(name string, out bool) {
+// saveChange adds a change to the present content of the file, which another process may have written last.
+func (s *Server) saveChange(name string, out bool) {
 	if s.cfg.Store == nil {
 		return
 	}
@@ -207,7 +208,7 @@
 	defer s.mu.Unlock()
 	names, err := s.cfg.Store.Load()
 	if err != nil {
-		slog.Error("hosts out by hand: the file is not read, it is written anew", "error", err)
+		slog.Error("hosts out by hand: cannot read the file; replacing it", "error", err)
 	}
 	kept := names[:0:0]
 	for _, n := range names {
@@ -219,16 +220,16 @@
 		kept = append(kept, name)
 	}
 	if err := s.cfg.Store.Save(kept); err != nil {
-		slog.Error("hosts out by hand: not kept for a successor", "error", err)
+		slog.Error("hosts out by hand: cannot store the set; it is lost when the process ends", "error", err)
 	}
 }
 
-// say sends a short answer and closes.
-func say(w http.ResponseWriter, status int, text string) {
-	answer(w, status, "text/plain; charset=utf-8", text)
+// writeText sends a short answer and closes the connection.
+func writeText(w http.ResponseWriter, status int, text string) {
+	writeAnswer(w, status, "text/plain; charset=utf-8", text)
 }
 
-func answer(w http.ResponseWriter, status int, kind, text string) {
+func writeAnswer(w http.ResponseWriter, status int, kind, text string) {
 	w.Header().Set("Content-Type", kind)
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)+1))
 	w.Header().Set("Connection", "close")
--- a/internal/net/peers/session.go
+++ b/internal/net/peers/session.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	bindEvery    = 200 * time.Millisecond // while another process holds the address
-	roundEvery   = 500 * time.Millisecond // exchanges with any member
-	contactEvery = time.Second            // each member calls another one, in turn
+	bindInterval   = 200 * time.Millisecond // between attempts while another process holds the address
+	gossipInterval = 500 * time.Millisecond // between exchanges with a random member
+	memberInterval = time.Second            // between calls to another member, in turn
 )
 
-// session is what there is while this process holds its member's address.
+// session holds what exists while this process listens at its member's address.
 type session struct {
-	peers   *Peers
-	server  *transport.Server
-	client  *transport.Client
-	contact *contact
-	node    *membership.Node
-	sender  *sender
-	halt    context.CancelFunc // of the looks at suspects
-	served  sync.WaitGroup
+	peers        *Peers
+	server       *transport.Server
+	client       *transport.Client
+	prober       *prober
+	node         *membership.Node
+	sender       *sender
+	cancelProbes context.CancelFunc // of suspects
+	served       sync.WaitGroup
 }
 
-// label sets fleets of different settings apart: the services of one are not found by another's members.
-func (p *Peers) label() string {
+// servicePrefix keeps fleets with different settings apart: their members do not find one another's services.
+func (p *Peers) servicePrefix() string {
 	return fmt.Sprintf("gaugeslip/%d/%d/", len(p.cfg.Members), p.cfg.Voters)
 }
 
-// service is the prefix of the services of a member; whoever else is at its address does not answer to it.
-func (p *Peers) service(member int) string { return p.label() + name(member) + "/" }
+// memberPrefix is the prefix of a member's services. Another member at the same address does not answer to it.
+func (p *Peers) memberPrefix(member int) string { return p.servicePrefix() + name(member) + "/" }
 
-// bind opens the address as soon as nobody else holds it. Both nil: ctx has ended.
+// bind listens at the address as soon as no other process does. Both results are nil if ctx has ended.
 func (p *Peers) bind(ctx context.Context) (*session, error) {
 	for said := false; ; said = true {
 		server, err := transport.Listen(p.cfg.Listen)
@@ -49,26 +49,26 @@
 			return p.newSession(server)
 		}
 		if !said {
-			slog.Warn("this dispatcher's address for talk is taken: it owns no share until it is free", "listen", p.cfg.Listen, "error", err)
+			slog.Warn("peer address is in use by another process: no budget share is owned until it is free", "listen", p.cfg.Listen, "error", err)
 		}
-		if pause.For(ctx, bindEvery) != nil {
+		if pause.For(ctx, bindInterval) != nil {
 			return nil, nil
 		}
 	}
 }
 
-// newSession makes a session that isn't served yet.
+// newSession creates a session that does not serve yet.
 func (p *Peers) newSession(server *transport.Server) (*session, error) {
 	s := &session{peers: p, server: server, client: transport.NewClient(transport.Options{MaxConnections: len(p.cfg.Members)})}
-	s.contact = &contact{peers: p, client: s.client}
-	s.contact.ctx, s.halt = context.WithCancel(context.Background())
-	s.node = membership.New(s.contact, p.membership())
-	talk := p.label() + talkService
+	s.prober = &prober{peers: p, client: s.client}
+	s.prober.ctx, s.cancelProbes = context.WithCancel(context.Background())
+	s.node = membership.New(s.prober, p.membership())
+	talk := p.servicePrefix() + talkService
 	s.sender = transport.NewSender[[]byte](s.client, talk+".Receive", transport.SenderOptions{AnswerTimeout: answerTimeout})
 	for service, answers := range map[string]any{
-		p.service(p.cfg.Self) + membership.ServiceName: s.node.Service(),
-		p.service(p.cfg.Self) + presenceService:        &Presence{contact: s.contact},
-		talk:                                           transport.NewReceiver(p.deliver),
+		p.memberPrefix(p.cfg.Self) + membership.ServiceName: s.node.Service(),
+		p.memberPrefix(p.cfg.Self) + presenceService:        &Presence{prober: s.prober},
+		talk: transport.NewReceiver(p.deliver),
 	} {
 		if err := server.Register(service, answers); err != nil {
 			s.close()
@@ -78,7 +78,7 @@
 	return s, nil
 }
 
-// membership says how this process takes part in the gossip. Members go by their names.
+// membership returns the options of this process for the gossip, in which members are addressed by their names.
 func (p *Peers) membership() membership.Options {
 	var others []string
 	for i := range p.cfg.Members {
@@ -87,58 +87,58 @@
 		}
 	}
 	return membership.Options{
-		Self:              peersampling.Peer{Address: name(p.cfg.Self), Incarnation: life()},
+		Self:              peersampling.Peer{Address: name(p.cfg.Self), Incarnation: incarnation()},
 		Seeds:             others,
 		RandomSeed:        rand.Uint64(),
-		Interval:          roundEvery,
+		Interval:          gossipInterval,
 		CallTimeout:       callTimeout,
 		Preferred:         func() []string { return others },
-		PreferredInterval: contactEvery,
+		PreferredInterval: memberInterval,
 	}
 }
 
-// life numbers this process among all that have had its address: by the time of its start. Where that has gone back, a
-// process answers to what is said of the earlier one.
-func life() uint64 { return uint64(time.Now().UnixMilli()) }
+// incarnation numbers the processes that use this member's address by the time of their start. If the clock has gone
+// back, the process refutes what is said about the earlier one.
+func incarnation() uint64 { return uint64(time.Now().UnixMilli()) }
 
-// begin serves, and takes part in the gossip.
-func (s *session) begin() {
+// start serves requests and joins the gossip.
+func (s *session) start() {
 	s.served.Go(func() {
 		if err := s.server.Serve(); err != nil {
-			slog.Error("talk with the other dispatchers isn't heard any more", "error", err)
+			slog.Error("peer server stopped: no more messages from other dispatchers are received", "error", err)
 		}
 	})
 	p := s.peers
 	var own gossip.Version
-	p.set(func() {
-		p.gossip = s.tell
-		own = p.roster.begin(life())
+	p.locked(func() {
+		p.gossip = s.setValue
+		own = p.roster.join(incarnation())
 	})
-	s.node.Subscribe(p.learn)
-	p.say(p.cfg.Self, own)
+	s.node.Subscribe(p.onValue)
+	p.announce(p.cfg.Self, own)
 	s.node.Start()
 }
 
-// tell hands a word to the gossip. It has no data, so it can't be too long.
-func (s *session) tell(value gossip.Value) { _ = s.node.Set(value) }
+// setValue passes a value to the gossip. The value has no data, so it cannot be too long.
+func (s *session) setValue(value gossip.Value) { _ = s.node.Set(value) }
 
-// end tells the others that this process leaves, for a call's time at most, and frees the address.
-func (s *session) end() {
+// stop announces that this process leaves, which takes at most the time of one call, and frees the address.
+func (s *session) stop() {
 	p := s.peers
 	var last gossip.Version
-	p.set(func() { last = p.roster.leave() })
-	p.say(p.cfg.Self, last)
+	p.locked(func() { last = p.roster.leave() })
+	p.announce(p.cfg.Self, last)
 	s.node.Stop()
-	p.set(func() { p.gossip = nil })
+	p.locked(func() { p.gossip = nil })
 	s.close()
 }
 
 // close ends all connections and frees the address.
 func (s *session) close() {
-	s.peers.set(s.halt) // no look begins after this
+	s.peers.locked(s.cancelProbes) // no probe starts after this
 	_ = s.sender.Close()
 	_ = s.client.Close()
-	s.peers.looks.Wait()
+	s.peers.probes.Wait()
 	_ = s.server.Close()
 	s.served.Wait()
 }
--- a/internal/waiting/room.go
+++ b/internal/waiting/room.go
@@ -6,99 +6,99 @@
 
 // Room holds the waiting jobs. Use New to create one.
 type Room struct {
-	lim    Limits
-	fleet  Fleet
-	all    slab[entry] // index 0 of each slab is unused
-	free   uint32
-	edges  slab[edge]
-	spare  uint32
-	names  map[string]uint32
-	open   map[uint64]uint32 // by job number; jobs that are not final
-	shares map[string]*share
-	place  slab[uint32] // of timers, ready and backoff
-	timers queue        // jobs that wait for their set time
-	ready  queue        // ready jobs, by the time at which they should be sent
-	again  queue        // jobs that the decision module refused, by the time of their next attempt
-	endsAt slab[uint32]
-	ends   queue    // jobs by the time at which they must have been sent, or be answered
-	ended  []uint32 // final jobs whose dependants are not notified yet
-	oldest uint32   // list of kept jobs, oldest first
-	newest uint32
-	shedAt uint32 // oldest kept job that may have a result
-	askers map[uint32][]uint64
-	asks   map[uint64]*waiter
-	asksAt time.Duration // no query times out before
+	limits           Limits
+	fleet            Fleet
+	entries          slab[entry] // index 0 of each slab is unused
+	freeEntries      uint32
+	edges            slab[edge]
+	freeEdges        uint32
+	byName           map[string]uint32
+	active           map[uint64]uint32 // by job number; jobs that are not final
+	byClient         map[string]*clientJobs
+	heapIndex        slab[uint32] // of timers, ready and backoff
+	timers           timeHeap     // jobs that wait for their set time
+	ready            timeHeap     // ready jobs, by the time at which they should be sent
+	backoff          timeHeap     // jobs that the decision module refused, by the time of their next attempt
+	deadlineIndex    slab[uint32]
+	deadlines        timeHeap // jobs by the time at which they must have been sent, or be answered
+	unnotified       []uint32 // final jobs whose dependants are not notified yet
+	oldestKept       uint32   // list of kept jobs, oldest first
+	newestKept       uint32
+	nextToShed       uint32 // oldest kept job that may have a result
+	queriesByEntry   map[uint32][]uint64
+	queries          map[uint64]*pendingQuery
+	nextQueryTimeout time.Duration // no query times out before
 
-	held            int // waiting, ready and released jobs that asked to wait
-	bodies, results int64
-	hosts           int
-	closing         bool
-	more            bool // the last Tick left work
-	pace            pacer
-	rule            func(p *pacer, most float64) (floor float64, window int)
-	stats           Stats
-	records         []Record // nil: recording is off
-	out, before     []Action
-	advised         int
-	freedAt         time.Duration // when a place last came free
-	freeGap         time.Duration // between places that come free
-	patience        []time.Duration
+	held                   int // waiting, ready and released jobs that asked to wait
+	bodyBytes, resultBytes int64
+	hosts                  int
+	closing                bool
+	moreWork               bool // the last Tick left work
+	pacer                  pacer
+	windowRule             func(p *pacer, most float64) (floor float64, window int)
+	stats                  Stats
+	records                []Record // nil: recording is off
+	actions, spareActions  []Action
+	advisedClients         int
+	lastFreed              time.Duration // when a place last came free
+	meanFreeInterval       time.Duration // between places that come free
+	longestBudget          []time.Duration
 }
 
 // pendingQuery is a query that waits for the end of a job.
-type waiter struct {
-	of    uint32
-	until time.Duration
+type pendingQuery struct {
+	entry    uint32
+	deadline time.Duration
 }
 
 // New creates an empty queue. The limits must be valid, see Limits.Check.
 func New(lim Limits, fleet Fleet) *Room {
-	r := &Room{lim: lim, fleet: fleet, names: map[string]uint32{}, open: map[uint64]uint32{}, shares: map[string]*share{},
-		askers: map[uint32][]uint64{}, asks: map[uint64]*waiter{}, pace: newPacer(), rule: byNeed,
-		patience: make([]time.Duration, len(fleet.Classes))}
-	r.all.push(entry{}) // so that 0 means none
-	r.edges.push(edge{})
-	r.place.push(0)
-	r.endsAt.push(0)
-	r.timers.place, r.ready.place, r.again.place, r.ends.place = &r.place, &r.place, &r.place, &r.endsAt
-	return r
+	q := &Room{limits: lim, fleet: fleet, byName: map[string]uint32{}, active: map[uint64]uint32{}, byClient: map[string]*clientJobs{},
+		queriesByEntry: map[uint32][]uint64{}, queries: map[uint64]*pendingQuery{}, pacer: newPacer(), windowRule: demandRule,
+		longestBudget: make([]time.Duration, len(fleet.Classes))}
+	q.entries.push(entry{}) // so that 0 means none
+	q.edges.push(edge{})
+	q.heapIndex.push(0)
+	q.deadlineIndex.push(0)
+	q.timers.index, q.ready.index, q.backoff.index, q.deadlines.index = &q.heapIndex, &q.heapIndex, &q.heapIndex, &q.deadlineIndex
+	return q
 }
 
 // Actions returns the actions that have become necessary since the last call. The slice is valid until the next call of
 // Actions.
-func (r *Room) Actions() []Action {
-	out := r.out
-	if r.out, r.before = r.before[:0], out; cap(out) > tickWork {
-		r.before = nil // do not retain the memory of a rare burst
+func (q *Room) Actions() []Action {
+	out := q.actions
+	if q.actions, q.spareActions = q.spareActions[:0], out; cap(out) > maxTickWork {
+		q.spareActions = nil // do not retain the memory of a rare burst
 	}
 	return out
 }
 
-func (r *Room) do(a Action) { r.out = append(r.out, a) }
+func (q *Room) emit(a Action) { q.actions = append(q.actions, a) }
 
 // SetLimits changes the limits. Jobs already held stay even if they exceed the new limits; no more are accepted until
 // they fit.
-func (r *Room) SetLimits(lim Limits) { r.lim = lim }
+func (q *Room) SetLimits(lim Limits) { q.limits = lim }
 
 // Hosts sets how many hosts are ready.
-func (r *Room) Hosts(n int) { r.hosts = n }
+func (q *Room) Hosts(n int) { q.hosts = n }
 
 // Stats returns counts of what is held and what was done.
-func (r *Room) Stats() Stats {
-	s := r.stats
-	s.Ready, s.Released = r.ready.len()+r.again.len(), r.pace.in
-	s.Waiting = r.held - s.Ready - s.Released
-	s.Bytes, s.Window = r.bodies+r.results, r.pace.window
+func (q *Room) Stats() Stats {
+	s := q.stats
+	s.Ready, s.Released = q.ready.len()+q.backoff.len(), q.pacer.turns
+	s.Waiting = q.held - s.Ready - s.Released
+	s.Bytes, s.Window = q.bodyBytes+q.resultBytes, q.pacer.window
 	return s
 }
 
 // Held returns how many jobs are waiting, ready or released, not counting fresh jobs.
-func (r *Room) Held() int { return r.held }
+func (q *Room) Held() int { return q.held }
 
 // Out returns how many detached jobs are released: with the decision module or at a host.
-func (r *Room) Out() (n int) {
-	for _, i := range r.open {
-		if e := r.all.at(i); e.state == Released && !e.is(attached|fresh) {
+func (q *Room) Out() (n int) {
+	for _, i := range q.active {
+		if e := q.entries.at(i); e.state == Released && !e.has(attached|fresh) {
 			n++
 		}
 	}
@@ -106,18 +106,18 @@
 }
 
 // allocEntry returns the index of an empty entry.
-func (r *Room) take() uint32 {
-	if i := r.free; i != 0 {
-		r.free = r.all.at(i).next
-		*r.all.at(i) = entry{}
+func (q *Room) allocEntry() uint32 {
+	if i := q.freeEntries; i != 0 {
+		q.freeEntries = q.entries.at(i).next
+		*q.entries.at(i) = entry{}
 		return i
 	}
-	r.place.push(0)
-	r.endsAt.push(0)
-	return r.all.push(entry{})
+	q.heapIndex.push(0)
+	q.deadlineIndex.push(0)
+	return q.entries.push(entry{})
 }
 
-func (r *Room) drop(i uint32) {
-	*r.all.at(i) = entry{next: r.free}
-	r.free = i
+func (q *Room) freeEntry(i uint32) {
+	*q.entries.at(i) = entry{next: q.freeEntries}
+	q.freeEntries = i
 }
--- a/internal/waiting/types.go
+++ b/internal/waiting/types.go
@@ -25,9 +25,9 @@
 	Cancelled              // cancelled before it was sent
 )
 
-var names = [...]string{"waiting", "ready", "released", "served", "refused", "failed", "cancelled"}
+var stateNames = [...]string{"waiting", "ready", "released", "served", "refused", "failed", "cancelled"}
 
-func (s State) String() string { return names[s] }
+func (s State) String() string { return stateNames[s] }
 
 // Final reports whether the state can no longer change.
 func (s State) Final() bool { return s >= Served }
