--- a/coord/gossip/epidemic_test.go
+++ b/coord/gossip/epidemic_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const testRound = 250 * time.Millisecond
+const roundInterval = 250 * time.Millisecond
 
 // epidemic is a number of stores that exchange with drawn partners in rounds; messages get lost both ways.
 type epidemic struct {
@@ -21,9 +21,9 @@
 	newest []map[Key]Version
 	now    time.Duration
 	loss   float64
-	// halves cuts the even from the odd stores.
-	halves bool
-	rumors []rumor
+	// partitioned cuts the even from the odd stores.
+	partitioned bool
+	rumors      []rumor
 	// sent counts the data bytes of values that have gone out.
 	sent int
 }
@@ -47,17 +47,17 @@
 	learned, err := e.stores[at].Set(value)
 	require.NoError(e.t, err)
 	if learned {
-		e.learned(at, at, []Value{value})
+		e.recordLearned(at, at, []Value{value})
 	}
 }
 
-// arrives draws whether a message between two stores gets there.
-func (e *epidemic) arrives(from, to int) bool {
-	return !(e.halves && from%2 != to%2) && e.random.Float64() >= e.loss
+// drawDelivery draws whether a message between two stores gets there.
+func (e *epidemic) drawDelivery(from, to int) bool {
+	return !(e.partitioned && from%2 != to%2) && e.random.Float64() >= e.loss
 }
 
-// learned checks that nothing goes back, and sends the rumor on.
-func (e *epidemic) learned(at, source int, values []Value) {
+// recordLearned checks that nothing goes back, and sends the rumor on.
+func (e *epidemic) recordLearned(at, source int, values []Value) {
 	if len(values) == 0 {
 		return
 	}
@@ -81,7 +81,7 @@
 
 // round lets every store begin one exchange, then lets all rumors run dry.
 func (e *epidemic) round() {
-	e.now += testRound
+	e.now += roundInterval
 	for _, from := range e.random.Perm(len(e.stores)) {
 		e.exchange(from, (from+1+e.random.IntN(len(e.stores)-1))%len(e.stores))
 	}
@@ -93,16 +93,16 @@
 }
 
 func (e *epidemic) exchange(from, to int) {
-	if !e.arrives(from, to) {
+	if !e.drawDelivery(from, to) {
 		return
 	}
-	reply := e.stores[to].HandleRequest(e.stores[from].Begin())
-	e.count(reply.Values)
-	if !e.arrives(to, from) {
+	reply := e.stores[to].HandleRequest(e.stores[from].BeginExchange())
+	e.countBytes(reply.Values)
+	if !e.drawDelivery(to, from) {
 		return
 	}
 	learned, push := e.stores[from].HandleReply(e.now, reply)
-	e.learned(from, to, learned)
+	e.recordLearned(from, to, learned)
 	e.push(from, to, push)
 }
 
@@ -110,30 +110,30 @@
 	if push == nil {
 		return
 	}
-	e.count(push.Values)
-	if !e.arrives(from, to) {
-		e.stores[from].Abandon(*push)
+	e.countBytes(push.Values)
+	if !e.drawDelivery(from, to) {
+		e.stores[from].AbandonPush(*push)
 		return
 	}
 	learned, reply, pull := e.stores[to].HandlePush(e.now, *push)
-	e.learned(to, from, learned)
+	e.recordLearned(to, from, learned)
 	e.push(to, from, pull)
-	e.count(reply.Values)
-	if !e.arrives(to, from) {
-		e.stores[from].Abandon(*push)
+	e.countBytes(reply.Values)
+	if !e.drawDelivery(to, from) {
+		e.stores[from].AbandonPush(*push)
 		return
 	}
-	e.learned(from, to, e.stores[from].HandlePushReply(*push, reply))
+	e.recordLearned(from, to, e.stores[from].HandlePushReply(*push, reply))
 }
 
-func (e *epidemic) count(values []Value) {
+func (e *epidemic) countBytes(values []Value) {
 	for _, value := range values {
 		e.sent += len(value.Data)
 	}
 }
 
-// having counts the stores that have a version of a key, or a newer one.
-func (e *epidemic) having(key Key, version Version) int {
+// countWith counts the stores that have a version of a key, or a newer one.
+func (e *epidemic) countWith(key Key, version Version) int {
 	count := 0
 	for _, s := range e.stores {
 		if got, ok := s.Get(key); ok && !version.Newer(got.Version) {
@@ -147,25 +147,25 @@
 
 // A store without the value misses it in one more round when its own exchange fails (0.36 at this loss) and none that others
 // begin with it succeeds (0.6): after eight rounds, 2 s, that leaves one of a hundred thousand.
-func TestAValueReachesAllWithinFewRounds(t *testing.T) {
-	const most, all = 3, 8
+func TestValueReachesAllStoresWithinEightRounds(t *testing.T) {
+	const roundsForMost, roundsForAll = 3, 8
 	for _, n := range epidemicSizes {
 		for seed := range uint64(20) {
 			e := newEpidemic(t, n, seed)
 			e.set(0, value("config", 1, 500))
-			for range most {
+			for range roundsForMost {
 				e.round()
 			}
-			require.GreaterOrEqual(t, e.having("config", Version{Major: 1}), n*9/10, "%d stores, seed %d", n, seed)
-			for range all - most {
+			require.GreaterOrEqual(t, e.countWith("config", Version{Major: 1}), n*9/10, "%d stores, seed %d", n, seed)
+			for range roundsForAll - roundsForMost {
 				e.round()
 			}
-			require.Equal(t, n, e.having("config", Version{Major: 1}), "%d stores, seed %d", n, seed)
+			require.Equal(t, n, e.countWith("config", Version{Major: 1}), "%d stores, seed %d", n, seed)
 		}
 	}
 }
 
-func TestALongValueReachesAllAndIsSeldomSentTwice(t *testing.T) {
+func TestLongValueReachesAllStoresWithFewDuplicates(t *testing.T) {
 	const size = 100 << 10
 	const rounds = 12
 	for _, n := range epidemicSizes {
@@ -174,27 +174,27 @@
 		for range rounds {
 			e.round()
 		}
-		require.Equal(t, n, e.having("config", Version{Major: 1}))
+		require.Equal(t, n, e.countWith("config", Version{Major: 1}))
 		// One copy each, a quarter more for those that got lost, and some slack.
 		assert.Less(t, e.sent, 2*n*size, "%d stores", n)
 	}
 }
 
-func TestManyVersionsNeverGoBack(t *testing.T) {
+func TestManyVersionsNeverRegress(t *testing.T) {
 	for _, n := range epidemicSizes {
 		e := newEpidemic(t, n, uint64(n))
 		last := map[Key]uint64{}
 		for round := range 60 {
 			key := Key(fmt.Sprint("key-", round%3))
 			last[key] = uint64(round + 1)
-			e.set(e.random.IntN(n), value(key, last[key], e.random.IntN(2*RumorBytes)))
+			e.set(e.random.IntN(n), value(key, last[key], e.random.IntN(2*MaxRumorBytes)))
 			e.round()
 		}
 		for range 30 {
 			e.round()
 		}
 		for key, major := range last {
-			require.Equal(t, n, e.having(key, Version{Major: major}))
+			require.Equal(t, n, e.countWith(key, Version{Major: major}))
 		}
 		for _, s := range e.stores {
 			require.Equal(t, e.stores[0].Hash(), s.Hash())
@@ -202,22 +202,22 @@
 	}
 }
 
-func TestAPartitionHeals(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	for _, n := range epidemicSizes {
 		e := newEpidemic(t, n, uint64(n))
-		e.halves = true
+		e.partitioned = true
 		e.set(0, value("config", 1, 100))
 		e.set(1, value("other", 1, 100))
 		for range 20 {
 			e.round()
 		}
-		require.Equal(t, n/2, e.having("config", Version{Major: 1}))
-		require.Equal(t, n/2, e.having("other", Version{Major: 1}))
-		e.halves = false
+		require.Equal(t, n/2, e.countWith("config", Version{Major: 1}))
+		require.Equal(t, n/2, e.countWith("other", Version{Major: 1}))
+		e.partitioned = false
 		for range 8 {
 			e.round()
 		}
-		assert.Equal(t, n, e.having("config", Version{Major: 1}))
-		assert.Equal(t, n, e.having("other", Version{Major: 1}))
+		assert.Equal(t, n, e.countWith("config", Version{Major: 1}))
+		assert.Equal(t, n, e.countWith("other", Version{Major: 1}))
 	}
 }
--- a/coord/gossip/example_test.go
+++ b/coord/gossip/example_test.go
@@ -14,7 +14,7 @@
 	_, _ = there.Set(gossip.Value{Key: "view", Version: gossip.Version{Major: 2}, Data: []byte("two")})
 
 	now := time.Second
-	reply := there.HandleRequest(here.Begin()) // in a program both go over the network
+	reply := there.HandleRequest(here.BeginExchange()) // in a program both go over the network
 	learned, push := here.HandleReply(now, reply)
 	if push != nil {
 		_, answer, _ := there.HandlePush(now, *push)
--- a/coord/gossip/exchange.go
+++ b/coord/gossip/exchange.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// ReplyBytes is the longest data of a value that goes out unasked to a peer that is known to lack it.
-const ReplyBytes = 16 << 10
+// MaxReplyBytes is the longest data of a value that goes out unasked to a peer that is known to lack it.
+const MaxReplyBytes = 16 << 10
 
-// Begin starts an exchange with any peer.
-func (s *Store) Begin() Request { return Request{Hash: s.hash} }
+// BeginExchange starts an exchange with any peer.
+func (s *Store) BeginExchange() Request { return Request{Hash: s.hash} }
 
 // HandleRequest answers an exchange that another began.
 func (s *Store) HandleRequest(request Request) Reply {
@@ -17,17 +17,17 @@
 	if !known {
 		return Reply{Unknown: true, Digest: s.Digest()}
 	}
-	values, announced := s.split(keys, ReplyBytes)
+	values, announced := s.splitBySize(keys, MaxReplyBytes)
 	return Reply{Values: values, Announced: announced}
 }
 
 // HandleReply goes on with an exchange begun here. It returns what was news, and what to push to the peer, if anything.
 func (s *Store) HandleReply(now time.Duration, reply Reply) (learned []Value, push *Push) {
 	learned = s.learnAll(reply.Values)
-	push = &Push{Wanted: s.want(now, reply.Announced)}
+	push = &Push{Wanted: s.startPulls(now, reply.Announced)}
 	if reply.Unknown {
-		push.Wanted = append(push.Wanted, s.want(now, reply.Digest)...)
-		push.Values, push.Announced = s.split(s.newerThan(reply.Digest), ReplyBytes)
+		push.Wanted = append(push.Wanted, s.startPulls(now, reply.Digest)...)
+		push.Values, push.Announced = s.splitBySize(s.newerThan(reply.Digest), MaxReplyBytes)
 	}
 	if push.Empty() {
 		return learned, nil
@@ -39,8 +39,8 @@
 // anything.
 func (s *Store) HandlePush(now time.Duration, push Push) (learned []Value, reply PushReply, pull *Push) {
 	learned = s.learnAll(push.Values)
-	reply.Values = s.asked(push.Wanted)
-	if wanted := s.want(now, push.Announced); len(wanted) > 0 {
+	reply.Values = s.valuesFor(push.Wanted)
+	if wanted := s.startPulls(now, push.Announced); len(wanted) > 0 {
 		pull = &Push{Wanted: wanted}
 	}
 	return learned, reply, pull
@@ -49,19 +49,19 @@
 // HandlePushReply takes in the answer to a push and returns what was news.
 func (s *Store) HandlePushReply(push Push, reply PushReply) (learned []Value) {
 	learned = s.learnAll(reply.Values)
-	s.Abandon(push)
+	s.AbandonPush(push)
 	return learned
 }
 
-// Abandon ends a push that gets no answer: what it wanted may be asked for elsewhere at once.
-func (s *Store) Abandon(push Push) {
+// AbandonPush ends a push that gets no answer: what it wanted may be asked for elsewhere at once.
+func (s *Store) AbandonPush(push Push) {
 	for _, wanted := range push.Wanted {
-		s.pulls.failed(wanted)
+		s.pulls.cancel(wanted)
 	}
 }
 
-// asked returns the values that a peer wants, in the version wanted or a newer one.
-func (s *Store) asked(wanted []KeyVersion) (values []Value) {
+// valuesFor returns the values that a peer wants, in the version wanted or a newer one.
+func (s *Store) valuesFor(wanted []KeyVersion) (values []Value) {
 	for _, each := range wanted {
 		if value, ok := s.values[each.Key]; ok && !each.Version.Newer(value.Version) {
 			values = append(values, value)
@@ -72,23 +72,23 @@
 
 // newerThan returns the keys that a digest lacks or has in an older version.
 func (s *Store) newerThan(digest []KeyVersion) (keys []Key) {
-	there := make(map[Key]Version, len(digest))
+	remote := make(map[Key]Version, len(digest))
 	for _, each := range digest {
-		there[each.Key] = each.Version
+		remote[each.Key] = each.Version
 	}
 	for _, key := range s.keys {
-		if s.values[key].Version.Newer(there[key]) {
+		if s.values[key].Version.Newer(remote[key]) {
 			keys = append(keys, key)
 		}
 	}
 	return keys
 }
 
-// split returns the values of keys that are short enough to be sent at once, and the names of the others.
-func (s *Store) split(keys []Key, longest int) (values []Value, announced []KeyVersion) {
+// splitBySize returns the values of keys that are short enough to be sent at once, and the names of the others.
+func (s *Store) splitBySize(keys []Key, maxBytes int) (values []Value, announced []KeyVersion) {
 	for _, key := range keys {
 		value := s.values[key]
-		if len(value.Data) > longest {
+		if len(value.Data) > maxBytes {
 			announced = append(announced, value.KeyVersion())
 			continue
 		}
--- a/coord/gossip/history.go
+++ b/coord/gossip/history.go
@@ -14,7 +14,7 @@
 	key    Key
 }
 
-func (h *history) note(before uint64, key Key) {
+func (h *history) record(before uint64, key Key) {
 	if len(h.changes) == historyLength {
 		h.changes = slices.Delete(h.changes, 0, 1)
 	}
--- a/coord/gossip/pulls.go
+++ b/coord/gossip/pulls.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// pullPatience is how long a value that was asked for isn't asked for elsewhere, were it empty.
-	pullPatience = time.Second
+	// pullTimeout is how long a value that was asked for isn't asked for elsewhere, were it empty.
+	pullTimeout = time.Second
 	// pullRate is the bandwidth, in bytes a second, that a pull is given time for.
 	pullRate = 64 << 10
 )
@@ -18,28 +18,28 @@
 type pulls map[Key]pull
 
 type pull struct {
-	version Version
-	until   time.Duration
+	version  Version
+	deadline time.Duration
 }
 
-// begin notes a pull unless the same version, or a newer one, is on its way.
-func (p pulls) begin(now time.Duration, wanted KeyVersion) bool {
-	if out, ok := p[wanted.Key]; ok && now < out.until && !wanted.Version.Newer(out.version) {
+// start notes a pull unless the same version, or a newer one, is on its way.
+func (p pulls) start(now time.Duration, wanted KeyVersion) bool {
+	if pending, ok := p[wanted.Key]; ok && now < pending.deadline && !wanted.Version.Newer(pending.version) {
 		return false
 	}
-	p[wanted.Key] = pull{version: wanted.Version, until: now + pullPatience + TransferTime(int(wanted.Size))}
+	p[wanted.Key] = pull{version: wanted.Version, deadline: now + pullTimeout + TransferTime(int(wanted.Size))}
 	return true
 }
 
-// arrived ends the pull that a value answers.
-func (p pulls) arrived(value Value) {
-	if out, ok := p[value.Key]; ok && !out.version.Newer(value.Version) {
+// complete ends the pull that a value answers.
+func (p pulls) complete(value Value) {
+	if pending, ok := p[value.Key]; ok && !pending.version.Newer(value.Version) {
 		delete(p, value.Key)
 	}
 }
 
-// failed ends a pull that won't be answered.
-func (p pulls) failed(wanted KeyVersion) {
+// cancel ends a pull that won't be answered.
+func (p pulls) cancel(wanted KeyVersion) {
 	if p[wanted.Key].version == wanted.Version {
 		delete(p, wanted.Key)
 	}
--- a/coord/gossip/rumor.go
+++ b/coord/gossip/rumor.go
@@ -8,8 +8,8 @@
 const (
 	// Fanout is how many peers a newly learned value is pushed to.
 	Fanout = 3
-	// RumorBytes is the longest data of a value that is pushed unasked; longer ones are announced.
-	RumorBytes = 1 << 10
+	// MaxRumorBytes is the longest data of a value that is pushed unasked; longer ones are announced.
+	MaxRumorBytes = 1 << 10
 )
 
 // Rumor returns the push that spreads newly learned values. Of two versions of one key only the newer one goes out.
@@ -19,7 +19,7 @@
 		if superseded(value, learned[i+1:]) {
 			continue
 		}
-		if len(value.Data) > RumorBytes {
+		if len(value.Data) > MaxRumorBytes {
 			push.Announced = append(push.Announced, value.KeyVersion())
 			continue
 		}
--- a/coord/gossip/store.go
+++ b/coord/gossip/store.go
@@ -65,10 +65,10 @@
 
 // learn takes in a value if it is newer than what is there.
 func (s *Store) learn(value Value) bool {
-	if !s.isNews(value.KeyVersion()) || len(value.Data) > MaxValueBytes {
+	if !s.isNewer(value.KeyVersion()) || len(value.Data) > MaxValueBytes {
 		return false
 	}
-	s.history.note(s.hash, value.Key)
+	s.history.record(s.hash, value.Key)
 	if before, ok := s.values[value.Key]; ok {
 		s.hash ^= before.hash()
 	} else {
@@ -77,7 +77,7 @@
 	}
 	s.hash ^= value.hash()
 	s.values[value.Key] = value
-	s.pulls.arrived(value)
+	s.pulls.complete(value)
 	return true
 }
 
@@ -91,18 +91,18 @@
 	return learned
 }
 
-// isNews reports whether a version is newer than what is here.
-func (s *Store) isNews(named KeyVersion) bool {
+// isNewer reports whether a version is newer than what is here.
+func (s *Store) isNewer(named KeyVersion) bool {
 	return named.Version.Newer(s.values[named.Key].Version)
 }
 
-// want picks from what a peer has that which is news and isn't being pulled already, and notes the pulls.
-func (s *Store) want(now time.Duration, named []KeyVersion) (wanted []KeyVersion) {
+// startPulls picks from what a peer has that which is news and isn't being pulled already, and notes the pulls.
+func (s *Store) startPulls(now time.Duration, named []KeyVersion) (wanted []KeyVersion) {
 	for _, each := range named {
-		if each.Size > MaxValueBytes || !s.isNews(each) {
+		if each.Size > MaxValueBytes || !s.isNewer(each) {
 			continue
 		}
-		if s.pulls.begin(now, each) {
+		if s.pulls.start(now, each) {
 			wanted = append(wanted, each)
 		}
 	}
--- a/coord/gossip/store_test.go
+++ b/coord/gossip/store_test.go
@@ -29,7 +29,7 @@
 	assert.Zero(t, Version{1, 1}.Compare(Version{1, 1}))
 }
 
-func TestSetTakesNewerVersionsOnly(t *testing.T) {
+func TestSetAcceptsNewerVersionsOnly(t *testing.T) {
 	s := NewStore()
 	for _, step := range []struct {
 		version Version
@@ -45,7 +45,7 @@
 	assert.Equal(t, []Value{got}, s.Values())
 }
 
-func TestSetRefusesWhatIsTooLong(t *testing.T) {
+func TestSetRejectsTooLongValues(t *testing.T) {
 	s := NewStore()
 	_, err := s.Set(value("a", 1, MaxValueBytes+1))
 	require.ErrorIs(t, err, ErrTooLong)
@@ -57,7 +57,7 @@
 }
 
 // What was taken in, in whatever order, the store has the newest of each key, and its hash tells that and nothing else.
-func TestTheStoreNeverGoesBack(t *testing.T) {
+func TestStoreKeepsNewestVersionInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := NewStore(), NewStore()
 		newest := map[Key]Version{}
@@ -87,28 +87,28 @@
 	})
 }
 
-func TestEqualStatesExchangeTheHashOnly(t *testing.T) {
+func TestEqualStatesExchangeOnlyTheHash(t *testing.T) {
 	one, other := NewStore(), NewStore()
 	set(t, one, value("a", 1, 10), value("b", 1, 10))
 	set(t, other, value("b", 1, 10), value("a", 1, 10))
-	reply := other.HandleRequest(one.Begin())
+	reply := other.HandleRequest(one.BeginExchange())
 	assert.Equal(t, Reply{}, reply)
 	learned, push := one.HandleReply(0, reply)
 	assert.Empty(t, learned)
 	assert.Nil(t, push)
 }
 
-func TestAnEarlierStateIsAnsweredWithWhatCameSince(t *testing.T) {
+func TestKnownEarlierStateGetsOnlyLaterChanges(t *testing.T) {
 	behind, ahead := NewStore(), NewStore()
 	set(t, ahead, value("a", 1, 10), value("b", 1, 10))
 	set(t, behind, value("a", 1, 10), value("b", 1, 10))
-	set(t, ahead, value("b", 2, 10), value("b", 3, 10), value("long", 1, ReplyBytes+1))
-	reply := ahead.HandleRequest(behind.Begin())
-	assert.Equal(t, Reply{Values: []Value{value("b", 3, 10)}, Announced: []KeyVersion{value("long", 1, ReplyBytes+1).KeyVersion()}}, reply)
+	set(t, ahead, value("b", 2, 10), value("b", 3, 10), value("long", 1, MaxReplyBytes+1))
+	reply := ahead.HandleRequest(behind.BeginExchange())
+	assert.Equal(t, Reply{Values: []Value{value("b", 3, 10)}, Announced: []KeyVersion{value("long", 1, MaxReplyBytes+1).KeyVersion()}}, reply)
 	learned, push := behind.HandleReply(0, reply)
 	assert.Equal(t, []Value{value("b", 3, 10)}, learned)
 	require.NotNil(t, push)
-	assert.Equal(t, ReplyBytes+1, push.Bytes())
+	assert.Equal(t, MaxReplyBytes+1, push.Bytes())
 	_, answer, pull := ahead.HandlePush(0, *push)
 	assert.Nil(t, pull)
 	learned = behind.HandlePushReply(*push, answer)
@@ -116,9 +116,9 @@
 	assert.Equal(t, ahead.Hash(), behind.Hash())
 }
 
-// converge exchanges once between two stores, without loss.
-func converge(one, other *Store) {
-	_, push := one.HandleReply(0, other.HandleRequest(one.Begin()))
+// exchangeOnce exchanges once between two stores, without loss.
+func exchangeOnce(one, other *Store) {
+	_, push := one.HandleReply(0, other.HandleRequest(one.BeginExchange()))
 	pushTo(one, other, push)
 }
 
@@ -131,17 +131,17 @@
 	}
 }
 
-func TestOneExchangeMakesAnyTwoStatesTheSame(t *testing.T) {
+func TestOneExchangeMakesAnyTwoStatesEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := NewStore(), NewStore()
 		for _, s := range []*Store{one, other} {
 			for range rapid.IntRange(0, 50).Draw(t, "values") {
 				key := rapid.SampledFrom([]Key{"a", "b", "c", "d"}).Draw(t, "key")
-				size := rapid.SampledFrom([]int{0, 10, RumorBytes + 1, ReplyBytes + 1}).Draw(t, "size")
+				size := rapid.SampledFrom([]int{0, 10, MaxRumorBytes + 1, MaxReplyBytes + 1}).Draw(t, "size")
 				set(t, s, value(key, rapid.Uint64Range(1, 60).Draw(t, "major"), size))
 			}
 		}
-		converge(one, other)
+		exchangeOnce(one, other)
 		require.Equal(t, one.Hash(), other.Hash())
 		for _, digest := range [][]KeyVersion{one.Digest(), other.Digest()} {
 			require.Len(t, digest, len(one.Values()))
@@ -151,7 +151,7 @@
 	})
 }
 
-func TestALongValueIsPulledFromOneOnly(t *testing.T) {
+func TestLongValueIsPulledFromOnePeer(t *testing.T) {
 	const size = 100 << 10
 	s := NewStore()
 	long := value("a", 1, size)
@@ -161,40 +161,40 @@
 		_, _, pull := s.HandlePush(now, rumor)
 		return pull
 	}
-	patience := pullPatience + TransferTime(size)
+	timeout := pullTimeout + TransferTime(size)
 	assert.Equal(t, &Push{Wanted: rumor.Announced}, pullAt(0, rumor))
-	assert.Nil(t, pullAt(patience-1, rumor), "it is on its way")
+	assert.Nil(t, pullAt(timeout-1, rumor), "it is on its way")
 	newer := Rumor([]Value{value("a", 2, size)})
-	assert.Equal(t, &Push{Wanted: newer.Announced}, pullAt(patience-1, newer), "a newer one is not")
-	assert.Equal(t, &Push{Wanted: rumor.Announced}, pullAt(2*patience, rumor), "it hasn't come")
-	learned, _, _ := s.HandlePush(2*patience, Push{Values: []Value{long}})
+	assert.Equal(t, &Push{Wanted: newer.Announced}, pullAt(timeout-1, newer), "a newer one is not")
+	assert.Equal(t, &Push{Wanted: rumor.Announced}, pullAt(2*timeout, rumor), "it hasn't come")
+	learned, _, _ := s.HandlePush(2*timeout, Push{Values: []Value{long}})
 	assert.Equal(t, []Value{long}, learned)
 	assert.Empty(t, s.pulls)
 }
 
-func TestAnAbandonedPullIsBegunElsewhere(t *testing.T) {
+func TestAbandonedPullIsRetried(t *testing.T) {
 	behind, ahead := NewStore(), NewStore()
-	set(t, ahead, value("a", 1, ReplyBytes+1))
-	_, push := behind.HandleReply(0, ahead.HandleRequest(behind.Begin()))
+	set(t, ahead, value("a", 1, MaxReplyBytes+1))
+	_, push := behind.HandleReply(0, ahead.HandleRequest(behind.BeginExchange()))
 	require.NotNil(t, push)
-	_, again := behind.HandleReply(0, ahead.HandleRequest(behind.Begin()))
+	_, again := behind.HandleReply(0, ahead.HandleRequest(behind.BeginExchange()))
 	require.Nil(t, again)
-	behind.Abandon(*push)
-	_, again = behind.HandleReply(0, ahead.HandleRequest(behind.Begin()))
+	behind.AbandonPush(*push)
+	_, again = behind.HandleReply(0, ahead.HandleRequest(behind.BeginExchange()))
 	assert.Equal(t, push, again)
 }
 
-func TestTransferTimeGrowsWithTheBytes(t *testing.T) {
+func TestTransferTimeIsProportionalToBytes(t *testing.T) {
 	assert.Equal(t, time.Duration(0), TransferTime(0))
 	assert.Equal(t, 4*time.Second, TransferTime(MaxValueBytes))
 }
 
-func TestARumorLeavesOutWhatIsSuperseded(t *testing.T) {
+func TestRumorOmitsSupersededValues(t *testing.T) {
 	rumor := Rumor([]Value{value("a", 1, 1), value("b", 1, 1), value("a", 2, 1)})
 	assert.Equal(t, Push{Values: []Value{value("b", 1, 1), value("a", 2, 1)}}, rumor)
 }
 
-func TestPushTargetsLeaveOutTheSource(t *testing.T) {
+func TestPushTargetsExcludeTheSource(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	drawn := map[string]int{}
 	for range 3000 {
--- a/coord/membership/cluster_test.go
+++ b/coord/membership/cluster_test.go
@@ -20,26 +20,26 @@
 
 // cluster is a number of nodes in virtual time. Calls take none; each way of one may get lost.
 type cluster struct {
-	t       *testing.T
-	random  *rand.Rand
-	now     time.Duration
-	nodes   map[string]*Node
-	members []*member
-	seeds   []string
-	core    []string
-	tasks   []func()
-	loss    float64
-	cut     func(from, to string) bool
-	wire    *wire
-	calls   []call
+	t         *testing.T
+	random    *rand.Rand
+	now       time.Duration
+	nodes     map[string]*Node
+	members   []*member
+	seeds     []string
+	core      []string
+	tasks     []func()
+	loss      float64
+	cut       func(from, to string) bool
+	sentBytes *byteCounter
+	calls     []call
 }
 
 type member struct {
-	address string
-	node    *Node
-	next    time.Duration
-	newest  map[gossip.Key]gossip.Version
-	learned time.Duration
+	address     string
+	node        *Node
+	nextRound   time.Duration
+	newest      map[gossip.Key]gossip.Version
+	lastLearned time.Duration
 }
 
 type call struct {
@@ -74,42 +74,42 @@
 	})
 	node.spawn = func(task func()) { c.tasks = append(c.tasks, task) }
 	start := c.now + time.Duration(c.random.Int64N(int64(DefaultInterval)))
-	m := &member{address: address, node: node, next: start, newest: map[gossip.Key]gossip.Version{}}
-	node.Subscribe(func(value gossip.Value) { c.learned(m, value) })
+	m := &member{address: address, node: node, nextRound: start, newest: map[gossip.Key]gossip.Version{}}
+	node.Subscribe(func(value gossip.Value) { c.recordLearned(m, value) })
 	c.nodes[address] = node
 	c.members = append(c.members, m)
 }
 
-// learned checks that nothing goes back.
-func (c *cluster) learned(m *member, value gossip.Value) {
+// recordLearned checks that nothing goes back.
+func (c *cluster) recordLearned(m *member, value gossip.Value) {
 	if !value.Version.Newer(m.newest[value.Key]) {
 		c.t.Fatalf("%s went back to %v of %s", m.address, value.Version, value.Key)
 	}
 	m.newest[value.Key] = value.Version
-	m.learned = c.now
+	m.lastLearned = c.now
 }
 
 func (c *cluster) set(m *member, value gossip.Value) {
 	require.NoError(c.t, m.node.Set(value))
-	c.drain()
+	c.runTasks()
 }
 
-// play lets a length of time pass.
-func (c *cluster) play(length time.Duration) {
+// advance lets a length of time pass.
+func (c *cluster) advance(length time.Duration) {
 	end := c.now + length
 	for {
-		next := slices.MinFunc(c.members, func(a, b *member) int { return int(a.next - b.next) })
-		if next.next > end {
+		next := slices.MinFunc(c.members, func(a, b *member) int { return int(a.nextRound - b.nextRound) })
+		if next.nextRound > end {
 			c.now = end
 			return
 		}
-		c.now = next.next
-		next.next += next.node.Round()
-		c.drain()
+		c.now = next.nextRound
+		next.nextRound += next.node.Round()
+		c.runTasks()
 	}
 }
 
-func (c *cluster) drain() {
+func (c *cluster) runTasks() {
 	for len(c.tasks) > 0 {
 		task := c.tasks[0]
 		c.tasks = c.tasks[1:]
@@ -117,8 +117,8 @@
 	}
 }
 
-// having counts the nodes that have a version of a key, or a newer one.
-func (c *cluster) having(key gossip.Key, version gossip.Version) int {
+// countWith counts the nodes that have a version of a key, or a newer one.
+func (c *cluster) countWith(key gossip.Key, version gossip.Version) int {
 	count := 0
 	for _, m := range c.members {
 		if value, ok := m.node.Get(key); ok && !version.Newer(value.Version) {
@@ -145,8 +145,8 @@
 	if err != nil || c.random.Float64() < c.loss {
 		return errNoAnswer
 	}
-	if c.wire != nil {
-		c.wire.count(c.t, caller.from, address, method, args, answer)
+	if c.sentBytes != nil {
+		c.sentBytes.count(c.t, caller.from, address, method, args, answer)
 	}
 	switch reply := reply.(type) {
 	case *ExchangeReply:
@@ -171,13 +171,13 @@
 	return nil, fmt.Errorf("no method %s", method)
 }
 
-// wire counts what net/rpc's gob codec would send, over connections that stay.
-type wire struct {
+// byteCounter counts what net/rpc's gob codec would send, over connections that stay.
+type byteCounter struct {
 	bytes    int
 	encoders map[[2]string]*gob.Encoder
 }
 
-func (w *wire) count(t *testing.T, from, to, method string, args, reply any) {
+func (w *byteCounter) count(t *testing.T, from, to, method string, args, reply any) {
 	there, back := w.encoder(from, to+"?"), w.encoder(to+"!", from)
 	require.NoError(t, there.Encode(&rpc.Request{ServiceMethod: method, Seq: 1000}))
 	require.NoError(t, there.Encode(args))
@@ -185,14 +185,14 @@
 	require.NoError(t, back.Encode(reply))
 }
 
-func (w *wire) encoder(from, to string) *gob.Encoder {
+func (w *byteCounter) encoder(from, to string) *gob.Encoder {
 	if w.encoders[[2]string{from, to}] == nil {
 		w.encoders[[2]string{from, to}] = gob.NewEncoder(w)
 	}
 	return w.encoders[[2]string{from, to}]
 }
 
-func (w *wire) Write(data []byte) (int, error) {
+func (w *byteCounter) Write(data []byte) (int, error) {
 	w.bytes += len(data)
 	return len(data), nil
 }
--- a/coord/membership/contact.go
+++ b/coord/membership/contact.go
@@ -4,11 +4,11 @@
 	"gaugeslip/coord/gossip"
 )
 
-// carryOut does one exchange of a round; in place of a preferred peer that doesn't answer others are asked.
-func (n *Node) carryOut(e exchange) {
-	defer n.exchangeOver()
+// runExchange does one exchange of a round; in place of a preferred peer that doesn't answer others are asked.
+func (n *Node) runExchange(e exchange) {
+	defer n.exchangeDone()
 	answered := n.exchangeWith(e)
-	for tries := 1; e.preferred && !answered && tries < preferredTries; tries++ {
+	for tries := 1; e.preferred && !answered && tries < maxPreferredTries; tries++ {
 		address, ok := n.nextPreferred(e.address)
 		if !ok {
 			return
@@ -18,10 +18,10 @@
 	}
 }
 
-func (n *Node) exchangeOver() {
+func (n *Node) exchangeDone() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.exchanges--
+	n.activeExchanges--
 }
 
 // nextPreferred picks another preferred peer than the one that has just failed.
@@ -35,48 +35,48 @@
 
 // exchangeWith calls a peer and carries on with its answer. It reports whether there was one.
 func (n *Node) exchangeWith(e exchange) bool {
-	args := ExchangeArgs{Gossip: n.begin(), Shuffle: e.shuffle}
+	args := ExchangeArgs{Gossip: n.gossipRequest(), Shuffle: e.shuffle}
 	var reply ExchangeReply
 	err := n.caller.Call(e.address, exchangeMethod, args, &reply, n.options.CallTimeout)
 	if err != nil {
-		n.noteFailed(e.address)
+		n.recordFailure(e.address)
 		return false
 	}
-	n.finish(e, &reply)
+	n.handleReply(e, &reply)
 	return true
 }
 
-func (n *Node) begin() gossip.Request {
+func (n *Node) gossipRequest() gossip.Request {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.store.Begin()
+	return n.store.BeginExchange()
 }
 
-// finish takes in the answer to an exchange.
-func (n *Node) finish(e exchange, reply *ExchangeReply) {
+// handleReply takes in the answer to an exchange.
+func (n *Node) handleReply(e exchange, reply *ExchangeReply) {
 	n.mu.Lock()
 	if e.shuffle != nil && reply.Shuffle != nil {
 		n.sampler.HandleReply(e.address, *reply.Shuffle)
 	}
-	n.rotation.answered(e.address)
+	n.rotation.markAnswered(e.address)
 	learned, push := n.store.HandleReply(n.options.Clock(), reply.Gossip)
-	targets := n.noteLearned(learned, e.address)
+	targets := n.queueLearned(learned, e.address)
 	n.mu.Unlock()
 
 	n.spread(learned, targets)
 	n.spawnPush(e.address, push)
 }
 
-// noteFailed notes that a peer didn't answer.
-func (n *Node) noteFailed(address string) {
+// recordFailure notes that a peer didn't answer.
+func (n *Node) recordFailure(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.sampler.Failed(address)
-	n.rotation.failed(n.options.Clock(), address)
+	n.sampler.MarkFailed(address)
+	n.rotation.markFailed(n.options.Clock(), address)
 }
 
-// noteLearned queues news for the subscribers and draws whom to push it to. The caller holds the lock, and calls spread without.
-func (n *Node) noteLearned(learned []gossip.Value, source string) (targets []string) {
+// queueLearned queues news for the subscribers and draws whom to push it to. The caller holds the lock, and calls spread without.
+func (n *Node) queueLearned(learned []gossip.Value, source string) (targets []string) {
 	if len(learned) == 0 {
 		return nil
 	}
@@ -120,15 +120,15 @@
 	}
 	n.mu.Lock()
 	learned := n.store.HandlePushReply(push, reply.Reply)
-	targets := n.noteLearned(learned, address)
+	targets := n.queueLearned(learned, address)
 	n.mu.Unlock()
 
 	n.spread(learned, targets)
 }
 
 func (n *Node) pushFailed(address string, push gossip.Push) {
-	n.noteFailed(address)
+	n.recordFailure(address)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.store.Abandon(push)
+	n.store.AbandonPush(push)
 }
--- a/coord/membership/delivery.go
+++ b/coord/membership/delivery.go
@@ -11,23 +11,23 @@
 type deliveries struct {
 	mu          sync.Mutex
 	subscribers []func(gossip.Value)
-	waiting     []delivery
+	pending     []delivery
 	// running tells that some goroutine is handing out; it takes what others queue meanwhile.
 	running bool
 }
 
 type delivery struct {
-	to    func(gossip.Value)
-	value gossip.Value
+	subscriber func(gossip.Value)
+	value      gossip.Value
 }
 
 // subscribe adds a subscriber and queues for it the values that are there.
-func (d *deliveries) subscribe(to func(gossip.Value), present []gossip.Value) {
+func (d *deliveries) subscribe(subscriber func(gossip.Value), current []gossip.Value) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.subscribers = append(d.subscribers, to)
-	for _, value := range present {
-		d.waiting = append(d.waiting, delivery{to: to, value: value})
+	d.subscribers = append(d.subscribers, subscriber)
+	for _, value := range current {
+		d.pending = append(d.pending, delivery{subscriber: subscriber, value: value})
 	}
 }
 
@@ -36,8 +36,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, value := range values {
-		for _, to := range d.subscribers {
-			d.waiting = append(d.waiting, delivery{to: to, value: value})
+		for _, subscriber := range d.subscribers {
+			d.pending = append(d.pending, delivery{subscriber: subscriber, value: value})
 		}
 	}
 }
@@ -50,12 +50,12 @@
 		return
 	}
 	d.running = true
-	for len(d.waiting) > 0 {
-		batch := d.waiting
-		d.waiting = nil
+	for len(d.pending) > 0 {
+		batch := d.pending
+		d.pending = nil
 		d.mu.Unlock()
 		for _, each := range batch {
-			each.to(each.value)
+			each.subscriber(each.value)
 		}
 		d.mu.Lock()
 	}
--- a/coord/membership/node.go
+++ b/coord/membership/node.go
@@ -29,8 +29,8 @@
 	// lastPreferred is when a preferred peer was asked, if preferredAsked.
 	lastPreferred  time.Duration
 	preferredAsked bool
-	// exchanges counts those that are out.
-	exchanges int
+	// activeExchanges counts those that are out.
+	activeExchanges int
 
 	stop    context.CancelFunc
 	stopped chan struct{}
@@ -116,7 +116,7 @@
 	if newer {
 		learned = []gossip.Value{value}
 	}
-	targets := n.noteLearned(learned, n.options.Self.Address)
+	targets := n.queueLearned(learned, n.options.Self.Address)
 	n.mu.Unlock()
 
 	n.spread(learned, targets)
--- a/coord/membership/parts_test.go
+++ b/coord/membership/parts_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestTheRotationTakesTurnsAndPassesOverSuspects(t *testing.T) {
+func TestRotationSkipsSuspectedPeers(t *testing.T) {
 	r := newRotation(0)
 	peers := []string{"a", "b", "c"}
 	_, ok := r.next(0, nil)
@@ -28,17 +28,17 @@
 		return peer
 	}
 	assert.Equal(t, []string{"b", "c", "a"}, []string{turn(0), turn(0), turn(0)})
-	r.failed(0, "b")
+	r.markFailed(0, "b")
 	assert.Equal(t, []string{"c", "a", "c"}, []string{turn(1), turn(1), turn(1)})
-	r.failed(1, "a")
-	r.failed(2, "c")
+	r.markFailed(1, "a")
+	r.markFailed(2, "c")
 	assert.Equal(t, "b", turn(3), "the longest suspected of all")
-	r.answered("a")
+	r.markAnswered("a")
 	assert.Equal(t, []string{"a", "a"}, []string{turn(4), turn(4)})
-	assert.ElementsMatch(t, peers, []string{turn(2 + suspicion), turn(2 + suspicion), turn(2 + suspicion)})
+	assert.ElementsMatch(t, peers, []string{turn(2 + suspicionTimeout), turn(2 + suspicionTimeout), turn(2 + suspicionTimeout)})
 }
 
-func TestDeliveriesKeepTheirOrder(t *testing.T) {
+func TestDeliveriesKeepOrder(t *testing.T) {
 	var d deliveries
 	var got []uint64
 	d.subscribe(func(value gossip.Value) {
@@ -53,8 +53,8 @@
 	assert.Equal(t, []uint64{1, 2, 3}, got)
 }
 
-func TestSetsOfManyGoroutinesNeverGoBack(t *testing.T) {
-	n := New(silent{}, Options{})
+func TestConcurrentSetsNeverRegress(t *testing.T) {
+	n := New(silentCaller{}, Options{})
 	var newest uint64
 	n.Subscribe(func(value gossip.Value) {
 		assert.Greater(t, value.Version.Major, newest)
@@ -77,15 +77,15 @@
 	n.Subscribe(func(value gossip.Value) { assert.Equal(t, newest, value.Version.Major) })
 }
 
-// silent answers no call.
-type silent struct{}
+// silentCaller answers no call.
+type silentCaller struct{}
 
-func (silent) Call(string, string, any, any, time.Duration) error { return errNoAnswer }
+func (silentCaller) Call(string, string, any, any, time.Duration) error { return errNoAnswer }
 
-// signalling tells of each call, and answers none.
-type signalling struct{ calls chan string }
+// recordingCaller tells of each call, and answers none.
+type recordingCaller struct{ calls chan string }
 
-func (s signalling) Call(address, _ string, _, _ any, _ time.Duration) error {
+func (s recordingCaller) Call(address, _ string, _, _ any, _ time.Duration) error {
 	select {
 	case s.calls <- address:
 	default:
@@ -93,8 +93,8 @@
 	return errNoAnswer
 }
 
-func TestStartCallsAndStopEndsIt(t *testing.T) {
-	caller := signalling{calls: make(chan string)}
+func TestStartBeginsCallsAndStopEndsThem(t *testing.T) {
+	caller := recordingCaller{calls: make(chan string)}
 	n := New(caller, Options{Seeds: []string{"seed"}, Interval: time.Millisecond})
 	n.Start()
 	for range 5 {
@@ -116,10 +116,10 @@
 	return c.client.Call(method, args, reply)
 }
 
-func TestTheServiceAnswersOverNetRPC(t *testing.T) {
-	there := New(silent{}, Options{Self: peersampling.Peer{Address: "there", Role: "keeper"}})
+func TestServiceAnswersOverNetRPC(t *testing.T) {
+	there := New(silentCaller{}, Options{Self: peersampling.Peer{Address: "there", Role: "keeper"}})
 	require.NoError(t, there.Set(config(1, 10)))
-	require.NoError(t, there.Set(gossip.Value{Key: "long", Version: gossip.Version{Minor: 1}, Data: make([]byte, gossip.ReplyBytes+1)}))
+	require.NoError(t, there.Set(gossip.Value{Key: "long", Version: gossip.Version{Minor: 1}, Data: make([]byte, gossip.MaxReplyBytes+1)}))
 	server := rpc.NewServer()
 	require.NoError(t, server.RegisterName(ServiceName, there.Service()))
 	near, far := net.Pipe()
--- a/coord/membership/rotation.go
+++ b/coord/membership/rotation.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// suspicion is how long a preferred peer that didn't answer is passed over.
-const suspicion = 4 * time.Second
+// suspicionTimeout is how long a preferred peer that didn't answer is passed over.
+const suspicionTimeout = 4 * time.Second
 
 // rotation takes preferred peers in turn and passes over those that didn't answer lately, while others are left.
 type rotation struct {
@@ -40,19 +40,19 @@
 	return failed && now < until
 }
 
-// anyAnswers reports whether one of the peers isn't suspected.
-func (r *rotation) anyAnswers(now time.Duration, peers []string) bool {
+// anyTrusted reports whether one of the peers isn't suspected.
+func (r *rotation) anyTrusted(now time.Duration, peers []string) bool {
 	return slices.ContainsFunc(peers, func(peer string) bool { return !r.suspected(now, peer) })
 }
 
-// failed notes that a peer didn't answer; answered that it did.
-func (r *rotation) failed(now time.Duration, peer string) {
+// markFailed notes that a peer didn't answer; answered that it did.
+func (r *rotation) markFailed(now time.Duration, peer string) {
 	for other, until := range r.suspects {
 		if now >= until {
 			delete(r.suspects, other)
 		}
 	}
-	r.suspects[peer] = now + suspicion
+	r.suspects[peer] = now + suspicionTimeout
 }
 
-func (r *rotation) answered(peer string) { delete(r.suspects, peer) }
+func (r *rotation) markAnswered(peer string) { delete(r.suspects, peer) }
--- a/coord/membership/round.go
+++ b/coord/membership/round.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// jitterShare is the part of the interval by which a round comes earlier or later at most: one of jitterShare.
-	jitterShare = 4
-	// shuffleEvery is how many rounds there are to a shuffle; while the view is young it is youngShuffleEvery.
-	shuffleEvery      = 16
-	youngShuffleEvery = 2
-	youngRounds       = 24
-	// anyEvery is how many free rounds there are to an exchange with any peer while the preferred answer.
-	anyEvery = 2
-	// exchangesLimit is how many exchanges may be out at once; a round beyond that is left out.
-	exchangesLimit = 8
-	// preferredTries is how many preferred peers are asked in turn until one answers.
-	preferredTries = 3
+	// jitterDivisor is the part of the interval by which a round comes earlier or later at most: one of jitterDivisor.
+	jitterDivisor = 4
+	// roundsPerShuffle is how many rounds there are to a shuffle; while the view is young it is initialRoundsPerShuffle.
+	roundsPerShuffle        = 16
+	initialRoundsPerShuffle = 2
+	initialRounds           = 24
+	// freeRoundsPerExchange is how many free rounds there are to an exchange with any peer while the preferred answer.
+	freeRoundsPerExchange = 2
+	// maxExchanges is how many exchanges may be out at once; a round beyond that is left out.
+	maxExchanges = 8
+	// maxPreferredTries is how many preferred peers are asked in turn until one answers.
+	maxPreferredTries = 3
 )
 
 // exchange is one that a round begins.
@@ -33,9 +33,9 @@
 // driven by it.
 func (n *Node) Round() time.Duration {
 	preferred := n.preferred()
-	wait, exchanges := n.plan(preferred)
+	wait, exchanges := n.planRound(preferred)
 	for _, each := range exchanges {
-		n.spawn(func() { n.carryOut(each) })
+		n.spawn(func() { n.runExchange(each) })
 	}
 	return wait
 }
@@ -51,13 +51,13 @@
 	return others
 }
 
-// plan draws the time until the next round and picks this round's exchanges: a shuffle when it is due, a preferred peer when one
+// planRound draws the time until the next round and picks this round's exchanges: a shuffle when it is due, a preferred peer when one
 // would be asked too late in the next round, else any peer. While preferred peers answer, some rounds stay free.
-func (n *Node) plan(preferred []string) (wait time.Duration, exchanges []exchange) {
+func (n *Node) planRound(preferred []string) (wait time.Duration, exchanges []exchange) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.options.Clock()
-	if n.exchanges >= exchangesLimit {
+	if n.activeExchanges >= maxExchanges {
 		return n.drawWait(), nil
 	}
 	if n.shuffleDue() {
@@ -66,53 +66,53 @@
 	if n.preferredDue(now) {
 		exchanges = n.appendPreferred(exchanges, now, preferred)
 	}
-	if len(exchanges) == 0 && n.anyDue(now, preferred) {
-		exchanges = n.appendAny(exchanges)
+	if len(exchanges) == 0 && n.randomDue(now, preferred) {
+		exchanges = n.appendRandom(exchanges)
 	}
 	n.rounds++
-	n.exchanges += len(exchanges)
+	n.activeExchanges += len(exchanges)
 	return n.waitUntilNext(now), exchanges
 }
 
-// shortestWait is the shortest time between two rounds.
-func (n *Node) shortestWait() time.Duration {
-	return n.options.Interval - n.options.Interval/jitterShare
+// minWait is the shortest time between two rounds.
+func (n *Node) minWait() time.Duration {
+	return n.options.Interval - n.options.Interval/jitterDivisor
 }
 
 func (n *Node) drawWait() time.Duration {
-	spread := int64(2 * (n.options.Interval / jitterShare))
-	return n.shortestWait() + time.Duration(n.random.Int64N(spread+1))
+	jitterRange := int64(2 * (n.options.Interval / jitterDivisor))
+	return n.minWait() + time.Duration(n.random.Int64N(jitterRange+1))
 }
 
 // waitUntilNext draws the time until the next round, which comes before a preferred peer would be asked too late.
 func (n *Node) waitUntilNext(now time.Duration) time.Duration {
 	wait := n.drawWait()
-	if left := n.preferredLeft(now); left >= n.shortestWait() {
+	if left := n.untilPreferredDue(now); left >= n.minWait() {
 		wait = min(wait, left)
 	}
 	return wait
 }
 
-// preferredLeft is the time until a preferred peer has to be asked again.
-func (n *Node) preferredLeft(now time.Duration) time.Duration {
+// untilPreferredDue is the time until a preferred peer has to be asked again.
+func (n *Node) untilPreferredDue(now time.Duration) time.Duration {
 	return n.lastPreferred + n.options.PreferredInterval - now
 }
 
 func (n *Node) shuffleDue() bool {
-	if n.rounds < youngRounds {
-		return n.rounds%youngShuffleEvery == 0
+	if n.rounds < initialRounds {
+		return n.rounds%initialRoundsPerShuffle == 0
 	}
-	return n.rounds%shuffleEvery == 0
+	return n.rounds%roundsPerShuffle == 0
 }
 
 func (n *Node) preferredDue(now time.Duration) bool {
-	return !n.preferredAsked || n.preferredLeft(now) < n.shortestWait()
+	return !n.preferredAsked || n.untilPreferredDue(now) < n.minWait()
 }
 
-// anyDue reports whether a round without another exchange has one with any peer.
-func (n *Node) anyDue(now time.Duration, preferred []string) bool {
+// randomDue reports whether a round without another exchange has one with any peer.
+func (n *Node) randomDue(now time.Duration, preferred []string) bool {
 	n.freeRounds++
-	return n.freeRounds%anyEvery == 0 || !n.rotation.anyAnswers(now, preferred)
+	return n.freeRounds%freeRoundsPerExchange == 0 || !n.rotation.anyTrusted(now, preferred)
 }
 
 func (n *Node) appendShuffle(exchanges []exchange) []exchange {
@@ -133,8 +133,8 @@
 	return append(exchanges, exchange{address: address, preferred: true})
 }
 
-// appendAny picks one of the view; if that is empty a shuffle calls a seed.
-func (n *Node) appendAny(exchanges []exchange) []exchange {
+// appendRandom picks one of the view; if that is empty a shuffle calls a seed.
+func (n *Node) appendRandom(exchanges []exchange) []exchange {
 	sample := n.sampler.Sample(1)
 	if len(sample) == 0 {
 		return n.appendShuffle(exchanges)
--- a/coord/membership/service.go
+++ b/coord/membership/service.go
@@ -55,7 +55,7 @@
 	n := s.node
 	n.mu.Lock()
 	learned, answer, pull := n.store.HandlePush(n.options.Clock(), args.Push)
-	targets := n.noteLearned(learned, args.From)
+	targets := n.queueLearned(learned, args.From)
 	n.mu.Unlock()
 
 	reply.Reply = answer
--- a/coord/peersampling/overlay_test.go
+++ b/coord/peersampling/overlay_test.go
@@ -11,13 +11,13 @@
 
 // overlay is a number of processes that shuffle in rounds.
 type overlay struct {
-	t      *testing.T
-	random *rand.Rand
-	nodes  map[string]*Sampler
-	order  []string
-	next   int
-	life   uint64
-	loss   float64
+	t           *testing.T
+	random      *rand.Rand
+	nodes       map[string]*Sampler
+	order       []string
+	next        int
+	incarnation uint64
+	loss        float64
 	// side tells the parts of a cut network; all alike without a cut.
 	side map[string]int
 }
@@ -34,8 +34,8 @@
 }
 
 func (o *overlay) join(address string, seeds []string) {
-	o.life++
-	self := Peer{Address: address, Role: "carrier", Zone: "bole", Incarnation: o.life}
+	o.incarnation++
+	self := Peer{Address: address, Role: "carrier", Zone: "bole", Incarnation: o.incarnation}
 	o.nodes[address] = New(self, seeds, DefaultSize, o.random.Uint64())
 	o.order = append(o.order, address)
 }
@@ -50,7 +50,7 @@
 	}
 }
 
-func (o *overlay) lost() bool { return o.random.Float64() < o.loss }
+func (o *overlay) drawLoss() bool { return o.random.Float64() < o.loss }
 
 // round lets every process shuffle once, in a drawn order.
 func (o *overlay) round() {
@@ -68,13 +68,13 @@
 	}
 	require.NotEqual(o.t, from, to)
 	partner, alive := o.nodes[to]
-	if !alive || o.side[from] != o.side[to] || o.lost() {
-		sampler.Failed(to)
+	if !alive || o.side[from] != o.side[to] || o.drawLoss() {
+		sampler.MarkFailed(to)
 		return
 	}
 	reply := partner.HandleRequest(request)
-	if o.lost() {
-		sampler.Failed(to)
+	if o.drawLoss() {
+		sampler.MarkFailed(to)
 		return
 	}
 	sampler.HandleReply(to, reply)
@@ -92,14 +92,14 @@
 			}
 			seen[peer.Address] = true
 		}
-		if len(sampler.view.peers) > DefaultSize || len(sampler.asked) > 0 {
-			o.t.Fatalf("%s holds %d peers and waits for %d answers", address, len(sampler.view.peers), len(sampler.asked))
+		if len(sampler.view.peers) > DefaultSize || len(sampler.pending) > 0 {
+			o.t.Fatalf("%s holds %d peers and waits for %d answers", address, len(sampler.view.peers), len(sampler.pending))
 		}
 	}
 }
 
-// reached counts the live processes that a walk over the views from the first one reaches, edges taken both ways.
-func (o *overlay) reached() int {
+// countReachable counts the live processes that a walk over the views from the first one reaches, edges taken both ways.
+func (o *overlay) countReachable() int {
 	edges := map[string][]string{}
 	for address, sampler := range o.nodes {
 		for _, peer := range sampler.Peers() {
@@ -136,14 +136,14 @@
 
 var overlaySizes = []int{12, 60, 300}
 
-func TestTheOverlayIsConnectedAndBalanced(t *testing.T) {
+func TestOverlayIsConnectedAndBalanced(t *testing.T) {
 	for _, n := range overlaySizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			o := newOverlay(t, n, uint64(n))
 			for range 60 {
 				o.round()
 			}
-			require.Equal(t, n, o.reached())
+			require.Equal(t, n, o.countReachable())
 			degrees := o.inDegrees()
 			for _, address := range o.order {
 				wanted := min(n-1, DefaultSize)
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestASmallOverlayKnowsAll(t *testing.T) {
+func TestSmallOverlayKnowsMostPeers(t *testing.T) {
 	o := newOverlay(t, 12, 7)
 	for range 30 {
 		o.round()
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestTheOverlayStaysConnectedUnderChurn(t *testing.T) {
+func TestOverlayStaysConnectedUnderChurn(t *testing.T) {
 	for _, n := range overlaySizes {
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprintf("%d/%d", n, seed), func(t *testing.T) {
@@ -180,7 +180,7 @@
 				for range 10 {
 					o.round()
 				}
-				require.Equal(t, n, o.reached())
+				require.Equal(t, n, o.countReachable())
 			})
 		}
 	}
@@ -200,7 +200,7 @@
 	}
 }
 
-func TestDeadPeersVanish(t *testing.T) {
+func TestDeadPeersLeaveAllViews(t *testing.T) {
 	for _, n := range overlaySizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			o := newOverlay(t, n, 3)
@@ -210,7 +210,7 @@
 			for _, i := range o.random.Perm(n)[:n/4] {
 				o.kill(fmt.Sprintf("node-%d", i))
 			}
-			for range ageLimit*DefaultSize + 1 {
+			for range maxAgeFactor*DefaultSize + 1 {
 				o.round()
 			}
 			for address, sampler := range o.nodes {
@@ -218,12 +218,12 @@
 					assert.Contains(t, o.nodes, peer.Address, "in the view of %s", address)
 				}
 			}
-			assert.Equal(t, len(o.order), o.reached())
+			assert.Equal(t, len(o.order), o.countReachable())
 		})
 	}
 }
 
-func TestACutOverlayHeals(t *testing.T) {
+func TestPartitionedOverlayHeals(t *testing.T) {
 	for _, n := range overlaySizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			o := newOverlay(t, n, 5)
@@ -240,14 +240,14 @@
 			for range 30 {
 				o.round()
 			}
-			assert.Equal(t, n, o.reached())
-			assert.Positive(t, o.mixed())
+			assert.Equal(t, n, o.countReachable())
+			assert.Positive(t, o.countCrossEdges())
 		})
 	}
 }
 
-// mixed counts edges between even and odd processes.
-func (o *overlay) mixed() int {
+// countCrossEdges counts edges between even and odd processes.
+func (o *overlay) countCrossEdges() int {
 	count := 0
 	for i, address := range o.order {
 		for _, peer := range o.nodes[address].Peers() {
@@ -261,7 +261,7 @@
 	return count
 }
 
-func TestOtherSeedsServeAfterTheFirstAreGone(t *testing.T) {
+func TestReplacedSeedsServeAfterFirstSeedsFail(t *testing.T) {
 	o := newOverlay(t, 60, 9)
 	for range 30 {
 		o.round()
@@ -276,6 +276,6 @@
 	for range 40 {
 		o.round()
 	}
-	assert.Equal(t, len(o.order), o.reached())
+	assert.Equal(t, len(o.order), o.countReachable())
 	assert.Positive(t, o.inDegrees()["newcomer"])
 }
--- a/coord/peersampling/quarantine.go
+++ b/coord/peersampling/quarantine.go
@@ -3,9 +3,9 @@
 // quarantine remembers for a number of shuffles which lives didn't answer, so that others' stale descriptions don't bring them
 // back at once.
 type quarantine struct {
-	lives map[string]quarantined
-	// span is how many of the own shuffles a life stays in.
-	span uint64
+	entries map[string]quarantined
+	// duration is how many of the own shuffles a life stays in.
+	duration uint64
 }
 
 type quarantined struct {
@@ -14,28 +14,28 @@
 }
 
 func newQuarantine(span uint64) quarantine {
-	return quarantine{lives: map[string]quarantined{}, span: span}
+	return quarantine{entries: map[string]quarantined{}, duration: span}
 }
 
 // add puts a life in at the given shuffle.
 func (q *quarantine) add(peer Peer, shuffle uint64) {
-	q.lives[peer.Address] = quarantined{incarnation: peer.Incarnation, until: shuffle + q.span}
+	q.entries[peer.Address] = quarantined{incarnation: peer.Incarnation, until: shuffle + q.duration}
 }
 
-// holds reports whether a peer is in: the same life or an earlier one.
-func (q *quarantine) holds(peer Peer) bool {
-	held, ok := q.lives[peer.Address]
-	return ok && peer.Incarnation <= held.incarnation
+// contains reports whether a peer is in: the same life or an earlier one.
+func (q *quarantine) contains(peer Peer) bool {
+	entry, ok := q.entries[peer.Address]
+	return ok && peer.Incarnation <= entry.incarnation
 }
 
-// lift lets the peer at an address out; it was heard.
-func (q *quarantine) lift(address string) { delete(q.lives, address) }
+// release lets the peer at an address out; it was heard.
+func (q *quarantine) release(address string) { delete(q.entries, address) }
 
 // expire lets out those whose time is over at the given shuffle.
 func (q *quarantine) expire(shuffle uint64) {
-	for address, held := range q.lives {
-		if shuffle >= held.until {
-			delete(q.lives, address)
+	for address, entry := range q.entries {
+		if shuffle >= entry.until {
+			delete(q.entries, address)
 		}
 	}
 }
--- a/coord/peersampling/sampler.go
+++ b/coord/peersampling/sampler.go
@@ -8,12 +8,12 @@
 const (
 	// DefaultSize is how many peers a view holds where nothing else is said.
 	DefaultSize = 12
-	// shuffleLength is how many descriptions one message carries at most, the sender's among them.
-	shuffleLength = 5
-	// seedShare is how many shuffles go to the view for one that goes to a seed, so that partitions heal.
-	seedShare = 10
-	// ageLimit is the greatest age of a description, in view sizes.
-	ageLimit = 4
+	// maxShufflePeers is how many descriptions one message carries at most, the sender's among them.
+	maxShufflePeers = 5
+	// shufflesPerSeed is how many shuffles go to the view for one that goes to a seed, so that partitions heal.
+	shufflesPerSeed = 10
+	// maxAgeFactor is the greatest age of a description, in view sizes.
+	maxAgeFactor = 4
 )
 
 // Sampler is the view of one process and its part in the shuffles.
@@ -24,12 +24,12 @@
 	quarantine quarantine
 	random     *rand.Rand
 	shuffles   uint64
-	// asked holds the unanswered requests by whom they were sent to.
-	asked map[string]asked
+	// pending holds the unanswered requests by whom they were sent to.
+	pending map[string]pendingRequest
 }
 
-// asked is a request that has no answer yet.
-type asked struct {
+// pendingRequest is a request that has no answer yet.
+type pendingRequest struct {
 	// partner is whom it went to, as far as known: a seed may be known by its address only.
 	partner Peer
 	// offer is what it gave away.
@@ -48,7 +48,7 @@
 		view:       view{size: size, peers: make([]Peer, 0, size)},
 		quarantine: newQuarantine(uint64(size)),
 		random:     rand.New(rand.NewPCG(randomSeed, self.Incarnation)),
-		asked:      map[string]asked{},
+		pending:    map[string]pendingRequest{},
 	}
 	s.SetSeeds(seeds)
 	return s
@@ -78,22 +78,22 @@
 func (s *Sampler) Shuffle() (to string, request ShuffleRequest, ok bool) {
 	s.shuffles++
 	s.quarantine.expire(s.shuffles)
-	s.view.grow(uint16(ageLimit * s.view.size))
-	partner, ok := s.partner()
+	s.view.incrementAges(uint16(maxAgeFactor * s.view.size))
+	partner, ok := s.pickPartner()
 	if !ok {
 		return "", ShuffleRequest{}, false
 	}
-	offer := s.offerTo(partner.Address)
-	s.asked[partner.Address] = asked{partner: partner, offer: offer}
+	offer := s.drawOffer(partner.Address)
+	s.pending[partner.Address] = pendingRequest{partner: partner, offer: offer}
 	return partner.Address, ShuffleRequest{From: s.self, Peers: offer}, true
 }
 
-// partner picks whom to shuffle with: now and then a seed, else the oldest of the view, which it takes out.
-func (s *Sampler) partner() (Peer, bool) {
+// pickPartner picks whom to shuffle with: now and then a seed, else the oldest of the view, which it takes out.
+func (s *Sampler) pickPartner() (Peer, bool) {
 	oldest := s.view.oldest()
-	seedsTurn := oldest < 0 || s.random.IntN(seedShare) == 0
+	seedsTurn := oldest < 0 || s.random.IntN(shufflesPerSeed) == 0
 	if seedsTurn && len(s.seeds) > 0 {
-		return s.seed(), true
+		return s.pickSeed(), true
 	}
 	if oldest < 0 {
 		return Peer{}, false
@@ -103,8 +103,8 @@
 	return peer, true
 }
 
-// seed draws a seed; what the view knows of it goes with it.
-func (s *Sampler) seed() Peer {
+// pickSeed draws a seed; what the view knows of it goes with it.
+func (s *Sampler) pickSeed() Peer {
 	address := s.seeds[s.random.IntN(len(s.seeds))]
 	if i := s.view.find(address); i >= 0 {
 		return s.view.peers[i]
@@ -112,40 +112,40 @@
 	return Peer{Address: address}
 }
 
-// offerTo draws what to send to a peer besides the own description.
-func (s *Sampler) offerTo(address string) []Peer {
-	offer := s.view.sample(shuffleLength, s.random)
+// drawOffer draws what to send to a peer besides the own description.
+func (s *Sampler) drawOffer(address string) []Peer {
+	offer := s.view.sample(maxShufflePeers, s.random)
 	offer = slices.DeleteFunc(offer, func(p Peer) bool { return p.Address == address })
-	return offer[:min(len(offer), shuffleLength-1)]
+	return offer[:min(len(offer), maxShufflePeers-1)]
 }
 
 // HandleRequest takes another's part and returns the own one.
 func (s *Sampler) HandleRequest(request ShuffleRequest) ShuffleReply {
-	offer := s.offerTo(request.From.Address)
-	s.take(request.From, request.Peers, offer)
+	offer := s.drawOffer(request.From.Address)
+	s.insertRequest(request.From, request.Peers, offer)
 	return ShuffleReply{From: s.self, Peers: offer}
 }
 
 // HandleReply takes the answer of the peer that a request went to. An answer to none, or after Failed, changes nothing.
 func (s *Sampler) HandleReply(from string, reply ShuffleReply) {
-	request, ok := s.asked[from]
+	request, ok := s.pending[from]
 	if !ok {
 		return
 	}
-	delete(s.asked, from)
+	delete(s.pending, from)
 	// The swap turns the edge round: the partner is taken back only where there is room for it.
-	s.quarantine.lift(reply.From.Address)
-	s.takeAll(reply.Peers, request.offer)
+	s.quarantine.release(reply.From.Address)
+	s.insertAll(reply.Peers, request.offer)
 	if s.acceptable(reply.From) {
-		s.view.put(reply.From, nil)
+		s.view.insert(reply.From, nil)
 	}
 }
 
-// Failed tells that a peer hasn't answered a call: it leaves the view, and others' descriptions of this life of it aren't taken
+// MarkFailed tells that a peer hasn't answered a call: it leaves the view, and others' descriptions of this life of it aren't taken
 // for a while unless it is heard.
-func (s *Sampler) Failed(address string) {
-	failed := s.asked[address].partner
-	delete(s.asked, address)
+func (s *Sampler) MarkFailed(address string) {
+	failed := s.pending[address].partner
+	delete(s.pending, address)
 	if i := s.view.find(address); i >= 0 {
 		failed = s.view.peers[i]
 		s.view.remove(i)
@@ -155,19 +155,19 @@
 	}
 }
 
-// take takes in what a request brought; its sender was heard, and goes first.
-func (s *Sampler) take(from Peer, peers, given []Peer) {
-	s.quarantine.lift(from.Address)
+// insertRequest takes in what a request brought; its sender was heard, and goes first.
+func (s *Sampler) insertRequest(from Peer, peers, sent []Peer) {
+	s.quarantine.release(from.Address)
 	if s.acceptable(from) {
-		given = s.view.put(from, given)
+		sent = s.view.insert(from, sent)
 	}
-	s.takeAll(peers, given)
+	s.insertAll(peers, sent)
 }
 
-func (s *Sampler) takeAll(peers, given []Peer) {
+func (s *Sampler) insertAll(peers, sent []Peer) {
 	for _, peer := range peers {
 		if s.acceptable(peer) {
-			given = s.view.put(peer, given)
+			sent = s.view.insert(peer, sent)
 		}
 	}
 }
@@ -177,9 +177,9 @@
 	switch {
 	case peer.Address == "" || peer.Address == s.self.Address:
 		return false
-	case int(peer.Age) > ageLimit*s.view.size:
+	case int(peer.Age) > maxAgeFactor*s.view.size:
 		return false
 	default:
-		return !s.quarantine.holds(peer)
+		return !s.quarantine.contains(peer)
 	}
 }
--- a/coord/peersampling/sampler_test.go
+++ b/coord/peersampling/sampler_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// know puts a peer into a view by a request from it.
-func know(s *Sampler, peers ...Peer) {
+// addToView puts a peer into a view by a request from it.
+func addToView(s *Sampler, peers ...Peer) {
 	for _, peer := range peers {
 		s.HandleRequest(ShuffleRequest{From: peer})
 	}
@@ -22,14 +22,14 @@
 	return all
 }
 
-func TestAloneThereIsNobodyToCall(t *testing.T) {
+func TestShuffleWithoutPeersOrSeedsIsNotOK(t *testing.T) {
 	s := New(Peer{Address: "a"}, []string{"a", ""}, 4, 1)
 	_, _, ok := s.Shuffle()
 	assert.False(t, ok, "the own address and an empty one are no seeds")
 	assert.Empty(t, s.Sample(3))
 }
 
-func TestAnEmptyViewAsksASeed(t *testing.T) {
+func TestEmptyViewShufflesWithSeed(t *testing.T) {
 	s := New(Peer{Address: "a", Incarnation: 3}, []string{"seed"}, 4, 1)
 	to, request, ok := s.Shuffle()
 	require.True(t, ok)
@@ -41,20 +41,20 @@
 	assert.ElementsMatch(t, []Peer{seed, {Address: "b"}}, s.Peers())
 }
 
-func TestSeedsAreExchanged(t *testing.T) {
+func TestSetSeedsReplacesSeeds(t *testing.T) {
 	s := New(Peer{Address: "a"}, []string{"old"}, 4, 1)
 	s.SetSeeds([]string{"new"})
 	for range 20 {
 		to, _, ok := s.Shuffle()
 		require.True(t, ok)
 		assert.Equal(t, "new", to)
-		s.Failed(to)
+		s.MarkFailed(to)
 	}
 }
 
-func TestTheOldestIsAskedAndTakenOut(t *testing.T) {
+func TestShuffleRemovesOldestPeer(t *testing.T) {
 	s := New(Peer{Address: "a"}, nil, 4, 1)
-	know(s, Peer{Address: "b", Age: 1}, Peer{Address: "c", Age: 5}, Peer{Address: "d"})
+	addToView(s, Peer{Address: "b", Age: 1}, Peer{Address: "c", Age: 5}, Peer{Address: "d"})
 	to, request, ok := s.Shuffle()
 	require.True(t, ok)
 	assert.Equal(t, "c", to)
@@ -62,24 +62,24 @@
 	assert.NotContains(t, addresses(s.Peers()), "c")
 }
 
-func TestALaterLifeReplacesAnEarlierOne(t *testing.T) {
+func TestLaterIncarnationReplacesEarlierOne(t *testing.T) {
 	s := New(Peer{Address: "a"}, nil, 4, 1)
-	know(s, Peer{Address: "b", Incarnation: 2, Age: 3})
-	know(s, Peer{Address: "b", Incarnation: 1})
+	addToView(s, Peer{Address: "b", Incarnation: 2, Age: 3})
+	addToView(s, Peer{Address: "b", Incarnation: 1})
 	assert.Equal(t, []Peer{{Address: "b", Incarnation: 2, Age: 3}}, s.Peers(), "an earlier life")
-	know(s, Peer{Address: "b", Incarnation: 2, Age: 5})
+	addToView(s, Peer{Address: "b", Incarnation: 2, Age: 5})
 	assert.Equal(t, []Peer{{Address: "b", Incarnation: 2, Age: 3}}, s.Peers(), "the same life, seen earlier")
-	know(s, Peer{Address: "b", Incarnation: 3, Age: 7})
+	addToView(s, Peer{Address: "b", Incarnation: 3, Age: 7})
 	assert.Equal(t, []Peer{{Address: "b", Incarnation: 3, Age: 7}}, s.Peers(), "a later life")
 }
 
-func TestAFailedLifeStaysOutUntilItIsHeard(t *testing.T) {
+func TestFailedIncarnationStaysOutUntilItCalls(t *testing.T) {
 	dead := Peer{Address: "b", Incarnation: 2}
 	s := New(Peer{Address: "a"}, nil, 4, 1)
-	know(s, dead)
+	addToView(s, dead)
 	to, _, _ := s.Shuffle()
 	require.Equal(t, "b", to)
-	s.Failed("b")
+	s.MarkFailed("b")
 	s.HandleRequest(ShuffleRequest{From: Peer{Address: "c"}, Peers: []Peer{dead}})
 	assert.Equal(t, []string{"c"}, addresses(s.Peers()), "by hearsay")
 	s.HandleReply("b", ShuffleReply{From: dead})
@@ -87,20 +87,20 @@
 	s.HandleRequest(ShuffleRequest{From: Peer{Address: "c"}, Peers: []Peer{{Address: "b", Incarnation: 3}}})
 	assert.ElementsMatch(t, []string{"b", "c"}, addresses(s.Peers()), "a later life")
 
-	s.Failed("b")
-	know(s, Peer{Address: "b", Incarnation: 3})
+	s.MarkFailed("b")
+	addToView(s, Peer{Address: "b", Incarnation: 3})
 	assert.ElementsMatch(t, []string{"b", "c"}, addresses(s.Peers()), "heard from itself")
 }
 
-func TestAReplyToNothingChangesNothing(t *testing.T) {
+func TestUnsolicitedReplyIsIgnored(t *testing.T) {
 	s := New(Peer{Address: "a"}, nil, 4, 1)
 	s.HandleReply("b", ShuffleReply{From: Peer{Address: "b"}, Peers: []Peer{{Address: "c"}}})
 	assert.Empty(t, s.Peers())
 }
 
-func TestAFullViewSwapsWhatItGave(t *testing.T) {
+func TestFullViewReplacesOfferedPeers(t *testing.T) {
 	s := New(Peer{Address: "a"}, nil, 3, 1)
-	know(s, Peer{Address: "b"}, Peer{Address: "c"}, Peer{Address: "d"})
+	addToView(s, Peer{Address: "b"}, Peer{Address: "c"}, Peer{Address: "d"})
 	reply := s.HandleRequest(ShuffleRequest{From: Peer{Address: "x"}, Peers: []Peer{{Address: "y"}}})
 	assert.Len(t, s.Peers(), 3)
 	assert.Subset(t, addresses(s.Peers()), []string{"x", "y"})
@@ -113,9 +113,9 @@
 	assert.Len(t, gave, 3)
 }
 
-func TestSampleDrawsDifferentPeers(t *testing.T) {
+func TestSampleDrawsDistinctPeers(t *testing.T) {
 	s := New(Peer{Address: "a"}, nil, 8, 1)
-	know(s, Peer{Address: "b"}, Peer{Address: "c"}, Peer{Address: "d"})
+	addToView(s, Peer{Address: "b"}, Peer{Address: "c"}, Peer{Address: "d"})
 	drawn := map[string]int{}
 	for range 3000 {
 		sample := s.Sample(2)
--- a/coord/peersampling/view.go
+++ b/coord/peersampling/view.go
@@ -36,8 +36,8 @@
 	return oldest
 }
 
-// grow makes every peer a shuffle older and drops those beyond the limit.
-func (v *view) grow(limit uint16) {
+// incrementAges makes every peer a shuffle older and drops those beyond the limit.
+func (v *view) incrementAges(limit uint16) {
 	for i := range v.peers {
 		v.peers[i].Age++
 	}
@@ -57,26 +57,26 @@
 	return slices.Clone(v.peers[:n])
 }
 
-// put takes a peer in: in place of an older description of it, else where there is room, else in place of the first of given
+// insert takes a peer in: in place of an older description of it, else where there is room, else in place of the first of given
 // that is still there. It returns what is left of given.
-func (v *view) put(peer Peer, given []Peer) []Peer {
+func (v *view) insert(peer Peer, sent []Peer) []Peer {
 	if i := v.find(peer.Address); i >= 0 {
 		if peer.supersedes(v.peers[i]) {
 			v.peers[i] = peer
 		}
-		return given
+		return sent
 	}
 	if !v.full() {
 		v.peers = append(v.peers, peer)
-		return given
+		return sent
 	}
-	for len(given) > 0 {
-		i := v.find(given[0].Address)
-		given = given[1:]
+	for len(sent) > 0 {
+		i := v.find(sent[0].Address)
+		sent = sent[1:]
 		if i >= 0 {
 			v.peers[i] = peer
-			return given
+			return sent
 		}
 	}
-	return given
+	return sent
 }
--- a/coord/transport/bytes_test.go
+++ b/coord/transport/bytes_test.go
@@ -20,8 +20,8 @@
 	callerHost = "10.0.0.1"
 	serverHost = "10.0.0.2"
 	serverAddr = serverHost + ":9000"
-	// patience is the time-out of calls over the simulated network.
-	patience = 500 * time.Millisecond
+	// callTimeout is the time-out of calls over the simulated network.
+	callTimeout = 500 * time.Millisecond
 )
 
 // Tally is a service that counts how often each number was added.
@@ -29,8 +29,8 @@
 	name  string
 	mutex sync.Mutex
 	added map[int]int
-	// takes is how long a call with the number takes; nil: no time.
-	takes func(number int) time.Duration
+	// duration is how long a call with the number takes; nil: no time.
+	duration func(number int) time.Duration
 }
 
 // TallyReply tells which call it answers, and who answers. The number is one more than the call's: gob leaves a 0 out, and what was there
@@ -46,10 +46,10 @@
 func (t *Tally) Add(number int, reply *TallyReply) error {
 	t.mutex.Lock()
 	t.added[number]++
-	takes := t.takes
+	duration := t.duration
 	t.mutex.Unlock()
-	if takes != nil {
-		time.Sleep(takes(number))
+	if duration != nil {
+		time.Sleep(duration(number))
 	}
 	*reply = TallyReply{Number: number + 1, By: t.name}
 	return nil
@@ -61,8 +61,8 @@
 	return t.added[number]
 }
 
-// wire is a server with a tally and a client, in a bubble and on a simulated network.
-type wire struct {
+// fixture is a server with a tally and a client, in a bubble and on a simulated network.
+type fixture struct {
 	t       *testing.T
 	network *simnet.Network
 	tally   *Tally
@@ -70,14 +70,14 @@
 	server  *Server
 }
 
-func inWire(t *testing.T, seed uint64, body func(t *testing.T, w *wire)) {
+func withFixture(t *testing.T, seed uint64, body func(t *testing.T, w *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &wire{t: t, network: simnet.New(seed), tally: newTally("first")}
+		w := &fixture{t: t, network: simnet.New(seed), tally: newTally("first")}
 		w.client = NewClient(Options{Dial: w.network.Dialer(callerHost)})
 		w.server = w.serve(w.tally)
 		t.Cleanup(func() { // also where the body fails
-			w.settle()
+			w.awaitQuiescence()
 			require.NoError(t, w.client.Close())
 			_ = w.server.Close()
 			time.Sleep(time.Hour)
@@ -87,7 +87,7 @@
 }
 
 // serve has the service answered at the server's address.
-func (w *wire) serve(service *Tally) *Server {
+func (w *fixture) serve(service *Tally) *Server {
 	listener, err := w.network.Listen(serverAddr)
 	require.NoError(w.t, err)
 	server := NewServer(listener)
@@ -96,8 +96,8 @@
 	return server
 }
 
-// settle lets everything that is under way come.
-func (w *wire) settle() {
+// awaitQuiescence lets everything that is under way come.
+func (w *fixture) awaitQuiescence() {
 	w.network.HealAll()
 	w.network.Thaw(serverHost)
 	time.Sleep(time.Hour)
@@ -105,7 +105,7 @@
 }
 
 // add makes a call; an answer must be that to it.
-func (w *wire) add(number int, timeout time.Duration) error {
+func (w *fixture) add(number int, timeout time.Duration) error {
 	reply := TallyReply{Number: -1}
 	err := w.client.Call(serverAddr, "Tally.Add", number, &reply, timeout)
 	if err == nil {
@@ -114,28 +114,28 @@
 	return err
 }
 
-// requireTrue requires that what a call's error says is what came of it.
-func (w *wire) requireTrue(number int, told error) {
+// requireConsistent requires that what a call's error says is what came of it.
+func (w *fixture) requireConsistent(number int, callErr error) {
 	w.t.Helper()
 	switch count := w.tally.count(number); {
-	case told == nil:
+	case callErr == nil:
 		require.Equal(w.t, 1, count)
-	case errors.Is(told, ErrNotSent):
-		require.NotErrorIs(w.t, told, ErrUnknown)
-		require.Zero(w.t, count, "%v", told)
-	case errors.As(told, new(rpc.ServerError)): // net/rpc's own: it couldn't read the call
-		require.Zero(w.t, count, "%v", told)
+	case errors.Is(callErr, ErrNotSent):
+		require.NotErrorIs(w.t, callErr, ErrUnknown)
+		require.Zero(w.t, count, "%v", callErr)
+	case errors.As(callErr, new(rpc.ServerError)): // net/rpc's own: it couldn't read the call
+		require.Zero(w.t, count, "%v", callErr)
 	default:
-		require.ErrorIs(w.t, told, ErrUnknown)
-		require.LessOrEqual(w.t, count, 1, "%v", told)
+		require.ErrorIs(w.t, callErr, ErrUnknown)
+		require.LessOrEqual(w.t, count, 1, "%v", callErr)
 	}
 }
 
-// measured are the bytes of so many calls, one after the other, and of their answers.
-func measured(t *testing.T, calls int) (request, answer int64) {
-	inWire(t, 1, func(t *testing.T, w *wire) {
+// measureBytes are the bytes of so many calls, one after the other, and of their answers.
+func measureBytes(t *testing.T, calls int) (request, answer int64) {
+	withFixture(t, 1, func(t *testing.T, w *fixture) {
 		for number := range calls {
-			require.NoError(t, w.add(number, patience))
+			require.NoError(t, w.add(number, callTimeout))
 		}
 		conn := w.network.Conns()[0]
 		request, answer = conn.Sent(), conn.Peer().Sent()
@@ -145,9 +145,9 @@
 
 // A connection that ends at any byte of a call or of its answer, on a fresh connection and on a kept one: each call is carried out once
 // at most, never where it was told not sent, and each answer reaches its caller.
-func TestACallOnAConnectionThatEndsAtAnyByteIsCarriedOutOnce(t *testing.T) {
+func TestCallOnConnectionEndingAtAnyByteRunsAtMostOnce(t *testing.T) {
 	const calls = 3
-	request, answer := measured(t, 2)
+	request, answer := measureBytes(t, 2)
 	for _, ending := range []simnet.Ending{simnet.Reset, simnet.Finish, simnet.Silence} {
 		var fates []simnet.Fate
 		for at := range request + 1 {
@@ -157,21 +157,21 @@
 			fates = append(fates, simnet.Fate{Back: simnet.Limit{Bytes: at, Then: ending}})
 		}
 		for _, fate := range fates {
-			inWire(t, 1, func(t *testing.T, w *wire) {
+			withFixture(t, 1, func(t *testing.T, w *fixture) {
 				w.network.SetPlan(func(_, _ string, nth int) simnet.Fate {
 					if nth == 0 {
 						return fate
 					}
 					return simnet.Fate{}
 				})
-				told := make([]error, calls)
-				for number := range told {
-					told[number] = w.add(number, patience)
+				callErrs := make([]error, calls)
+				for number := range callErrs {
+					callErrs[number] = w.add(number, callTimeout)
 				}
-				w.settle()
-				require.NoError(t, w.add(calls, patience), "%+v: at last there is a new connection", fate)
-				for number, err := range told {
-					w.requireTrue(number, err)
+				w.awaitQuiescence()
+				require.NoError(t, w.add(calls, callTimeout), "%+v: at last there is a new connection", fate)
+				for number, err := range callErrs {
+					w.requireConsistent(number, err)
 				}
 			})
 		}
@@ -179,52 +179,52 @@
 }
 
 // An answer that comes after its caller has gone on, over a connection that others use: it reaches nobody.
-func TestLateAnswersReachNobody(t *testing.T) {
-	inWire(t, 1, func(t *testing.T, w *wire) {
-		w.tally.takes = func(number int) time.Duration { return time.Duration(number%4) * patience / 2 }
+func TestLateReplyReachesNoOtherCall(t *testing.T) {
+	withFixture(t, 1, func(t *testing.T, w *fixture) {
+		w.tally.duration = func(number int) time.Duration { return time.Duration(number%4) * callTimeout / 2 }
 		var group sync.WaitGroup
-		told := make([]error, 40)
-		for number := range told {
-			group.Go(func() { told[number] = w.add(number, patience*9/10) })
-			time.Sleep(patience / 20)
+		callErrs := make([]error, 40)
+		for number := range callErrs {
+			group.Go(func() { callErrs[number] = w.add(number, callTimeout*9/10) })
+			time.Sleep(callTimeout / 20)
 		}
 		group.Wait()
-		w.settle()
-		for number, err := range told {
-			w.requireTrue(number, err)
+		w.awaitQuiescence()
+		for number, err := range callErrs {
+			w.requireConsistent(number, err)
 			require.Equal(t, number%4 < 2, err == nil, "call %d: %v", number, err)
 		}
 	})
 }
 
 // The calls of a new connection have the same numbers on the wire as those of the one before.
-func TestAnAnswerOfAnEndedConnectionDoesNotReachTheNextOne(t *testing.T) {
-	inWire(t, 1, func(t *testing.T, w *wire) {
-		require.NoError(t, w.add(0, patience))
+func TestReplyOfClosedConnectionDoesNotReachNextConnection(t *testing.T) {
+	withFixture(t, 1, func(t *testing.T, w *fixture) {
+		require.NoError(t, w.add(0, callTimeout))
 		w.network.Cut(serverHost, callerHost)
-		told := w.add(1, patience)
-		require.ErrorIs(t, told, ErrUnknown)
-		require.Nil(t, w.client.kept(serverAddr), "nothing came on it: it has to go")
+		callErr := w.add(1, callTimeout)
+		require.ErrorIs(t, callErr, ErrUnknown)
+		require.Nil(t, w.client.connectionTo(serverAddr), "nothing came on it: it has to go")
 		w.network.Heal(serverHost, callerHost)
-		require.NoError(t, w.add(2, patience))
-		require.NoError(t, w.add(3, patience))
-		w.requireTrue(1, told)
+		require.NoError(t, w.add(2, callTimeout))
+		require.NoError(t, w.add(3, callTimeout))
+		w.requireConsistent(1, callErr)
 	})
 }
 
 // Another process takes the address over: what was out stays in doubt, what comes after goes to the new one alone.
-func TestAnAddressThatIsTakenOver(t *testing.T) {
-	inWire(t, 1, func(t *testing.T, w *wire) {
-		w.tally.takes = func(int) time.Duration { return patience }
+func TestCallsAfterAnotherProcessTakesOverAddress(t *testing.T) {
+	withFixture(t, 1, func(t *testing.T, w *fixture) {
+		w.tally.duration = func(int) time.Duration { return callTimeout }
 		out := make(chan error)
-		go func() { out <- w.add(1, 4*patience) }()
-		time.Sleep(patience / 2)
+		go func() { out <- w.add(1, 4*callTimeout) }()
+		time.Sleep(callTimeout / 2)
 		w.network.Kill(serverHost)
 		second := newTally("second")
 		replacement := w.serve(second)
 		require.ErrorIs(t, <-out, ErrUnknown)
 		var reply TallyReply
-		require.NoError(t, w.client.Call(serverAddr, "Tally.Add", 2, &reply, patience))
+		require.NoError(t, w.client.Call(serverAddr, "Tally.Add", 2, &reply, callTimeout))
 		require.Equal(t, TallyReply{Number: 3, By: "second"}, reply)
 		time.Sleep(time.Hour)
 		require.Equal(t, 1, w.tally.count(1))
@@ -236,7 +236,7 @@
 }
 
 // A peer that answers twice, and under numbers that no call has, answers nobody else.
-func TestAnswersThatNobodyAskedForReachNobody(t *testing.T) {
+func TestUnsolicitedRepliesAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simnet.New(1)
 		listener, err := network.Listen(serverAddr)
@@ -244,7 +244,7 @@
 		go func() {
 			conn, err := listener.Accept()
 			if err == nil {
-				answerOddly(conn)
+				answerThreeTimes(conn)
 			}
 		}()
 		client := NewClient(Options{Dial: network.Dialer(callerHost)})
@@ -252,7 +252,7 @@
 		for number := range 20 {
 			group.Go(func() {
 				var reply TallyReply
-				require.NoError(t, client.Call(serverAddr, "Tally.Add", number, &reply, patience))
+				require.NoError(t, client.Call(serverAddr, "Tally.Add", number, &reply, callTimeout))
 				require.Equal(t, number+1, reply.Number)
 			})
 		}
@@ -263,8 +263,8 @@
 	})
 }
 
-// answerOddly answers each call three times: under a number that comes later, rightly, and again.
-func answerOddly(conn net.Conn) {
+// answerThreeTimes answers each call three times: under a number that comes later, rightly, and again.
+func answerThreeTimes(conn net.Conn) {
 	encoder, decoder := gob.NewEncoder(conn), gob.NewDecoder(conn)
 	answer := func(request *rpc.Request, sequence uint64, number int) {
 		_ = encoder.Encode(&rpc.Response{ServiceMethod: request.ServiceMethod, Seq: sequence})
@@ -283,7 +283,7 @@
 }
 
 // An answer whose rest comes after its caller has gone on: the reply that the caller was told not to use isn't touched any more.
-func TestAHalfReadAnswerDoesNotTouchTheReplyLater(t *testing.T) {
+func TestPartiallyReadReplyIsNotModifiedAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simnet.New(1)
 		listener, err := network.Listen(serverAddr)
@@ -291,12 +291,12 @@
 		go func() {
 			conn, err := listener.Accept()
 			if err == nil {
-				answerInHalves(conn, 2*patience)
+				answerInHalves(conn, 2*callTimeout)
 			}
 		}()
 		client := NewClient(Options{Dial: network.Dialer(callerHost)})
 		var reply TallyReply
-		require.ErrorIs(t, client.Call(serverAddr, "Tally.Add", 1, &reply, patience), ErrUnknown)
+		require.ErrorIs(t, client.Call(serverAddr, "Tally.Add", 1, &reply, callTimeout), ErrUnknown)
 		before := reply
 		time.Sleep(time.Minute)
 		require.Equal(t, before, reply)
--- a/coord/transport/client.go
+++ b/coord/transport/client.go
@@ -47,11 +47,11 @@
 	cancel  context.CancelFunc
 	group   sync.WaitGroup
 
-	mu        sync.Mutex
-	closed    bool
-	uses      uint64
-	connected int
-	peers     map[string]*peer
+	mu              sync.Mutex
+	closed          bool
+	useCounter      uint64
+	connectionCount int
+	peers           map[string]*peer
 }
 
 // NewClient returns a client without connections.
@@ -73,11 +73,11 @@
 func (c *Client) Call(addr, method string, args, reply any, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	err := c.callOnce(addr, method, args, reply, timeout)
-	if !unsentOnStale(err) {
+	if !closedBeforeSend(err) {
 		return err
 	}
 	err = c.callOnce(addr, method, args, reply, time.Until(deadline))
-	if !unsentOnStale(err) {
+	if !closedBeforeSend(err) {
 		return err
 	}
 	return fmt.Errorf("%w: %s: %w", ErrNotSent, addr, err)
@@ -96,15 +96,15 @@
 // Close closes all connections; calls under way end with an error.
 func (c *Client) Close() error {
 	c.cancel()
-	for _, connection := range c.shut() {
-		connection.codec.end(ErrClosed)
+	for _, connection := range c.markClosed() {
+		connection.codec.closeWithCause(ErrClosed)
 	}
 	c.group.Wait()
 	return nil
 }
 
-// shut is the change to closed; it returns the open connections.
-func (c *Client) shut() []*connection {
+// markClosed is the change to closed; it returns the open connections.
+func (c *Client) markClosed() []*connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
@@ -117,7 +117,7 @@
 	return open
 }
 
-// notSent wraps why a call was not sent.
-func notSent(addr string, cause error) error {
+// notSentError wraps why a call was not sent.
+func notSentError(addr string, cause error) error {
 	return fmt.Errorf("%w: %s: %w", ErrNotSent, addr, cause)
 }
--- a/coord/transport/client_test.go
+++ b/coord/transport/client_test.go
@@ -11,14 +11,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-func twice(t *testing.T, client *Client, addr string) {
+func callTwice(t *testing.T, client *Client, addr string) {
 	t.Helper()
 	var reply int
-	require.NoError(t, client.Call(addr, "Echo.Twice", 21, &reply, generous))
+	require.NoError(t, client.Call(addr, "Echo.Twice", 21, &reply, longTimeout))
 	require.Equal(t, 42, reply)
 }
 
-func TestCallsAtOnceShareOneConnection(t *testing.T) {
+func TestConcurrentCallsShareOneConnection(t *testing.T) {
 	server, _ := serveEcho(t)
 	client := newTestClient(t, Options{})
 	const callers, each = 8, 50
@@ -27,7 +27,7 @@
 		group.Go(func() {
 			for number := range each {
 				var reply int
-				err := client.Call(server.Addr(), "Echo.Twice", caller*each+number, &reply, generous)
+				err := client.Call(server.Addr(), "Echo.Twice", caller*each+number, &reply, longTimeout)
 				if err != nil || reply != 2*(caller*each+number) {
 					t.Errorf("reply %d, error %v", reply, err)
 				}
@@ -40,73 +40,73 @@
 	require.Len(t, server.links, 1)
 }
 
-func TestErrorsOfTheMethodComeAsServerErrors(t *testing.T) {
+func TestMethodErrorsAreReturnedAsServerErrors(t *testing.T) {
 	server, _ := serveEcho(t)
 	client := newTestClient(t, Options{})
 	var reply int
-	err := client.Call(server.Addr(), "Echo.Fail", "not today", &reply, generous)
+	err := client.Call(server.Addr(), "Echo.Fail", "not today", &reply, longTimeout)
 	require.Equal(t, rpc.ServerError("not today"), err)
-	err = client.Call(server.Addr(), "Echo.Missing", 1, &reply, generous)
+	err = client.Call(server.Addr(), "Echo.Missing", 1, &reply, longTimeout)
 	require.IsType(t, rpc.ServerError(""), err)
-	twice(t, client, server.Addr())
+	callTwice(t, client, server.Addr())
 }
 
-func TestARefusedDialIsNotSentAndBacksOff(t *testing.T) {
+func TestRefusedDialReturnsErrNotSentAndBacksOff(t *testing.T) {
 	client := newTestClient(t, Options{})
-	addr := deadAddr(t)
+	addr := unusedAddr(t)
 	var reply int
-	err := client.Call(addr, "Echo.Twice", 1, &reply, generous)
+	err := client.Call(addr, "Echo.Twice", 1, &reply, longTimeout)
 	require.ErrorIs(t, err, ErrNotSent)
 	require.NotErrorIs(t, err, errBackOff)
 
 	client.mu.Lock()
 	client.peers[addr].retryAt = time.Now().Add(time.Hour)
 	client.mu.Unlock()
-	err = client.Call(addr, "Echo.Twice", 1, &reply, generous)
+	err = client.Call(addr, "Echo.Twice", 1, &reply, longTimeout)
 	require.ErrorIs(t, err, ErrNotSent)
 	require.ErrorIs(t, err, errBackOff)
 
 	serve(t, addr, "Echo", newEcho())
 	client.skipBackOff(addr)
-	twice(t, client, addr)
+	callTwice(t, client, addr)
 }
 
-func TestACallWithoutTimeIsNotSent(t *testing.T) {
+func TestCallWithZeroTimeoutIsNotSent(t *testing.T) {
 	server, _ := serveEcho(t)
 	client := newTestClient(t, Options{})
 	var reply int
 	require.ErrorIs(t, client.Call(server.Addr(), "Echo.Twice", 1, &reply, 0), ErrNotSent)
 }
 
-func TestASilentPeerLeavesTheOutcomeUnknownAndIsForgotten(t *testing.T) {
-	addr, _ := mute(t)
+func TestCallToSilentPeerIsUnknownAndDropsConnection(t *testing.T) {
+	addr, _ := listenWithoutReading(t)
 	client := newTestClient(t, Options{})
 	var reply int
-	err := client.Call(addr, "Echo.Twice", 1, &reply, brief)
+	err := client.Call(addr, "Echo.Twice", 1, &reply, shortTimeout)
 	require.ErrorIs(t, err, ErrUnknown)
 	require.NotErrorIs(t, err, ErrNotSent)
-	require.Nil(t, client.kept(addr))
+	require.Nil(t, client.connectionTo(addr))
 }
 
-func TestAPeerThatDoesNotReadHoldsNobodyUp(t *testing.T) {
-	addr, _ := mute(t)
+func TestPeerThatDoesNotReadDoesNotBlockCalls(t *testing.T) {
+	addr, _ := listenWithoutReading(t)
 	client := newTestClient(t, Options{})
 	var reply int
 	start := time.Now()
-	err := client.Call(addr, "Echo.Length", make([]byte, 12<<20), &reply, brief)
+	err := client.Call(addr, "Echo.Length", make([]byte, 12<<20), &reply, shortTimeout)
 	require.ErrorIs(t, err, ErrUnknown)
 	require.Less(t, time.Since(start), writeTimeout)
 }
 
 func TestTooManyPendingBytesAreNotSent(t *testing.T) {
-	addr, _ := mute(t)
+	addr, _ := listenWithoutReading(t)
 	client := newTestClient(t, Options{})
 	var group sync.WaitGroup
 	errs := make([]error, 6)
 	for at := range errs {
 		group.Go(func() {
 			var reply int
-			errs[at] = client.Call(addr, "Echo.Length", make([]byte, 12<<20), &reply, 10*brief)
+			errs[at] = client.Call(addr, "Echo.Length", make([]byte, 12<<20), &reply, 10*shortTimeout)
 		})
 	}
 	group.Wait()
@@ -114,34 +114,34 @@
 	require.True(t, refused, "%v", errs)
 }
 
-func TestATimedOutCallLeavesAConnectionThatAnswersOthers(t *testing.T) {
+func TestTimedOutCallKeepsConnectionForOtherCalls(t *testing.T) {
 	server, echo := serveEcho(t)
 	client := newTestClient(t, Options{})
-	twice(t, client, server.Addr())
-	before := client.kept(server.Addr())
+	callTwice(t, client, server.Addr())
+	before := client.connectionTo(server.Addr())
 
 	held := make(chan error, 1)
 	reply := -1
-	go func() { held <- client.Call(server.Addr(), "Echo.Hold", 7, &reply, 10*brief) }()
+	go func() { held <- client.Call(server.Addr(), "Echo.Hold", 7, &reply, 10*shortTimeout) }()
 	<-echo.entered
-	twice(t, client, server.Addr())
+	callTwice(t, client, server.Addr())
 	require.ErrorIs(t, <-held, ErrUnknown)
-	require.Same(t, before, client.kept(server.Addr()))
+	require.Same(t, before, client.connectionTo(server.Addr()))
 
 	close(echo.released)
-	twice(t, client, server.Addr())
+	callTwice(t, client, server.Addr())
 	require.Equal(t, -1, reply, "a late answer must not reach a caller that has gone on")
 }
 
-func TestACallGoesOnOverANewConnectionWhenTheKeptOneHasEnded(t *testing.T) {
+func TestCallIsRetriedOnNewConnectionAfterKeptOneClosed(t *testing.T) {
 	server, _ := serveEcho(t)
 	client := newTestClient(t, Options{})
-	twice(t, client, server.Addr())
-	client.kept(server.Addr()).codec.link.close(errPeerClosed)
-	twice(t, client, server.Addr())
+	callTwice(t, client, server.Addr())
+	client.connectionTo(server.Addr()).codec.link.close(errPeerClosed)
+	callTwice(t, client, server.Addr())
 }
 
-func TestARestartedServerIsReachedAgain(t *testing.T) {
+func TestRestartedServerIsReached(t *testing.T) {
 	client := newTestClient(t, Options{})
 	server, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
@@ -149,28 +149,28 @@
 	require.NoError(t, server.Register("Echo", newEcho()))
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve() }()
-	twice(t, client, addr)
+	callTwice(t, client, addr)
 	require.NoError(t, server.Close())
 	require.NoError(t, server.Close())
 	require.NoError(t, <-ended)
 
 	var reply int
-	require.Error(t, client.Call(addr, "Echo.Twice", 1, &reply, generous))
+	require.Error(t, client.Call(addr, "Echo.Twice", 1, &reply, longTimeout))
 	serve(t, addr, "Echo", newEcho())
 	client.skipBackOff(addr)
-	twice(t, client, addr)
+	callTwice(t, client, addr)
 }
 
 func TestArgumentsThatCannotBeEncodedAreNotSent(t *testing.T) {
 	server, _ := serveEcho(t)
 	client := newTestClient(t, Options{})
 	var reply int
-	err := client.Call(server.Addr(), "Echo.Twice", make(chan int), &reply, generous)
+	err := client.Call(server.Addr(), "Echo.Twice", make(chan int), &reply, longTimeout)
 	require.ErrorIs(t, err, ErrNotSent)
-	twice(t, client, server.Addr())
+	callTwice(t, client, server.Addr())
 }
 
-func TestTheConnectionIdleLongestMakesRoom(t *testing.T) {
+func TestLeastRecentlyUsedConnectionIsEvicted(t *testing.T) {
 	client := newTestClient(t, Options{MaxConnections: 2})
 	first, echo := serveEcho(t)
 	second, _ := serveEcho(t)
@@ -179,39 +179,39 @@
 	held := make(chan error, 1)
 	go func() {
 		var reply int
-		held <- client.Call(first.Addr(), "Echo.Hold", 7, &reply, generous)
+		held <- client.Call(first.Addr(), "Echo.Hold", 7, &reply, longTimeout)
 	}()
 	<-echo.entered
-	twice(t, client, second.Addr())
-	twice(t, client, third.Addr())
-	require.NotNil(t, client.kept(first.Addr()), "it is in use")
-	require.Nil(t, client.kept(second.Addr()))
-	require.NotNil(t, client.kept(third.Addr()))
+	callTwice(t, client, second.Addr())
+	callTwice(t, client, third.Addr())
+	require.NotNil(t, client.connectionTo(first.Addr()), "it is in use")
+	require.Nil(t, client.connectionTo(second.Addr()))
+	require.NotNil(t, client.connectionTo(third.Addr()))
 	close(echo.released)
 	require.NoError(t, <-held)
 
-	twice(t, client, second.Addr())
-	require.Nil(t, client.kept(first.Addr()), "it is idle longest now, by its start")
+	callTwice(t, client, second.Addr())
+	require.Nil(t, client.connectionTo(first.Addr()), "it is idle longest now, by its start")
 }
 
-func TestAddressesThatFailedAreNotRememberedWithoutBound(t *testing.T) {
+func TestFailedAddressesAreBounded(t *testing.T) {
 	client := newTestClient(t, Options{MaxConnections: 1})
 	for range 3 * peersPerConnection {
-		addr := deadAddr(t)
+		addr := unusedAddr(t)
 		var reply int
-		require.ErrorIs(t, client.Call(addr, "Echo.Twice", 1, &reply, generous), ErrNotSent)
+		require.ErrorIs(t, client.Call(addr, "Echo.Twice", 1, &reply, longTimeout), ErrNotSent)
 		client.skipBackOff(addr)
 	}
 	require.LessOrEqual(t, len(client.peers), peersPerConnection+1)
 }
 
-func TestCloseEndsCallsUnderWay(t *testing.T) {
+func TestCloseEndsCallsInProgress(t *testing.T) {
 	server, echo := serveEcho(t)
 	client := newTestClient(t, Options{})
 	held := make(chan error, 1)
 	go func() {
 		var reply int
-		held <- client.Call(server.Addr(), "Echo.Hold", 7, &reply, generous)
+		held <- client.Call(server.Addr(), "Echo.Hold", 7, &reply, longTimeout)
 	}()
 	<-echo.entered
 	require.NoError(t, client.Close())
@@ -219,17 +219,17 @@
 	close(echo.released)
 
 	var reply int
-	err := client.Call(server.Addr(), "Echo.Twice", 1, &reply, generous)
+	err := client.Call(server.Addr(), "Echo.Twice", 1, &reply, longTimeout)
 	require.ErrorIs(t, err, ErrNotSent)
 	require.ErrorIs(t, err, ErrClosed)
 }
 
-func TestAClosingServerStillWritesItsAnswers(t *testing.T) {
+func TestClosingServerWritesPendingReplies(t *testing.T) {
 	server, echo := serveEcho(t)
 	client := newTestClient(t, Options{})
 	held := make(chan error, 1)
 	var reply int
-	go func() { held <- client.Call(server.Addr(), "Echo.Hold", 7, &reply, generous) }()
+	go func() { held <- client.Call(server.Addr(), "Echo.Hold", 7, &reply, longTimeout) }()
 	<-echo.entered
 	closed := make(chan error, 1)
 	go func() { closed <- server.Close() }()
--- a/coord/transport/codec.go
+++ b/coord/transport/codec.go
@@ -12,11 +12,11 @@
 
 // clientCodec is net/rpc's gob protocol over a link, at the calling end.
 type clientCodec struct {
-	link    *link
-	encoder *gob.Encoder
-	decoder *gob.Decoder
-	answers atomic.Uint64
-	onEnd   func()
+	link      *link
+	encoder   *gob.Encoder
+	decoder   *gob.Decoder
+	responses atomic.Uint64
+	onClose   func()
 }
 
 func newClientCodec(l *link, onEnd func()) *clientCodec {
@@ -24,7 +24,7 @@
 		link:    l,
 		encoder: gob.NewEncoder(l),
 		decoder: gob.NewDecoder(bufio.NewReaderSize(l, readBufferBytes)),
-		onEnd:   onEnd,
+		onClose: onEnd,
 	}
 }
 
@@ -35,7 +35,7 @@
 		err = c.encoder.Encode(body)
 	}
 	if err != nil {
-		c.end(err)
+		c.closeWithCause(err)
 		return fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	c.link.flush()
@@ -45,34 +45,34 @@
 // ReadResponseHeader implements rpc.ClientCodec.
 func (c *clientCodec) ReadResponseHeader(response *rpc.Response) error {
 	if err := c.decoder.Decode(response); err != nil {
-		c.end(err)
+		c.closeWithCause(err)
 		return err
 	}
-	c.answers.Add(1)
+	c.responses.Add(1)
 	return nil
 }
 
 // ReadResponseBody implements rpc.ClientCodec.
 func (c *clientCodec) ReadResponseBody(body any) error {
 	if slot, ok := body.(*replySlot); ok {
-		body = slot.begin()
+		body = slot.startDecoding()
 	}
 	err := c.decoder.Decode(body)
 	if err != nil {
-		c.end(err)
+		c.closeWithCause(err)
 	}
 	return err
 }
 
 // Close implements rpc.ClientCodec.
 func (c *clientCodec) Close() error {
-	c.end(ErrClosed)
+	c.closeWithCause(ErrClosed)
 	return nil
 }
 
-// end closes the connection. It is forgotten first, so that no new call finds a closed one.
-func (c *clientCodec) end(cause error) {
-	c.onEnd()
+// closeWithCause closes the connection. It is forgotten first, so that no new call finds a closed one.
+func (c *clientCodec) closeWithCause(cause error) {
+	c.onClose()
 	c.link.close(cause)
 }
 
@@ -91,8 +91,8 @@
 	state  atomic.Int32
 }
 
-// begin is the change from awaited to decoding; it returns what to decode into: nil if the caller has gone on.
-func (s *replySlot) begin() any {
+// startDecoding is the change from awaited to decoding; it returns what to decode into: nil if the caller has gone on.
+func (s *replySlot) startDecoding() any {
 	if s.state.CompareAndSwap(replyAwaited, replyDecoding) {
 		return s.target
 	}
--- a/coord/transport/connection.go
+++ b/coord/transport/connection.go
@@ -30,32 +30,32 @@
 }
 
 // call does one call and waits for its answer. Its error is ErrNotSent, ErrUnknown, a rpc.ServerError, or one for which
-// unsentOnStale is true.
+// closedBeforeSend is true.
 func (c *connection) call(method string, args, reply any, timeout time.Duration) error {
-	answers := c.codec.answers.Load()
+	responses := c.codec.responses.Load()
 	slot := &replySlot{target: reply}
 	call := c.rpc.Go(method, args, slot, make(chan *rpc.Call, 1))
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-call.Done:
-		return c.outcome(call.Error)
+		return c.classifyError(call.Error)
 	case <-timer.C:
 	}
 	if !slot.abandon() {
-		c.codec.end(errNoAnswer)
+		c.codec.closeWithCause(errNoAnswer)
 		<-call.Done
-		return c.outcome(call.Error)
+		return c.classifyError(call.Error)
 	}
-	if c.codec.answers.Load() == answers {
-		c.codec.end(errNoAnswer)
+	if c.codec.responses.Load() == responses {
+		c.codec.closeWithCause(errNoAnswer)
 	}
-	return c.outcome(errNoAnswer)
+	return c.classifyError(errNoAnswer)
 }
 
-// outcome gives a call's error the type that tells what is certain.
-func (c *connection) outcome(err error) error {
-	if err == nil || unsentOnStale(err) || errors.Is(err, ErrNotSent) {
+// classifyError gives a call's error the type that tells what is certain.
+func (c *connection) classifyError(err error) error {
+	if err == nil || closedBeforeSend(err) || errors.Is(err, ErrNotSent) {
 		return err
 	}
 	if _, answered := err.(rpc.ServerError); answered {
--- a/coord/transport/dialing.go
+++ b/coord/transport/dialing.go
@@ -7,75 +7,75 @@
 )
 
 const (
-	// dialRepeat is after how long without an outcome an address is dialed once more. A kernel repeats the opening packet of a connection only
+	// redialInterval is after how long without an outcome an address is dialed once more. A kernel repeats the opening packet of a connection only
 	// after a second, and that packet is lost whenever the other machine has no power yet or its queue of new connections is full.
-	dialRepeat = 80 * time.Millisecond
-	// mostAttempts bounds the attempts of one dial that are out at once: those that fall due while it lasts, and one that news of the address
+	redialInterval = 80 * time.Millisecond
+	// maxDialAttempts bounds the attempts of one dial that are out at once: those that fall due while it lasts, and one that news of the address
 	// has asked for.
-	mostAttempts = 6
+	maxDialAttempts = 6
 )
 
 // dialFunc makes a connection, as net.Dialer's DialContext does.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialOutcome is how one attempt ended.
-type dialOutcome struct {
+// dialResult is how one attempt ended.
+type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// attempts are the attempts of one dial.
-type attempts struct {
-	dial  dialFunc
-	addr  string
-	ended chan dialOutcome
-	out   int
+// dialAttempts are the attempts of one dial.
+type dialAttempts struct {
+	dial    dialFunc
+	addr    string
+	results chan dialResult
+	pending int
 }
 
-// dialRepeatedly dials an address, and once more whenever nothing has come of it for dialRepeat or its machine has shown to be there, until the
+// dialRepeatedly dials an address, and once more whenever nothing has come of it for redialInterval or its machine has shown to be there, until the
 // context ends. The first outcome counts: a connection, or an error, which says that the machine is there and takes no connections.
 func dialRepeatedly(ctx context.Context, dial dialFunc, addr string, reachable <-chan struct{}) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	a := &attempts{dial: dial, addr: addr, ended: make(chan dialOutcome, mostAttempts)}
-	a.begin(ctx)
-	ticker := time.NewTicker(dialRepeat)
+	a := &dialAttempts{dial: dial, addr: addr, results: make(chan dialResult, maxDialAttempts)}
+	a.start(ctx)
+	ticker := time.NewTicker(redialInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case first := <-a.ended:
-			a.out--
-			go a.closeOthers()
+		case first := <-a.results:
+			a.pending--
+			go a.closeRemaining()
 			return first.conn, first.err
 		case <-ticker.C:
-			a.beginAnother(ctx)
+			a.startAnother(ctx)
 		case <-reachable:
-			a.beginAnother(ctx)
-			ticker.Reset(dialRepeat)
+			a.startAnother(ctx)
+			ticker.Reset(redialInterval)
 		}
 	}
 }
 
-// beginAnother starts one more attempt unless too many are out.
-func (a *attempts) beginAnother(ctx context.Context) {
-	if a.out < mostAttempts {
-		a.begin(ctx)
+// startAnother starts one more attempt unless too many are out.
+func (a *dialAttempts) startAnother(ctx context.Context) {
+	if a.pending < maxDialAttempts {
+		a.start(ctx)
 	}
 }
 
-// begin starts one more attempt; it ends with the context at the latest.
-func (a *attempts) begin(ctx context.Context) {
-	a.out++
+// start starts one more attempt; it ends with the context at the latest.
+func (a *dialAttempts) start(ctx context.Context) {
+	a.pending++
 	go func() {
 		conn, err := a.dial(ctx, "tcp", a.addr)
-		a.ended <- dialOutcome{conn: conn, err: err}
+		a.results <- dialResult{conn: conn, err: err}
 	}()
 }
 
-// closeOthers closes the connections of attempts that come after the first outcome.
-func (a *attempts) closeOthers() {
-	for range a.out {
-		if other := <-a.ended; other.conn != nil {
+// closeRemaining closes the connections of attempts that come after the first outcome.
+func (a *dialAttempts) closeRemaining() {
+	for range a.pending {
+		if other := <-a.results; other.conn != nil {
 			_ = other.conn.Close()
 		}
 	}
--- a/coord/transport/dialing_test.go
+++ b/coord/transport/dialing_test.go
@@ -13,30 +13,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// closeNoting is a connection that tells whether it was closed.
-type closeNoting struct {
+// closeRecorder is a connection that tells whether it was closed.
+type closeRecorder struct {
 	net.Conn
 	closed chan struct{}
 }
 
-func (c *closeNoting) Close() error {
+func (c *closeRecorder) Close() error {
 	close(c.closed)
 	return nil
 }
 
-func newCloseNoting() *closeNoting { return &closeNoting{closed: make(chan struct{})} }
+func newCloseRecorder() *closeRecorder { return &closeRecorder{closed: make(chan struct{})} }
 
-// lossy is a dial whose first packets are lost; each packet after these is answered after a delay.
-type lossy struct {
-	lost    int
-	asked   atomic.Int32
-	delay   time.Duration
-	made    []*closeNoting
-	refusal error
+// lossyDialer is a dial whose first packets are lost; each packet after these is answered after a delay.
+type lossyDialer struct {
+	lost     int
+	attempts atomic.Int32
+	delay    time.Duration
+	conns    []*closeRecorder
+	refusal  error
 }
 
-func (l *lossy) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	if int(l.asked.Add(1)) <= l.lost {
+func (l *lossyDialer) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	if int(l.attempts.Add(1)) <= l.lost {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -48,50 +48,50 @@
 	if l.refusal != nil {
 		return nil, l.refusal
 	}
-	conn := newCloseNoting()
-	l.made = append(l.made, conn)
+	conn := newCloseRecorder()
+	l.conns = append(l.conns, conn)
 	return conn, nil
 }
 
 // dialFor dials for a time at most and tells how long that took.
-func dialFor(most time.Duration, dial dialFunc) (conn net.Conn, took time.Duration, err error) {
+func dialFor(timeout time.Duration, dial dialFunc) (conn net.Conn, took time.Duration, err error) {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), most)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	conn, err = dialRepeatedly(ctx, dial, "10.0.0.1:1", nil)
 	return conn, time.Since(began), err
 }
 
-func TestALostOpeningPacketIsSentAgain(t *testing.T) {
+func TestLostDialAttemptIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		way := &lossy{lost: 2, delay: time.Millisecond}
-		conn, took, err := dialFor(maxDialTime, way.dial)
+		dialer := &lossyDialer{lost: 2, delay: time.Millisecond}
+		conn, took, err := dialFor(maxDialTime, dialer.dial)
 		require.NoError(t, err)
-		assert.Same(t, way.made[0], conn)
-		assert.Equal(t, 2*dialRepeat+time.Millisecond, took)
+		assert.Same(t, dialer.conns[0], conn)
+		assert.Equal(t, 2*redialInterval+time.Millisecond, took)
 		synctest.Wait()
 	})
 }
 
-func TestALongWayIsNotGivenUpForAnother(t *testing.T) {
+func TestSlowDialAttemptContinuesBesideLaterOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		way := &lossy{delay: 3 * dialRepeat}
-		conn, took, err := dialFor(maxDialTime, way.dial)
+		dialer := &lossyDialer{delay: 3 * redialInterval}
+		conn, took, err := dialFor(maxDialTime, dialer.dial)
 		require.NoError(t, err)
-		assert.Equal(t, 3*dialRepeat, took, "the first attempt goes on beside the others")
+		assert.Equal(t, 3*redialInterval, took, "the first attempt goes on beside the others")
 		assert.NotNil(t, conn)
 		synctest.Wait()
-		assert.Len(t, way.made, 1, "the others end with the first")
+		assert.Len(t, dialer.conns, 1, "the others end with the first")
 	})
 }
 
-func TestConnectionsThatComeTooLateAreClosed(t *testing.T) {
+func TestLateConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		late := newCloseNoting()
+		late := newCloseRecorder()
 		first := true
 		dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 			if !first {
-				return newCloseNoting(), nil
+				return newCloseRecorder(), nil
 			}
 			first = false
 			<-ctx.Done()
@@ -104,38 +104,38 @@
 	})
 }
 
-func TestARefusalEndsTheDial(t *testing.T) {
+func TestRefusalEndsDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		refused := errors.New("refused")
-		_, took, err := dialFor(maxDialTime, (&lossy{lost: 1, refusal: refused}).dial)
+		_, took, err := dialFor(maxDialTime, (&lossyDialer{lost: 1, refusal: refused}).dial)
 		require.ErrorIs(t, err, refused)
-		assert.Equal(t, dialRepeat, took)
+		assert.Equal(t, redialInterval, took)
 		synctest.Wait()
 	})
 }
 
-func TestADialEndsWithItsTime(t *testing.T) {
+func TestDialEndsAtTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		way := &lossy{lost: 1000}
-		_, took, err := dialFor(maxDialTime, way.dial)
+		dialer := &lossyDialer{lost: 1000}
+		_, took, err := dialFor(maxDialTime, dialer.dial)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 		assert.Equal(t, maxDialTime, took)
-		assert.LessOrEqual(t, int(way.asked.Load()), mostAttempts)
+		assert.LessOrEqual(t, int(dialer.attempts.Load()), maxDialAttempts)
 		synctest.Wait()
 	})
 }
 
 // An address that has shown to be there is dialed at once, whatever has become of the attempts before.
-func TestAnAddressThatIsHeardOfIsDialedAtOnce(t *testing.T) {
+func TestReachableAddressIsDialedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		refused := errors.New("refused")
-		way := &lossy{lost: 1, delay: time.Millisecond, refusal: refused}
-		client := NewClient(Options{Dial: way.dial})
+		dialer := &lossyDialer{lost: 1, delay: time.Millisecond, refusal: refused}
+		client := NewClient(Options{Dial: dialer.dial})
 		began := time.Now()
-		time.AfterFunc(dialRepeat/4, func() { client.Reachable("10.0.0.1:1") })
+		time.AfterFunc(redialInterval/4, func() { client.Reachable("10.0.0.1:1") })
 		_, err := client.acquire("10.0.0.1:1", maxDialTime)
 		require.ErrorIs(t, err, refused)
-		assert.Equal(t, dialRepeat/4+time.Millisecond, time.Since(began))
+		assert.Equal(t, redialInterval/4+time.Millisecond, time.Since(began))
 		client.Reachable("10.0.0.1:1")
 		client.Reachable("10.0.0.2:1")
 		require.NoError(t, client.Close())
@@ -143,11 +143,11 @@
 }
 
 // A refusal holds dials off for a while, unless the address is heard of meanwhile; a dial without an answer holds nothing off.
-func TestTheBackOffEndsWithAWordFromTheAddress(t *testing.T) {
+func TestReachableEndsBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		refused := errors.New("refused")
-		way := &lossy{refusal: refused}
-		client := NewClient(Options{Dial: way.dial})
+		dialer := &lossyDialer{refusal: refused}
+		client := NewClient(Options{Dial: dialer.dial})
 		_, err := client.acquire("10.0.0.1:1", maxDialTime)
 		require.ErrorIs(t, err, refused)
 		_, err = client.acquire("10.0.0.1:1", maxDialTime)
@@ -157,7 +157,7 @@
 		require.ErrorIs(t, err, refused)
 		require.NoError(t, client.Close())
 
-		silent := NewClient(Options{Dial: (&lossy{lost: 1000}).dial})
+		silent := NewClient(Options{Dial: (&lossyDialer{lost: 1000}).dial})
 		for range 2 {
 			_, err = silent.acquire("10.0.0.1:1", maxDialTime)
 			require.ErrorIs(t, err, ErrNotSent)
--- a/coord/transport/errors.go
+++ b/coord/transport/errors.go
@@ -27,7 +27,7 @@
 	errStale      = errors.New("bytes have waited too long to be written")
 )
 
-// unsentOnStale tells whether a call failed only because its kept connection had ended before.
-func unsentOnStale(err error) bool {
+// closedBeforeSend tells whether a call failed only because its kept connection had ended before.
+func closedBeforeSend(err error) bool {
 	return err == rpc.ErrShutdown || errors.Is(err, errLinkBroken)
 }
--- a/coord/transport/faults_test.go
+++ b/coord/transport/faults_test.go
@@ -25,27 +25,27 @@
 // Calls at once under cuts of one way, resets, frozen and stopped servers: what each error says is what came of the call.
 func TestCallsUnderFaults(t *testing.T) {
 	played := seeds.Played(t, seedVariable, "", 1, faultSeeds)
-	told := map[string]int{}
+	outcomes := map[string]int{}
 	for _, seed := range played {
-		inWire(t, seed, func(t *testing.T, w *wire) {
+		withFixture(t, seed, func(t *testing.T, w *fixture) {
 			defer func() {
 				if t.Failed() {
 					t.Logf("replay: %s=%d go test ./coord/transport -run TestCallsUnderFaults", seedVariable, seed)
 				}
 			}()
-			faultRun(w, rand.New(rand.NewPCG(seed, 5)), told)
+			runWithFaults(w, rand.New(rand.NewPCG(seed, 5)), outcomes)
 		})
 	}
-	t.Log(told)
+	t.Log(outcomes)
 	if len(played) > 1 {
 		for _, outcome := range []string{"answered", "unknown", "not sent"} {
-			require.Greater(t, told[outcome], faultSeeds, "the faults are too few")
+			require.Greater(t, outcomes[outcome], faultSeeds, "the faults are too few")
 		}
 	}
 }
 
-func faultRun(w *wire, random *rand.Rand, told map[string]int) {
-	w.tally.takes = func(number int) time.Duration { return time.Duration(number*7919%90) * time.Millisecond }
+func runWithFaults(w *fixture, random *rand.Rand, outcomes map[string]int) {
+	w.tally.duration = func(number int) time.Duration { return time.Duration(number*7919%90) * time.Millisecond }
 	faults := []func(){
 		func() { w.network.Cut(callerHost, serverHost) },
 		func() { w.network.Cut(serverHost, callerHost) },
@@ -55,7 +55,7 @@
 		func() { w.network.Stop(serverHost) },
 		func() { w.network.SetLatency(callerHost, serverHost, 0, 80*time.Millisecond) },
 	}
-	mend := func() {
+	heal := func() {
 		w.network.HealAll()
 		w.network.Thaw(serverHost)
 		w.network.Resume(serverHost)
@@ -70,15 +70,15 @@
 		case 0:
 			faults[random.IntN(len(faults))]()
 		case 1, 2:
-			mend()
+			heal()
 		}
 	}
 	group.Wait()
-	mend()
-	w.settle()
+	heal()
+	w.awaitQuiescence()
 	for number, err := range results {
-		w.requireTrue(number, err)
-		told[outcomeName(err)]++
+		w.requireConsistent(number, err)
+		outcomes[outcomeName(err)]++
 	}
 }
 
@@ -93,7 +93,7 @@
 }
 
 // One-way messages under the same faults come in order, and once at most.
-func TestMessagesUnderFaultsComeInOrderAndOnce(t *testing.T) {
+func TestMessagesUnderFaultsArriveInOrderAtMostOnce(t *testing.T) {
 	for seed := range uint64(faultSeeds) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 6))
@@ -113,7 +113,7 @@
 			})))
 			go func() { _ = server.Serve() }()
 			client := NewClient(Options{Dial: network.Dialer(callerHost)})
-			sender := NewSender[int](client, "Sink.Receive", SenderOptions{AnswerTimeout: patience, BatchLength: 3})
+			sender := NewSender[int](client, "Sink.Receive", SenderOptions{AnswerTimeout: callTimeout, BatchLength: 3})
 			for message := range 300 {
 				sender.Send(serverAddr, message)
 				time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
@@ -148,12 +148,12 @@
 }
 
 // A call that has no time left is told so, sends nothing, and holds no other call to the address off.
-func TestACallWithoutTimeBeginsNothing(t *testing.T) {
-	inWire(t, 1, func(t *testing.T, w *wire) {
+func TestCallWithoutTimeLeftStartsNoDial(t *testing.T) {
+	withFixture(t, 1, func(t *testing.T, w *fixture) {
 		require.ErrorIs(t, w.add(1, 0), ErrNotSent)
-		require.NoError(t, w.add(2, patience), "no back-off for a dial that had no time")
+		require.NoError(t, w.add(2, callTimeout), "no back-off for a dial that had no time")
 		require.ErrorIs(t, w.add(3, -time.Second), ErrNotSent, "also on a kept connection")
-		w.settle()
+		w.awaitQuiescence()
 		require.Zero(t, w.tally.count(1)+w.tally.count(3))
 	})
 }
--- a/coord/transport/link.go
+++ b/coord/transport/link.go
@@ -9,11 +9,11 @@
 
 const (
 	maxPendingBytes = 16 << 20
-	maxKeptBytes    = 256 << 10
+	maxSpareBytes   = 256 << 10
 	writeTimeout    = 5 * time.Second
-	// mostPendingTime is how long bytes may wait to be written: behind one write that takes all its time, and no longer. Whatever waits
+	// maxPendingTime is how long bytes may wait to be written: behind one write that takes all its time, and no longer. Whatever waits
 	// longer was held up with its whole process, and its callers have long gone.
-	mostPendingTime = writeTimeout + time.Second
+	maxPendingTime = writeTimeout + time.Second
 )
 
 // linkState is what a link still does.
@@ -35,9 +35,9 @@
 	state   linkState
 	cause   error
 	pending []byte
-	// since is when the oldest of the pending bytes came.
-	since time.Time
-	spare []byte
+	// pendingSince is when the oldest of the pending bytes came.
+	pendingSince time.Time
+	spare        []byte
 }
 
 // newLink returns a link whose goroutine is still to be started, with run.
@@ -51,7 +51,7 @@
 	if err == nil {
 		return count, nil
 	}
-	if cause := l.broken(); cause != nil {
+	if cause := l.closeCause(); cause != nil {
 		return count, cause
 	}
 	if err == io.EOF {
@@ -71,7 +71,7 @@
 		return 0, errBacklog
 	}
 	if len(l.pending) == 0 {
-		l.since = time.Now()
+		l.pendingSince = time.Now()
 	}
 	l.pending = append(l.pending, data...)
 	return len(data), nil
@@ -85,8 +85,8 @@
 	}
 }
 
-// broken returns why the link was closed, or nil while it is not.
-func (l *link) broken() error {
+// closeCause returns why the link was closed, or nil while it is not.
+func (l *link) closeCause() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.state == linkClosed {
@@ -123,7 +123,7 @@
 // run writes what is pending until the link is closed.
 func (l *link) run() {
 	for {
-		data, since, state := l.take()
+		data, since, state := l.takePending()
 		if state == linkClosed {
 			return
 		}
@@ -139,20 +139,20 @@
 	}
 }
 
-// take swaps the two buffers.
-func (l *link) take() (data []byte, since time.Time, state linkState) {
+// takePending swaps the two buffers.
+func (l *link) takePending() (data []byte, since time.Time, state linkState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	data = l.pending
 	l.pending = l.spare[:0]
 	l.spare = nil
-	return data, l.since, l.state
+	return data, l.pendingSince, l.state
 }
 
 // writeUnlessStale writes, but for bytes that have waited through a freeze: a call isn't carried out long after its caller was told that
 // its outcome is unknown.
 func (l *link) writeUnlessStale(data []byte, since time.Time) {
-	if time.Since(since) > mostPendingTime {
+	if time.Since(since) > maxPendingTime {
 		l.close(errStale)
 		return
 	}
@@ -168,11 +168,11 @@
 		l.close(err)
 		return
 	}
-	l.giveBack(data)
+	l.recycle(data)
 }
 
-func (l *link) giveBack(buffer []byte) {
-	if cap(buffer) > maxKeptBytes {
+func (l *link) recycle(buffer []byte) {
+	if cap(buffer) > maxSpareBytes {
 		return
 	}
 	l.mu.Lock()
--- a/coord/transport/link_test.go
+++ b/coord/transport/link_test.go
@@ -13,8 +13,8 @@
 	"gaugeslip/internal/simnet"
 )
 
-// linkOver returns a link that isn't run yet, and the other end of its connection.
-func linkOver(t *testing.T) (*link, *simnet.Conn) {
+// newTestLink returns a link that isn't run yet, and the other end of its connection.
+func newTestLink(t *testing.T) (*link, *simnet.Conn) {
 	network := simnet.New(1)
 	_, err := network.Listen(serverAddr)
 	require.NoError(t, err)
@@ -24,25 +24,25 @@
 }
 
 // A process that was frozen with a call half on its way doesn't send it once it goes on: its caller was told long ago that nobody knows.
-func TestBytesThatWaitedThroughAFreezeAreNotWritten(t *testing.T) {
-	for _, frozen := range []time.Duration{mostPendingTime, mostPendingTime + time.Millisecond} {
+func TestStalePendingBytesAreNotWritten(t *testing.T) {
+	for _, frozen := range []time.Duration{maxPendingTime, maxPendingTime + time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			l, far := linkOver(t)
+			l, far := newTestLink(t)
 			_, err := l.Write([]byte("call"))
 			require.NoError(t, err)
 			time.Sleep(frozen)
 			go l.run()
 			l.flush()
 			synctest.Wait()
-			if frozen == mostPendingTime {
-				require.NoError(t, l.broken())
+			if frozen == maxPendingTime {
+				require.NoError(t, l.closeCause())
 				got := make([]byte, 4)
 				_, err := io.ReadFull(far, got)
 				require.NoError(t, err)
 				l.close(ErrClosed)
 				return
 			}
-			require.ErrorIs(t, l.broken(), errStale)
+			require.ErrorIs(t, l.closeCause(), errStale)
 			require.NoError(t, far.SetReadDeadline(time.Now().Add(time.Minute)))
 			count, err := far.Read(make([]byte, 4))
 			require.Zero(t, count)
@@ -52,19 +52,19 @@
 }
 
 // The time counts anew for bytes that come after others were written.
-func TestBytesThatComeLaterWaitFromThen(t *testing.T) {
+func TestPendingTimeRestartsAfterWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, far := linkOver(t)
+		l, far := newTestLink(t)
 		go l.run()
 		for range 3 {
-			time.Sleep(2 * mostPendingTime)
+			time.Sleep(2 * maxPendingTime)
 			_, err := l.Write([]byte("call"))
 			require.NoError(t, err)
 			l.flush()
 			_, err = io.ReadFull(far, make([]byte, 4))
 			require.NoError(t, err)
 		}
-		require.NoError(t, l.broken())
+		require.NoError(t, l.closeCause())
 		l.close(ErrClosed)
 	})
 }
--- a/coord/transport/peers.go
+++ b/coord/transport/peers.go
@@ -11,8 +11,8 @@
 type peerState uint8
 
 const (
-	// peerAbsent has no connection; dials may start once retryAt has passed.
-	peerAbsent peerState = iota
+	// peerDisconnected has no connection; dials may start once retryAt has passed.
+	peerDisconnected peerState = iota
 	// peerDialing waits for one dial, for all calls.
 	peerDialing
 	peerConnected
@@ -22,12 +22,12 @@
 type peer struct {
 	state      peerState
 	connection *connection
-	dial       *dial
+	dial       *pendingDial
 	retryAt    time.Time
 }
 
-// dial is a dial under way; its outcome may be read once it is done.
-type dial struct {
+// pendingDial is a dial under way; its outcome may be read once it is done.
+type pendingDial struct {
 	done       chan struct{}
 	reachable  chan struct{} // the address has shown to be there
 	connection *connection
@@ -38,38 +38,38 @@
 // only fail would hold the address's other calls off.
 func (c *Client) acquire(addr string, timeout time.Duration) (*connection, error) {
 	if timeout <= 0 {
-		return nil, notSent(addr, errNoTime)
+		return nil, notSentError(addr, errNoTime)
 	}
-	found, attempt, mine, err := c.lookUp(addr)
+	found, attempt, mustDial, err := c.lookup(addr)
 	if err != nil {
-		return nil, notSent(addr, err)
+		return nil, notSentError(addr, err)
 	}
 	if found != nil {
 		return found, nil
 	}
-	if mine {
+	if mustDial {
 		c.dial(addr, attempt, timeout)
 	}
 	if err := attempt.wait(timeout); err != nil {
-		return nil, notSent(addr, err)
+		return nil, notSentError(addr, err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.use(attempt.connection)
+	c.acquireLocked(attempt.connection)
 	return attempt.connection, nil
 }
 
-// lookUp returns the address's connection, or the dial to wait for; mine says that the caller has to do it.
-func (c *Client) lookUp(addr string) (found *connection, attempt *dial, mine bool, err error) {
+// lookup returns the address's connection, or the dial to wait for; mine says that the caller has to do it.
+func (c *Client) lookup(addr string) (found *connection, attempt *pendingDial, mustDial bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return nil, nil, false, ErrClosed
 	}
-	known := c.peer(addr)
+	known := c.peerFor(addr)
 	switch known.state {
 	case peerConnected:
-		c.use(known.connection)
+		c.acquireLocked(known.connection)
 		return known.connection, nil, false, nil
 	case peerDialing:
 		return nil, known.dial, false, nil
@@ -81,36 +81,36 @@
 	}
 }
 
-func (c *Client) peer(addr string) *peer {
+func (c *Client) peerFor(addr string) *peer {
 	if known, found := c.peers[addr]; found {
 		return known
 	}
 	if len(c.peers) >= peersPerConnection*c.options.MaxConnections {
-		c.forgetAbsent()
+		c.removeDisconnected()
 	}
 	known := &peer{}
 	c.peers[addr] = known
 	return known
 }
 
-// forgetAbsent drops what is known of addresses whose back-off is over.
-func (c *Client) forgetAbsent() {
+// removeDisconnected drops what is known of addresses whose back-off is over.
+func (c *Client) removeDisconnected() {
 	now := time.Now()
 	for addr, known := range c.peers {
-		if known.state == peerAbsent && now.After(known.retryAt) {
+		if known.state == peerDisconnected && now.After(known.retryAt) {
 			delete(c.peers, addr)
 		}
 	}
 }
 
-func (c *Client) use(used *connection) {
+func (c *Client) acquireLocked(used *connection) {
 	c.touch(used)
 	used.users++
 }
 
 func (c *Client) touch(used *connection) {
-	c.uses++
-	used.lastUse = c.uses
+	c.useCounter++
+	used.lastUse = c.useCounter
 }
 
 // release gives back what acquire returned.
@@ -120,13 +120,13 @@
 	used.users--
 }
 
-// dial does the dial that lookUp began and tells its end to all that wait.
-func (c *Client) dial(addr string, attempt *dial, timeout time.Duration) {
+// dial does the dial that lookup began and tells its end to all that wait.
+func (c *Client) dial(addr string, attempt *pendingDial, timeout time.Duration) {
 	conn, err := c.dialTCP(addr, min(timeout, maxDialTime), attempt.reachable)
-	attempt.connection, attempt.err = c.dialed(addr, conn, err)
+	attempt.connection, attempt.err = c.finishDial(addr, conn, err)
 	close(attempt.done)
-	if evicted := c.evict(attempt.connection); evicted != nil {
-		evicted.codec.end(errEvicted)
+	if evicted := c.evictOldest(attempt.connection); evicted != nil {
+		evicted.codec.closeWithCause(errEvicted)
 	}
 }
 
@@ -136,8 +136,8 @@
 	return dialRepeatedly(bounded, c.options.Dial, addr, reachable)
 }
 
-// dialed records the end of a dial and starts the connection.
-func (c *Client) dialed(addr string, conn net.Conn, err error) (*connection, error) {
+// finishDial records the end of a dial and starts the connection.
+func (c *Client) finishDial(addr string, conn net.Conn, err error) (*connection, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.peers[addr]
@@ -150,20 +150,20 @@
 		known.dialFailed(ErrClosed)
 		return nil, ErrClosed
 	}
-	fresh := newConnection(addr, conn, c.disconnected)
+	fresh := newConnection(addr, conn, c.connectionClosed)
 	known.dialSucceeded(fresh)
-	c.connected++
+	c.connectionCount++
 	c.touch(fresh)
 	c.group.Go(fresh.codec.link.run)
 	fresh.start()
 	return fresh, nil
 }
 
-// evict takes the connection out that has been idle longest, if there are too many.
-func (c *Client) evict(fresh *connection) *connection {
+// evictOldest takes the connection out that has been idle longest, if there are too many.
+func (c *Client) evictOldest(fresh *connection) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.connected <= c.options.MaxConnections {
+	if c.connectionCount <= c.options.MaxConnections {
 		return nil
 	}
 	var oldest *connection
@@ -177,31 +177,31 @@
 		}
 	}
 	if oldest != nil {
-		c.drop(oldest)
+		c.remove(oldest)
 	}
 	return oldest
 }
 
-// disconnected records the end of a connection, at its first call.
-func (c *Client) disconnected(ended *connection) {
+// connectionClosed records the end of a connection, at its first call.
+func (c *Client) connectionClosed(ended *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known, found := c.peers[ended.addr]
 	if found && known.connection == ended {
-		c.drop(ended)
+		c.remove(ended)
 	}
 }
 
-// drop forgets a connection and its address.
-func (c *Client) drop(ended *connection) {
+// remove forgets a connection and its address.
+func (c *Client) remove(ended *connection) {
 	delete(c.peers, ended.addr)
-	c.connected--
+	c.connectionCount--
 }
 
 // startDial is the change from absent to dialing.
-func (p *peer) startDial() *dial {
+func (p *peer) startDial() *pendingDial {
 	p.state = peerDialing
-	p.dial = &dial{done: make(chan struct{}), reachable: make(chan struct{}, 1)}
+	p.dial = &pendingDial{done: make(chan struct{}), reachable: make(chan struct{}, 1)}
 	return p.dial
 }
 
@@ -215,7 +215,7 @@
 // dialFailed is the change from dialing to absent. A dial without an answer has lasted for longer than any back-off, and its address may be
 // there at the next moment.
 func (p *peer) dialFailed(err error) {
-	p.state = peerAbsent
+	p.state = peerDisconnected
 	p.dial = nil
 	p.retryAt = time.Time{}
 	if !errors.Is(err, context.DeadlineExceeded) {
@@ -233,7 +233,7 @@
 		return
 	}
 	switch known.state {
-	case peerAbsent:
+	case peerDisconnected:
 		known.retryAt = time.Time{}
 	case peerDialing:
 		select {
@@ -244,7 +244,7 @@
 }
 
 // wait waits for the end of the dial.
-func (d *dial) wait(timeout time.Duration) error {
+func (d *pendingDial) wait(timeout time.Duration) error {
 	select {
 	case <-d.done:
 		return d.err
--- a/coord/transport/pump.go
+++ b/coord/transport/pump.go
@@ -19,16 +19,16 @@
 
 // pump is the goroutine that sends what is queued for one address.
 type pump[M any] struct {
-	sender *Sender[M]
-	to     *outgoing[M]
-	stream stream[M]
+	sender      *Sender[M]
+	destination *destination[M]
+	stream      stream[M]
 
 	messages []M
-	// quiet counts the ticks in a row at which batches were out and the connection had said nothing.
-	quiet   int
-	answers uint64
-	// idle counts the ticks since the last batch.
-	idle int
+	// silentTicks counts the ticks in a row at which batches were out and the connection had said nothing.
+	silentTicks int
+	responses   uint64
+	// idleTicks counts the ticks since the last batch.
+	idleTicks int
 }
 
 // stream is the batches that go over one connection; without a connection it is over.
@@ -39,25 +39,25 @@
 	batches    [window]Batch[M]
 	answered   [window]bool
 	// oldest is the first batch without an answer, next the one to be sent.
-	oldest uint64
-	next   uint64
-	out    int
+	oldest     uint64
+	next       uint64
+	unanswered int
 }
 
-func newPump[M any](sender *Sender[M], to *outgoing[M]) *pump[M] {
-	return &pump[M]{sender: sender, to: to}
+func newPump[M any](sender *Sender[M], to *destination[M]) *pump[M] {
+	return &pump[M]{sender: sender, destination: to}
 }
 
 func (p *pump[M]) run() {
-	ticker := time.NewTicker(p.tickLength())
+	ticker := time.NewTicker(p.tickInterval())
 	defer ticker.Stop()
 	defer p.endStream()
 	for {
 		p.sendQueued()
 		select {
-		case <-p.to.wake:
+		case <-p.destination.wake:
 		case call := <-p.stream.done:
-			p.answered(call)
+			p.handleAnswer(call)
 		case <-ticker.C:
 			if p.tick() {
 				return
@@ -68,20 +68,20 @@
 	}
 }
 
-func (p *pump[M]) tickLength() time.Duration {
+func (p *pump[M]) tickInterval() time.Duration {
 	return max(p.sender.options.AnswerTimeout/2, 1)
 }
 
-func (p *pump[M]) idleTicks() int {
-	return int(p.sender.options.IdleTimeout / p.tickLength())
+func (p *pump[M]) maxIdleTicks() int {
+	return int(p.sender.options.IdleTimeout / p.tickInterval())
 }
 
 // sendQueued sends as much as the window allows.
 func (p *pump[M]) sendQueued() {
-	for p.stream.open() && p.sender.queued(p.to) > 0 {
-		connection, err := p.sender.client.acquire(p.to.addr, maxDialTime)
+	for p.stream.windowOpen() && p.sender.queued(p.destination) > 0 {
+		connection, err := p.sender.client.acquire(p.destination.addr, maxDialTime)
 		if err != nil {
-			p.sender.drop(p.to)
+			p.sender.discardQueue(p.destination)
 			return
 		}
 		if connection != p.stream.connection {
@@ -91,44 +91,44 @@
 	}
 }
 
-// open tells whether another batch may go out.
-func (s *stream[M]) open() bool {
+// windowOpen tells whether another batch may go out.
+func (s *stream[M]) windowOpen() bool {
 	return s.next-s.oldest < window
 }
 
 // startStream is the change to a new stream.
 func (p *pump[M]) startStream(connection *connection) {
 	p.endStream()
-	p.stream.number = p.sender.streams.Add(1)
+	p.stream.number = p.sender.lastStream.Add(1)
 	p.stream.connection = connection
 	p.stream.done = make(chan *rpc.Call, window)
 }
 
 // endStream is the change to no stream; batches that are out may arrive or not.
 func (p *pump[M]) endStream() {
-	for range p.stream.out {
+	for range p.stream.unanswered {
 		p.sender.client.release(p.stream.connection)
 	}
 	p.stream = stream[M]{}
-	p.quiet = 0
+	p.silentTicks = 0
 }
 
 // sendBatch sends one batch over the stream's connection, which was acquired for it.
 func (p *pump[M]) sendBatch() {
 	s := &p.stream
 	place := s.next % window
-	p.messages = p.sender.take(p.to, p.messages[:0])
+	p.messages = p.sender.take(p.destination, p.messages[:0])
 	s.batches[place] = Batch[M]{Sender: p.sender.id, Stream: s.number, Sequence: s.next, Messages: p.messages}
 	s.answered[place] = false
 	s.next++
-	s.out++
+	s.unanswered++
 	s.connection.rpc.Go(p.sender.method, &s.batches[place], nil, s.done)
 	clear(p.messages)
-	p.idle = 0
+	p.idleTicks = 0
 }
 
-// answered records the end of a batch's call.
-func (p *pump[M]) answered(call *rpc.Call) {
+// handleAnswer records the end of a batch's call.
+func (p *pump[M]) handleAnswer(call *rpc.Call) {
 	if call.Error != nil {
 		p.endStream()
 		return
@@ -136,7 +136,7 @@
 	s := &p.stream
 	batch := call.Args.(*Batch[M])
 	s.answered[batch.Sequence%window] = true
-	s.out--
+	s.unanswered--
 	p.sender.client.release(s.connection)
 	for s.oldest < s.next && s.answered[s.oldest%window] {
 		s.oldest++
@@ -145,26 +145,26 @@
 
 // tick closes a connection that has said nothing for too long; it tells whether the goroutine is to end.
 func (p *pump[M]) tick() bool {
-	if p.stream.out > 0 {
-		p.tickWaiting()
+	if p.stream.unanswered > 0 {
+		p.checkSilence()
 		return false
 	}
-	p.quiet = 0
-	p.idle++
-	return p.idle >= p.idleTicks() && p.sender.retire(p.to)
+	p.silentTicks = 0
+	p.idleTicks++
+	return p.idleTicks >= p.maxIdleTicks() && p.sender.removeIfEmpty(p.destination)
 }
 
-func (p *pump[M]) tickWaiting() {
-	const quietTicks = 3
+func (p *pump[M]) checkSilence() {
+	const maxSilentTicks = 3
 	codec := p.stream.connection.codec
-	answers := codec.answers.Load()
-	if answers != p.answers {
-		p.answers = answers
-		p.quiet = 0
+	responses := codec.responses.Load()
+	if responses != p.responses {
+		p.responses = responses
+		p.silentTicks = 0
 	}
-	p.quiet++
-	if p.quiet >= quietTicks {
-		codec.end(errNoAnswer)
+	p.silentTicks++
+	if p.silentTicks >= maxSilentTicks {
+		codec.closeWithCause(errNoAnswer)
 		p.endStream()
 	}
 }
--- a/coord/transport/queue.go
+++ b/coord/transport/queue.go
@@ -22,8 +22,8 @@
 }
 
 // take moves the oldest messages, up to a number of them, to the end of the slice.
-func (q *queue[M]) take(into []M, most int) []M {
-	count := min(q.len(), most)
+func (q *queue[M]) take(into []M, limit int) []M {
+	count := min(q.len(), limit)
 	into = append(into, q.items[q.head:q.head+count]...)
 	q.advance(count)
 	return into
--- a/coord/transport/receiver.go
+++ b/coord/transport/receiver.go
@@ -4,7 +4,7 @@
 	"sync"
 )
 
-const maxIncoming = 1024
+const maxSenders = 1024
 
 // Ack is the empty answer to a batch.
 type Ack struct{}
@@ -13,30 +13,30 @@
 type Receiver[M any] struct {
 	deliver func(messages []M)
 
-	mu      sync.Mutex
-	uses    uint64
-	senders map[uint64]*incoming[M]
+	mu         sync.Mutex
+	useCounter uint64
+	senders    map[uint64]*inboundStream[M]
 }
 
-// incoming is the current stream of one sender. The lock is held while a batch is delivered.
-type incoming[M any] struct {
+// inboundStream is the current stream of one sender. The lock is held while a batch is delivered.
+type inboundStream[M any] struct {
 	lastUse uint64
 
-	mu     sync.Mutex
-	stream uint64
-	next   uint64
-	held   [window]*Batch[M]
+	mu       sync.Mutex
+	stream   uint64
+	next     uint64
+	buffered [window]*Batch[M]
 }
 
 // NewReceiver returns a receiver that hands messages to deliver, which may keep them. Calls of deliver for one sender come
 // one after the other, those for different senders may overlap; a slow one holds its sender up.
 func NewReceiver[M any](deliver func(messages []M)) *Receiver[M] {
-	return &Receiver[M]{deliver: deliver, senders: map[uint64]*incoming[M]{}}
+	return &Receiver[M]{deliver: deliver, senders: map[uint64]*inboundStream[M]{}}
 }
 
 // Receive takes a batch; it is called by net/rpc. It fails with ErrGap if the stream can't go on.
 func (r *Receiver[M]) Receive(batch *Batch[M], _ *Ack) error {
-	from := r.incoming(batch.Sender)
+	from := r.streamOf(batch.Sender)
 	from.mu.Lock()
 	defer from.mu.Unlock()
 	if batch.Stream > from.stream {
@@ -48,53 +48,53 @@
 	if batch.Sequence-from.next >= window {
 		return ErrGap
 	}
-	from.held[batch.Sequence%window] = batch
-	r.deliverHeld(from)
+	from.buffered[batch.Sequence%window] = batch
+	r.deliverBuffered(from)
 	return nil
 }
 
-// deliverHeld delivers all held batches up to the first gap.
-func (r *Receiver[M]) deliverHeld(from *incoming[M]) {
+// deliverBuffered delivers all held batches up to the first gap.
+func (r *Receiver[M]) deliverBuffered(from *inboundStream[M]) {
 	for {
 		place := from.next % window
-		batch := from.held[place]
+		batch := from.buffered[place]
 		if batch == nil {
 			return
 		}
-		from.held[place] = nil
+		from.buffered[place] = nil
 		from.next++
 		r.deliver(batch.Messages)
 	}
 }
 
 // startStream is the change to a newer stream; what is held of the older one is lost.
-func (i *incoming[M]) startStream(stream uint64) {
+func (i *inboundStream[M]) startStream(stream uint64) {
 	i.stream = stream
 	i.next = 0
-	clear(i.held[:])
+	clear(i.buffered[:])
 }
 
-func (r *Receiver[M]) incoming(sender uint64) *incoming[M] {
+func (r *Receiver[M]) streamOf(sender uint64) *inboundStream[M] {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	from, found := r.senders[sender]
 	if !found {
-		if len(r.senders) >= maxIncoming {
-			r.forgetOldest()
+		if len(r.senders) >= maxSenders {
+			r.evictOldest()
 		}
-		from = &incoming[M]{}
+		from = &inboundStream[M]{}
 		r.senders[sender] = from
 	}
-	r.uses++
-	from.lastUse = r.uses
+	r.useCounter++
+	from.lastUse = r.useCounter
 	return from
 }
 
-// forgetOldest drops the sender that has been silent longest. If it still lives, its stream fails with ErrGap and it
+// evictOldest drops the sender that has been silent longest. If it still lives, its stream fails with ErrGap and it
 // starts another.
-func (r *Receiver[M]) forgetOldest() {
+func (r *Receiver[M]) evictOldest() {
 	var oldest uint64
-	least := r.uses + 1
+	least := r.useCounter + 1
 	for sender, from := range r.senders {
 		if from.lastUse < least {
 			oldest = sender
--- a/coord/transport/receiver_test.go
+++ b/coord/transport/receiver_test.go
@@ -13,7 +13,7 @@
 	require.NoError(t, receiver.Receive(batch, &Ack{}))
 }
 
-func TestBatchesAreDeliveredInOrderWhateverOrderTheyComeIn(t *testing.T) {
+func TestBatchesAreDeliveredInOrderForAnyArrivalOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		delivered := []int{}
 		receiver := NewReceiver(func(messages []int) { delivered = append(delivered, messages...) })
@@ -50,24 +50,24 @@
 	require.Equal(t, []int{10, 20, 21}, delivered)
 }
 
-func TestAGapThatNothingCanFillIsTold(t *testing.T) {
+func TestGapBeyondWindowIsReported(t *testing.T) {
 	receiver := NewReceiver(func([]int) {})
 	err := receiver.Receive(&Batch[int]{Sender: 1, Stream: 1, Sequence: window}, &Ack{})
 	require.ErrorIs(t, err, ErrGap)
 }
 
-func TestSilentSendersAreForgotten(t *testing.T) {
+func TestLeastRecentSendersAreEvicted(t *testing.T) {
 	delivered := 0
 	receiver := NewReceiver(func([]int) { delivered++ })
-	for sender := range uint64(2 * maxIncoming) {
+	for sender := range uint64(2 * maxSenders) {
 		require.NoError(t, receiver.Receive(&Batch[int]{Sender: sender, Stream: 1}, &Ack{}))
 		require.NoError(t, receiver.Receive(&Batch[int]{Sender: 0, Stream: 1, Sequence: sender + 1}, &Ack{}))
 	}
-	require.Len(t, receiver.senders, maxIncoming)
-	require.Equal(t, 4*maxIncoming, delivered, "the one that goes on is not forgotten")
+	require.Len(t, receiver.senders, maxSenders)
+	require.Equal(t, 4*maxSenders, delivered, "the one that goes on is not forgotten")
 }
 
-func TestQueueKeepsTheNewest(t *testing.T) {
+func TestQueueKeepsNewestMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := rapid.IntRange(1, 9).Draw(t, "bound")
 		subject := queue[int]{bound: bound}
@@ -79,9 +79,9 @@
 				model = append(model, number)
 				model = model[max(0, len(model)-bound):]
 			} else {
-				most := rapid.IntRange(0, 4).Draw(t, "most")
-				count := min(most, len(model))
-				require.Equal(t, model[:count], subject.take([]int{}, most))
+				limit := rapid.IntRange(0, 4).Draw(t, "most")
+				count := min(limit, len(model))
+				require.Equal(t, model[:count], subject.take([]int{}, limit))
 				model = model[count:]
 			}
 			require.Equal(t, len(model), subject.len())
--- a/coord/transport/sender.go
+++ b/coord/transport/sender.go
@@ -47,22 +47,22 @@
 // connection breaks or can't be made, and when they are too many; nothing tells of it but Lost. A Sender is safe for
 // concurrent use.
 type Sender[M any] struct {
-	client  *Client
-	method  string
-	options SenderOptions
-	id      uint64
-	closing chan struct{}
-	group   sync.WaitGroup
-	streams atomic.Uint64
-	lost    atomic.Uint64
-
-	mu     sync.Mutex
-	closed bool
-	peers  map[string]*outgoing[M]
+	client     *Client
+	method     string
+	options    SenderOptions
+	id         uint64
+	closing    chan struct{}
+	group      sync.WaitGroup
+	lastStream atomic.Uint64
+	dropped    atomic.Uint64
+
+	mu           sync.Mutex
+	closed       bool
+	destinations map[string]*destination[M]
 }
 
-// outgoing is what waits for one address. The sender's lock guards the queue.
-type outgoing[M any] struct {
+// destination is what waits for one address. The sender's lock guards the queue.
+type destination[M any] struct {
 	addr  string
 	queue queue[M]
 	wake  chan struct{}
@@ -71,12 +71,12 @@
 // NewSender returns a sender that calls the method, a Receiver's Receive, with batches.
 func NewSender[M any](client *Client, method string, options SenderOptions) *Sender[M] {
 	return &Sender[M]{
-		client:  client,
-		method:  method,
-		options: options.withDefaults(),
-		id:      rand.Uint64(),
-		closing: make(chan struct{}),
-		peers:   map[string]*outgoing[M]{},
+		client:       client,
+		method:       method,
+		options:      options.withDefaults(),
+		id:           rand.Uint64(),
+		closing:      make(chan struct{}),
+		destinations: map[string]*destination[M]{},
 	}
 }
 
@@ -87,12 +87,12 @@
 	if s.closed {
 		return
 	}
-	to, found := s.peers[addr]
+	to, found := s.destinations[addr]
 	if !found {
-		to = s.begin(addr)
+		to = s.startPump(addr)
 	}
 	if to.queue.push(message) {
-		s.lost.Add(1)
+		s.dropped.Add(1)
 	}
 	select {
 	case to.wake <- struct{}{}:
@@ -100,9 +100,9 @@
 	}
 }
 
-// Lost returns how many messages surely weren't sent, for want of room or of a connection.
-func (s *Sender[M]) Lost() uint64 {
-	return s.lost.Load()
+// Dropped returns how many messages surely weren't sent, for want of room or of a connection.
+func (s *Sender[M]) Dropped() uint64 {
+	return s.dropped.Load()
 }
 
 // Close ends the sender; what is queued is lost.
@@ -117,44 +117,44 @@
 	return nil
 }
 
-// begin starts the goroutine of an address. The caller holds the lock.
-func (s *Sender[M]) begin(addr string) *outgoing[M] {
-	to := &outgoing[M]{
+// startPump starts the goroutine of an address. The caller holds the lock.
+func (s *Sender[M]) startPump(addr string) *destination[M] {
+	to := &destination[M]{
 		addr:  addr,
 		queue: queue[M]{bound: s.options.QueueLength},
 		wake:  make(chan struct{}, 1),
 	}
-	s.peers[addr] = to
+	s.destinations[addr] = to
 	s.group.Go(newPump(s, to).run)
 	return to
 }
 
-// retire forgets an address whose goroutine is about to end, unless a message came meanwhile.
-func (s *Sender[M]) retire(to *outgoing[M]) bool {
+// removeIfEmpty forgets an address whose goroutine is about to end, unless a message came meanwhile.
+func (s *Sender[M]) removeIfEmpty(to *destination[M]) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if to.queue.len() > 0 {
 		return false
 	}
-	delete(s.peers, to.addr)
+	delete(s.destinations, to.addr)
 	return true
 }
 
-func (s *Sender[M]) queued(to *outgoing[M]) int {
+func (s *Sender[M]) queued(to *destination[M]) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return to.queue.len()
 }
 
-func (s *Sender[M]) take(to *outgoing[M], into []M) []M {
+func (s *Sender[M]) take(to *destination[M], into []M) []M {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return to.queue.take(into, s.options.BatchLength)
 }
 
-// drop loses all that waits for an address that can't be reached.
-func (s *Sender[M]) drop(to *outgoing[M]) {
+// discardQueue loses all that waits for an address that can't be reached.
+func (s *Sender[M]) discardQueue(to *destination[M]) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lost.Add(uint64(to.queue.clear()))
+	s.dropped.Add(uint64(to.queue.clear()))
 }
--- a/coord/transport/sender_test.go
+++ b/coord/transport/sender_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// note is a message of the tests: the numbers of one producer go up.
-type note struct {
+// testMessage is a message of the tests: the numbers of one producer go up.
+type testMessage struct {
 	Producer int
 	Number   int
 }
@@ -31,7 +31,7 @@
 	return box
 }
 
-func (b *inbox) deliver(notes []note) {
+func (b *inbox) deliver(notes []testMessage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, received := range notes {
@@ -58,14 +58,14 @@
 	return b.latest[producer] > 0
 }
 
-func newTestSender(t *testing.T, client *Client, options SenderOptions) *Sender[note] {
+func newTestSender(t *testing.T, client *Client, options SenderOptions) *Sender[testMessage] {
 	t.Helper()
-	sender := NewSender[note](client, "Inbox.Receive", options)
+	sender := NewSender[testMessage](client, "Inbox.Receive", options)
 	t.Cleanup(func() { require.NoError(t, sender.Close()) })
 	return sender
 }
 
-func TestNothingIsLostWhileConnectionsHold(t *testing.T) {
+func TestNoMessageIsLostOnStableConnections(t *testing.T) {
 	const producers, each, receivers = 4, 3000, 2
 	client := newTestClient(t, Options{})
 	sender := newTestSender(t, client, SenderOptions{QueueLength: producers * each, BatchLength: 16})
@@ -76,17 +76,17 @@
 		for producer := range producers {
 			group.Go(func() {
 				for number := range each {
-					sender.Send(server.Addr(), note{Producer: producer, Number: number + 1})
+					sender.Send(server.Addr(), testMessage{Producer: producer, Number: number + 1})
 				}
 			})
 		}
 		group.Go(func() { box.awaitCount(producers * each) })
 	}
 	group.Wait()
-	require.Zero(t, sender.Lost())
+	require.Zero(t, sender.Dropped())
 }
 
-func TestBrokenConnectionsLoseMessagesButNeverTheirOrder(t *testing.T) {
+func TestBrokenConnectionsPreserveMessageOrder(t *testing.T) {
 	const producers, each, breaks = 3, 4000, 40
 	box := newInbox(t)
 	server := serve(t, "127.0.0.1:0", "Inbox", NewReceiver(box.deliver))
@@ -96,7 +96,7 @@
 	for producer := range producers {
 		group.Go(func() {
 			for number := range each {
-				sender.Send(server.Addr(), note{Producer: producer, Number: number + 1})
+				sender.Send(server.Addr(), testMessage{Producer: producer, Number: number + 1})
 				if number%(each/breaks) == 0 {
 					breakConnection(client, server, producer)
 				}
@@ -109,8 +109,8 @@
 
 // breakConnection closes the connection at the one end or the other.
 func breakConnection(client *Client, server *Server, end int) {
-	if kept := client.kept(server.Addr()); kept != nil && end > 0 {
-		kept.codec.end(errPeerClosed)
+	if kept := client.connectionTo(server.Addr()); kept != nil && end > 0 {
+		kept.codec.closeWithCause(errPeerClosed)
 		return
 	}
 	server.mu.Lock()
@@ -121,20 +121,20 @@
 }
 
 // sendUntilReceived sends notes of one more producer until one of them arrives.
-func sendUntilReceived(client *Client, sender *Sender[note], addr string, box *inbox, producer int) {
+func sendUntilReceived(client *Client, sender *Sender[testMessage], addr string, box *inbox, producer int) {
 	for number := 1; !box.has(producer); number++ {
 		client.skipBackOff(addr)
-		sender.Send(addr, note{Producer: producer, Number: number})
+		sender.Send(addr, testMessage{Producer: producer, Number: number})
 		runtime.Gosched()
 	}
 }
 
-func TestARestartedReceiverIsReachedAgain(t *testing.T) {
+func TestRestartedReceiverIsReached(t *testing.T) {
 	client := newTestClient(t, Options{})
 	sender := newTestSender(t, client, SenderOptions{})
-	addr := deadAddr(t)
-	sender.Send(addr, note{Number: 1})
-	for sender.Lost() == 0 {
+	addr := unusedAddr(t)
+	sender.Send(addr, testMessage{Number: 1})
+	for sender.Dropped() == 0 {
 		runtime.Gosched()
 	}
 	box := newInbox(t)
@@ -142,7 +142,7 @@
 	sendUntilReceived(client, sender, addr, box, 1)
 }
 
-func TestASlowReceiverCostsTheOldestMessages(t *testing.T) {
+func TestSlowReceiverDropsOldestMessages(t *testing.T) {
 	const bound, total = 50, 1000
 	client := newTestClient(t, Options{})
 	sender := newTestSender(t, client, SenderOptions{QueueLength: bound, BatchLength: 2})
@@ -150,29 +150,29 @@
 	entered := make(chan struct{})
 	released := make(chan struct{})
 	var once sync.Once
-	server := serve(t, "127.0.0.1:0", "Inbox", NewReceiver(func(notes []note) {
+	server := serve(t, "127.0.0.1:0", "Inbox", NewReceiver(func(notes []testMessage) {
 		once.Do(func() { close(entered) })
 		<-released
 		box.deliver(notes)
 	}))
-	sender.Send(server.Addr(), note{Number: 1})
+	sender.Send(server.Addr(), testMessage{Number: 1})
 	<-entered
 	for number := range total {
-		sender.Send(server.Addr(), note{Number: number + 2})
+		sender.Send(server.Addr(), testMessage{Number: number + 2})
 	}
-	require.GreaterOrEqual(t, sender.Lost(), uint64(total-bound-2*window))
+	require.GreaterOrEqual(t, sender.Dropped(), uint64(total-bound-2*window))
 	close(released)
-	box.awaitCount(total + 1 - int(sender.Lost()))
+	box.awaitCount(total + 1 - int(sender.Dropped()))
 	box.mu.Lock()
 	defer box.mu.Unlock()
 	require.Equal(t, total+1, box.latest[0])
 }
 
-func TestASilentConnectionIsClosed(t *testing.T) {
-	addr, accepted := mute(t)
+func TestSilentConnectionIsClosed(t *testing.T) {
+	addr, accepted := listenWithoutReading(t)
 	client := newTestClient(t, Options{})
-	sender := newTestSender(t, client, SenderOptions{AnswerTimeout: brief})
-	sender.Send(addr, note{Number: 1})
+	sender := newTestSender(t, client, SenderOptions{AnswerTimeout: shortTimeout})
+	sender.Send(addr, testMessage{Number: 1})
 	conn := <-accepted
 	buffer := make([]byte, 64)
 	for {
@@ -180,37 +180,37 @@
 			break
 		}
 	}
-	require.Nil(t, client.kept(addr))
+	require.Nil(t, client.connectionTo(addr))
 }
 
 func TestIdleGoroutinesEnd(t *testing.T) {
 	box := newInbox(t)
 	server := serve(t, "127.0.0.1:0", "Inbox", NewReceiver(box.deliver))
 	client := newTestClient(t, Options{})
-	sender := newTestSender(t, client, SenderOptions{AnswerTimeout: brief, IdleTimeout: brief})
+	sender := newTestSender(t, client, SenderOptions{AnswerTimeout: shortTimeout, IdleTimeout: shortTimeout})
 	for number := range 3 {
-		sender.Send(server.Addr(), note{Number: number + 1})
+		sender.Send(server.Addr(), testMessage{Number: number + 1})
 		box.awaitCount(number + 1)
 		sender.group.Wait()
-		require.Empty(t, sender.peers)
-		require.Zero(t, client.kept(server.Addr()).users)
+		require.Empty(t, sender.destinations)
+		require.Zero(t, client.connectionTo(server.Addr()).users)
 	}
 }
 
-func TestSendersWithoutAServiceLoseTheirMessagesOnly(t *testing.T) {
+func TestSendToUnregisteredServiceKeepsConnectionUsable(t *testing.T) {
 	server, _ := serveEcho(t)
 	client := newTestClient(t, Options{})
 	sender := newTestSender(t, client, SenderOptions{})
-	sender.Send(server.Addr(), note{Number: 1})
-	twice(t, client, server.Addr())
+	sender.Send(server.Addr(), testMessage{Number: 1})
+	callTwice(t, client, server.Addr())
 }
 
 func TestSendAfterCloseDoesNothing(t *testing.T) {
-	sender := NewSender[note](newTestClient(t, Options{}), "Inbox.Receive", SenderOptions{})
+	sender := NewSender[testMessage](newTestClient(t, Options{}), "Inbox.Receive", SenderOptions{})
 	require.NoError(t, sender.Close())
 	require.NoError(t, sender.Close())
-	sender.Send("127.0.0.1:1", note{})
-	require.Empty(t, sender.peers)
+	sender.Send("127.0.0.1:1", testMessage{})
+	require.Empty(t, sender.destinations)
 }
 
 func BenchmarkSend(b *testing.B) {
@@ -218,7 +218,7 @@
 	done := make(chan struct{})
 	server, err := Listen("127.0.0.1:0")
 	require.NoError(b, err)
-	receiver := NewReceiver(func(notes []note) {
+	receiver := NewReceiver(func(notes []testMessage) {
 		if count.Add(int64(len(notes))) == int64(b.N) {
 			close(done)
 		}
@@ -226,11 +226,11 @@
 	require.NoError(b, server.Register("Inbox", receiver))
 	go func() { _ = server.Serve() }()
 	client := NewClient(Options{})
-	sender := NewSender[note](client, "Inbox.Receive", SenderOptions{QueueLength: b.N + 1})
+	sender := NewSender[testMessage](client, "Inbox.Receive", SenderOptions{QueueLength: b.N + 1})
 	b.ReportAllocs()
 	b.ResetTimer()
 	for number := range b.N {
-		sender.Send(server.Addr(), note{Number: number})
+		sender.Send(server.Addr(), testMessage{Number: number})
 	}
 	<-done
 	b.StopTimer()
--- a/coord/transport/server.go
+++ b/coord/transport/server.go
@@ -14,8 +14,8 @@
 const (
 	// closeGrace is how long Close lets answers be written.
 	closeGrace = time.Second
-	// acceptPause is the wait after an accept that failed for want of descriptors.
-	acceptPause = 20 * time.Millisecond
+	// acceptRetryDelay is the wait after an accept that failed for want of descriptors.
+	acceptRetryDelay = 20 * time.Millisecond
 )
 
 // Server answers calls at one address.
@@ -66,23 +66,23 @@
 	for {
 		conn, err := s.listener.Accept()
 		if err == nil {
-			s.start(conn)
+			s.startLink(conn)
 			continue
 		}
 		if s.isClosed() {
 			return nil
 		}
-		if !passing(err) {
+		if !isTemporary(err) {
 			return fmt.Errorf("accept on %s: %w", s.Addr(), err)
 		}
-		s.pause()
+		s.pauseAccepting()
 	}
 }
 
 // Close stops accepting and reading, waits for the calls under way, writes their answers and closes all connections. It
 // returns when every goroutine of the server has ended.
 func (s *Server) Close() error {
-	links := s.shut()
+	links := s.markClosed()
 	if links == nil {
 		return nil
 	}
@@ -100,8 +100,8 @@
 	return err
 }
 
-// shut is the change to closed; it returns the open links, or nil if the server was closed before.
-func (s *Server) shut() []*link {
+// markClosed is the change to closed; it returns the open links, or nil if the server was closed before.
+func (s *Server) markClosed() []*link {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -122,9 +122,9 @@
 	return s.closed
 }
 
-// start answers one connection.
-func (s *Server) start(conn net.Conn) {
-	if err := setAccepted(conn); err != nil {
+// startLink answers one connection.
+func (s *Server) startLink(conn net.Conn) {
+	if err := configureAccepted(conn); err != nil {
 		_ = conn.Close()
 		return
 	}
@@ -137,18 +137,18 @@
 	}
 	s.links[l] = struct{}{}
 	s.group.Go(l.run)
-	s.group.Go(func() { s.answer(l) })
+	s.group.Go(func() { s.serveLink(l) })
 }
 
-func (s *Server) answer(l *link) {
+func (s *Server) serveLink(l *link) {
 	s.rpc.ServeCodec(newServerCodec(l))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.links, l)
 }
 
-func (s *Server) pause() {
-	timer := time.NewTimer(acceptPause)
+func (s *Server) pauseAccepting() {
+	timer := time.NewTimer(acceptRetryDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -156,8 +156,8 @@
 	}
 }
 
-// passing tells whether a failed accept is worth repeating.
-func passing(err error) bool {
+// isTemporary tells whether a failed accept is worth repeating.
+func isTemporary(err error) bool {
 	return errors.Is(err, syscall.EMFILE) ||
 		errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.ENOBUFS) ||
--- a/coord/transport/socket.go
+++ b/coord/transport/socket.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// setAccepted sets the bounds on an accepted connection.
-func setAccepted(conn net.Conn) error {
+// configureAccepted sets the bounds on an accepted connection.
+func configureAccepted(conn net.Conn) error {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return nil
--- a/coord/transport/socket_test.go
+++ b/coord/transport/socket_test.go
@@ -21,7 +21,7 @@
 	return value
 }
 
-func requireBounds(t *testing.T, conn net.Conn, userTimeout time.Duration) {
+func requireTimeouts(t *testing.T, conn net.Conn, userTimeout time.Duration) {
 	t.Helper()
 	require.Equal(t, int(userTimeout.Milliseconds()), socketOption(t, conn, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT))
 	require.Equal(t, 1, socketOption(t, conn, unix.IPPROTO_TCP, unix.TCP_NODELAY))
@@ -31,15 +31,15 @@
 	require.Equal(t, keepAliveCount, socketOption(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPCNT))
 }
 
-func TestBothEndsBoundHowLongADeadMachineLooksAlive(t *testing.T) {
+func TestBothEndsSetTimeoutsForDeadPeers(t *testing.T) {
 	server, _ := serveEcho(t)
 	client := newTestClient(t, Options{UserTimeout: 700 * time.Millisecond})
-	twice(t, client, server.Addr())
-	requireBounds(t, client.kept(server.Addr()).codec.link.conn, 700*time.Millisecond)
+	callTwice(t, client, server.Addr())
+	requireTimeouts(t, client.connectionTo(server.Addr()).codec.link.conn, 700*time.Millisecond)
 
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	for l := range server.links {
-		requireBounds(t, l.conn, defaultUserTimeout)
+		requireTimeouts(t, l.conn, defaultUserTimeout)
 	}
 }
--- a/coord/transport/support_test.go
+++ b/coord/transport/support_test.go
@@ -12,10 +12,10 @@
 	"gaugeslip/internal/freeport/freeporttest"
 )
 
-// generous is a time-out that no call reaches unless something is wrong; brief is one that calls are meant to reach.
+// longTimeout is a time-out that no call reaches unless something is wrong; brief is one that calls are meant to reach.
 const (
-	generous = 20 * time.Second
-	brief    = 60 * time.Millisecond
+	longTimeout  = 20 * time.Second
+	shortTimeout = 60 * time.Millisecond
 )
 
 func TestMain(m *testing.M) {
@@ -81,8 +81,8 @@
 	return client
 }
 
-// mute listens and accepts, but never reads; accepted connections come over the channel.
-func mute(t *testing.T) (string, <-chan net.Conn) {
+// listenWithoutReading listens and accepts, but never reads; accepted connections come over the channel.
+func listenWithoutReading(t *testing.T) (string, <-chan net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -110,14 +110,14 @@
 	return listener.Addr().String(), accepted
 }
 
-// deadAddr is an address at which nobody listens.
-func deadAddr(t *testing.T) string {
+// unusedAddr is an address at which nobody listens.
+func unusedAddr(t *testing.T) string {
 	t.Helper()
 	return freeporttest.Address(t)
 }
 
-// kept returns the connection that the client keeps to the address.
-func (c *Client) kept(addr string) *connection {
+// connectionTo returns the connection that the client keeps to the address.
+func (c *Client) connectionTo(addr string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known, found := c.peers[addr]; found {
