--- a/coord/gossip/epidemic_test.go
+++ b/coord/gossip/epidemic_test.go
@@ -13,7 +13,7 @@
 
 const roundInterval = 250 * time.Millisecond
 
-// epidemic is a number of stores that exchange with drawn partners in rounds; messages get lost both ways.
+// epidemic is a set of stores that exchange state with random partners in rounds. Messages get lost in both directions.
 type epidemic struct {
 	t      *testing.T
 	random *rand.Rand
@@ -21,14 +21,14 @@
 	newest []map[Key]Version
 	now    time.Duration
 	loss   float64
-	// partitioned cuts the even from the odd stores.
+	// partitioned separates the stores with even numbers from those with odd numbers.
 	partitioned bool
 	rumors      []rumor
-	// sent counts the data bytes of values that have gone out.
+	// sent counts the bytes of data of all values sent.
 	sent int
 }
 
-// rumor is a push on its way.
+// rumor is a push in transit.
 type rumor struct {
 	from, to int
 	push     Push
@@ -51,19 +51,19 @@
 	}
 }
 
-// drawDelivery draws whether a message between two stores gets there.
+// drawDelivery draws whether a message between two stores arrives.
 func (e *epidemic) drawDelivery(from, to int) bool {
 	return !(e.partitioned && from%2 != to%2) && e.random.Float64() >= e.loss
 }
 
-// recordLearned checks that nothing goes back, and sends the rumor on.
+// recordLearned checks that no version is older than a previous one, and sends the rumor.
 func (e *epidemic) recordLearned(at, source int, values []Value) {
 	if len(values) == 0 {
 		return
 	}
 	for _, value := range values {
 		if !value.Version.Newer(e.newest[at][value.Key]) {
-			e.t.Fatalf("store %d went back to %v of %s", at, value.Version, value.Key)
+			e.t.Fatalf("store %d returned to older version %v of %s", at, value.Version, value.Key)
 		}
 		e.newest[at][value.Key] = value.Version
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-// round lets every store begin one exchange, then lets all rumors run dry.
+// round lets every store start one exchange, then delivers all rumors until there are none left.
 func (e *epidemic) round() {
 	e.now += roundInterval
 	for _, from := range e.random.Perm(len(e.stores)) {
@@ -132,7 +132,7 @@
 	}
 }
 
-// countWith counts the stores that have a version of a key, or a newer one.
+// countWith counts the stores that have the version of the key or a newer one.
 func (e *epidemic) countWith(key Key, version Version) int {
 	count := 0
 	for _, s := range e.stores {
@@ -145,8 +145,8 @@
 
 var epidemicSizes = []int{12, 60, 300}
 
-// A store without the value misses it in one more round when its own exchange fails (0.36 at this loss) and none that others
-// begin with it succeeds (0.6): after eight rounds, 2 s, that leaves one of a hundred thousand.
+// A store without the value stays without it for one more round if its own exchange fails (probability 0.36 at this loss) and if no
+// exchange that others start with it succeeds (0.6). After eight rounds, or 2 s, this leaves one store in a hundred thousand.
 func TestValueReachesAllStoresWithinEightRounds(t *testing.T) {
 	const roundsForMost, roundsForAll = 3, 8
 	for _, n := range epidemicSizes {
@@ -175,7 +175,7 @@
 			e.round()
 		}
 		require.Equal(t, n, e.countWith("config", Version{Major: 1}))
-		// One copy each, a quarter more for those that got lost, and some slack.
+		// One copy for each store, a quarter more for lost messages, and some slack.
 		assert.Less(t, e.sent, 2*n*size, "%d stores", n)
 	}
 }
--- a/coord/gossip/example_test.go
+++ b/coord/gossip/example_test.go
@@ -7,14 +7,14 @@
 	"gaugeslip/coord/gossip"
 )
 
-// One exchange gives both sides the newest of either.
+// After one exchange both stores have the newest version that either had.
 func Example() {
 	here, there := gossip.NewStore(), gossip.NewStore()
 	_, _ = here.Set(gossip.Value{Key: "config", Version: gossip.Version{Major: 7}, Data: []byte("seven")})
 	_, _ = there.Set(gossip.Value{Key: "view", Version: gossip.Version{Major: 2}, Data: []byte("two")})
 
 	now := time.Second
-	reply := there.HandleRequest(here.BeginExchange()) // in a program both go over the network
+	reply := there.HandleRequest(here.BeginExchange()) // in a program, the request and the reply go over the network
 	learned, push := here.HandleReply(now, reply)
 	if push != nil {
 		_, answer, _ := there.HandlePush(now, *push)
--- a/coord/gossip/exchange.go
+++ b/coord/gossip/exchange.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// MaxReplyBytes is the longest data of a value that goes out unasked to a peer that is known to lack it.
+// MaxReplyBytes is the maximum length of the data of a value that is sent without a request to a peer that is known to lack it.
 const MaxReplyBytes = 16 << 10
 
-// BeginExchange starts an exchange with any peer.
+// BeginExchange returns the request that starts an exchange with any peer.
 func (s *Store) BeginExchange() Request { return Request{Hash: s.hash} }
 
-// HandleRequest answers an exchange that another began.
+// HandleRequest answers the request of another store.
 func (s *Store) HandleRequest(request Request) Reply {
 	if request.Hash == s.hash {
 		return Reply{}
@@ -21,7 +21,8 @@
 	return Reply{Values: values, Announced: announced}
 }
 
-// HandleReply goes on with an exchange begun here. It returns what was news, and what to push to the peer, if anything.
+// HandleReply handles the reply to a request of this store. It returns the values that were newer, and the push to send to the peer, or nil
+// if there is nothing to send.
 func (s *Store) HandleReply(now time.Duration, reply Reply) (learned []Value, push *Push) {
 	learned = s.learnAll(reply.Values)
 	push = &Push{Wanted: s.startPulls(now, reply.Announced)}
@@ -35,8 +36,8 @@
 	return learned, push
 }
 
-// HandlePush takes in a push. It returns what was news, the answer, and what to ask of the pusher in a push of its own, if
-// anything.
+// HandlePush handles a push. It returns the values that were newer, the answer, and the push that requests announced values from the
+// sender, or nil if there is nothing to request.
 func (s *Store) HandlePush(now time.Duration, push Push) (learned []Value, reply PushReply, pull *Push) {
 	learned = s.learnAll(push.Values)
 	reply.Values = s.valuesFor(push.Wanted)
@@ -46,21 +47,21 @@
 	return learned, reply, pull
 }
 
-// HandlePushReply takes in the answer to a push and returns what was news.
+// HandlePushReply handles the answer to a push and returns the values that were newer.
 func (s *Store) HandlePushReply(push Push, reply PushReply) (learned []Value) {
 	learned = s.learnAll(reply.Values)
 	s.AbandonPush(push)
 	return learned
 }
 
-// AbandonPush ends a push that gets no answer: what it wanted may be asked for elsewhere at once.
+// AbandonPush ends a push without an answer. The values that it requested may then be requested from other peers at once.
 func (s *Store) AbandonPush(push Push) {
 	for _, wanted := range push.Wanted {
 		s.pulls.cancel(wanted)
 	}
 }
 
-// valuesFor returns the values that a peer wants, in the version wanted or a newer one.
+// valuesFor returns the values that a peer requests, in the requested version or a newer one.
 func (s *Store) valuesFor(wanted []KeyVersion) (values []Value) {
 	for _, each := range wanted {
 		if value, ok := s.values[each.Key]; ok && !each.Version.Newer(value.Version) {
@@ -84,7 +85,7 @@
 	return keys
 }
 
-// splitBySize returns the values of keys that are short enough to be sent at once, and the names of the others.
+// splitBySize returns the values of the keys with at most maxBytes of data, and the versions of the longer ones, to be announced.
 func (s *Store) splitBySize(keys []Key, maxBytes int) (values []Value, announced []KeyVersion) {
 	for _, key := range keys {
 		value := s.values[key]
--- a/coord/gossip/message.go
+++ b/coord/gossip/message.go
@@ -1,32 +1,32 @@
 package gossip
 
-// Request begins an exchange: the hash of all that the sender has.
+// Request starts an exchange. Hash is the hash of the state of the sender.
 type Request struct{ Hash uint64 }
 
-// Reply answers a Request. It is empty if both have the same.
+// Reply answers a Request. It is empty if both stores have the same state.
 type Reply struct {
-	// Values are newer here than at the sender of the request.
+	// Values are newer at the replying store than at the sender of the request.
 	Values []Value
-	// Announced are newer here too, but too long to be sent unasked.
+	// Announced are newer too, but too long to be sent without a request.
 	Announced []KeyVersion
-	// Unknown says that the sender's state isn't known here; Digest is then all that is here.
+	// Unknown means that the replying store does not recognise the hash of the request. Digest then lists its whole state.
 	Unknown bool
 	Digest  []KeyVersion
 }
 
-// Push brings values, names longer ones that the receiver may ask for, and asks for what the sender wants.
+// Push carries values, announces longer ones that the receiver may request, and requests the values in Wanted.
 type Push struct {
 	Values    []Value
 	Announced []KeyVersion
 	Wanted    []KeyVersion
 }
 
-// Empty reports whether there is nothing in a push.
+// Empty reports whether the push has no content.
 func (p *Push) Empty() bool {
 	return len(p.Values) == 0 && len(p.Announced) == 0 && len(p.Wanted) == 0
 }
 
-// Bytes is the length of the data that goes to and fro for a push, announcements not counted.
+// Bytes returns the length of the data that the push and its answer transfer, without announcements.
 func (p *Push) Bytes() int {
 	bytes := 0
 	for _, value := range p.Values {
@@ -38,5 +38,5 @@
 	return bytes
 }
 
-// PushReply brings what a push wanted.
+// PushReply carries the values that a push requested.
 type PushReply struct{ Values []Value }
--- a/coord/gossip/pulls.go
+++ b/coord/gossip/pulls.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// pullTimeout is how long a value that was asked for isn't asked for elsewhere, were it empty.
+	// pullTimeout is how long after a request for a value it is not requested from another peer. The transfer time of its data is added.
 	pullTimeout = time.Second
-	// pullRate is the bandwidth, in bytes a second, that a pull is given time for.
+	// pullRate is the bandwidth in bytes per second from which the transfer time is computed.
 	pullRate = 64 << 10
 )
 
-// TransferTime is how long a transfer of bytes may take on a slow link, besides the call's usual time.
+// TransferTime returns how long the transfer of the bytes may take on a slow link, in addition to the usual time of a call.
 func TransferTime(bytes int) time.Duration {
 	return time.Duration(bytes) * time.Second / pullRate
 }
 
-// pulls are the values that were asked for and haven't come, so that a long one is sent once only.
+// pulls holds the requested values that have not arrived yet, so that a long value is requested only once.
 type pulls map[Key]pull
 
 type pull struct {
@@ -22,7 +22,7 @@
 	deadline time.Duration
 }
 
-// start notes a pull unless the same version, or a newer one, is on its way.
+// start records a pull. It returns false if a pull of the same or a newer version is pending.
 func (p pulls) start(now time.Duration, wanted KeyVersion) bool {
 	if pending, ok := p[wanted.Key]; ok && now < pending.deadline && !wanted.Version.Newer(pending.version) {
 		return false
@@ -31,14 +31,14 @@
 	return true
 }
 
-// complete ends the pull that a value answers.
+// complete ends the pull that the value answers.
 func (p pulls) complete(value Value) {
 	if pending, ok := p[value.Key]; ok && !pending.version.Newer(value.Version) {
 		delete(p, value.Key)
 	}
 }
 
-// cancel ends a pull that won't be answered.
+// cancel ends a pull that will not be answered.
 func (p pulls) cancel(wanted KeyVersion) {
 	if p[wanted.Key].version == wanted.Version {
 		delete(p, wanted.Key)
--- a/coord/gossip/store.go
+++ b/coord/gossip/store.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// MaxValueBytes is the longest data that a value may have.
+// MaxValueBytes is the maximum length of the data of a value.
 const MaxValueBytes = 256 << 10
 
 // ErrTooLong is returned for a value with more data than MaxValueBytes.
@@ -16,7 +16,7 @@
 // Store holds the newest known version of each key.
 type Store struct {
 	values map[Key]Value
-	// keys are those of values, sorted.
+	// keys are the keys of values, sorted.
 	keys    []Key
 	hash    uint64
 	history history
@@ -28,7 +28,7 @@
 	return &Store{values: map[Key]Value{}, pulls: pulls{}}
 }
 
-// Set takes in a value and reports whether it is newer than what was there. The data isn't copied. The error wraps ErrTooLong.
+// Set adds a value and reports whether it is newer than the known one. The data is not copied. The error wraps ErrTooLong.
 func (s *Store) Set(value Value) (learned bool, err error) {
 	if len(value.Data) > MaxValueBytes {
 		return false, fmt.Errorf("gossip: %s: %w: %d bytes", value.Key, ErrTooLong, len(value.Data))
@@ -51,10 +51,10 @@
 	return all
 }
 
-// Hash is the hash of all keys and versions; zero for an empty store.
+// Hash returns the hash of all keys and versions. It is zero for an empty store.
 func (s *Store) Hash() uint64 { return s.hash }
 
-// Digest names all values, sorted by key.
+// Digest returns the versions and sizes of all values, sorted by key.
 func (s *Store) Digest() []KeyVersion {
 	digest := make([]KeyVersion, 0, len(s.keys))
 	for _, key := range s.keys {
@@ -63,7 +63,7 @@
 	return digest
 }
 
-// learn takes in a value if it is newer than what is there.
+// learn adds a value if it is newer than the known one and not too long, and reports whether it did.
 func (s *Store) learn(value Value) bool {
 	if !s.isNewer(value.KeyVersion()) || len(value.Data) > MaxValueBytes {
 		return false
@@ -81,7 +81,7 @@
 	return true
 }
 
-// learnAll takes in values and returns those that were news.
+// learnAll adds the values that are newer than the known ones and returns them.
 func (s *Store) learnAll(values []Value) (learned []Value) {
 	for _, value := range values {
 		if s.learn(value) {
@@ -91,12 +91,13 @@
 	return learned
 }
 
-// isNewer reports whether a version is newer than what is here.
+// isNewer reports whether a version is newer than the known one.
 func (s *Store) isNewer(named KeyVersion) bool {
 	return named.Version.Newer(s.values[named.Key].Version)
 }
 
-// startPulls picks from what a peer has that which is news and isn't being pulled already, and notes the pulls.
+// startPulls selects the versions that are newer than the known ones and are not being pulled already. It records a pull for each and
+// returns them.
 func (s *Store) startPulls(now time.Duration, named []KeyVersion) (wanted []KeyVersion) {
 	for _, each := range named {
 		if each.Size > MaxValueBytes || !s.isNewer(each) {
--- a/coord/gossip/store_test.go
+++ b/coord/gossip/store_test.go
@@ -56,7 +56,7 @@
 	require.NoError(t, err)
 }
 
-// What was taken in, in whatever order, the store has the newest of each key, and its hash tells that and nothing else.
+// A store that adds values in any order must have the newest version of each key. Its hash must depend only on those versions.
 func TestStoreKeepsNewestVersionInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := NewStore(), NewStore()
@@ -116,13 +116,13 @@
 	assert.Equal(t, ahead.Hash(), behind.Hash())
 }
 
-// exchangeOnce exchanges once between two stores, without loss.
+// exchangeOnce carries out one exchange between two stores, without loss.
 func exchangeOnce(one, other *Store) {
 	_, push := one.HandleReply(0, other.HandleRequest(one.BeginExchange()))
 	pushTo(one, other, push)
 }
 
-// pushTo delivers a push and the pull that follows.
+// pushTo delivers a push and the pushes that follow from it.
 func pushTo(from, to *Store, push *Push) {
 	for push != nil {
 		_, reply, pull := to.HandlePush(0, *push)
@@ -163,10 +163,10 @@
 	}
 	timeout := pullTimeout + TransferTime(size)
 	assert.Equal(t, &Push{Wanted: rumor.Announced}, pullAt(0, rumor))
-	assert.Nil(t, pullAt(timeout-1, rumor), "it is on its way")
+	assert.Nil(t, pullAt(timeout-1, rumor), "a pull of this version is pending")
 	newer := Rumor([]Value{value("a", 2, size)})
-	assert.Equal(t, &Push{Wanted: newer.Announced}, pullAt(timeout-1, newer), "a newer one is not")
-	assert.Equal(t, &Push{Wanted: rumor.Announced}, pullAt(2*timeout, rumor), "it hasn't come")
+	assert.Equal(t, &Push{Wanted: newer.Announced}, pullAt(timeout-1, newer), "no pull of the newer version is pending")
+	assert.Equal(t, &Push{Wanted: rumor.Announced}, pullAt(2*timeout, rumor), "the pull timed out")
 	learned, _, _ := s.HandlePush(2*timeout, Push{Values: []Value{long}})
 	assert.Equal(t, []Value{long}, learned)
 	assert.Empty(t, s.pulls)
--- a/coord/gossip/value.go
+++ b/coord/gossip/value.go
@@ -7,13 +7,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key names a value.
+// Key identifies a value.
 type Key string
 
-// Version orders the values of one key: by Major, then by Minor. The zero version is older than that of any value.
+// Version orders the values of one key: by Major, then by Minor. The zero version is older than the version of any value.
 type Version struct{ Major, Minor uint64 }
 
-// Compare is negative if v is older than other, positive if it is newer, and zero if they are the same.
+// Compare returns a negative number if v is older than other, a positive number if it is newer, and zero if they are equal.
 func (v Version) Compare(other Version) int {
 	return cmp.Or(cmp.Compare(v.Major, other.Major), cmp.Compare(v.Minor, other.Minor))
 }
@@ -21,14 +21,14 @@
 // Newer reports whether v is newer than other.
 func (v Version) Newer(other Version) bool { return v.Compare(other) > 0 }
 
-// Value is one version of what a key stands for. One version of a key has the same Data everywhere, and Data is never changed.
+// Value is one version of the value of a key. A version of a key has the same Data in all stores. Data must never be modified.
 type Value struct {
 	Key     Key
 	Version Version
 	Data    []byte
 }
 
-// KeyVersion names a version of a key, without its data.
+// KeyVersion identifies a version of a key, without its data.
 type KeyVersion struct {
 	Key     Key
 	Version Version
@@ -36,14 +36,14 @@
 	Size uint32
 }
 
-// KeyVersion returns the value's name.
+// KeyVersion returns the key, version and size of the value.
 func (v Value) KeyVersion() KeyVersion {
 	return KeyVersion{Key: v.Key, Version: v.Version, Size: uint32(len(v.Data))}
 }
 
 const versionBytes = 16
 
-// hash is the share of one value in the hash of a state.
+// hash returns the contribution of the value to the hash of a store, which is the XOR of all contributions.
 func (v Value) hash() uint64 {
 	var version [versionBytes]byte
 	binary.LittleEndian.PutUint64(version[:8], v.Version.Major)
