--- a/coord/membership/cluster_test.go
+++ b/coord/membership/cluster_test.go
@@ -18,7 +18,7 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// cluster is a number of nodes in virtual time. Calls take none; each way of one may get lost.
+// cluster is a set of nodes in virtual time. Calls take no time. The request and the reply of a call may each get lost.
 type cluster struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -47,7 +47,7 @@
 	at, timeout      time.Duration
 }
 
-// newCluster starts n nodes, of which the first few are the core.
+// newCluster starts n nodes. The first few are the preferred peers (core) of all nodes.
 func newCluster(t *testing.T, n int, seed uint64) *cluster {
 	c := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 3)), nodes: map[string]*Node{}}
 	c.cut = func(string, string) bool { return false }
@@ -66,7 +66,7 @@
 
 func (c *cluster) add(address string, incarnation uint64) {
 	node := New(clusterCaller{c, address}, Options{
-		Self:       peersampling.Peer{Address: address, Role: "carrier", Zone: "bole", Incarnation: 1_700_000_000_000 + incarnation},
+		Self:       peersampling.Peer{Address: address, Role: "control", Zone: "zone", Incarnation: 1_700_000_000_000 + incarnation},
 		Seeds:      c.seeds,
 		RandomSeed: c.random.Uint64(),
 		Preferred:  func() []string { return c.core },
@@ -80,10 +80,10 @@
 	c.members = append(c.members, m)
 }
 
-// recordLearned checks that nothing goes back.
+// recordLearned checks that a version is newer than the previous one.
 func (c *cluster) recordLearned(m *member, value gossip.Value) {
 	if !value.Version.Newer(m.newest[value.Key]) {
-		c.t.Fatalf("%s went back to %v of %s", m.address, value.Version, value.Key)
+		c.t.Fatalf("%s returned to older version %v of %s", m.address, value.Version, value.Key)
 	}
 	m.newest[value.Key] = value.Version
 	m.lastLearned = c.now
@@ -94,7 +94,7 @@
 	c.runTasks()
 }
 
-// advance lets a length of time pass.
+// advance runs the rounds that are due within a length of virtual time.
 func (c *cluster) advance(length time.Duration) {
 	end := c.now + length
 	for {
@@ -117,7 +117,7 @@
 	}
 }
 
-// countWith counts the nodes that have a version of a key, or a newer one.
+// countWith counts the nodes that have the version of the key or a newer one.
 func (c *cluster) countWith(key gossip.Key, version gossip.Version) int {
 	count := 0
 	for _, m := range c.members {
@@ -128,7 +128,7 @@
 	return count
 }
 
-// clusterCaller calls for one node.
+// clusterCaller makes the calls of one node.
 type clusterCaller struct {
 	cluster *cluster
 	from    string
@@ -171,7 +171,7 @@
 	return nil, fmt.Errorf("no method %s", method)
 }
 
-// byteCounter counts what net/rpc's gob codec would send, over connections that stay.
+// byteCounter counts the bytes that the gob codec of net/rpc would send over persistent connections.
 type byteCounter struct {
 	bytes    int
 	encoders map[[2]string]*gob.Encoder
--- a/coord/membership/contact.go
+++ b/coord/membership/contact.go
@@ -4,7 +4,7 @@
 	"gaugeslip/coord/gossip"
 )
 
-// runExchange does one exchange of a round; in place of a preferred peer that doesn't answer others are asked.
+// runExchange carries out one exchange of a round. If a preferred peer does not answer, it tries other preferred peers.
 func (n *Node) runExchange(e exchange) {
 	defer n.exchangeDone()
 	answered := n.exchangeWith(e)
@@ -18,13 +18,14 @@
 	}
 }
 
+// exchangeDone counts one exchange less in progress.
 func (n *Node) exchangeDone() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.activeExchanges--
 }
 
-// nextPreferred picks another preferred peer than the one that has just failed.
+// nextPreferred selects another preferred peer than the one that failed. It returns false if there is none.
 func (n *Node) nextPreferred(failed string) (string, bool) {
 	preferred := n.preferred()
 	n.mu.Lock()
@@ -33,7 +34,7 @@
 	return address, ok && address != failed
 }
 
-// exchangeWith calls a peer and carries on with its answer. It reports whether there was one.
+// exchangeWith calls a peer, handles its answer and reports whether there was one.
 func (n *Node) exchangeWith(e exchange) bool {
 	args := ExchangeArgs{Gossip: n.gossipRequest(), Shuffle: e.shuffle}
 	var reply ExchangeReply
@@ -46,13 +47,14 @@
 	return true
 }
 
+// gossipRequest returns the gossip request that starts an exchange.
 func (n *Node) gossipRequest() gossip.Request {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.store.BeginExchange()
 }
 
-// handleReply takes in the answer to an exchange.
+// handleReply handles the answer to an exchange.
 func (n *Node) handleReply(e exchange, reply *ExchangeReply) {
 	n.mu.Lock()
 	if e.shuffle != nil && reply.Shuffle != nil {
@@ -67,7 +69,7 @@
 	n.spawnPush(e.address, push)
 }
 
-// recordFailure notes that a peer didn't answer.
+// recordFailure records that a peer did not answer.
 func (n *Node) recordFailure(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -75,7 +77,8 @@
 	n.rotation.markFailed(n.options.Clock(), address)
 }
 
-// queueLearned queues news for the subscribers and draws whom to push it to. The caller holds the lock, and calls spread without.
+// queueLearned queues learned values for the subscribers and selects the peers to push them to. The caller holds the lock, and calls spread
+// after releasing it.
 func (n *Node) queueLearned(learned []gossip.Value, source string) (targets []string) {
 	if len(learned) == 0 {
 		return nil
@@ -89,7 +92,7 @@
 	return gossip.PushTargets(addresses, source, n.random)
 }
 
-// spread pushes news to the targets and hands it to the subscribers.
+// spread pushes learned values to the targets and delivers them to the subscribers.
 func (n *Node) spread(learned []gossip.Value, targets []string) {
 	if len(learned) == 0 {
 		return
@@ -101,14 +104,14 @@
 	n.deliveries.run()
 }
 
-// spawnPush sends a push beside what goes on, if there is one.
+// spawnPush sends a push on a goroutine of its own. It does nothing without a push or an address.
 func (n *Node) spawnPush(address string, push *gossip.Push) {
 	if push != nil && address != "" {
 		n.spawn(func() { n.push(address, *push) })
 	}
 }
 
-// push sends a push and takes in the answer.
+// push sends a push and handles the answer.
 func (n *Node) push(address string, push gossip.Push) {
 	args := PushArgs{From: n.options.Self.Address, Push: push}
 	var reply PushReply
@@ -126,6 +129,7 @@
 	n.spread(learned, targets)
 }
 
+// pushFailed records that a peer did not answer a push and abandons the push.
 func (n *Node) pushFailed(address string, push gossip.Push) {
 	n.recordFailure(address)
 	n.mu.Lock()
--- a/coord/membership/delivery.go
+++ b/coord/membership/delivery.go
@@ -6,13 +6,13 @@
 	"gaugeslip/coord/gossip"
 )
 
-// deliveries hands values to subscribers one after the other, in the order in which they were queued, whichever goroutines learn
-// them, so that no subscriber sees a version go back.
+// deliveries passes values to subscribers sequentially, in the order in which they were queued, regardless of the goroutine that learned
+// them. No subscriber therefore receives an older version after a newer one.
 type deliveries struct {
 	mu          sync.Mutex
 	subscribers []func(gossip.Value)
 	pending     []delivery
-	// running tells that some goroutine is handing out; it takes what others queue meanwhile.
+	// running means that a goroutine is delivering. It also delivers the values that others queue meanwhile.
 	running bool
 }
 
@@ -21,7 +21,7 @@
 	value      gossip.Value
 }
 
-// subscribe adds a subscriber and queues for it the values that are there.
+// subscribe adds a subscriber and queues the current values for it.
 func (d *deliveries) subscribe(subscriber func(gossip.Value), current []gossip.Value) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -42,7 +42,7 @@
 	}
 }
 
-// run hands out what waits, unless another goroutine does so already.
+// run delivers the pending values, unless another goroutine is already doing so.
 func (d *deliveries) run() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/coord/membership/doc.go
+++ b/coord/membership/doc.go
@@ -1,6 +1,6 @@
-// Package membership runs peer sampling and gossip between processes: in each round a node exchanges state with a peer, now and
-// then shuffles views with one, and pushes on what it learns.
+// Package membership runs peer sampling and gossip between processes. In each round a node exchanges state with a peer. In some rounds it also
+// shuffles its view with a peer. It pushes newly learned values to other peers.
 //
-// Guarantees: a subscriber sees the versions of a key in rising order, one after the other; Stop leaves no goroutine behind; no node has
-// more than a few exchanges out at once. docs/library/membership.md says more.
+// Guarantees: a subscriber receives the versions of a key in increasing order, in sequential calls. After Stop no goroutine of the node is left.
+// A node has only a bounded number of exchanges in progress. docs/library/membership.md has more details.
 package membership
--- a/coord/membership/example_test.go
+++ b/coord/membership/example_test.go
@@ -10,7 +10,7 @@
 	"gaugeslip/coord/transport"
 )
 
-// start runs a node on loopback.
+// start runs a node on the loopback interface.
 func start(seeds []string) (*membership.Node, *transport.Server, *transport.Client) {
 	server, err := transport.Listen("127.0.0.1:0")
 	if err != nil {
@@ -30,15 +30,15 @@
 	return node, server, client
 }
 
-// A value that one process sets reaches another that only knows a seed.
+// A value that one process sets reaches another process that knows only a seed.
 func Example() {
 	first, firstServer, firstClient := start(nil)
 	second, secondServer, secondClient := start([]string{firstServer.Addr()})
-	heard := make(chan gossip.Value, 1)
-	second.Subscribe(func(value gossip.Value) { heard <- value })
+	received := make(chan gossip.Value, 1)
+	second.Subscribe(func(value gossip.Value) { received <- value })
 
 	_ = first.Set(gossip.Value{Key: "config", Version: gossip.Version{Major: 1}, Data: []byte("one")})
-	value := <-heard
+	value := <-received
 	fmt.Println(value.Key, value.Version.Major, string(value.Data))
 
 	first.Stop()
--- a/coord/membership/node.go
+++ b/coord/membership/node.go
@@ -10,7 +10,7 @@
 	"gaugeslip/coord/peersampling"
 )
 
-// Node is the part of one process. Its methods are safe for concurrent use.
+// Node takes part in the protocol on behalf of one process. Its methods are safe for concurrent use.
 type Node struct {
 	options    Options
 	caller     Caller
@@ -24,19 +24,19 @@
 	store    *gossip.Store
 	rotation rotation
 	rounds   uint64
-	// freeRounds counts the rounds in which neither a shuffle nor a preferred peer was due.
+	// freeRounds counts the rounds in which neither a shuffle nor an exchange with a preferred peer was started.
 	freeRounds uint64
-	// lastPreferred is when a preferred peer was asked, if preferredAsked.
+	// lastPreferred is when an exchange with a preferred peer was last started. It is valid only if preferredAsked is set.
 	lastPreferred  time.Duration
 	preferredAsked bool
-	// activeExchanges counts those that are out.
+	// activeExchanges counts the exchanges in progress.
 	activeExchanges int
 
 	stop    context.CancelFunc
 	stopped chan struct{}
 }
 
-// New returns a node that doesn't run yet. Its service should be registered before Start.
+// New returns a node that does not run yet. Its service should be registered before Start.
 func New(caller Caller, options Options) *Node {
 	options = options.withDefaults()
 	random := rand.New(rand.NewPCG(options.RandomSeed, options.Self.Incarnation))
@@ -55,7 +55,7 @@
 // Service returns the net/rpc service that other nodes call.
 func (n *Node) Service() *Service { return &Service{node: n} }
 
-// Start begins the rounds. A node is started once.
+// Start starts the rounds. It must be called at most once.
 func (n *Node) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
@@ -63,7 +63,7 @@
 	go n.run(ctx)
 }
 
-// Stop ends the rounds and waits for the calls that are out, at most for their time-outs. The service goes on answering.
+// Stop ends the rounds and waits for the calls in progress, which end at their timeouts at the latest. The service keeps answering.
 func (n *Node) Stop() {
 	if n.stop != nil {
 		n.stop()
@@ -86,14 +86,14 @@
 	}
 }
 
-// Peers returns the present sample of live processes, in no order.
+// Peers returns the current sample of live processes, in no particular order.
 func (n *Node) Peers() []peersampling.Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sampler.Peers()
 }
 
-// SetSeeds takes other seeds in place of those before.
+// SetSeeds replaces the seeds.
 func (n *Node) SetSeeds(seeds []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -107,8 +107,8 @@
 	return n.store.Get(key)
 }
 
-// Set takes in a value of this process's own and spreads it if it is newer than what is known. Its data must not be changed any
-// more. The error wraps gossip.ErrTooLong.
+// Set adds a value of this process and spreads it if it is newer than the known one. Its data must not be modified afterwards. The error
+// wraps gossip.ErrTooLong.
 func (n *Node) Set(value gossip.Value) error {
 	n.mu.Lock()
 	newer, err := n.store.Set(value)
@@ -123,8 +123,9 @@
 	return err
 }
 
-// Subscribe has each value handed over that is known now, and each newer one that is learned or set later. The calls come one
-// after the other, in the order of learning; versions of a key never go back. A call should be short and may call the node.
+// Subscribe registers a function that is called with each value known now, and with each newer value that is learned or set later. The calls
+// are sequential and in the order in which values are learned, so the versions of a key only increase. The function should be short and may call
+// the node.
 func (n *Node) Subscribe(subscriber func(gossip.Value)) {
 	n.mu.Lock()
 	n.deliveries.subscribe(subscriber, n.store.Values())
--- a/coord/membership/node_test.go
+++ b/coord/membership/node_test.go
@@ -57,7 +57,8 @@
 	assert.Equal(t, 60, c.countWith("other", gossip.Version{Major: 1}))
 }
 
-// A node that reaches the core only, of which one machine is down, has a new value within half a second.
+// A node can reach only the preferred peers (core), and one of them is down. It must receive a new value that the others set within
+// DefaultPreferredInterval.
 func TestPreferredPeersDeliverValueWithinPreferredInterval(t *testing.T) {
 	c := newCluster(t, 60, 5)
 	isolated := c.members[30]
@@ -158,7 +159,7 @@
 			long++
 		}
 	}
-	assert.Equal(t, 11, long, "each of the others pulls it once")
+	assert.Equal(t, 11, long, "each other node must pull the value once")
 }
 
 func TestTooLongValueIsRejected(t *testing.T) {
--- a/coord/membership/options.go
+++ b/coord/membership/options.go
@@ -13,31 +13,32 @@
 	DefaultPreferredInterval = 500 * time.Millisecond
 )
 
-// Caller calls methods of other processes' services. It gives up after the timeout and may be used by many at once. Where it
-// returns an error, the reply isn't read.
+// Caller calls methods of the services of other processes. Call gives up after the timeout and must be safe for concurrent use. The reply is
+// not read if Call returns an error.
 type Caller interface {
 	Call(address, method string, args, reply any, timeout time.Duration) error
 }
 
-// Options say how a node takes part. Zero values stand for the defaults.
+// Options configure a node. A zero value selects the default.
 type Options struct {
-	// Self is how others see this process. Its Incarnation must be greater than in each earlier life at the address.
+	// Self is the description of this process that others receive. Its Incarnation must be greater than that of every earlier process at the
+	// address.
 	Self peersampling.Peer
-	// Seeds are the addresses that are called while nobody else is known, and now and then after that.
+	// Seeds are addresses that are called while no peer is known, and occasionally after that.
 	Seeds []string
-	// ViewSize is the number of peers kept (peersampling.DefaultSize by default).
+	// ViewSize is the number of peers kept, peersampling.DefaultSize by default.
 	ViewSize int
-	// RandomSeed drives every choice.
+	// RandomSeed seeds all random choices.
 	RandomSeed uint64
-	// Interval is the mean time between two rounds; each is up to a quarter shorter or longer.
+	// Interval is the mean time between two rounds. Each time is up to a quarter shorter or longer.
 	Interval time.Duration
-	// CallTimeout bounds a call; time to transfer values of known length comes on top.
+	// CallTimeout bounds a call. For values of known length, the transfer time is added.
 	CallTimeout time.Duration
-	// Preferred returns the addresses of which one, in turn, is asked at least once a PreferredInterval; by default none. It is
-	// called by each round and must be safe for concurrent use. The own address may be among them.
+	// Preferred returns the addresses of peers of which one, in turn, is called at least once per PreferredInterval. By default there are none.
+	// Each round calls it, and it must be safe for concurrent use. It may return the node's own address, which is ignored.
 	Preferred         func() []string
 	PreferredInterval time.Duration
-	// Clock is a steady clock; by default the time since New.
+	// Clock is a monotonic clock. By default it is the time since New.
 	Clock func() time.Duration
 }
 
--- a/coord/membership/parts_test.go
+++ b/coord/membership/parts_test.go
@@ -32,7 +32,7 @@
 	assert.Equal(t, []string{"c", "a", "c"}, []string{turn(1), turn(1), turn(1)})
 	r.markFailed(1, "a")
 	r.markFailed(2, "c")
-	assert.Equal(t, "b", turn(3), "the longest suspected of all")
+	assert.Equal(t, "b", turn(3), "if all are suspected, the one suspected first")
 	r.markAnswered("a")
 	assert.Equal(t, []string{"a", "a"}, []string{turn(4), turn(4)})
 	assert.ElementsMatch(t, peers, []string{turn(2 + suspicionTimeout), turn(2 + suspicionTimeout), turn(2 + suspicionTimeout)})
@@ -82,7 +82,7 @@
 
 func (silentCaller) Call(string, string, any, any, time.Duration) error { return errNoAnswer }
 
-// recordingCaller tells of each call, and answers none.
+// recordingCaller sends the address of each call to a channel, and answers no call.
 type recordingCaller struct{ calls chan string }
 
 func (s recordingCaller) Call(address, _ string, _, _ any, _ time.Duration) error {
@@ -109,7 +109,7 @@
 	}
 }
 
-// rpcCaller calls one server through net/rpc.
+// rpcCaller calls one server with net/rpc.
 type rpcCaller struct{ client *rpc.Client }
 
 func (c rpcCaller) Call(_, method string, args, reply any, _ time.Duration) error {
@@ -117,7 +117,7 @@
 }
 
 func TestServiceAnswersOverNetRPC(t *testing.T) {
-	there := New(silentCaller{}, Options{Self: peersampling.Peer{Address: "there", Role: "keeper"}})
+	there := New(silentCaller{}, Options{Self: peersampling.Peer{Address: "there", Role: "server"}})
 	require.NoError(t, there.Set(config(1, 10)))
 	require.NoError(t, there.Set(gossip.Value{Key: "long", Version: gossip.Version{Minor: 1}, Data: make([]byte, gossip.MaxReplyBytes+1)}))
 	server := rpc.NewServer()
@@ -133,7 +133,7 @@
 	here := New(rpcCaller{client}, Options{Self: peersampling.Peer{Address: "here"}, Seeds: []string{"there"}})
 	here.spawn = func(task func()) { task() }
 	here.Round()
-	require.Equal(t, []peersampling.Peer{{Address: "there", Role: "keeper"}}, here.Peers())
+	require.Equal(t, []peersampling.Peer{{Address: "there", Role: "server"}}, here.Peers())
 	require.Equal(t, []peersampling.Peer{{Address: "here"}}, there.Peers())
 	for _, key := range []gossip.Key{"config", "long"} {
 		wanted, _ := there.Get(key)
--- a/coord/membership/rotation.go
+++ b/coord/membership/rotation.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// suspicionTimeout is how long a preferred peer that didn't answer is passed over.
+// suspicionTimeout is how long a preferred peer that did not answer is skipped.
 const suspicionTimeout = 4 * time.Second
 
-// rotation takes preferred peers in turn and passes over those that didn't answer lately, while others are left.
+// rotation selects preferred peers in turn. It skips peers that recently did not answer, unless all are suspected.
 type rotation struct {
-	// turn counts the picks; it starts anywhere, so that not all nodes call the same peer at first.
+	// turn counts the selections. It starts at a random number, so that not all nodes call the same peer first.
 	turn     int
 	suspects map[string]time.Duration
 }
@@ -19,7 +19,7 @@
 	return rotation{turn: start, suspects: map[string]time.Duration{}}
 }
 
-// next picks one of the peers, or none if there is none. If all are suspected it is the one suspected for longest.
+// next selects one of the peers. It returns false if there are none. If all are suspected, it selects the one suspected first.
 func (r *rotation) next(now time.Duration, peers []string) (string, bool) {
 	if len(peers) == 0 {
 		return "", false
@@ -40,12 +40,12 @@
 	return failed && now < until
 }
 
-// anyTrusted reports whether one of the peers isn't suspected.
+// anyTrusted reports whether at least one of the peers is not suspected.
 func (r *rotation) anyTrusted(now time.Duration, peers []string) bool {
 	return slices.ContainsFunc(peers, func(peer string) bool { return !r.suspected(now, peer) })
 }
 
-// markFailed notes that a peer didn't answer; answered that it did.
+// markFailed records that a peer did not answer, and removes expired suspicions.
 func (r *rotation) markFailed(now time.Duration, peer string) {
 	for other, until := range r.suspects {
 		if now >= until {
@@ -55,4 +55,5 @@
 	r.suspects[peer] = now + suspicionTimeout
 }
 
+// markAnswered records that a peer answered.
 func (r *rotation) markAnswered(peer string) { delete(r.suspects, peer) }
--- a/coord/membership/round.go
+++ b/coord/membership/round.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// jitterDivisor is the part of the interval by which a round comes earlier or later at most: one of jitterDivisor.
+	// jitterDivisor limits the jitter of a round: it comes earlier or later by at most 1/jitterDivisor of the interval.
 	jitterDivisor = 4
-	// roundsPerShuffle is how many rounds there are to a shuffle; while the view is young it is initialRoundsPerShuffle.
+	// roundsPerShuffle is the number of rounds from one shuffle to the next. In the first initialRounds it is initialRoundsPerShuffle.
 	roundsPerShuffle        = 16
 	initialRoundsPerShuffle = 2
 	initialRounds           = 24
-	// freeRoundsPerExchange is how many free rounds there are to an exchange with any peer while the preferred answer.
+	// freeRoundsPerExchange is the number of free rounds per exchange with a random peer while a preferred peer answers.
 	freeRoundsPerExchange = 2
-	// maxExchanges is how many exchanges may be out at once; a round beyond that is left out.
+	// maxExchanges bounds the exchanges in progress. A round that finds this many starts none.
 	maxExchanges = 8
-	// maxPreferredTries is how many preferred peers are asked in turn until one answers.
+	// maxPreferredTries is how many preferred peers an exchange tries in turn until one answers.
 	maxPreferredTries = 3
 )
 
-// exchange is one that a round begins.
+// exchange is an exchange that a round starts.
 type exchange struct {
 	address string
 	shuffle *peersampling.ShuffleRequest
-	// preferred says that others of the preferred are asked if this one fails.
+	// preferred means that other preferred peers are tried if this exchange fails.
 	preferred bool
 }
 
-// Round begins one round's exchanges and returns the time until the next round. Start calls it; a node that isn't started may be
-// driven by it.
+// Round starts the exchanges of one round and returns the time until the next round. A started node calls it by itself. Call it directly only
+// to drive a node that is not started.
 func (n *Node) Round() time.Duration {
 	preferred := n.preferred()
 	wait, exchanges := n.planRound(preferred)
@@ -40,7 +40,7 @@
 	return wait
 }
 
-// preferred returns the preferred peers without the node itself.
+// preferred returns the preferred peers other than the node itself.
 func (n *Node) preferred() []string {
 	var others []string
 	for _, address := range n.options.Preferred() {
@@ -51,8 +51,8 @@
 	return others
 }
 
-// planRound draws the time until the next round and picks this round's exchanges: a shuffle when it is due, a preferred peer when one
-// would be asked too late in the next round, else any peer. While preferred peers answer, some rounds stay free.
+// planRound draws the time until the next round and selects the exchanges of this one: a shuffle if it is due, a preferred peer if the next
+// round might be too late for it, else a random peer. While a preferred peer answers, some rounds start no exchange.
 func (n *Node) planRound(preferred []string) (wait time.Duration, exchanges []exchange) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,7 +74,7 @@
 	return n.waitUntilNext(now), exchanges
 }
 
-// minWait is the shortest time between two rounds.
+// minWait returns the shortest time between two rounds.
 func (n *Node) minWait() time.Duration {
 	return n.options.Interval - n.options.Interval/jitterDivisor
 }
@@ -84,7 +84,7 @@
 	return n.minWait() + time.Duration(n.random.Int64N(jitterRange+1))
 }
 
-// waitUntilNext draws the time until the next round, which comes before a preferred peer would be asked too late.
+// waitUntilNext draws the time until the next round. It shortens the time if the call of a preferred peer is due earlier.
 func (n *Node) waitUntilNext(now time.Duration) time.Duration {
 	wait := n.drawWait()
 	if left := n.untilPreferredDue(now); left >= n.minWait() {
@@ -93,7 +93,7 @@
 	return wait
 }
 
-// untilPreferredDue is the time until a preferred peer has to be asked again.
+// untilPreferredDue returns the time until a preferred peer must be called again.
 func (n *Node) untilPreferredDue(now time.Duration) time.Duration {
 	return n.lastPreferred + n.options.PreferredInterval - now
 }
@@ -109,7 +109,7 @@
 	return !n.preferredAsked || n.untilPreferredDue(now) < n.minWait()
 }
 
-// randomDue reports whether a round without another exchange has one with any peer.
+// randomDue reports whether a round without another exchange starts one with a random peer. It counts the free rounds.
 func (n *Node) randomDue(now time.Duration, preferred []string) bool {
 	n.freeRounds++
 	return n.freeRounds%freeRoundsPerExchange == 0 || !n.rotation.anyTrusted(now, preferred)
@@ -133,7 +133,7 @@
 	return append(exchanges, exchange{address: address, preferred: true})
 }
 
-// appendRandom picks one of the view; if that is empty a shuffle calls a seed.
+// appendRandom adds an exchange with a random peer of the view. If the view is empty, it adds a shuffle, which calls a seed.
 func (n *Node) appendRandom(exchanges []exchange) []exchange {
 	sample := n.sampler.Sample(1)
 	if len(sample) == 0 {
--- a/coord/membership/service.go
+++ b/coord/membership/service.go
@@ -5,7 +5,7 @@
 	"gaugeslip/coord/peersampling"
 )
 
-// ServiceName is what a node's service is registered as.
+// ServiceName is the net/rpc name under which the service of a node is registered.
 const ServiceName = "Membership"
 
 const (
@@ -13,19 +13,19 @@
 	pushMethod     = ServiceName + ".Push"
 )
 
-// ExchangeArgs begin an exchange of state, and a shuffle where there is one.
+// ExchangeArgs start an exchange of state and, if Shuffle is set, a shuffle.
 type ExchangeArgs struct {
 	Gossip  gossip.Request
 	Shuffle *peersampling.ShuffleRequest
 }
 
-// ExchangeReply answers both.
+// ExchangeReply answers the exchange and the shuffle.
 type ExchangeReply struct {
 	Gossip  gossip.Reply
 	Shuffle *peersampling.ShuffleReply
 }
 
-// PushArgs are a push and the address to ask for what it announces.
+// PushArgs carry a push and the address from which to request the values that it announces.
 type PushArgs struct {
 	From string
 	Push gossip.Push
@@ -34,10 +34,10 @@
 // PushReply answers a push.
 type PushReply struct{ Reply gossip.PushReply }
 
-// Service is the net/rpc service of a node, to be registered as ServiceName.
+// Service is the net/rpc service of a node. It is registered under ServiceName.
 type Service struct{ node *Node }
 
-// Exchange answers another node's exchange.
+// Exchange answers an exchange of another node.
 func (s *Service) Exchange(args ExchangeArgs, reply *ExchangeReply) error {
 	n := s.node
 	n.mu.Lock()
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// Push takes in another node's push.
+// Push handles a push of another node.
 func (s *Service) Push(args PushArgs, reply *PushReply) error {
 	n := s.node
 	n.mu.Lock()
--- a/coord/membership/tasks.go
+++ b/coord/membership/tasks.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// tasks runs calls beside the rounds until it is closed.
+// tasks runs functions on goroutines until it is closed.
 type tasks struct {
 	mu      sync.Mutex
 	running sync.WaitGroup
 	closed  bool
 }
 
-// spawn starts a task on a goroutine of its own, unless the tasks are closed.
+// spawn runs a task on a goroutine of its own, unless the tasks are closed.
 func (t *tasks) spawn(task func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -18,7 +18,7 @@
 	}
 }
 
-// close lets no more tasks start and waits for those that run.
+// close prevents further tasks from starting and waits for the running ones.
 func (t *tasks) close() {
 	t.mu.Lock()
 	t.closed = true
--- a/coord/peersampling/overlay_test.go
+++ b/coord/peersampling/overlay_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// overlay is a number of processes that shuffle in rounds.
+// overlay is a set of processes that shuffle in rounds.
 type overlay struct {
 	t           *testing.T
 	random      *rand.Rand
@@ -18,7 +18,7 @@
 	next        int
 	incarnation uint64
 	loss        float64
-	// side tells the parts of a cut network; all alike without a cut.
+	// side is the partition of each process; all are in the same one while the network is whole.
 	side map[string]int
 }
 
@@ -35,7 +35,7 @@
 
 func (o *overlay) join(address string, seeds []string) {
 	o.incarnation++
-	self := Peer{Address: address, Role: "carrier", Zone: "bole", Incarnation: o.incarnation}
+	self := Peer{Address: address, Role: "control", Zone: "zone", Incarnation: o.incarnation}
 	o.nodes[address] = New(self, seeds, DefaultSize, o.random.Uint64())
 	o.order = append(o.order, address)
 }
@@ -52,7 +52,7 @@
 
 func (o *overlay) drawLoss() bool { return o.random.Float64() < o.loss }
 
-// round lets every process shuffle once, in a drawn order.
+// round lets every process shuffle once, in random order.
 func (o *overlay) round() {
 	for _, i := range o.random.Perm(len(o.order)) {
 		o.shuffle(o.order[i])
@@ -80,7 +80,7 @@
 	sampler.HandleReply(to, reply)
 }
 
-// check holds the invariants of every view.
+// check checks the invariants of every view.
 func (o *overlay) check() {
 	seen := map[string]bool{}
 	for address, sampler := range o.nodes {
@@ -88,17 +88,17 @@
 		seen[address] = true
 		for _, peer := range sampler.view.peers {
 			if seen[peer.Address] {
-				o.t.Fatalf("%s holds itself or one address twice: %v", address, sampler.Peers())
+				o.t.Fatalf("the view of %s contains itself or one address twice: %v", address, sampler.Peers())
 			}
 			seen[peer.Address] = true
 		}
 		if len(sampler.view.peers) > DefaultSize || len(sampler.pending) > 0 {
-			o.t.Fatalf("%s holds %d peers and waits for %d answers", address, len(sampler.view.peers), len(sampler.pending))
+			o.t.Fatalf("the view of %s has %d peers, and %d requests are pending", address, len(sampler.view.peers), len(sampler.pending))
 		}
 	}
 }
 
-// countReachable counts the live processes that a walk over the views from the first one reaches, edges taken both ways.
+// countReachable counts the live processes that are reachable from the first one over the views, with edges in both directions.
 func (o *overlay) countReachable() int {
 	edges := map[string][]string{}
 	for address, sampler := range o.nodes {
@@ -186,7 +186,7 @@
 	}
 }
 
-// churn ends some processes, seeds too at times; each comes back with another life, or another address.
+// churn ends some processes, possibly seeds. For each it starts a process at the same address, with another incarnation, or at a new address.
 func (o *overlay) churn() {
 	for range 1 + len(o.order)/50 {
 		gone := o.order[o.random.IntN(len(o.order))]
@@ -246,7 +246,7 @@
 	}
 }
 
-// countCrossEdges counts edges between even and odd processes.
+// countCrossEdges counts the edges between processes with even and odd indices.
 func (o *overlay) countCrossEdges() int {
 	count := 0
 	for i, address := range o.order {
--- a/coord/peersampling/peer.go
+++ b/coord/peersampling/peer.go
@@ -1,19 +1,20 @@
 package peersampling
 
-// Peer describes one life of a process that others may call.
+// Peer describes one incarnation of a process that others may call. An incarnation is one run of the process.
 type Peer struct {
-	// Address is where the process is called; no two live processes share one.
+	// Address is where the process is called. No two live processes share one.
 	Address string
-	// Role and Zone are handed on as they are.
+	// Role and Zone are passed on unchanged.
 	Role string
 	Zone string
-	// Incarnation grows with each life at the address.
+	// Incarnation is greater for each later incarnation at the address.
 	Incarnation uint64
-	// Age counts the shuffles that this description has seen since the peer made it.
+	// Age counts the shuffles since the peer created this description, made by the processes whose views contained it.
 	Age uint16
 }
 
-// supersedes reports whether p tells more than another description of the same address: a later life, or the same seen later.
+// supersedes reports whether p is more recent than another description of the same address: a later incarnation, or a younger description
+// of the same one.
 func (p Peer) supersedes(other Peer) bool {
 	if p.Incarnation != other.Incarnation {
 		return p.Incarnation > other.Incarnation
@@ -21,13 +22,13 @@
 	return p.Age < other.Age
 }
 
-// ShuffleRequest offers a part of the sender's view in exchange for a part of the receiver's.
+// ShuffleRequest offers a part of the view of the sender in exchange for a part of the view of the receiver.
 type ShuffleRequest struct {
 	From  Peer
 	Peers []Peer
 }
 
-// ShuffleReply is the receiver's part.
+// ShuffleReply carries the receiver's part.
 type ShuffleReply struct {
 	From  Peer
 	Peers []Peer
--- a/coord/peersampling/quarantine.go
+++ b/coord/peersampling/quarantine.go
@@ -1,10 +1,10 @@
 package peersampling
 
-// quarantine remembers for a number of shuffles which lives didn't answer, so that others' stale descriptions don't bring them
-// back at once.
+// quarantine records for a number of shuffles which incarnations did not answer, so that stale descriptions from other peers do not bring
+// them back immediately.
 type quarantine struct {
 	entries map[string]quarantined
-	// duration is how many of the own shuffles a life stays in.
+	// duration is the number of own shuffles that an incarnation stays in quarantine.
 	duration uint64
 }
 
@@ -17,21 +17,21 @@
 	return quarantine{entries: map[string]quarantined{}, duration: span}
 }
 
-// add puts a life in at the given shuffle.
+// add adds the incarnation of a peer at the given shuffle.
 func (q *quarantine) add(peer Peer, shuffle uint64) {
 	q.entries[peer.Address] = quarantined{incarnation: peer.Incarnation, until: shuffle + q.duration}
 }
 
-// contains reports whether a peer is in: the same life or an earlier one.
+// contains reports whether the incarnation of a peer, or a later one at its address, is in quarantine.
 func (q *quarantine) contains(peer Peer) bool {
 	entry, ok := q.entries[peer.Address]
 	return ok && peer.Incarnation <= entry.incarnation
 }
 
-// release lets the peer at an address out; it was heard.
+// release removes the peer at an address, because it called or answered.
 func (q *quarantine) release(address string) { delete(q.entries, address) }
 
-// expire lets out those whose time is over at the given shuffle.
+// expire removes the entries that end at or before the given shuffle.
 func (q *quarantine) expire(shuffle uint64) {
 	for address, entry := range q.entries {
 		if shuffle >= entry.until {
--- a/coord/peersampling/sampler.go
+++ b/coord/peersampling/sampler.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// DefaultSize is how many peers a view holds where nothing else is said.
+	// DefaultSize is the default number of peers in a view.
 	DefaultSize = 12
-	// maxShufflePeers is how many descriptions one message carries at most, the sender's among them.
+	// maxShufflePeers bounds the descriptions in one message, including that of the sender.
 	maxShufflePeers = 5
-	// shufflesPerSeed is how many shuffles go to the view for one that goes to a seed, so that partitions heal.
+	// shufflesPerSeed is the mean number of shuffles per shuffle with a seed. Shuffles with seeds let partitions heal.
 	shufflesPerSeed = 10
-	// maxAgeFactor is the greatest age of a description, in view sizes.
+	// maxAgeFactor times the view size is the maximum age of a description.
 	maxAgeFactor = 4
 )
 
-// Sampler is the view of one process and its part in the shuffles.
+// Sampler holds the view of one process and carries out its part of the shuffles.
 type Sampler struct {
 	self       Peer
 	seeds      []string
@@ -24,20 +24,20 @@
 	quarantine quarantine
 	random     *rand.Rand
 	shuffles   uint64
-	// pending holds the unanswered requests by whom they were sent to.
+	// pending holds the unanswered requests by the address of the peer they were sent to.
 	pending map[string]pendingRequest
 }
 
-// pendingRequest is a request that has no answer yet.
+// pendingRequest is a request without an answer.
 type pendingRequest struct {
-	// partner is whom it went to, as far as known: a seed may be known by its address only.
+	// partner is the peer that received the request. Of a seed that is not in the view, only the address is known.
 	partner Peer
-	// offer is what it gave away.
+	// offer is the part of the view that was sent.
 	offer []Peer
 }
 
-// New starts an empty view of a number of peers (DefaultSize if it isn't positive) for the process self. The seeds are called
-// while the view is empty, and now and then after that; randomSeed drives every choice.
+// New returns a sampler with an empty view for the process self. The view holds up to size peers, or DefaultSize if size is not positive. The
+// seeds are called while the view is empty, and occasionally after that. randomSeed seeds all random choices.
 func New(self Peer, seeds []string, size int, randomSeed uint64) *Sampler {
 	if size <= 0 {
 		size = DefaultSize
@@ -54,27 +54,27 @@
 	return s
 }
 
-// SetSeeds takes other seeds in place of those before; the view stays.
+// SetSeeds replaces the seeds and keeps the view.
 func (s *Sampler) SetSeeds(seeds []string) {
 	s.seeds = slices.DeleteFunc(slices.Clone(seeds), func(address string) bool {
 		return address == "" || address == s.self.Address
 	})
 }
 
-// Self returns the own description.
+// Self returns the description of the own process.
 func (s *Sampler) Self() Peer { return s.self }
 
-// Full reports whether the view has no room left.
+// Full reports whether the view is full.
 func (s *Sampler) Full() bool { return s.view.full() }
 
-// Peers returns the view, in no order.
+// Peers returns the view, in no particular order.
 func (s *Sampler) Peers() []Peer { return slices.Clone(s.view.peers) }
 
-// Sample returns up to n different peers of the view, drawn evenly.
+// Sample returns up to n distinct peers of the view, drawn uniformly.
 func (s *Sampler) Sample(n int) []Peer { return s.view.sample(n, s.random) }
 
-// Shuffle begins one shuffle and returns whom to send the request to. The caller tells the outcome by HandleReply or Failed. It
-// isn't ok when there is neither a peer nor a seed to call.
+// Shuffle starts a shuffle and returns the request and the address to send it to. The caller reports the outcome with HandleReply or
+// MarkFailed. ok is false if there is neither a peer nor a seed to call.
 func (s *Sampler) Shuffle() (to string, request ShuffleRequest, ok bool) {
 	s.shuffles++
 	s.quarantine.expire(s.shuffles)
@@ -88,7 +88,8 @@
 	return partner.Address, ShuffleRequest{From: s.self, Peers: offer}, true
 }
 
-// pickPartner picks whom to shuffle with: now and then a seed, else the oldest of the view, which it takes out.
+// pickPartner selects the peer to shuffle with: with probability 1/shufflesPerSeed, or if the view is empty, a seed; else the oldest peer of
+// the view, which it removes from the view. Without seeds it always selects from the view.
 func (s *Sampler) pickPartner() (Peer, bool) {
 	oldest := s.view.oldest()
 	seedsTurn := oldest < 0 || s.random.IntN(shufflesPerSeed) == 0
@@ -103,7 +104,7 @@
 	return peer, true
 }
 
-// pickSeed draws a seed; what the view knows of it goes with it.
+// pickSeed draws a seed. It returns the description in the view if there is one, else one with the address only.
 func (s *Sampler) pickSeed() Peer {
 	address := s.seeds[s.random.IntN(len(s.seeds))]
 	if i := s.view.find(address); i >= 0 {
@@ -112,28 +113,28 @@
 	return Peer{Address: address}
 }
 
-// drawOffer draws what to send to a peer besides the own description.
+// drawOffer draws the descriptions to send to a peer in addition to the own one.
 func (s *Sampler) drawOffer(address string) []Peer {
 	offer := s.view.sample(maxShufflePeers, s.random)
 	offer = slices.DeleteFunc(offer, func(p Peer) bool { return p.Address == address })
 	return offer[:min(len(offer), maxShufflePeers-1)]
 }
 
-// HandleRequest takes another's part and returns the own one.
+// HandleRequest adds the part of the view that a request offers and returns a part of the own view.
 func (s *Sampler) HandleRequest(request ShuffleRequest) ShuffleReply {
 	offer := s.drawOffer(request.From.Address)
 	s.insertRequest(request.From, request.Peers, offer)
 	return ShuffleReply{From: s.self, Peers: offer}
 }
 
-// HandleReply takes the answer of the peer that a request went to. An answer to none, or after Failed, changes nothing.
+// HandleReply handles the answer to a request. It ignores an answer without a pending request, for example after MarkFailed.
 func (s *Sampler) HandleReply(from string, reply ShuffleReply) {
 	request, ok := s.pending[from]
 	if !ok {
 		return
 	}
 	delete(s.pending, from)
-	// The swap turns the edge round: the partner is taken back only where there is room for it.
+	// A shuffle reverses the edge between the two: the partner now has this process in its view, and returns to this view only if it has room.
 	s.quarantine.release(reply.From.Address)
 	s.insertAll(reply.Peers, request.offer)
 	if s.acceptable(reply.From) {
@@ -141,8 +142,8 @@
 	}
 }
 
-// MarkFailed tells that a peer hasn't answered a call: it leaves the view, and others' descriptions of this life of it aren't taken
-// for a while unless it is heard.
+// MarkFailed records that a peer did not answer a call. It removes the peer from the view. Descriptions of this incarnation from other peers
+// are rejected for a number of shuffles, unless the peer itself calls or answers before.
 func (s *Sampler) MarkFailed(address string) {
 	failed := s.pending[address].partner
 	delete(s.pending, address)
@@ -155,7 +156,7 @@
 	}
 }
 
-// insertRequest takes in what a request brought; its sender was heard, and goes first.
+// insertRequest adds the sender of a request, which is evidently alive, and then the peers that it offers.
 func (s *Sampler) insertRequest(from Peer, peers, sent []Peer) {
 	s.quarantine.release(from.Address)
 	if s.acceptable(from) {
@@ -164,6 +165,7 @@
 	s.insertAll(peers, sent)
 }
 
+// insertAll adds the acceptable peers. If the view is full, they replace those in sent.
 func (s *Sampler) insertAll(peers, sent []Peer) {
 	for _, peer := range peers {
 		if s.acceptable(peer) {
@@ -172,7 +174,7 @@
 	}
 }
 
-// acceptable reports whether a description may enter the view.
+// acceptable reports whether a description may be added to the view.
 func (s *Sampler) acceptable(peer Peer) bool {
 	switch {
 	case peer.Address == "" || peer.Address == s.self.Address:
--- a/coord/peersampling/sampler_test.go
+++ b/coord/peersampling/sampler_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// addToView puts a peer into a view by a request from it.
+// addToView adds peers to a view by a request from each of them.
 func addToView(s *Sampler, peers ...Peer) {
 	for _, peer := range peers {
 		s.HandleRequest(ShuffleRequest{From: peer})
@@ -25,7 +25,7 @@
 func TestShuffleWithoutPeersOrSeedsIsNotOK(t *testing.T) {
 	s := New(Peer{Address: "a"}, []string{"a", ""}, 4, 1)
 	_, _, ok := s.Shuffle()
-	assert.False(t, ok, "the own address and an empty one are no seeds")
+	assert.False(t, ok, "the own address and an empty one must not be used as seeds")
 	assert.Empty(t, s.Sample(3))
 }
 
@@ -36,7 +36,7 @@
 	assert.Equal(t, "seed", to)
 	assert.Equal(t, ShuffleRequest{From: Peer{Address: "a", Incarnation: 3}}, request)
 
-	seed := Peer{Address: "seed", Role: "keeper", Zone: "z", Incarnation: 9}
+	seed := Peer{Address: "seed", Role: "server", Zone: "z", Incarnation: 9}
 	s.HandleReply(to, ShuffleReply{From: seed, Peers: []Peer{{Address: "b"}, {Address: "a"}}})
 	assert.ElementsMatch(t, []Peer{seed, {Address: "b"}}, s.Peers())
 }
@@ -66,11 +66,11 @@
 	s := New(Peer{Address: "a"}, nil, 4, 1)
 	addToView(s, Peer{Address: "b", Incarnation: 2, Age: 3})
 	addToView(s, Peer{Address: "b", Incarnation: 1})
-	assert.Equal(t, []Peer{{Address: "b", Incarnation: 2, Age: 3}}, s.Peers(), "an earlier life")
+	assert.Equal(t, []Peer{{Address: "b", Incarnation: 2, Age: 3}}, s.Peers(), "an earlier incarnation")
 	addToView(s, Peer{Address: "b", Incarnation: 2, Age: 5})
-	assert.Equal(t, []Peer{{Address: "b", Incarnation: 2, Age: 3}}, s.Peers(), "the same life, seen earlier")
+	assert.Equal(t, []Peer{{Address: "b", Incarnation: 2, Age: 3}}, s.Peers(), "an older description of the same incarnation")
 	addToView(s, Peer{Address: "b", Incarnation: 3, Age: 7})
-	assert.Equal(t, []Peer{{Address: "b", Incarnation: 3, Age: 7}}, s.Peers(), "a later life")
+	assert.Equal(t, []Peer{{Address: "b", Incarnation: 3, Age: 7}}, s.Peers(), "a later incarnation")
 }
 
 func TestFailedIncarnationStaysOutUntilItCalls(t *testing.T) {
@@ -81,15 +81,15 @@
 	require.Equal(t, "b", to)
 	s.MarkFailed("b")
 	s.HandleRequest(ShuffleRequest{From: Peer{Address: "c"}, Peers: []Peer{dead}})
-	assert.Equal(t, []string{"c"}, addresses(s.Peers()), "by hearsay")
+	assert.Equal(t, []string{"c"}, addresses(s.Peers()), "a description from another peer")
 	s.HandleReply("b", ShuffleReply{From: dead})
-	assert.Equal(t, []string{"c"}, addresses(s.Peers()), "by an answer that came too late")
+	assert.Equal(t, []string{"c"}, addresses(s.Peers()), "an answer after MarkFailed")
 	s.HandleRequest(ShuffleRequest{From: Peer{Address: "c"}, Peers: []Peer{{Address: "b", Incarnation: 3}}})
-	assert.ElementsMatch(t, []string{"b", "c"}, addresses(s.Peers()), "a later life")
+	assert.ElementsMatch(t, []string{"b", "c"}, addresses(s.Peers()), "a later incarnation")
 
 	s.MarkFailed("b")
 	addToView(s, Peer{Address: "b", Incarnation: 3})
-	assert.ElementsMatch(t, []string{"b", "c"}, addresses(s.Peers()), "heard from itself")
+	assert.ElementsMatch(t, []string{"b", "c"}, addresses(s.Peers()), "a request from the peer itself")
 }
 
 func TestUnsolicitedReplyIsIgnored(t *testing.T) {
--- a/coord/peersampling/view.go
+++ b/coord/peersampling/view.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// view is a bounded set of peers, one for each address, in no order.
+// view is a bounded set of peers with distinct addresses, in no particular order.
 type view struct {
 	peers []Peer
 	size  int
@@ -18,14 +18,14 @@
 
 func (v *view) full() bool { return len(v.peers) >= v.size }
 
-// remove takes out the peer at an index.
+// remove removes the peer at an index.
 func (v *view) remove(index int) {
 	last := len(v.peers) - 1
 	v.peers[index] = v.peers[last]
 	v.peers = v.peers[:last]
 }
 
-// oldest returns the index of a peer of the greatest age, or -1 if there is none.
+// oldest returns the index of a peer with the greatest age, or -1 if the view is empty.
 func (v *view) oldest() int {
 	oldest := -1
 	for i := range v.peers {
@@ -36,7 +36,7 @@
 	return oldest
 }
 
-// incrementAges makes every peer a shuffle older and drops those beyond the limit.
+// incrementAges increments the age of every peer and removes those older than the limit.
 func (v *view) incrementAges(limit uint16) {
 	for i := range v.peers {
 		v.peers[i].Age++
@@ -44,7 +44,7 @@
 	v.peers = slices.DeleteFunc(v.peers, func(p Peer) bool { return p.Age > limit })
 }
 
-// sample returns up to n different peers, drawn evenly.
+// sample returns up to n distinct peers, drawn uniformly. It reorders the view.
 func (v *view) sample(n int, random *rand.Rand) []Peer {
 	n = min(n, len(v.peers))
 	if n <= 0 {
@@ -57,8 +57,8 @@
 	return slices.Clone(v.peers[:n])
 }
 
-// insert takes a peer in: in place of an older description of it, else where there is room, else in place of the first of given
-// that is still there. It returns what is left of given.
+// insert adds a peer. It replaces an older description of the same address. Otherwise it uses free room, or else replaces the first peer of
+// sent that is still in the view. It returns the rest of sent.
 func (v *view) insert(peer Peer, sent []Peer) []Peer {
 	if i := v.find(peer.Address); i >= 0 {
 		if peer.supersedes(v.peers[i]) {
--- a/coord/transport/link_test.go
+++ b/coord/transport/link_test.go
@@ -23,8 +23,8 @@
 	return newLink(conn), conn.(*simnet.Conn).Peer()
 }
 
-// A process was suspended while a call was pending. It must not send the call after it resumes, because the caller got ErrUnknown long
-// before.
+// A process was suspended while a call was pending. If this lasted longer than maxPendingTime, it must not send the call after it resumes,
+// because the caller got ErrUnknown long before.
 func TestStalePendingBytesAreNotWritten(t *testing.T) {
 	for _, frozen := range []time.Duration{maxPendingTime, maxPendingTime + time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
