--- a/coord/membership/node.go
+++ b/coord/membership/node.go
@@ -123,9 +123,9 @@
 	return err
 }
 
-// Subscribe registers a function that is called with each value known now, and with each newer value that is learned or set later. The calls
-// are sequential and in the order in which values are learned, so the versions of a key only increase. The function should be short and may call
-// the node.
+// Subscribe registers a function that is called with each value known now, and with each newer value that is learned or set later. The
+// calls are sequential and in the order in which values are learned, so the versions of a key only increase. The function should be short
+// and may call the node.
 func (n *Node) Subscribe(subscriber func(gossip.Value)) {
 	n.mu.Lock()
 	n.deliveries.subscribe(subscriber, n.store.Values())
--- a/coord/membership/round.go
+++ b/coord/membership/round.go
@@ -29,8 +29,8 @@
 	preferred bool
 }
 
-// Round starts the exchanges of one round and returns the time until the next round. A started node calls it by itself. Call it directly only
-// to drive a node that is not started.
+// Round starts the exchanges of one round and returns the time until the next round. A started node calls it by itself. Call it directly
+// only to drive a node that is not started.
 func (n *Node) Round() time.Duration {
 	preferred := n.preferred()
 	wait, exchanges := n.planRound(preferred)
--- a/coord/peersampling/overlay_test.go
+++ b/coord/peersampling/overlay_test.go
@@ -186,7 +186,8 @@
 	}
 }
 
-// churn ends some processes, possibly seeds. For each it starts a process at the same address, with another incarnation, or at a new address.
+// churn ends some processes, possibly seeds. For each it starts a process at the same address, with another incarnation, or at a new
+// address.
 func (o *overlay) churn() {
 	for range 1 + len(o.order)/50 {
 		gone := o.order[o.random.IntN(len(o.order))]
--- a/coord/peersampling/sampler.go
+++ b/coord/peersampling/sampler.go
@@ -36,8 +36,8 @@
 	offer []Peer
 }
 
-// New returns a sampler with an empty view for the process self. The view holds up to size peers, or DefaultSize if size is not positive. The
-// seeds are called while the view is empty, and occasionally after that. randomSeed seeds all random choices.
+// New returns a sampler with an empty view for the process self. The view holds up to size peers, or DefaultSize if size is not positive.
+// The seeds are called while the view is empty, and occasionally after that. randomSeed seeds all random choices.
 func New(self Peer, seeds []string, size int, randomSeed uint64) *Sampler {
 	if size <= 0 {
 		size = DefaultSize
@@ -88,8 +88,8 @@
 	return partner.Address, ShuffleRequest{From: s.self, Peers: offer}, true
 }
 
-// pickPartner selects the peer to shuffle with: with probability 1/shufflesPerSeed, or if the view is empty, a seed; else the oldest peer of
-// the view, which it removes from the view. Without seeds it always selects from the view.
+// pickPartner selects the peer to shuffle with: with probability 1/shufflesPerSeed, or if the view is empty, a seed; else the oldest peer
+// of the view, which it removes from the view. Without seeds it always selects from the view.
 func (s *Sampler) pickPartner() (Peer, bool) {
 	oldest := s.view.oldest()
 	seedsTurn := oldest < 0 || s.random.IntN(shufflesPerSeed) == 0
@@ -134,7 +134,8 @@
 		return
 	}
 	delete(s.pending, from)
-	// A shuffle reverses the edge between the two: the partner now has this process in its view, and returns to this view only if it has room.
+	// A shuffle reverses the edge between the two: the partner now has this process in its view, and returns to this view only if it has
+	// room.
 	s.quarantine.release(reply.From.Address)
 	s.insertAll(reply.Peers, request.offer)
 	if s.acceptable(reply.From) {
@@ -142,8 +143,8 @@
 	}
 }
 
-// MarkFailed records that a peer did not answer a call. It removes the peer from the view. Descriptions of this incarnation from other peers
-// are rejected for a number of shuffles, unless the peer itself calls or answers before.
+// MarkFailed records that a peer did not answer a call. It removes the peer from the view. Descriptions of this incarnation from other
+// peers are rejected for a number of shuffles, unless the peer itself calls or answers before.
 func (s *Sampler) MarkFailed(address string) {
 	failed := s.pending[address].partner
 	delete(s.pending, address)
--- a/coord/transport/client.go
+++ b/coord/transport/client.go
@@ -68,8 +68,8 @@
 // Call calls "Service.Method" at the address, as net/rpc does, and waits for the answer for at most the timeout. It returns ErrNotSent if
 // the peer definitely did not receive the call and ErrUnknown if the peer may have executed it. It returns an rpc.ServerError if the method
 // returned an error, or if the peer's net/rpc has no such method or could not decode the call. The reply must be a zero value, because gob
-// does not overwrite fields for which it receives a zero value. The reply is valid only if Call returns nil, and it is not modified after Call
-// has returned. A call reaches the peer over at most one connection: Call retries only if the kept connection closed before it had
+// omits zero fields and leaves them unchanged at the receiver. The reply is valid only if Call returns nil, and it is not modified after
+// Call has returned. A call reaches the peer over at most one connection: Call retries only if the kept connection closed before it had
 // accepted the whole call.
 func (c *Client) Call(addr, method string, args, reply any, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
--- a/coord/transport/client_test.go
+++ b/coord/transport/client_test.go
@@ -120,12 +120,12 @@
 	callTwice(t, client, server.Addr())
 	before := client.connectionTo(server.Addr())
 
-	held := make(chan error, 1)
+	result := make(chan error, 1)
 	reply := -1
-	go func() { held <- client.Call(server.Addr(), "Echo.Hold", 7, &reply, 10*shortTimeout) }()
+	go func() { result <- client.Call(server.Addr(), "Echo.Hold", 7, &reply, 10*shortTimeout) }()
 	<-echo.entered
 	callTwice(t, client, server.Addr())
-	require.ErrorIs(t, <-held, ErrUnknown)
+	require.ErrorIs(t, <-result, ErrUnknown)
 	require.Same(t, before, client.connectionTo(server.Addr()))
 
 	close(echo.released)
@@ -176,10 +176,10 @@
 	second, _ := serveEcho(t)
 	third, _ := serveEcho(t)
 
-	held := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
 		var reply int
-		held <- client.Call(first.Addr(), "Echo.Hold", 7, &reply, longTimeout)
+		result <- client.Call(first.Addr(), "Echo.Hold", 7, &reply, longTimeout)
 	}()
 	<-echo.entered
 	callTwice(t, client, second.Addr())
@@ -188,7 +188,7 @@
 	require.Nil(t, client.connectionTo(second.Addr()))
 	require.NotNil(t, client.connectionTo(third.Addr()))
 	close(echo.released)
-	require.NoError(t, <-held)
+	require.NoError(t, <-result)
 
 	callTwice(t, client, second.Addr())
 	require.Nil(t, client.connectionTo(first.Addr()), "it is now the least recently used: its call started first")
@@ -208,14 +208,14 @@
 func TestCloseEndsCallsInProgress(t *testing.T) {
 	server, echo := serveEcho(t)
 	client := newTestClient(t, Options{})
-	held := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
 		var reply int
-		held <- client.Call(server.Addr(), "Echo.Hold", 7, &reply, longTimeout)
+		result <- client.Call(server.Addr(), "Echo.Hold", 7, &reply, longTimeout)
 	}()
 	<-echo.entered
 	require.NoError(t, client.Close())
-	require.ErrorIs(t, <-held, ErrUnknown)
+	require.ErrorIs(t, <-result, ErrUnknown)
 	close(echo.released)
 
 	var reply int
@@ -227,15 +227,15 @@
 func TestClosingServerWritesPendingReplies(t *testing.T) {
 	server, echo := serveEcho(t)
 	client := newTestClient(t, Options{})
-	held := make(chan error, 1)
+	result := make(chan error, 1)
 	var reply int
-	go func() { held <- client.Call(server.Addr(), "Echo.Hold", 7, &reply, longTimeout) }()
+	go func() { result <- client.Call(server.Addr(), "Echo.Hold", 7, &reply, longTimeout) }()
 	<-echo.entered
 	closed := make(chan error, 1)
 	go func() { closed <- server.Close() }()
 	<-server.closing
 	close(echo.released)
-	require.NoError(t, <-held)
+	require.NoError(t, <-result)
 	require.Equal(t, 7, reply)
 	require.NoError(t, <-closed)
 }
--- a/coord/transport/peers.go
+++ b/coord/transport/peers.go
@@ -34,8 +34,8 @@
 	err        error
 }
 
-// acquire returns the connection of the address, for use until release, and dials if there is none. With a timeout of zero or less it starts
-// no dial: that dial would fail, and its back-off would delay other calls to the address.
+// acquire returns the connection of the address, for use until release, and dials if there is none. With a timeout of zero or less it
+// starts no dial: the dial could only fail, and would delay the other calls to the address.
 func (c *Client) acquire(addr string, timeout time.Duration) (*connection, error) {
 	if timeout <= 0 {
 		return nil, notSentError(addr, errNoTime)
@@ -227,9 +227,9 @@
 	}
 }
 
-// Reachable reports to the client that a message from the process at an address has just arrived in another way. It ends the back-off of the
-// address. If a dial is in progress, it starts another attempt at once, because the SYN packets sent so far may have been lost before the
-// process was up.
+// Reachable reports to the client that a message from the process at an address has just arrived in another way. It ends the back-off of
+// the address. If a dial is in progress, it starts another attempt at once, because the SYN packets sent so far may have been lost before
+// the process was up.
 func (c *Client) Reachable(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coord/transport/pump.go
+++ b/coord/transport/pump.go
@@ -24,7 +24,8 @@
 	stream      stream[M]
 
 	messages []M
-	// silentTicks counts the consecutive ticks with unanswered batches since the last answer. The first tick after an answer counts as well.
+	// silentTicks counts the consecutive ticks with unanswered batches since the last answer. The first tick after an answer counts as
+	// well.
 	silentTicks int
 	responses   uint64
 	// idleTicks counts the ticks since the last batch.
--- a/coord/transport/receiver.go
+++ b/coord/transport/receiver.go
@@ -28,8 +28,8 @@
 	buffered [window]*Batch[M]
 }
 
-// NewReceiver returns a receiver that passes messages to deliver, which may keep them. Calls of deliver for one sender are sequential, those
-// for different senders may be concurrent. A slow call of deliver delays the batches of its sender.
+// NewReceiver returns a receiver that passes messages to deliver, which may keep them. Calls of deliver for one sender are sequential,
+// those for different senders may be concurrent. A slow call of deliver delays the batches of its sender.
 func NewReceiver[M any](deliver func(messages []M)) *Receiver[M] {
 	return &Receiver[M]{deliver: deliver, senders: map[uint64]*inboundStream[M]{}}
 }
@@ -91,8 +91,8 @@
 	return from
 }
 
-// evictOldest removes the sender whose last batch is the oldest. If that sender is still alive, its stream fails with ErrGap and it starts a
-// new one.
+// evictOldest removes the sender whose last batch is the oldest. If that sender is still alive, its stream fails with ErrGap and it starts
+// a new one.
 func (r *Receiver[M]) evictOldest() {
 	var oldest uint64
 	least := r.useCounter + 1
--- a/coord/transport/sender.go
+++ b/coord/transport/sender.go
@@ -20,8 +20,8 @@
 	QueueLength int
 	// BatchLength bounds the messages of one batch, 256 by default.
 	BatchLength int
-	// AnswerTimeout is how long a connection with unanswered batches may be silent, 2 s by default. The connection is closed after one to one
-	// and a half times this duration.
+	// AnswerTimeout is how long a connection with unanswered batches may be silent, 2 s by default. The connection is closed after one to
+	// one and a half times this duration.
 	AnswerTimeout time.Duration
 	// IdleTimeout is how long the goroutine of an address keeps running after its last message, 10 s by default.
 	IdleTimeout time.Duration
@@ -128,7 +128,8 @@
 	return to
 }
 
-// removeIfEmpty removes an address unless a message was queued meanwhile, and reports whether it did. The goroutine of the address then ends.
+// removeIfEmpty removes an address unless a message was queued meanwhile, and reports whether it did. The goroutine of the address then
+// ends.
 func (s *Sender[M]) removeIfEmpty(to *destination[M]) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
