--- a/coord/transport/dialing_test.go
+++ b/coord/transport/dialing_test.go
@@ -142,8 +142,8 @@
 	})
 }
 
-// A refused dial starts a back-off, which Reachable ends. A dial that timed out starts no back-off.
-func TestReachableEndsBackOff(t *testing.T) {
+// A refused dial starts a back-off, which ends when the address is reported as reachable. A dial that timed out starts no back-off.
+func TestReachableReportEndsBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		refused := errors.New("refused")
 		dialer := &lossyDialer{refusal: refused}
