--- a/coord/membership/contact.go
+++ b/coord/membership/contact.go
@@ -4,11 +4,11 @@
 	"gaugeslip/coord/gossip"
 )
 
-// carryOut does one exchange of a round; in place of a preferred peer that doesn't answer others are asked.
-func (n *Node) carryOut(e exchange) {
-	defer n.exchangeOver()
+// runExchange carries out one exchange of a round. If a preferred peer does not answer, it tries other preferred peers.
+func (n *Node) runExchange(e exchange) {
+	defer n.exchangeDone()
 	answered := n.exchangeWith(e)
-	for tries := 1; e.preferred && !answered && tries < preferredTries; tries++ {
+	for tries := 1; e.preferred && !answered && tries < maxPreferredTries; tries++ {
 		address, ok := n.nextPreferred(e.address)
 		if !ok {
 			return
@@ -18,13 +18,14 @@
 	}
 }
 
-func (n *Node) exchangeOver() {
+// exchangeDone counts one exchange less in progress.
+func (n *Node) exchangeDone() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.exchanges--
+	n.activeExchanges--
 }
 
-// nextPreferred picks another preferred peer than the one that has just failed.
+// nextPreferred selects another preferred peer than the one that failed. It returns false if there is none.
 func (n *Node) nextPreferred(failed string) (string, bool) {
 	preferred := n.preferred()
 	n.mu.Lock()
@@ -33,50 +34,52 @@
 	return address, ok && address != failed
 }
 
-// exchangeWith calls a peer and carries on with its answer. It reports whether there was one.
+// exchangeWith calls a peer, handles its answer and reports whether there was one.
 func (n *Node) exchangeWith(e exchange) bool {
-	args := ExchangeArgs{Gossip: n.begin(), Shuffle: e.shuffle}
+	args := ExchangeArgs{Gossip: n.gossipRequest(), Shuffle: e.shuffle}
 	var reply ExchangeReply
 	err := n.caller.Call(e.address, exchangeMethod, args, &reply, n.options.CallTimeout)
 	if err != nil {
-		n.noteFailed(e.address)
+		n.recordFailure(e.address)
 		return false
 	}
-	n.finish(e, &reply)
+	n.handleReply(e, &reply)
 	return true
 }
 
-func (n *Node) begin() gossip.Request {
+// gossipRequest returns the gossip request that starts an exchange.
+func (n *Node) gossipRequest() gossip.Request {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.store.Begin()
+	return n.store.BeginExchange()
 }
 
-// finish takes in the answer to an exchange.
-func (n *Node) finish(e exchange, reply *ExchangeReply) {
+// handleReply handles the answer to an exchange.
+func (n *Node) handleReply(e exchange, reply *ExchangeReply) {
 	n.mu.Lock()
 	if e.shuffle != nil && reply.Shuffle != nil {
 		n.sampler.HandleReply(e.address, *reply.Shuffle)
 	}
-	n.rotation.answered(e.address)
+	n.rotation.markAnswered(e.address)
 	learned, push := n.store.HandleReply(n.options.Clock(), reply.Gossip)
-	targets := n.noteLearned(learned, e.address)
+	targets := n.queueLearned(learned, e.address)
 	n.mu.Unlock()
 
 	n.spread(learned, targets)
 	n.spawnPush(e.address, push)
 }
 
-// noteFailed notes that a peer didn't answer.
-func (n *Node) noteFailed(address string) {
+// recordFailure records that a peer did not answer.
+func (n *Node) recordFailure(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.sampler.Failed(address)
-	n.rotation.failed(n.options.Clock(), address)
+	n.sampler.MarkFailed(address)
+	n.rotation.markFailed(n.options.Clock(), address)
 }
 
-// noteLearned queues news for the subscribers and draws whom to push it to. The caller holds the lock, and calls spread without.
-func (n *Node) noteLearned(learned []gossip.Value, source string) (targets []string) {
+// queueLearned queues learned values for the subscribers and selects the peers to push them to. The caller holds the lock, and calls spread
+// after releasing it.
+func (n *Node) queueLearned(learned []gossip.Value, source string) (targets []string) {
 	if len(learned) == 0 {
 		return nil
 	}
@@ -89,7 +92,7 @@
 	return gossip.PushTargets(addresses, source, n.random)
 }
 
-// spread pushes news to the targets and hands it to the subscribers.
+// spread pushes learned values to the targets and delivers them to the subscribers.
 func (n *Node) spread(learned []gossip.Value, targets []string) {
 	if len(learned) == 0 {
 		return
@@ -101,14 +104,14 @@
 	n.deliveries.run()
 }
 
-// spawnPush sends a push beside what goes on, if there is one.
+// spawnPush sends a push on a goroutine of its own. It does nothing without a push or an address.
 func (n *Node) spawnPush(address string, push *gossip.Push) {
 	if push != nil && address != "" {
 		n.spawn(func() { n.push(address, *push) })
 	}
 }
 
-// push sends a push and takes in the answer.
+// push sends a push and handles the answer.
 func (n *Node) push(address string, push gossip.Push) {
 	args := PushArgs{From: n.options.Self.Address, Push: push}
 	var reply PushReply
@@ -120,15 +123,16 @@
 	}
 	n.mu.Lock()
 	learned := n.store.HandlePushReply(push, reply.Reply)
-	targets := n.noteLearned(learned, address)
+	targets := n.queueLearned(learned, address)
 	n.mu.Unlock()
 
 	n.spread(learned, targets)
 }
 
+// pushFailed records that a peer did not answer a push and abandons the push.
 func (n *Node) pushFailed(address string, push gossip.Push) {
-	n.noteFailed(address)
+	n.recordFailure(address)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.store.Abandon(push)
+	n.store.AbandonPush(push)
 }
--- a/coord/peersampling/overlay_test.go
+++ b/coord/peersampling/overlay_test.go
@@ -9,16 +9,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// overlay is a number of processes that shuffle in rounds.
+// overlay is a set of processes that shuffle in rounds.
 type overlay struct {
-	t      *testing.T
-	random *rand.Rand
-	nodes  map[string]*Sampler
-	order  []string
-	next   int
-	life   uint64
-	loss   float64
-	// side tells the parts of a cut network; all alike without a cut.
+	t           *testing.T
+	random      *rand.Rand
+	nodes       map[string]*Sampler
+	order       []string
+	next        int
+	incarnation uint64
+	loss        float64
+	// side is the partition of each process; all are in the same one while the network is whole.
 	side map[string]int
 }
 
@@ -34,8 +34,8 @@
 }
 
 func (o *overlay) join(address string, seeds []string) {
-	o.life++
-	self := Peer{Address: address, Role: "carrier", Zone: "bole", Incarnation: o.life}
+	o.incarnation++
+	self := Peer{Address: address, Role: "control", Zone: "zone", Incarnation: o.incarnation}
 	o.nodes[address] = New(self, seeds, DefaultSize, o.random.Uint64())
 	o.order = append(o.order, address)
 }
@@ -50,9 +50,9 @@
 	}
 }
 
-func (o *overlay) lost() bool { return o.random.Float64() < o.loss }
+func (o *overlay) drawLoss() bool { return o.random.Float64() < o.loss }
 
-// round lets every process shuffle once, in a drawn order.
+// round lets every process shuffle once, in random order.
 func (o *overlay) round() {
 	for _, i := range o.random.Perm(len(o.order)) {
 		o.shuffle(o.order[i])
@@ -68,19 +68,19 @@
 	}
 	require.NotEqual(o.t, from, to)
 	partner, alive := o.nodes[to]
-	if !alive || o.side[from] != o.side[to] || o.lost() {
-		sampler.Failed(to)
+	if !alive || o.side[from] != o.side[to] || o.drawLoss() {
+		sampler.MarkFailed(to)
 		return
 	}
 	reply := partner.HandleRequest(request)
-	if o.lost() {
-		sampler.Failed(to)
+	if o.drawLoss() {
+		sampler.MarkFailed(to)
 		return
 	}
 	sampler.HandleReply(to, reply)
 }
 
-// check holds the invariants of every view.
+// check checks the invariants of every view.
 func (o *overlay) check() {
 	seen := map[string]bool{}
 	for address, sampler := range o.nodes {
@@ -88,18 +88,18 @@
 		seen[address] = true
 		for _, peer := range sampler.view.peers {
 			if seen[peer.Address] {
-				o.t.Fatalf("%s holds itself or one address twice: %v", address, sampler.Peers())
+				o.t.Fatalf("the view of %s contains itself or one address twice: %v", address, sampler.Peers())
 			}
 			seen[peer.Address] = true
 		}
-		if len(sampler.view.peers) > DefaultSize || len(sampler.asked) > 0 {
-			o.t.Fatalf("%s holds %d peers and waits for %d answers", address, len(sampler.view.peers), len(sampler.asked))
+		if len(sampler.view.peers) > DefaultSize || len(sampler.pending) > 0 {
+			o.t.Fatalf("the view of %s has %d peers, and %d requests are pending", address, len(sampler.view.peers), len(sampler.pending))
 		}
 	}
 }
 
-// reached counts the live processes that a walk over the views from the first one reaches, edges taken both ways.
-func (o *overlay) reached() int {
+// countReachable counts the live processes that are reachable from the first one over the views, with edges in both directions.
+func (o *overlay) countReachable() int {
 	edges := map[string][]string{}
 	for address, sampler := range o.nodes {
 		for _, peer := range sampler.Peers() {
@@ -136,14 +136,14 @@
 
 var overlaySizes = []int{12, 60, 300}
 
-func TestTheOverlayIsConnectedAndBalanced(t *testing.T) {
+func TestOverlayIsConnectedAndBalanced(t *testing.T) {
 	for _, n := range overlaySizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			o := newOverlay(t, n, uint64(n))
 			for range 60 {
 				o.round()
 			}
-			require.Equal(t, n, o.reached())
+			require.Equal(t, n, o.countReachable())
 			degrees := o.inDegrees()
 			for _, address := range o.order {
 				wanted := min(n-1, DefaultSize)
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestASmallOverlayKnowsAll(t *testing.T) {
+func TestSmallOverlayKnowsMostPeers(t *testing.T) {
 	o := newOverlay(t, 12, 7)
 	for range 30 {
 		o.round()
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestTheOverlayStaysConnectedUnderChurn(t *testing.T) {
+func TestOverlayStaysConnectedUnderChurn(t *testing.T) {
 	for _, n := range overlaySizes {
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprintf("%d/%d", n, seed), func(t *testing.T) {
@@ -180,13 +180,14 @@
 				for range 10 {
 					o.round()
 				}
-				require.Equal(t, n, o.reached())
+				require.Equal(t, n, o.countReachable())
 			})
 		}
 	}
 }
 
-// churn ends some processes, seeds too at times; each comes back with another life, or another address.
+// churn ends some processes, possibly seeds. For each it starts a process at the same address, with another incarnation, or at a new
+// address.
 func (o *overlay) churn() {
 	for range 1 + len(o.order)/50 {
 		gone := o.order[o.random.IntN(len(o.order))]
@@ -200,7 +201,7 @@
 	}
 }
 
-func TestDeadPeersVanish(t *testing.T) {
+func TestDeadPeersLeaveAllViews(t *testing.T) {
 	for _, n := range overlaySizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			o := newOverlay(t, n, 3)
@@ -210,7 +211,7 @@
 			for _, i := range o.random.Perm(n)[:n/4] {
 				o.kill(fmt.Sprintf("node-%d", i))
 			}
-			for range ageLimit*DefaultSize + 1 {
+			for range maxAgeFactor*DefaultSize + 1 {
 				o.round()
 			}
 			for address, sampler := range o.nodes {
@@ -218,12 +219,12 @@
 					assert.Contains(t, o.nodes, peer.Address, "in the view of %s", address)
 				}
 			}
-			assert.Equal(t, len(o.order), o.reached())
+			assert.Equal(t, len(o.order), o.countReachable())
 		})
 	}
 }
 
-func TestACutOverlayHeals(t *testing.T) {
+func TestPartitionedOverlayHeals(t *testing.T) {
 	for _, n := range overlaySizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			o := newOverlay(t, n, 5)
@@ -240,14 +241,14 @@
 			for range 30 {
 				o.round()
 			}
-			assert.Equal(t, n, o.reached())
-			assert.Positive(t, o.mixed())
+			assert.Equal(t, n, o.countReachable())
+			assert.Positive(t, o.countCrossEdges())
 		})
 	}
 }
 
-// mixed counts edges between even and odd processes.
-func (o *overlay) mixed() int {
+// countCrossEdges counts the edges between processes with even and odd indices.
+func (o *overlay) countCrossEdges() int {
 	count := 0
 	for i, address := range o.order {
 		for _, peer := range o.nodes[address].Peers() {
@@ -261,7 +262,7 @@
 	return count
 }
 
-func TestOtherSeedsServeAfterTheFirstAreGone(t *testing.T) {
+func TestReplacedSeedsServeAfterFirstSeedsFail(t *testing.T) {
 	o := newOverlay(t, 60, 9)
 	for range 30 {
 		o.round()
@@ -276,6 +277,6 @@
 	for range 40 {
 		o.round()
 	}
-	assert.Equal(t, len(o.order), o.reached())
+	assert.Equal(t, len(o.order), o.countReachable())
 	assert.Positive(t, o.inDegrees()["newcomer"])
 }
--- a/coord/peersampling/quarantine.go
+++ b/coord/peersampling/quarantine.go
@@ -1,11 +1,11 @@
 package peersampling
 
-// quarantine remembers for a number of shuffles which lives didn't answer, so that others' stale descriptions don't bring them
-// back at once.
+// quarantine records for a number of shuffles which incarnations did not answer, so that stale descriptions from other peers do not bring
+// them back immediately.
 type quarantine struct {
-	lives map[string]quarantined
-	// span is how many of the own shuffles a life stays in.
-	span uint64
+	entries map[string]quarantined
+	// duration is the number of own shuffles that an incarnation stays in quarantine.
+	duration uint64
 }
 
 type quarantined struct {
@@ -14,28 +14,28 @@
 }
 
 func newQuarantine(span uint64) quarantine {
-	return quarantine{lives: map[string]quarantined{}, span: span}
+	return quarantine{entries: map[string]quarantined{}, duration: span}
 }
 
-// add puts a life in at the given shuffle.
+// add adds the incarnation of a peer at the given shuffle.
 func (q *quarantine) add(peer Peer, shuffle uint64) {
-	q.lives[peer.Address] = quarantined{incarnation: peer.Incarnation, until: shuffle + q.span}
+	q.entries[peer.Address] = quarantined{incarnation: peer.Incarnation, until: shuffle + q.duration}
 }
 
-// holds reports whether a peer is in: the same life or an earlier one.
-func (q *quarantine) holds(peer Peer) bool {
-	held, ok := q.lives[peer.Address]
-	return ok && peer.Incarnation <= held.incarnation
+// contains reports whether the incarnation of a peer, or a later one at its address, is in quarantine.
+func (q *quarantine) contains(peer Peer) bool {
+	entry, ok := q.entries[peer.Address]
+	return ok && peer.Incarnation <= entry.incarnation
 }
 
-// lift lets the peer at an address out; it was heard.
-func (q *quarantine) lift(address string) { delete(q.lives, address) }
+// release removes the peer at an address, because it called or answered.
+func (q *quarantine) release(address string) { delete(q.entries, address) }
 
-// expire lets out those whose time is over at the given shuffle.
+// expire removes the entries that end at or before the given shuffle.
 func (q *quarantine) expire(shuffle uint64) {
-	for address, held := range q.lives {
-		if shuffle >= held.until {
-			delete(q.lives, address)
+	for address, entry := range q.entries {
+		if shuffle >= entry.until {
+			delete(q.entries, address)
 		}
 	}
 }
--- a/coord/transport/client.go
+++ b/coord/transport/client.go
@@ -12,18 +12,18 @@
 	defaultMaxConnections = 64
 	maxDialTime           = 400 * time.Millisecond
 	dialBackOff           = 100 * time.Millisecond
-	// peersPerConnection bounds how many addresses without a connection are remembered.
+	// peersPerConnection times MaxConnections bounds the number of addresses that a client keeps state for.
 	peersPerConnection = 4
 )
 
-// Options are the settings of a Client. Zero values stand for the defaults.
+// Options are the settings of a Client. A zero value selects the default.
 type Options struct {
-	// MaxConnections bounds the kept connections, 64 by default. The one that has been idle longest goes first; those in use
-	// stay, even over the bound.
+	// MaxConnections bounds the kept connections, 64 by default. Over the bound, the connection that was used least recently is closed.
+	// Connections in use are never closed, even over the bound.
 	MaxConnections int
 	// UserTimeout is the TCP_USER_TIMEOUT of connections, 2 s by default.
 	UserTimeout time.Duration
-	// Dial makes connections in place of the operating system's sockets, for a simulated network; UserTimeout is then without effect.
+	// Dial replaces the dialer of the operating system, for a simulated network. UserTimeout then has no effect.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -40,18 +40,18 @@
 	return o
 }
 
-// Client calls other processes, by address. It is safe for concurrent use.
+// Client calls other processes by address. It is safe for concurrent use.
 type Client struct {
 	options Options
 	context context.Context
 	cancel  context.CancelFunc
 	group   sync.WaitGroup
 
-	mu        sync.Mutex
-	closed    bool
-	uses      uint64
-	connected int
-	peers     map[string]*peer
+	mu              sync.Mutex
+	closed          bool
+	useCounter      uint64
+	connectionCount int
+	peers           map[string]*peer
 }
 
 // NewClient returns a client without connections.
@@ -65,19 +65,20 @@
 	}
 }
 
-// Call calls "Service.Method" at the address, as net/rpc does, and waits for the answer for the timeout at most. Its error
-// is ErrNotSent if the peer surely never got the call, ErrUnknown if it may have carried it out, or the rpc.ServerError
-// that the method returned, or net/rpc for a call that it has no method for or couldn't read. The reply is to be a zero value, since
-// gob leaves zero fields as they are; it counts only if there is no error, and isn't touched after Call has returned. A call is written
-// to one connection at most: it is tried again only if the kept one had ended before it took any of it.
+// Call calls "Service.Method" at the address, as net/rpc does, and waits for the answer for at most the timeout. It returns ErrNotSent if
+// the peer definitely did not receive the call and ErrUnknown if the peer may have executed it. It returns an rpc.ServerError if the method
+// returned an error, or if the peer's net/rpc has no such method or could not decode the call. The reply must be a zero value, because gob
+// omits zero fields and leaves them unchanged at the receiver. The reply is valid only if Call returns nil, and it is not modified after
+// Call has returned. A call reaches the peer over at most one connection: Call retries only if the kept connection closed before it had
+// accepted the whole call.
 func (c *Client) Call(addr, method string, args, reply any, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	err := c.callOnce(addr, method, args, reply, timeout)
-	if !unsentOnStale(err) {
+	if !closedBeforeSend(err) {
 		return err
 	}
 	err = c.callOnce(addr, method, args, reply, time.Until(deadline))
-	if !unsentOnStale(err) {
+	if !closedBeforeSend(err) {
 		return err
 	}
 	return fmt.Errorf("%w: %s: %w", ErrNotSent, addr, err)
@@ -93,18 +94,18 @@
 	return connection.call(method, args, reply, time.Until(deadline))
 }
 
-// Close closes all connections; calls under way end with an error.
+// Close closes all connections. Calls in progress return an error.
 func (c *Client) Close() error {
 	c.cancel()
-	for _, connection := range c.shut() {
-		connection.codec.end(ErrClosed)
+	for _, connection := range c.markClosed() {
+		connection.codec.closeWithCause(ErrClosed)
 	}
 	c.group.Wait()
 	return nil
 }
 
-// shut is the change to closed; it returns the open connections.
-func (c *Client) shut() []*connection {
+// markClosed marks the client as closed and returns the open connections.
+func (c *Client) markClosed() []*connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
@@ -117,7 +118,7 @@
 	return open
 }
 
-// notSent wraps why a call was not sent.
-func notSent(addr string, cause error) error {
+// notSentError wraps the reason why a call was not sent in ErrNotSent.
+func notSentError(addr string, cause error) error {
 	return fmt.Errorf("%w: %s: %w", ErrNotSent, addr, cause)
 }
--- a/coord/transport/connection.go
+++ b/coord/transport/connection.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// connection is a kept connection to one address. The client's lock guards users and lastUse.
+// connection is a kept connection to one address. The lock of the client guards users, the number of calls and batches that use it now,
+// and lastUse.
 type connection struct {
 	addr  string
 	codec *clientCodec
@@ -24,38 +25,38 @@
 	return c
 }
 
-// start starts the goroutine that reads answers; the one that writes is the link's.
+// start starts the goroutine that reads answers. The goroutine that writes belongs to the link.
 func (c *connection) start() {
 	c.rpc = rpc.NewClientWithCodec(c.codec)
 }
 
-// call does one call and waits for its answer. Its error is ErrNotSent, ErrUnknown, a rpc.ServerError, or one for which
-// unsentOnStale is true.
+// call makes one call and waits for its answer. It returns ErrNotSent, ErrUnknown, an rpc.ServerError, or an error for which
+// closedBeforeSend is true.
 func (c *connection) call(method string, args, reply any, timeout time.Duration) error {
-	answers := c.codec.answers.Load()
+	responses := c.codec.responses.Load()
 	slot := &replySlot{target: reply}
 	call := c.rpc.Go(method, args, slot, make(chan *rpc.Call, 1))
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-call.Done:
-		return c.outcome(call.Error)
+		return c.classifyError(call.Error)
 	case <-timer.C:
 	}
 	if !slot.abandon() {
-		c.codec.end(errNoAnswer)
+		c.codec.closeWithCause(errNoAnswer)
 		<-call.Done
-		return c.outcome(call.Error)
+		return c.classifyError(call.Error)
 	}
-	if c.codec.answers.Load() == answers {
-		c.codec.end(errNoAnswer)
+	if c.codec.responses.Load() == responses {
+		c.codec.closeWithCause(errNoAnswer)
 	}
-	return c.outcome(errNoAnswer)
+	return c.classifyError(errNoAnswer)
 }
 
-// outcome gives a call's error the type that tells what is certain.
-func (c *connection) outcome(err error) error {
-	if err == nil || unsentOnStale(err) || errors.Is(err, ErrNotSent) {
+// classifyError returns the error of a call in the form that states whether the peer may have executed it.
+func (c *connection) classifyError(err error) error {
+	if err == nil || closedBeforeSend(err) || errors.Is(err, ErrNotSent) {
 		return err
 	}
 	if _, answered := err.(rpc.ServerError); answered {
--- a/coord/transport/pump.go
+++ b/coord/transport/pump.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// window is how many batches of one stream may be out without an answer.
+// window is the maximum number of unanswered batches of one stream.
 const window = 8
 
-// Batch is a run of messages of one stream. Streams of one sender are numbered upwards, each broken connection starts a
-// new one, and the batches of a stream are numbered from 0.
+// Batch is a sequence of messages of one stream. The streams of one sender have increasing numbers, and each new connection starts a new
+// stream. The batches of a stream are numbered from 0.
 type Batch[M any] struct {
 	Sender   uint64
 	Stream   uint64
@@ -17,47 +17,48 @@
 	Messages []M
 }
 
-// pump is the goroutine that sends what is queued for one address.
+// pump is the goroutine that sends the queued messages of one address.
 type pump[M any] struct {
-	sender *Sender[M]
-	to     *outgoing[M]
-	stream stream[M]
+	sender      *Sender[M]
+	destination *destination[M]
+	stream      stream[M]
 
 	messages []M
-	// quiet counts the ticks in a row at which batches were out and the connection had said nothing.
-	quiet   int
-	answers uint64
-	// idle counts the ticks since the last batch.
-	idle int
+	// silentTicks counts the consecutive ticks with unanswered batches since the last answer. The first tick after an answer counts as
+	// well.
+	silentTicks int
+	responses   uint64
+	// idleTicks counts the ticks since the last batch.
+	idleTicks int
 }
 
-// stream is the batches that go over one connection; without a connection it is over.
+// stream is the sequence of batches sent over one connection. The zero value means that there is no connection.
 type stream[M any] struct {
 	number     uint64
 	connection *connection
 	done       chan *rpc.Call
 	batches    [window]Batch[M]
 	answered   [window]bool
-	// oldest is the first batch without an answer, next the one to be sent.
-	oldest uint64
-	next   uint64
-	out    int
+	// oldest is the sequence number of the first unanswered batch, next that of the next batch to send.
+	oldest     uint64
+	next       uint64
+	unanswered int
 }
 
-func newPump[M any](sender *Sender[M], to *outgoing[M]) *pump[M] {
-	return &pump[M]{sender: sender, to: to}
+func newPump[M any](sender *Sender[M], to *destination[M]) *pump[M] {
+	return &pump[M]{sender: sender, destination: to}
 }
 
 func (p *pump[M]) run() {
-	ticker := time.NewTicker(p.tickLength())
+	ticker := time.NewTicker(p.tickInterval())
 	defer ticker.Stop()
 	defer p.endStream()
 	for {
 		p.sendQueued()
 		select {
-		case <-p.to.wake:
+		case <-p.destination.wake:
 		case call := <-p.stream.done:
-			p.answered(call)
+			p.handleAnswer(call)
 		case <-ticker.C:
 			if p.tick() {
 				return
@@ -68,20 +69,20 @@
 	}
 }
 
-func (p *pump[M]) tickLength() time.Duration {
+func (p *pump[M]) tickInterval() time.Duration {
 	return max(p.sender.options.AnswerTimeout/2, 1)
 }
 
-func (p *pump[M]) idleTicks() int {
-	return int(p.sender.options.IdleTimeout / p.tickLength())
+func (p *pump[M]) maxIdleTicks() int {
+	return int(p.sender.options.IdleTimeout / p.tickInterval())
 }
 
-// sendQueued sends as much as the window allows.
+// sendQueued sends as many queued messages as the window allows.
 func (p *pump[M]) sendQueued() {
-	for p.stream.open() && p.sender.queued(p.to) > 0 {
-		connection, err := p.sender.client.acquire(p.to.addr, maxDialTime)
+	for p.stream.windowOpen() && p.sender.queued(p.destination) > 0 {
+		connection, err := p.sender.client.acquire(p.destination.addr, maxDialTime)
 		if err != nil {
-			p.sender.drop(p.to)
+			p.sender.discardQueue(p.destination)
 			return
 		}
 		if connection != p.stream.connection {
@@ -91,44 +92,44 @@
 	}
 }
 
-// open tells whether another batch may go out.
-func (s *stream[M]) open() bool {
+// windowOpen reports whether the window allows another batch.
+func (s *stream[M]) windowOpen() bool {
 	return s.next-s.oldest < window
 }
 
-// startStream is the change to a new stream.
+// startStream ends the current stream and starts a new one on the connection.
 func (p *pump[M]) startStream(connection *connection) {
 	p.endStream()
-	p.stream.number = p.sender.streams.Add(1)
+	p.stream.number = p.sender.lastStream.Add(1)
 	p.stream.connection = connection
 	p.stream.done = make(chan *rpc.Call, window)
 }
 
-// endStream is the change to no stream; batches that are out may arrive or not.
+// endStream ends the current stream. Its unanswered batches may or may not arrive.
 func (p *pump[M]) endStream() {
-	for range p.stream.out {
+	for range p.stream.unanswered {
 		p.sender.client.release(p.stream.connection)
 	}
 	p.stream = stream[M]{}
-	p.quiet = 0
+	p.silentTicks = 0
 }
 
-// sendBatch sends one batch over the stream's connection, which was acquired for it.
+// sendBatch sends one batch over the connection of the stream, which the caller has acquired for it.
 func (p *pump[M]) sendBatch() {
 	s := &p.stream
 	place := s.next % window
-	p.messages = p.sender.take(p.to, p.messages[:0])
+	p.messages = p.sender.take(p.destination, p.messages[:0])
 	s.batches[place] = Batch[M]{Sender: p.sender.id, Stream: s.number, Sequence: s.next, Messages: p.messages}
 	s.answered[place] = false
 	s.next++
-	s.out++
+	s.unanswered++
 	s.connection.rpc.Go(p.sender.method, &s.batches[place], nil, s.done)
 	clear(p.messages)
-	p.idle = 0
+	p.idleTicks = 0
 }
 
-// answered records the end of a batch's call.
-func (p *pump[M]) answered(call *rpc.Call) {
+// handleAnswer records the result of the call of a batch. An error ends the stream.
+func (p *pump[M]) handleAnswer(call *rpc.Call) {
 	if call.Error != nil {
 		p.endStream()
 		return
@@ -136,35 +137,36 @@
 	s := &p.stream
 	batch := call.Args.(*Batch[M])
 	s.answered[batch.Sequence%window] = true
-	s.out--
+	s.unanswered--
 	p.sender.client.release(s.connection)
 	for s.oldest < s.next && s.answered[s.oldest%window] {
 		s.oldest++
 	}
 }
 
-// tick closes a connection that has said nothing for too long; it tells whether the goroutine is to end.
+// tick closes a silent connection. It reports whether the goroutine should end because it was idle for the idle timeout.
 func (p *pump[M]) tick() bool {
-	if p.stream.out > 0 {
-		p.tickWaiting()
+	if p.stream.unanswered > 0 {
+		p.checkSilence()
 		return false
 	}
-	p.quiet = 0
-	p.idle++
-	return p.idle >= p.idleTicks() && p.sender.retire(p.to)
+	p.silentTicks = 0
+	p.idleTicks++
+	return p.idleTicks >= p.maxIdleTicks() && p.sender.removeIfEmpty(p.destination)
 }
 
-func (p *pump[M]) tickWaiting() {
-	const quietTicks = 3
+// checkSilence closes the connection if no answer has arrived on it for too many ticks.
+func (p *pump[M]) checkSilence() {
+	const maxSilentTicks = 3
 	codec := p.stream.connection.codec
-	answers := codec.answers.Load()
-	if answers != p.answers {
-		p.answers = answers
-		p.quiet = 0
+	responses := codec.responses.Load()
+	if responses != p.responses {
+		p.responses = responses
+		p.silentTicks = 0
 	}
-	p.quiet++
-	if p.quiet >= quietTicks {
-		codec.end(errNoAnswer)
+	p.silentTicks++
+	if p.silentTicks >= maxSilentTicks {
+		codec.closeWithCause(errNoAnswer)
 		p.endStream()
 	}
 }
--- a/coord/transport/server.go
+++ b/coord/transport/server.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// closeGrace is how long Close lets answers be written.
+	// closeGrace is how long Close waits for pending answers to be written.
 	closeGrace = time.Second
-	// acceptPause is the wait after an accept that failed for want of descriptors.
-	acceptPause = 20 * time.Millisecond
+	// acceptRetryDelay is the pause after an accept that failed with a temporary error, for example for lack of file descriptors.
+	acceptRetryDelay = 20 * time.Millisecond
 )
 
 // Server answers calls at one address.
@@ -30,7 +30,7 @@
 	group  sync.WaitGroup
 }
 
-// Listen takes the address, with port 0 for any free one. Calls are answered once Serve runs.
+// Listen opens a listener at the address; port 0 selects a free port. Calls are answered once Serve runs.
 func Listen(addr string) (*Server, error) {
 	config := net.ListenConfig{KeepAliveConfig: keepAlive()}
 	listener, err := config.Listen(context.Background(), "tcp", addr)
@@ -40,7 +40,7 @@
 	return NewServer(listener), nil
 }
 
-// NewServer returns a server of a listener that is open already, and that belongs to the server from then on.
+// NewServer returns a server for an open listener. The server owns the listener from then on.
 func NewServer(listener net.Listener) *Server {
 	return &Server{
 		rpc:      rpc.NewServer(),
@@ -55,34 +55,33 @@
 	return s.listener.Addr().String()
 }
 
-// Register has the methods of the service answered under the name, as net/rpc has them. Each call runs in a goroutine of
-// its own.
+// Register publishes the methods of the service under the name, as net/rpc does. Each call runs in a goroutine of its own.
 func (s *Server) Register(name string, service any) error {
 	return s.rpc.RegisterName(name, service)
 }
 
-// Serve accepts connections until Close; it then returns nil.
+// Serve accepts connections until Close, and then returns nil.
 func (s *Server) Serve() error {
 	for {
 		conn, err := s.listener.Accept()
 		if err == nil {
-			s.start(conn)
+			s.startLink(conn)
 			continue
 		}
 		if s.isClosed() {
 			return nil
 		}
-		if !passing(err) {
+		if !isTemporary(err) {
 			return fmt.Errorf("accept on %s: %w", s.Addr(), err)
 		}
-		s.pause()
+		s.pauseAccepting()
 	}
 }
 
-// Close stops accepting and reading, waits for the calls under way, writes their answers and closes all connections. It
-// returns when every goroutine of the server has ended.
+// Close stops accepting and reading, waits for the calls in progress, writes their answers and closes all connections. After closeGrace it
+// closes the connections without waiting for answers to be written. It returns when all goroutines of the server have ended.
 func (s *Server) Close() error {
-	links := s.shut()
+	links := s.markClosed()
 	if links == nil {
 		return nil
 	}
@@ -100,8 +99,8 @@
 	return err
 }
 
-// shut is the change to closed; it returns the open links, or nil if the server was closed before.
-func (s *Server) shut() []*link {
+// markClosed marks the server as closed. It returns the open links, or nil if the server was already closed.
+func (s *Server) markClosed() []*link {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -122,9 +121,9 @@
 	return s.closed
 }
 
-// start answers one connection.
-func (s *Server) start(conn net.Conn) {
-	if err := setAccepted(conn); err != nil {
+// startLink starts the goroutines of an accepted connection.
+func (s *Server) startLink(conn net.Conn) {
+	if err := configureAccepted(conn); err != nil {
 		_ = conn.Close()
 		return
 	}
@@ -137,18 +136,18 @@
 	}
 	s.links[l] = struct{}{}
 	s.group.Go(l.run)
-	s.group.Go(func() { s.answer(l) })
+	s.group.Go(func() { s.serveLink(l) })
 }
 
-func (s *Server) answer(l *link) {
+func (s *Server) serveLink(l *link) {
 	s.rpc.ServeCodec(newServerCodec(l))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.links, l)
 }
 
-func (s *Server) pause() {
-	timer := time.NewTimer(acceptPause)
+func (s *Server) pauseAccepting() {
+	timer := time.NewTimer(acceptRetryDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -156,8 +155,8 @@
 	}
 }
 
-// passing tells whether a failed accept is worth repeating.
-func passing(err error) bool {
+// isTemporary reports whether an accept that failed with the error should be retried.
+func isTemporary(err error) bool {
 	return errors.Is(err, syscall.EMFILE) ||
 		errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.ENOBUFS) ||
