--- a/internal/budget/ledger.go
+++ b/internal/budget/ledger.go
@@ -27,66 +27,66 @@
 	Refused uint64  `json:"refused"` // for want of it
 }
 
-// mostKeys bounds the keys of an account. Beyond it all begin anew, empty, which never uses too much.
-const mostKeys = 4096
+// maxKeys bounds the keys of an account. Beyond it all begin anew, empty, which never uses too much.
+const maxKeys = 4096
 
 // Ledger holds what a process owns of each account, and pays from it. It owns nothing until it is told. Its methods may be called
 // from any goroutine; a use costs no allocation.
 type Ledger struct {
-	drift float64
-	mu    sync.Mutex
-	all   []*purse
+	drift    float64
+	mu       sync.Mutex
+	accounts []*accountState
 }
 
-type purse struct {
+type accountState struct {
 	Account
 	share         Share
-	one           Rate
+	single        Rate
 	keys          map[uint64]*Rate
 	used, refused uint64
-	asked         float64 // a second, lately
-	askedAt       time.Duration
+	demand        float64 // a second, lately
+	demandAt      time.Duration
 }
 
 // NewLedger makes one, for clocks that run at most by drift too fast: by that much less is used.
 func NewLedger(accounts []Account, drift float64) *Ledger {
 	l := &Ledger{drift: drift}
 	for _, a := range accounts {
-		l.all = append(l.all, &purse{Account: a, one: l.rate(&a), keys: map[uint64]*Rate{}})
+		l.accounts = append(l.accounts, &accountState{Account: a, single: l.newBucket(&a), keys: map[uint64]*Rate{}})
 	}
 	return l
 }
 
-func (l *Ledger) rate(a *Account) Rate {
+func (l *Ledger) newBucket(a *Account) Rate {
 	return Rate{PerSecond: a.PerSecond / (1 + l.drift), Burst: a.Burst}
 }
 
 // Accounts is how many there are.
-func (l *Ledger) Accounts() int { return len(l.all) }
+func (l *Ledger) Accounts() int { return len(l.accounts) }
 
 // Own changes what the process owns of an account.
 func (l *Ledger) Own(now time.Duration, account int, s Share) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := l.all[account]
+	p := l.accounts[account]
 	p.share = s
-	p.one.Own(now, s)
+	p.single.Own(now, s)
 	for _, r := range p.keys {
 		r.Own(now, s)
 	}
 }
 
-// of is the bucket of a key. The lock is held.
-func (l *Ledger) of(now time.Duration, p *purse, key uint64) *Rate {
+// bucket is the bucket of a key. The lock is held.
+func (l *Ledger) bucket(now time.Duration, p *accountState, key uint64) *Rate {
 	if !p.Keyed {
-		return &p.one
+		return &p.single
 	}
 	r := p.keys[key]
 	if r == nil {
-		if len(p.keys) >= mostKeys {
+		if len(p.keys) >= maxKeys {
 			clear(p.keys)
 		}
-		fresh := l.rate(&p.Account)
+		fresh := l.newBucket(&p.Account)
 		r = &fresh
 		r.Own(now, p.share)
 		p.keys[key] = r
@@ -94,13 +94,13 @@
 	return r
 }
 
-// lately is how fast demand is forgotten: to 1/e in this time.
-const lately = time.Second
+// demandDecay is how fast demand is forgotten: to 1/e in this time.
+const demandDecay = time.Second
 
-func (p *purse) ask(now time.Duration) {
-	if now > p.askedAt {
-		p.asked *= math.Exp(-float64(now-p.askedAt) / float64(lately))
-		p.askedAt = now
+func (p *accountState) decayDemand(now time.Duration) {
+	if now > p.demandAt {
+		p.demand *= math.Exp(-float64(now-p.demandAt) / float64(demandDecay))
+		p.demandAt = now
 	}
 }
 
@@ -109,10 +109,10 @@
 func (l *Ledger) Take(now time.Duration, account int, key uint64) (ok bool, after time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := l.all[account]
-	p.ask(now)
-	p.asked++
-	r := l.of(now, p, key)
+	p := l.accounts[account]
+	p.decayDemand(now)
+	p.demand++
+	r := l.bucket(now, p, key)
 	if r.Take(now, 1) {
 		p.used++
 		return true, 0
@@ -125,13 +125,13 @@
 func (l *Ledger) Wanted(now time.Duration, floor Units, want []Units) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i, p := range l.all {
-		p.ask(now)
+	for i, p := range l.accounts {
+		p.decayDemand(now)
 		whole := p.PerSecond
 		if p.Keyed {
 			whole *= float64(max(len(p.keys), 1))
 		}
-		want[i] = Wanted(p.asked/lately.Seconds(), whole, floor)
+		want[i] = Wanted(p.demand/demandDecay.Seconds(), whole, floor)
 	}
 }
 
@@ -139,9 +139,9 @@
 func (l *Ledger) Figures(now time.Duration) []Figure {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := make([]Figure, 0, len(l.all))
-	for _, p := range l.all {
-		f := Figure{Name: p.Name, Whole: p.PerSecond, Keyed: p.Keyed, Floor: part(p.share.Floor, 1), Owned: part(p.share.At(now), 1),
+	all := make([]Figure, 0, len(l.accounts))
+	for _, p := range l.accounts {
+		f := Figure{Name: p.Name, Whole: p.PerSecond, Keyed: p.Keyed, Floor: scaled(p.share.Floor, 1), Owned: scaled(p.share.At(now), 1),
 			Epoch: p.share.Epoch, Used: p.used, Refused: p.refused}
 		if now < p.share.Until {
 			f.EndsMS = (p.share.Until - now).Milliseconds()
--- a/internal/budget/model_test.go
+++ b/internal/budget/model_test.go
@@ -21,45 +21,45 @@
 	modelLen = 20 // ticks
 )
 
-// state is one of the model's.
-type state struct {
-	tick   int
-	clock  [3]time.Duration
-	nodes  [3]*Node
-	paused [3]int // until this tick
-	seen   [3]time.Duration
-	lives  uint64
-	faults int // that may yet come
-	mail   []letter
-	trace  string
+// modelState is one of the model's.
+type modelState struct {
+	tick         int
+	clock        [3]time.Duration
+	nodes        [3]*Node
+	paused       [3]int // until this tick
+	seen         [3]time.Duration
+	incarnations uint64
+	faults       int // that may yet come
+	inFlight     []delivery
+	trace        string
 }
 
-type letter struct {
+type delivery struct {
 	due int
 	m   Message
 }
 
 // mutant changes the protocol, or what is held to be usable.
 type mutant struct {
-	drift   float64                    // reckoned with; negative: as it is
-	restart func(n *Node)              // after a start
-	before  func(s *state, m *Message) // a message is taken in
-	after   func(s *state, m *Message) // it was
-	usable  func(s *state, i, budget int) Units
+	drift   float64                         // reckoned with; negative: as it is
+	restart func(n *Node)                   // after a start
+	before  func(s *modelState, m *Message) // a message is taken in
+	after   func(s *modelState, m *Message) // it was
+	usable  func(s *modelState, i, budget int) Units
 }
 
-func (s *state) at(i int) time.Duration { return s.clock[i] }
+func (s *modelState) at(i int) time.Duration { return s.clock[i] }
 
-func (s *state) units(i, b int) Units { return s.nodes[i].Share(b).At(s.clock[i]) }
+func (s *modelState) units(i, b int) Units { return s.nodes[i].Share(b).At(s.clock[i]) }
 
 func (n *Node) clone() *Node {
 	c := *n
-	c.out, c.own = nil, slices.Clone(n.own)
-	c.need = slices.Clone(n.need)
-	c.held.Units = slices.Clone(n.held.Units)
-	c.asks = slices.Clone(n.asks)
-	for i := range c.asks {
-		c.asks[i].out = slices.Clone(c.asks[i].out) // grants do not change once they are out
+	c.outbox, c.selfMessages = nil, slices.Clone(n.selfMessages)
+	c.demand = slices.Clone(n.demand)
+	c.grant.Units = slices.Clone(n.grant.Units)
+	c.members = slices.Clone(n.members)
+	for i := range c.members {
+		c.members[i].outstanding = slices.Clone(c.members[i].outstanding) // grants do not change once they are out
 	}
 	c.parts = nil
 	for _, p := range n.parts {
@@ -68,9 +68,9 @@
 	return &c
 }
 
-func (s *state) clone() *state {
+func (s *modelState) clone() *modelState {
 	c := *s
-	c.mail = slices.Clone(s.mail)
+	c.inFlight = slices.Clone(s.inFlight)
 	for i, n := range s.nodes {
 		c.nodes[i] = n.clone()
 	}
@@ -78,7 +78,7 @@
 }
 
 // key names a state by all that can matter.
-func (s *state) key(b []byte) []byte {
+func (s *modelState) key(b []byte) []byte {
 	put := func(all ...int64) {
 		for _, x := range all {
 			b = binary.AppendVarint(b, x)
@@ -90,25 +90,25 @@
 			put(int64(u))
 		}
 	}
-	put(int64(s.tick), int64(s.faults), int64(s.lives))
+	put(int64(s.tick), int64(s.faults), int64(s.incarnations))
 	for i, n := range s.nodes {
-		put(int64(s.clock[i]), int64(s.paused[i]), int64(s.seen[i]), int64(n.cfg.Life), int64(n.born), int64(n.now), int64(n.holdUntil), int64(n.top),
-			int64(n.began), int64(n.phase), int64(n.yes), int64(n.retryAt), int64(n.leadUntil), int64(n.epoch), int64(n.divided), int64(n.seq),
-			int64(n.askAt), int64(n.leader), int64(n.missed), int64(n.heard), int64(n.held.Epoch), int64(n.end), int64(n.given))
+		put(int64(s.clock[i]), int64(s.paused[i]), int64(s.seen[i]), int64(n.cfg.Life), int64(n.startedAt), int64(n.now), int64(n.acceptedUntil), int64(n.maxBallotNumber),
+			int64(n.attemptStart), int64(n.phase), int64(n.votes), int64(n.retryAt), int64(n.leadUntil), int64(n.epoch), int64(n.dividedAt), int64(n.seq),
+			int64(n.nextRequestAt), int64(n.leader), int64(n.unanswered), int64(n.lastGrantAt), int64(n.grant.Epoch), int64(n.grantEnd), int64(n.grantsTaken))
 		ballot(n.promised)
-		ballot(n.holder)
+		ballot(n.acceptedBallot)
 		ballot(n.ballot)
-		ballot(n.lead)
-		ballot(n.held.Ballot)
-		units(n.held.Units)
-		for _, x := range n.sent {
+		ballot(n.leadBallot)
+		ballot(n.grant.Ballot)
+		units(n.grant.Units)
+		for _, x := range n.requests {
 			put(int64(x.seq), int64(x.at))
 		}
-		for _, a := range n.asks {
-			put(int64(a.life), int64(a.heard), int64(len(a.out)))
-			units(a.want)
-			for _, g := range a.out {
-				put(int64(g.life), int64(g.epoch), int64(g.until))
+		for _, a := range n.members {
+			put(int64(a.incarnation), int64(a.lastHeard), int64(len(a.outstanding)))
+			units(a.demand)
+			for _, g := range a.outstanding {
+				put(int64(g.incarnation), int64(g.epoch), int64(g.until))
 				units(g.units)
 			}
 		}
@@ -116,7 +116,7 @@
 			units(p)
 		}
 	}
-	for _, l := range s.mail {
+	for _, l := range s.inFlight {
 		put(int64(l.due))
 		b = Append(b, &l.m)
 	}
@@ -125,15 +125,15 @@
 
 // search plays all histories with so many faults, and gives the states and the first breach.
 func search(faults, most int, mut mutant) (states int, breach string) {
-	first := &state{faults: faults, lives: 3}
+	first := &modelState{faults: faults, incarnations: 3}
 	for i := range first.nodes {
 		first.nodes[i] = modelNode(i, uint64(i+1), 0, &mut)
-		first.nodes[i].born = -1000                   // all have been there for long
-		first.nodes[i].heard = time.Duration(-60 + i) // and nobody leads
+		first.nodes[i].startedAt = -1000                    // all have been there for long
+		first.nodes[i].lastGrantAt = time.Duration(-60 + i) // and nobody leads
 		first.nodes[i].retryAt = time.Duration(i * 30)
 	}
 	seen := map[[2]uint64]struct{}{}
-	stack := []*state{first}
+	stack := []*modelState{first}
 	var buf []byte
 	for len(stack) > 0 && len(seen) < most {
 		s := stack[len(stack)-1]
@@ -169,7 +169,7 @@
 		c.Drift = mut.drift
 	}
 	n := NewNode(c, now)
-	n.askAt = now + time.Duration(i*7)
+	n.nextRequestAt = now + time.Duration(i*7)
 	n.Want([]Units{Whole, Whole / Units(1+2*i)})
 	if mut.restart != nil {
 		mut.restart(n)
@@ -178,17 +178,17 @@
 }
 
 // next adds the states that may follow. A message that is due is dealt with first; else a tick goes by.
-func (s *state) next(to []*state, mut *mutant) []*state {
-	for k, l := range s.mail {
+func (s *modelState) next(to []*modelState, mut *mutant) []*modelState {
+	for k, l := range s.inFlight {
 		if l.due > s.tick {
 			continue
 		}
 		if s.paused[l.m.To] > s.tick { // it waits there
 			continue
 		}
-		without := func(faults int, what string) *state {
+		without := func(faults int, what string) *modelState {
 			c := s.clone()
-			c.mail = slices.Delete(c.mail, k, k+1)
+			c.inFlight = slices.Delete(c.inFlight, k, k+1)
 			if c.faults -= faults; faults > 0 {
 				c.trace += fmt.Sprintf("%d: %s %d>%d %s; ", s.tick, kindNames[l.m.Kind], l.m.From, l.m.To, what)
 			}
@@ -198,10 +198,10 @@
 			to = append(to, without(1, "lost"))
 			for _, late := range []int{1, 3, 7} {
 				c := without(1, fmt.Sprint("late ", late))
-				c.mail = append(c.mail, letter{s.tick + late, l.m})
+				c.inFlight = append(c.inFlight, delivery{s.tick + late, l.m})
 				to = append(to, c)
 				c = without(1, fmt.Sprint("again ", late))
-				c.mail = append(c.mail, letter{s.tick + late, l.m})
+				c.inFlight = append(c.inFlight, delivery{s.tick + late, l.m})
 				c.deliver(l.m, mut)
 				to = append(to, c)
 			}
@@ -213,7 +213,7 @@
 	if s.tick >= modelLen {
 		return to
 	}
-	tick := func(c *state) {
+	tick := func(c *modelState) {
 		c.tick++
 		for i, by := range [3]time.Duration{tickLen - 2, tickLen + 2, tickLen} {
 			if c.clock[i] += by; c.paused[i] <= c.tick {
@@ -227,9 +227,9 @@
 		for i := range s.nodes {
 			c := s.clone()
 			c.faults--
-			c.lives++
+			c.incarnations++
 			c.trace += fmt.Sprintf("%d: %d starts again; ", s.tick, i)
-			c.nodes[i], c.paused[i], c.seen[i] = modelNode(i, c.lives, c.clock[i], mut), 0, c.clock[i]
+			c.nodes[i], c.paused[i], c.seen[i] = modelNode(i, c.incarnations, c.clock[i], mut), 0, c.clock[i]
 			tick(c)
 			for _, long := range []int{3, 8} {
 				c := s.clone()
@@ -247,7 +247,7 @@
 var kindNames = map[Kind]string{Prepare: "prepare", Promise: "promise", Nack: "nack", Propose: "propose", Accepted: "accepted", Ask: "ask",
 	Grant: "grant", Redirect: "redirect"}
 
-func (s *state) deliver(m Message, mut *mutant) {
+func (s *modelState) deliver(m Message, mut *mutant) {
 	if mut.before != nil {
 		mut.before(s, &m)
 	}
@@ -256,9 +256,9 @@
 	}
 }
 
-func (s *state) step(i int, in []Message) {
+func (s *modelState) step(i int, in []Message) {
 	for _, m := range s.nodes[i].Step(s.clock[i], in) {
-		s.mail = append(s.mail, letter{s.tick, m})
+		s.inFlight = append(s.inFlight, delivery{s.tick, m})
 	}
 }
 
@@ -276,32 +276,32 @@
 func TestModelFindsMutants(t *testing.T) {
 	for name, m := range map[string]mutant{
 		"drift of zero": {drift: 0},
-		"lapse forgotten": {drift: -1, usable: func(s *state, i, b int) Units {
+		"lapse forgotten": {drift: -1, usable: func(s *modelState, i, b int) Units {
 			x := s.nodes[i].Share(b)
 			return x.Floor + x.More
 		}},
-		"check before a pause, use after": {drift: -1, usable: func(s *state, i, b int) Units {
+		"check before a pause, use after": {drift: -1, usable: func(s *modelState, i, b int) Units {
 			return s.nodes[i].Share(b).At(s.seen[i])
 		}},
-		"given out before the ack": {drift: -1, before: func(s *state, m *Message) {
+		"given out before the ack": {drift: -1, before: func(s *modelState, m *Message) {
 			if m.Kind == Ask && s.nodes[m.To].Leads(s.at(m.To)) {
-				m.Ballot, m.Epoch = s.nodes[m.To].lead, 1<<31
+				m.Ballot, m.Epoch = s.nodes[m.To].leadBallot, 1<<31
 			}
 		}},
-		"epoch reused": {drift: -1, before: func(s *state, m *Message) {
-			if n := s.nodes[m.To]; m.Kind == Grant && m.Epoch < n.held.Epoch {
-				m.Epoch = n.held.Epoch + 1 // an old grant passes for a new one
+		"epoch reused": {drift: -1, before: func(s *modelState, m *Message) {
+			if n := s.nodes[m.To]; m.Kind == Grant && m.Epoch < n.grant.Epoch {
+				m.Epoch = n.grant.Epoch + 1 // an old grant passes for a new one
 			}
 		}},
-		"a voter that speaks at once": {drift: -1, restart: func(n *Node) { n.born -= 1000 }},
-		"the lead counted from its end": {drift: -1, after: func(s *state, m *Message) {
+		"a voter that speaks at once": {drift: -1, restart: func(n *Node) { n.startedAt -= 1000 }},
+		"the lead counted from its end": {drift: -1, after: func(s *modelState, m *Message) {
 			if n := s.nodes[m.To]; m.Kind == Accepted && n.Leads(s.at(m.To)) {
 				n.leadUntil = max(n.leadUntil, s.at(m.To)+n.cfg.Term)
 			}
 		}},
-		"a grant counted from when it came": {drift: -1, before: func(s *state, m *Message) {
+		"a grant counted from when it came": {drift: -1, before: func(s *modelState, m *Message) {
 			if n := s.nodes[m.To]; m.Kind == Grant {
-				n.sent[m.Seq%uint32(len(n.sent))].at = s.at(m.To)
+				n.requests[m.Seq%uint32(len(n.requests))].at = s.at(m.To)
 			}
 		}},
 	} {
--- a/internal/budget/purse.go
+++ b/internal/budget/purse.go
@@ -14,61 +14,61 @@
 	PerSecond float64
 	Burst     float64 // tokens that all buckets hold together
 
-	level float64
-	at    time.Duration // up to when the bucket is filled
-	share Share
-	began bool
+	tokens   float64
+	filledTo time.Duration // up to when the bucket is filled
+	share    Share
+	started  bool
 }
 
-// part is what so many units are of an amount.
-func part(u Units, of float64) float64 { return of * float64(u) / float64(Whole) }
+// scaled is what so many units are of an amount.
+func scaled(u Units, of float64) float64 { return of * float64(u) / float64(Whole) }
 
 // Own changes the share at a time.
 func (r *Rate) Own(now time.Duration, s Share) {
-	r.fill(now)
+	r.refill(now)
 	r.share = s
-	r.cap(s.At(now))
+	r.clamp(s.At(now))
 }
 
-func (r *Rate) cap(u Units) { r.level = min(r.level, max(1, part(u, r.Burst))) }
+func (r *Rate) clamp(u Units) { r.tokens = min(r.tokens, max(1, scaled(u, r.Burst))) }
 
-// fill lets time pass. A share that has lapsed meanwhile filled the bucket up to its end only.
-func (r *Rate) fill(now time.Duration) {
-	if !r.began {
-		r.began, r.at = true, now
+// refill lets time pass. A share that has lapsed meanwhile filled the bucket up to its end only.
+func (r *Rate) refill(now time.Duration) {
+	if !r.started {
+		r.started, r.filledTo = true, now
 	}
-	if until := r.share.Until; r.at < until && until <= now {
-		r.pour(until, r.share.Floor+r.share.More)
+	if until := r.share.Until; r.filledTo < until && until <= now {
+		r.accrue(until, r.share.Floor+r.share.More)
 	}
-	r.pour(now, r.share.At(now))
+	r.accrue(now, r.share.At(now))
 }
 
-func (r *Rate) pour(to time.Duration, u Units) {
-	if to > r.at {
-		r.level += part(u, r.PerSecond) * (to - r.at).Seconds()
-		r.at = to
+func (r *Rate) accrue(to time.Duration, u Units) {
+	if to > r.filledTo {
+		r.tokens += scaled(u, r.PerSecond) * (to - r.filledTo).Seconds()
+		r.filledTo = to
 	}
-	r.cap(u)
+	r.clamp(u)
 }
 
 // Take uses n tokens at a time, or none: false.
 func (r *Rate) Take(now time.Duration, n float64) bool {
-	if r.fill(now); r.level < n || r.share.At(now) <= 0 {
+	if r.refill(now); r.tokens < n || r.share.At(now) <= 0 {
 		return false
 	}
-	r.level -= n
+	r.tokens -= n
 	return true
 }
 
 // In is how long it takes until n tokens are there, if the share stays and nobody takes any; negative: they never are.
 func (r *Rate) In(now time.Duration, n float64) time.Duration {
-	r.fill(now)
+	r.refill(now)
 	u := r.share.At(now)
-	rate := part(u, r.PerSecond)
-	if rate <= 0 || n > max(1, part(u, r.Burst)) {
+	rate := scaled(u, r.PerSecond)
+	if rate <= 0 || n > max(1, scaled(u, r.Burst)) {
 		return -1
 	}
-	return time.Duration(max(0, n-r.level) / rate * 1e9)
+	return time.Duration(max(0, n-r.tokens) / rate * 1e9)
 }
 
 // Window is a member's part of a budget that is a sum over a window: at most Most uses within any stretch of Length. A share
@@ -78,14 +78,14 @@
 	Most   float64
 	Length time.Duration
 
-	share Share
-	ripe  []ripening // units by when they count, in order of time
-	owned Units      // that count now
-	used  []use
-	sum   float64
+	share     Share
+	pending   []pendingUnits // units by when they count, in order of time
+	effective Units          // that count now
+	uses      []use
+	sum       float64
 }
 
-type ripening struct {
+type pendingUnits struct {
 	at    time.Duration
 	units Units
 }
@@ -97,42 +97,42 @@
 
 // Own changes the share at a time. What is lost goes at once, and first from what does not count yet.
 func (w *Window) Own(now time.Duration, s Share) {
-	w.lapse(now)
+	w.advance(now)
 	w.share = s
-	w.follow(now, s.At(now))
+	w.adjust(now, s.At(now))
 }
 
-// lapse lets time pass.
-func (w *Window) lapse(now time.Duration) {
-	w.follow(now, w.share.At(now))
-	for len(w.ripe) > 0 && w.ripe[0].at <= now {
-		w.owned += w.ripe[0].units
-		w.ripe = w.ripe[1:]
+// advance lets time pass.
+func (w *Window) advance(now time.Duration) {
+	w.adjust(now, w.share.At(now))
+	for len(w.pending) > 0 && w.pending[0].at <= now {
+		w.effective += w.pending[0].units
+		w.pending = w.pending[1:]
 	}
-	for len(w.used) > 0 && w.used[0].at <= now-w.Length {
-		w.sum -= w.used[0].n
-		w.used = w.used[1:]
+	for len(w.uses) > 0 && w.uses[0].at <= now-w.Length {
+		w.sum -= w.uses[0].n
+		w.uses = w.uses[1:]
 	}
 }
 
-// follow makes what is owned, ripe or not, come to u units.
-func (w *Window) follow(now time.Duration, u Units) {
-	total := w.owned
-	for _, r := range w.ripe {
+// adjust makes what is owned, ripe or not, come to u units.
+func (w *Window) adjust(now time.Duration, u Units) {
+	total := w.effective
+	for _, r := range w.pending {
 		total += r.units
 	}
 	if u > total {
-		w.ripe = append(w.ripe, ripening{now + w.Length + w.Length/32, u - total}) // a little more, for clocks that differ
+		w.pending = append(w.pending, pendingUnits{now + w.Length + w.Length/32, u - total}) // a little more, for clocks that differ
 	}
 	for lost := total - u; lost > 0; {
-		if n := len(w.ripe); n > 0 {
-			x := min(lost, w.ripe[n-1].units)
-			if w.ripe[n-1].units -= x; w.ripe[n-1].units == 0 {
-				w.ripe = w.ripe[:n-1]
+		if n := len(w.pending); n > 0 {
+			x := min(lost, w.pending[n-1].units)
+			if w.pending[n-1].units -= x; w.pending[n-1].units == 0 {
+				w.pending = w.pending[:n-1]
 			}
 			lost -= x
 		} else {
-			w.owned -= lost
+			w.effective -= lost
 			lost = 0
 		}
 	}
@@ -140,10 +140,10 @@
 
 // Take uses n at a time, or none: false.
 func (w *Window) Take(now time.Duration, n float64) bool {
-	if w.lapse(now); w.sum+n > part(w.owned, w.Most)+1e-9 {
+	if w.advance(now); w.sum+n > scaled(w.effective, w.Most)+1e-9 {
 		return false
 	}
-	w.used, w.sum = append(w.used, use{now, n}), w.sum+n
+	w.uses, w.sum = append(w.uses, use{now, n}), w.sum+n
 	return true
 }
 
@@ -154,21 +154,21 @@
 	Most    float64
 	Longest time.Duration
 
-	own  Window // of length Longest, with no uses: it lets units ripen
-	held int
+	window Window // of length Longest, with no uses: it lets units ripen
+	held   int
 }
 
 // Own changes the share at a time.
 func (h *Held) Own(now time.Duration, s Share) {
-	h.own.Length = h.Longest
-	h.own.Own(now, s)
+	h.window.Length = h.Longest
+	h.window.Own(now, s)
 }
 
 // allowed is the number that may be held.
 func (h *Held) allowed(now time.Duration) int {
-	h.own.Length = h.Longest
-	h.own.lapse(now)
-	return int(math.Floor(part(h.own.owned, h.Most) + 1e-9))
+	h.window.Length = h.Longest
+	h.window.advance(now)
+	return int(math.Floor(scaled(h.window.effective, h.Most) + 1e-9))
 }
 
 // Take holds one more; false: there is no room.
--- a/internal/budget/purse_test.go
+++ b/internal/budget/purse_test.go
@@ -17,9 +17,9 @@
 	Take(time.Duration, float64) bool
 }
 
-// moves plays a random history of moves and uses, and gives when what was used. A move is lost units first, and only then gained
+// playMoves plays a random history of moves and uses, and gives when what was used. A move is lost units first, and only then gained
 // ones; some units lapse by themselves.
-func moves(t *rapid.T, all []holder) (at []time.Duration) {
+func playMoves(t *rapid.T, all []holder) (at []time.Duration) {
 	n := len(all)
 	free, owned, until := Whole, make([]Units, n), make([]time.Duration, n)
 	now := time.Duration(0)
@@ -44,8 +44,8 @@
 	return at
 }
 
-// within checks that no window has more uses than so many.
-func within(t *rapid.T, at []time.Duration, window time.Duration, most float64) {
+// checkWindows checks that no window has more uses than so many.
+func checkWindows(t *rapid.T, at []time.Duration, window time.Duration, most float64) {
 	first := 0
 	for i, x := range at {
 		for at[first] <= x-window {
@@ -65,9 +65,9 @@
 		for range n {
 			all = append(all, &Rate{PerSecond: rate, Burst: burst})
 		}
-		at := moves(t, all)
+		at := playMoves(t, all)
 		for _, w := range []time.Duration{ms, 50 * ms, time.Second, 10 * time.Second} {
-			within(t, at, w, rate*w.Seconds()+burst+float64(n))
+			checkWindows(t, at, w, rate*w.Seconds()+burst+float64(n))
 		}
 	})
 }
@@ -79,12 +79,12 @@
 		for range rapid.IntRange(1, 4).Draw(t, "holders") {
 			all = append(all, &Window{Most: most, Length: length})
 		}
-		within(t, moves(t, all), length, most)
+		checkWindows(t, playMoves(t, all), length, most)
 	})
 }
 
 // Who has a share that stays uses all of it.
-func TestWholeCanBeUsed(t *testing.T) {
+func TestFullShareIsUsable(t *testing.T) {
 	r, w, used := &Rate{PerSecond: 100, Burst: 10}, &Window{Most: 10, Length: 100 * ms}, [2]int{}
 	for now := time.Duration(0); now < 10*time.Second; now += ms {
 		if now == 0 {
@@ -99,7 +99,7 @@
 	}
 	assert.InDelta(t, 1000, used[0], 12)
 	assert.InDelta(t, 1000, used[1], 30)
-	assert.InDelta(t, 5*ms, r.In(10*time.Second, 0.5+r.level), float64(ms))
+	assert.InDelta(t, 5*ms, r.In(10*time.Second, 0.5+r.tokens), float64(ms))
 	r.Own(10*time.Second, Share{})
 	assert.Negative(t, r.In(11*time.Second, 1), "nothing comes to who owns nothing")
 	assert.False(t, r.Take(20*time.Second, 1))
@@ -167,7 +167,7 @@
 
 func TestMessagesOnTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := Message{Kind: Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind")), From: rapid.IntRange(0, 1999).Draw(t, "from"),
+		m := Message{Kind: Kind(rapid.IntRange(1, int(kindEnd)-1).Draw(t, "kind")), From: rapid.IntRange(0, 1999).Draw(t, "from"),
 			To: rapid.IntRange(0, 1999).Draw(t, "to"), Life: rapid.Uint64().Draw(t, "life"), Asker: rapid.Uint64().Draw(t, "asker"),
 			Ballot: Ballot{N: rapid.Uint32Max(1<<31).Draw(t, "n"), By: rapid.Uint16Max(1999).Draw(t, "by"), Life: rapid.Uint64().Draw(t, "l")},
 			Open:   rapid.Bool().Draw(t, "open"), Seq: rapid.Uint32().Draw(t, "seq"), Epoch: rapid.Uint32().Draw(t, "epoch"),
--- a/internal/budget/wire.go
+++ b/internal/budget/wire.go
@@ -7,15 +7,15 @@
 )
 
 // The form of a message on the wire: a byte for the version and one for the kind, then all fields in the order of Message, numbers
-// as varints, lives in eight bytes. A message holds mostUnits budgets and mostBytes at the most.
+// as varints, lives in eight bytes. A message holds maxUnits budgets and maxMessageBytes at the most.
 const (
-	version   = 1
-	mostUnits = 64
-	mostBytes = 1024
+	version         = 1
+	maxUnits        = 64
+	maxMessageBytes = 1024
 )
 
-// errMessage is a message that can't be read. What it was is of no use to anyone: it is counted and dropped.
-var errMessage = errors.New("budget: not a message")
+// errMalformed is a message that can't be read. What it was is of no use to anyone: it is counted and dropped.
+var errMalformed = errors.New("budget: not a message")
 
 // Append puts a message's form at the end of b.
 func Append(b []byte, m *Message) []byte {
@@ -45,36 +45,36 @@
 
 // Read reads a message. Whatever is not exactly one is an error.
 func Read(b []byte) (m Message, err error) {
-	r := form{b: b}
-	if len(b) > mostBytes || r.byte() != version {
-		return m, errMessage
+	r := decoder{b: b}
+	if len(b) > maxMessageBytes || r.byte() != version {
+		return m, errMalformed
 	}
 	m.Kind = Kind(r.byte())
-	m.From, m.To = int(r.number(1<<16)), int(r.number(1<<16))
-	m.Life, m.Asker = r.eight(), r.eight()
-	m.Ballot = Ballot{N: uint32(r.number(1 << 31)), By: uint16(r.number(1<<16 - 1)), Life: r.eight()}
+	m.From, m.To = int(r.uvarint(1<<16)), int(r.uvarint(1<<16))
+	m.Life, m.Asker = r.fixed64(), r.fixed64()
+	m.Ballot = Ballot{N: uint32(r.uvarint(1 << 31)), By: uint16(r.uvarint(1<<16 - 1)), Life: r.fixed64()}
 	open := r.byte()
 	m.Open = open == 1
-	m.Seq, m.Epoch = uint32(r.number(1<<32-1)), uint32(r.number(1<<32-1))
-	m.TTL = time.Duration(r.number(uint64(time.Hour)))
-	m.Leader = int(r.number(1<<16)) - 1
-	n := r.number(mostUnits)
+	m.Seq, m.Epoch = uint32(r.uvarint(1<<32-1)), uint32(r.uvarint(1<<32-1))
+	m.TTL = time.Duration(r.uvarint(uint64(time.Hour)))
+	m.Leader = int(r.uvarint(1<<16)) - 1
+	n := r.uvarint(maxUnits)
 	for range n {
-		m.Units = append(m.Units, Units(r.number(uint64(Whole))))
+		m.Units = append(m.Units, Units(r.uvarint(uint64(Whole))))
 	}
-	if r.bad || len(r.b) > 0 || m.Kind == 0 || m.Kind >= kinds || open > 1 {
-		return Message{}, errMessage
+	if r.bad || len(r.b) > 0 || m.Kind == 0 || m.Kind >= kindEnd || open > 1 {
+		return Message{}, errMalformed
 	}
 	return m, nil
 }
 
-// form reads fields off the front of a message.
-type form struct {
+// decoder reads fields off the front of a message.
+type decoder struct {
 	b   []byte
 	bad bool
 }
 
-func (r *form) byte() byte {
+func (r *decoder) byte() byte {
 	if len(r.b) == 0 {
 		r.bad = true
 		return 0
@@ -84,7 +84,7 @@
 	return x
 }
 
-func (r *form) eight() uint64 {
+func (r *decoder) fixed64() uint64 {
 	if len(r.b) < 8 {
 		r.bad, r.b = true, nil
 		return 0
@@ -94,7 +94,7 @@
 	return x
 }
 
-func (r *form) number(most uint64) uint64 {
+func (r *decoder) uvarint(most uint64) uint64 {
 	x, n := binary.Uvarint(r.b)
 	if n <= 0 || x > most {
 		r.bad, r.b = true, nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,7 +31,7 @@
 	defaultCores    = 1
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastSockets    = 64 // fewer cannot be shared out between the parts
+	minSockets      = 64 // fewer cannot be shared out between the parts
 )
 
 // Defaults of the settings that bind connections to upstream hosts, where the settings leave them out.
@@ -78,7 +78,7 @@
 	return load(getenv, path, true)
 }
 
-func load(getenv func(string) string, path string, anew bool) (*Config, error) {
+func load(getenv func(string) string, path string, reload bool) (*Config, error) {
 	if path == "" {
 		path = getenv("NODE_CONFIG")
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("NODE_CONFIG: %w", err)
 	}
-	return parse(getenv, text, anew)
+	return parse(getenv, text, reload)
 }
 
 // Fixed names the keys whose values differ in a newer configuration and count only from a start on.
@@ -110,7 +110,7 @@
 }
 
 // parse reads the text of a file; anew: see Reload.
-func parse(getenv func(string) string, text []byte, anew bool) (*Config, error) {
+func parse(getenv func(string) string, text []byte, reload bool) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
 		var t *json.UnmarshalTypeError
@@ -121,16 +121,16 @@
 	}
 	c := &Config{Limits: f.Limits, Known: f.Known}
 	for _, k := range []struct {
-		to             *string
-		env, key, file string
-		addr, ownFirst bool // ownFirst: the file's value stands above the variable
+		to              *string
+		env, key, file  string
+		addr, fileFirst bool // fileFirst: the file's value stands above the variable
 	}{
 		{&c.Name, "NODE_NAME", "name", f.Name, false, false},
 		{&c.Listen, "NODE_LISTEN", "listen", f.Listen, true, false},
-		{&c.Discovery, "NODE_DISCOVERY", "discovery", f.Discovery, true, anew},
+		{&c.Discovery, "NODE_DISCOVERY", "discovery", f.Discovery, true, reload},
 	} {
 		key := k.env
-		if *k.to = getenv(k.env); *k.to == "" || k.ownFirst && k.file != "" {
+		if *k.to = getenv(k.env); *k.to == "" || k.fileFirst && k.file != "" {
 			*k.to, key = k.file, k.key
 		}
 		if *k.to == "" {
@@ -196,8 +196,8 @@
 		return fmt.Errorf("limits.cores: %v is negative", l.Cores)
 	case l.MemoryMB < 0:
 		return fmt.Errorf("limits.memory_mb: %v is negative", l.MemoryMB)
-	case l.Sockets < leastSockets:
-		return fmt.Errorf("limits.sockets: %d, at least %d are needed", l.Sockets, leastSockets)
+	case l.Sockets < minSockets:
+		return fmt.Errorf("limits.sockets: %d, at least %d are needed", l.Sockets, minSockets)
 	}
 	return nil
 }
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -11,27 +11,27 @@
 // probes of a host. A job beyond its tenant's quota is refused at once, with the time until there is room as advice; a probe that
 // there is no room for is told to the module as one that was never sent, which then leaves that host alone for a while.
 type BudgetGate struct {
-	ledger  *budget.Ledger
-	tenants []int // account by tenant; -1: none
-	probes  int   // account; -1: none
-	advice  time.Duration
+	ledger         *budget.Ledger
+	tenantAccounts []int // account by tenant; -1: none
+	probeAccount   int   // account; -1: none
+	maxRetryAfter  time.Duration
 }
 
 // BudgetAccounts are the accounts that the limits ask for at a dispatcher with these settings, and the gate that uses them, which
 // takes any ledger of these accounts. The last account is that of calls for the list where there is a bound on them; lists is its
 // number, or -1.
 func BudgetAccounts(l *budget.Limits, cfg *policy.Config) (accounts []budget.Account, gate func(*budget.Ledger) *BudgetGate, lists int) {
-	g := BudgetGate{probes: -1, advice: cfg.MaxRetryAfter}
+	g := BudgetGate{probeAccount: -1, maxRetryAfter: cfg.MaxRetryAfter}
 	for _, t := range cfg.Tenants {
 		account := -1
 		if l.Tenants && t.Quota > 0 {
 			account = len(accounts)
 			accounts = append(accounts, budget.Account{Name: "tenant " + t.Name, PerSecond: t.Quota, Burst: t.Quota * l.Burst})
 		}
-		g.tenants = append(g.tenants, account)
+		g.tenantAccounts = append(g.tenantAccounts, account)
 	}
 	if l.Probes > 0 {
-		g.probes = len(accounts)
+		g.probeAccount = len(accounts)
 		accounts = append(accounts, budget.Account{Name: "probes of a host", PerSecond: l.Probes, Burst: l.Probes / 10, Keyed: true})
 	}
 	lists = -1
@@ -49,10 +49,10 @@
 // In refuses jobs beyond their tenant's quota.
 func (g *BudgetGate) In(now time.Duration, in []Message, p *Pass) {
 	for _, m := range in {
-		if a, ok := m.(Arrived); ok && a.Wait == nil && a.Tenant >= 0 && a.Tenant < len(g.tenants) && g.tenants[a.Tenant] >= 0 {
-			if ok, after := g.ledger.Take(now, g.tenants[a.Tenant], 0); !ok {
-				if after < 0 || after > g.advice {
-					after = g.advice
+		if a, ok := m.(Arrived); ok && a.Wait == nil && a.Tenant >= 0 && a.Tenant < len(g.tenantAccounts) && g.tenantAccounts[a.Tenant] >= 0 {
+			if ok, after := g.ledger.Take(now, g.tenantAccounts[a.Tenant], 0); !ok {
+				if after < 0 || after > g.maxRetryAfter {
+					after = g.maxRetryAfter
 				}
 				p.Do(LocalReply{Job: a.Job, Refused: true, RetryAfter: after})
 				continue
@@ -65,8 +65,8 @@
 // Out keeps back probes that there is no room for.
 func (g *BudgetGate) Out(now time.Duration, out []Command, p *Pass) {
 	for _, c := range out {
-		if x, ok := c.(Probe); ok && g.probes >= 0 {
-			if ok, _ := g.ledger.Take(now, g.probes, uint64(x.Worker)); !ok {
+		if x, ok := c.(Probe); ok && g.probeAccount >= 0 {
+			if ok, _ := g.ledger.Take(now, g.probeAccount, uint64(x.Worker)); !ok {
 				p.On(Probed{Worker: x.Worker, Result: policy.NeverSent})
 				continue
 			}
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -14,7 +14,7 @@
 // A job beyond its tenant's quota has its one answer at once and never comes before the module; others pass. A probe that there is
 // no room for is told as never sent, in the same Step, and nothing is held against its host.
 func TestBudgetGate(t *testing.T) {
-	core := bare(t)
+	core := newBareCore(t)
 	cfg := core.cfg
 	cfg.MaxRetryAfter = 2 * time.Second
 	cfg.Tenants = []policy.Tenant{{Name: "a", Quota: 10}, {Name: "free"}}
@@ -33,13 +33,13 @@
 		for i := range n {
 			var p Pass
 			g.In(now, []Message{Arrived{Job: uint64(i), Tenant: tenant}}, &p)
-			if in += len(p.on); len(p.do) > 0 {
-				r := p.do[0].(LocalReply)
+			if in += len(p.messages); len(p.commands) > 0 {
+				r := p.commands[0].(LocalReply)
 				assert.True(t, r.Refused)
 				assert.Positive(t, r.RetryAfter)
 				assert.LessOrEqual(t, r.RetryAfter, 2*time.Second)
 			}
-			assert.Equal(t, 1, len(p.on)+len(p.do))
+			assert.Equal(t, 1, len(p.messages)+len(p.commands))
 		}
 		return in
 	}
@@ -57,8 +57,8 @@
 	ledger.Take(now, 1, 8)
 	now += 100 * time.Millisecond
 	g.Out(now, out, &p)
-	assert.Equal(t, []Command{Probe{Worker: 7}, Probe{Worker: 7}, Probe{Worker: 8}, Send{}}, p.do)
-	assert.Equal(t, []Message{Probed{Worker: 7, Result: policy.NeverSent}}, p.on)
+	assert.Equal(t, []Command{Probe{Worker: 7}, Probe{Worker: 7}, Probe{Worker: 8}, Send{}}, p.commands)
+	assert.Equal(t, []Message{Probed{Worker: 7, Result: policy.NeverSent}}, p.messages)
 
 	// In a chain with a host: the module goes on without the answer, and does not suspect the host.
 	lim.Probes, lim.Tenants = 0.001, false
--- a/internal/dispatch/chain.go
+++ b/internal/dispatch/chain.go
@@ -28,15 +28,15 @@
 
 // Pass is what a gate hands on.
 type Pass struct {
-	on []Message
-	do []Command
+	messages []Message
+	commands []Command
 }
 
 // On sends a message on towards the core.
-func (p *Pass) On(m Message) { p.on = append(p.on, m) }
+func (p *Pass) On(m Message) { p.messages = append(p.messages, m) }
 
 // Do sends a command on towards the sockets.
-func (p *Pass) Do(c Command) { p.do = append(p.do, c) }
+func (p *Pass) Do(c Command) { p.commands = append(p.commands, c) }
 
 // Chain is a Core with gates round it. Like a Core it is not safe for use by more than one goroutine. With no gates it
 // costs nothing and changes nothing.
@@ -82,12 +82,12 @@
 		c.inCore = true
 		return c.core.Step(now, in)
 	}
-	return c.pass(now, 0, in)
+	return c.stepFrom(now, 0, in)
 }
 
-// pass takes a Step through the gates from number n on. A gate may send messages in again for what came out; it must
+// stepFrom takes a Step through the gates from number n on. A gate may send messages in again for what came out; it must
 // see to it that this ends.
-func (c *Chain) pass(now time.Duration, n int, in []Message) []Command {
+func (c *Chain) stepFrom(now time.Duration, n int, in []Message) []Command {
 	if n == len(c.gates) {
 		c.inCore = true
 		out := c.core.Step(now, in)
@@ -95,13 +95,13 @@
 		return out
 	}
 	g, p := c.gates[n], &c.passes[n]
-	p.do, p.on = p.do[:0], p.on[:0]
+	p.commands, p.messages = p.commands[:0], p.messages[:0]
 	g.In(now, in, p)
 	for {
-		out := c.pass(now, n+1, p.on)
-		p.on = p.on[:0]
-		if g.Out(now, out, p); len(p.on) == 0 {
-			return p.do
+		out := c.stepFrom(now, n+1, p.messages)
+		p.messages = p.messages[:0]
+		if g.Out(now, out, p); len(p.messages) == 0 {
+			return p.commands
 		}
 	}
 }
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -15,13 +15,13 @@
 
 // job is one entry of the table: a request that is owed an answer, or whose upstream requests are still out.
 type job struct {
-	deadline time.Duration
-	class    int
-	base     int // sends in earlier turns; attempts counts on from there
-	attempts []attempt
-	out      int
-	ran      int // attempts that are out or may have run
-	finished bool
+	deadline        time.Duration
+	class           int
+	earlierAttempts int // sends in earlier turns; attempts counts on from there
+	attempts        []attempt
+	inFlight        int
+	mayHaveRun      int // attempts that are out or may have run
+	finished        bool
 }
 
 type attempt struct {
@@ -30,30 +30,30 @@
 	ended  bool
 }
 
-// alarm is a timer that the module has set.
-type alarm struct {
+// timer is a timer that the module has set.
+type timer struct {
 	at time.Duration
 	id uint64
 }
 
 // Core owns the decision module. It is not safe for use by more than one goroutine.
 type Core struct {
-	d           *policy.Dispatcher
-	cfg         policy.Config
-	seed        uint64
-	maxAttempts int
-	jobs        map[uint64]*job
-	hosts       map[uint32]Host
-	hands       map[string]struct{}      // hosts out by hand, by name
-	back        map[string]time.Duration // when hosts came back from a stay out by hand
-	over        []uint64                 // jobs that may leave the table when the Step is over
-	alarms      []alarm
-	closeAt     time.Duration // when all that is open is answered, as the program ends; 0: it does not
-	version     uint64        // of the newest list
-	heard       uint64        // of the last one, from which a watch goes on
-	events      []policy.Event
-	actions     []policy.Action
-	out         []Command
+	module       *policy.Dispatcher
+	cfg          policy.Config
+	seed         uint64
+	maxAttempts  int
+	jobs         map[uint64]*job
+	hosts        map[uint32]Host
+	cordoned     map[string]struct{}      // hosts out by hand, by name
+	uncordonedAt map[string]time.Duration // when hosts came back from a stay out by hand
+	removable    []uint64                 // jobs that may leave the table when the Step is over
+	timers       []timer
+	shutdownAt   time.Duration // when all that is open is answered, as the program ends; 0: it does not
+	listVersion  uint64        // of the newest list
+	watchVersion uint64        // of the last one, from which a watch goes on
+	events       []policy.Event
+	actions      []policy.Action
+	out          []Command
 }
 
 // New makes a Core for one dispatcher.
@@ -62,17 +62,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Core{d: d, cfg: cfg, seed: seed, maxAttempts: max(cfg.MaxAttempts, 1), jobs: map[uint64]*job{},
-		hosts: map[uint32]Host{}, hands: map[string]struct{}{}, back: map[string]time.Duration{}}, nil
+	return &Core{module: d, cfg: cfg, seed: seed, maxAttempts: max(cfg.MaxAttempts, 1), jobs: map[uint64]*job{},
+		hosts: map[uint32]Host{}, cordoned: map[string]struct{}{}, uncordonedAt: map[string]time.Duration{}}, nil
 }
 
 // Renew makes a Core for when a panic has left this one's module in doubt, and the list to begin it with.
 func (c *Core) Renew() (*Core, Listed, error) {
 	n, err := New(c.cfg, c.seed+1)
 	if err == nil { // what was done by hand is not in doubt, nor that the program ends
-		n.hands, n.back, n.closeAt = c.hands, c.back, c.closeAt
+		n.cordoned, n.uncordonedAt, n.shutdownAt = c.cordoned, c.uncordonedAt, c.shutdownAt
 	}
-	known := Listed{Version: c.version, Whole: true, Stale: true}
+	known := Listed{Version: c.listVersion, Whole: true, Stale: true}
 	for _, h := range c.hosts {
 		known.Hosts = append(known.Hosts, h)
 	}
@@ -85,19 +85,19 @@
 
 // Heard is the version of the last list taken in, which is what a watch begins after: lower than the newest's where the
 // cluster has told an older one since.
-func (c *Core) Heard() uint64 { return c.heard }
+func (c *Core) Heard() uint64 { return c.watchVersion }
 
 // Step takes in what happened up to now and returns what to do, in order. The result is valid until the
 // next Step.
 func (c *Core) Step(now time.Duration, in []Message) []Command {
 	c.out, c.events = c.out[:0], c.events[:0]
 	for _, m := range in {
-		c.take(now, m)
+		c.handle(now, m)
 	}
-	if c.closeAt > 0 && now >= c.closeAt {
-		c.close()
+	if c.shutdownAt > 0 && now >= c.shutdownAt {
+		c.answerOpenJobs()
 	}
-	c.alarms = slices.DeleteFunc(c.alarms, func(a alarm) bool {
+	c.timers = slices.DeleteFunc(c.timers, func(a timer) bool {
 		if a.at <= now {
 			c.events = append(c.events, policy.Event{Kind: policy.TimerFired, Timer: a.id})
 		}
@@ -106,38 +106,38 @@
 	// A Send that can't be carried out ends at once, which is news for the module in turn: each round uses
 	// up an attempt of some job, so the rounds end.
 	for len(c.events) > 0 {
-		c.actions = c.d.Step(now, c.events, c.actions[:0])
+		c.actions = c.module.Step(now, c.events, c.actions[:0])
 		c.events = c.events[:0]
 		for i := range c.actions {
-			c.carry(now, &c.actions[i])
+			c.execute(now, &c.actions[i])
 		}
 	}
 	// Not earlier: the module may yet send a job whose end is told later in the same batch, and then has to
 	// hear that this was never sent, or it counts the lane as taken for good.
-	for _, id := range c.over {
-		if j := c.jobs[id]; j != nil && j.finished && j.out == 0 {
+	for _, id := range c.removable {
+		if j := c.jobs[id]; j != nil && j.finished && j.inFlight == 0 {
 			delete(c.jobs, id)
 		}
 	}
-	c.over = c.over[:0]
+	c.removable = c.removable[:0]
 	return c.out
 }
 
 // Wake tells when the next Step is due though nothing happens.
 func (c *Core) Wake() (at time.Duration, ok bool) {
-	for _, a := range c.alarms {
+	for _, a := range c.timers {
 		if !ok || a.at < at {
 			at, ok = a.at, true
 		}
 	}
-	if c.closeAt > 0 && len(c.jobs) > 0 && (!ok || c.closeAt < at) && c.owes() {
-		at, ok = c.closeAt, true
+	if c.shutdownAt > 0 && len(c.jobs) > 0 && (!ok || c.shutdownAt < at) && c.hasUnanswered() {
+		at, ok = c.shutdownAt, true
 	}
 	return at, ok
 }
 
-// owes tells whether any job in the table is owed its answer.
-func (c *Core) owes() bool {
+// hasUnanswered tells whether any job in the table is owed its answer.
+func (c *Core) hasUnanswered() bool {
 	for _, j := range c.jobs {
 		if !j.finished {
 			return true
@@ -146,15 +146,15 @@
 	return false
 }
 
-// close answers all that is open, as the program ends: a refusal where it is proved that a job never ran or a repeat is
+// answerOpenJobs answers all that is open, as the program ends: a refusal where it is proved that a job never ran or a repeat is
 // harmless, else a failure. To the module their clients have left.
-func (c *Core) close() {
+func (c *Core) answerOpenJobs() {
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		j := c.jobs[id]
 		if j.finished {
 			continue
 		}
-		r := LocalReply{Job: id, Refused: j.ran == 0 || c.cfg.Classes[j.class].Harmless()}
+		r := LocalReply{Job: id, Refused: j.mayHaveRun == 0 || c.cfg.Classes[j.class].Harmless()}
 		if r.Refused {
 			r.RetryAfter = c.cfg.MaxRetryAfter
 		}
@@ -164,15 +164,15 @@
 	}
 }
 
-// take turns one message into an event.
-func (c *Core) take(now time.Duration, m Message) {
+// handle turns one message into an event.
+func (c *Core) handle(now time.Duration, m Message) {
 	e := policy.Event{}
 	switch m := m.(type) {
 	case Arrived:
 		if c.jobs[m.Job] != nil {
 			return
 		}
-		c.jobs[m.Job] = &job{deadline: m.At + m.Budget, class: m.Class, base: m.Tried}
+		c.jobs[m.Job] = &job{deadline: m.At + m.Budget, class: m.Class, earlierAttempts: m.Tried}
 		e = policy.Event{Kind: policy.JobArrived, Job: m.Job, Class: m.Class, Tenant: m.Tenant,
 			Budget: m.Budget - (now - m.At), Size: m.Size, Slots: m.Slots, Retry: m.Retry,
 			Waited: m.Waited}
@@ -184,45 +184,45 @@
 		c.finish(m.Job, j)
 		e = policy.Event{Kind: policy.ClientGone, Job: m.Job}
 	case Started:
-		a, n := c.running(m.Key)
+		a, n := c.activeAttempt(m.Key)
 		if a == nil {
 			return
 		}
 		e = policy.Event{Kind: policy.JobStarted, Job: m.Job, Attempt: n, Worker: a.worker}
 	case Progress:
-		a, n := c.running(m.Key)
+		a, n := c.activeAttempt(m.Key)
 		if a == nil {
 			return
 		}
 		e = policy.Event{Kind: policy.JobProgress, Job: m.Job, Attempt: n, Worker: a.worker, Share: m.Share}
 	case Ended:
-		if !c.ended(now, m, &e) {
+		if !c.attemptEnded(now, m, &e) {
 			return
 		}
 	case Probed:
 		e = policy.Event{Kind: policy.ProbeEnded, Worker: m.Worker, Result: m.Result, Took: m.Took}
-		e.HasLoad, e.Load = load(m.Load)
+		e.HasLoad, e.Load = reportedLoad(m.Load)
 	case Listed:
-		if c.heard = m.Version; m.Version < c.version {
-			m = c.older(m)
+		if c.watchVersion = m.Version; m.Version < c.listVersion {
+			m = c.filterOlderList(m)
 		}
-		c.version = m.Version
-		e = policy.Event{Kind: policy.WorkerList, Whole: m.Whole, Stale: m.Stale, Workers: c.list(m)}
-		c.unsend()
+		c.listVersion = m.Version
+		e = policy.Event{Kind: policy.WorkerList, Whole: m.Whole, Stale: m.Stale, Workers: c.updateHosts(m)}
+		c.cancelUnsent()
 	case ListLost:
 		e = policy.Event{Kind: policy.ListLost}
 	case Hand:
-		known := c.knows(m.Name)
+		known := c.knowsHost(m.Name)
 		if known {
-			c.hand(now, m.Name, m.Out)
+			c.setCordoned(now, m.Name, m.Out)
 		}
 		c.out = append(c.out, Handed{Ask: m.Ask, Known: known})
 		return
 	case HandSet:
-		c.handSet(now, m.Names)
+		c.replaceCordoned(now, m.Names)
 		return
 	case Closing:
-		c.closeAt = m.By
+		c.shutdownAt = m.By
 		return
 	case Asked, Unasked, Tuned: // for gates
 		return
@@ -232,30 +232,30 @@
 	c.events = append(c.events, e)
 }
 
-// running finds an upstream request that has not ended, and the module's number of it.
-func (c *Core) running(k Key) (*attempt, int) {
+// activeAttempt finds an upstream request that has not ended, and the module's number of it.
+func (c *Core) activeAttempt(k Key) (*attempt, int) {
 	j := c.jobs[k.Job]
 	if j == nil {
 		return nil, 0
 	}
-	n := k.Attempt - j.base
+	n := k.Attempt - j.earlierAttempts
 	if n < 0 || n >= len(j.attempts) || j.attempts[n].ended {
 		return nil, 0
 	}
 	return &j.attempts[n], n
 }
 
-// ended books the one outcome of an upstream request. A second outcome is dropped.
-func (c *Core) ended(now time.Duration, m Ended, e *policy.Event) bool {
-	a, n := c.running(m.Key)
+// attemptEnded books the one outcome of an upstream request. A second outcome is dropped.
+func (c *Core) attemptEnded(now time.Duration, m Ended, e *policy.Event) bool {
+	a, n := c.activeAttempt(m.Key)
 	if a == nil {
 		return false
 	}
 	j := c.jobs[m.Job]
 	a.ended = true
-	j.out--
+	j.inFlight--
 	if m.Result.NeverRan() {
-		j.ran--
+		j.mayHaveRun--
 	}
 	// The first OK has reached the client by itself and finishes the job.
 	if m.Result == policy.OK {
@@ -263,12 +263,12 @@
 	}
 	*e = policy.Event{Kind: policy.AttemptEnded, Job: m.Job, Attempt: n, Worker: a.worker,
 		Result: m.Result, Took: now - a.sent, Finished: j.finished}
-	e.HasLoad, e.Load = load(m.Load)
-	c.over = append(c.over, m.Job)
+	e.HasLoad, e.Load = reportedLoad(m.Load)
+	c.removable = append(c.removable, m.Job)
 	return true
 }
 
-func load(l *policy.Load) (bool, policy.Load) {
+func reportedLoad(l *policy.Load) (bool, policy.Load) {
 	if l == nil {
 		return false, policy.Load{}
 	}
@@ -277,11 +277,11 @@
 
 func (c *Core) finish(id uint64, j *job) {
 	j.finished = true
-	c.over = append(c.over, id)
+	c.removable = append(c.removable, id)
 }
 
-// carry turns one action of the module into a command.
-func (c *Core) carry(now time.Duration, a *policy.Action) {
+// execute turns one action of the module into a command.
+func (c *Core) execute(now time.Duration, a *policy.Action) {
 	switch a.Kind {
 	case policy.Send:
 		c.send(now, a)
@@ -290,8 +290,8 @@
 		if j == nil {
 			return
 		}
-		k := Key{a.Job, j.base + a.Attempt}
-		if a, _ := c.running(k); a != nil {
+		k := Key{a.Job, j.earlierAttempts + a.Attempt}
+		if a, _ := c.activeAttempt(k); a != nil {
 			c.out = append(c.out, CancelSend{k})
 		}
 	case policy.Refuse, policy.Fail:
@@ -313,9 +313,9 @@
 		c.events = append(c.events, policy.Event{Kind: policy.ProbeEnded, Worker: a.Worker,
 			Result: policy.ConnectFailed})
 	case policy.Timer:
-		c.alarms = append(c.alarms, alarm{now + a.After, a.Timer})
+		c.timers = append(c.timers, timer{now + a.After, a.Timer})
 	case policy.Watch:
-		c.out = append(c.out, Watch{c.heard})
+		c.out = append(c.out, Watch{c.watchVersion})
 	case policy.Log:
 		c.out = append(c.out, Log{Text: a.Text})
 	default:
@@ -330,7 +330,7 @@
 		panic(fmt.Sprintf("dispatch: a send for job %d, which is not known", a.Job))
 	}
 	n := len(j.attempts)
-	k := Key{a.Job, j.base + n}
+	k := Key{a.Job, j.earlierAttempts + n}
 	h, known := c.hosts[a.Worker]
 	until := j.deadline
 	if a.After > 0 {
@@ -343,20 +343,20 @@
 			Worker: a.Worker, Result: policy.NeverSent, Finished: j.finished})
 		return
 	}
-	j.out++
-	j.ran++
+	j.inFlight++
+	j.mayHaveRun++
 	c.out = append(c.out, Send{Key: k, Addr: h.Addr, Until: until})
 }
 
-// unsend calls back what was decided for hosts that are to get nothing new, and may still wait for a connection: the
+// cancelUnsent calls back what was decided for hosts that are to get nothing new, and may still wait for a connection: the
 // time within which a drain has to be obeyed counts for it too.
-func (c *Core) unsend() {
+func (c *Core) cancelUnsent() {
 	from := len(c.out)
 	for id, j := range c.jobs {
 		for n := range j.attempts {
 			a := &j.attempts[n]
-			if h, ok := c.hosts[a.worker]; !a.ended && (!ok || c.worker(h).State != policy.Ready) {
-				c.out = append(c.out, Unsend{Key{id, j.base + n}})
+			if h, ok := c.hosts[a.worker]; !a.ended && (!ok || c.moduleWorker(h).State != policy.Ready) {
+				c.out = append(c.out, Unsend{Key{id, j.earlierAttempts + n}})
 			}
 		}
 	}
@@ -366,12 +366,12 @@
 	})
 }
 
-// older is what counts of a list that is older than the newest one: that hosts drain or are gone, of a whole one by being
+// filterOlderList is what counts of a list that is older than the newest one: that hosts drain or are gone, of a whole one by being
 // missing too, and hosts that the newest did not know or that have started since. What it says else has been told otherwise
 // since: a host that drains is not ready again by it. A host that is missing only as it was new then comes again with the
 // changes that follow.
-func (c *Core) older(m Listed) Listed {
-	l := Listed{Version: c.version}
+func (c *Core) filterOlderList(m Listed) Listed {
+	l := Listed{Version: c.listVersion}
 	told := map[uint32]bool{}
 	for _, h := range m.Hosts {
 		id := WorkerID(h.Name)
@@ -389,8 +389,8 @@
 	return l
 }
 
-// list turns the cluster's entries into the module's workers, and keeps what the module need not know.
-func (c *Core) list(m Listed) []policy.Worker {
+// updateHosts turns the cluster's entries into the module's workers, and keeps what the module need not know.
+func (c *Core) updateHosts(m Listed) []policy.Worker {
 	if m.Whole {
 		clear(c.hosts)
 	}
@@ -405,9 +405,9 @@
 		}
 		if c.hosts[id] = h; h.State == policy.Gone {
 			delete(c.hosts, id)
-			delete(c.back, h.Name)
+			delete(c.uncordonedAt, h.Name)
 		}
-		workers = append(workers, c.worker(h))
+		workers = append(workers, c.moduleWorker(h))
 	}
 	return workers
 }
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -27,8 +27,8 @@
 	return c
 }
 
-// of picks the commands of one type.
-func of[T Command](all []Command) (out []T) {
+// commandsOf picks the commands of one type.
+func commandsOf[T Command](all []Command) (out []T) {
 	for _, c := range all {
 		if x, ok := c.(T); ok {
 			out = append(out, x)
@@ -41,14 +41,14 @@
 	return Arrived{Job: id, Class: class, Tenant: -1, At: start, Budget: 5 * time.Second, Size: 100 * ms, Slots: 1}
 }
 
-var one = Host{Name: "s-0000000a", Addr: "127.0.0.1:1", Scale: 1}
-var two = Host{Name: "s-0000000b", Addr: "127.0.0.1:2", Scale: 1}
+var hostOne = Host{Name: "s-0000000a", Addr: "127.0.0.1:1", Scale: 1}
+var hostTwo = Host{Name: "s-0000000b", Addr: "127.0.0.1:2", Scale: 1}
 
 // The deadline of an upstream request counts from when the job arrived, not from when it was decided on.
-func TestSendIsCutToDeadline(t *testing.T) {
-	c := newCore(t, one)
-	got := of[Send](c.Step(start+300*ms, []Message{arrival(1, 0)}))
-	if len(got) != 1 || got[0].Until != start+5*time.Second || got[0].Addr != one.Addr || got[0].Key != (Key{1, 0}) {
+func TestSendDeadlineCountsFromArrival(t *testing.T) {
+	c := newCore(t, hostOne)
+	got := commandsOf[Send](c.Step(start+300*ms, []Message{arrival(1, 0)}))
+	if len(got) != 1 || got[0].Until != start+5*time.Second || got[0].Addr != hostOne.Addr || got[0].Key != (Key{1, 0}) {
 		t.Fatalf("sent %+v", got)
 	}
 }
@@ -60,13 +60,13 @@
 		"left":      Left{Job: 1},
 		"timed out": Ended{Key: Key{1, 0}, Result: policy.TimedOut},
 	} {
-		c := newCore(t, one)
-		if n := len(of[Send](c.Step(start, []Message{arrival(1, 1)}))); n != 1 {
+		c := newCore(t, hostOne)
+		if n := len(commandsOf[Send](c.Step(start, []Message{arrival(1, 1)}))); n != 1 {
 			t.Fatalf("%s: %d sends", name, n)
 		}
 		late := start + 5*time.Second
-		replies := of[LocalReply](c.Step(late, []Message{last}))
-		replies = append(replies, of[LocalReply](c.Step(late, []Message{last, Left{Job: 1},
+		replies := commandsOf[LocalReply](c.Step(late, []Message{last}))
+		replies = append(replies, commandsOf[LocalReply](c.Step(late, []Message{last, Left{Job: 1},
 			Ended{Key: Key{1, 0}, Result: policy.OK}, Started{Key{1, 0}}, Progress{Key{1, 0}, 0.5}}))...)
 		// What may have run twice is never refused.
 		want := []LocalReply{{Job: 1}}
@@ -80,48 +80,48 @@
 }
 
 // A job that must not run twice goes again only where the attempt before it never ran.
-func TestUnsafeGoesAgainOnlyUnrun(t *testing.T) {
+func TestUnsafeJobRetriedOnlyIfNeverRan(t *testing.T) {
 	for result, want := range map[policy.Result]int{policy.Full: 1, policy.ConnectFailed: 1, policy.NeverSent: 1,
 		policy.AppError: 0, policy.ConnectionLost: 0, policy.TimedOut: 0, policy.Cancelled: 0} {
-		c := newCore(t, one, two)
+		c := newCore(t, hostOne, hostTwo)
 		c.Step(start, []Message{arrival(1, 1)})
 		out := c.Step(start+ms, []Message{Ended{Key: Key{1, 0}, Result: result}})
-		if got := len(of[Send](out)); got != want {
+		if got := len(commandsOf[Send](out)); got != want {
 			t.Errorf("result %d: sent %d times more, want %d", result, got, want)
 		}
-		if r := of[LocalReply](out); want == 0 && (len(r) != 1 || r[0].Refused) {
+		if r := commandsOf[LocalReply](out); want == 0 && (len(r) != 1 || r[0].Refused) {
 			t.Errorf("result %d: replies %+v, want one failure", result, r)
 		}
 	}
 }
 
 // A send that is over before it begins comes back to the module as never sent, and books nothing.
-func TestSendThatCannotGo(t *testing.T) {
-	c := newCore(t, one)
+func TestImpossibleSendEndsAsNeverSent(t *testing.T) {
+	c := newCore(t, hostOne)
 	c.Step(start, []Message{arrival(1, 0)})
 	c.Step(start, []Message{Ended{Key: Key{1, 0}, Result: policy.NeverSent}})
 	j := c.jobs[1]
-	if len(j.attempts) != 2 || j.out != 1 {
+	if len(j.attempts) != 2 || j.inFlight != 1 {
 		t.Fatalf("%+v", j)
 	}
 	c.out, c.events = nil, nil
 	c.send(start, &policy.Action{Kind: policy.Send, Job: 1, Worker: 10}) // beyond MaxAttempts
 	c.send(start+6*time.Second, &policy.Action{Kind: policy.Send, Job: 1, Worker: 10})
-	if len(c.out) != 0 || len(c.events) != 2 || c.events[1].Result != policy.NeverSent || j.out != 1 {
-		t.Fatalf("commands %v, events %+v, %d out", c.out, c.events, j.out)
+	if len(c.out) != 0 || len(c.events) != 2 || c.events[1].Result != policy.NeverSent || j.inFlight != 1 {
+		t.Fatalf("commands %v, events %+v, %d out", c.out, c.events, j.inFlight)
 	}
 }
 
 // A client that leaves in the very batch in which its attempt ends: the module sends again and is told that
 // this never went, so the lane is free for the next job.
-func TestLeftWithTheEndOfAnAttempt(t *testing.T) {
-	c := newCore(t, one)
+func TestClientLeavesAsAttemptEnds(t *testing.T) {
+	c := newCore(t, hostOne)
 	c.Step(start, []Message{arrival(1, 0)})
 	out := c.Step(start+ms, []Message{Ended{Key: Key{1, 0}, Result: policy.TimedOut}, Left{Job: 1}})
-	if len(of[Send](out)) != 0 || c.Open() != 0 {
+	if len(commandsOf[Send](out)) != 0 || c.Open() != 0 {
 		t.Fatalf("commands %v, %d jobs open", out, c.Open())
 	}
-	if out = c.Step(start+2*ms, []Message{arrival(2, 0)}); len(of[Send](out)) != 1 {
+	if out = c.Step(start+2*ms, []Message{arrival(2, 0)}); len(commandsOf[Send](out)) != 1 {
 		t.Fatalf("the next job is not sent: %v", out)
 	}
 }
@@ -139,14 +139,14 @@
 }
 
 // Two hosts with one id would be one worker to the module; the second stays out.
-func TestCollision(t *testing.T) {
-	c := newCore(t, one)
+func TestWorkerIDCollision(t *testing.T) {
+	c := newCore(t, hostOne)
 	twin := Host{Name: "t-0000000a", Addr: "127.0.0.1:9"}
 	out := c.Step(start, []Message{Listed{Version: 8, Hosts: []Host{twin}}})
-	if len(of[Log](out)) == 0 || c.hosts[10].Addr != one.Addr {
+	if len(commandsOf[Log](out)) == 0 || c.hosts[10].Addr != hostOne.Addr {
 		t.Fatalf("commands %v, hosts %v", out, c.hosts)
 	}
-	gone := one
+	gone := hostOne
 	gone.State = policy.Gone
 	c.Step(start, []Message{Listed{Version: 9, Hosts: []Host{gone, twin}}})
 	if c.hosts[10].Addr != twin.Addr {
@@ -170,7 +170,7 @@
 				t.Fatal("no watch to come")
 			}
 			now = at
-			got = of[Watch](c.Step(now, nil))
+			got = commandsOf[Watch](c.Step(now, nil))
 		}
 		if got[0].Version != version {
 			t.Fatalf("watches after %d, want %d", got[0].Version, version)
@@ -180,10 +180,10 @@
 }
 
 // A core made anew after a panic knows the hosts, as a list that may be old.
-func TestRenew(t *testing.T) {
-	n, known, err := newCore(t, two, one).Renew()
+func TestRebuild(t *testing.T) {
+	n, known, err := newCore(t, hostTwo, hostOne).Renew()
 	if err != nil || !known.Whole || !known.Stale || known.Version != 7 ||
-		!slices.Equal(known.Hosts, []Host{one, two}) || n.Open() != 0 {
+		!slices.Equal(known.Hosts, []Host{hostOne, hostTwo}) || n.Open() != 0 {
 		t.Fatalf("%+v, %v", known, err)
 	}
 }
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -10,7 +10,7 @@
 
 // As the program ends all that is open is answered in time, once, and refused only where it never ran or a repeat is
 // harmless. What each job's upstream requests have proved until then decides.
-func TestClosing(t *testing.T) {
+func TestShutdown(t *testing.T) {
 	end := func(r policy.Result) []Message { return []Message{Ended{Key: Key{1, 0}, Result: r}} }
 	for name, c := range map[string]struct {
 		class   int
@@ -18,10 +18,10 @@
 		before  []Message
 		refused bool
 	}{
-		"safe, out":                   {0, []Host{one}, nil, true},
-		"unsafe, out":                 {1, []Host{one}, nil, false},
-		"unsafe, begun":               {1, []Host{one}, []Message{Started{Key{1, 0}}}, false},
-		"unsafe, never ran, out anew": {1, []Host{one, two}, end(policy.Full), false},
+		"safe, out":                   {0, []Host{hostOne}, nil, true},
+		"unsafe, out":                 {1, []Host{hostOne}, nil, false},
+		"unsafe, begun":               {1, []Host{hostOne}, []Message{Started{Key{1, 0}}}, false},
+		"unsafe, never ran, out anew": {1, []Host{hostOne, hostTwo}, end(policy.Full), false},
 	} {
 		k := newCore(t, c.hosts...)
 		k.Step(start, []Message{arrival(1, c.class)})
@@ -30,26 +30,26 @@
 		if at, ok := k.Wake(); !ok || at > start+2*time.Second {
 			t.Errorf("%s: wakes at %v, %v", name, at-start, ok)
 		}
-		got := of[LocalReply](k.Step(start+2*time.Second, nil))
+		got := commandsOf[LocalReply](k.Step(start+2*time.Second, nil))
 		if len(got) != 1 || got[0].Job != 1 || got[0].Refused != c.refused || c.refused != (got[0].RetryAfter > 0) {
 			t.Errorf("%s: answered %+v", name, got)
 		}
 		for _, late := range []Message{Ended{Key: Key{1, 0}, Result: policy.Full}, Ended{Key: Key{1, 1}, Result: policy.TimedOut}, Left{Job: 1}} {
-			if out := k.Step(start+2*time.Second+ms, []Message{late}); len(of[LocalReply](out))+len(of[Send](out)) > 0 {
+			if out := k.Step(start+2*time.Second+ms, []Message{late}); len(commandsOf[LocalReply](out))+len(commandsOf[Send](out)) > 0 {
 				t.Errorf("%s: after its answer %+v", name, out)
 			}
 		}
 		// One that comes even later is answered at once too, and nothing is sent.
 		out := k.Step(start+3*time.Second, []Message{arrival(2, 1)})
-		if r := of[LocalReply](out); len(r) != 1 || !r[0].Refused || len(of[Send](out)) > 0 {
+		if r := commandsOf[LocalReply](out); len(r) != 1 || !r[0].Refused || len(commandsOf[Send](out)) > 0 {
 			t.Errorf("%s: a late arrival %+v", name, out)
 		}
 	}
 }
 
 // A panic in the module after SIGTERM does not forget the end: what is still to come to the new core is answered before it.
-func TestClosingOutlivesPanic(t *testing.T) {
-	k := newCore(t, one)
+func TestShutdownSurvivesPanic(t *testing.T) {
+	k := newCore(t, hostOne)
 	k.Step(start, []Message{Closing{By: start + 2*time.Second}})
 	n, known, err := k.Renew()
 	if err != nil {
@@ -59,7 +59,7 @@
 	if at, ok := n.Wake(); !ok || at > start+2*time.Second {
 		t.Errorf("wakes at %v, %v", at-start, ok)
 	}
-	if got := of[LocalReply](n.Step(start+2*time.Second, nil)); len(got) != 1 || got[0].Refused {
+	if got := commandsOf[LocalReply](n.Step(start+2*time.Second, nil)); len(got) != 1 || got[0].Refused {
 		t.Errorf("answered %+v", got)
 	}
 }
@@ -68,7 +68,7 @@
 // but it sets nothing back. The next watch begins where the cluster is, or what it tells next would be missed.
 func TestOlderList(t *testing.T) {
 	three := Host{Name: "s-0000000c", Addr: "127.0.0.1:3", Scale: 1}
-	drains, ready, back := one, one, one
+	drains, ready, back := hostOne, hostOne, hostOne
 	drains.State, back.Born = policy.Draining, start
 	for name, c := range map[string]struct {
 		newest, old []Host
@@ -84,18 +84,18 @@
 			k := newCore(t)
 			k.Step(start, []Message{Listed{Version: 9, Whole: true, Hosts: c.newest}})
 			k.Step(start, []Message{Listed{Version: 8, Whole: whole, Hosts: c.old}})
-			if k.version != 9 || k.Heard() != 8 {
-				t.Errorf("%s: version %d, heard %d", name, k.version, k.Heard())
+			if k.listVersion != 9 || k.Heard() != 8 {
+				t.Errorf("%s: version %d, heard %d", name, k.listVersion, k.Heard())
 			}
 			a := arrival(1, 0)
 			a.Size = ms                                                       // little enough for a host that has just started
 			want := map[bool]int{true: 1}[c.sent && !(whole && c.old == nil)] // what a whole list lacks has gone
-			if got := len(of[Send](k.Step(start+ms, []Message{a}))); got != want {
+			if got := len(commandsOf[Send](k.Step(start+ms, []Message{a}))); got != want {
 				t.Errorf("%s, whole %v: %d sent", name, whole, got)
 			}
 			if whole && c.old == nil { // one that was only new then comes with the changes that follow
 				k.Step(start+ms, []Message{Listed{Version: 9, Hosts: c.newest}})
-				if b := arrival(2, 0); len(of[Send](k.Step(start+2*ms, []Message{b}))) != 1 {
+				if b := arrival(2, 0); len(commandsOf[Send](k.Step(start+2*ms, []Message{b}))) != 1 {
 					t.Errorf("%s: not known again", name)
 				}
 			}
@@ -104,16 +104,16 @@
 }
 
 // A client that leaves in the same Step in which its job would be sent, first or once more, is seen: nothing goes out.
-func TestLeavesAtTheDecision(t *testing.T) {
+func TestClientLeavesAsJobIsSent(t *testing.T) {
 	full := Ended{Key: Key{1, 0}, Result: policy.Full}
 	for name, batch := range map[string][]Message{"first": {arrival(1, 1), Left{Job: 1}}, "retry": {full, Left{Job: 1}},
 		"retry, told after": {Left{Job: 1}, full}} {
-		k := newCore(t, one, two)
+		k := newCore(t, hostOne, hostTwo)
 		if name != "first" {
 			k.Step(start, []Message{arrival(1, 1)})
 		}
 		out := k.Step(start+ms, batch)
-		if len(of[Send](out))+len(of[LocalReply](out)) > 0 || k.Open() > 0 {
+		if len(commandsOf[Send](out))+len(commandsOf[LocalReply](out)) > 0 || k.Open() > 0 {
 			t.Errorf("%s: %+v, %d open", name, out, k.Open())
 		}
 	}
@@ -121,21 +121,21 @@
 
 // A send that is decided and may still wait for its connection is called back when its host drains, is gone, is missing in
 // a whole list or is taken out by hand; one at another host is not.
-func TestDrainCallsBack(t *testing.T) {
-	drains, gone := one, one
+func TestDrainCancelsUnsent(t *testing.T) {
+	drains, gone := hostOne, hostOne
 	drains.State, gone.State = policy.Draining, policy.Gone
 	for name, c := range map[string]struct {
 		told Message
 		want int
 	}{
 		"drains": {Listed{Version: 8, Hosts: []Host{drains}}, 1}, "gone": {Listed{Version: 8, Hosts: []Host{gone}}, 1},
-		"missing": {Listed{Version: 8, Whole: true, Hosts: []Host{two}}, 1}, "by hand": {Hand{Ask: 1, Name: one.Name, Out: true}, 1},
-		"another":  {Listed{Version: 8, Hosts: []Host{{Name: two.Name, State: policy.Draining}}}, 0},
-		"the same": {Listed{Version: 8, Hosts: []Host{one}}, 0},
+		"missing": {Listed{Version: 8, Whole: true, Hosts: []Host{hostTwo}}, 1}, "by hand": {Hand{Ask: 1, Name: hostOne.Name, Out: true}, 1},
+		"another":  {Listed{Version: 8, Hosts: []Host{{Name: hostTwo.Name, State: policy.Draining}}}, 0},
+		"the same": {Listed{Version: 8, Hosts: []Host{hostOne}}, 0},
 	} {
-		k := newCore(t, one)
+		k := newCore(t, hostOne)
 		k.Step(start, []Message{arrival(1, 1)})
-		if got := of[Unsend](k.Step(start+ms, []Message{c.told})); len(got) != c.want || c.want > 0 && got[0].Key != (Key{1, 0}) {
+		if got := commandsOf[Unsend](k.Step(start+ms, []Message{c.told})); len(got) != c.want || c.want > 0 && got[0].Key != (Key{1, 0}) {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
@@ -143,8 +143,8 @@
 
 // A waiting job that is before the module as the program ends: what the core refuses then, the room does not hold once
 // more. The host's one lane is taken, so that the job is held and not out.
-func TestClosingWithWaitingJob(t *testing.T) {
-	core := newCore(t, one)
+func TestShutdownWithWaitingJob(t *testing.T) {
+	core := newCore(t, hostOne)
 	chain := NewChain(core, Gates{Waiting: NewWaitingGate(waiting.Defaults(), core.cfg)})
 	long, waits := arrival(1, 0), arrival(2, 0)
 	long.Size, long.Name, long.Client = 1500*ms, "a", "c"
@@ -156,11 +156,11 @@
 		t.Fatalf("%d before the module", core.Open())
 	}
 	chain.Step(start+20*ms, []Message{Closing{By: start + 500*ms}})
-	got := of[LocalReply](chain.Step(start+500*ms, nil))
+	got := commandsOf[LocalReply](chain.Step(start+500*ms, nil))
 	if len(got) != 2 || !got[0].Refused || !got[1].Refused {
 		t.Errorf("answered %+v", got)
 	}
-	if out := chain.Step(start+4*time.Second, nil); len(of[Send](out))+len(of[LocalReply](out)) > 0 {
+	if out := chain.Step(start+4*time.Second, nil); len(commandsOf[Send](out))+len(commandsOf[LocalReply](out)) > 0 {
 		t.Errorf("after that %+v", out)
 	}
 }
--- a/internal/dispatch/hands.go
+++ b/internal/dispatch/hands.go
@@ -33,58 +33,58 @@
 // drains, whatever the list says of it, and one that comes back is told as one that has just started, since it was
 // restarted meanwhile. What the module does with either stays its own decision.
 
-// hand takes a host out or puts it back, and tells the module where that changes what it sees.
-func (c *Core) hand(now time.Duration, name string, out bool) {
-	if c.isOut(name) == out {
+// setCordoned takes a host out or puts it back, and tells the module where that changes what it sees.
+func (c *Core) setCordoned(now time.Duration, name string, out bool) {
+	if c.isCordoned(name) == out {
 		return
 	}
 	if out {
-		c.hands[name] = struct{}{}
+		c.cordoned[name] = struct{}{}
 	} else {
-		delete(c.hands, name)
-		c.back[name] = now
+		delete(c.cordoned, name)
+		c.uncordonedAt[name] = now
 	}
 	id := WorkerID(name)
 	h, listed := c.hosts[id]
 	if !listed || h.Name != name {
 		return
 	}
-	c.events = append(c.events, policy.Event{Kind: policy.WorkerList, Workers: []policy.Worker{c.worker(h)}})
-	c.unsend()
+	c.events = append(c.events, policy.Event{Kind: policy.WorkerList, Workers: []policy.Worker{c.moduleWorker(h)}})
+	c.cancelUnsent()
 }
 
-// isOut tells whether a host is out by hand.
-func (c *Core) isOut(name string) bool {
-	_, out := c.hands[name]
+// isCordoned tells whether a host is out by hand.
+func (c *Core) isCordoned(name string) bool {
+	_, out := c.cordoned[name]
 	return out
 }
 
-// knows tells whether a name is that of a listed host or of one that is out by hand.
-func (c *Core) knows(name string) bool {
+// knowsHost tells whether a name is that of a listed host or of one that is out by hand.
+func (c *Core) knowsHost(name string) bool {
 	h, listed := c.hosts[WorkerID(name)]
-	return listed && h.Name == name || c.isOut(name)
+	return listed && h.Name == name || c.isCordoned(name)
 }
 
-// handSet makes the set of hosts out by hand that one.
-func (c *Core) handSet(now time.Duration, names []string) {
-	for name := range c.hands {
+// replaceCordoned makes the set of hosts out by hand that one.
+func (c *Core) replaceCordoned(now time.Duration, names []string) {
+	for name := range c.cordoned {
 		if !slices.Contains(names, name) {
-			c.hand(now, name, false)
+			c.setCordoned(now, name, false)
 		}
 	}
 	for _, name := range names {
-		c.hand(now, name, true)
+		c.setCordoned(now, name, true)
 	}
 }
 
-// worker is what the module is told of a listed host: its entry, changed by what was done by hand.
-func (c *Core) worker(h Host) policy.Worker {
+// moduleWorker is what the module is told of a listed host: its entry, changed by what was done by hand.
+func (c *Core) moduleWorker(h Host) policy.Worker {
 	w := policy.Worker{ID: WorkerID(h.Name), Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, State: h.State,
 		Scale: h.Scale, Since: h.Born}
-	if c.isOut(h.Name) && w.State == policy.Ready {
+	if c.isCordoned(h.Name) && w.State == policy.Ready {
 		w.State = policy.Draining
 	}
-	if back, ok := c.back[h.Name]; ok && back > w.Since {
+	if back, ok := c.uncordonedAt[h.Name]; ok && back > w.Since {
 		w.Since = back // restarted while it was out, whether the list has heard of that or not
 	}
 	return w
@@ -92,8 +92,8 @@
 
 // Hands lists the hosts that are out by hand, by name.
 func (c *Core) Hands() []string {
-	names := make([]string, 0, len(c.hands))
-	for name := range c.hands {
+	names := make([]string, 0, len(c.cordoned))
+	for name := range c.cordoned {
 		names = append(names, name)
 	}
 	slices.SortFunc(names, strings.Compare)
@@ -105,7 +105,7 @@
 func (c *Core) Workers() (known, excluded int) {
 	for id, h := range c.hosts {
 		known++
-		if c.isOut(h.Name) || c.d.Suspect(id) {
+		if c.isCordoned(h.Name) || c.module.Suspect(id) {
 			excluded++
 		}
 	}
--- a/internal/dispatch/history_test.go
+++ b/internal/dispatch/history_test.go
@@ -104,9 +104,9 @@
 }
 
 // The commands of the bare core, by seed: recorded anew, from it alone, with each change of the decisions.
-var before = map[uint64]string{1: "0fcad70a5a3b56ff", 2: "ebd8282bb69d703d", 3: "f700be41ad0e7e6c"}
+var recordedDigests = map[uint64]string{1: "0fcad70a5a3b56ff", 2: "ebd8282bb69d703d", 3: "f700be41ad0e7e6c"}
 
-func bare(t testing.TB) *Core {
+func newBareCore(t testing.TB) *Core {
 	t.Helper()
 	c, err := New(policy.Config{Replicas: 1, Zones: 1, Kinds: 1, MaxAttempts: 3, WorthByWork: true, TellsStart: true,
 		Probes: true, ReportInProbes: true, Cancel: true, Ask: true, PriceProbe: 0.002, Progress: time.Second,
@@ -120,9 +120,9 @@
 	return c
 }
 
-func TestCommandsAreThoseOfBefore(t *testing.T) {
-	for seed, want := range before {
-		if got := digest(bare(t), seed); got != want {
+func TestCommandsMatchRecordedDigests(t *testing.T) {
+	for seed, want := range recordedDigests {
+		if got := digest(newBareCore(t), seed); got != want {
 			t.Errorf("seed %d: %s, want %s", seed, got, want)
 		}
 	}
--- a/internal/dispatch/shed_test.go
+++ b/internal/dispatch/shed_test.go
@@ -14,7 +14,7 @@
 // A refusal at the door is the job's one answer, comes in the same Step, and the module never hears of the job. The gate learns
 // from the module's refusals and late ends, and lets all in again when they are over. Jobs that waited pass.
 func TestShedGate(t *testing.T) {
-	core := bare(t)
+	core := newBareCore(t)
 	cfg := core.cfg
 	cfg.MaxRetryAfter = 2 * time.Second
 	l := overload.Defaults()
@@ -51,7 +51,7 @@
 	}
 	assert.Greater(t, shed, 100)
 	assert.Less(t, g.Admit(), 0.6)
-	assert.Empty(t, g.open)
+	assert.Empty(t, g.pending)
 	for range 50 {
 		before := g.Shed(0)
 		arrive(func(a *Arrived) { a.Waited = time.Second })
@@ -61,13 +61,13 @@
 	for _, m := range []Message{Left{Job: 1 << 40}, Ended{Key: Key{Job: 1 << 40}, Result: policy.OK}} {
 		g.shedder.Came(0, overload.InTime)
 		before := g.Admit()
-		g.open[1<<40] = &passed{class: 0, came: now - time.Hour, size: 100 * time.Millisecond}
+		g.pending[1<<40] = &admittedJob{class: 0, arrivedAt: now - time.Hour, size: 100 * time.Millisecond}
 		c.Step(now, []Message{m})
 		assert.Less(t, g.Admit(), before+0.001, "%T", m)
-		assert.Empty(t, g.open)
+		assert.Empty(t, g.pending)
 	}
 	now += time.Minute
 	arrive(nil)
 	assert.Equal(t, 1.0, g.Admit(), "after a minute without news")
-	assert.Empty(t, g.Anew().(*ShedGate).open)
+	assert.Empty(t, g.Anew().(*ShedGate).pending)
 }
--- a/internal/dispatch/sites.go
+++ b/internal/dispatch/sites.go
@@ -14,47 +14,47 @@
 // learns of a silent host by its own question, and to tell it all hosts of a lost site at once, or to keep questions to them to a
 // trickle, was measured and cost more on the site's return than it saved (docs/design/sites.md).
 type SitesGate struct {
-	judge   *siteloss.Judge
-	set     siteloss.Settings
-	hosts   map[uint32]int    // site by worker
-	byAddr  map[string]uint32 // worker by address
-	at      map[Key]uint32    // worker by send that is out
-	scale   map[uint32]float64
-	stepped time.Duration
-	states  []atomic.Uint32
-	names   []string
-	cfg     policy.Config
-	lim     siteloss.Limits
-	order   []int // classes, the last refused first
-	floor   float64
-	work    []float64 // hinted, in seconds a second, by class
-	workAt  time.Duration
-	fleet   atomic.Pointer[siteloss.Fleet]
-	planned time.Duration
+	judge        *siteloss.Judge
+	settings     siteloss.Settings
+	siteByWorker map[uint32]int    // site by worker
+	workerByAddr map[string]uint32 // worker by address
+	workerBySend map[Key]uint32    // worker by send that is out
+	scale        map[uint32]float64
+	judgedAt     time.Duration
+	states       []atomic.Uint32
+	names        []string
+	cfg          policy.Config
+	limits       siteloss.Limits
+	order        []int // classes, the last refused first
+	floor        float64
+	work         []float64 // hinted, in seconds a second, by class
+	workAt       time.Duration
+	fleet        atomic.Pointer[siteloss.Fleet]
+	plannedAt    time.Duration
 }
 
-// judgeEvery is how often sites are judged where nothing changes.
-const judgeEvery = 100 * time.Millisecond
+// judgeInterval is how often sites are judged where nothing changes.
+const judgeInterval = 100 * time.Millisecond
 
-// planEvery is how often what a plan is made from is looked at anew, loadOver the time that the load is taken over.
+// planInterval is how often what a plan is made from is looked at anew, loadDecay the time that the load is taken over.
 const (
-	planEvery = time.Second
-	loadOver  = 10 * time.Second
+	planInterval = time.Second
+	loadDecay    = 10 * time.Second
 )
 
 // NewSitesGate makes a gate for a dispatcher with these settings. names are the sites', by number, order the classes in the order in
 // which they are kept, floor the share of each that is kept first.
 func NewSitesGate(l siteloss.Limits, cfg policy.Config, names []string, order []int, floor float64) *SitesGate {
-	g := &SitesGate{lim: l, cfg: cfg, names: names, order: order, floor: floor,
-		set: siteloss.Settings{Sites: max(cfg.Zones, 1), Own: cfg.Zone, WarmUp: cfg.WarmUp}}
+	g := &SitesGate{limits: l, cfg: cfg, names: names, order: order, floor: floor,
+		settings: siteloss.Settings{Sites: max(cfg.Zones, 1), Own: cfg.Zone, WarmUp: cfg.WarmUp}}
 	return g.Anew().(*SitesGate)
 }
 
 // Anew makes a gate that knows nothing.
 func (g *SitesGate) Anew() Gate {
-	return &SitesGate{lim: g.lim, cfg: g.cfg, names: g.names, order: g.order, floor: g.floor, set: g.set, judge: siteloss.New(g.set),
-		hosts: map[uint32]int{}, byAddr: map[string]uint32{}, at: map[Key]uint32{}, scale: map[uint32]float64{},
-		states: make([]atomic.Uint32, g.set.Sites), work: make([]float64, len(g.cfg.Classes))}
+	return &SitesGate{limits: g.limits, cfg: g.cfg, names: g.names, order: g.order, floor: g.floor, settings: g.settings, judge: siteloss.New(g.settings),
+		siteByWorker: map[uint32]int{}, workerByAddr: map[string]uint32{}, workerBySend: map[Key]uint32{}, scale: map[uint32]float64{},
+		states: make([]atomic.Uint32, g.settings.Sites), work: make([]float64, len(g.cfg.Classes))}
 }
 
 // Fleet is what a plan can be made from now: hosts as listed, and the load that this dispatcher sees, taken for that of every other,
@@ -62,15 +62,15 @@
 // be called from any goroutine.
 func (g *SitesGate) Fleet() *siteloss.Fleet { return g.fleet.Load() }
 
-// arrived counts a job's work.
-func (g *SitesGate) arrived(now time.Duration, m *Arrived) {
-	g.fade(now)
-	g.work[m.Class] += m.Size.Seconds() / loadOver.Seconds()
+// addWork counts a job's work.
+func (g *SitesGate) addWork(now time.Duration, m *Arrived) {
+	g.decayWork(now)
+	g.work[m.Class] += m.Size.Seconds() / loadDecay.Seconds()
 }
 
-func (g *SitesGate) fade(now time.Duration) {
+func (g *SitesGate) decayWork(now time.Duration) {
 	if now > g.workAt {
-		f := math.Exp(-float64(now-g.workAt) / float64(loadOver))
+		f := math.Exp(-float64(now-g.workAt) / float64(loadDecay))
 		for i := range g.work {
 			g.work[i] *= f
 		}
@@ -78,19 +78,19 @@
 	}
 }
 
-// plan looks at the fleet anew.
-func (g *SitesGate) plan(now time.Duration) {
-	g.fade(now)
-	f := &siteloss.Fleet{Usable: g.lim.Usable, ColdFrom: g.cfg.ColdFrom, WarmUp: g.cfg.WarmUp, Notice: g.lim.Notice}
+// updateFleet looks at the fleet anew.
+func (g *SitesGate) updateFleet(now time.Duration) {
+	g.decayWork(now)
+	f := &siteloss.Fleet{Usable: g.limits.Usable, ColdFrom: g.cfg.ColdFrom, WarmUp: g.cfg.WarmUp, Notice: g.limits.Notice}
 	total := 0.0
 	for _, w := range g.work {
 		total += w
 	}
-	each := total * float64(max(g.cfg.Replicas, 1)) / float64(g.set.Sites)
-	for n := range g.set.Sites {
-		f.Sites = append(f.Sites, siteloss.Site{Name: g.name(n), Load: each})
+	each := total * float64(max(g.cfg.Replicas, 1)) / float64(g.settings.Sites)
+	for n := range g.settings.Sites {
+		f.Sites = append(f.Sites, siteloss.Site{Name: g.siteName(n), Load: each})
 	}
-	for id, n := range g.hosts {
+	for id, n := range g.siteByWorker {
 		f.Sites[n].Hosts++
 		f.Sites[n].Capacity += g.scale[id]
 	}
@@ -104,7 +104,7 @@
 	g.fleet.Store(f)
 }
 
-func (g *SitesGate) name(n int) string {
+func (g *SitesGate) siteName(n int) string {
 	if n < len(g.names) {
 		return g.names[n]
 	}
@@ -119,9 +119,9 @@
 	for _, m := range in {
 		switch m := m.(type) {
 		case Arrived:
-			g.arrived(now, &m)
+			g.addWork(now, &m)
 		case Listed:
-			g.listed(&m)
+			g.updateHosts(&m)
 		case Probed:
 			switch m.Result {
 			case policy.OK:
@@ -130,57 +130,57 @@
 				g.judge.Heard(now, m.Worker, false)
 			}
 		case Started:
-			g.heard(now, m.Key, true)
+			g.recordAnswer(now, m.Key, true)
 		case Progress:
-			g.heard(now, m.Key, true)
+			g.recordAnswer(now, m.Key, true)
 		case Ended:
 			switch m.Result {
 			case policy.OK, policy.AppError, policy.Full, policy.Rejected:
-				g.heard(now, m.Key, true)
+				g.recordAnswer(now, m.Key, true)
 			case policy.ConnectFailed:
-				g.heard(now, m.Key, false)
+				g.recordAnswer(now, m.Key, false)
 			}
-			delete(g.at, m.Key)
+			delete(g.workerBySend, m.Key)
 		}
 		p.On(m)
 	}
-	if now-g.stepped < judgeEvery {
+	if now-g.judgedAt < judgeInterval {
 		return
 	}
-	g.stepped = now
-	if now-g.planned >= planEvery && len(g.hosts) > 0 {
-		g.planned = now
-		g.plan(now)
+	g.judgedAt = now
+	if now-g.plannedAt >= planInterval && len(g.siteByWorker) > 0 {
+		g.plannedAt = now
+		g.updateFleet(now)
 	}
 	for _, c := range g.judge.Step(now) {
 		g.states[c.Site].Store(uint32(c.To))
-		p.Do(Log{Text: fmt.Sprintf("site %s: %v, was %v: %s", g.name(c.Site), c.To, c.From, c.Ground), Warn: c.To != siteloss.Serving})
+		p.Do(Log{Text: fmt.Sprintf("site %s: %v, was %v: %s", g.siteName(c.Site), c.To, c.From, c.Ground), Warn: c.To != siteloss.Serving})
 	}
 }
 
-func (g *SitesGate) heard(now time.Duration, k Key, answered bool) {
-	if id, ok := g.at[k]; ok {
+func (g *SitesGate) recordAnswer(now time.Duration, k Key, answered bool) {
+	if id, ok := g.workerBySend[k]; ok {
 		g.judge.Heard(now, id, answered)
 	}
 }
 
-func (g *SitesGate) listed(m *Listed) {
+func (g *SitesGate) updateHosts(m *Listed) {
 	if m.Whole {
-		for id := range g.hosts {
+		for id := range g.siteByWorker {
 			g.judge.Listed(id, 0, true)
 		}
-		clear(g.hosts)
-		clear(g.byAddr)
+		clear(g.siteByWorker)
+		clear(g.workerByAddr)
 	}
 	for i := range m.Hosts {
 		h := &m.Hosts[i]
 		id := WorkerID(h.Name)
-		if h.State == policy.Gone || h.Zone < 0 || h.Zone >= g.set.Sites {
+		if h.State == policy.Gone || h.Zone < 0 || h.Zone >= g.settings.Sites {
 			g.judge.Listed(id, 0, true)
-			delete(g.hosts, id)
+			delete(g.siteByWorker, id)
 			continue
 		}
-		g.hosts[id], g.byAddr[h.Addr], g.scale[id] = h.Zone, id, h.Scale
+		g.siteByWorker[id], g.workerByAddr[h.Addr], g.scale[id] = h.Zone, id, h.Scale
 		g.judge.Listed(id, h.Zone, false)
 	}
 }
@@ -189,8 +189,8 @@
 func (g *SitesGate) Out(_ time.Duration, out []Command, p *Pass) {
 	for _, c := range out {
 		if s, ok := c.(Send); ok {
-			if id, ok := g.byAddr[s.Addr]; ok {
-				g.at[s.Key] = id
+			if id, ok := g.workerByAddr[s.Addr]; ok {
+				g.workerBySend[s.Key] = id
 			}
 		}
 		p.Do(c)
@@ -204,7 +204,7 @@
 func (g *SitesGate) Detached() int { return 0 }
 
 // Crashed forgets the sends that were out.
-func (g *SitesGate) Crashed(time.Duration) { clear(g.at) }
+func (g *SitesGate) Crashed(time.Duration) { clear(g.workerBySend) }
 
 // Keeps is false: every job that passed is the module's.
 func (g *SitesGate) Keeps(uint64) bool { return false }
--- a/internal/dispatch/sites_test.go
+++ b/internal/dispatch/sites_test.go
@@ -14,7 +14,7 @@
 
 // The gate changes no command, tells of a lost room in one line, and gives a plan of the listed hosts and the load it sees.
 func TestSitesGate(t *testing.T) {
-	cfg := bare(t).cfg
+	cfg := newBareCore(t).cfg
 	cfg.Zones, cfg.Zone, cfg.Replicas, cfg.WarmUp, cfg.ColdFrom = 3, 0, 6, 10*time.Second, 0.1
 	core, err := New(cfg, 1)
 	require.NoError(t, err)
--- a/internal/dispatch/waiting.go
+++ b/internal/dispatch/waiting.go
@@ -12,11 +12,11 @@
 // when it is their turn; all others pass. Each job has its one answer from the module or from the room, never from
 // both: once the room has answered, the core has been told that the client left, and answers no more.
 type WaitingGate struct {
-	room  *waiting.Room
-	lim   waiting.Limits
-	fleet waiting.Fleet
-	ready map[string]bool // hosts that are
-	now   time.Duration
+	room       *waiting.Room
+	limits     waiting.Limits
+	fleet      waiting.Fleet
+	readyHosts map[string]bool // hosts that are
+	now        time.Duration
 }
 
 // NewWaitingGate makes a gate with an empty room. The limits must be sound.
@@ -26,12 +26,12 @@
 		f.Classes = append(f.Classes, waiting.Class{Name: c.Name, Deadline: c.Deadline,
 			Repeatable: c.Effect == policy.Repeatable})
 	}
-	return &WaitingGate{room: waiting.New(lim, f), lim: lim, fleet: f, ready: map[string]bool{}}
+	return &WaitingGate{room: waiting.New(lim, f), limits: lim, fleet: f, readyHosts: map[string]bool{}}
 }
 
 // Anew makes a gate with an empty room.
 func (g *WaitingGate) Anew() Gate {
-	return &WaitingGate{room: waiting.New(g.lim, g.fleet), lim: g.lim, fleet: g.fleet, ready: map[string]bool{}}
+	return &WaitingGate{room: waiting.New(g.limits, g.fleet), limits: g.limits, fleet: g.fleet, readyHosts: map[string]bool{}}
 }
 
 // Room is the gate's room, to be looked at between Steps only.
@@ -47,40 +47,40 @@
 			if !ticked {
 				ticked = true
 				g.room.Tick(now)
-				g.carry(now, p)
+				g.execute(now, p)
 			}
-			j := held(&m)
+			j := waitingJob(&m)
 			if m.Wait != nil {
 				g.room.Submit(now, &j)
-				g.carry(now, p)
+				g.execute(now, p)
 			} else if g.room.Fresh(now, &j) {
 				p.On(m)
 			} else {
-				g.carry(now, p)
+				g.execute(now, p)
 			}
 			continue
 		case Left:
 			pass := g.room.Left(now, m.Job)
-			if g.carry(now, p); !pass {
+			if g.execute(now, p); !pass {
 				continue
 			}
 		case Ended:
-			g.room.Ended(now, m.Job, outcome(m.Result), m.Body)
-			g.carry(now, p)
+			g.room.Ended(now, m.Job, outcomeOf(m.Result), m.Body)
+			g.execute(now, p)
 		case Listed:
-			g.listed(&m)
+			g.updateHosts(&m)
 		case Asked:
 			g.room.Asked(now, &m.Ask)
-			g.carry(now, p)
+			g.execute(now, p)
 			continue
 		case Unasked:
 			g.room.Unasked(m.Ask)
 			continue
 		case Closing:
 			g.room.Close(now, m.By)
-			g.carry(now, p) // and the core answers what is before it
+			g.execute(now, p) // and the core answers what is before it
 		case Tuned:
-			g.lim = m.Waiting
+			g.limits = m.Waiting
 			g.room.SetLimits(m.Waiting)
 			continue
 		}
@@ -88,12 +88,12 @@
 	}
 	if !ticked {
 		g.room.Tick(now)
-		g.carry(now, p)
+		g.execute(now, p)
 	}
 }
 
-// held is an arrival as the room takes it.
-func held(m *Arrived) waiting.Job {
+// waitingJob is an arrival as the room takes it.
+func waitingJob(m *Arrived) waiting.Job {
 	j := waiting.Job{Number: m.Job, Name: m.Name, Client: m.Client, Class: m.Class, Tenant: m.Tenant, Size: m.Size,
 		Slots: m.Slots, Arrived: m.At, Deadline: m.At + m.Budget, Bytes: m.Bytes, Attached: true}
 	if w := m.Wait; w != nil {
@@ -108,8 +108,8 @@
 	return j
 }
 
-// outcome is a result as the room weighs it: the protocol's table proves what never ran.
-func outcome(r policy.Result) waiting.Outcome {
+// outcomeOf is a result as the room weighs it: the protocol's table proves what never ran.
+func outcomeOf(r policy.Result) waiting.Outcome {
 	switch {
 	case r == policy.OK:
 		return waiting.OK
@@ -121,18 +121,18 @@
 	return waiting.MayHave
 }
 
-func (g *WaitingGate) listed(m *Listed) {
+func (g *WaitingGate) updateHosts(m *Listed) {
 	if m.Whole {
-		clear(g.ready)
+		clear(g.readyHosts)
 	}
 	for i := range m.Hosts {
 		if h := &m.Hosts[i]; h.State == policy.Ready {
-			g.ready[h.Name] = true
+			g.readyHosts[h.Name] = true
 		} else {
-			delete(g.ready, h.Name)
+			delete(g.readyHosts, h.Name)
 		}
 	}
-	g.room.Hosts(len(g.ready))
+	g.room.Hosts(len(g.readyHosts))
 }
 
 // Out tells the room what the module made of its jobs, and takes back the refusals that the room does.
@@ -149,12 +149,12 @@
 			}
 		}
 		p.Do(c)
-		g.carry(now, p)
+		g.execute(now, p)
 	}
 }
 
-// carry turns the room's actions into messages and commands.
-func (g *WaitingGate) carry(now time.Duration, p *Pass) {
+// execute turns the room's actions into messages and commands.
+func (g *WaitingGate) execute(now time.Duration, p *Pass) {
 	actions := g.room.Actions()
 	for i := range actions {
 		switch a := &actions[i]; a.Kind {
--- a/internal/dispatch/waiting_test.go
+++ b/internal/dispatch/waiting_test.go
@@ -11,8 +11,8 @@
 	"gaugeslip/policy"
 )
 
-func gated(t testing.TB, change func(*waiting.Limits)) (*Chain, *WaitingGate) {
-	core := bare(t)
+func newWaitingChain(t testing.TB, change func(*waiting.Limits)) (*Chain, *WaitingGate) {
+	core := newBareCore(t)
 	lim := waiting.Defaults()
 	if change != nil {
 		change(&lim)
@@ -23,17 +23,17 @@
 
 // With no gate the chain's commands are those of the core, and with a waiting room in which nobody waits too.
 func TestChainChangesNothing(t *testing.T) {
-	for seed, want := range before {
-		if got := digest(NewChain(bare(t), Gates{}), seed); got != want {
+	for seed, want := range recordedDigests {
+		if got := digest(NewChain(newBareCore(t), Gates{}), seed); got != want {
 			t.Errorf("seed %d: without gates %s, want %s", seed, got, want)
 		}
-		c, gate := gated(t, nil)
+		c, gate := newWaitingChain(t, nil)
 		play(c, seed, 3000, func(time.Duration, []Message, []Command) {})
 		if s := gate.room.Stats(); s.Fresh == 0 || s.Turns != 0 {
 			t.Errorf("seed %d: %+v", seed, s)
 		}
 	}
-	core, chain := bare(t), NewChain(bare(t), Gates{})
+	core, chain := newBareCore(t), NewChain(newBareCore(t), Gates{})
 	var one, two []string
 	play(core, 4, 500, func(now time.Duration, _ []Message, out []Command) {
 		one = append(one, fmt.Sprintf("%v %T%+v", now, out, out))
@@ -47,19 +47,19 @@
 }
 
 // A waiting room through which fresh jobs pass changes no command for them: the ids are all different.
-func TestFreshPassUnchanged(t *testing.T) {
-	for seed, want := range before {
-		c, _ := gated(t, nil)
-		if got := digest(named{c}, seed); got != want {
+func TestFreshJobsPassUnchanged(t *testing.T) {
+	for seed, want := range recordedDigests {
+		c, _ := newWaitingChain(t, nil)
+		if got := digest(namedArrivals{c}, seed); got != want {
 			t.Errorf("seed %d: %s, want %s", seed, got, want)
 		}
 	}
 }
 
-// named gives arrivals the names that the loop gives them, and wakes as the core alone does.
-type named struct{ *Chain }
+// namedArrivals gives arrivals the names that the loop gives them, and wakes as the core alone does.
+type namedArrivals struct{ *Chain }
 
-func (n named) Step(now time.Duration, in []Message) []Command {
+func (n namedArrivals) Step(now time.Duration, in []Message) []Command {
 	for i, m := range in {
 		if a, ok := m.(Arrived); ok {
 			a.Name = fmt.Sprint("n", a.Job)
@@ -69,37 +69,37 @@
 	return n.Chain.Step(now, in)
 }
 
-func (n named) Wake() (time.Duration, bool) { return n.core.Wake() }
+func (n namedArrivals) Wake() (time.Duration, bool) { return n.core.Wake() }
 
-// tracked is what a test knows of one job.
-type tracked struct {
+// jobRecord is what a test knows of one job.
+type jobRecord struct {
 	name           string
 	unsafe, waits  bool
 	detached, left bool
 	accepted       int
 	served         bool
 	status         int // of a local reply; 0: none yet
-	maybe          bool
+	mayHaveRun     bool
 	out            map[int]bool
 	keys           map[int]bool
 }
 
-// machine plays random histories on a chain with a waiting room and checks the rules as they come.
-type machine struct {
+// historyMachine plays random histories on a chain with a waiting room and checks the rules as they come.
+type historyMachine struct {
 	*rapid.T
-	c     *Chain
-	gate  *WaitingGate
-	now   time.Duration
-	jobs  map[uint64]*tracked
-	names []string
-	next  uint64
-	told  map[uint64]Told
+	c       *Chain
+	gate    *WaitingGate
+	now     time.Duration
+	jobs    map[uint64]*jobRecord
+	names   []string
+	next    uint64
+	answers map[uint64]Told
 }
 
-func (m *machine) step(in ...Message) {
+func (m *historyMachine) step(in ...Message) {
 	for n := 0; ; n++ {
 		for _, c := range m.c.Step(m.now, in) {
-			m.see(c)
+			m.checkCommand(c)
 		}
 		in = nil
 		if at, ok := m.c.Wake(); !ok || at > m.now {
@@ -111,15 +111,15 @@
 	}
 }
 
-// see books a command and checks it.
-func (m *machine) see(c Command) {
+// checkCommand books a command and checks it.
+func (m *historyMachine) checkCommand(c Command) {
 	switch c := c.(type) {
 	case Send:
 		j := m.jobs[c.Job]
 		if j == nil || j.served || j.status != 0 {
 			m.Fatalf("a send for %d, which is over: %+v", c.Job, j)
 		}
-		if j.unsafe && (j.maybe || len(j.out) > 0) {
+		if j.unsafe && (j.mayHaveRun || len(j.out) > 0) {
 			m.Fatalf("%s must not run twice, and may have run", j.name)
 		}
 		if j.keys[c.Attempt] || c.Attempt >= m.c.core.maxAttempts {
@@ -131,7 +131,7 @@
 		if j.status != 0 || j.served || j.left && !j.detached {
 			m.Fatalf("%s is answered again: %+v after %+v", j.name, c, j)
 		}
-		if c.Refused && j.unsafe && (j.maybe || len(j.out) > 0) {
+		if c.Refused && j.unsafe && (j.mayHaveRun || len(j.out) > 0) {
 			m.Fatalf("%s may have run and is refused", j.name)
 		}
 		if j.status = c.Status; j.status == 0 {
@@ -140,27 +140,27 @@
 	case Accepted:
 		m.jobs[c.Job].accepted++
 	case Told:
-		m.told[c.Ask] = c
+		m.answers[c.Ask] = c
 	}
 }
 
-// end ends a send.
-func (m *machine) end(k Key, r policy.Result) {
+// endAttempt ends a send.
+func (m *historyMachine) endAttempt(k Key, r policy.Result) {
 	j := m.jobs[k.Job]
 	delete(j.out, k.Attempt)
-	switch outcome(r) {
+	switch outcomeOf(r) {
 	case waiting.OK:
 		if j.status == 0 && !j.left {
 			j.served = true
 		}
 	case waiting.MayHave, waiting.TurnedOff:
-		j.maybe = true
+		j.mayHaveRun = true
 	}
 	m.step(Ended{Key: k, Result: r, Body: []byte("r")})
 }
 
-// one picks a job that fits.
-func (m *machine) one(label string, fits func(*tracked) bool) uint64 {
+// pickJob picks a job that fits.
+func (m *historyMachine) pickJob(label string, fits func(*jobRecord) bool) uint64 {
 	var list []uint64
 	for id := uint64(1); id <= m.next; id++ {
 		if j := m.jobs[id]; j != nil && fits(j) {
@@ -173,10 +173,10 @@
 	return rapid.SampledFrom(list).Draw(m.T, label)
 }
 
-func (m *machine) arrive() {
+func (m *historyMachine) arrive() {
 	m.next++
 	class := rapid.IntRange(0, 1).Draw(m.T, "class")
-	j := &tracked{name: fmt.Sprint("j", m.next), unsafe: class == 1, out: map[int]bool{}, keys: map[int]bool{}}
+	j := &jobRecord{name: fmt.Sprint("j", m.next), unsafe: class == 1, out: map[int]bool{}, keys: map[int]bool{}}
 	if len(m.names) > 0 && rapid.IntRange(0, 20).Draw(m.T, "again") == 0 {
 		j.name = rapid.SampledFrom(m.names).Draw(m.T, "name")
 	}
@@ -204,13 +204,13 @@
 // is asked the same is told. A failing history is printed with its seed.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		c, gate := gated(t, func(l *waiting.Limits) {
+		c, gate := newWaitingChain(t, func(l *waiting.Limits) {
 			l.MaxJobs, l.ClientShare = rapid.SampledFrom([]int{3, 1000}).Draw(rt, "max"), 1
 			l.RunOnFailure = rapid.Bool().Draw(rt, "run")
 		})
-		m := &machine{T: rt, c: c, gate: gate, now: start, jobs: map[uint64]*tracked{}, told: map[uint64]Told{}}
-		m.step(Listed{Version: 1, Whole: true, Hosts: []Host{one, two}})
-		out := func(j *tracked) bool { return len(j.out) > 0 }
+		m := &historyMachine{T: rt, c: c, gate: gate, now: start, jobs: map[uint64]*jobRecord{}, answers: map[uint64]Told{}}
+		m.step(Listed{Version: 1, Whole: true, Hosts: []Host{hostOne, hostTwo}})
+		out := func(j *jobRecord) bool { return len(j.out) > 0 }
 		rt.Repeat(map[string]func(*rapid.T){
 			"arrive": func(*rapid.T) { m.arrive() },
 			"more":   func(*rapid.T) { m.arrive() },
@@ -219,15 +219,15 @@
 				m.step()
 			},
 			"end": func(*rapid.T) {
-				if id := m.one("job", out); id != 0 {
+				if id := m.pickJob("job", out); id != 0 {
 					for n := range m.jobs[id].out {
-						m.end(Key{id, n}, rapid.SampledFrom(results).Draw(rt, "result"))
+						m.endAttempt(Key{id, n}, rapid.SampledFrom(results).Draw(rt, "result"))
 						break
 					}
 				}
 			},
 			"leave": func(*rapid.T) {
-				if id := m.one("job", func(j *tracked) bool { return !j.detached && !j.left && !j.served && j.status == 0 }); id != 0 {
+				if id := m.pickJob("job", func(j *jobRecord) bool { return !j.detached && !j.left && !j.served && j.status == 0 }); id != 0 {
 					m.jobs[id].left = true
 					m.step(Left{id})
 				}
@@ -243,18 +243,18 @@
 		for range 200 {
 			for id := uint64(1); id <= m.next; id++ {
 				for n := range m.jobs[id].out {
-					m.end(Key{id, n}, policy.OK)
+					m.endAttempt(Key{id, n}, policy.OK)
 				}
 			}
 			m.now += 500 * ms
 			m.step()
 		}
-		m.settled()
+		m.checkFinished()
 	})
 }
 
-// settled checks that all is over, and that what is told fits what was answered.
-func (m *machine) settled() {
+// checkFinished checks that all is over, and that what is told fits what was answered.
+func (m *historyMachine) checkFinished() {
 	if m.gate.room.Held() != 0 || m.c.Open() != 0 {
 		m.Fatalf("%d still wait, %d still run", m.gate.room.Held(), m.c.Open())
 	}
@@ -276,9 +276,9 @@
 		}
 		first[j.name] = true
 		m.step(Asked{waiting.Ask{Number: 3, Name: j.name}})
-		i := m.told[3].Info
+		i := m.answers[3].Info
 		if i == nil || !i.State.Final() {
-			m.Fatalf("%s: %+v", j.name, m.told[3])
+			m.Fatalf("%s: %+v", j.name, m.answers[3])
 		}
 		if j.served != (i.State == waiting.Served) && !j.left || !j.served && !j.left && i.Status != j.status {
 			m.Fatalf("%s: told %v %d, answered %+v", j.name, i.State, i.Status, j)
@@ -287,9 +287,9 @@
 }
 
 // A panic in the module leaves what only waits; one in a gate leaves nothing of it.
-func TestChainRenews(t *testing.T) {
-	c, gate := gated(t, nil)
-	c.Step(start, []Message{Listed{Version: 1, Whole: true, Hosts: []Host{one}}})
+func TestChainRebuild(t *testing.T) {
+	c, gate := newWaitingChain(t, nil)
+	c.Step(start, []Message{Listed{Version: 1, Whole: true, Hosts: []Host{hostOne}}})
 	wait := arrival(1, 0)
 	wait.Name, wait.Wait = "a", &Wait{Detached: true, NotBefore: time.Second}
 	c.Step(start, []Message{wait})
@@ -300,7 +300,7 @@
 			t.Fatalf("%v %+v %v", err, known, keeps(1))
 		}
 		n.Step(start, []Message{known})
-		if out := of[Probe](n.Step(start+time.Second, nil)); len(out) != map[bool]int{true: 1, false: 0}[inCore] {
+		if out := commandsOf[Probe](n.Step(start+time.Second, nil)); len(out) != map[bool]int{true: 1, false: 0}[inCore] {
 			t.Errorf("in the core %v: asked hosts %v", inCore, out)
 		}
 		gate.room.Crashed(start)
@@ -312,8 +312,8 @@
 	for _, c := range []struct {
 		name string
 		make func() stepper
-	}{{"core", func() stepper { return bare(b) }}, {"chain", func() stepper { return NewChain(bare(b), Gates{}) }},
-		{"waiting", func() stepper { c, _ := gated(b, nil); return c }}} {
+	}{{"core", func() stepper { return newBareCore(b) }}, {"chain", func() stepper { return NewChain(newBareCore(b), Gates{}) }},
+		{"waiting", func() stepper { c, _ := newWaitingChain(b, nil); return c }}} {
 		b.Run(c.name, func(b *testing.B) {
 			s := c.make()
 			var hosts []Host
--- a/internal/operatorsettings/blocks.go
+++ b/internal/operatorsettings/blocks.go
@@ -83,7 +83,7 @@
 	r.number(b.Burst, &l.Burst)
 	r.number(b.Probes, &l.Probes)
 	r.number(b.ListCalls, &l.ListCalls)
-	return done(&l, &r, b.Range, b.Way, b.Floor, b.Burst, b.Probes, b.ListCalls)
+	return checked(&l, &r, b.Range, b.Way, b.Floor, b.Burst, b.Probes, b.ListCalls)
 }
 
 // limits reads the block sites.
@@ -92,7 +92,7 @@
 	r := reader{block: "sites"}
 	r.number(b.Usable, &l.Usable)
 	r.duration(b.Notice, &l.Notice)
-	return done(&l, &r, b.Range, b.Usable, b.Notice)
+	return checked(&l, &r, b.Range, b.Usable, b.Notice)
 }
 
 // limits reads the block peers.
@@ -106,7 +106,7 @@
 	}
 	r.integer(b.Voters, &l.Voters)
 	r.number(b.Drift, &l.Drift)
-	return done(&l, &r, b.Range, b.Listen, b.Members, b.Voters, b.Drift)
+	return checked(&l, &r, b.Range, b.Listen, b.Members, b.Voters, b.Drift)
 }
 
 // limits reads the block waiting.
@@ -128,11 +128,11 @@
 	r.boolean(b.Fresh, &l.Fresh)
 	switch word := "fail"; {
 	case r.text(b.OnFailure, &word) && word != "fail" && word != "run":
-		r.fault(b.OnFailure, `%q is neither "fail" nor "run"`, word)
+		r.addError(b.OnFailure, `%q is neither "fail" nor "run"`, word)
 	default:
 		l.RunOnFailure = word == "run"
 	}
-	return done(&l, &r, b.Range, b.MaxJobs, b.MaxKept, b.MaxBytes, b.Retention, b.DefaultDue, b.MaxDue, b.MaxDelay, b.Share, b.ClientShare)
+	return checked(&l, &r, b.Range, b.MaxJobs, b.MaxKept, b.MaxBytes, b.Retention, b.DefaultDue, b.MaxDue, b.MaxDelay, b.Share, b.ClientShare)
 }
 
 // limits reads the block overload.
@@ -148,17 +148,17 @@
 	r.boolean(b.Shed, &l.Shed)
 	r.number(b.Floor, &l.Floor)
 	r.texts(b.Order, &l.Order)
-	return done(&l, &r, b.Range, b.Questions, b.Enter, b.Leave, b.Margin, b.Repeats, b.Floor)
+	return checked(&l, &r, b.Range, b.Questions, b.Enter, b.Leave, b.Margin, b.Repeats, b.Floor)
 }
 
-// done gives what a block holds, or what is wrong with it, at the place of the attribute that it is about.
-func done[L interface{ Check() error }](l L, r *reader, whole hcl.Range, all ...*hcl.Attribute) (L, error) {
-	var none L
+// checked gives what a block holds, or what is wrong with it, at the place of the attribute that it is about.
+func checked[L interface{ Check() error }](l L, r *reader, whole hcl.Range, all ...*hcl.Attribute) (L, error) {
+	var zero L
 	if len(r.errs) > 0 {
-		return none, errors.Join(r.errs...)
+		return zero, errors.Join(r.errs...)
 	}
 	if err := l.Check(); err != nil {
-		return none, place(err, r.block, whole, all...)
+		return zero, locate(err, r.block, whole, all...)
 	}
 	return l, nil
 }
--- a/internal/operatorsettings/reader.go
+++ b/internal/operatorsettings/reader.go
@@ -17,8 +17,8 @@
 	errs  []error
 }
 
-func (r *reader) fault(a *hcl.Attribute, why string, args ...any) {
-	r.errs = append(r.errs, at(a.Range, r.block+"."+a.Name, fmt.Sprintf(why, args...)))
+func (r *reader) addError(a *hcl.Attribute, why string, args ...any) {
+	r.errs = append(r.errs, errorAt(a.Range, r.block+"."+a.Name, fmt.Sprintf(why, args...)))
 }
 
 // value evaluates an attribute as a type.
@@ -28,11 +28,11 @@
 	}
 	v, diags := a.Expr.Value(nil)
 	if diags.HasErrors() {
-		r.fault(a, "%s", diags[0].Detail)
+		r.addError(a, "%s", diags[0].Detail)
 		return v, false
 	}
 	if v.IsNull() || !v.IsKnown() || v.Type() != want {
-		r.fault(a, "a %s is wanted", want.FriendlyName())
+		r.addError(a, "a %s is wanted", want.FriendlyName())
 		return v, false
 	}
 	return v, true
@@ -52,7 +52,7 @@
 		return
 	}
 	if f != math.Trunc(f) || math.Abs(f) > 1<<40 {
-		r.fault(a, "a whole number is wanted")
+		r.addError(a, "a whole number is wanted")
 		return
 	}
 	*to = int(f)
@@ -79,17 +79,17 @@
 	}
 	v, diags := a.Expr.Value(nil)
 	if diags.HasErrors() {
-		r.fault(a, "%s", diags[0].Detail)
+		r.addError(a, "%s", diags[0].Detail)
 		return
 	}
 	if !v.IsWhollyKnown() || v.IsNull() || !v.CanIterateElements() {
-		r.fault(a, "a list of texts is wanted")
+		r.addError(a, "a list of texts is wanted")
 		return
 	}
 	*to = nil
 	for _, x := range v.AsValueSlice() {
 		if x.IsNull() || x.Type() != cty.String {
-			r.fault(a, "a list of texts is wanted")
+			r.addError(a, "a list of texts is wanted")
 			return
 		}
 		*to = append(*to, x.AsString())
@@ -104,7 +104,7 @@
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil || d < 0 {
-		r.fault(a, `%q is no duration such as "90s" or "10m"`, s)
+		r.addError(a, `%q is no duration such as "90s" or "10m"`, s)
 		return
 	}
 	*to = d
@@ -130,5 +130,5 @@
 			break
 		}
 	}
-	r.fault(a, `%q is no size such as "512KiB" or "8MiB"`, s)
+	r.addError(a, `%q is no size such as "512KiB" or "8MiB"`, s)
 }
--- a/internal/operatorsettings/settings.go
+++ b/internal/operatorsettings/settings.go
@@ -44,32 +44,32 @@
 func Parse(text []byte, name string) (*Settings, error) {
 	parsed, diags := hclparse.NewParser().ParseHCL(text, name)
 	if diags.HasErrors() {
-		return nil, faults(diags)
+		return nil, diagnosticsError(diags)
 	}
 	var f file
 	if diags = gohcl.DecodeBody(parsed.Body, nil, &f); diags.HasErrors() {
-		return nil, faults(diags)
+		return nil, diagnosticsError(diags)
 	}
 	s := &Settings{}
 	for _, err := range []error{
-		read(f.Waiting, &s.Waiting),
-		read(f.Overload, &s.Overload),
-		read(f.Budgets, &s.Budgets),
-		read(f.Peers, &s.Peers),
-		read(f.Sites, &s.Sites),
+		readBlock(f.Waiting, &s.Waiting),
+		readBlock(f.Overload, &s.Overload),
+		readBlock(f.Budgets, &s.Budgets),
+		readBlock(f.Peers, &s.Peers),
+		readBlock(f.Sites, &s.Sites),
 	} {
 		if err != nil {
 			return nil, err
 		}
 	}
 	if s.Budgets != nil && s.Budgets.Way == budget.ByTalk && s.Peers == nil {
-		return nil, at(f.Budgets.Range, "budgets.way", "talk needs a block peers")
+		return nil, errorAt(f.Budgets.Range, "budgets.way", "talk needs a block peers")
 	}
 	return s, nil
 }
 
-// read reads a block; one that is missing leaves its subject off.
-func read[L any, B any, P interface {
+// readBlock reads a block; one that is missing leaves its subject off.
+func readBlock[L any, B any, P interface {
 	*B
 	limits() (*L, error)
 }](block P, to **L) error {
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -59,57 +59,57 @@
 	c.Questions, c.KeepLanes, c.Margin, c.Repeats = l.Questions, l.KeepLanes, l.Margin, l.Repeats
 }
 
-// memory is how long an answer counts in the level: its weight falls to 1/e in this time.
-const memory = 2 * time.Second
+// decayTime is how long an answer counts in the level: its weight falls to 1/e in this time.
+const decayTime = 2 * time.Second
 
 // Level tells from a dispatcher's own answers whether it is overloaded. It turns at Enter and back at Leave, so that a load that
 // wavers about one of them does not make it flap. The zero value is of no use, see NewLevel.
 type Level struct {
-	lim            Limits
-	at             time.Duration
-	asked, refused float64 // answers, and refusals among them, by their weights
-	on             bool
-	turns          int
+	limits            Limits
+	at                time.Duration
+	answers, refusals float64 // answers, and refusals among them, by their weights
+	overloaded        bool
+	changes           int
 }
 
-// least is the weight of answers under which the level stays as it is: a few refusals of a quiet dispatcher say nothing.
-const least = 5
+// minAnswers is the weight of answers under which the level stays as it is: a few refusals of a quiet dispatcher say nothing.
+const minAnswers = 5
 
 // NewLevel makes one that is not overloaded.
-func NewLevel(l Limits) *Level { return &Level{lim: l} }
+func NewLevel(l Limits) *Level { return &Level{limits: l} }
 
-// fade lets time pass.
-func (v *Level) fade(now time.Duration) {
+// decay lets time pass.
+func (v *Level) decay(now time.Duration) {
 	if now <= v.at {
 		return
 	}
-	f := math.Exp(-float64(now-v.at) / float64(memory))
-	v.asked, v.refused, v.at = v.asked*f, v.refused*f, now
+	f := math.Exp(-float64(now-v.at) / float64(decayTime))
+	v.answers, v.refusals, v.at = v.answers*f, v.refusals*f, now
 }
 
 // Answered takes in an answer at a time, which does not go back. True: the level has turned.
 func (v *Level) Answered(now time.Duration, refused bool) (turned bool) {
-	v.fade(now)
-	if v.asked++; refused {
-		v.refused++
+	v.decay(now)
+	if v.answers++; refused {
+		v.refusals++
 	}
-	share := v.refused / v.asked
-	if v.asked < least || v.on && share >= v.lim.Leave || !v.on && share <= v.lim.Enter {
+	share := v.refusals / v.answers
+	if v.answers < minAnswers || v.overloaded && share >= v.limits.Leave || !v.overloaded && share <= v.limits.Enter {
 		return false
 	}
-	v.on = !v.on
-	v.turns++
+	v.overloaded = !v.overloaded
+	v.changes++
 	return true
 }
 
 // Now gives the level at a time: whether the dispatcher is overloaded, and the share of refusals that says so.
 func (v *Level) Now(now time.Duration) (overloaded bool, share float64) {
-	v.fade(now)
-	if v.asked < 1e-3 {
-		return v.on, 0
+	v.decay(now)
+	if v.answers < 1e-3 {
+		return v.overloaded, 0
 	}
-	return v.on, v.refused / v.asked
+	return v.overloaded, v.refusals / v.answers
 }
 
 // Turns is how often the level has turned.
-func (v *Level) Turns() int { return v.turns }
+func (v *Level) Turns() int { return v.changes }
--- a/internal/overload/shed.go
+++ b/internal/overload/shed.go
@@ -24,20 +24,20 @@
 // promise: at that time its place is in the floor, and no more are promised than the floor can hold. The zero value is of no
 // use, see NewShedder.
 type Shedder struct {
-	floor    float64
-	longest  time.Duration   // advice that can be given
-	turns    []time.Duration // by class
-	classes  []offered
-	order    []int // classes, the last refused first
-	admit    float64
-	streak   int           // jobs that ended in time, one after the other
-	at       time.Duration // of the last arrival
-	mean     float64       // work of a job
-	promises float64       // work that may yet be promised to come back
+	floor          float64
+	maxRetryAfter  time.Duration   // advice that can be given
+	periods        []time.Duration // by class
+	classes        []classLoad
+	order          []int // classes, the last refused first
+	admittedShare  float64
+	streak         int           // jobs that ended in time, one after the other
+	lastArrival    time.Duration // of the last arrival
+	meanWork       float64       // work of a job
+	promisableWork float64       // work that may yet be promised to come back
 }
 
-// offered is what is asked for of a class.
-type offered struct {
+// classLoad is what is asked for of a class.
+type classLoad struct {
 	share float64 // of the work that is offered
 }
 
@@ -53,16 +53,16 @@
 const (
 	// What is let in shrinks by these shares with each job of mean work that the module refused, which cost nobody anything, or
 	// that ended late, and grows by more with each that ended in time. Weighed in docs/design/overload.md.
-	lessRefused, lessLate, more = 0.01, 0.1, 0.02
+	decreaseRefused, decreaseLate, increase = 0.01, 0.1, 0.02
 	// Without such news it grows with time, by so much a second: a dispatcher that sees little, or whose clients have gone, comes
-	// back as soon as one that sees much. Those that end in time one after the other count more and more, up to mostStreak times.
-	drift      = 0.03
-	mostStreak = 8
-	// calm is where it is all again: it comes near to 1 of itself, but not up to it while now and then a job is late.
-	calm        = 0.995
-	forgetting  = 0.02 // of the means, a job
-	leastTurn   = 50 * time.Millisecond
-	usualAdvice = 2 * time.Second
+	// back as soon as one that sees much. Those that end in time one after the other count more and more, up to maxStreak times.
+	recoveryRate = 0.03
+	maxStreak    = 8
+	// fullAbove is where it is all again: it comes near to 1 of itself, but not up to it while now and then a job is late.
+	fullAbove            = 0.995
+	smoothing            = 0.02 // of the means, a job
+	minPeriod            = 50 * time.Millisecond
+	defaultMaxRetryAfter = 2 * time.Second
 )
 
 // NewShedder makes one that lets everything in, for a dispatcher with these settings. Limits that are not sound, or that name
@@ -72,11 +72,11 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Shedder{floor: l.Floor, order: order, admit: 1, longest: cmp.Or(cfg.MaxRetryAfter, usualAdvice)}
+	s := &Shedder{floor: l.Floor, order: order, admittedShare: 1, maxRetryAfter: cmp.Or(cfg.MaxRetryAfter, defaultMaxRetryAfter)}
 	for _, c := range cfg.Classes { // who comes a turn later must still be in time
-		s.turns = append(s.turns, max(min(c.OnTime, s.longest), leastTurn))
+		s.periods = append(s.periods, max(min(c.OnTime, s.maxRetryAfter), minPeriod))
 	}
-	s.classes = make([]offered, len(cfg.Classes))
+	s.classes = make([]classLoad, len(cfg.Classes))
 	for i := range s.classes {
 		s.classes[i].share = 1 / float64(len(cfg.Classes))
 	}
@@ -122,9 +122,9 @@
 
 func (e *orderError) Error() string { return "order: class \"" + e.class + "\" " + e.why }
 
-// place is where a job stands in its class at a time, 0 to 1: 0 as its turn begins, 1 as it ends.
-func (s *Shedder) place(now time.Duration, class int, key uint64) float64 {
-	turn := s.turns[class]
+// phase is where a job stands in its class at a time, 0 to 1: 0 as its turn begins, 1 as it ends.
+func (s *Shedder) phase(now time.Duration, class int, key uint64) float64 {
+	turn := s.periods[class]
 	// Mixed, so that keys that count on from one another are spread.
 	key = (key ^ key>>30) * 0xbf58476d1ce4e5b9
 	key = (key ^ key>>27) * 0x94d049bb133111eb
@@ -135,42 +135,42 @@
 // Arrived takes in a job at a time on a clock that all dispatchers share. False: it is to be refused at once, and its client
 // told to come back after a while.
 func (s *Shedder) Arrived(now time.Duration, j Job) (ok bool, after time.Duration) {
-	if s.grow(drift * max(0, min(now-s.at, time.Minute)).Seconds()); now > s.at {
-		s.at = now
+	if s.increaseAdmission(recoveryRate * max(0, min(now-s.lastArrival, time.Minute)).Seconds()); now > s.lastArrival {
+		s.lastArrival = now
 	}
 	work := j.Work.Seconds()
-	s.mean = cmp.Or(s.mean, work, 1)
+	s.meanWork = cmp.Or(s.meanWork, work, 1)
 	if j.Work <= 0 {
-		work = s.mean
+		work = s.meanWork
 	}
-	s.mean += (work - s.mean) * forgetting
+	s.meanWork += (work - s.meanWork) * smoothing
 	// A class's share of the work, from jobs weighed by theirs: a few heavy ones must not swing it.
-	weight := forgetting * min(work/s.mean, 4)
+	weight := smoothing * min(work/s.meanWork, 4)
 	for i := range s.classes {
 		c := &s.classes[i]
 		if c.share -= c.share * weight; i == j.Class {
 			c.share += weight
 		}
 	}
-	place := s.place(now, j.Class, j.Key)
+	place := s.phase(now, j.Class, j.Key)
 	if j.Retry && !j.Keyed {
 		place = 1 // it may have been refused anywhere: it is not dealt another place
 	}
-	if s.admit >= 1 || place < s.floor || s.position(j.Class, place) < s.admit {
-		s.promises = min(s.promises+work*s.floor, 4*s.mean)
+	if s.admittedShare >= 1 || place < s.floor || s.workAhead(j.Class, place) < s.admittedShare {
+		s.promisableWork = min(s.promisableWork+work*s.floor, 4*s.meanWork)
 		return true, 0
 	}
 	// Its turn begins when its place is 0 again; a little later, so that it surely has.
-	after = time.Duration((1 - place + s.floor/4) * float64(s.turns[j.Class]))
-	if !j.Keyed || s.promises < work || after >= s.longest {
-		return false, s.longest // there is no room in sight
+	after = time.Duration((1 - place + s.floor/4) * float64(s.periods[j.Class]))
+	if !j.Keyed || s.promisableWork < work || after >= s.maxRetryAfter {
+		return false, s.maxRetryAfter // there is no room in sight
 	}
-	s.promises -= work
+	s.promisableWork -= work
 	return false, after
 }
 
-// position is how much of the offered work comes before a job in the one order in which all shed.
-func (s *Shedder) position(class int, place float64) float64 {
+// workAhead is how much of the offered work comes before a job in the one order in which all shed.
+func (s *Shedder) workAhead(class int, place float64) float64 {
 	at := s.floor
 	for _, i := range s.order {
 		if i == class {
@@ -193,27 +193,27 @@
 
 // Came tells what became of a job that was let in.
 func (s *Shedder) Came(work time.Duration, end End) {
-	w := min(work.Seconds()/max(s.mean, 1e-9), 3)
+	w := min(work.Seconds()/max(s.meanWork, 1e-9), 3)
 	if work <= 0 {
 		w = 1
 	}
 	switch end {
 	case InTime:
-		s.streak = min(s.streak+1, mostStreak)
-		s.grow(more * w * float64(s.streak))
+		s.streak = min(s.streak+1, maxStreak)
+		s.increaseAdmission(increase * w * float64(s.streak))
 	case Late:
-		s.admit, s.streak = max(s.floor, s.admit*(1-lessLate*w)), 0
+		s.admittedShare, s.streak = max(s.floor, s.admittedShare*(1-decreaseLate*w)), 0
 	case NoRoom:
-		s.admit, s.streak = max(s.floor, s.admit*(1-lessRefused*w)), 0
+		s.admittedShare, s.streak = max(s.floor, s.admittedShare*(1-decreaseRefused*w)), 0
 	}
 }
 
-// grow lets in more.
-func (s *Shedder) grow(by float64) {
-	if s.admit += by; s.admit > calm {
-		s.admit = 1
+// increaseAdmission lets in more.
+func (s *Shedder) increaseAdmission(by float64) {
+	if s.admittedShare += by; s.admittedShare > fullAbove {
+		s.admittedShare = 1
 	}
 }
 
 // Admit is the share of the offered work that is let in now.
-func (s *Shedder) Admit() float64 { return s.admit }
+func (s *Shedder) Admit() float64 { return s.admittedShare }
--- a/internal/settings/missing_test.go
+++ b/internal/settings/missing_test.go
@@ -10,8 +10,8 @@
 	"gaugeslip/policy"
 )
 
-// whole is a customer's settings with every key that is read, odd but allowed names among them.
-const whole = `{"accounts":[{"name":"Süd, & Co.","quota-per-s":3.5}],"clients":{"marks-retry":true},
+// allKeys is a customer's settings with every key that is read, odd but allowed names among them.
+const allKeys = `{"accounts":[{"name":"Süd, & Co.","quota-per-s":3.5}],"clients":{"marks-retry":true},
 "family-info":{"class-kind":[-1,1],"class-stretch":[1.5,2.5],"progress":500.0,"report-x0":"free slots","tells-start":true},
 "kinds":["a b","c/d"],"limits":{"cancel":true,"conn-idle":6000.0,"connect-timeout":150.0,"max-attempts":3,
 "max-retry-after":800.0,"most-held":50,"probes":true,"retry-after":true,"second-copies":false},
@@ -27,7 +27,7 @@
 // it is owed: it is sent, refused at once, or asked about first, and has its answer by its deadline's end.
 func TestAnyKeyMayBeMissing(t *testing.T) {
 	var all map[string]any
-	if err := json.Unmarshal([]byte(whole), &all); err != nil {
+	if err := json.Unmarshal([]byte(allKeys), &all); err != nil {
 		t.Fatal(err)
 	}
 	tried := 0
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,8 +11,8 @@
 	"gaugeslip/policy"
 )
 
-// env is the part of the settings that is used; unknown keys are ignored.
-type env struct {
+// document is the part of the settings that is used; unknown keys are ignored.
+type document struct {
 	Accounts []struct {
 		Name  string  `json:"name"`
 		Quota float64 `json:"quota-per-s"`
@@ -104,7 +104,7 @@
 
 // Parse reads the settings. An error begins with the faulty key.
 func Parse(text []byte) (*Settings, error) {
-	var e env
+	var e document
 	if err := json.Unmarshal(text, &e); err != nil {
 		var t *json.UnmarshalTypeError
 		if errors.As(err, &t) {
