--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -7,19 +7,19 @@
 	"gaugeslip/policy"
 )
 
-// BudgetGate holds what the dispatcher does to its share of budgets that belong to the whole fleet: the jobs of a tenant, and the
-// probes of a host. A job beyond its tenant's quota is refused at once, with the time until there is room as advice; a probe that
-// there is no room for is told to the module as one that was never sent, which then leaves that host alone for a while.
+// BudgetGate keeps the dispatcher within its share of fleet-wide budgets: the jobs of each tenant, and the probes of each host. A job
+// beyond its tenant's quota is refused at once, with the time until there is quota again as advice. A probe beyond its budget is
+// reported to the module as never sent; the module then leaves that host alone for a while.
 type BudgetGate struct {
 	ledger         *budget.Ledger
-	tenantAccounts []int // account by tenant; -1: none
-	probeAccount   int   // account; -1: none
+	tenantAccounts []int // number of the account, by tenant; -1: none
+	probeAccount   int // number of the account; -1: none
 	maxRetryAfter  time.Duration
 }
 
-// BudgetAccounts are the accounts that the limits ask for at a dispatcher with these settings, and the gate that uses them, which
-// takes any ledger of these accounts. The last account is that of calls for the list where there is a bound on them; lists is its
-// number, or -1.
+// BudgetAccounts returns the accounts that the limits need at a dispatcher with these settings, and a constructor of the gate that
+// uses them, which takes a ledger of these accounts. The last account is that of calls for the list of hosts, if these are limited;
+// lists is its number, or -1.
 func BudgetAccounts(l *budget.Limits, cfg *policy.Config) (accounts []budget.Account, gate func(*budget.Ledger) *BudgetGate, lists int) {
 	g := BudgetGate{probeAccount: -1, maxRetryAfter: cfg.MaxRetryAfter}
 	for _, t := range cfg.Tenants {
@@ -62,7 +62,7 @@
 	}
 }
 
-// Out keeps back probes that there is no room for.
+// Out drops probes beyond the budget and reports them as never sent.
 func (g *BudgetGate) Out(now time.Duration, out []Command, p *Pass) {
 	for _, c := range out {
 		if x, ok := c.(Probe); ok && g.probeAccount >= 0 {
@@ -75,17 +75,17 @@
 	}
 }
 
-// Wake has nothing to wake for.
+// Wake returns no time: this gate has no timers.
 func (g *BudgetGate) Wake() (time.Duration, bool) { return 0, false }
 
-// Detached is 0: no job lives on here.
+// Detached returns 0: this gate holds no jobs.
 func (g *BudgetGate) Detached() int { return 0 }
 
-// Crashed changes nothing: what was used was used.
+// ModuleLost does nothing: what was used stays used.
 func (g *BudgetGate) Crashed(time.Duration) {}
 
-// Keeps is false: every job that passed is the module's.
+// Owns returns false: all admitted jobs are in the module.
 func (g *BudgetGate) Keeps(uint64) bool { return false }
 
-// Anew is the gate itself: its ledger is not in doubt.
+// Recreate returns the gate itself: it has no state but the ledger, which stays valid.
 func (g *BudgetGate) Anew() Gate { return g }
--- a/internal/dispatch/chain.go
+++ b/internal/dispatch/chain.go
@@ -2,52 +2,51 @@
 
 import "time"
 
-// Gate is a pure subject wrapped so that it sees the messages on their way to the core and the commands on their way
-// back, in the same Step and by the same clock. It decides when a job comes before the module and with how much of its
-// time; which host, whether to retry and what to turn away stays the module's.
+// Gate is a filter that is free of I/O, between the sockets and the core. It sees the messages on their way to the core and the
+// commands on their way back, in the same Step and with the same time. It decides when a job reaches the module and how much of its
+// time is left by then. The module alone chooses hosts, retries and refuses.
 //
-// The rules are checked at the end of the chain, so a gate that answers a job must neither let it go on nor answer it
-// again, and may let a refused one in once more only where the module's own answer proves that this is harmless.
+// The rules of a job's answers are checked at the end of the chain. A gate that answers a job must therefore not forward it or answer
+// it again. It may forward a refused job once more only if the module's answer proves that this is harmless.
 type Gate interface {
-	// In takes the messages of a Step, in order. What it hands to p.On goes on; what it hands to p.Do is done.
+	// In processes the messages of a Step, in order. It forwards messages with p.Forward and emits commands with p.Emit.
 	In(now time.Duration, in []Message, p *Pass)
-	// Out takes the commands that came of them, in order, and hands to p.Do what is to be done. What it hands to
-	// p.On goes in once more, in the same Step.
+	// Out processes the commands that result, in order. It emits commands with p.Emit. Messages that it forwards with p.Forward enter
+	// the rest of the chain in the same Step.
 	Out(now time.Duration, out []Command, p *Pass)
-	// Wake tells when the gate's next Step is due though nothing happens.
+	// Wake returns the time at which the gate's next Step is due if no message arrives before.
 	Wake() (at time.Duration, ok bool)
-	// Detached counts the jobs without a connection that are before the module or at a host.
+	// Detached returns the number of jobs without a client connection that are in the module or at a host.
 	Detached() int
-	// Crashed tells that the module has forgotten what was before it. Keeps then tells of a job whether it is the
-	// gate's alone, and goes on.
+	// ModuleLost is called when the module has lost its state in a panic. Owns then reports whether a job is in this gate alone and
+	// goes on.
 	Crashed(now time.Duration)
 	Keeps(job uint64) bool
-	// Anew makes one that knows nothing, for when a panic has left this one in doubt.
+	// Recreate returns an empty gate, for use after a panic in this one.
 	Anew() Gate
 }
 
-// Pass is what a gate hands on.
+// Pass collects what a gate forwards and emits.
 type Pass struct {
 	messages []Message
 	commands []Command
 }
 
-// On sends a message on towards the core.
+// Forward sends a message on towards the core.
 func (p *Pass) On(m Message) { p.messages = append(p.messages, m) }
 
-// Do sends a command on towards the sockets.
+// Emit sends a command on towards the sockets.
 func (p *Pass) Do(c Command) { p.commands = append(p.commands, c) }
 
-// Chain is a Core with gates round it. Like a Core it is not safe for use by more than one goroutine. With no gates it
-// costs nothing and changes nothing.
+// Chain is a Core with gates in front of it. It is not safe for concurrent use. Without gates it adds no cost and changes nothing.
 type Chain struct {
 	core   *Core
-	gates  []Gate // the outermost first
-	passes []Pass // one a gate
-	inCore bool   // a Step is in the core, not in a gate
+	gates  []Gate // outermost first
+	passes []Pass // one for each gate
+	inCore bool // the Step is in the core, not in a gate
 }
 
-// Gates are those that a Chain can have; nil ones are not there.
+// Gates are the possible gates of a Chain; nil means that the gate is not used.
 type Gates struct {
 	Waiting *WaitingGate
 	Budget  *BudgetGate
@@ -55,9 +54,9 @@
 	Sites   *SitesGate
 }
 
-// NewChain puts gates round a core. Their order is written down here alone: the waiting room is the outermost, since what waits is
-// for no later gate to count yet; then budgets, since what a tenant may not ask for at all is no overload; then the one that sheds, and
-// next to the core the one that judges sites, which sees what the core asks for.
+// NewChain puts gates in front of a core, in a fixed order. The waiting room is outermost, since no other gate may count a job that
+// waits. Budgets come next, since a job beyond its tenant's quota is no sign of overload. Then comes load shedding. The gate that
+// judges sites is next to the core, to see what the core sends.
 func NewChain(core *Core, g Gates) *Chain {
 	c := &Chain{core: core}
 	if g.Waiting != nil {
@@ -85,8 +84,7 @@
 	return c.stepFrom(now, 0, in)
 }
 
-// stepFrom takes a Step through the gates from number n on. A gate may send messages in again for what came out; it must
-// see to it that this ends.
+// stepFrom takes a Step through the gates from number n on. A gate may forward messages in Out; it must ensure that this ends.
 func (c *Chain) stepFrom(now time.Duration, n int, in []Message) []Command {
 	if n == len(c.gates) {
 		c.inCore = true
@@ -106,7 +104,7 @@
 	}
 }
 
-// Wake tells when the next Step is due though nothing happens.
+// Wake returns the time at which the next Step is due if no message arrives before.
 func (c *Chain) Wake() (at time.Duration, ok bool) {
 	at, ok = c.core.Wake()
 	for _, g := range c.gates {
@@ -117,7 +115,7 @@
 	return at, ok
 }
 
-// Detached counts the jobs without a connection that are before the module or at a host.
+// Detached returns the number of jobs without a client connection that are in the module or at a host.
 func (c *Chain) Detached() (n int) {
 	for _, g := range c.gates {
 		n += g.Detached()
@@ -125,15 +123,14 @@
 	return n
 }
 
-// Open is how many jobs the core's table holds.
+// OpenJobs returns the number of jobs in the core's table.
 func (c *Chain) Open() int { return c.core.Open() }
 
-// Heard is the version that a watch begins after.
+// WatchVersion returns the version after which a watch starts.
 func (c *Chain) Heard() uint64 { return c.core.Heard() }
 
-// Renew makes a Chain for when a panic has left this one in doubt, and the list to begin it with. Gates go on with what
-// is theirs alone where the panic was in the module; keeps tells which jobs that are. After one in a gate nothing
-// of it is trusted.
+// Rebuild returns a new Chain to use after a panic, and the list of known hosts as its first message. After a panic in the module the
+// gates keep the jobs that they alone hold; keeps reports which jobs those are. After a panic in a gate all gates start empty.
 func (c *Chain) Renew(now time.Duration) (n *Chain, known Listed, keeps func(job uint64) bool, err error) {
 	core, known, err := c.core.Renew()
 	if err != nil {
@@ -161,8 +158,8 @@
 	}, nil
 }
 
-// Workers counts the listed hosts and those that the dispatcher keeps away from; see Core.Workers.
+// Workers returns the number of listed hosts and of those that the dispatcher avoids; see Core.Workers.
 func (c *Chain) Workers() (known, excluded int) { return c.core.Workers() }
 
-// Hands lists the hosts that are out by hand.
+// Cordoned returns the names of the hosts that an operator has taken out of service.
 func (c *Chain) Hands() []string { return c.core.Hands() }
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -13,14 +13,14 @@
 	"gaugeslip/policy"
 )
 
-// job is one entry of the table: a request that is owed an answer, or whose upstream requests are still out.
+// job is an entry of the job table. A job stays in the table until it has its final answer and all its upstream requests have ended.
 type job struct {
 	deadline        time.Duration
 	class           int
-	earlierAttempts int // sends in earlier turns; attempts counts on from there
+	earlierAttempts int // attempts made before this arrival; numbers of attempts continue from here
 	attempts        []attempt
 	inFlight        int
-	mayHaveRun      int // attempts that are out or may have run
+	mayHaveRun      int // attempts that are in flight or may have run
 	finished        bool
 }
 
@@ -36,7 +36,7 @@
 	id uint64
 }
 
-// Core owns the decision module. It is not safe for use by more than one goroutine.
+// Core owns the decision module. It is not safe for concurrent use.
 type Core struct {
 	module       *policy.Dispatcher
 	cfg          policy.Config
@@ -44,19 +44,19 @@
 	maxAttempts  int
 	jobs         map[uint64]*job
 	hosts        map[uint32]Host
-	cordoned     map[string]struct{}      // hosts out by hand, by name
-	uncordonedAt map[string]time.Duration // when hosts came back from a stay out by hand
-	removable    []uint64                 // jobs that may leave the table when the Step is over
+	cordoned     map[string]struct{} // names of hosts that an operator has taken out of service
+	uncordonedAt map[string]time.Duration // when a host was put back into service, by name
+	removable    []uint64 // jobs to be checked for removal from the table at the end of the Step
 	timers       []timer
-	shutdownAt   time.Duration // when all that is open is answered, as the program ends; 0: it does not
-	listVersion  uint64        // of the newest list
-	watchVersion uint64        // of the last one, from which a watch goes on
+	shutdownAt   time.Duration // when all open jobs are answered because the program ends; 0: not set
+	listVersion  uint64 // the highest version received
+	watchVersion uint64 // version of the last list received, after which a watch continues
 	events       []policy.Event
 	actions      []policy.Action
 	out          []Command
 }
 
-// New makes a Core for one dispatcher.
+// New returns a Core for one dispatcher.
 func New(cfg policy.Config, seed uint64) (*Core, error) {
 	d, err := policy.New(cfg, seed)
 	if err != nil {
@@ -66,10 +66,10 @@
 		hosts: map[uint32]Host{}, cordoned: map[string]struct{}{}, uncordonedAt: map[string]time.Duration{}}, nil
 }
 
-// Renew makes a Core for when a panic has left this one's module in doubt, and the list to begin it with.
+// Rebuild returns a new Core to use after a panic in the module, and the list of known hosts as its first message.
 func (c *Core) Renew() (*Core, Listed, error) {
 	n, err := New(c.cfg, c.seed+1)
-	if err == nil { // what was done by hand is not in doubt, nor that the program ends
+	if err == nil { // the operators' settings and the shutdown time are not affected by the panic
 		n.cordoned, n.uncordonedAt, n.shutdownAt = c.cordoned, c.uncordonedAt, c.shutdownAt
 	}
 	known := Listed{Version: c.listVersion, Whole: true, Stale: true}
@@ -80,15 +80,15 @@
 	return n, known, err
 }
 
-// Open is how many jobs the table holds, answered ones with requests still out included.
+// OpenJobs returns the number of jobs in the table. Answered jobs with upstream requests in flight count too.
 func (c *Core) Open() int { return len(c.jobs) }
 
-// Heard is the version of the last list taken in, which is what a watch begins after: lower than the newest's where the
-// cluster has told an older one since.
+// WatchVersion returns the version of the last list received, after which a watch starts. It is lower than the highest version
+// received if the cluster has sent an older list since.
 func (c *Core) Heard() uint64 { return c.watchVersion }
 
-// Step takes in what happened up to now and returns what to do, in order. The result is valid until the
-// next Step.
+// Step processes the messages received up to now and returns the commands to carry out, in order. The result is valid until the next
+// Step.
 func (c *Core) Step(now time.Duration, in []Message) []Command {
 	c.out, c.events = c.out[:0], c.events[:0]
 	for _, m := range in {
@@ -103,8 +103,8 @@
 		}
 		return a.at <= now
 	})
-	// A Send that can't be carried out ends at once, which is news for the module in turn: each round uses
-	// up an attempt of some job, so the rounds end.
+	// A Send that is not possible ends at once, which is a new event for the module. Each round uses up an attempt of some job, so the
+	// loop ends.
 	for len(c.events) > 0 {
 		c.actions = c.module.Step(now, c.events, c.actions[:0])
 		c.events = c.events[:0]
@@ -112,8 +112,8 @@
 			c.execute(now, &c.actions[i])
 		}
 	}
-	// Not earlier: the module may yet send a job whose end is told later in the same batch, and then has to
-	// hear that this was never sent, or it counts the lane as taken for good.
+	// Jobs are removed only here: the module may still send a job whose end comes later in the same batch. It must then get the event
+	// that this attempt was never sent, or it counts the lane as occupied for ever.
 	for _, id := range c.removable {
 		if j := c.jobs[id]; j != nil && j.finished && j.inFlight == 0 {
 			delete(c.jobs, id)
@@ -123,7 +123,7 @@
 	return c.out
 }
 
-// Wake tells when the next Step is due though nothing happens.
+// Wake returns the time at which the next Step is due if no message arrives before.
 func (c *Core) Wake() (at time.Duration, ok bool) {
 	for _, a := range c.timers {
 		if !ok || a.at < at {
@@ -136,7 +136,7 @@
 	return at, ok
 }
 
-// hasUnanswered tells whether any job in the table is owed its answer.
+// hasUnanswered reports whether any job in the table has no final answer yet.
 func (c *Core) hasUnanswered() bool {
 	for _, j := range c.jobs {
 		if !j.finished {
@@ -146,8 +146,8 @@
 	return false
 }
 
-// answerOpenJobs answers all that is open, as the program ends: a refusal where it is proved that a job never ran or a repeat is
-// harmless, else a failure. To the module their clients have left.
+// answerOpenJobs answers all open jobs because the program ends. A job is refused if it certainly never ran or a repeat is harmless,
+// and fails otherwise. The module gets the event that their clients have gone.
 func (c *Core) answerOpenJobs() {
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		j := c.jobs[id]
@@ -164,7 +164,7 @@
 	}
 }
 
-// handle turns one message into an event.
+// handle turns one message into an event for the module.
 func (c *Core) handle(now time.Duration, m Message) {
 	e := policy.Event{}
 	switch m := m.(type) {
@@ -224,7 +224,7 @@
 	case Closing:
 		c.shutdownAt = m.By
 		return
-	case Asked, Unasked, Tuned: // for gates
+	case Asked, Unasked, Tuned: // handled by gates only
 		return
 	default:
 		panic(fmt.Sprintf("dispatch: unknown message %T", m))
@@ -232,7 +232,7 @@
 	c.events = append(c.events, e)
 }
 
-// activeAttempt finds an upstream request that has not ended, and the module's number of it.
+// activeAttempt returns an attempt that has not ended, and the module's number of it.
 func (c *Core) activeAttempt(k Key) (*attempt, int) {
 	j := c.jobs[k.Job]
 	if j == nil {
@@ -245,7 +245,7 @@
 	return &j.attempts[n], n
 }
 
-// attemptEnded books the one outcome of an upstream request. A second outcome is dropped.
+// attemptEnded records the outcome of an attempt. Each attempt has one outcome; any further one is dropped.
 func (c *Core) attemptEnded(now time.Duration, m Ended, e *policy.Event) bool {
 	a, n := c.activeAttempt(m.Key)
 	if a == nil {
@@ -257,7 +257,7 @@
 	if m.Result.NeverRan() {
 		j.mayHaveRun--
 	}
-	// The first OK has reached the client by itself and finishes the job.
+	// The first OK has already reached the client, and finishes the job.
 	if m.Result == policy.OK {
 		j.finished = true
 	}
@@ -296,7 +296,7 @@
 		}
 	case policy.Refuse, policy.Fail:
 		j := c.jobs[a.Job]
-		if j == nil || j.finished { // exactly one final answer
+		if j == nil || j.finished { // a job has exactly one final answer
 			return
 		}
 		c.finish(a.Job, j)
@@ -323,10 +323,10 @@
 	}
 }
 
-// send books an upstream request. One that must not or can't go out has never been sent.
+// send records an attempt. If the attempt is not allowed or not possible, it ends at once as never sent.
 func (c *Core) send(now time.Duration, a *policy.Action) {
 	j := c.jobs[a.Job]
-	if j == nil { // a job is in the table for as long as the module may send it
+	if j == nil { // the table holds a job for as long as the module may send it
 		panic(fmt.Sprintf("dispatch: a send for job %d, which is not known", a.Job))
 	}
 	n := len(j.attempts)
@@ -348,8 +348,8 @@
 	c.out = append(c.out, Send{Key: k, Addr: h.Addr, Until: until})
 }
 
-// cancelUnsent calls back what was decided for hosts that are to get nothing new, and may still wait for a connection: the
-// time within which a drain has to be obeyed counts for it too.
+// cancelUnsent cancels attempts to hosts that must get no new jobs, if they still wait for a connection. The time limit for obeying a
+// drain covers these attempts too.
 func (c *Core) cancelUnsent() {
 	from := len(c.out)
 	for id, j := range c.jobs {
@@ -360,16 +360,15 @@
 			}
 		}
 	}
-	slices.SortFunc(c.out[from:], func(a, b Command) int { // the same in each run
+	slices.SortFunc(c.out[from:], func(a, b Command) int { // the map has no fixed order
 		x, y := a.(Unsend).Key, b.(Unsend).Key
 		return cmp.Or(cmp.Compare(x.Job, y.Job), cmp.Compare(x.Attempt, y.Attempt))
 	})
 }
 
-// filterOlderList is what counts of a list that is older than the newest one: that hosts drain or are gone, of a whole one by being
-// missing too, and hosts that the newest did not know or that have started since. What it says else has been told otherwise
-// since: a host that drains is not ready again by it. A host that is missing only as it was new then comes again with the
-// changes that follow.
+// filterOlderList returns the part of an outdated list that still applies: hosts that drain or are gone, hosts that a full list lacks,
+// and hosts that are unknown or have started since. Newer lists override the rest; in particular a draining host does not become ready
+// again. A full list that is older than the start of a host removes that host; the changes that follow add it again.
 func (c *Core) filterOlderList(m Listed) Listed {
 	l := Listed{Version: c.listVersion}
 	told := map[uint32]bool{}
@@ -389,7 +388,7 @@
 	return l
 }
 
-// updateHosts turns the cluster's entries into the module's workers, and keeps what the module need not know.
+// updateHosts stores the listed hosts and returns them as workers of the module.
 func (c *Core) updateHosts(m Listed) []policy.Worker {
 	if m.Whole {
 		clear(c.hosts)
@@ -398,7 +397,7 @@
 	for _, h := range m.Hosts {
 		id := WorkerID(h.Name)
 		if old, ok := c.hosts[id]; ok && old.Name != h.Name {
-			// Two hosts with one id would be one worker to the module: the second stays out of use.
+			// Two hosts with the same id would be one worker to the module, so the second is not used.
 			c.out = append(c.out, Log{Warn: true, Text: fmt.Sprintf(
 				"hosts %q and %q have one worker id %d: %q is not used", old.Name, h.Name, id, h.Name)})
 			continue
@@ -412,9 +411,8 @@
 	return workers
 }
 
-// WorkerID derives the module's number of a worker from its host's name alone, so that it is alike at all
-// dispatchers, in whatever order they hear of the hosts: eight hex digits after the last dash as they are,
-// else a hash of the name.
+// WorkerID derives the module's id of a worker from the name of its host alone, so that all dispatchers use the same id, in whatever
+// order they learn of the hosts. Eight hex digits after the last dash are the id; any other name is hashed.
 func WorkerID(name string) uint32 {
 	if tail := name[strings.LastIndexByte(name, '-')+1:]; len(tail) == 8 {
 		if v, err := strconv.ParseUint(tail, 16, 32); err == nil {
--- a/internal/dispatch/hands.go
+++ b/internal/dispatch/hands.go
@@ -8,18 +8,18 @@
 	"gaugeslip/policy"
 )
 
-// Hand takes a host out by hand (Out), or puts it back. It is answered by one Handed.
+// SetCordon takes a host out of service on an operator's request (Cordoned), or puts it back. The answer is one CordonResult.
 type Hand struct {
 	Ask  uint64
 	Name string
 	Out  bool
 }
 
-// HandSet is the whole set of hosts that are out by hand, as it was kept outside the process: at a start, and when
-// another process of the same dispatcher has changed it.
+// CordonSet is the full set of hosts out of service, as stored outside the process. It is sent at the start, and when another process
+// of the same dispatcher has changed it.
 type HandSet struct{ Names []string }
 
-// Handed answers a Hand. Known: a host of that name is on the list or out by hand; else nothing was changed.
+// CordonResult answers a SetCordon. Known reports that the host is listed or out of service; if it is false, nothing was changed.
 type Handed struct {
 	Ask   uint64
 	Known bool
@@ -29,11 +29,10 @@
 func (HandSet) message() {}
 func (Handed) command()  {}
 
-// What is out by hand is an input to the module like the list: a host that is out is told to the module as one that
-// drains, whatever the list says of it, and one that comes back is told as one that has just started, since it was
-// restarted meanwhile. What the module does with either stays its own decision.
+// A host that an operator has taken out of service is reported to the module as draining, whatever the list says of it. A host that is
+// put back is reported as just started, since it was restarted meanwhile. How to treat such hosts is the module's decision.
 
-// setCordoned takes a host out or puts it back, and tells the module where that changes what it sees.
+// setCordoned takes a host out of service or puts it back, and informs the module if the host is listed.
 func (c *Core) setCordoned(now time.Duration, name string, out bool) {
 	if c.isCordoned(name) == out {
 		return
@@ -53,19 +52,19 @@
 	c.cancelUnsent()
 }
 
-// isCordoned tells whether a host is out by hand.
+// isCordoned reports whether an operator has taken a host out of service.
 func (c *Core) isCordoned(name string) bool {
 	_, out := c.cordoned[name]
 	return out
 }
 
-// knowsHost tells whether a name is that of a listed host or of one that is out by hand.
+// knowsHost reports whether a host is listed or out of service.
 func (c *Core) knowsHost(name string) bool {
 	h, listed := c.hosts[WorkerID(name)]
 	return listed && h.Name == name || c.isCordoned(name)
 }
 
-// replaceCordoned makes the set of hosts out by hand that one.
+// replaceCordoned replaces the set of hosts out of service.
 func (c *Core) replaceCordoned(now time.Duration, names []string) {
 	for name := range c.cordoned {
 		if !slices.Contains(names, name) {
@@ -77,7 +76,7 @@
 	}
 }
 
-// moduleWorker is what the module is told of a listed host: its entry, changed by what was done by hand.
+// moduleWorker returns a listed host as the module sees it: the entry of the list, overridden by what operators have set.
 func (c *Core) moduleWorker(h Host) policy.Worker {
 	w := policy.Worker{ID: WorkerID(h.Name), Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, State: h.State,
 		Scale: h.Scale, Since: h.Born}
@@ -85,12 +84,12 @@
 		w.State = policy.Draining
 	}
 	if back, ok := c.uncordonedAt[h.Name]; ok && back > w.Since {
-		w.Since = back // restarted while it was out, whether the list has heard of that or not
+		w.Since = back // the host was restarted while out of service, even if the list does not say so yet
 	}
 	return w
 }
 
-// Hands lists the hosts that are out by hand, by name.
+// Cordoned returns the names of the hosts that an operator has taken out of service, sorted.
 func (c *Core) Hands() []string {
 	names := make([]string, 0, len(c.cordoned))
 	for name := range c.cordoned {
@@ -100,8 +99,8 @@
 	return names
 }
 
-// Workers counts the listed hosts and those of them that this dispatcher keeps away from, by hand or by the
-// module's own judgement.
+// Workers returns the number of listed hosts, and of those that this dispatcher avoids, because an operator has taken them out of
+// service or because the module suspects them.
 func (c *Core) Workers() (known, excluded int) {
 	for id, h := range c.hosts {
 		known++
