--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,22 +1,23 @@
-// Package budget divides what the whole fleet may use among its dispatchers, so that their parts never come to more than the
-// whole. It is free of I/O, clocks and goroutines: callers pass the time of a monotonic clock of the process, and carry messages.
+// Package budget divides fleet-wide budgets among dispatchers, so that their shares never sum to more than the whole. It is free of
+// I/O, clocks and goroutines: callers pass the time of a monotonic clock of the process, and carry messages.
 //
-// The invariant. A budget is cut into Whole units. At every instant of real time, the units that processes of the fleet may still
-// use sum to at most Whole, as long as
+// The invariant: a budget consists of Whole units. At every instant of real time, the units that processes of the fleet may still use
+// sum to at most Whole, as long as
 //
-//   - each process's clock runs at most by Config.Drift faster or slower than real time, in any stretch of it; what its clock
-//     shows does not matter (a clock that stands still while the machine sleeps breaks this: keep such machines out);
-//   - the number of members that the settings say is right, and at most one process at a time has a member's number: see Lock and
+//   - each process's clock runs at most by Config.Drift faster or slower than real time, in any interval; the absolute time that it
+//     shows does not matter (a clock that stops while the machine sleeps breaks this assumption: exclude such machines);
+//   - the number of members in the settings is right, and at most one process at a time has a member's number: see Lock and
 //     the address that a member has to hold.
 //
-// Nothing is assumed of messages: they may be lost, late, repeated, out of order or torn. Nothing is assumed of pauses, but that a
-// use which was decided is carried out with the Step that decided it: a process that is stopped between the two uses what that one
-// Step had decided, at most, after its share's end.
+// Messages may be lost, late, repeated, reordered or corrupt. A process may pause at any time, but a use that was decided must be
+// carried out with the Step that decided it. A process that is stopped between the two uses at most what that one Step had decided
+// after its share has ended.
 //
-// What is observed of a budget's uses in any window follows, for each kind, with the burst that it states: see Rate, Window, Held.
+// The bound on the uses of a budget in a time window depends on the kind of limit, which states its burst: see TokenBucket,
+// SlidingWindow and ConcurrencyLimit.
 //
-// The ways to divide are Static, which needs no talk, and Node, which leases what is not used where it is wanted; with neither
-// there is no budget. docs/design/budgets.md has the argument, and what was weighed.
+// Budgets are divided either by EqualShare, which needs no messages, or by Node, which leases unused units to members that need them.
+// Without either there is no budget. docs/design/budgets.md has the argument and the alternatives.
 package budget
 
 import (
@@ -29,17 +30,17 @@
 // Units are parts of a budget.
 type Units int32
 
-// Whole is all of a budget.
+// Whole is an entire budget.
 const Whole Units = 1 << 20
 
-// Share is what a process may use of a budget: Floor for good, More besides until the time Until.
+// Share is what a process may use of a budget: Floor permanently, and Extra in addition until the time Until.
 type Share struct {
 	Floor, More Units
 	Until       time.Duration
-	Epoch       uint32 // rises with each change
+	Epoch       uint32 // increases with each change
 }
 
-// At is what may be used at a time.
+// At returns the units that may be used at a time.
 func (s Share) At(now time.Duration) Units {
 	if now < s.Until {
 		return s.Floor + s.More
@@ -47,38 +48,39 @@
 	return s.Floor
 }
 
-// Static is the share of one of so many members that never talk: an equal part, the rest of the division to nobody.
+// EqualShare returns the permanent share of one of a number of members that exchange no messages. The remainder of the division is
+// unused.
 func Static(members int) Share { return Share{Floor: Whole / Units(max(members, 1))} }
 
 // Way is how budgets are divided.
 type Way string
 
-// The ways.
+// The ways to divide budgets.
 const (
-	ByNumber Way = "static" // equal parts by the settings' count
-	ByTalk   Way = "talk"   // a floor by the settings' count, the rest by need
+	ByNumber Way = "static" // equal shares by the number of members in the settings
+	ByTalk   Way = "talk"   // a floor by the number of members in the settings, the rest leased by demand
 )
 
 // Limits are the settings of the block budgets.
 type Limits struct {
 	Way       Way
-	Floor     float64 // ByTalk: of an equal part, what each member owns whatever happens
-	Tenants   bool    // tenants are held to the quotas of the platform's settings
+	Floor     float64 // LeasedShares: the permanent part of each member, as a share of an equal share
+	Tenants   bool    // limit tenants to the quotas of the platform's settings
 	Burst     float64 // of tenants, in seconds of their quota
-	Probes    float64 // of a host by all dispatchers, a second; 0: no bound
-	ListCalls float64 // for the list by all dispatchers, a second; 0: no bound
+	Probes    float64 // of each host by all dispatchers, per second; 0: no limit
+	ListCalls float64 // for the list of hosts by all dispatchers, per second; 0: no limit
 }
 
-// Defaults is what an empty block means.
+// Defaults returns the limits of an empty block.
 func Defaults() Limits { return Limits{Way: ByNumber, Floor: 0.25, Tenants: true, Burst: 1} }
 
-// Check finds settings that can't be kept. An error begins with the faulty key.
+// Check returns an error for invalid settings. Its text starts with the key of the invalid setting.
 func (l *Limits) Check() error {
 	switch {
 	case l.Way != ByNumber && l.Way != ByTalk:
 		return fmt.Errorf("way: %q is neither %q nor %q", l.Way, ByNumber, ByTalk)
 	case !(l.Floor >= 0 && l.Floor <= 1):
-		return errors.New("floor: out of range, 0 to 1 of an equal part: over it the floors come to more than the whole")
+		return errors.New("floor: out of range, 0 to 1 of an equal part: above 1 the floors would exceed the whole")
 	case !(l.Burst > 0 && l.Burst <= 3600):
 		return errors.New("burst: out of range, over 0 to 3600 seconds")
 	}
@@ -93,13 +95,13 @@
 	return nil
 }
 
-// FloorOf is what each of so many members owns whatever happens.
+// FloorUnits returns the permanent units of each of a number of members.
 func (l *Limits) FloorOf(members int) Units {
 	return Units(float64(Static(members).Floor) * l.Floor)
 }
 
-// Wanted is what a member asks for beyond its floor when so much is asked of it, of a whole of so much: a tenth more, for what is
-// yet to come.
+// ExtraDemand returns the units that a member requests beyond its floor, for a demand and a whole budget in the same unit. It adds a
+// tenth for growth.
 func Wanted(asked, whole float64, floor Units) Units {
 	const more = 1.1
 	if !(whole > 0) {
--- a/internal/budget/divide.go
+++ b/internal/budget/divide.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// minChangeDivisor is the change of a part, as a share of an equal one, under which it stays as it is: parts would else bounce with the
-// noise of what is wanted. What nobody else wants is given out beside that.
+// minChangeDivisor sets the smallest change of a part that is applied: an equal part divided by it. Otherwise parts would follow the
+// noise of the demand. Units that nobody wants are distributed all the same.
 const minChangeDivisor = 8 // an eighth
 
-// divide deals pool units out to members by what they want, weighted max-min: whoever wants less than an equal part gets it, the
-// rest have equal parts of what is left, and what nobody wants is dealt out evenly for whatever comes. Had is what each has now;
-// a part that would change by little stays, as long as the sum allows. The parts sum to at most pool.
+// divide distributes pool units among members by max-min fairness: a member that wants less than an equal part gets what it wants, and
+// the others get equal parts of the rest. Units that nobody wants are distributed evenly, as a reserve. current holds the present
+// parts. A part that would change only little stays, if the sum allows it. The parts sum to at most pool.
 func divide(pool Units, want, current []Units) []Units {
 	n := len(want)
 	parts := make([]Units, n)
@@ -28,7 +28,7 @@
 		parts[i] = min(max(want[i], 0), left/Units(n-k))
 		left -= parts[i]
 	}
-	for k, i := range order { // what nobody wants
+	for k, i := range order { // units that nobody wants
 		x := left / Units(n-k)
 		parts[i] += x
 		left -= x
--- a/internal/budget/ledger.go
+++ b/internal/budget/ledger.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Account is one budget that a process uses.
+// Account is a budget that a process uses.
 type Account struct {
 	Name      string
-	PerSecond float64 // of the whole
-	Burst     float64 // of the whole
-	Keyed     bool    // there is as much for each key: for each host, say
+	PerSecond float64 // of the whole budget
+	Burst     float64 // of the whole budget
+	Keyed     bool    // each key, such as a host, has a budget of its own
 }
 
-// Figure is an Account as it stands.
+// AccountStatus is the state of an Account.
 type Figure struct {
 	Name    string  `json:"budget"`
 	Whole   float64 `json:"whole_per_second"`
 	Keyed   bool    `json:"for_each_key,omitempty"`
-	Floor   float64 `json:"floor"` // shares of the whole
+	Floor   float64 `json:"floor"` // as shares of the whole
 	Owned   float64 `json:"owned"`
-	EndsMS  int64   `json:"ends_in_ms,omitempty"` // of what is beyond the floor
+	EndsMS  int64   `json:"ends_in_ms,omitempty"` // of the part beyond the floor
 	Epoch   uint32  `json:"epoch"`
 	Used    uint64  `json:"used"`
-	Refused uint64  `json:"refused"` // for want of it
+	Refused uint64  `json:"refused"` // for lack of budget
 }
 
-// maxKeys bounds the keys of an account. Beyond it all begin anew, empty, which never uses too much.
+// maxKeys limits the keys of an account. Beyond it all buckets are dropped and start empty, which never allows too much.
 const maxKeys = 4096
 
-// Ledger holds what a process owns of each account, and pays from it. It owns nothing until it is told. Its methods may be called
-// from any goroutine; a use costs no allocation.
+// Ledger holds the shares that a process has of each account, and takes uses from them. It has no shares until SetShare. It is safe
+// for concurrent use. A use allocates no memory.
 type Ledger struct {
 	drift    float64
 	mu       sync.Mutex
@@ -44,11 +44,11 @@
 	single        Rate
 	keys          map[uint64]*Rate
 	used, refused uint64
-	demand        float64 // a second, lately
+	demand        float64 // recent uses per second, by decaying average
 	demandAt      time.Duration
 }
 
-// NewLedger makes one, for clocks that run at most by drift too fast: by that much less is used.
+// NewLedger returns a ledger for clocks that run at most by drift too fast: rates are reduced by that much.
 func NewLedger(accounts []Account, drift float64) *Ledger {
 	l := &Ledger{drift: drift}
 	for _, a := range accounts {
@@ -61,10 +61,10 @@
 	return Rate{PerSecond: a.PerSecond / (1 + l.drift), Burst: a.Burst}
 }
 
-// Accounts is how many there are.
+// Accounts returns the number of accounts.
 func (l *Ledger) Accounts() int { return len(l.accounts) }
 
-// Own changes what the process owns of an account.
+// SetShare changes the process's share of an account.
 func (l *Ledger) Own(now time.Duration, account int, s Share) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,7 +76,7 @@
 	}
 }
 
-// bucket is the bucket of a key. The lock is held.
+// bucket returns the bucket of a key. The caller holds the lock.
 func (l *Ledger) bucket(now time.Duration, p *accountState, key uint64) *Rate {
 	if !p.Keyed {
 		return &p.single
@@ -94,7 +94,7 @@
 	return r
 }
 
-// demandDecay is how fast demand is forgotten: to 1/e in this time.
+// demandDecay is the time constant of the average demand.
 const demandDecay = time.Second
 
 func (p *accountState) decayDemand(now time.Duration) {
@@ -104,8 +104,8 @@
 	}
 }
 
-// Take uses one of an account at a time. False: there is none, and after tells when there will be, if the share stays; negative:
-// it is not known.
+// Take uses one unit of an account at a time. If ok is false, nothing is left; after is then the time until there is, if the share
+// stays as it is, or negative if that is not known.
 func (l *Ledger) Take(now time.Duration, account int, key uint64) (ok bool, after time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +121,7 @@
 	return false, r.In(now, 1)
 }
 
-// Wanted puts into want what is asked for of each account beyond a floor.
+// ExtraDemand stores in want the units to request of each account beyond a floor.
 func (l *Ledger) Wanted(now time.Duration, floor Units, want []Units) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// Figures tells how all accounts stand at a time.
+// Status returns the state of all accounts at a time.
 func (l *Ledger) Figures(now time.Duration) []Figure {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/budget/node.go
+++ b/internal/budget/node.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Ballot numbers an attempt at the lead. Ballots are ordered by N, then By, then Life; a process never makes the same twice.
+// Ballot identifies an attempt to become leader. Ballots are ordered by N, then Proposer, then Incarnation. A process never uses one
+// twice.
 type Ballot struct {
 	N    uint32
 	By   uint16
@@ -23,31 +24,31 @@
 	return b.Life < o.Life
 }
 
-// sameProcess tells whether two ballots are of one process.
+// sameProcess reports whether two ballots are of the same process.
 func (b Ballot) sameProcess(o Ballot) bool { return b.By == o.By && b.Life == o.Life }
 
-// Kind says what a Message is for.
+// Kind is the type of a Message.
 type Kind uint8
 
-// The messages, with the fields that count beside From, To and Life.
+// The kinds of messages, with the fields that they use besides From, To and Incarnation.
 const (
-	Prepare  Kind = iota + 1 // Ballot: who may lead?
-	Promise                  // Ballot, Open: no lower ballot from now on; Open: no other's lead is on
-	Nack                     // Ballot: a higher one is promised
-	Propose                  // Ballot: I lead
+	Prepare  Kind = iota + 1 // Ballot: a candidate asks to lead
+	Promise                  // Ballot, Open: no lower ballot will be accepted; Open: no other process holds the leader lease
+	Nack                     // Ballot: a higher ballot was promised
+	Propose                  // Ballot: a candidate claims the leader lease
 	Accepted                 // Ballot
-	Ask                      // Seq, Units wanted beyond the floor; Ballot and Epoch of the grant that is held to
-	Grant                    // Seq and To's Asker as asked, Ballot, Epoch, TTL, Units
-	Redirect                 // Leader: ask there; -1: none is known
+	Ask                      // Seq, Units wanted beyond the floor; Ballot and Epoch of the present grant
+	Grant                    // Seq and Requester as in the request, Ballot, Epoch, TTL, Units
+	Redirect                 // Leader: where to send requests; -1: not known
 	kindEnd
 )
 
-// Message is what members tell one another.
+// Message is exchanged between members.
 type Message struct {
 	Kind     Kind
 	From, To int
-	Life     uint64 // of the process that sends
-	Asker    uint64 // Grant: the life that asked
+	Life     uint64 // of the sending process
+	Asker    uint64 // Grant: incarnation that sent the request
 	Ballot   Ballot
 	Open     bool
 	Seq      uint32
@@ -57,74 +58,74 @@
 	Units    []Units // by budget
 }
 
-// Config is what a Node must keep to. All members of a fleet have the same, but for Self and Life.
+// Config is the configuration of a Node. All members of a fleet use the same, except for Self and Incarnation.
 type Config struct {
 	Self, Members int
-	Voters        int // the members numbered below this decide who leads: one, or better three or five
+	Voters        int // the members with lower numbers elect the leader: one, or better three or five
 	Budgets       int
-	Floor         Units         // that each member owns of each budget, whatever happens
-	Term          time.Duration // of the lead, and the longest of a grant
-	Every         time.Duration // between two asks of a member
-	Drift         float64       // of any clock against real time, at most
-	Life          uint64        // another one for each start of a process; not 0
+	Floor         Units         // permanent units of each member, of each budget
+	Term          time.Duration // of the leader lease, and the longest of a grant
+	Every         time.Duration // between two requests of a member
+	Drift         float64       // largest deviation of any clock from real time, as a share
+	Life          uint64        // differs for each start of a process; not 0
 }
 
-// Pace gives Every and Term for a fleet of so many members: the one who leads hears each of them once in Every.
+// Timing returns RequestInterval and LeaseTime for a number of members. The leader gets a request from each of them once per interval.
 func Pace(members int) (every, term time.Duration) {
 	every = min(max(time.Duration(members)*time.Millisecond, 200*time.Millisecond), time.Second)
 	return every, 5 * every
 }
 
-// safeWait is how long to wait by the own clock until a time that another has measured by its own is surely over.
+// safeWait returns the time to wait by this process's clock until a time d measured by any other clock has surely passed.
 func (c *Config) safeWait(d time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(d)*(1+c.Drift)/(1-c.Drift))) + 1
 }
 
-// Node is one member: it asks the one who leads for units beyond its floor, may vote on who leads, and may lead.
+// Node is one member. It requests units beyond its floor from the leader. It may vote for leaders, and may become leader.
 //
-// Who leads is decided by a lease of a majority of voters, without anything that lasts (after Trencseni, Gazso, Reinhardt:
-// PaxosLease, 2012): a voter that has just started is silent until whatever its forerunner may have promised is over. A grant ends,
-// by the clock of whoever has it, before the lead under which it was given can pass to another, so that a new leader may begin
-// with nothing out and needs to know nothing.
+// The leader is elected by a lease from a majority of voters, without stable storage (after Trencseni, Gazso, Reinhardt: PaxosLease,
+// 2012): a voter that has just started is silent until all promises of its previous incarnation are surely over. A grant ends, by the
+// clock of the member that has it, before the leader lease under which it was given can pass to another process. A new leader may
+// therefore assume that no grants are outstanding, and needs no state of the previous one.
 //
-// It is not safe for use by more than one goroutine. Time does not go back.
+// It is not safe for concurrent use. Time must not go back.
 type Node struct {
 	cfg          Config
 	startedAt    time.Duration
 	now          time.Duration
 	outbox       []Message
-	selfMessages []Message // to itself
+	selfMessages []Message // addressed to this node
 
-	// A voter's.
+	// State of a voter.
 	promised       Ballot
-	acceptedBallot Ballot        // of the lead that it has accepted last
-	acceptedUntil  time.Duration // by when that is surely over
+	acceptedBallot Ballot        // of the leader lease that was accepted last
+	acceptedUntil  time.Duration // when that lease has surely ended
 
-	// Of one who leads, or tries to.
+	// State of a leader or candidate.
 	maxBallotNumber uint32 // the highest ballot number seen
 	ballot          Ballot // of the present attempt
 	attemptStart    time.Duration
-	phase           Kind // Prepare, Propose, or 0: no attempt is on
+	phase           Kind // Prepare, Propose, or 0: no attempt in progress
 	votes           uint64
 	retryAt         time.Duration
 	leadBallot      Ballot
 	leadUntil       time.Duration
 	epoch           uint32
-	members         []memberState // by member
+	members         []memberState // by number of the member
 	parts           [][]Units
 	dividedAt       time.Duration
 
-	// A member's.
+	// State of a member.
 	seq           uint32
-	requests      [8]sentRequest // the last asks, by number
+	requests      [8]sentRequest // the last requests, by sequence number
 	nextRequestAt time.Duration
-	leader        int // whom to ask; -1: not known
-	unanswered    int // asks in a row without a grant
+	leader        int // where to send requests; -1: not known
+	unanswered    int // requests in a row without a grant
 	lastGrantAt   time.Duration
-	grant         Message // the last grant that was taken
+	grant         Message // the present grant
 	grantEnd      time.Duration
 	demand        []Units
-	grantsTaken   uint32 // grants taken
+	grantsTaken   uint32
 }
 
 type sentRequest struct {
@@ -132,27 +133,27 @@
 	at  time.Duration
 }
 
-// memberState is what the one who leads knows of a member.
+// memberState is a member as the leader knows it.
 type memberState struct {
 	incarnation  uint64
 	lastHeard    time.Duration
 	hasRequested bool
 	demand       []Units
-	outstanding  []outstandingGrant // that may still be used
+	outstanding  []outstandingGrant // grants that may still be used
 }
 
-// outstandingGrant is a grant that is out.
+// outstandingGrant is a grant that may still be used.
 type outstandingGrant struct {
 	incarnation uint64
 	epoch       uint32
 	units       []Units
-	until       time.Duration // surely over by then
+	until       time.Duration // when it has surely ended
 }
 
-// maxOutstanding is how many grants may be out to one member: one that never confirms gets no more.
+// maxOutstanding is the number of grants that may be outstanding for one member. A member that never confirms gets no more.
 const maxOutstanding = 8
 
-// NewNode makes a member that starts at a time.
+// NewNode returns a member that starts at a time.
 func NewNode(c Config, now time.Duration) *Node {
 	n := &Node{cfg: c, startedAt: now, now: now, leader: -1, lastGrantAt: now, demand: make([]Units, c.Budgets),
 		nextRequestAt: now + time.Duration(float64(c.Every)*jitter(c.Life, 0))}
@@ -160,17 +161,17 @@
 	return n
 }
 
-// jitter is a number in 0 to 1 that differs between processes and rounds.
+// jitter returns a number from 0 to 1 that differs between processes and rounds.
 func jitter(life uint64, round uint32) float64 {
 	x := (life + uint64(round)) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	return float64(x>>11) / (1 << 53)
 }
 
-// Want sets what the member would use of each budget beyond its floor.
+// SetDemand sets the units of each budget that the member could use beyond its floor.
 func (n *Node) Want(units []Units) { copy(n.demand, units) }
 
-// Share is what the process may use of a budget.
+// Share returns what the process may use of a budget.
 func (n *Node) Share(budget int) Share {
 	s := Share{Floor: n.cfg.Floor, Epoch: n.grantsTaken}
 	if budget < len(n.grant.Units) {
@@ -179,15 +180,15 @@
 	return s
 }
 
-// Leads tells whether this member leads now, Leader whom it takes for the one who does (-1: nobody).
+// IsLeader reports whether this member is the leader at a time.
 func (n *Node) Leads(now time.Duration) bool { return now < n.leadUntil }
 
-// Leader: see Leads.
+// Leader returns the member that this one takes for the leader; -1: not known.
 func (n *Node) Leader() int { return n.leader }
 
 func (n *Node) pool() Units { return Whole - n.cfg.Floor*Units(n.cfg.Members) }
 
-// send puts a message on its way.
+// send queues a message.
 func (n *Node) send(m Message) {
 	if m.From, m.Life = n.cfg.Self, n.cfg.Life; m.To == n.cfg.Self {
 		n.selfMessages = append(n.selfMessages, m)
@@ -196,7 +197,7 @@
 	}
 }
 
-// Step takes in what has come up to now and gives what is to be sent. Messages that make no sense are dropped. The result is valid
+// Step processes the messages received up to now and returns the messages to send. Invalid messages are dropped. The result is valid
 // until the next Step.
 func (n *Node) Step(now time.Duration, in []Message) []Message {
 	n.now, n.outbox = max(n.now, now), n.outbox[:0]
@@ -209,7 +210,7 @@
 	return n.outbox
 }
 
-// deliverToSelf takes in what the node has told itself.
+// deliverToSelf processes the messages that the node has sent to itself.
 func (n *Node) deliverToSelf() {
 	for len(n.selfMessages) > 0 {
 		m := n.selfMessages[0]
@@ -218,7 +219,7 @@
 	}
 }
 
-// Wake is when the next Step is due though nothing comes.
+// Wake returns the time at which the next Step is due if no message arrives before.
 func (n *Node) Wake() time.Duration {
 	at := n.nextRequestAt
 	if n.cfg.Self < n.cfg.Voters {
@@ -254,10 +255,10 @@
 	}
 }
 
-// handleProposal is a voter's.
+// handleProposal answers a candidate, if this member is a voter.
 func (n *Node) handleProposal(m *Message) {
 	if n.cfg.Self >= n.cfg.Voters || n.now < n.startedAt+n.cfg.safeWait(n.cfg.Term) {
-		return // it may have promised otherwise before it started
+		return // an earlier incarnation may have promised something else
 	}
 	b := m.Ballot
 	n.maxBallotNumber = max(n.maxBallotNumber, b.N)
@@ -266,7 +267,7 @@
 		n.send(Message{Kind: Nack, To: m.From, Ballot: n.promised})
 	case m.Kind == Prepare:
 		if n.promised == b {
-			return // repeated
+			return // a repeated message
 		}
 		n.promised = b
 		n.send(Message{Kind: Promise, To: m.From, Ballot: b, Open: n.now >= n.acceptedUntil || n.acceptedBallot.sameProcess(b)})
@@ -276,7 +277,7 @@
 	}
 }
 
-// nextAttemptAt is from when on it is time to lead, or to lead on.
+// nextAttemptAt returns when to start an election, or to renew the leader lease.
 func (n *Node) nextAttemptAt() time.Duration {
 	if n.now < n.leadUntil {
 		return n.leadUntil - n.cfg.Term/2
@@ -284,17 +285,17 @@
 	return n.lastGrantAt + n.cfg.Term
 }
 
-// tryToLead begins an attempt at the lead where it is time.
+// tryToLead starts an attempt to become or remain leader, if it is time.
 func (n *Node) tryToLead() {
 	if n.cfg.Self >= n.cfg.Voters || n.now < n.nextAttemptAt() || n.now < n.retryAt {
 		return
 	}
 	n.maxBallotNumber++
 	n.ballot = Ballot{N: n.maxBallotNumber, By: uint16(n.cfg.Self), Life: n.cfg.Life}
-	// The lead counts from here, before anyone has heard of it: voters count from later.
+	// The lease counts from here, before any voter has the message: voters count from later.
 	n.attemptStart, n.phase, n.votes = n.now, Prepare, 0
 	n.retryAt = n.now + n.cfg.Every
-	if n.now >= n.leadUntil { // others may try too: not in step with them
+	if n.now >= n.leadUntil { // random delay, since other voters may try at the same time
 		n.retryAt += time.Duration(float64(n.cfg.Term) * jitter(n.cfg.Life, n.maxBallotNumber))
 	}
 	for v := range n.cfg.Voters {
@@ -302,7 +303,7 @@
 	}
 }
 
-// handleVote takes in a voter's yes to the present attempt.
+// handleVote processes a voter's agreement to the present attempt.
 func (n *Node) handleVote(m *Message) {
 	if n.phase == 0 || m.Kind == Promise && (n.phase != Prepare || !m.Open) || m.Kind == Accepted && n.phase != Propose {
 		return
@@ -320,16 +321,16 @@
 	}
 	n.phase = 0
 	if n.now >= n.attemptStart+n.cfg.Term {
-		return // won too late
+		return // the attempt took too long
 	}
 	if n.members == nil {
 		n.members = make([]memberState, n.cfg.Members)
 	}
-	// What it gave out under an earlier lead stays booked until it is surely over: members' clocks may be slower than its own.
+	// Grants under an earlier lease stay recorded until they have surely ended: members' clocks may be slower than this one's.
 	n.leadBallot, n.leadUntil, n.leader = n.ballot, n.attemptStart+n.cfg.Term, n.cfg.Self
 }
 
-// requestUnits asks for units where it is time.
+// requestUnits sends a request for units, if it is time.
 func (n *Node) requestUnits() {
 	if n.now < n.nextRequestAt {
 		return
@@ -341,7 +342,7 @@
 		n.leader = -1
 	}
 	to := n.leader
-	if to < 0 { // any voter may know
+	if to < 0 { // any voter may know the leader
 		to = int(n.seq) % n.cfg.Voters
 	}
 	n.unanswered++
@@ -354,7 +355,7 @@
 	n.send(m)
 }
 
-// handleRequest answers a member.
+// handleRequest answers a member's request.
 func (n *Node) handleRequest(m *Message) {
 	if n.now >= n.leadUntil {
 		if leader := n.leader; m.From != n.cfg.Self {
@@ -370,7 +371,7 @@
 	mine := m.Ballot.sameProcess(n.leadBallot)
 	keep := a.outstanding[:0]
 	for _, g := range a.outstanding {
-		// Who holds to a later grant has dropped this one for good; a process that has ended may be a paused one.
+		// A process that has a later grant never uses this one again. A process that seems to have ended may only be paused.
 		if n.now < g.until && !(mine && g.incarnation == m.Life && g.epoch < m.Epoch) {
 			keep = append(keep, g)
 		}
@@ -389,7 +390,7 @@
 	n.send(Message{Kind: Grant, To: m.From, Asker: m.Life, Seq: m.Seq, Ballot: n.leadBallot, Epoch: g.epoch, TTL: ttl, Units: g.units})
 }
 
-// inUseByOthers is what may be in use of a budget by all processes but one.
+// inUseByOthers returns the units of a budget that all processes but one may use.
 func (n *Node) inUseByOthers(budget, member int, life uint64) (sum Units) {
 	for i := range n.members {
 		sum += n.members[i].maxInUse(n.now, budget, i == member, life)
@@ -397,7 +398,8 @@
 	return sum
 }
 
-// maxInUse is the most that processes of a member may use of a budget: each holds to one grant, nobody knows which.
+// maxInUse returns the most units of a budget that processes of a member may use. Each process uses one of its grants, but which one
+// is not known.
 func (a *memberState) maxInUse(now time.Duration, budget int, except bool, life uint64) (sum Units) {
 	for i, g := range a.outstanding {
 		if now >= g.until || except && g.incarnation == life {
@@ -408,7 +410,7 @@
 			first = first && (o.incarnation != g.incarnation || now >= o.until)
 		}
 		if !first {
-			continue // its process is counted
+			continue // this process has been counted
 		}
 		top := g.units[budget]
 		for _, o := range a.outstanding[i+1:] {
@@ -421,7 +423,7 @@
 	return sum
 }
 
-// recomputeParts works out what each member should have, a few times in Every.
+// recomputeParts computes the part of each member, at most four times in a RequestInterval.
 func (n *Node) recomputeParts() {
 	if n.parts != nil && n.now < n.dividedAt+n.cfg.Every/4 {
 		return
@@ -454,15 +456,15 @@
 	}
 }
 
-// handleGrant takes in an answer to an ask.
+// handleGrant processes the answer to a request.
 func (n *Node) handleGrant(m *Message) {
 	at := n.requests[m.Seq%uint32(len(n.requests))]
 	if m.Asker != n.cfg.Life || at.seq != m.Seq || m.Seq == 0 || m.TTL <= 0 || m.TTL > n.cfg.Term {
 		return
 	}
 	n.leader, n.unanswered, n.lastGrantAt, n.maxBallotNumber = m.From, 0, n.now, max(n.maxBallotNumber, m.Ballot.N)
-	// It counts from when it was asked for, which is before it was given. One grant is held to, and none goes back to an earlier
-	// one of the same leader, also when its own is over: the leader may have given that out anew.
+	// The grant counts from when it was requested, which is before it was given. A member never goes back to an earlier grant of the
+	// same leader, even if its present one has ended: the leader may have given those units to others.
 	end := at.at + m.TTL
 	if end <= n.now || m.Ballot.sameProcess(n.grant.Ballot) && m.Epoch <= n.grant.Epoch {
 		return
--- a/internal/budget/purse.go
+++ b/internal/budget/purse.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Rate is a member's part of a budget that is a rate: a bucket that fills with the share's part of so many tokens a second. It is
-// empty at the start, and what a share gains comes empty, so that no token is there twice.
+// TokenBucket enforces a member's share of a rate budget. The bucket fills with the share's part of PerSecond. It is empty at the
+// start, and a gained share adds no tokens, so that no token exists twice.
 //
-// Over all members and any window, the uses are at most PerSecond x window + Burst + the number of members: each bucket holds the
-// share's part of Burst, but one token at least, or a small share could never pay for anything.
+// Over all members and any window, the uses are at most PerSecond x window + Burst + the number of members. Each bucket holds the
+// share's part of Burst, but at least one token, since a small share could otherwise never be used.
 type Rate struct {
 	PerSecond float64
 	Burst     float64 // tokens that all buckets hold together
 
 	tokens   float64
-	filledTo time.Duration // up to when the bucket is filled
+	filledTo time.Duration // the bucket is filled up to this time
 	share    Share
 	started  bool
 }
 
-// scaled is what so many units are of an amount.
+// scaled returns the part of an amount that corresponds to a number of units.
 func scaled(u Units, of float64) float64 { return of * float64(u) / float64(Whole) }
 
-// Own changes the share at a time.
+// SetShare changes the share at a time.
 func (r *Rate) Own(now time.Duration, s Share) {
 	r.refill(now)
 	r.share = s
@@ -32,7 +32,7 @@
 
 func (r *Rate) clamp(u Units) { r.tokens = min(r.tokens, max(1, scaled(u, r.Burst))) }
 
-// refill lets time pass. A share that has lapsed meanwhile filled the bucket up to its end only.
+// refill adds the tokens up to a time. A share that has expired meanwhile counts only until its end.
 func (r *Rate) refill(now time.Duration) {
 	if !r.started {
 		r.started, r.filledTo = true, now
@@ -51,7 +51,7 @@
 	r.clamp(u)
 }
 
-// Take uses n tokens at a time, or none: false.
+// Take uses n tokens at a time. If there are fewer, it uses none and returns false.
 func (r *Rate) Take(now time.Duration, n float64) bool {
 	if r.refill(now); r.tokens < n || r.share.At(now) <= 0 {
 		return false
@@ -60,7 +60,7 @@
 	return true
 }
 
-// In is how long it takes until n tokens are there, if the share stays and nobody takes any; negative: they never are.
+// TimeUntil returns the time until n tokens are available if the share stays and none are used; negative if they never are.
 func (r *Rate) In(now time.Duration, n float64) time.Duration {
 	r.refill(now)
 	u := r.share.At(now)
@@ -71,16 +71,16 @@
 	return time.Duration(max(0, n-r.tokens) / rate * 1e9)
 }
 
-// Window is a member's part of a budget that is a sum over a window: at most Most uses within any stretch of Length. A share
-// counts from a window after it has come, since whoever had it before may have used it up until then; so does the whole share of
-// a process that has just started. Over all members the uses in any window are at most Most, without a burst.
+// SlidingWindow enforces a member's share of a budget per window: at most Max uses within any interval of Length. A gained share takes
+// effect a window later, since the previous holder may have used it up until now. The same holds for the whole share of a process that
+// has just started. Over all members the uses in any window are at most Max, without a burst.
 type Window struct {
 	Most   float64
 	Length time.Duration
 
 	share     Share
-	pending   []pendingUnits // units by when they count, in order of time
-	effective Units          // that count now
+	pending   []pendingUnits // gained units that do not count yet, in order of time
+	effective Units          // units that count now
 	uses      []use
 	sum       float64
 }
@@ -95,14 +95,14 @@
 	n  float64
 }
 
-// Own changes the share at a time. What is lost goes at once, and first from what does not count yet.
+// SetShare changes the share at a time. A loss takes effect at once, first on units that do not count yet.
 func (w *Window) Own(now time.Duration, s Share) {
 	w.advance(now)
 	w.share = s
 	w.adjust(now, s.At(now))
 }
 
-// advance lets time pass.
+// advance moves the window to a time.
 func (w *Window) advance(now time.Duration) {
 	w.adjust(now, w.share.At(now))
 	for len(w.pending) > 0 && w.pending[0].at <= now {
@@ -115,14 +115,14 @@
 	}
 }
 
-// adjust makes what is owned, ripe or not, come to u units.
+// adjust changes the sum of effective and pending units to u.
 func (w *Window) adjust(now time.Duration, u Units) {
 	total := w.effective
 	for _, r := range w.pending {
 		total += r.units
 	}
 	if u > total {
-		w.pending = append(w.pending, pendingUnits{now + w.Length + w.Length/32, u - total}) // a little more, for clocks that differ
+		w.pending = append(w.pending, pendingUnits{now + w.Length + w.Length/32, u - total}) // a little more, for differing clocks
 	}
 	for lost := total - u; lost > 0; {
 		if n := len(w.pending); n > 0 {
@@ -138,7 +138,7 @@
 	}
 }
 
-// Take uses n at a time, or none: false.
+// Take records n uses at a time. If they exceed the share, it records none and returns false.
 func (w *Window) Take(now time.Duration, n float64) bool {
 	if w.advance(now); w.sum+n > scaled(w.effective, w.Most)+1e-9 {
 		return false
@@ -147,31 +147,32 @@
 	return true
 }
 
-// Held is a member's part of a budget that is a number held at once: at most Most, over all members. What a share gains counts
-// after Longest, the longest that whoever had it before may take to let go of what it holds; so does the share of a process that has
-// just started. Who loses a share has as long to let go of what is Over: until then the sum is kept by the wait of who gained it.
+// ConcurrencyLimit enforces a member's share of a number that may be held at once: at most Max, over all members. A gained share takes
+// effect after ReleaseTime, the longest that the previous holder may take to release what it holds. The same holds for the share of a
+// process that has just started. A member that loses a share must release its Excess within that time. Until then the wait of the
+// member that gained the share keeps the sum.
 type Held struct {
 	Most    float64
 	Longest time.Duration
 
-	window Window // of length Longest, with no uses: it lets units ripen
+	window Window // of length ReleaseTime and without uses: it delays gained units
 	held   int
 }
 
-// Own changes the share at a time.
+// SetShare changes the share at a time.
 func (h *Held) Own(now time.Duration, s Share) {
 	h.window.Length = h.Longest
 	h.window.Own(now, s)
 }
 
-// allowed is the number that may be held.
+// allowed returns the number that may be held.
 func (h *Held) allowed(now time.Duration) int {
 	h.window.Length = h.Longest
 	h.window.advance(now)
 	return int(math.Floor(scaled(h.window.effective, h.Most) + 1e-9))
 }
 
-// Take holds one more; false: there is no room.
+// Take acquires one more, or returns false if the limit is reached.
 func (h *Held) Take(now time.Duration) bool {
 	if h.held >= h.allowed(now) {
 		return false
@@ -180,8 +181,8 @@
 	return true
 }
 
-// Drop lets go of one.
+// Release releases one.
 func (h *Held) Drop() { h.held = max(0, h.held-1) }
 
-// Over is how many are held beyond the share, to be let go of within Longest of the loss.
+// Excess returns how many are held beyond the share. They must be released within ReleaseTime of the loss.
 func (h *Held) Over(now time.Duration) int { return max(0, h.held-h.allowed(now)) }
--- a/internal/budget/wire.go
+++ b/internal/budget/wire.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// The form of a message on the wire: a byte for the version and one for the kind, then all fields in the order of Message, numbers
-// as varints, lives in eight bytes. A message holds maxUnits budgets and maxMessageBytes at the most.
+// A message on the wire has a byte for the version and one for the kind, then all fields in the order of Message. Numbers are varints,
+// incarnations have eight bytes. A message has at most maxUnits budgets and maxMessageBytes bytes.
 const (
 	version         = 1
 	maxUnits        = 64
 	maxMessageBytes = 1024
 )
 
-// errMalformed is a message that can't be read. What it was is of no use to anyone: it is counted and dropped.
-var errMalformed = errors.New("budget: not a message")
+// errMalformed is returned for malformed messages, which are counted and dropped.
+var errMalformed = errors.New("budget: malformed message")
 
-// Append puts a message's form at the end of b.
+// Append appends the encoded message to b.
 func Append(b []byte, m *Message) []byte {
 	b = append(b, version, byte(m.Kind))
 	b = binary.AppendUvarint(b, uint64(m.From))
@@ -43,7 +43,7 @@
 	return b
 }
 
-// Read reads a message. Whatever is not exactly one is an error.
+// Read decodes a message. It returns an error if b is not exactly one message.
 func Read(b []byte) (m Message, err error) {
 	r := decoder{b: b}
 	if len(b) > maxMessageBytes || r.byte() != version {
@@ -68,7 +68,7 @@
 	return m, nil
 }
 
-// decoder reads fields off the front of a message.
+// decoder reads fields from the front of a message.
 type decoder struct {
 	b   []byte
 	bad bool
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -13,7 +13,7 @@
 type BudgetGate struct {
 	ledger         *budget.Ledger
 	tenantAccounts []int // number of the account, by tenant; -1: none
-	probeAccount   int // number of the account; -1: none
+	probeAccount   int   // number of the account; -1: none
 	maxRetryAfter  time.Duration
 }
 
--- a/internal/dispatch/chain.go
+++ b/internal/dispatch/chain.go
@@ -43,7 +43,7 @@
 	core   *Core
 	gates  []Gate // outermost first
 	passes []Pass // one for each gate
-	inCore bool // the Step is in the core, not in a gate
+	inCore bool   // the Step is in the core, not in a gate
 }
 
 // Gates are the possible gates of a Chain; nil means that the gate is not used.
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -44,13 +44,13 @@
 	maxAttempts  int
 	jobs         map[uint64]*job
 	hosts        map[uint32]Host
-	cordoned     map[string]struct{} // names of hosts that an operator has taken out of service
+	cordoned     map[string]struct{}      // names of hosts that an operator has taken out of service
 	uncordonedAt map[string]time.Duration // when a host was put back into service, by name
-	removable    []uint64 // jobs to be checked for removal from the table at the end of the Step
+	removable    []uint64                 // jobs to be checked for removal from the table at the end of the Step
 	timers       []timer
 	shutdownAt   time.Duration // when all open jobs are answered because the program ends; 0: not set
-	listVersion  uint64 // the highest version received
-	watchVersion uint64 // version of the last list received, after which a watch continues
+	listVersion  uint64        // the highest version received
+	watchVersion uint64        // version of the last list received, after which a watch continues
 	events       []policy.Event
 	actions      []policy.Action
 	out          []Command
@@ -319,7 +319,7 @@
 	case policy.Log:
 		c.out = append(c.out, Log{Text: a.Text})
 	default:
-		panic("dispatch: an action without a command: " + strconv.Itoa(int(a.Kind)))
+		panic("dispatch: unknown action " + strconv.Itoa(int(a.Kind)))
 	}
 }
 
@@ -327,7 +327,7 @@
 func (c *Core) send(now time.Duration, a *policy.Action) {
 	j := c.jobs[a.Job]
 	if j == nil { // the table holds a job for as long as the module may send it
-		panic(fmt.Sprintf("dispatch: a send for job %d, which is not known", a.Job))
+		panic(fmt.Sprintf("dispatch: send for unknown job %d", a.Job))
 	}
 	n := len(j.attempts)
 	k := Key{a.Job, j.earlierAttempts + n}
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -1,7 +1,6 @@
-// Package dispatch is the core round the decision module: it turns typed messages into the module's events
-// and the module's actions into typed commands, and keeps the table of jobs and their upstream requests.
-// It does no I/O, reads no clock and knows no protocol, so that a second protocol can go through the same
-// decisions and keep the same rules.
+// Package dispatch wraps the decision module. It turns typed messages into the module's events and the module's actions into typed
+// commands, and keeps the table of jobs and their upstream requests. It does no I/O, reads no clock and knows no protocol, so that
+// several protocols can share the same decisions and rules.
 package dispatch
 
 import (
@@ -11,16 +10,16 @@
 	"gaugeslip/policy"
 )
 
-// Key names one upstream request: the attempt with number Attempt of a job.
+// Key identifies an upstream request: attempt number Attempt of a job.
 type Key struct {
 	Job     uint64
 	Attempt int
 }
 
-// Message is one thing that the sockets saw.
+// Message is an event that the network layer reports.
 type Message interface{ message() }
 
-// Arrived tells of a new job. Its deadline is Budget after At.
+// JobArrived reports a new job. Its deadline is At + Budget.
 type Arrived struct {
 	Job           uint64
 	Class, Tenant int // Tenant -1: none
@@ -29,44 +28,44 @@
 	Slots         int
 	Retry         bool
 
-	Name, Client string        // its id and who sent it, for gates
-	Bytes        int           // of its body
-	Wait         *Wait         // what it asks of the waiting room; nil: nothing
-	Tried        int           // sends of it in earlier turns: its Keys count on from there
-	Waited       time.Duration // of Budget, spent by its client's own wish
-	Key          uint64        // of what it concerns, alike in all of its client's tries; Keyed: there is one
+	Name, Client string        // the job's id and the client that sent it, for gates
+	Bytes        int           // size of the body
+	Wait         *Wait         // what the job asks of the waiting room; nil: nothing
+	Tried        int           // attempts made before this arrival; attempt numbers in Keys continue from here
+	Waited       time.Duration // part of Budget that the job waited at its client's request
+	Key          uint64        // what the job concerns, equal in all retries of its client; valid if Keyed
 	Keyed        bool
 }
 
 // Wait is what a job asks of the waiting room.
 type Wait struct {
-	NotBefore time.Duration // from its arrival
-	Due       time.Duration // from when it is ready; 0: as the settings say
-	After     []string      // names of earlier jobs
-	Detached  bool          // it lives on without its connection
+	NotBefore time.Duration // relative to the arrival
+	Due       time.Duration // relative to when the job is ready; 0: the default of the settings
+	After     []string      // names of earlier jobs that must end first
+	Detached  bool          // the job goes on if its client disconnects
 }
 
-// Left tells that the downstream client has gone: nothing is owed to it any more.
+// ClientGone reports that the client has disconnected: the job needs no answer any more.
 type Left struct{ Job uint64 }
 
-// Started tells that a job has begun to run.
+// JobStarted reports that a job has begun to run.
 type Started struct{ Key }
 
-// Progress tells how much of a job is done.
+// JobProgress reports what share of a job is done.
 type Progress struct {
 	Key
 	Share float64
 }
 
-// Ended is the outcome of an upstream request; each Send has exactly one.
+// AttemptEnded is the outcome of an upstream request. Each Send has exactly one.
 type Ended struct {
 	Key
 	Result policy.Result
-	Load   *policy.Load // nil: none came along
-	Body   []byte       // of OK, for gates that keep it
+	Load   *policy.Load // nil: the response had no load report
+	Body   []byte       // of an OK response, for gates that store it
 }
 
-// Probed is the outcome of a Probe.
+// ProbeEnded is the outcome of a Probe.
 type Probed struct {
 	Worker uint32
 	Result policy.Result
@@ -74,27 +73,27 @@
 	Load   *policy.Load
 }
 
-// Listed brings the cluster's list or its changes.
+// HostList is the cluster's list of hosts (Whole), or changes to it.
 type Listed struct {
 	Version uint64
 	Whole   bool
-	Stale   bool // a copy from before this start
+	Stale   bool // a copy from before this process started
 	Hosts   []Host
 }
 
-// ListLost tells that a call for the list failed or that the watch broke.
+// ListLost reports that a request for the list has failed or that the watch was interrupted.
 type ListLost struct{}
 
-// Asked is a question about a job that waits or has waited, or with no Name about all. It is answered by one Told.
+// JobQuery asks about a job that waits or has waited, or about all of them if Name is empty. The answer is one QueryResult.
 type Asked struct{ waiting.Ask }
 
-// Unasked tells that the one who asked has gone.
+// QueryCancelled reports that the client of a JobQuery has gone.
 type Unasked struct{ Ask uint64 }
 
-// Closing tells that the program ends and gives answers until By.
+// Shutdown reports that the program ends and sends answers until Deadline.
 type Closing struct{ By time.Duration }
 
-// Tuned brings new limits of the waiting room.
+// WaitingLimits brings new limits of the waiting room.
 type Tuned struct{ Waiting waiting.Limits }
 
 func (Asked) message()    {}
@@ -110,7 +109,7 @@
 func (Listed) message()   {}
 func (ListLost) message() {}
 
-// Host is one entry of the cluster's list.
+// Host is an entry of the cluster's list.
 type Host struct {
 	Name, Addr string
 	Zone, Kind int // -1: not in the settings
@@ -120,42 +119,42 @@
 	Born       time.Duration // last start, on the clock of Step; 0: long ago
 }
 
-// Command is one thing for the sockets to do.
+// Command is an operation for the network layer.
 type Command interface{ command() }
 
-// Send starts an upstream request, to be given up at Until.
+// Send starts an upstream request, which is given up at Deadline.
 type Send struct {
 	Key
 	Addr  string
 	Until time.Duration
 }
 
-// CancelSend gives up an upstream request.
+// CancelSend cancels an upstream request.
 type CancelSend struct{ Key }
 
-// Unsend gives up an upstream request whose last byte has not been written: its host is to get nothing new. One that has
-// been sent goes on.
+// CancelUnsent cancels an upstream request if its last byte has not been written yet, because its host must get no new jobs. A request
+// that has been written goes on.
 type Unsend struct{ Key }
 
-// LocalReply is the final answer to a job that no upstream host served. Refused promises that a repeat is
-// harmless, and only then may RetryAfter advise when to come back.
+// LocalReply is the final answer to a job that no upstream host has served. Refused promises that a repeat is harmless. Only then may
+// RetryAfter advise when to retry.
 type LocalReply struct {
 	Job        uint64
 	Refused    bool
 	RetryAfter time.Duration
-	Status     int    // what HTTP calls it; 0: as Refused says
-	Why        string // in words
+	Status     int    // HTTP status; 0: derived from Refused
+	Why        string // for the client, in words
 }
 
-// Accepted promises that a job lives on without its connection.
+// Accepted confirms that a job goes on if its client disconnects.
 type Accepted struct{ Job uint64 }
 
-// Told is the answer to an Asked.
+// QueryResult answers a JobQuery.
 type Told struct {
 	Ask    uint64
 	Status int
 	Info   *waiting.Info  // of one job
-	Board  *waiting.Board // of all
+	Board  *waiting.Board // of all jobs
 }
 
 // Probe asks an upstream host for its load.
@@ -167,7 +166,7 @@
 // Watch asks the cluster for all changes after Version.
 type Watch struct{ Version uint64 }
 
-// Log is a line for the log; Warn: one that somebody should see.
+// Log is a line for the log. Warn is set if an operator should see it.
 type Log struct {
 	Text string
 	Warn bool
--- a/internal/dispatch/shed.go
+++ b/internal/dispatch/shed.go
@@ -9,25 +9,26 @@
 	"gaugeslip/policy"
 )
 
-// ShedGate puts an overload.Shedder before the core: jobs that it refuses are answered at once and never reach the module. It
-// learns from what becomes of those that pass. Jobs that waited by their own wish have a share of their own, and pass.
+// ShedGate puts an overload.Shedder in front of the core. Jobs that the shedder refuses are answered at once and never reach the
+// module. The gate reports the outcome of admitted jobs to the shedder. Jobs that have waited at their client's request have a share
+// of capacity of their own and are always admitted.
 type ShedGate struct {
 	shedder       *overload.Shedder
 	limits        overload.Limits
 	cfg           policy.Config
-	pending       map[uint64]*admittedJob // let in, and not yet answered
-	shedByClass   []atomic.Int64          // by class
+	pending       map[uint64]*admittedJob // admitted and not yet answered
+	shedByClass   []atomic.Int64          // refused jobs by class
 	admittedShare atomic.Uint64           // the bits of a float64
 }
 
-// admittedJob is a job that was let in.
+// admittedJob is a job that the gate has admitted.
 type admittedJob struct {
 	class                int
 	arrivedAt, startedAt time.Duration
 	size                 time.Duration
 }
 
-// NewShedGate makes a gate that lets everything in until it learns otherwise. An error begins with the faulty key of the limits.
+// NewShedGate returns a gate that admits all jobs at first. The text of an error starts with the key of the invalid setting.
 func NewShedGate(l overload.Limits, cfg policy.Config) (*ShedGate, error) {
 	s, err := overload.NewShedder(l, &cfg)
 	if err != nil {
@@ -38,28 +39,27 @@
 	return g, nil
 }
 
-// Anew makes a gate that knows nothing.
+// Recreate returns a gate without jobs that admits all at first.
 func (g *ShedGate) Anew() Gate {
-	n, _ := NewShedGate(g.limits, g.cfg) // the limits were sound
+	n, _ := NewShedGate(g.limits, g.cfg) // the limits have been checked before
 	return n
 }
 
-// Shed is how many jobs of a class were refused here, Admit what share of the offered work is let in. Both may be read from any
-// goroutine.
+// RefusedJobs returns the number of jobs of a class that this gate has refused. It is safe for concurrent use.
 func (g *ShedGate) Shed(class int) float64 { return float64(g.shedByClass[class].Load()) }
 
-// Admit: see Shed.
+// AdmittedShare returns the share of the offered work that is admitted. It is safe for concurrent use.
 func (g *ShedGate) Admit() float64 { return math.Float64frombits(g.admittedShare.Load()) }
 
 func (g *ShedGate) publish() { g.admittedShare.Store(math.Float64bits(g.shedder.Admit())) }
 
-// In refuses what is shed, and notes when jobs began and how they ended.
+// In refuses jobs as the shedder decides, and records when admitted jobs start and end.
 func (g *ShedGate) In(now time.Duration, in []Message, p *Pass) {
 	for _, m := range in {
 		switch m := m.(type) {
 		case Arrived:
 			if g.pending[m.Job] != nil {
-				break // the core drops it
+				break // a duplicate, which the core drops
 			}
 			if m.Wait == nil && m.Tried == 0 && m.Waited == 0 {
 				ok, after := g.shedder.Arrived(now, overload.Job{Class: m.Class, Key: m.Key, Keyed: m.Keyed, Retry: m.Retry, Work: m.Size})
@@ -88,7 +88,7 @@
 				g.shedder.Came(j.size, end)
 				delete(g.pending, m.Job)
 			}
-		case Left: // its client would have no more of it
+		case Left: // the client would not wait any longer
 			if j := g.pending[m.Job]; j != nil {
 				g.shedder.Came(j.size, overload.Late)
 				delete(g.pending, m.Job)
@@ -99,7 +99,7 @@
 	g.publish()
 }
 
-// Out learns from the module's own refusals, which say that there was no room.
+// Out reports the module's refusals to the shedder as a lack of capacity.
 func (g *ShedGate) Out(_ time.Duration, out []Command, p *Pass) {
 	for _, c := range out {
 		if r, ok := c.(LocalReply); ok {
@@ -112,14 +112,14 @@
 	}
 }
 
-// Wake has nothing to wake for.
+// Wake returns no time: this gate has no timers.
 func (g *ShedGate) Wake() (time.Duration, bool) { return 0, false }
 
-// Detached is 0: no job lives on here.
+// Detached returns 0: this gate holds no jobs.
 func (g *ShedGate) Detached() int { return 0 }
 
-// Crashed forgets the jobs that were before the module.
+// ModuleLost forgets the jobs that were in the module.
 func (g *ShedGate) Crashed(time.Duration) { clear(g.pending) }
 
-// Keeps is false: every job that passed is the module's.
+// Owns returns false: all admitted jobs are in the module.
 func (g *ShedGate) Keeps(uint64) bool { return false }
--- a/internal/dispatch/sites.go
+++ b/internal/dispatch/sites.go
@@ -10,59 +10,59 @@
 	"gaugeslip/policy"
 )
 
-// SitesGate judges sites by what passes: probes that are answered or not, and jobs that are heard of. It only looks: the module
-// learns of a silent host by its own question, and to tell it all hosts of a lost site at once, or to keep questions to them to a
-// trickle, was measured and cost more on the site's return than it saved (docs/design/sites.md).
+// SitesGate judges the state of sites from the answers to probes and jobs that pass through it. It changes no decision: the module
+// learns of a silent host from its own probes. Reporting all hosts of a lost site to the module at once, or limiting probes to them,
+// was measured too. Both cost more on the site's return than they saved (docs/design/sites.md).
 type SitesGate struct {
 	judge        *siteloss.Judge
 	settings     siteloss.Settings
-	siteByWorker map[uint32]int    // site by worker
-	workerByAddr map[string]uint32 // worker by address
-	workerBySend map[Key]uint32    // worker by send that is out
+	siteByWorker map[uint32]int
+	workerByAddr map[string]uint32
+	workerBySend map[Key]uint32 // of attempts in flight
 	scale        map[uint32]float64
 	judgedAt     time.Duration
 	states       []atomic.Uint32
 	names        []string
 	cfg          policy.Config
 	limits       siteloss.Limits
-	order        []int // classes, the last refused first
+	order        []int // classes, the one refused last first
 	floor        float64
-	work         []float64 // hinted, in seconds a second, by class
+	work         []float64 // hinted work per second in seconds, by class
 	workAt       time.Duration
 	fleet        atomic.Pointer[siteloss.Fleet]
 	plannedAt    time.Duration
 }
 
-// judgeInterval is how often sites are judged where nothing changes.
+// judgeInterval is the shortest time between two judgements.
 const judgeInterval = 100 * time.Millisecond
 
-// planInterval is how often what a plan is made from is looked at anew, loadDecay the time that the load is taken over.
+// planInterval is the time between two updates of the data for plans. loadDecay is the time constant of the average load.
 const (
 	planInterval = time.Second
 	loadDecay    = 10 * time.Second
 )
 
-// NewSitesGate makes a gate for a dispatcher with these settings. names are the sites', by number, order the classes in the order in
-// which they are kept, floor the share of each that is kept first.
+// NewSitesGate returns a gate for a dispatcher with these settings. names are the names of the sites, by number. order lists the
+// classes in the order in which they are kept. floor is the share of each class that is kept first.
 func NewSitesGate(l siteloss.Limits, cfg policy.Config, names []string, order []int, floor float64) *SitesGate {
 	g := &SitesGate{limits: l, cfg: cfg, names: names, order: order, floor: floor,
 		settings: siteloss.Settings{Sites: max(cfg.Zones, 1), Own: cfg.Zone, WarmUp: cfg.WarmUp}}
 	return g.Anew().(*SitesGate)
 }
 
-// Anew makes a gate that knows nothing.
+// Recreate returns a gate without observations.
 func (g *SitesGate) Anew() Gate {
 	return &SitesGate{limits: g.limits, cfg: g.cfg, names: g.names, order: g.order, floor: g.floor, settings: g.settings, judge: siteloss.New(g.settings),
 		siteByWorker: map[uint32]int{}, workerByAddr: map[string]uint32{}, workerBySend: map[Key]uint32{}, scale: map[uint32]float64{},
 		states: make([]atomic.Uint32, g.settings.Sites), work: make([]float64, len(g.cfg.Classes))}
 }
 
-// Fleet is what a plan can be made from now: hosts as listed, and the load that this dispatcher sees, taken for that of every other,
-// as the front deals clients of a site out evenly; where sites have unlike traffic, it is not. Nil: nothing was listed yet. It may
-// be called from any goroutine.
+// Fleet returns the data for a plan: the listed hosts, and the load. The load of this dispatcher is taken for that of every other one,
+// since the front end spreads the clients of a site evenly. It is inaccurate where sites have different traffic. Fleet returns nil
+// before the first list of hosts. It is safe for concurrent use.
 func (g *SitesGate) Fleet() *siteloss.Fleet { return g.fleet.Load() }
 
-// addWork counts a job's work.
+// addWork adds the hinted work of a job to the load.
 func (g *SitesGate) addWork(now time.Duration, m *Arrived) {
 	g.decayWork(now)
 	g.work[m.Class] += m.Size.Seconds() / loadDecay.Seconds()
@@ -78,7 +78,7 @@
 	}
 }
 
-// updateFleet looks at the fleet anew.
+// updateFleet updates the data for plans.
 func (g *SitesGate) updateFleet(now time.Duration) {
 	g.decayWork(now)
 	f := &siteloss.Fleet{Usable: g.limits.Usable, ColdFrom: g.cfg.ColdFrom, WarmUp: g.cfg.WarmUp, Notice: g.limits.Notice}
@@ -111,10 +111,10 @@
 	return fmt.Sprint(n)
 }
 
-// State is a site's at the last Step. It may be read from any goroutine.
+// State returns the state of a site at the last Step. It is safe for concurrent use.
 func (g *SitesGate) State(site int) siteloss.State { return siteloss.State(g.states[site].Load()) }
 
-// In takes in what tells of hosts.
+// In records what the messages show about hosts.
 func (g *SitesGate) In(now time.Duration, in []Message, p *Pass) {
 	for _, m := range in {
 		switch m := m.(type) {
@@ -126,7 +126,7 @@
 			switch m.Result {
 			case policy.OK:
 				g.judge.Heard(now, m.Worker, true)
-			case policy.TimedOut, policy.ConnectFailed: // a connection that does not come up, or is refused: nobody is there
+			case policy.TimedOut, policy.ConnectFailed: // a connection that cannot be made or is refused counts as no answer
 				g.judge.Heard(now, m.Worker, false)
 			}
 		case Started:
@@ -185,7 +185,7 @@
 	}
 }
 
-// Out notes where jobs go.
+// Out records the host of each attempt.
 func (g *SitesGate) Out(_ time.Duration, out []Command, p *Pass) {
 	for _, c := range out {
 		if s, ok := c.(Send); ok {
@@ -197,14 +197,14 @@
 	}
 }
 
-// Wake has nothing to wake for: what is not looked at need not be judged.
+// Wake returns no time: judgements are only needed when messages arrive.
 func (g *SitesGate) Wake() (time.Duration, bool) { return 0, false }
 
-// Detached is 0: no job lives on here.
+// Detached returns 0: this gate holds no jobs.
 func (g *SitesGate) Detached() int { return 0 }
 
-// Crashed forgets the sends that were out.
+// ModuleLost forgets the attempts that were in flight.
 func (g *SitesGate) Crashed(time.Duration) { clear(g.workerBySend) }
 
-// Keeps is false: every job that passed is the module's.
+// Owns returns false: all admitted jobs are in the module.
 func (g *SitesGate) Keeps(uint64) bool { return false }
--- a/internal/dispatch/waiting.go
+++ b/internal/dispatch/waiting.go
@@ -8,18 +8,18 @@
 	"gaugeslip/policy"
 )
 
-// WaitingGate puts a waiting.Room before the core: jobs that ask to wait are held in it and come before the module
-// when it is their turn; all others pass. Each job has its one answer from the module or from the room, never from
-// both: once the room has answered, the core has been told that the client left, and answers no more.
+// WaitingGate puts a waiting.Room in front of the core. Jobs that ask to wait are held in the room and enter the module when they are
+// due; all other jobs pass. Each job gets its one answer either from the module or from the room. When the room answers a job that is
+// in the module, the core gets the message that the client has gone, and does not answer.
 type WaitingGate struct {
 	room       *waiting.Room
 	limits     waiting.Limits
 	fleet      waiting.Fleet
-	readyHosts map[string]bool // hosts that are
+	readyHosts map[string]bool // by name
 	now        time.Duration
 }
 
-// NewWaitingGate makes a gate with an empty room. The limits must be sound.
+// NewWaitingGate returns a gate with an empty room. The limits must be valid.
 func NewWaitingGate(lim waiting.Limits, cfg policy.Config) *WaitingGate {
 	f := waiting.Fleet{Replicas: max(cfg.Replicas, 1), MaxAttempts: max(cfg.MaxAttempts, 1)}
 	for _, c := range cfg.Classes {
@@ -29,15 +29,15 @@
 	return &WaitingGate{room: waiting.New(lim, f), limits: lim, fleet: f, readyHosts: map[string]bool{}}
 }
 
-// Anew makes a gate with an empty room.
+// Recreate returns a gate with an empty room.
 func (g *WaitingGate) Anew() Gate {
 	return &WaitingGate{room: waiting.New(g.limits, g.fleet), limits: g.limits, fleet: g.fleet, readyHosts: map[string]bool{}}
 }
 
-// Room is the gate's room, to be looked at between Steps only.
+// Room returns the gate's room. It may be read between Steps only.
 func (g *WaitingGate) Room() *waiting.Room { return g.room }
 
-// In lets ready jobs in before the first fresh one of the Step: what a host has just freed is theirs first.
+// In releases jobs that are ready before the first new job of the Step, so that they get first what a host has just freed.
 func (g *WaitingGate) In(now time.Duration, in []Message, p *Pass) {
 	g.now = now
 	ticked := false
@@ -78,7 +78,7 @@
 			continue
 		case Closing:
 			g.room.Close(now, m.By)
-			g.execute(now, p) // and the core answers what is before it
+			g.execute(now, p) // the core answers the jobs that are in the module
 		case Tuned:
 			g.limits = m.Waiting
 			g.room.SetLimits(m.Waiting)
@@ -92,7 +92,7 @@
 	}
 }
 
-// waitingJob is an arrival as the room takes it.
+// waitingJob converts an arrival to a job of the room.
 func waitingJob(m *Arrived) waiting.Job {
 	j := waiting.Job{Number: m.Job, Name: m.Name, Client: m.Client, Class: m.Class, Tenant: m.Tenant, Size: m.Size,
 		Slots: m.Slots, Arrived: m.At, Deadline: m.At + m.Budget, Bytes: m.Bytes, Attached: true}
@@ -108,7 +108,7 @@
 	return j
 }
 
-// outcomeOf is a result as the room weighs it: the protocol's table proves what never ran.
+// outcomeOf converts a result to an outcome of the room. Only a result that proves that the job never ran counts as NeverRan.
 func outcomeOf(r policy.Result) waiting.Outcome {
 	switch {
 	case r == policy.OK:
@@ -135,7 +135,7 @@
 	g.room.Hosts(len(g.readyHosts))
 }
 
-// Out tells the room what the module made of its jobs, and takes back the refusals that the room does.
+// Out reports the module's sends and answers to the room, and drops refusals of jobs that the room takes back.
 func (g *WaitingGate) Out(now time.Duration, out []Command, p *Pass) {
 	for _, c := range out {
 		switch c := c.(type) {
@@ -175,17 +175,17 @@
 	}
 }
 
-// Wake is the room's.
+// Wake returns the room's next wake-up time.
 func (g *WaitingGate) Wake() (time.Duration, bool) {
 	at, ok := g.room.Wake(g.now)
 	return max(at, g.now), ok && at < math.MaxInt64
 }
 
-// Detached is the room's Out.
+// Detached returns the number of jobs of the room that are in the module or at a host.
 func (g *WaitingGate) Detached() int { return g.room.Out() }
 
-// Crashed is the room's.
+// ModuleLost passes the loss of the module's state on to the room.
 func (g *WaitingGate) Crashed(now time.Duration) { g.room.Crashed(now) }
 
-// Keeps is the room's.
+// Owns reports whether the job is only in the room.
 func (g *WaitingGate) Keeps(job uint64) bool { return g.room.Keeps(job) }
