--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where a dispatcher's configuration is read, checked and given defaults:
-// the NODE_* variables and the JSON file that NODE_CONFIG names. Every error names the faulty key.
+// Package config reads, checks and completes a dispatcher's configuration: the NODE_* variables and the JSON file that NODE_CONFIG
+// names. Every error names the invalid key.
 package config
 
 import (
@@ -19,45 +19,45 @@
 	"gaugeslip/policy"
 )
 
-// Limits is what the platform grants one dispatcher.
+// Limits are the resources that the platform grants one dispatcher.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Defaults of the limits, where the file leaves them out: those of a scored day.
+// Defaults of the limits that the file does not set: those of a scored day.
 const (
 	defaultCores    = 1
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	minSockets      = 64 // fewer cannot be shared out between the parts
+	minSockets      = 64 // fewer cannot be divided among the components
 )
 
-// Defaults of the settings that bind connections to upstream hosts, where the settings leave them out.
+// Defaults of the connection settings that the file does not set.
 const (
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultConnIdle       = 10 * time.Second
 )
 
-// Config is what a dispatcher is told at its start.
+// Config is a dispatcher's configuration at its start.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
 	Seed      uint64
 	Limits    Limits
-	Known     json.RawMessage // the list of upstream hosts as this dispatcher last had it
+	Known     json.RawMessage // the last list of upstream hosts that this dispatcher had
 	Settings  *settings.Settings
 
-	// Ops is the operators' door, from NODE_OPS or the key ops; empty: there is none.
+	// Ops is the address of the operators' interface, from NODE_OPS or the key ops; empty: none.
 	Ops string
-	// Inherited is the descriptor of the clients' listening socket that the platform hands on, from
-	// NODE_INHERITED_FD; 0: none, the dispatcher opens Listen itself.
+	// Inherited is the descriptor of the clients' listening socket that the platform passes on, from NODE_INHERITED_FD. 0: none, the
+	// dispatcher opens Listen itself.
 	Inherited int
 }
 
-// file is the form of the configuration file; unknown keys are ignored.
+// file is the form of the configuration file. Unknown keys are ignored.
 type file struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -69,11 +69,11 @@
 	Ops       string          `json:"ops"`
 }
 
-// Load reads the configuration. getenv looks up a variable; path, if not empty, stands for NODE_CONFIG.
+// Load reads the configuration. getenv looks up a variable. path overrides NODE_CONFIG if it is not empty.
 func Load(getenv func(string) string, path string) (*Config, error) { return load(getenv, path, false) }
 
-// Reload reads the whole configuration anew, with every check that Load makes. A discovery that the file names
-// stands above NODE_DISCOVERY here: the variable is as old as the process, the file is what has changed.
+// Reload reads the whole configuration again, with all checks of Load. A discovery address in the file overrides NODE_DISCOVERY here,
+// since the variable is as old as the process, and the file is newer.
 func Reload(getenv func(string) string, path string) (*Config, error) {
 	return load(getenv, path, true)
 }
@@ -83,7 +83,7 @@
 		path = getenv("NODE_CONFIG")
 	}
 	if path == "" {
-		return nil, errors.New("NODE_CONFIG: not set, and no file is named")
+		return nil, errors.New("NODE_CONFIG: not set, and no file given")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return parse(getenv, text, reload)
 }
 
-// Fixed names the keys whose values differ in a newer configuration and count only from a start on.
+// KeysNeedingRestart returns the keys whose values differ in a newer configuration and take effect only at a start.
 func (c *Config) Fixed(newer *Config) (keys []string) {
 	for key, same := range map[string]bool{
 		"name":     c.Name == newer.Name,
@@ -109,13 +109,13 @@
 	return keys
 }
 
-// parse reads the text of a file; anew: see Reload.
+// parse parses the text of a file. For reload see Reload.
 func parse(getenv func(string) string, text []byte, reload bool) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
 		var t *json.UnmarshalTypeError
 		if errors.As(err, &t) {
-			return nil, fmt.Errorf("config: %s: not for a %s", t.Field, t.Value)
+			return nil, fmt.Errorf("config: %s: cannot be a %s", t.Field, t.Value)
 		}
 		return nil, fmt.Errorf("config: %w", err)
 	}
@@ -123,7 +123,7 @@
 	for _, k := range []struct {
 		to              *string
 		env, key, file  string
-		addr, fileFirst bool // fileFirst: the file's value stands above the variable
+		addr, fileFirst bool // the file's value overrides the variable
 	}{
 		{&c.Name, "NODE_NAME", "name", f.Name, false, false},
 		{&c.Listen, "NODE_LISTEN", "listen", f.Listen, true, false},
@@ -180,7 +180,7 @@
 	return c, nil
 }
 
-// check fills in the defaults and finds figures that cannot be kept.
+// check sets the defaults and returns an error for invalid values.
 func (l *Limits) check() error {
 	if l.Cores == 0 {
 		l.Cores = defaultCores
@@ -197,22 +197,22 @@
 	case l.MemoryMB < 0:
 		return fmt.Errorf("limits.memory_mb: %v is negative", l.MemoryMB)
 	case l.Sockets < minSockets:
-		return fmt.Errorf("limits.sockets: %d, at least %d are needed", l.Sockets, minSockets)
+		return fmt.Errorf("limits.sockets: %d is too few, at least %d are required", l.Sockets, minSockets)
 	}
 	return nil
 }
 
-// Procs is how many threads may run Go code at a time.
+// Procs returns the number of threads that may run Go code at a time.
 func (l *Limits) Procs() int { return max(1, int(math.Ceil(l.Cores))) }
 
-// MemoryBytes is what the Go runtime may use: the rest of the limit is for what it does not count.
+// MemoryBytes returns the memory limit of the Go runtime. The rest is for memory that the runtime does not count.
 func (l *Limits) MemoryBytes() int64 { return int64(l.MemoryMB * 0.75 * (1 << 20)) }
 
-// BodyBytes is what the bodies of requests may take together. Each is held twice while it is written to an
-// upstream host, and the runtime with its connections needs 10 to 15 MB whatever comes.
+// BodyBytes returns the memory for the bodies of all requests. Each body is held twice while it is written to an upstream host, and
+// the runtime with its connections always needs 10 to 15 MB.
 func (l *Limits) BodyBytes() int64 { return int64(l.MemoryMB / 8 * (1 << 20)) }
 
-// checkAddr wants an address of numbers: there is no DNS.
+// checkAddr checks that the host is a numeric address: there is no DNS.
 func checkAddr(s string) error {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil {
@@ -227,7 +227,7 @@
 	return nil
 }
 
-// seed takes hex digits as they are; any other text, or the name, is hashed.
+// seed parses hex digits as the seed. It hashes any other text, or the name.
 func seed(s, name string) uint64 {
 	if v, err := strconv.ParseUint(s, 16, 64); err == nil {
 		return v
--- a/internal/operatorsettings/blocks.go
+++ b/internal/operatorsettings/blocks.go
@@ -12,7 +12,7 @@
 	"gaugeslip/internal/waiting"
 )
 
-// file is the form of the file. Attributes are read by hand, so that an error can point at them.
+// file is the form of the file. Attributes are evaluated one by one, so that errors can give their positions.
 type file struct {
 	Waiting  *waitingBlock  `hcl:"waiting,block"`
 	Overload *overloadBlock `hcl:"overload,block"`
@@ -73,7 +73,7 @@
 	Range     hcl.Range      `hcl:",def_range"`
 }
 
-// limits reads the block budgets.
+// limits evaluates the block budgets.
 func (b *budgetsBlock) limits() (*budget.Limits, error) {
 	l := budget.Defaults()
 	r := reader{block: "budgets"}
@@ -86,7 +86,7 @@
 	return checked(&l, &r, b.Range, b.Way, b.Floor, b.Burst, b.Probes, b.ListCalls)
 }
 
-// limits reads the block sites.
+// limits evaluates the block sites.
 func (b *sitesBlock) limits() (*siteloss.Limits, error) {
 	l := siteloss.Defaults()
 	r := reader{block: "sites"}
@@ -95,21 +95,21 @@
 	return checked(&l, &r, b.Range, b.Usable, b.Notice)
 }
 
-// limits reads the block peers.
+// limits evaluates the block peers.
 func (b *peersBlock) limits() (*peers.Limits, error) {
 	l := peers.Defaults()
 	r := reader{block: "peers"}
 	r.text(b.Listen, &l.Listen)
 	r.texts(b.Members, &l.Members)
 	if len(l.Members) == 2 {
-		l.Voters = 1 // of two no majority outlives one
+		l.Voters = 1 // of two voters a majority needs both
 	}
 	r.integer(b.Voters, &l.Voters)
 	r.number(b.Drift, &l.Drift)
 	return checked(&l, &r, b.Range, b.Listen, b.Members, b.Voters, b.Drift)
 }
 
-// limits reads the block waiting.
+// limits evaluates the block waiting.
 func (b *waitingBlock) limits() (*waiting.Limits, error) {
 	l := waiting.Defaults()
 	r := reader{block: "waiting"}
@@ -135,7 +135,7 @@
 	return checked(&l, &r, b.Range, b.MaxJobs, b.MaxKept, b.MaxBytes, b.Retention, b.DefaultDue, b.MaxDue, b.MaxDelay, b.Share, b.ClientShare)
 }
 
-// limits reads the block overload.
+// limits evaluates the block overload.
 func (b *overloadBlock) limits() (*overload.Limits, error) {
 	l := overload.Defaults()
 	r := reader{block: "overload"}
@@ -151,7 +151,7 @@
 	return checked(&l, &r, b.Range, b.Questions, b.Enter, b.Leave, b.Margin, b.Repeats, b.Floor)
 }
 
-// checked gives what a block holds, or what is wrong with it, at the place of the attribute that it is about.
+// checked returns the limits of a block, or its errors with the positions of the attributes concerned.
 func checked[L interface{ Check() error }](l L, r *reader, whole hcl.Range, all ...*hcl.Attribute) (L, error) {
 	var zero L
 	if len(r.errs) > 0 {
--- a/internal/operatorsettings/faults.go
+++ b/internal/operatorsettings/faults.go
@@ -8,7 +8,8 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// locate gives an error that begins with a key the place of that key's attribute, or of its block where it is absent.
+// locate adds the position of an attribute to an error that starts with its key, or the position of the block if the attribute is
+// absent.
 func locate(err error, block string, whole hcl.Range, all ...*hcl.Attribute) error {
 	key, why, _ := strings.Cut(err.Error(), ": ")
 	for _, a := range all {
@@ -19,12 +20,12 @@
 	return errorAt(whole, block+"."+key, why)
 }
 
-// errorAt is an error with its place and key.
+// errorAt returns an error with its position and key.
 func errorAt(r hcl.Range, key, why string) error {
 	return fmt.Errorf("%s:%d:%d: %s: %s", r.Filename, r.Start.Line, r.Start.Column, key, why)
 }
 
-// diagnosticsError turns HCL's own findings into errors of our form.
+// diagnosticsError converts HCL's diagnostics to errors of the same form.
 func diagnosticsError(diags hcl.Diagnostics) error {
 	var errs []error
 	for _, d := range diags {
--- a/internal/operatorsettings/reader.go
+++ b/internal/operatorsettings/reader.go
@@ -11,7 +11,7 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// reader reads attributes and collects what is wrong with them. One that is absent leaves its target as it is.
+// reader evaluates attributes and collects errors. An absent attribute leaves its target unchanged.
 type reader struct {
 	block string
 	errs  []error
@@ -21,7 +21,7 @@
 	r.errs = append(r.errs, errorAt(a.Range, r.block+"."+a.Name, fmt.Sprintf(why, args...)))
 }
 
-// value evaluates an attribute as a type.
+// value evaluates an attribute of a type.
 func (r *reader) value(a *hcl.Attribute, want cty.Type) (cty.Value, bool) {
 	if a == nil {
 		return cty.NilVal, false
@@ -32,7 +32,7 @@
 		return v, false
 	}
 	if v.IsNull() || !v.IsKnown() || v.Type() != want {
-		r.addError(a, "a %s is wanted", want.FriendlyName())
+		r.addError(a, "must be a %s", want.FriendlyName())
 		return v, false
 	}
 	return v, true
@@ -52,7 +52,7 @@
 		return
 	}
 	if f != math.Trunc(f) || math.Abs(f) > 1<<40 {
-		r.addError(a, "a whole number is wanted")
+		r.addError(a, "must be a whole number")
 		return
 	}
 	*to = int(f)
@@ -72,7 +72,7 @@
 	return ok
 }
 
-// texts reads ["a", "b"].
+// texts reads a list of strings such as ["a", "b"].
 func (r *reader) texts(a *hcl.Attribute, to *[]string) {
 	if a == nil {
 		return
@@ -83,20 +83,20 @@
 		return
 	}
 	if !v.IsWhollyKnown() || v.IsNull() || !v.CanIterateElements() {
-		r.addError(a, "a list of texts is wanted")
+		r.addError(a, "must be a list of strings")
 		return
 	}
 	*to = nil
 	for _, x := range v.AsValueSlice() {
 		if x.IsNull() || x.Type() != cty.String {
-			r.addError(a, "a list of texts is wanted")
+			r.addError(a, "must be a list of strings")
 			return
 		}
 		*to = append(*to, x.AsString())
 	}
 }
 
-// duration reads "90s", "10m", "24h".
+// duration reads a duration such as "90s", "10m" or "24h".
 func (r *reader) duration(a *hcl.Attribute, to *time.Duration) {
 	var s string
 	if !r.text(a, &s) {
@@ -104,7 +104,7 @@
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil || d < 0 {
-		r.addError(a, `%q is no duration such as "90s" or "10m"`, s)
+		r.addError(a, `%q is not a duration such as "90s" or "10m"`, s)
 		return
 	}
 	*to = d
@@ -115,7 +115,7 @@
 	size int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
-// bytes reads "512KiB", "8MiB", "1GiB".
+// bytes reads a size such as "512KiB", "8MiB" or "1GiB".
 func (r *reader) bytes(a *hcl.Attribute, to *int64) {
 	var s string
 	if !r.text(a, &s) {
@@ -130,5 +130,5 @@
 			break
 		}
 	}
-	r.addError(a, `%q is no size such as "512KiB" or "8MiB"`, s)
+	r.addError(a, `%q is not a size such as "512KiB" or "8MiB"`, s)
 }
--- a/internal/operatorsettings/settings.go
+++ b/internal/operatorsettings/settings.go
@@ -1,5 +1,5 @@
-// Package operatorsettings reads our own settings file: HCL, one block a subject. Without a file, and without its block, a subject
-// is off. A file is checked whole before any of it counts, and every error names file, line, column and key.
+// Package operatorsettings reads the operators' settings file: HCL, with one block per feature. A feature is off without the file or
+// without its block. The whole file is checked before any of it takes effect, and every error names file, line, column and key.
 package operatorsettings
 
 import (
@@ -16,16 +16,16 @@
 	"gaugeslip/internal/waiting"
 )
 
-// Settings are what the file holds.
+// Settings are the contents of the file.
 type Settings struct {
-	Waiting  *waiting.Limits  // nil: jobs do not wait here
-	Overload *overload.Limits // nil: nothing is done about overload beyond what the decision module always does
-	Budgets  *budget.Limits   // nil: nothing is divided beyond what the decision module always divides
-	Peers    *peers.Limits    // nil: dispatchers do not talk
-	Sites    *siteloss.Limits // nil: sites are not judged, and nothing is planned for the loss of one
+	Waiting  *waiting.Limits  // nil: no waiting room
+	Overload *overload.Limits // nil: no overload control beyond that of the decision module
+	Budgets  *budget.Limits   // nil: no budgets divided beyond those of the decision module
+	Peers    *peers.Limits    // nil: dispatchers do not exchange messages
+	Sites    *siteloss.Limits // nil: sites are not judged, and there are no plans for the loss of one
 }
 
-// Load reads the file that path names, or else the one that NODE_SITE does. With neither, everything is off.
+// Load reads the file at path, or at NODE_SITE if path is empty. Without either, all features are off.
 func Load(getenv func(string) string, path string) (*Settings, error) {
 	if path == "" {
 		path = getenv("NODE_SITE")
@@ -40,7 +40,7 @@
 	return Parse(text, path)
 }
 
-// Parse reads the text of a file; name is for its errors.
+// Parse parses the text of a file. name appears in its errors.
 func Parse(text []byte, name string) (*Settings, error) {
 	parsed, diags := hclparse.NewParser().ParseHCL(text, name)
 	if diags.HasErrors() {
@@ -63,12 +63,12 @@
 		}
 	}
 	if s.Budgets != nil && s.Budgets.Way == budget.ByTalk && s.Peers == nil {
-		return nil, errorAt(f.Budgets.Range, "budgets.way", "talk needs a block peers")
+		return nil, errorAt(f.Budgets.Range, "budgets.way", "talk requires a block peers")
 	}
 	return s, nil
 }
 
-// readBlock reads a block; one that is missing leaves its subject off.
+// readBlock evaluates a block. A missing block leaves its feature off.
 func readBlock[L any, B any, P interface {
 	*B
 	limits() (*L, error)
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,6 +1,6 @@
-// Package overload holds what operators set for times when more is asked for than the hosts can do, and what a dispatcher says
-// of it: the bounds that the decision module keeps, and a level with hysteresis drawn from the dispatcher's own answers. It is
-// free of I/O, clocks and goroutines.
+// Package overload has the operators' settings for overload, when the load exceeds the capacity of the hosts, and a dispatcher's
+// signals of it: limits that the decision module applies, and an overload level with hysteresis from the dispatcher's own answers. It
+// is free of I/O, clocks and goroutines.
 package overload
 
 import (
@@ -14,28 +14,27 @@
 
 // Limits are the settings of the block overload.
 type Limits struct {
-	// Questions is how many probes all dispatchers together may send to a host in the length of a mean run, for each
-	// standard lane of it, while their answers find no lane free. More is allowed the more answers find one: see
-	// policy.Config.Questions.
+	// Questions is the number of probes that all dispatchers together may send to a host during a mean run, per standard lane of the
+	// host, while their answers report no free lane. More are allowed the more answers report one: see policy.Config.Questions.
 	Questions float64
-	KeepLanes bool    // a lane that an own job frees is taken again without a probe, while most answers find none free
-	Enter     float64 // share of refusals among answers from which on the level is "overloaded"
-	Leave     float64 // and under which it no longer is
-	// Margin is how many times the delay that peers cause a job's slack must be, see policy.Config.Margin.
+	KeepLanes bool    // reuse a lane that an own job frees without a probe, while most answers report no free lane
+	Enter     float64 // share of refusals among answers above which the level becomes "overloaded"
+	Leave     float64 // share below which it no longer is
+	// Margin is the least ratio of a job's slack to the delay that peers cause, see policy.Config.Margin.
 	Margin float64
-	// Repeats is how many sends beyond the first all dispatchers together make for each first one, at most; 0: no bound.
+	// Repeats is the most further sends that all dispatchers together make per first send; 0: no limit.
 	Repeats float64
-	Shed    bool     // jobs are refused at the door, in one order for all dispatchers: see Shedder
-	Floor   float64  // share of each class that is not refused there
-	Order   []string // classes, the last refused first; empty: by worth for their work
+	Shed    bool     // refuse jobs before the decision module, in the same order at all dispatchers: see Shedder
+	Floor   float64  // share of each class that is never refused there
+	Order   []string // classes, the one refused last first; empty: by worth per work
 }
 
-// Defaults is what an empty block means. The figures are weighed in docs/design/overload.md.
+// Defaults returns the limits of an empty block. docs/design/overload.md has the reasons for the numbers.
 func Defaults() Limits {
 	return Limits{Questions: 2, KeepLanes: true, Enter: 0.2, Leave: 0.05, Margin: 4, Repeats: 0.2, Shed: true, Floor: 0.25}
 }
 
-// Check finds settings that can't be kept. An error begins with the faulty key.
+// Check returns an error for invalid settings. Its text starts with the key of the invalid setting.
 func (l *Limits) Check() error {
 	switch {
 	case !(l.Questions >= 0) || math.IsInf(l.Questions, 0) || l.Questions > 1000:
@@ -54,31 +53,31 @@
 	return nil
 }
 
-// Apply puts what the decision module keeps into its settings.
+// Apply copies the limits that the decision module applies to its settings.
 func (l *Limits) Apply(c *policy.Config) {
 	c.Questions, c.KeepLanes, c.Margin, c.Repeats = l.Questions, l.KeepLanes, l.Margin, l.Repeats
 }
 
-// decayTime is how long an answer counts in the level: its weight falls to 1/e in this time.
+// decayTime is the time constant of the level: the weight of an answer falls to 1/e in this time.
 const decayTime = 2 * time.Second
 
-// Level tells from a dispatcher's own answers whether it is overloaded. It turns at Enter and back at Leave, so that a load that
-// wavers about one of them does not make it flap. The zero value is of no use, see NewLevel.
+// Level reports from a dispatcher's own answers whether it is overloaded. It becomes overloaded above Enter and normal below Leave, so
+// that a load near one of these thresholds does not make it flap. Use NewLevel; the zero value is not valid.
 type Level struct {
 	limits            Limits
 	at                time.Duration
-	answers, refusals float64 // answers, and refusals among them, by their weights
+	answers, refusals float64 // weighted numbers of answers, and of refusals among them
 	overloaded        bool
 	changes           int
 }
 
-// minAnswers is the weight of answers under which the level stays as it is: a few refusals of a quiet dispatcher say nothing.
+// minAnswers is the weight of answers below which the level does not change: a few refusals of an idle dispatcher mean nothing.
 const minAnswers = 5
 
-// NewLevel makes one that is not overloaded.
+// NewLevel returns a level that is not overloaded.
 func NewLevel(l Limits) *Level { return &Level{limits: l} }
 
-// decay lets time pass.
+// decay reduces the weights for the time that has passed.
 func (v *Level) decay(now time.Duration) {
 	if now <= v.at {
 		return
@@ -87,8 +86,8 @@
 	v.answers, v.refusals, v.at = v.answers*f, v.refusals*f, now
 }
 
-// Answered takes in an answer at a time, which does not go back. True: the level has turned.
-func (v *Level) Answered(now time.Duration, refused bool) (turned bool) {
+// RecordAnswer records an answer at a time, which must not go back. It reports whether the level has changed.
+func (v *Level) Answered(now time.Duration, refused bool) (changed bool) {
 	v.decay(now)
 	if v.answers++; refused {
 		v.refusals++
@@ -102,7 +101,7 @@
 	return true
 }
 
-// Now gives the level at a time: whether the dispatcher is overloaded, and the share of refusals that says so.
+// Current returns whether the dispatcher is overloaded at a time, and the share of refusals that decides it.
 func (v *Level) Now(now time.Duration) (overloaded bool, share float64) {
 	v.decay(now)
 	if v.answers < 1e-3 {
@@ -111,5 +110,5 @@
 	return v.overloaded, v.refusals / v.answers
 }
 
-// Turns is how often the level has turned.
+// Changes returns how often the level has changed.
 func (v *Level) Turns() int { return v.changes }
--- a/internal/overload/shed.go
+++ b/internal/overload/shed.go
@@ -9,71 +9,71 @@
 	"gaugeslip/policy"
 )
 
-// Shedder decides at the door which jobs are refused before the decision module is asked at all, while more is asked for than
-// can be done in time. It acts on what one dispatcher sees itself, but so that all come to the same verdict on a job:
+// Shedder refuses jobs before they reach the decision module, while the load exceeds what can be done in time. It uses only what one
+// dispatcher sees, but in such a way that all dispatchers come to the same decision on a job:
 //
-//   - Each job has a place in its class that follows from its key (what it concerns) and the time alone. The place moves with
-//     time, through the whole class in one turn, so that a job refused here is refused elsewhere too as long as it comes at
-//     once, and nobody is shut out for ever. A turn is as long as the class's aim beyond its running time: who comes a turn
-//     later may still be in time.
-//   - Classes stand in one order, the dearest for its work first. The floor of each class comes before all else.
-//   - What share of the offered work is let in, is learned from what became of the jobs that were: it shrinks with each that
-//     the module refused or that ended late, and grows with each that ended in time.
+//   - Each job has a phase from 0 to 1 within its class, which follows from its key (what it concerns) and the time. The phase advances
+//     with time and wraps around once per period, so that a job refused by one dispatcher is refused by the others too if it is
+//     retried at once, and no job is refused for ever. A period is as long as the class's target beyond its running time: a client that
+//     retries one period later may still be in time.
+//   - Classes have a fixed order, by worth per work. The floors of all classes come before everything else.
+//   - The share of the offered work that is admitted is learned from the outcome of admitted jobs. It decreases with each one that the
+//     module refused or that ended late, and increases with each one that ended in time.
 //
-// A refusal at the door is harmless by itself: the job went nowhere. Who is told to come back in time for its turn has a
-// promise: at that time its place is in the floor, and no more are promised than the floor can hold. The zero value is of no
-// use, see NewShedder.
+// A refusal here is harmless, since the job was not sent anywhere. A client that gets a time to retry can rely on it: at that time its
+// phase is within the floor, and no more work gets such a time than the floor can hold. Use NewShedder; the zero value is not valid.
 type Shedder struct {
 	floor          float64
-	maxRetryAfter  time.Duration   // advice that can be given
+	maxRetryAfter  time.Duration   // longest retry time that may be advised
 	periods        []time.Duration // by class
 	classes        []classLoad
-	order          []int // classes, the last refused first
+	order          []int // classes, the one refused last first
 	admittedShare  float64
-	streak         int           // jobs that ended in time, one after the other
-	lastArrival    time.Duration // of the last arrival
-	meanWork       float64       // work of a job
-	promisableWork float64       // work that may yet be promised to come back
+	streak         int // jobs in a row that ended in time
+	lastArrival    time.Duration
+	meanWork       float64 // of a job
+	promisableWork float64 // work that may still get a time to retry
 }
 
-// classLoad is what is asked for of a class.
+// classLoad is the load that a class offers.
 type classLoad struct {
-	share float64 // of the work that is offered
+	share float64 // of the offered work
 }
 
-// Job is what the Shedder has to know of one.
+// Job describes a job to the Shedder.
 type Job struct {
 	Class int
-	Key   uint64        // of what it concerns, alike in each of its client's tries; any number where there is none
-	Keyed bool          // there is
-	Retry bool          // its client says that it has asked before
+	Key   uint64        // what the job concerns, equal in all retries of its client; any number if not Keyed
+	Keyed bool          // Key is valid
+	Retry bool          // the client says that it has sent the job before
 	Work  time.Duration // as hinted; 0: the mean
 }
 
 const (
-	// What is let in shrinks by these shares with each job of mean work that the module refused, which cost nobody anything, or
-	// that ended late, and grows by more with each that ended in time. Weighed in docs/design/overload.md.
+	// The admitted share decreases by these shares with each job of mean work that the module refused, which cost nothing, or that
+	// ended late. It increases by the third with each one that ended in time. docs/design/overload.md has the reasons for the numbers.
 	decreaseRefused, decreaseLate, increase = 0.01, 0.1, 0.02
-	// Without such news it grows with time, by so much a second: a dispatcher that sees little, or whose clients have gone, comes
-	// back as soon as one that sees much. Those that end in time one after the other count more and more, up to maxStreak times.
+	// Without outcomes the share increases by this much per second, so that a dispatcher with little traffic, or whose clients have
+	// gone, recovers as soon as one with much. Jobs in a row that end in time increase the share by a growing multiple, up to
+	// maxStreak.
 	recoveryRate = 0.03
 	maxStreak    = 8
-	// fullAbove is where it is all again: it comes near to 1 of itself, but not up to it while now and then a job is late.
+	// From this share on all is admitted: the share comes near 1 by itself, but does not reach it while a few jobs are late.
 	fullAbove            = 0.995
-	smoothing            = 0.02 // of the means, a job
+	smoothing            = 0.02 // of the means, per job
 	minPeriod            = 50 * time.Millisecond
 	defaultMaxRetryAfter = 2 * time.Second
 )
 
-// NewShedder makes one that lets everything in, for a dispatcher with these settings. Limits that are not sound, or that name
-// classes that are not there, are an error that begins with the key.
+// NewShedder returns a Shedder that admits all jobs at first, for a dispatcher with these settings. Limits that are invalid or that
+// name unknown classes are an error whose text starts with the key.
 func NewShedder(l Limits, cfg *policy.Config) (*Shedder, error) {
 	order, err := l.Ranked(cfg)
 	if err != nil {
 		return nil, err
 	}
 	s := &Shedder{floor: l.Floor, order: order, admittedShare: 1, maxRetryAfter: cmp.Or(cfg.MaxRetryAfter, defaultMaxRetryAfter)}
-	for _, c := range cfg.Classes { // who comes a turn later must still be in time
+	for _, c := range cfg.Classes { // a client that retries a period later must still be in time
 		s.periods = append(s.periods, max(min(c.OnTime, s.maxRetryAfter), minPeriod))
 	}
 	s.classes = make([]classLoad, len(cfg.Classes))
@@ -83,8 +83,8 @@
 	return s, nil
 }
 
-// Ranked is the order in which classes are kept, as numbers. By default the one that is worth more for its work is kept longer; where
-// worth is by the job, its wait tells of its work.
+// ClassOrder returns the numbers of the classes, the one refused last first. By default the class with more worth per work is refused
+// later. Where worth is per job, the class's deadline stands for its work.
 func (l *Limits) Ranked(cfg *policy.Config) (all []int, err error) {
 	named := map[string]int{}
 	for i, c := range cfg.Classes {
@@ -107,13 +107,13 @@
 	for _, name := range l.Order {
 		i, ok := named[name]
 		if !ok {
-			return nil, &orderError{name, "is no class"}
+			return nil, &orderError{name, "is unknown"}
 		}
 		delete(named, name)
 		all = append(all, i)
 	}
 	for name := range named {
-		return nil, &orderError{name, "is missing, or another stands there twice"}
+		return nil, &orderError{name, "is missing, or another class is listed twice"}
 	}
 	return all, nil
 }
@@ -122,18 +122,18 @@
 
 func (e *orderError) Error() string { return "order: class \"" + e.class + "\" " + e.why }
 
-// phase is where a job stands in its class at a time, 0 to 1: 0 as its turn begins, 1 as it ends.
+// phase returns the phase of a job within its class at a time, from 0 at the start of its period to 1 at the end.
 func (s *Shedder) phase(now time.Duration, class int, key uint64) float64 {
-	turn := s.periods[class]
-	// Mixed, so that keys that count on from one another are spread.
+	period := s.periods[class]
+	// The key is mixed, so that consecutive keys are spread.
 	key = (key ^ key>>30) * 0xbf58476d1ce4e5b9
 	key = (key ^ key>>27) * 0x94d049bb133111eb
-	at := float64(now%turn)/float64(turn) - float64((key^key>>31)>>11)/(1<<53)
+	at := float64(now%period)/float64(period) - float64((key^key>>31)>>11)/(1<<53)
 	return at - math.Floor(at)
 }
 
-// Arrived takes in a job at a time on a clock that all dispatchers share. False: it is to be refused at once, and its client
-// told to come back after a while.
+// AdmitJob decides on a job at a time on a clock that all dispatchers share. If ok is false, the job is to be refused at once, with
+// after as advice when to retry.
 func (s *Shedder) Arrived(now time.Duration, j Job) (ok bool, after time.Duration) {
 	if s.increaseAdmission(recoveryRate * max(0, min(now-s.lastArrival, time.Minute)).Seconds()); now > s.lastArrival {
 		s.lastArrival = now
@@ -144,7 +144,7 @@
 		work = s.meanWork
 	}
 	s.meanWork += (work - s.meanWork) * smoothing
-	// A class's share of the work, from jobs weighed by theirs: a few heavy ones must not swing it.
+	// Shares of classes are averaged over jobs weighted by work, with a limit, so that a few large jobs do not distort them.
 	weight := smoothing * min(work/s.meanWork, 4)
 	for i := range s.classes {
 		c := &s.classes[i]
@@ -152,46 +152,46 @@
 			c.share += weight
 		}
 	}
-	place := s.phase(now, j.Class, j.Key)
+	phase := s.phase(now, j.Class, j.Key)
 	if j.Retry && !j.Keyed {
-		place = 1 // it may have been refused anywhere: it is not dealt another place
+		phase = 1 // a retry without a key may have been refused anywhere: it gets no other phase
 	}
-	if s.admittedShare >= 1 || place < s.floor || s.workAhead(j.Class, place) < s.admittedShare {
+	if s.admittedShare >= 1 || phase < s.floor || s.workAhead(j.Class, phase) < s.admittedShare {
 		s.promisableWork = min(s.promisableWork+work*s.floor, 4*s.meanWork)
 		return true, 0
 	}
-	// Its turn begins when its place is 0 again; a little later, so that it surely has.
-	after = time.Duration((1 - place + s.floor/4) * float64(s.periods[j.Class]))
+	// The job's period starts when its phase is 0 again. A little is added, to be surely past that.
+	after = time.Duration((1 - phase + s.floor/4) * float64(s.periods[j.Class]))
 	if !j.Keyed || s.promisableWork < work || after >= s.maxRetryAfter {
-		return false, s.maxRetryAfter // there is no room in sight
+		return false, s.maxRetryAfter // no capacity in sight
 	}
 	s.promisableWork -= work
 	return false, after
 }
 
-// workAhead is how much of the offered work comes before a job in the one order in which all shed.
-func (s *Shedder) workAhead(class int, place float64) float64 {
+// workAhead returns the share of the offered work that precedes a job in the order that all dispatchers use.
+func (s *Shedder) workAhead(class int, phase float64) float64 {
 	at := s.floor
 	for _, i := range s.order {
 		if i == class {
-			return at + (place-s.floor)*s.classes[i].share
+			return at + (phase-s.floor)*s.classes[i].share
 		}
 		at += (1 - s.floor) * s.classes[i].share
 	}
 	return at
 }
 
-// End is what became of a job that was let in.
+// Outcome is what became of an admitted job.
 type End uint8
 
-// The ends that tell of room. Jobs that failed for other causes tell nothing.
+// The outcomes that depend on capacity. Jobs that failed for other causes are not reported.
 const (
 	InTime End = iota
-	Late       // or its client left before it ended
-	NoRoom     // the module refused it
+	Late       // or its client left before the end
+	NoRoom     // by the module
 )
 
-// Came tells what became of a job that was let in.
+// JobEnded records the outcome of an admitted job.
 func (s *Shedder) Came(work time.Duration, end End) {
 	w := min(work.Seconds()/max(s.meanWork, 1e-9), 3)
 	if work <= 0 {
@@ -208,12 +208,12 @@
 	}
 }
 
-// increaseAdmission lets in more.
+// increaseAdmission increases the admitted share.
 func (s *Shedder) increaseAdmission(by float64) {
 	if s.admittedShare += by; s.admittedShare > fullAbove {
 		s.admittedShare = 1
 	}
 }
 
-// Admit is the share of the offered work that is let in now.
+// AdmittedShare returns the share of the offered work that is admitted now.
 func (s *Shedder) Admit() float64 { return s.admittedShare }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object, as it comes in the simulator's first message and in a real
-// dispatcher's configuration, into the decision module's Config. It is the one decoder for both adapters.
+// Package settings decodes the settings object into the decision module's Config. The simulator's first message and the configuration
+// of a real dispatcher both contain this object, and both adapters use this decoder.
 package settings
 
 import (
@@ -11,7 +11,7 @@
 	"gaugeslip/policy"
 )
 
-// document is the part of the settings that is used; unknown keys are ignored.
+// document has the keys of the settings that are used. Unknown keys are ignored.
 type document struct {
 	Accounts []struct {
 		Name  string  `json:"name"`
@@ -73,22 +73,22 @@
 	ValueBy string `json:"value-by"`
 }
 
-// Settings is the module's Config with what an adapter needs beside it: the names that the module knows
-// only as numbers, and the limits that bind the sockets rather than the decisions.
+// Settings is the module's Config with what adapters need in addition: the names that the module knows only as numbers, and the limits
+// that apply to connections rather than to decisions.
 type Settings struct {
 	Policy                         policy.Config
 	Classes, Tenants, Zones, Kinds map[string]int
 	Fields                         []string // of a load report without names, in order
 	ConnIdle                       time.Duration
-	MostHeld                       int  // requests held open at once; 0: no limit is set
-	RetryAfter                     bool // clients are handed the advice of a refusal
+	MostHeld                       int  // most requests held open at once; 0: no limit
+	RetryAfter                     bool // pass the advice of a refusal to clients
 	freeSlots                      bool // x0 of a load report means free slots
 }
 
-// Millis turns milliseconds with fractions into a duration of whole microseconds.
+// Millis converts milliseconds with fractions to a duration of whole microseconds.
 func Millis(v float64) time.Duration { return time.Duration(v*1000+0.5) * time.Microsecond }
 
-// index numbers a list of names.
+// index maps the names of a list to their positions.
 func index(list []string) map[string]int {
 	m := make(map[string]int, len(list))
 	for i, s := range list {
@@ -102,13 +102,13 @@
 var groups = map[string]policy.Group{
 	"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
 
-// Parse reads the settings. An error begins with the faulty key.
+// Parse parses the settings. The text of an error starts with the invalid key.
 func Parse(text []byte) (*Settings, error) {
 	var e document
 	if err := json.Unmarshal(text, &e); err != nil {
 		var t *json.UnmarshalTypeError
 		if errors.As(err, &t) {
-			return nil, fmt.Errorf("%s: not for a %s", t.Field, t.Value)
+			return nil, fmt.Errorf("%s: cannot be a %s", t.Field, t.Value)
 		}
 		return nil, err
 	}
@@ -163,13 +163,13 @@
 	return s, nil
 }
 
-// NoLoad is a load report in which nothing is reported.
+// NoLoad returns a load report without values.
 func NoLoad() policy.Load {
 	return policy.Load{FreeSlots: -1, Queue: -1, InFlight: -1, Busy: -1, Latency: -1}
 }
 
-// SetLoad puts one value of a load report in its place. The sockets name some values otherwise than the
-// simulator's wire does; both names count. A name that is not known is skipped.
+// SetLoad stores one value of a load report. HTTP and the simulator's protocol have different names for some values; both are
+// accepted. Unknown names are ignored.
 func (s *Settings) SetLoad(l *policy.Load, name string, v float64) {
 	switch name {
 	case "x0":
@@ -187,7 +187,7 @@
 	}
 }
 
-// Find numbers a name that a list may hold though the settings do not: -1.
+// IndexOf returns the number of a name, or -1 if it is unknown.
 func Find(m map[string]int, name string) int {
 	if v, ok := m[name]; ok {
 		return v
