--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -6,8 +6,8 @@
 //
 //   - each process's clock runs at most by Config.Drift faster or slower than real time, in any interval; the absolute time that it
 //     shows does not matter (a clock that stops while the machine sleeps breaks this assumption: exclude such machines);
-//   - the number of members in the settings is right, and at most one process at a time has a member's number: see Lock and
-//     the address that a member has to hold.
+//   - the number of members in the settings is right, and at most one process at a time has a member's number. internal/node ensures the
+//     latter by a file lock or by the address that a member has to hold.
 //
 // Messages may be lost, late, repeated, reordered or corrupt. A process may pause at any time, but a use that was decided must be
 // carried out with the Step that decided it. A process that is stopped between the two uses at most what that one Step had decided
--- a/internal/budget/model_test.go
+++ b/internal/budget/model_test.go
@@ -11,17 +11,17 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The model: three members, all of which vote, and two budgets, played by real Nodes on clocks of which one is a fifth slow and one
-// a fifth fast. Time goes by in ticks. What goes wrong is chosen in every way there is, up to so many faults in one history: any
-// message is lost, late by one, three or seven ticks, or comes again so much later; any member is killed and starts again, or is
-// paused for three or eight ticks, at any tick. Each state is looked at once.
+// The model checker: three members, all voters, and two budgets, played by real Nodes. One clock is a fifth slow and one a fifth fast.
+// Time passes in ticks. All combinations of faults are tried, up to a number of faults per history: a message is lost, is late by one,
+// three or seven ticks, or is repeated that much later; a member is killed and restarted, or paused for three or eight ticks, at any
+// tick. Each state is visited once.
 
 const (
 	tickLen  = 10
 	modelLen = 20 // ticks
 )
 
-// modelState is one of the model's.
+// modelState is a state of the model.
 type modelState struct {
 	tick         int
 	clock        [3]time.Duration
@@ -29,7 +29,7 @@
 	paused       [3]int // until this tick
 	seen         [3]time.Duration
 	incarnations uint64
-	faults       int // that may yet come
+	faults       int // faults left
 	inFlight     []delivery
 	trace        string
 }
@@ -39,12 +39,12 @@
 	m   Message
 }
 
-// mutant changes the protocol, or what is held to be usable.
+// mutant changes the protocol, or which units count as usable.
 type mutant struct {
-	drift   float64                         // reckoned with; negative: as it is
-	restart func(n *Node)                   // after a start
-	before  func(s *modelState, m *Message) // a message is taken in
-	after   func(s *modelState, m *Message) // it was
+	drift   float64                         // the drift that nodes allow for; negative: the real one
+	restart func(n *Node)                   // called after a start
+	before  func(s *modelState, m *Message) // called before a message is processed
+	after   func(s *modelState, m *Message) // called after a message was processed
 	usable  func(s *modelState, i, budget int) Units
 }
 
@@ -59,7 +59,7 @@
 	c.grant.Units = slices.Clone(n.grant.Units)
 	c.members = slices.Clone(n.members)
 	for i := range c.members {
-		c.members[i].outstanding = slices.Clone(c.members[i].outstanding) // grants do not change once they are out
+		c.members[i].outstanding = slices.Clone(c.members[i].outstanding) // outstanding grants do not change
 	}
 	c.parts = nil
 	for _, p := range n.parts {
@@ -77,7 +77,7 @@
 	return &c
 }
 
-// key names a state by all that can matter.
+// key encodes all that distinguishes a state.
 func (s *modelState) key(b []byte) []byte {
 	put := func(all ...int64) {
 		for _, x := range all {
@@ -123,13 +123,13 @@
 	return b
 }
 
-// search plays all histories with so many faults, and gives the states and the first breach.
-func search(faults, most int, mut mutant) (states int, breach string) {
+// search plays all histories with a number of faults, and returns the number of states and the first violation.
+func search(faults, most int, mut mutant) (states int, violation string) {
 	first := &modelState{faults: faults, incarnations: 3}
 	for i := range first.nodes {
 		first.nodes[i] = modelNode(i, uint64(i+1), 0, &mut)
-		first.nodes[i].startedAt = -1000                    // all have been there for long
-		first.nodes[i].lastGrantAt = time.Duration(-60 + i) // and nobody leads
+		first.nodes[i].startedAt = -1000                    // all have run for long
+		first.nodes[i].lastGrantAt = time.Duration(-60 + i) // and there is no leader
 		first.nodes[i].retryAt = time.Duration(i * 30)
 	}
 	seen := map[[2]uint64]struct{}{}
@@ -154,7 +154,7 @@
 				}
 			}
 			if sum > Whole {
-				return len(seen), fmt.Sprintf("tick %d: %d units of budget %d: %s", s.tick, sum, b, s.trace)
+				return len(seen), fmt.Sprintf("tick %d: %d units of budget %d owned: %s", s.tick, sum, b, s.trace)
 			}
 		}
 		stack = s.next(stack, &mut)
@@ -163,8 +163,8 @@
 }
 
 // modelNode starts a member.
-func modelNode(i int, life uint64, now time.Duration, mut *mutant) *Node {
-	c := Config{Self: i, Members: 3, Voters: 3, Budgets: 2, Floor: Whole / 16, Term: 60, Every: 20, Drift: 0.2, Life: life}
+func modelNode(i int, incarnation uint64, now time.Duration, mut *mutant) *Node {
+	c := Config{Self: i, Members: 3, Voters: 3, Budgets: 2, Floor: Whole / 16, Term: 60, Every: 20, Drift: 0.2, Life: incarnation}
 	if mut.drift >= 0 {
 		c.Drift = mut.drift
 	}
@@ -177,13 +177,13 @@
 	return n
 }
 
-// next adds the states that may follow. A message that is due is dealt with first; else a tick goes by.
+// next adds the successors of a state. Messages that are due are processed first; otherwise a tick passes.
 func (s *modelState) next(to []*modelState, mut *mutant) []*modelState {
 	for k, l := range s.inFlight {
 		if l.due > s.tick {
 			continue
 		}
-		if s.paused[l.m.To] > s.tick { // it waits there
+		if s.paused[l.m.To] > s.tick { // the message waits for its paused receiver
 			continue
 		}
 		without := func(faults int, what string) *modelState {
@@ -228,7 +228,7 @@
 			c := s.clone()
 			c.faults--
 			c.incarnations++
-			c.trace += fmt.Sprintf("%d: %d starts again; ", s.tick, i)
+			c.trace += fmt.Sprintf("%d: %d restarts; ", s.tick, i)
 			c.nodes[i], c.paused[i], c.seen[i] = modelNode(i, c.incarnations, c.clock[i], mut), 0, c.clock[i]
 			tick(c)
 			for _, long := range []int{3, 8} {
@@ -262,44 +262,44 @@
 	}
 }
 
-// No history with up to two faults, of any kind at any place, has more than the whole owned at any tick.
+// In no history with up to two faults, of any kind at any point, do the members own more than the whole at any tick.
 func TestModel(t *testing.T) {
 	t.Parallel()
 	began := time.Now()
-	states, breach := search(2, 1<<30, mutant{drift: -1})
-	assert.Empty(t, breach)
+	states, violation := search(2, 1<<30, mutant{drift: -1})
+	assert.Empty(t, violation)
 	t.Logf("%d states in %v", states, time.Since(began))
 	assert.Greater(t, states, 10_000)
 }
 
-// Every way in which the protocol could be weaker is found by the same search, with the same faults or fewer.
+// Every weakened protocol is found by the same search, with as many faults or fewer.
 func TestModelFindsMutants(t *testing.T) {
 	for name, m := range map[string]mutant{
 		"drift of zero": {drift: 0},
-		"lapse forgotten": {drift: -1, usable: func(s *modelState, i, b int) Units {
+		"share used after its end": {drift: -1, usable: func(s *modelState, i, b int) Units {
 			x := s.nodes[i].Share(b)
 			return x.Floor + x.More
 		}},
-		"check before a pause, use after": {drift: -1, usable: func(s *modelState, i, b int) Units {
+		"checked before a pause, used after": {drift: -1, usable: func(s *modelState, i, b int) Units {
 			return s.nodes[i].Share(b).At(s.seen[i])
 		}},
-		"given out before the ack": {drift: -1, before: func(s *modelState, m *Message) {
+		"units reused before the confirmation": {drift: -1, before: func(s *modelState, m *Message) {
 			if m.Kind == Ask && s.nodes[m.To].Leads(s.at(m.To)) {
 				m.Ballot, m.Epoch = s.nodes[m.To].leadBallot, 1<<31
 			}
 		}},
-		"epoch reused": {drift: -1, before: func(s *modelState, m *Message) {
+		"earlier epoch accepted": {drift: -1, before: func(s *modelState, m *Message) {
 			if n := s.nodes[m.To]; m.Kind == Grant && m.Epoch < n.grant.Epoch {
 				m.Epoch = n.grant.Epoch + 1 // an old grant passes for a new one
 			}
 		}},
-		"a voter that speaks at once": {drift: -1, restart: func(n *Node) { n.startedAt -= 1000 }},
-		"the lead counted from its end": {drift: -1, after: func(s *modelState, m *Message) {
+		"a voter that votes right after a start": {drift: -1, restart: func(n *Node) { n.startedAt -= 1000 }},
+		"leader lease counted from its confirmation": {drift: -1, after: func(s *modelState, m *Message) {
 			if n := s.nodes[m.To]; m.Kind == Accepted && n.Leads(s.at(m.To)) {
 				n.leadUntil = max(n.leadUntil, s.at(m.To)+n.cfg.Term)
 			}
 		}},
-		"a grant counted from when it came": {drift: -1, before: func(s *modelState, m *Message) {
+		"grant counted from its arrival": {drift: -1, before: func(s *modelState, m *Message) {
 			if n := s.nodes[m.To]; m.Kind == Grant {
 				n.requests[m.Seq%uint32(len(n.requests))].at = s.at(m.To)
 			}
@@ -307,9 +307,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			states, breach := search(2, 1<<21, m)
-			assert.NotEmpty(t, breach, "not found in %d states", states)
-			t.Logf("%d states: %s", states, breach)
+			states, violation := search(2, 1<<21, m)
+			assert.NotEmpty(t, violation, "not found in %d states", states)
+			t.Logf("%d states: %s", states, violation)
 		})
 	}
 }
--- a/internal/budget/node.go
+++ b/internal/budget/node.go
@@ -162,8 +162,8 @@
 }
 
 // jitter returns a number from 0 to 1 that differs between processes and rounds.
-func jitter(life uint64, round uint32) float64 {
-	x := (life + uint64(round)) * 0x9e3779b97f4a7c15
+func jitter(incarnation uint64, round uint32) float64 {
+	x := (incarnation + uint64(round)) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	return float64(x>>11) / (1 << 53)
 }
@@ -368,11 +368,11 @@
 	}
 	a := &n.members[m.From]
 	a.incarnation, a.lastHeard, a.hasRequested, a.demand = m.Life, n.now, true, m.Units
-	mine := m.Ballot.sameProcess(n.leadBallot)
+	ownLease := m.Ballot.sameProcess(n.leadBallot)
 	keep := a.outstanding[:0]
 	for _, g := range a.outstanding {
 		// A process that has a later grant never uses this one again. A process that seems to have ended may only be paused.
-		if n.now < g.until && !(mine && g.incarnation == m.Life && g.epoch < m.Epoch) {
+		if n.now < g.until && !(ownLease && g.incarnation == m.Life && g.epoch < m.Epoch) {
 			keep = append(keep, g)
 		}
 	}
@@ -391,18 +391,18 @@
 }
 
 // inUseByOthers returns the units of a budget that all processes but one may use.
-func (n *Node) inUseByOthers(budget, member int, life uint64) (sum Units) {
+func (n *Node) inUseByOthers(budget, member int, incarnation uint64) (sum Units) {
 	for i := range n.members {
-		sum += n.members[i].maxInUse(n.now, budget, i == member, life)
+		sum += n.members[i].maxInUse(n.now, budget, i == member, incarnation)
 	}
 	return sum
 }
 
 // maxInUse returns the most units of a budget that processes of a member may use. Each process uses one of its grants, but which one
 // is not known.
-func (a *memberState) maxInUse(now time.Duration, budget int, except bool, life uint64) (sum Units) {
+func (a *memberState) maxInUse(now time.Duration, budget int, excluded bool, incarnation uint64) (sum Units) {
 	for i, g := range a.outstanding {
-		if now >= g.until || except && g.incarnation == life {
+		if now >= g.until || excluded && g.incarnation == incarnation {
 			continue
 		}
 		first := true
@@ -412,13 +412,13 @@
 		if !first {
 			continue // this process has been counted
 		}
-		top := g.units[budget]
+		largest := g.units[budget]
 		for _, o := range a.outstanding[i+1:] {
 			if o.incarnation == g.incarnation && now < o.until {
-				top = max(top, o.units[budget])
+				largest = max(largest, o.units[budget])
 			}
 		}
-		sum += top
+		sum += largest
 	}
 	return sum
 }
@@ -435,23 +435,23 @@
 			n.parts[b] = make([]Units, n.cfg.Members)
 		}
 	}
-	var who []int
+	var active []int
 	for i := range n.members {
 		if a := &n.members[i]; a.hasRequested && n.now < a.lastHeard+n.cfg.Term {
-			who = append(who, i)
+			active = append(active, i)
 		}
 	}
-	want, had := make([]Units, len(who)), make([]Units, len(who))
+	want, current := make([]Units, len(active)), make([]Units, len(active))
 	for b, parts := range n.parts {
-		for k, i := range who {
-			want[k], had[k] = 0, parts[i]
+		for k, i := range active {
+			want[k], current[k] = 0, parts[i]
 			if b < len(n.members[i].demand) {
 				want[k] = max(0, min(n.members[i].demand[b], Whole))
 			}
 		}
 		clear(parts)
-		for k, x := range divide(n.pool(), want, had) {
-			parts[who[k]] = x
+		for k, x := range divide(n.pool(), want, current) {
+			parts[active[k]] = x
 		}
 	}
 }
--- a/internal/budget/purse_test.go
+++ b/internal/budget/purse_test.go
@@ -11,14 +11,14 @@
 
 const ms = time.Millisecond
 
-// holder is one of several among which a test moves units about, never more than the whole.
+// holder is one of several limits between which a test moves units, never more than the whole in total.
 type holder interface {
 	Own(time.Duration, Share)
 	Take(time.Duration, float64) bool
 }
 
-// playMoves plays a random history of moves and uses, and gives when what was used. A move is lost units first, and only then gained
-// ones; some units lapse by themselves.
+// playMoves plays a random history of moves and uses, and returns the times of the uses. A move takes units from one holder before it
+// gives them to another. Some units expire by themselves.
 func playMoves(t *rapid.T, all []holder) (at []time.Duration) {
 	n := len(all)
 	free, owned, until := Whole, make([]Units, n), make([]time.Duration, n)
@@ -44,7 +44,7 @@
 	return at
 }
 
-// checkWindows checks that no window has more uses than so many.
+// checkWindows checks that no window has more than a number of uses.
 func checkWindows(t *rapid.T, at []time.Duration, window time.Duration, most float64) {
 	first := 0
 	for i, x := range at {
@@ -52,7 +52,7 @@
 			first++
 		}
 		if float64(i-first+1) > most+1e-6 {
-			t.Fatalf("%d uses in %v at %v, %g are the whole", i-first+1, window, x, most)
+			t.Fatalf("%d uses within %v at %v, want at most %g", i-first+1, window, x, most)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 	})
 }
 
-// Who has a share that stays uses all of it.
+// A holder whose share stays can use all of it.
 func TestFullShareIsUsable(t *testing.T) {
 	r, w, used := &Rate{PerSecond: 100, Burst: 10}, &Window{Most: 10, Length: 100 * ms}, [2]int{}
 	for now := time.Duration(0); now < 10*time.Second; now += ms {
@@ -101,15 +101,15 @@
 	assert.InDelta(t, 1000, used[1], 30)
 	assert.InDelta(t, 5*ms, r.In(10*time.Second, 0.5+r.tokens), float64(ms))
 	r.Own(10*time.Second, Share{})
-	assert.Negative(t, r.In(11*time.Second, 1), "nothing comes to who owns nothing")
+	assert.Negative(t, r.In(11*time.Second, 1), "no tokens without a share")
 	assert.False(t, r.Take(20*time.Second, 1))
 }
 
-// A number held at once: what one loses another has only when the first has had the time to let go.
+// ConcurrencyLimit: a lost part of a share takes effect at the other holder only when the first has had the time to release.
 func TestHeld(t *testing.T) {
 	a, b := &Held{Most: 10, Longest: time.Second}, &Held{Most: 10, Longest: time.Second}
 	a.Own(0, Share{Floor: Whole})
-	assert.False(t, a.Take(0), "its forerunner may hold all")
+	assert.False(t, a.Take(0), "the previous process may hold all")
 	now := 2 * time.Second
 	for range 10 {
 		assert.True(t, a.Take(now))
@@ -126,7 +126,7 @@
 	assert.True(t, b.Take(now+1100*ms))
 }
 
-// The parts never come to more than the pool; whoever wants less than an equal part has it; and noise moves nothing.
+// The parts never exceed the pool; a member that wants less than an equal part gets it; noise in the demand changes nothing.
 func TestDivide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "members")
@@ -142,24 +142,24 @@
 		sum := int64(0)
 		for _, p := range parts {
 			if p < 0 {
-				t.Fatal("negative")
+				t.Fatal("negative part")
 			}
 			sum += int64(p)
 		}
 		if sum > int64(pool) {
-			t.Fatalf("%d of %d", sum, pool)
+			t.Fatalf("parts sum to %d, pool is %d", sum, pool)
 		}
 		parts = divide(pool, want, make([]Units, n))
 		for i := range want {
 			if equal := pool / Units(n); parts[i] < min(want[i], equal) {
-				t.Fatalf("%d wants %d, has %d, an equal part is %d", i, want[i], parts[i], equal)
+				t.Fatalf("member %d wants %d, has %d, an equal part is %d", i, want[i], parts[i], equal)
 			}
 			want[i] = max(0, want[i]+want[i]%7-3)
 		}
 		again := divide(pool, want, parts)
 		for i, p := range parts {
 			if p > 0 && pool/Units(n) >= 64 && again[i] != p {
-				t.Fatalf("%d: %d to %d for nothing", i, p, again[i])
+				t.Fatalf("member %d: part changed from %d to %d by noise", i, p, again[i])
 			}
 		}
 	})
@@ -181,7 +181,7 @@
 		assert.Equal(t, m, got)
 		for cut := range b {
 			if _, err := Read(b[:cut]); err == nil {
-				t.Fatalf("%d of %d bytes are taken for a message", cut, len(b))
+				t.Fatalf("%d of %d bytes are accepted as a message", cut, len(b))
 			}
 		}
 		_, err = Read(append(b, 0))
@@ -189,7 +189,7 @@
 	})
 }
 
-// FuzzRead: whatever comes, it is a message or an error, and a node bears it.
+// FuzzRead checks that any input is either a message or an error, and that a node accepts any message.
 func FuzzRead(f *testing.F) {
 	f.Add(Append(nil, &Message{Kind: Ask, From: 1, Life: 7, Units: []Units{5}}))
 	f.Add(Append(nil, &Message{Kind: Grant, From: 2, Life: 7, TTL: time.Second, Units: []Units{Whole}}))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// At a reload the file's discovery wins over the variable of the start, which still stands where the file has none.
+// At a reload the file's discovery overrides the variable, which still counts if the file has none.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
 	first, err := parse(env(), []byte(good), false)
@@ -101,7 +101,7 @@
 	}
 }
 
-// The operators' door and the inherited listener: the variables stand above the file, a faulty value is named.
+// The address of the operators' interface and the inherited listener: variables override the file, and errors name the invalid value.
 func TestOpsAndInherited(t *testing.T) {
 	withOps := strings.Replace(good, `"seed"`, `"ops":"127.0.0.1:7","seed"`, 1)
 	for _, c := range []struct {
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -11,8 +11,8 @@
 	"gaugeslip/policy"
 )
 
-// A job beyond its tenant's quota has its one answer at once and never comes before the module; others pass. A probe that there is
-// no room for is told as never sent, in the same Step, and nothing is held against its host.
+// A job beyond its tenant's quota is answered at once and never reaches the module; others pass. A probe beyond its budget is reported
+// as never sent in the same Step, and does not count against its host.
 func TestBudgetGate(t *testing.T) {
 	core := newBareCore(t)
 	cfg := core.cfg
@@ -43,7 +43,7 @@
 		}
 		return in
 	}
-	assert.Zero(t, let(0, 5), "a share comes empty")
+	assert.Zero(t, let(0, 5), "a new share has no tokens")
 	now += time.Second
 	assert.Equal(t, 10, let(0, 30))
 	assert.Equal(t, 30, let(1, 30), "no quota")
@@ -60,7 +60,7 @@
 	assert.Equal(t, []Command{Probe{Worker: 7}, Probe{Worker: 7}, Probe{Worker: 8}, Send{}}, p.commands)
 	assert.Equal(t, []Message{Probed{Worker: 7, Result: policy.NeverSent}}, p.messages)
 
-	// In a chain with a host: the module goes on without the answer, and does not suspect the host.
+	// In a chain with a host: the module works without the probe's answer and does not suspect the host.
 	lim.Probes, lim.Tenants = 0.001, false
 	cfg.Probes, cfg.ReportInProbes = true, true
 	core, err := New(cfg, 1)
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -332,20 +332,20 @@
 	n := len(j.attempts)
 	k := Key{a.Job, j.earlierAttempts + n}
 	h, known := c.hosts[a.Worker]
-	until := j.deadline
+	deadline := j.deadline
 	if a.After > 0 {
-		until = min(until, now+a.After)
+		deadline = min(deadline, now+a.After)
 	}
-	dead := j.finished || !known || k.Attempt >= c.maxAttempts || until <= now
-	j.attempts = append(j.attempts, attempt{worker: a.Worker, sent: now, ended: dead})
-	if dead {
+	impossible := j.finished || !known || k.Attempt >= c.maxAttempts || deadline <= now
+	j.attempts = append(j.attempts, attempt{worker: a.Worker, sent: now, ended: impossible})
+	if impossible {
 		c.events = append(c.events, policy.Event{Kind: policy.AttemptEnded, Job: a.Job, Attempt: n,
 			Worker: a.Worker, Result: policy.NeverSent, Finished: j.finished})
 		return
 	}
 	j.inFlight++
 	j.mayHaveRun++
-	c.out = append(c.out, Send{Key: k, Addr: h.Addr, Until: until})
+	c.out = append(c.out, Send{Key: k, Addr: h.Addr, Until: deadline})
 }
 
 // cancelUnsent cancels attempts to hosts that must get no new jobs, if they still wait for a connection. The time limit for obeying a
@@ -371,16 +371,16 @@
 // again. A full list that is older than the start of a host removes that host; the changes that follow add it again.
 func (c *Core) filterOlderList(m Listed) Listed {
 	l := Listed{Version: c.listVersion}
-	told := map[uint32]bool{}
+	listed := map[uint32]bool{}
 	for _, h := range m.Hosts {
 		id := WorkerID(h.Name)
 		old, known := c.hosts[id]
-		if told[id] = true; !known || h.State != policy.Ready || h.Born > old.Born {
+		if listed[id] = true; !known || h.State != policy.Ready || h.Born > old.Born {
 			l.Hosts = append(l.Hosts, h)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.hosts)) {
-		if h := c.hosts[id]; m.Whole && !told[id] {
+		if h := c.hosts[id]; m.Whole && !listed[id] {
 			h.State = policy.Gone
 			l.Hosts = append(l.Hosts, h)
 		}
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// start is a time on the core's clock: Unix time, as in service.
+// start is a time on the core's clock: Unix time, as in production.
 const start = 1_700_000_000 * time.Second
 
 func newCore(t *testing.T, hosts ...Host) *Core {
@@ -27,7 +27,7 @@
 	return c
 }
 
-// commandsOf picks the commands of one type.
+// commandsOf returns the commands of one type.
 func commandsOf[T Command](all []Command) (out []T) {
 	for _, c := range all {
 		if x, ok := c.(T); ok {
@@ -44,7 +44,7 @@
 var hostOne = Host{Name: "s-0000000a", Addr: "127.0.0.1:1", Scale: 1}
 var hostTwo = Host{Name: "s-0000000b", Addr: "127.0.0.1:2", Scale: 1}
 
-// The deadline of an upstream request counts from when the job arrived, not from when it was decided on.
+// The deadline of an upstream request counts from the job's arrival, not from the decision to send it.
 func TestSendDeadlineCountsFromArrival(t *testing.T) {
 	c := newCore(t, hostOne)
 	got := commandsOf[Send](c.Step(start+300*ms, []Message{arrival(1, 0)}))
@@ -53,7 +53,7 @@
 	}
 }
 
-// Exactly one final answer: what comes after it is dropped, whatever it is.
+// A job has exactly one final answer; everything after it is dropped.
 func TestOneFinalAnswer(t *testing.T) {
 	for name, last := range map[string]Message{
 		"served":    Ended{Key: Key{1, 0}, Result: policy.OK},
@@ -68,7 +68,7 @@
 		replies := commandsOf[LocalReply](c.Step(late, []Message{last}))
 		replies = append(replies, commandsOf[LocalReply](c.Step(late, []Message{last, Left{Job: 1},
 			Ended{Key: Key{1, 0}, Result: policy.OK}, Started{Key{1, 0}}, Progress{Key{1, 0}, 0.5}}))...)
-		// What may have run twice is never refused.
+		// A job that may have run is never refused.
 		want := []LocalReply{{Job: 1}}
 		if name != "timed out" {
 			want = nil
@@ -79,7 +79,7 @@
 	}
 }
 
-// A job that must not run twice goes again only where the attempt before it never ran.
+// A job that must not run twice is sent again only if its previous attempt never ran.
 func TestUnsafeJobRetriedOnlyIfNeverRan(t *testing.T) {
 	for result, want := range map[policy.Result]int{policy.Full: 1, policy.ConnectFailed: 1, policy.NeverSent: 1,
 		policy.AppError: 0, policy.ConnectionLost: 0, policy.TimedOut: 0, policy.Cancelled: 0} {
@@ -87,7 +87,7 @@
 		c.Step(start, []Message{arrival(1, 1)})
 		out := c.Step(start+ms, []Message{Ended{Key: Key{1, 0}, Result: result}})
 		if got := len(commandsOf[Send](out)); got != want {
-			t.Errorf("result %d: sent %d times more, want %d", result, got, want)
+			t.Errorf("result %d: sent %d more times, want %d", result, got, want)
 		}
 		if r := commandsOf[LocalReply](out); want == 0 && (len(r) != 1 || r[0].Refused) {
 			t.Errorf("result %d: replies %+v, want one failure", result, r)
@@ -95,7 +95,7 @@
 	}
 }
 
-// A send that is over before it begins comes back to the module as never sent, and books nothing.
+// A send that is not possible is reported to the module as never sent, and is not counted as in flight.
 func TestImpossibleSendEndsAsNeverSent(t *testing.T) {
 	c := newCore(t, hostOne)
 	c.Step(start, []Message{arrival(1, 0)})
@@ -108,12 +108,12 @@
 	c.send(start, &policy.Action{Kind: policy.Send, Job: 1, Worker: 10}) // beyond MaxAttempts
 	c.send(start+6*time.Second, &policy.Action{Kind: policy.Send, Job: 1, Worker: 10})
 	if len(c.out) != 0 || len(c.events) != 2 || c.events[1].Result != policy.NeverSent || j.inFlight != 1 {
-		t.Fatalf("commands %v, events %+v, %d out", c.out, c.events, j.inFlight)
+		t.Fatalf("commands %v, events %+v, %d in flight", c.out, c.events, j.inFlight)
 	}
 }
 
-// A client that leaves in the very batch in which its attempt ends: the module sends again and is told that
-// this never went, so the lane is free for the next job.
+// A client leaves in the batch in which its attempt ends. The module sends the job again and must learn that this was never sent, so
+// that the lane is free for the next job.
 func TestClientLeavesAsAttemptEnds(t *testing.T) {
 	c := newCore(t, hostOne)
 	c.Step(start, []Message{arrival(1, 0)})
@@ -122,11 +122,11 @@
 		t.Fatalf("commands %v, %d jobs open", out, c.Open())
 	}
 	if out = c.Step(start+2*ms, []Message{arrival(2, 0)}); len(commandsOf[Send](out)) != 1 {
-		t.Fatalf("the next job is not sent: %v", out)
+		t.Fatalf("next job not sent: %v", out)
 	}
 }
 
-// Ids come from names alone: the module's shares of a cold host need them alike at every dispatcher.
+// Worker ids follow from names alone: all dispatchers must have the same ids to divide a cold host among themselves.
 func TestWorkerID(t *testing.T) {
 	for name, want := range map[string]uint32{"s-0badcafe": 0x0badcafe, "a-b-0000000a": 10} {
 		if got := WorkerID(name); got != want {
@@ -138,7 +138,7 @@
 	}
 }
 
-// Two hosts with one id would be one worker to the module; the second stays out.
+// Two hosts with the same id would be one worker to the module, so the second is not used.
 func TestWorkerIDCollision(t *testing.T) {
 	c := newCore(t, hostOne)
 	twin := Host{Name: "t-0000000a", Addr: "127.0.0.1:9"}
@@ -154,7 +154,7 @@
 	}
 }
 
-// A watch begins after the version that was told last, though an older one, and the module is told of a loss to ask again.
+// A watch starts after the version of the last list, even if that list was older, and the module starts a new watch after a loss.
 func TestWatchAgainAfterLoss(t *testing.T) {
 	c, err := New(policy.Config{Replicas: 1, Ask: true, Classes: []policy.Class{{Name: "a", Kind: -1}}}, 1)
 	if err != nil {
@@ -167,19 +167,19 @@
 		for len(got) == 0 {
 			at, ok := c.Wake()
 			if !ok {
-				t.Fatal("no watch to come")
+				t.Fatal("no watch scheduled")
 			}
 			now = at
 			got = commandsOf[Watch](c.Step(now, nil))
 		}
 		if got[0].Version != version {
-			t.Fatalf("watches after %d, want %d", got[0].Version, version)
+			t.Fatalf("watch after version %d, want %d", got[0].Version, version)
 		}
 		c.Step(now, []Message{Listed{Version: []uint64{9, 4, 4}[i], Whole: true}, ListLost{}})
 	}
 }
 
-// A core made anew after a panic knows the hosts, as a list that may be old.
+// A core rebuilt after a panic knows the hosts, as a list that may be stale.
 func TestRebuild(t *testing.T) {
 	n, known, err := newCore(t, hostTwo, hostOne).Renew()
 	if err != nil || !known.Whole || !known.Stale || known.Version != 7 ||
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -8,8 +8,8 @@
 	"gaugeslip/policy"
 )
 
-// As the program ends all that is open is answered in time, once, and refused only where it never ran or a repeat is
-// harmless. What each job's upstream requests have proved until then decides.
+// At shutdown all open jobs are answered in time, once. They are refused only if they never ran or a repeat is harmless, as far as the
+// results of each job's attempts prove it.
 func TestShutdown(t *testing.T) {
 	end := func(r policy.Result) []Message { return []Message{Ended{Key: Key{1, 0}, Result: r}} }
 	for name, c := range map[string]struct {
@@ -18,10 +18,10 @@
 		before  []Message
 		refused bool
 	}{
-		"safe, out":                   {0, []Host{hostOne}, nil, true},
-		"unsafe, out":                 {1, []Host{hostOne}, nil, false},
-		"unsafe, begun":               {1, []Host{hostOne}, []Message{Started{Key{1, 0}}}, false},
-		"unsafe, never ran, out anew": {1, []Host{hostOne, hostTwo}, end(policy.Full), false},
+		"safe, in flight":                    {0, []Host{hostOne}, nil, true},
+		"unsafe, in flight":                  {1, []Host{hostOne}, nil, false},
+		"unsafe, started":                    {1, []Host{hostOne}, []Message{Started{Key{1, 0}}}, false},
+		"unsafe, never ran, in flight again": {1, []Host{hostOne, hostTwo}, end(policy.Full), false},
 	} {
 		k := newCore(t, c.hosts...)
 		k.Step(start, []Message{arrival(1, c.class)})
@@ -36,10 +36,10 @@
 		}
 		for _, late := range []Message{Ended{Key: Key{1, 0}, Result: policy.Full}, Ended{Key: Key{1, 1}, Result: policy.TimedOut}, Left{Job: 1}} {
 			if out := k.Step(start+2*time.Second+ms, []Message{late}); len(commandsOf[LocalReply](out))+len(commandsOf[Send](out)) > 0 {
-				t.Errorf("%s: after its answer %+v", name, out)
+				t.Errorf("%s: commands after the answer: %+v", name, out)
 			}
 		}
-		// One that comes even later is answered at once too, and nothing is sent.
+		// A job that arrives after the shutdown time is answered at once too, and nothing is sent.
 		out := k.Step(start+3*time.Second, []Message{arrival(2, 1)})
 		if r := commandsOf[LocalReply](out); len(r) != 1 || !r[0].Refused || len(commandsOf[Send](out)) > 0 {
 			t.Errorf("%s: a late arrival %+v", name, out)
@@ -47,7 +47,7 @@
 	}
 }
 
-// A panic in the module after SIGTERM does not forget the end: what is still to come to the new core is answered before it.
+// A panic in the module during shutdown must not lose the deadline: jobs that arrive at the rebuilt core are answered by then.
 func TestShutdownSurvivesPanic(t *testing.T) {
 	k := newCore(t, hostOne)
 	k.Step(start, []Message{Closing{By: start + 2*time.Second}})
@@ -64,8 +64,8 @@
 	}
 }
 
-// A list that is older than the newest: a drain in it counts, and what is new, and that a host is missing in a whole one,
-// but it sets nothing back. The next watch begins where the cluster is, or what it tells next would be missed.
+// A list that is older than the newest: it adds drains, new hosts and, if it is a full list, missing hosts, but it undoes nothing. The
+// next watch starts at its version, or the cluster's next changes would be missed.
 func TestOlderList(t *testing.T) {
 	three := Host{Name: "s-0000000c", Addr: "127.0.0.1:3", Scale: 1}
 	drains, ready, back := hostOne, hostOne, hostOne
@@ -74,40 +74,40 @@
 		newest, old []Host
 		sent        bool
 	}{
-		"a host that drains is not ready again": {[]Host{drains}, []Host{ready}, false},
-		"unless it has started since":           {[]Host{drains}, []Host{back}, true},
-		"a drain counts":                        {[]Host{ready}, []Host{drains}, false},
-		"a host that it says nothing of":        {[]Host{ready}, nil, true},
-		"a new host counts":                     {nil, []Host{three}, true},
+		"a draining host does not become ready": {[]Host{drains}, []Host{ready}, false},
+		"unless it was restarted":               {[]Host{drains}, []Host{back}, true},
+		"a drain is applied":                    {[]Host{ready}, []Host{drains}, false},
+		"a host that is not listed":             {[]Host{ready}, nil, true},
+		"a new host is added":                   {nil, []Host{three}, true},
 	} {
 		for _, whole := range []bool{false, true} {
 			k := newCore(t)
 			k.Step(start, []Message{Listed{Version: 9, Whole: true, Hosts: c.newest}})
 			k.Step(start, []Message{Listed{Version: 8, Whole: whole, Hosts: c.old}})
 			if k.listVersion != 9 || k.Heard() != 8 {
-				t.Errorf("%s: version %d, heard %d", name, k.listVersion, k.Heard())
+				t.Errorf("%s: list version %d, watch version %d", name, k.listVersion, k.Heard())
 			}
 			a := arrival(1, 0)
-			a.Size = ms                                                       // little enough for a host that has just started
-			want := map[bool]int{true: 1}[c.sent && !(whole && c.old == nil)] // what a whole list lacks has gone
+			a.Size = ms                                                       // short enough for a host that has just started
+			want := map[bool]int{true: 1}[c.sent && !(whole && c.old == nil)] // hosts that a full list lacks are gone
 			if got := len(commandsOf[Send](k.Step(start+ms, []Message{a}))); got != want {
 				t.Errorf("%s, whole %v: %d sent", name, whole, got)
 			}
-			if whole && c.old == nil { // one that was only new then comes with the changes that follow
+			if whole && c.old == nil { // a host that was only new is added again by the changes that follow
 				k.Step(start+ms, []Message{Listed{Version: 9, Hosts: c.newest}})
 				if b := arrival(2, 0); len(commandsOf[Send](k.Step(start+2*ms, []Message{b}))) != 1 {
-					t.Errorf("%s: not known again", name)
+					t.Errorf("%s: host not added again", name)
 				}
 			}
 		}
 	}
 }
 
-// A client that leaves in the same Step in which its job would be sent, first or once more, is seen: nothing goes out.
+// A client that leaves in the Step in which its job would be sent, first or again, is noticed: nothing is sent.
 func TestClientLeavesAsJobIsSent(t *testing.T) {
 	full := Ended{Key: Key{1, 0}, Result: policy.Full}
 	for name, batch := range map[string][]Message{"first": {arrival(1, 1), Left{Job: 1}}, "retry": {full, Left{Job: 1}},
-		"retry, told after": {Left{Job: 1}, full}} {
+		"retry, leaves first": {Left{Job: 1}, full}} {
 		k := newCore(t, hostOne, hostTwo)
 		if name != "first" {
 			k.Step(start, []Message{arrival(1, 1)})
@@ -119,30 +119,30 @@
 	}
 }
 
-// A send that is decided and may still wait for its connection is called back when its host drains, is gone, is missing in
-// a whole list or is taken out by hand; one at another host is not.
+// An attempt that may still wait for its connection is cancelled if its host drains, is gone, is missing in a full list or is taken
+// out of service; an attempt at another host is not.
 func TestDrainCancelsUnsent(t *testing.T) {
 	drains, gone := hostOne, hostOne
 	drains.State, gone.State = policy.Draining, policy.Gone
 	for name, c := range map[string]struct {
-		told Message
-		want int
+		change Message
+		want   int
 	}{
 		"drains": {Listed{Version: 8, Hosts: []Host{drains}}, 1}, "gone": {Listed{Version: 8, Hosts: []Host{gone}}, 1},
-		"missing": {Listed{Version: 8, Whole: true, Hosts: []Host{hostTwo}}, 1}, "by hand": {Hand{Ask: 1, Name: hostOne.Name, Out: true}, 1},
-		"another":  {Listed{Version: 8, Hosts: []Host{{Name: hostTwo.Name, State: policy.Draining}}}, 0},
-		"the same": {Listed{Version: 8, Hosts: []Host{hostOne}}, 0},
+		"missing": {Listed{Version: 8, Whole: true, Hosts: []Host{hostTwo}}, 1}, "taken out": {Hand{Ask: 1, Name: hostOne.Name, Out: true}, 1},
+		"another host": {Listed{Version: 8, Hosts: []Host{{Name: hostTwo.Name, State: policy.Draining}}}, 0},
+		"unchanged":    {Listed{Version: 8, Hosts: []Host{hostOne}}, 0},
 	} {
 		k := newCore(t, hostOne)
 		k.Step(start, []Message{arrival(1, 1)})
-		if got := commandsOf[Unsend](k.Step(start+ms, []Message{c.told})); len(got) != c.want || c.want > 0 && got[0].Key != (Key{1, 0}) {
+		if got := commandsOf[Unsend](k.Step(start+ms, []Message{c.change})); len(got) != c.want || c.want > 0 && got[0].Key != (Key{1, 0}) {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
 }
 
-// A waiting job that is before the module as the program ends: what the core refuses then, the room does not hold once
-// more. The host's one lane is taken, so that the job is held and not out.
+// A waiting job is in the module at shutdown: the room does not take back the core's refusal. The host's only lane is taken, so that
+// the job is held and not in flight.
 func TestShutdownWithWaitingJob(t *testing.T) {
 	core := newCore(t, hostOne)
 	chain := NewChain(core, Gates{Waiting: NewWaitingGate(waiting.Defaults(), core.cfg)})
@@ -153,7 +153,7 @@
 	chain.Step(start+ms, []Message{waits})
 	chain.Step(start+10*ms, nil)
 	if core.Open() != 2 {
-		t.Fatalf("%d before the module", core.Open())
+		t.Fatalf("%d jobs in the module", core.Open())
 	}
 	chain.Step(start+20*ms, []Message{Closing{By: start + 500*ms}})
 	got := commandsOf[LocalReply](chain.Step(start+500*ms, nil))
@@ -161,6 +161,6 @@
 		t.Errorf("answered %+v", got)
 	}
 	if out := chain.Step(start+4*time.Second, nil); len(commandsOf[Send](out))+len(commandsOf[LocalReply](out)) > 0 {
-		t.Errorf("after that %+v", out)
+		t.Errorf("commands after the answers: %+v", out)
 	}
 }
--- a/internal/dispatch/hands.go
+++ b/internal/dispatch/hands.go
@@ -33,11 +33,11 @@
 // put back is reported as just started, since it was restarted meanwhile. How to treat such hosts is the module's decision.
 
 // setCordoned takes a host out of service or puts it back, and informs the module if the host is listed.
-func (c *Core) setCordoned(now time.Duration, name string, out bool) {
-	if c.isCordoned(name) == out {
+func (c *Core) setCordoned(now time.Duration, name string, cordoned bool) {
+	if c.isCordoned(name) == cordoned {
 		return
 	}
-	if out {
+	if cordoned {
 		c.cordoned[name] = struct{}{}
 	} else {
 		delete(c.cordoned, name)
@@ -54,8 +54,8 @@
 
 // isCordoned reports whether an operator has taken a host out of service.
 func (c *Core) isCordoned(name string) bool {
-	_, out := c.cordoned[name]
-	return out
+	_, cordoned := c.cordoned[name]
+	return cordoned
 }
 
 // knowsHost reports whether a host is listed or out of service.
--- a/internal/dispatch/history_test.go
+++ b/internal/dispatch/history_test.go
@@ -13,14 +13,14 @@
 	"gaugeslip/policy"
 )
 
-// stepper is what a history is played on: a Core, or a Chain round one.
+// stepper is a Core or a Chain.
 type stepper interface {
 	Step(now time.Duration, in []Message) []Command
 	Wake() (time.Duration, bool)
 }
 
-// play runs a seeded history of arrivals, outcomes, progress, probes, lists and partings on s, and calls each after
-// every Step. Equal seeds give equal messages as long as the commands are equal.
+// play runs a seeded history of arrivals, outcomes, progress, probes, lists and departures on s, and calls each after every Step.
+// Equal seeds give equal messages as long as the commands are equal.
 func play(s stepper, seed uint64, steps int, each func(now time.Duration, in []Message, out []Command)) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	hosts := make([]Host, 12)
@@ -78,7 +78,7 @@
 	}
 }
 
-// digest plays a history and sums up its commands.
+// digest plays a history and returns a hash of its commands.
 func digest(s stepper, seed uint64) string {
 	h := sha256.New()
 	play(s, seed, 3000, func(now time.Duration, _ []Message, out []Command) {
@@ -103,7 +103,8 @@
 	return hex.EncodeToString(h.Sum(nil)[:8])
 }
 
-// The commands of the bare core, by seed: recorded anew, from it alone, with each change of the decisions.
+// recordedDigests are the digests of the bare core's commands, by seed. Record them again, from the bare core, with each change of the
+// decisions.
 var recordedDigests = map[uint64]string{1: "0fcad70a5a3b56ff", 2: "ebd8282bb69d703d", 3: "f700be41ad0e7e6c"}
 
 func newBareCore(t testing.TB) *Core {
--- a/internal/dispatch/shed_test.go
+++ b/internal/dispatch/shed_test.go
@@ -11,8 +11,8 @@
 	"gaugeslip/policy"
 )
 
-// A refusal at the door is the job's one answer, comes in the same Step, and the module never hears of the job. The gate learns
-// from the module's refusals and late ends, and lets all in again when they are over. Jobs that waited pass.
+// A refusal by the gate is the job's only answer, comes in the same Step, and the job never reaches the module. The gate learns from
+// the module's refusals and from late ends, and admits all jobs again when these stop. Jobs that have waited pass.
 func TestShedGate(t *testing.T) {
 	core := newBareCore(t)
 	cfg := core.cfg
@@ -32,7 +32,7 @@
 		return next, c.Step(now, []Message{a})
 	}
 	shed := 0
-	for range 600 { // no host at all: the module refuses whatever comes
+	for range 600 { // no host: the module refuses all jobs
 		open := core.Open()
 		id, out := arrive(nil)
 		answers := 0
@@ -55,9 +55,9 @@
 	for range 50 {
 		before := g.Shed(0)
 		arrive(func(a *Arrived) { a.Waited = time.Second })
-		assert.Equal(t, before, g.Shed(0), "its wait was its own wish")
+		assert.Equal(t, before, g.Shed(0), "its client asked it to wait")
 	}
-	// A late end, and a client that leaves, are no room; a job that fails says nothing.
+	// A late end or a client that leaves counts as a lack of capacity; a job that fails does not.
 	for _, m := range []Message{Left{Job: 1 << 40}, Ended{Key: Key{Job: 1 << 40}, Result: policy.OK}} {
 		g.shedder.Came(0, overload.InTime)
 		before := g.Admit()
@@ -68,6 +68,6 @@
 	}
 	now += time.Minute
 	arrive(nil)
-	assert.Equal(t, 1.0, g.Admit(), "after a minute without news")
+	assert.Equal(t, 1.0, g.Admit(), "after a minute without outcomes")
 	assert.Empty(t, g.Anew().(*ShedGate).pending)
 }
--- a/internal/dispatch/sites_test.go
+++ b/internal/dispatch/sites_test.go
@@ -12,7 +12,7 @@
 	"gaugeslip/policy"
 )
 
-// The gate changes no command, tells of a lost room in one line, and gives a plan of the listed hosts and the load it sees.
+// The gate changes no command, logs a lost site once, and returns a plan of the listed hosts and the load that it observes.
 func TestSitesGate(t *testing.T) {
 	cfg := newBareCore(t).cfg
 	cfg.Zones, cfg.Zone, cfg.Replicas, cfg.WarmUp, cfg.ColdFrom = 3, 0, 6, 10*time.Second, 0.1
@@ -66,6 +66,6 @@
 	require.NoError(t, f.Check())
 	assert.Equal(t, 8.0, f.Sites[1].Capacity)
 	assert.Equal(t, cfg.Classes[1].Name, f.Classes[0].Name)
-	assert.InDelta(t, 2*0.787, f.Sites[0].Load, 0.3, "2 s of work a second by each dispatcher, 1 - 1/e^0.5 of it seen; two of six are there")
+	assert.InDelta(t, 2*0.787, f.Sites[0].Load, 0.3, "2 s of work per second by each dispatcher, 1 - 1/e^0.5 of it observed; two of six are at the site")
 	assert.Equal(t, siteloss.Serving, g.Anew().(*SitesGate).State(2))
 }
--- a/internal/dispatch/waiting_test.go
+++ b/internal/dispatch/waiting_test.go
@@ -21,7 +21,7 @@
 	return NewChain(core, Gates{Waiting: gate}), gate
 }
 
-// With no gate the chain's commands are those of the core, and with a waiting room in which nobody waits too.
+// Without gates, and with a waiting room in which no job waits, the commands of a chain are those of the core.
 func TestChainChangesNothing(t *testing.T) {
 	for seed, want := range recordedDigests {
 		if got := digest(NewChain(newBareCore(t), Gates{}), seed); got != want {
@@ -46,7 +46,7 @@
 	}
 }
 
-// A waiting room through which fresh jobs pass changes no command for them: the ids are all different.
+// A waiting room does not change the commands for new jobs that pass through it: all ids are different.
 func TestFreshJobsPassUnchanged(t *testing.T) {
 	for seed, want := range recordedDigests {
 		c, _ := newWaitingChain(t, nil)
@@ -56,7 +56,7 @@
 	}
 }
 
-// namedArrivals gives arrivals the names that the loop gives them, and wakes as the core alone does.
+// namedArrivals gives arrivals the names that the event loop gives them, and wakes as the bare core does.
 type namedArrivals struct{ *Chain }
 
 func (n namedArrivals) Step(now time.Duration, in []Message) []Command {
@@ -71,7 +71,7 @@
 
 func (n namedArrivals) Wake() (time.Duration, bool) { return n.core.Wake() }
 
-// jobRecord is what a test knows of one job.
+// jobRecord is what the test knows of one job.
 type jobRecord struct {
 	name           string
 	unsafe, waits  bool
@@ -84,7 +84,7 @@
 	keys           map[int]bool
 }
 
-// historyMachine plays random histories on a chain with a waiting room and checks the rules as they come.
+// historyMachine plays random histories on a chain with a waiting room and checks the rules with each command.
 type historyMachine struct {
 	*rapid.T
 	c       *Chain
@@ -106,21 +106,21 @@
 			return
 		}
 		if n > 10_000 {
-			m.Fatal("Steps without end")
+			m.Fatal("endless Steps")
 		}
 	}
 }
 
-// checkCommand books a command and checks it.
+// checkCommand records a command and checks it.
 func (m *historyMachine) checkCommand(c Command) {
 	switch c := c.(type) {
 	case Send:
 		j := m.jobs[c.Job]
 		if j == nil || j.served || j.status != 0 {
-			m.Fatalf("a send for %d, which is over: %+v", c.Job, j)
+			m.Fatalf("job %d is sent after its end: %+v", c.Job, j)
 		}
 		if j.unsafe && (j.mayHaveRun || len(j.out) > 0) {
-			m.Fatalf("%s must not run twice, and may have run", j.name)
+			m.Fatalf("%s is sent again, must not run twice and may have run", j.name)
 		}
 		if j.keys[c.Attempt] || c.Attempt >= m.c.core.maxAttempts {
 			m.Fatalf("%s: attempt %d", j.name, c.Attempt)
@@ -129,7 +129,7 @@
 	case LocalReply:
 		j := m.jobs[c.Job]
 		if j.status != 0 || j.served || j.left && !j.detached {
-			m.Fatalf("%s is answered again: %+v after %+v", j.name, c, j)
+			m.Fatalf("%s is answered twice: %+v after %+v", j.name, c, j)
 		}
 		if c.Refused && j.unsafe && (j.mayHaveRun || len(j.out) > 0) {
 			m.Fatalf("%s may have run and is refused", j.name)
@@ -144,7 +144,7 @@
 	}
 }
 
-// endAttempt ends a send.
+// endAttempt ends an attempt.
 func (m *historyMachine) endAttempt(k Key, r policy.Result) {
 	j := m.jobs[k.Job]
 	delete(j.out, k.Attempt)
@@ -159,11 +159,11 @@
 	m.step(Ended{Key: k, Result: r, Body: []byte("r")})
 }
 
-// pickJob picks a job that fits.
-func (m *historyMachine) pickJob(label string, fits func(*jobRecord) bool) uint64 {
+// pickJob draws a job that matches.
+func (m *historyMachine) pickJob(label string, matches func(*jobRecord) bool) uint64 {
 	var list []uint64
 	for id := uint64(1); id <= m.next; id++ {
-		if j := m.jobs[id]; j != nil && fits(j) {
+		if j := m.jobs[id]; j != nil && matches(j) {
 			list = append(list, id)
 		}
 	}
@@ -200,8 +200,8 @@
 var results = []policy.Result{policy.OK, policy.OK, policy.OK, policy.AppError, policy.Full, policy.TimedOut,
 	policy.ConnectFailed, policy.ConnectionLost, policy.Rejected}
 
-// Random histories: one final state and one answer each, none lost, no second send of what may have run, and whatever
-// is asked the same is told. A failing history is printed with its seed.
+// Random histories: each job has one final state and one answer, none is lost, a job that may have run is not sent again, and queries
+// return the answer that was given. A failing history is printed with its seed.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c, gate := newWaitingChain(t, func(l *waiting.Limits) {
@@ -239,7 +239,7 @@
 			},
 			"list": func(*rapid.T) { m.step(Asked{waiting.Ask{Number: 2, Most: 10}}) },
 		})
-		// All that is out ends, and time passes until nothing is left to wait for.
+		// All attempts end, and time passes until no job waits.
 		for range 200 {
 			for id := uint64(1); id <= m.next; id++ {
 				for n := range m.jobs[id].out {
@@ -253,13 +253,13 @@
 	})
 }
 
-// checkFinished checks that all is over, and that what is told fits what was answered.
+// checkFinished checks that all jobs have finished, and that queries match the answers.
 func (m *historyMachine) checkFinished() {
 	if m.gate.room.Held() != 0 || m.c.Open() != 0 {
-		m.Fatalf("%d still wait, %d still run", m.gate.room.Held(), m.c.Open())
+		m.Fatalf("%d jobs still wait, %d still run", m.gate.room.Held(), m.c.Open())
 	}
 	if s := m.gate.room.Stats(); s.Longest > 2 {
-		m.Fatalf("a wait of %v due times", s.Longest)
+		m.Fatalf("longest wait is %v due times", s.Longest)
 	}
 	first := map[string]bool{}
 	for id := uint64(1); id <= m.next; id++ {
@@ -281,12 +281,12 @@
 			m.Fatalf("%s: %+v", j.name, m.answers[3])
 		}
 		if j.served != (i.State == waiting.Served) && !j.left || !j.served && !j.left && i.Status != j.status {
-			m.Fatalf("%s: told %v %d, answered %+v", j.name, i.State, i.Status, j)
+			m.Fatalf("%s: query returned %v %d, answered %+v", j.name, i.State, i.Status, j)
 		}
 	}
 }
 
-// A panic in the module leaves what only waits; one in a gate leaves nothing of it.
+// A panic in the module keeps jobs that only wait; a panic in a gate keeps none.
 func TestChainRebuild(t *testing.T) {
 	c, gate := newWaitingChain(t, nil)
 	c.Step(start, []Message{Listed{Version: 1, Whole: true, Hosts: []Host{hostOne}}})
@@ -301,7 +301,7 @@
 		}
 		n.Step(start, []Message{known})
 		if out := commandsOf[Probe](n.Step(start+time.Second, nil)); len(out) != map[bool]int{true: 1, false: 0}[inCore] {
-			t.Errorf("in the core %v: asked hosts %v", inCore, out)
+			t.Errorf("panic in the core %v: probes %v", inCore, out)
 		}
 		gate.room.Crashed(start)
 	}
--- a/internal/operatorsettings/settings_test.go
+++ b/internal/operatorsettings/settings_test.go
@@ -38,7 +38,7 @@
 	assert.Equal(t, &want, s.Waiting)
 }
 
-// Off unless the block is there.
+// A feature is off unless its block is present.
 func TestOff(t *testing.T) {
 	for _, text := range []string{"", "# nothing\n"} {
 		s, err := Parse([]byte(text), "a.hcl")
@@ -52,7 +52,7 @@
 
 const peers2 = "peers {\n  listen = \"127.0.0.1:1\"\n  members = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n"
 
-// Every fault has its place and its key.
+// Every error has its position and key.
 func TestFaults(t *testing.T) {
 	for text, want := range map[string]string{
 		"waiting {\n  max_jobs = 0\n}":                          "a.hcl:2:3: waiting.max_jobs: out of range",
@@ -95,7 +95,7 @@
 	}
 }
 
-// The example that is handed out is sound, and off.
+// The example file is valid, with all features off.
 func TestExample(t *testing.T) {
 	path := filepath.Join("..", "..", "deploy", "site.hcl")
 	s, err := Load(func(k string) string { return map[string]string{"NODE_SITE": path}[k] }, "")
@@ -117,7 +117,7 @@
 	assert.Equal(t, &plan, s.Sites, "the example names the defaults")
 }
 
-// uncomment takes the sign off the lines that are switched off by "#: ".
+// uncomment enables the lines that are disabled by "#: ".
 func uncomment(text string) string {
 	return strings.ReplaceAll(text, "#: ", "")
 }
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -34,7 +34,7 @@
 	assert.Equal(t, policy.Config{Questions: 2, KeepLanes: true, Margin: 4, Repeats: 0.2}, c)
 }
 
-// Load that wavers between the two marks turns the level once at most, whatever its order; beyond them it follows.
+// A load that varies between the two thresholds changes the level once at most; beyond them the level follows.
 func TestLevelDoesNotFlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v, now := NewLevel(Defaults()), time.Duration(0)
@@ -55,24 +55,24 @@
 			feed(rapid.IntRange(100, 500).Draw(t, "answers"), rapid.Float64Range(0.08, 0.17).Draw(t, "share"))
 		}
 		if v.Turns() > 0 {
-			t.Fatalf("%d turns between the marks", v.Turns())
+			t.Fatalf("%d changes between the thresholds", v.Turns())
 		}
 		feed(1000, 0.5)
 		if on, _ := v.Now(now); !on || v.Turns() != 1 {
-			t.Fatalf("overloaded %v after %d turns", on, v.Turns())
+			t.Fatalf("overloaded %v after %d changes", on, v.Turns())
 		}
 		feed(1000, rapid.Float64Range(0.08, 1).Draw(t, "share"))
 		if v.Turns() != 1 {
-			t.Fatalf("%d turns above the lower mark", v.Turns())
+			t.Fatalf("%d changes above the lower threshold", v.Turns())
 		}
 		feed(1500, 0)
 		if on, share := v.Now(now); on || share > 0.01 || v.Turns() != 2 {
-			t.Fatalf("overloaded %v, %v, after %d turns", on, share, v.Turns())
+			t.Fatalf("overloaded %v, %v, after %d changes", on, share, v.Turns())
 		}
 	})
 }
 
-// A few refusals of a quiet dispatcher say nothing.
+// A few refusals of an idle dispatcher do not change the level.
 func TestLevelNeedsAnswers(t *testing.T) {
 	v := NewLevel(Defaults())
 	for i := range 20 {
--- a/internal/overload/shed_test.go
+++ b/internal/overload/shed_test.go
@@ -16,7 +16,7 @@
 		{Name: "harvest-sale", Worth: 10, Deadline: 25 * time.Second, OnTime: 2 * time.Second}}, WorthByWork: true, MaxRetryAfter: 2 * time.Second}
 }
 
-// newOverloaded is a Shedder that lets in a share of what is asked for, half of it of each class.
+// newOverloaded returns a Shedder that admits a share of the offered work, half of which is of each class.
 func newOverloaded(t require.TestingT, admit float64) *Shedder {
 	s, err := NewShedder(Defaults(), shedConfig())
 	require.NoError(t, err)
@@ -25,7 +25,7 @@
 	return s
 }
 
-// admitFrozen asks for a job at a time, with what the Shedder lets in held still.
+// admitFrozen decides on a job at a time and leaves the admitted share and the shares of classes unchanged.
 func (s *Shedder) admitFrozen(now time.Duration, j Job) (bool, time.Duration) {
 	s.lastArrival = now
 	classes, admit := [2]classLoad{s.classes[0], s.classes[1]}, s.admittedShare
@@ -35,8 +35,8 @@
 	return ok, after
 }
 
-// What one dispatcher refuses all refuse that are as hard pressed, or harder, as long as the client comes at once; and any job
-// has its turn within the time of one.
+// If one dispatcher refuses a job, all that admit as much or less refuse it too, as long as the client retries at once. Every job is
+// admitted at some time within its period.
 func TestDispatchersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		admit := rapid.Float64Range(0.3, 0.95).Draw(t, "admit")
@@ -45,24 +45,24 @@
 		j := Job{Class: rapid.IntRange(0, 1).Draw(t, "class"), Key: rapid.Uint64().Draw(t, "key"), Keyed: true, Work: time.Second}
 		if ok, _ := a.admitFrozen(now, j); !ok {
 			other, _ := b.admitFrozen(now+time.Millisecond, j)
-			turned := b.phase(now+time.Millisecond, j.Class, j.Key) < a.phase(now, j.Class, j.Key) // its next turn has begun
-			if other && !turned {
-				t.Fatal("refused by one, let in by another that is harder pressed")
+			wrapped := b.phase(now+time.Millisecond, j.Class, j.Key) < a.phase(now, j.Class, j.Key) // its next period has started
+			if other && !wrapped {
+				t.Fatal("refused by one dispatcher, admitted by another that admits less")
 			}
 		}
 		for at := time.Duration(0); ; at += 10 * time.Millisecond {
 			if ok, _ := b.admitFrozen(now+at, j); ok {
 				break
 			}
-			require.Less(t, at, 2*time.Second, "shut out")
+			require.Less(t, at, 2*time.Second, "never admitted")
 		}
 	})
 }
 
-// Of the work that is asked for about the share is let in that is to be, the dear class first, and the floor of each always.
+// About the admitted share of the offered work is admitted, the class with more worth first, and the floor of each class always.
 func TestOrderAndFloor(t *testing.T) {
-	for _, c := range []struct{ admit, plots, sales float64 }{{1, 1, 1}, {0.8, 0.6, 1}, {0.625, 0.25, 1}, {0.4, 0.25, 0.55}, {0.25, 0.25, 0.25}} {
-		s := newOverloaded(t, c.admit)
+	for _, c := range []struct{ admitted, plots, sales float64 }{{1, 1, 1}, {0.8, 0.6, 1}, {0.625, 0.25, 1}, {0.4, 0.25, 0.55}, {0.25, 0.25, 0.25}} {
+		s := newOverloaded(t, c.admitted)
 		var in, all [2]float64
 		for i := range 8000 {
 			class := i % 2
@@ -86,8 +86,8 @@
 	}
 }
 
-// Who was told when to come is let in then, at any dispatcher, nine times in ten and more, however hard all are pressed; and
-// what is promised is never more work than the floor can hold.
+// At least nine in ten jobs that got a time to retry are admitted then, at any dispatcher, however overloaded all are. No more work
+// gets such a time than the floor can hold.
 func TestRetryAfterIsHonoured(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, other := newOverloaded(t, 0.4), newOverloaded(t, 0.25)
@@ -98,7 +98,7 @@
 			j := Job{Class: i % 2, Key: uint64(i), Keyed: true, Work: time.Second}
 			offered++
 			ok, after := s.admitFrozen(now, j)
-			require.LessOrEqual(t, after, 2*time.Second, "longer than the settings allow")
+			require.LessOrEqual(t, after, 2*time.Second, "longer than MaxRetryAfter")
 			if ok || after == s.maxRetryAfter {
 				continue
 			}
@@ -113,10 +113,10 @@
 	})
 }
 
-// What is let in shrinks under refusals and late ends, never below the floor, and is all again some seconds after they end,
-// at a dispatcher of many jobs as at one of few. Now and then one late job does not keep it down.
+// The admitted share decreases with refusals and late ends, never below the floor. It is 1 again some seconds after they stop, with
+// many jobs as with few. Occasional late jobs do not keep it low.
 func TestAdmittedShareFollowsOutcomes(t *testing.T) {
-	for every, low := range map[time.Duration]float64{50 * time.Millisecond: 0.28, 2 * time.Second: 0.6} { // time brings back who sees little
+	for every, low := range map[time.Duration]float64{50 * time.Millisecond: 0.28, 2 * time.Second: 0.6} { // with few jobs, time alone increases the share
 		s, now := newOverloaded(t, 1), time.Duration(0)
 		step := func(end End) {
 			now += every
@@ -140,7 +140,7 @@
 	}
 }
 
-// A client that says it has asked before, and not of what, is dealt no second place in its class.
+// A retry without a key gets no second phase in its class.
 func TestUnkeyedRetryIsNotAdmitted(t *testing.T) {
 	s := newOverloaded(t, 0.6)
 	for i := range 200 {
--- a/internal/settings/missing_test.go
+++ b/internal/settings/missing_test.go
@@ -10,7 +10,7 @@
 	"gaugeslip/policy"
 )
 
-// allKeys is a customer's settings with every key that is read, odd but allowed names among them.
+// allKeys are settings with every key that is read, with unusual but valid names among them.
 const allKeys = `{"accounts":[{"name":"Süd, & Co.","quota-per-s":3.5}],"clients":{"marks-retry":true},
 "family-info":{"class-kind":[-1,1],"class-stretch":[1.5,2.5],"progress":500.0,"report-x0":"free slots","tells-start":true},
 "kinds":["a b","c/d"],"limits":{"cancel":true,"conn-idle":6000.0,"connect-timeout":150.0,"max-attempts":3,
@@ -23,8 +23,8 @@
 "rules":{"grace-to-answer":8.0,"ask-within":4000.0,"cold-from":0.3,"warm-up":6000.0,"drain-grace":500.0,
 "tip-multiple":5.0,"overload-for":1000.0},"tick":2.0,"value-by":"request"}`
 
-// Each key may be missing: a dispatcher starts all the same, or says which one it needs, and a job of each class gets what
-// it is owed: it is sent, refused at once, or asked about first, and has its answer by its deadline's end.
+// Each key may be missing: a dispatcher starts, or reports which key it needs. A job of each class is then sent, refused, or probed
+// for, and has its answer by its deadline.
 func TestAnyKeyMayBeMissing(t *testing.T) {
 	var all map[string]any
 	if err := json.Unmarshal([]byte(allKeys), &all); err != nil {
@@ -94,6 +94,6 @@
 	try("nothing")
 	each(all, "")
 	if tried < 60 {
-		t.Errorf("%d tried", tried)
+		t.Errorf("only %d keys tried", tried)
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// The sockets name some values of a load report otherwise than the simulator does.
+// HTTP and the simulator's protocol have different names for some values of a load report.
 func TestSetLoad(t *testing.T) {
 	for _, names := range [][]string{{"q", "rif", "x0", "busy", "lat_ms"},
 		{"queue", "inflight", "x0", "util", "latency_ms"}} {
