--- a/internal/budget/node.go
+++ b/internal/budget/node.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Ballot numbers an attempt at the lead. Ballots are ordered by N, then By, then Life; a process never makes the same twice.
+// Ballot identifies an attempt to become leader. Ballots are ordered by N, then Proposer, then Incarnation. A process never uses one
+// twice.
 type Ballot struct {
 	N    uint32
 	By   uint16
@@ -23,31 +24,31 @@
 	return b.Life < o.Life
 }
 
-// same tells whether two ballots are of one process.
-func (b Ballot) same(o Ballot) bool { return b.By == o.By && b.Life == o.Life }
+// sameProcess reports whether two ballots are of the same process.
+func (b Ballot) sameProcess(o Ballot) bool { return b.By == o.By && b.Life == o.Life }
 
-// Kind says what a Message is for.
+// Kind is the type of a Message.
 type Kind uint8
 
-// The messages, with the fields that count beside From, To and Life.
+// The kinds of messages, with the fields that they use besides From, To and Incarnation.
 const (
-	Prepare  Kind = iota + 1 // Ballot: who may lead?
-	Promise                  // Ballot, Open: no lower ballot from now on; Open: no other's lead is on
-	Nack                     // Ballot: a higher one is promised
-	Propose                  // Ballot: I lead
+	Prepare  Kind = iota + 1 // Ballot: a candidate asks to lead
+	Promise                  // Ballot, Open: no lower ballot will be accepted; Open: no other process holds the leader lease
+	Nack                     // Ballot: a higher ballot was promised
+	Propose                  // Ballot: a candidate claims the leader lease
 	Accepted                 // Ballot
-	Ask                      // Seq, Units wanted beyond the floor; Ballot and Epoch of the grant that is held to
-	Grant                    // Seq and To's Asker as asked, Ballot, Epoch, TTL, Units
-	Redirect                 // Leader: ask there; -1: none is known
-	kinds
+	Ask                      // Seq, Units wanted beyond the floor; Ballot and Epoch of the present grant
+	Grant                    // Seq and Requester as in the request, Ballot, Epoch, TTL, Units
+	Redirect                 // Leader: where to send requests; -1: not known
+	kindEnd
 )
 
-// Message is what members tell one another.
+// Message is exchanged between members.
 type Message struct {
 	Kind     Kind
 	From, To int
-	Life     uint64 // of the process that sends
-	Asker    uint64 // Grant: the life that asked
+	Life     uint64 // of the sending process
+	Asker    uint64 // Grant: incarnation that sent the request
 	Ballot   Ballot
 	Open     bool
 	Seq      uint32
@@ -57,177 +58,177 @@
 	Units    []Units // by budget
 }
 
-// Config is what a Node must keep to. All members of a fleet have the same, but for Self and Life.
+// Config is the configuration of a Node. All members of a fleet use the same, except for Self and Incarnation.
 type Config struct {
 	Self, Members int
-	Voters        int // the members numbered below this decide who leads: one, or better three or five
+	Voters        int // the members with lower numbers elect the leader: one, or better three or five
 	Budgets       int
-	Floor         Units         // that each member owns of each budget, whatever happens
-	Term          time.Duration // of the lead, and the longest of a grant
-	Every         time.Duration // between two asks of a member
-	Drift         float64       // of any clock against real time, at most
-	Life          uint64        // another one for each start of a process; not 0
+	Floor         Units         // permanent units of each member, of each budget
+	Term          time.Duration // of the leader lease, and the longest of a grant
+	Every         time.Duration // between two requests of a member
+	Drift         float64       // largest deviation of any clock from real time, as a share
+	Life          uint64        // differs for each start of a process; not 0
 }
 
-// Pace gives Every and Term for a fleet of so many members: the one who leads hears each of them once in Every.
+// Timing returns RequestInterval and LeaseTime for a number of members. The leader gets a request from each of them once per interval.
 func Pace(members int) (every, term time.Duration) {
 	every = min(max(time.Duration(members)*time.Millisecond, 200*time.Millisecond), time.Second)
 	return every, 5 * every
 }
 
-// guard is how long to wait by the own clock until a time that another has measured by its own is surely over.
-func (c *Config) guard(d time.Duration) time.Duration {
+// safeWait returns the time to wait by this process's clock until a time d measured by any other clock has surely passed.
+func (c *Config) safeWait(d time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(d)*(1+c.Drift)/(1-c.Drift))) + 1
 }
 
-// Node is one member: it asks the one who leads for units beyond its floor, may vote on who leads, and may lead.
+// Node is one member. It requests units beyond its floor from the leader. It may vote for leaders, and may become leader.
 //
-// Who leads is decided by a lease of a majority of voters, without anything that lasts (after Trencseni, Gazso, Reinhardt:
-// PaxosLease, 2012): a voter that has just started is silent until whatever its forerunner may have promised is over. A grant ends,
-// by the clock of whoever has it, before the lead under which it was given can pass to another, so that a new leader may begin
-// with nothing out and needs to know nothing.
+// The leader is elected by a lease from a majority of voters, without stable storage (after Trencseni, Gazso, Reinhardt: PaxosLease,
+// 2012): a voter that has just started is silent until all promises of its previous incarnation are surely over. A grant ends, by the
+// clock of the member that has it, before the leader lease under which it was given can pass to another process. A new leader may
+// therefore assume that no grants are outstanding, and needs no state of the previous one.
 //
-// It is not safe for use by more than one goroutine. Time does not go back.
+// It is not safe for concurrent use. Time must not go back.
 type Node struct {
-	cfg  Config
-	born time.Duration
-	now  time.Duration
-	out  []Message
-	own  []Message // to itself
-
-	// A voter's.
-	promised  Ballot
-	holder    Ballot        // of the lead that it has accepted last
-	holdUntil time.Duration // by when that is surely over
-
-	// Of one who leads, or tries to.
-	top       uint32 // the highest ballot number seen
-	ballot    Ballot // of the present attempt
-	began     time.Duration
-	phase     Kind // Prepare, Propose, or 0: no attempt is on
-	yes       uint64
-	retryAt   time.Duration
-	lead      Ballot
-	leadUntil time.Duration
-	epoch     uint32
-	asks      []asker // by member
-	parts     [][]Units
-	divided   time.Duration
-
-	// A member's.
-	seq    uint32
-	sent   [8]stamp // the last asks, by number
-	askAt  time.Duration
-	leader int // whom to ask; -1: not known
-	missed int // asks in a row without a grant
-	heard  time.Duration
-	held   Message // the last grant that was taken
-	end    time.Duration
-	need   []Units
-	given  uint32 // grants taken
+	cfg          Config
+	startedAt    time.Duration
+	now          time.Duration
+	outbox       []Message
+	selfMessages []Message // addressed to this node
+
+	// State of a voter.
+	promised       Ballot
+	acceptedBallot Ballot        // of the leader lease that was accepted last
+	acceptedUntil  time.Duration // when that lease has surely ended
+
+	// State of a leader or candidate.
+	maxBallotNumber uint32 // the highest ballot number seen
+	ballot          Ballot // of the present attempt
+	attemptStart    time.Duration
+	phase           Kind // Prepare, Propose, or 0: no attempt in progress
+	votes           uint64
+	retryAt         time.Duration
+	leadBallot      Ballot
+	leadUntil       time.Duration
+	epoch           uint32
+	members         []memberState // by number of the member
+	parts           [][]Units
+	dividedAt       time.Duration
+
+	// State of a member.
+	seq           uint32
+	requests      [8]sentRequest // the last requests, by sequence number
+	nextRequestAt time.Duration
+	leader        int // where to send requests; -1: not known
+	unanswered    int // requests in a row without a grant
+	lastGrantAt   time.Duration
+	grant         Message // the present grant
+	grantEnd      time.Duration
+	demand        []Units
+	grantsTaken   uint32
 }
 
-type stamp struct {
+type sentRequest struct {
 	seq uint32
 	at  time.Duration
 }
 
-// asker is what the one who leads knows of a member.
-type asker struct {
-	life  uint64
-	heard time.Duration
-	asked bool
-	want  []Units
-	out   []granted // that may still be used
+// memberState is a member as the leader knows it.
+type memberState struct {
+	incarnation  uint64
+	lastHeard    time.Duration
+	hasRequested bool
+	demand       []Units
+	outstanding  []outstandingGrant // grants that may still be used
 }
 
-// granted is a grant that is out.
-type granted struct {
-	life  uint64
-	epoch uint32
-	units []Units
-	until time.Duration // surely over by then
+// outstandingGrant is a grant that may still be used.
+type outstandingGrant struct {
+	incarnation uint64
+	epoch       uint32
+	units       []Units
+	until       time.Duration // when it has surely ended
 }
 
-// most is how many grants may be out to one member: one that never confirms gets no more.
-const most = 8
+// maxOutstanding is the number of grants that may be outstanding for one member. A member that never confirms gets no more.
+const maxOutstanding = 8
 
-// NewNode makes a member that starts at a time.
+// NewNode returns a member that starts at a time.
 func NewNode(c Config, now time.Duration) *Node {
-	n := &Node{cfg: c, born: now, now: now, leader: -1, heard: now, need: make([]Units, c.Budgets),
-		askAt: now + time.Duration(float64(c.Every)*spread(c.Life, 0))}
+	n := &Node{cfg: c, startedAt: now, now: now, leader: -1, lastGrantAt: now, demand: make([]Units, c.Budgets),
+		nextRequestAt: now + time.Duration(float64(c.Every)*jitter(c.Life, 0))}
 	n.retryAt = now + c.Term
 	return n
 }
 
-// spread is a number in 0 to 1 that differs between processes and rounds.
-func spread(life uint64, round uint32) float64 {
-	x := (life + uint64(round)) * 0x9e3779b97f4a7c15
+// jitter returns a number from 0 to 1 that differs between processes and rounds.
+func jitter(incarnation uint64, round uint32) float64 {
+	x := (incarnation + uint64(round)) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	return float64(x>>11) / (1 << 53)
 }
 
-// Want sets what the member would use of each budget beyond its floor.
-func (n *Node) Want(units []Units) { copy(n.need, units) }
+// SetDemand sets the units of each budget that the member could use beyond its floor.
+func (n *Node) Want(units []Units) { copy(n.demand, units) }
 
-// Share is what the process may use of a budget.
+// Share returns what the process may use of a budget.
 func (n *Node) Share(budget int) Share {
-	s := Share{Floor: n.cfg.Floor, Epoch: n.given}
-	if budget < len(n.held.Units) {
-		s.More, s.Until = n.held.Units[budget], n.end
+	s := Share{Floor: n.cfg.Floor, Epoch: n.grantsTaken}
+	if budget < len(n.grant.Units) {
+		s.More, s.Until = n.grant.Units[budget], n.grantEnd
 	}
 	return s
 }
 
-// Leads tells whether this member leads now, Leader whom it takes for the one who does (-1: nobody).
+// IsLeader reports whether this member is the leader at a time.
 func (n *Node) Leads(now time.Duration) bool { return now < n.leadUntil }
 
-// Leader: see Leads.
+// Leader returns the member that this one takes for the leader; -1: not known.
 func (n *Node) Leader() int { return n.leader }
 
 func (n *Node) pool() Units { return Whole - n.cfg.Floor*Units(n.cfg.Members) }
 
-// send puts a message on its way.
+// send queues a message.
 func (n *Node) send(m Message) {
 	if m.From, m.Life = n.cfg.Self, n.cfg.Life; m.To == n.cfg.Self {
-		n.own = append(n.own, m)
+		n.selfMessages = append(n.selfMessages, m)
 	} else {
-		n.out = append(n.out, m)
+		n.outbox = append(n.outbox, m)
 	}
 }
 
-// Step takes in what has come up to now and gives what is to be sent. Messages that make no sense are dropped. The result is valid
+// Step processes the messages received up to now and returns the messages to send. Invalid messages are dropped. The result is valid
 // until the next Step.
 func (n *Node) Step(now time.Duration, in []Message) []Message {
-	n.now, n.out = max(n.now, now), n.out[:0]
+	n.now, n.outbox = max(n.now, now), n.outbox[:0]
 	for i := range in {
-		n.take(&in[i])
+		n.handle(&in[i])
 	}
-	n.try()
-	n.ask()
-	n.settle()
-	return n.out
+	n.tryToLead()
+	n.requestUnits()
+	n.deliverToSelf()
+	return n.outbox
 }
 
-// settle takes in what the node has told itself.
-func (n *Node) settle() {
-	for len(n.own) > 0 {
-		m := n.own[0]
-		n.own = n.own[1:]
-		n.take(&m)
+// deliverToSelf processes the messages that the node has sent to itself.
+func (n *Node) deliverToSelf() {
+	for len(n.selfMessages) > 0 {
+		m := n.selfMessages[0]
+		n.selfMessages = n.selfMessages[1:]
+		n.handle(&m)
 	}
 }
 
-// Wake is when the next Step is due though nothing comes.
+// Wake returns the time at which the next Step is due if no message arrives before.
 func (n *Node) Wake() time.Duration {
-	at := n.askAt
+	at := n.nextRequestAt
 	if n.cfg.Self < n.cfg.Voters {
-		at = min(at, max(n.retryAt, n.tryFrom()))
+		at = min(at, max(n.retryAt, n.nextAttemptAt()))
 	}
 	return at
 }
 
-func (n *Node) take(m *Message) {
+func (n *Node) handle(m *Message) {
 	if m.From < 0 || m.From >= n.cfg.Members || m.To != n.cfg.Self || m.Life == 0 || len(m.Units) > n.cfg.Budgets {
 		return
 	}
@@ -235,82 +236,82 @@
 	switch m.Kind {
 	case Prepare, Propose:
 		if voter && int(m.Ballot.By) == m.From && m.Ballot.Life == m.Life {
-			n.vote(m)
+			n.handleProposal(m)
 		}
 	case Promise, Accepted:
 		if voter && m.Ballot == n.ballot {
-			n.count(m)
+			n.handleVote(m)
 		}
 	case Nack:
-		n.top = max(n.top, m.Ballot.N)
+		n.maxBallotNumber = max(n.maxBallotNumber, m.Ballot.N)
 	case Ask:
-		n.asked(m)
+		n.handleRequest(m)
 	case Grant:
-		n.granted(m)
+		n.handleGrant(m)
 	case Redirect:
-		if m.Leader >= 0 && m.Leader < n.cfg.Members && m.Leader != n.cfg.Self && n.missed > 0 {
+		if m.Leader >= 0 && m.Leader < n.cfg.Members && m.Leader != n.cfg.Self && n.unanswered > 0 {
 			n.leader = m.Leader
 		}
 	}
 }
 
-// vote is a voter's.
-func (n *Node) vote(m *Message) {
-	if n.cfg.Self >= n.cfg.Voters || n.now < n.born+n.cfg.guard(n.cfg.Term) {
-		return // it may have promised otherwise before it started
+// handleProposal answers a candidate, if this member is a voter.
+func (n *Node) handleProposal(m *Message) {
+	if n.cfg.Self >= n.cfg.Voters || n.now < n.startedAt+n.cfg.safeWait(n.cfg.Term) {
+		return // an earlier incarnation may have promised something else
 	}
 	b := m.Ballot
-	n.top = max(n.top, b.N)
+	n.maxBallotNumber = max(n.maxBallotNumber, b.N)
 	switch {
 	case b.less(n.promised):
 		n.send(Message{Kind: Nack, To: m.From, Ballot: n.promised})
 	case m.Kind == Prepare:
 		if n.promised == b {
-			return // repeated
+			return // a repeated message
 		}
 		n.promised = b
-		n.send(Message{Kind: Promise, To: m.From, Ballot: b, Open: n.now >= n.holdUntil || n.holder.same(b)})
+		n.send(Message{Kind: Promise, To: m.From, Ballot: b, Open: n.now >= n.acceptedUntil || n.acceptedBallot.sameProcess(b)})
 	default:
-		n.promised, n.holder, n.holdUntil = b, b, n.now+n.cfg.guard(n.cfg.Term)
+		n.promised, n.acceptedBallot, n.acceptedUntil = b, b, n.now+n.cfg.safeWait(n.cfg.Term)
 		n.send(Message{Kind: Accepted, To: m.From, Ballot: b})
 	}
 }
 
-// tryFrom is from when on it is time to lead, or to lead on.
-func (n *Node) tryFrom() time.Duration {
+// nextAttemptAt returns when to start an election, or to renew the leader lease.
+func (n *Node) nextAttemptAt() time.Duration {
 	if n.now < n.leadUntil {
 		return n.leadUntil - n.cfg.Term/2
 	}
-	return n.heard + n.cfg.Term
+	return n.lastGrantAt + n.cfg.Term
 }
 
-// try begins an attempt at the lead where it is time.
-func (n *Node) try() {
-	if n.cfg.Self >= n.cfg.Voters || n.now < n.tryFrom() || n.now < n.retryAt {
+// tryToLead starts an attempt to become or remain leader, if it is time.
+func (n *Node) tryToLead() {
+	if n.cfg.Self >= n.cfg.Voters || n.now < n.nextAttemptAt() || n.now < n.retryAt {
 		return
 	}
-	n.top++
-	n.ballot = Ballot{N: n.top, By: uint16(n.cfg.Self), Life: n.cfg.Life}
-	// The lead counts from here, before anyone has heard of it: voters count from later.
-	n.began, n.phase, n.yes = n.now, Prepare, 0
+	n.maxBallotNumber++
+	n.ballot = Ballot{N: n.maxBallotNumber, By: uint16(n.cfg.Self), Life: n.cfg.Life}
+	// The lease counts from here, before any voter has the message: voters count from later.
+	n.attemptStart, n.phase, n.votes = n.now, Prepare, 0
 	n.retryAt = n.now + n.cfg.Every
-	if n.now >= n.leadUntil { // others may try too: not in step with them
-		n.retryAt += time.Duration(float64(n.cfg.Term) * spread(n.cfg.Life, n.top))
+	if n.now >= n.leadUntil { // random delay, since other voters may try at the same time
+		n.retryAt += time.Duration(float64(n.cfg.Term) * jitter(n.cfg.Life, n.maxBallotNumber))
 	}
 	for v := range n.cfg.Voters {
 		n.send(Message{Kind: Prepare, To: v, Ballot: n.ballot})
 	}
 }
 
-// count takes in a voter's yes to the present attempt.
-func (n *Node) count(m *Message) {
+// handleVote processes a voter's agreement to the present attempt.
+func (n *Node) handleVote(m *Message) {
 	if n.phase == 0 || m.Kind == Promise && (n.phase != Prepare || !m.Open) || m.Kind == Accepted && n.phase != Propose {
 		return
 	}
-	if n.yes |= 1 << m.From; bits.OnesCount64(n.yes) <= n.cfg.Voters/2 {
+	if n.votes |= 1 << m.From; bits.OnesCount64(n.votes) <= n.cfg.Voters/2 {
 		return
 	}
-	n.yes = 0
+	n.votes = 0
 	if n.phase == Prepare {
 		n.phase = Propose
 		for v := range n.cfg.Voters {
@@ -319,43 +320,43 @@
 		return
 	}
 	n.phase = 0
-	if n.now >= n.began+n.cfg.Term {
-		return // won too late
+	if n.now >= n.attemptStart+n.cfg.Term {
+		return // the attempt took too long
 	}
-	if n.asks == nil {
-		n.asks = make([]asker, n.cfg.Members)
+	if n.members == nil {
+		n.members = make([]memberState, n.cfg.Members)
 	}
-	// What it gave out under an earlier lead stays booked until it is surely over: members' clocks may be slower than its own.
-	n.lead, n.leadUntil, n.leader = n.ballot, n.began+n.cfg.Term, n.cfg.Self
+	// Grants under an earlier lease stay recorded until they have surely ended: members' clocks may be slower than this one's.
+	n.leadBallot, n.leadUntil, n.leader = n.ballot, n.attemptStart+n.cfg.Term, n.cfg.Self
 }
 
-// ask asks for units where it is time.
-func (n *Node) ask() {
-	if n.now < n.askAt {
+// requestUnits sends a request for units, if it is time.
+func (n *Node) requestUnits() {
+	if n.now < n.nextRequestAt {
 		return
 	}
-	n.askAt = n.now + n.cfg.Every
+	n.nextRequestAt = n.now + n.cfg.Every
 	if n.now < n.leadUntil {
 		n.leader = n.cfg.Self
-	} else if n.leader == n.cfg.Self || n.missed >= 3 {
+	} else if n.leader == n.cfg.Self || n.unanswered >= 3 {
 		n.leader = -1
 	}
 	to := n.leader
-	if to < 0 { // any voter may know
+	if to < 0 { // any voter may know the leader
 		to = int(n.seq) % n.cfg.Voters
 	}
-	n.missed++
+	n.unanswered++
 	n.seq++
-	n.sent[n.seq%uint32(len(n.sent))] = stamp{n.seq, n.now}
-	m := Message{Kind: Ask, To: to, Seq: n.seq, Units: append([]Units(nil), n.need...)}
-	if n.now < n.end {
-		m.Ballot, m.Epoch = n.held.Ballot, n.held.Epoch
+	n.requests[n.seq%uint32(len(n.requests))] = sentRequest{n.seq, n.now}
+	m := Message{Kind: Ask, To: to, Seq: n.seq, Units: append([]Units(nil), n.demand...)}
+	if n.now < n.grantEnd {
+		m.Ballot, m.Epoch = n.grant.Ballot, n.grant.Epoch
 	}
 	n.send(m)
 }
 
-// asked answers a member.
-func (n *Node) asked(m *Message) {
+// handleRequest answers a member's request.
+func (n *Node) handleRequest(m *Message) {
 	if n.now >= n.leadUntil {
 		if leader := n.leader; m.From != n.cfg.Self {
 			if leader == m.From {
@@ -365,108 +366,109 @@
 		}
 		return
 	}
-	a := &n.asks[m.From]
-	a.life, a.heard, a.asked, a.want = m.Life, n.now, true, m.Units
-	mine := m.Ballot.same(n.lead)
-	keep := a.out[:0]
-	for _, g := range a.out {
-		// Who holds to a later grant has dropped this one for good; a process that has ended may be a paused one.
-		if n.now < g.until && !(mine && g.life == m.Life && g.epoch < m.Epoch) {
+	a := &n.members[m.From]
+	a.incarnation, a.lastHeard, a.hasRequested, a.demand = m.Life, n.now, true, m.Units
+	ownLease := m.Ballot.sameProcess(n.leadBallot)
+	keep := a.outstanding[:0]
+	for _, g := range a.outstanding {
+		// A process that has a later grant never uses this one again. A process that seems to have ended may only be paused.
+		if n.now < g.until && !(ownLease && g.incarnation == m.Life && g.epoch < m.Epoch) {
 			keep = append(keep, g)
 		}
 	}
-	if a.out = keep; len(a.out) >= most {
+	if a.outstanding = keep; len(a.outstanding) >= maxOutstanding {
 		return
 	}
-	n.redivide()
+	n.recomputeParts()
 	n.epoch++
 	ttl := n.leadUntil - n.now
-	g := granted{life: m.Life, epoch: n.epoch, units: make([]Units, n.cfg.Budgets), until: n.now + n.cfg.guard(ttl)}
+	g := outstandingGrant{incarnation: m.Life, epoch: n.epoch, units: make([]Units, n.cfg.Budgets), until: n.now + n.cfg.safeWait(ttl)}
 	for b := range g.units {
-		g.units[b] = max(0, min(n.parts[b][m.From], n.pool()-n.outside(b, m.From, m.Life)))
+		g.units[b] = max(0, min(n.parts[b][m.From], n.pool()-n.inUseByOthers(b, m.From, m.Life)))
 	}
-	a.out = append(a.out, g)
-	n.send(Message{Kind: Grant, To: m.From, Asker: m.Life, Seq: m.Seq, Ballot: n.lead, Epoch: g.epoch, TTL: ttl, Units: g.units})
+	a.outstanding = append(a.outstanding, g)
+	n.send(Message{Kind: Grant, To: m.From, Asker: m.Life, Seq: m.Seq, Ballot: n.leadBallot, Epoch: g.epoch, TTL: ttl, Units: g.units})
 }
 
-// outside is what may be in use of a budget by all processes but one.
-func (n *Node) outside(budget, member int, life uint64) (sum Units) {
-	for i := range n.asks {
-		sum += n.asks[i].inUse(n.now, budget, i == member, life)
+// inUseByOthers returns the units of a budget that all processes but one may use.
+func (n *Node) inUseByOthers(budget, member int, incarnation uint64) (sum Units) {
+	for i := range n.members {
+		sum += n.members[i].maxInUse(n.now, budget, i == member, incarnation)
 	}
 	return sum
 }
 
-// inUse is the most that processes of a member may use of a budget: each holds to one grant, nobody knows which.
-func (a *asker) inUse(now time.Duration, budget int, except bool, life uint64) (sum Units) {
-	for i, g := range a.out {
-		if now >= g.until || except && g.life == life {
+// maxInUse returns the most units of a budget that processes of a member may use. Each process uses one of its grants, but which one
+// is not known.
+func (a *memberState) maxInUse(now time.Duration, budget int, excluded bool, incarnation uint64) (sum Units) {
+	for i, g := range a.outstanding {
+		if now >= g.until || excluded && g.incarnation == incarnation {
 			continue
 		}
 		first := true
-		for _, o := range a.out[:i] {
-			first = first && (o.life != g.life || now >= o.until)
+		for _, o := range a.outstanding[:i] {
+			first = first && (o.incarnation != g.incarnation || now >= o.until)
 		}
 		if !first {
-			continue // its process is counted
+			continue // this process has been counted
 		}
-		top := g.units[budget]
-		for _, o := range a.out[i+1:] {
-			if o.life == g.life && now < o.until {
-				top = max(top, o.units[budget])
+		largest := g.units[budget]
+		for _, o := range a.outstanding[i+1:] {
+			if o.incarnation == g.incarnation && now < o.until {
+				largest = max(largest, o.units[budget])
 			}
 		}
-		sum += top
+		sum += largest
 	}
 	return sum
 }
 
-// redivide works out what each member should have, a few times in Every.
-func (n *Node) redivide() {
-	if n.parts != nil && n.now < n.divided+n.cfg.Every/4 {
+// recomputeParts computes the part of each member, at most four times in a RequestInterval.
+func (n *Node) recomputeParts() {
+	if n.parts != nil && n.now < n.dividedAt+n.cfg.Every/4 {
 		return
 	}
-	n.divided = n.now
+	n.dividedAt = n.now
 	if n.parts == nil {
 		n.parts = make([][]Units, n.cfg.Budgets)
 		for b := range n.parts {
 			n.parts[b] = make([]Units, n.cfg.Members)
 		}
 	}
-	var who []int
-	for i := range n.asks {
-		if a := &n.asks[i]; a.asked && n.now < a.heard+n.cfg.Term {
-			who = append(who, i)
+	var active []int
+	for i := range n.members {
+		if a := &n.members[i]; a.hasRequested && n.now < a.lastHeard+n.cfg.Term {
+			active = append(active, i)
 		}
 	}
-	want, had := make([]Units, len(who)), make([]Units, len(who))
+	want, current := make([]Units, len(active)), make([]Units, len(active))
 	for b, parts := range n.parts {
-		for k, i := range who {
-			want[k], had[k] = 0, parts[i]
-			if b < len(n.asks[i].want) {
-				want[k] = max(0, min(n.asks[i].want[b], Whole))
+		for k, i := range active {
+			want[k], current[k] = 0, parts[i]
+			if b < len(n.members[i].demand) {
+				want[k] = max(0, min(n.members[i].demand[b], Whole))
 			}
 		}
 		clear(parts)
-		for k, x := range divide(n.pool(), want, had) {
-			parts[who[k]] = x
+		for k, x := range divide(n.pool(), want, current) {
+			parts[active[k]] = x
 		}
 	}
 }
 
-// granted takes in an answer to an ask.
-func (n *Node) granted(m *Message) {
-	at := n.sent[m.Seq%uint32(len(n.sent))]
+// handleGrant processes the answer to a request.
+func (n *Node) handleGrant(m *Message) {
+	at := n.requests[m.Seq%uint32(len(n.requests))]
 	if m.Asker != n.cfg.Life || at.seq != m.Seq || m.Seq == 0 || m.TTL <= 0 || m.TTL > n.cfg.Term {
 		return
 	}
-	n.leader, n.missed, n.heard, n.top = m.From, 0, n.now, max(n.top, m.Ballot.N)
-	// It counts from when it was asked for, which is before it was given. One grant is held to, and none goes back to an earlier
-	// one of the same leader, also when its own is over: the leader may have given that out anew.
+	n.leader, n.unanswered, n.lastGrantAt, n.maxBallotNumber = m.From, 0, n.now, max(n.maxBallotNumber, m.Ballot.N)
+	// The grant counts from when it was requested, which is before it was given. A member never goes back to an earlier grant of the
+	// same leader, even if its present one has ended: the leader may have given those units to others.
 	end := at.at + m.TTL
-	if end <= n.now || m.Ballot.same(n.held.Ballot) && m.Epoch <= n.held.Epoch {
+	if end <= n.now || m.Ballot.sameProcess(n.grant.Ballot) && m.Epoch <= n.grant.Epoch {
 		return
 	}
-	n.held, n.end = *m, end
-	n.given++
+	n.grant, n.grantEnd = *m, end
+	n.grantsTaken++
 }
--- a/internal/budget/purse_test.go
+++ b/internal/budget/purse_test.go
@@ -11,15 +11,15 @@
 
 const ms = time.Millisecond
 
-// holder is one of several among which a test moves units about, never more than the whole.
+// holder is one of several limits between which a test moves units, never more than the whole in total.
 type holder interface {
 	Own(time.Duration, Share)
 	Take(time.Duration, float64) bool
 }
 
-// moves plays a random history of moves and uses, and gives when what was used. A move is lost units first, and only then gained
-// ones; some units lapse by themselves.
-func moves(t *rapid.T, all []holder) (at []time.Duration) {
+// playMoves plays a random history of moves and uses, and returns the times of the uses. A move takes units from one holder before it
+// gives them to another. Some units expire by themselves.
+func playMoves(t *rapid.T, all []holder) (at []time.Duration) {
 	n := len(all)
 	free, owned, until := Whole, make([]Units, n), make([]time.Duration, n)
 	now := time.Duration(0)
@@ -44,15 +44,15 @@
 	return at
 }
 
-// within checks that no window has more uses than so many.
-func within(t *rapid.T, at []time.Duration, window time.Duration, most float64) {
+// checkWindows checks that no window has more than a number of uses.
+func checkWindows(t *rapid.T, at []time.Duration, window time.Duration, most float64) {
 	first := 0
 	for i, x := range at {
 		for at[first] <= x-window {
 			first++
 		}
 		if float64(i-first+1) > most+1e-6 {
-			t.Fatalf("%d uses in %v at %v, %g are the whole", i-first+1, window, x, most)
+			t.Fatalf("%d uses within %v at %v, want at most %g", i-first+1, window, x, most)
 		}
 	}
 }
@@ -65,9 +65,9 @@
 		for range n {
 			all = append(all, &Rate{PerSecond: rate, Burst: burst})
 		}
-		at := moves(t, all)
+		at := playMoves(t, all)
 		for _, w := range []time.Duration{ms, 50 * ms, time.Second, 10 * time.Second} {
-			within(t, at, w, rate*w.Seconds()+burst+float64(n))
+			checkWindows(t, at, w, rate*w.Seconds()+burst+float64(n))
 		}
 	})
 }
@@ -79,12 +79,12 @@
 		for range rapid.IntRange(1, 4).Draw(t, "holders") {
 			all = append(all, &Window{Most: most, Length: length})
 		}
-		within(t, moves(t, all), length, most)
+		checkWindows(t, playMoves(t, all), length, most)
 	})
 }
 
-// Who has a share that stays uses all of it.
-func TestWholeCanBeUsed(t *testing.T) {
+// A holder whose share stays can use all of it.
+func TestFullShareIsUsable(t *testing.T) {
 	r, w, used := &Rate{PerSecond: 100, Burst: 10}, &Window{Most: 10, Length: 100 * ms}, [2]int{}
 	for now := time.Duration(0); now < 10*time.Second; now += ms {
 		if now == 0 {
@@ -99,17 +99,17 @@
 	}
 	assert.InDelta(t, 1000, used[0], 12)
 	assert.InDelta(t, 1000, used[1], 30)
-	assert.InDelta(t, 5*ms, r.In(10*time.Second, 0.5+r.level), float64(ms))
+	assert.InDelta(t, 5*ms, r.In(10*time.Second, 0.5+r.tokens), float64(ms))
 	r.Own(10*time.Second, Share{})
-	assert.Negative(t, r.In(11*time.Second, 1), "nothing comes to who owns nothing")
+	assert.Negative(t, r.In(11*time.Second, 1), "no tokens without a share")
 	assert.False(t, r.Take(20*time.Second, 1))
 }
 
-// A number held at once: what one loses another has only when the first has had the time to let go.
+// ConcurrencyLimit: a lost part of a share takes effect at the other holder only when the first has had the time to release.
 func TestHeld(t *testing.T) {
 	a, b := &Held{Most: 10, Longest: time.Second}, &Held{Most: 10, Longest: time.Second}
 	a.Own(0, Share{Floor: Whole})
-	assert.False(t, a.Take(0), "its forerunner may hold all")
+	assert.False(t, a.Take(0), "the previous process may hold all")
 	now := 2 * time.Second
 	for range 10 {
 		assert.True(t, a.Take(now))
@@ -126,7 +126,7 @@
 	assert.True(t, b.Take(now+1100*ms))
 }
 
-// The parts never come to more than the pool; whoever wants less than an equal part has it; and noise moves nothing.
+// The parts never exceed the pool; a member that wants less than an equal part gets it; noise in the demand changes nothing.
 func TestDivide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "members")
@@ -142,24 +142,24 @@
 		sum := int64(0)
 		for _, p := range parts {
 			if p < 0 {
-				t.Fatal("negative")
+				t.Fatal("negative part")
 			}
 			sum += int64(p)
 		}
 		if sum > int64(pool) {
-			t.Fatalf("%d of %d", sum, pool)
+			t.Fatalf("parts sum to %d, pool is %d", sum, pool)
 		}
 		parts = divide(pool, want, make([]Units, n))
 		for i := range want {
 			if equal := pool / Units(n); parts[i] < min(want[i], equal) {
-				t.Fatalf("%d wants %d, has %d, an equal part is %d", i, want[i], parts[i], equal)
+				t.Fatalf("member %d wants %d, has %d, an equal part is %d", i, want[i], parts[i], equal)
 			}
 			want[i] = max(0, want[i]+want[i]%7-3)
 		}
 		again := divide(pool, want, parts)
 		for i, p := range parts {
 			if p > 0 && pool/Units(n) >= 64 && again[i] != p {
-				t.Fatalf("%d: %d to %d for nothing", i, p, again[i])
+				t.Fatalf("member %d: part changed from %d to %d by noise", i, p, again[i])
 			}
 		}
 	})
@@ -167,7 +167,7 @@
 
 func TestMessagesOnTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := Message{Kind: Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind")), From: rapid.IntRange(0, 1999).Draw(t, "from"),
+		m := Message{Kind: Kind(rapid.IntRange(1, int(kindEnd)-1).Draw(t, "kind")), From: rapid.IntRange(0, 1999).Draw(t, "from"),
 			To: rapid.IntRange(0, 1999).Draw(t, "to"), Life: rapid.Uint64().Draw(t, "life"), Asker: rapid.Uint64().Draw(t, "asker"),
 			Ballot: Ballot{N: rapid.Uint32Max(1<<31).Draw(t, "n"), By: rapid.Uint16Max(1999).Draw(t, "by"), Life: rapid.Uint64().Draw(t, "l")},
 			Open:   rapid.Bool().Draw(t, "open"), Seq: rapid.Uint32().Draw(t, "seq"), Epoch: rapid.Uint32().Draw(t, "epoch"),
@@ -181,7 +181,7 @@
 		assert.Equal(t, m, got)
 		for cut := range b {
 			if _, err := Read(b[:cut]); err == nil {
-				t.Fatalf("%d of %d bytes are taken for a message", cut, len(b))
+				t.Fatalf("%d of %d bytes are accepted as a message", cut, len(b))
 			}
 		}
 		_, err = Read(append(b, 0))
@@ -189,7 +189,7 @@
 	})
 }
 
-// FuzzRead: whatever comes, it is a message or an error, and a node bears it.
+// FuzzRead checks that any input is either a message or an error, and that a node accepts any message.
 func FuzzRead(f *testing.F) {
 	f.Add(Append(nil, &Message{Kind: Ask, From: 1, Life: 7, Units: []Units{5}}))
 	f.Add(Append(nil, &Message{Kind: Grant, From: 2, Life: 7, TTL: time.Second, Units: []Units{Whole}}))
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -11,10 +11,10 @@
 	"gaugeslip/policy"
 )
 
-// A job beyond its tenant's quota has its one answer at once and never comes before the module; others pass. A probe that there is
-// no room for is told as never sent, in the same Step, and nothing is held against its host.
+// A job beyond its tenant's quota is answered at once and never reaches the module; others pass. A probe beyond its budget is reported
+// as never sent in the same Step, and does not count against its host.
 func TestBudgetGate(t *testing.T) {
-	core := bare(t)
+	core := newBareCore(t)
 	cfg := core.cfg
 	cfg.MaxRetryAfter = 2 * time.Second
 	cfg.Tenants = []policy.Tenant{{Name: "a", Quota: 10}, {Name: "free"}}
@@ -33,17 +33,17 @@
 		for i := range n {
 			var p Pass
 			g.In(now, []Message{Arrived{Job: uint64(i), Tenant: tenant}}, &p)
-			if in += len(p.on); len(p.do) > 0 {
-				r := p.do[0].(LocalReply)
+			if in += len(p.messages); len(p.commands) > 0 {
+				r := p.commands[0].(LocalReply)
 				assert.True(t, r.Refused)
 				assert.Positive(t, r.RetryAfter)
 				assert.LessOrEqual(t, r.RetryAfter, 2*time.Second)
 			}
-			assert.Equal(t, 1, len(p.on)+len(p.do))
+			assert.Equal(t, 1, len(p.messages)+len(p.commands))
 		}
 		return in
 	}
-	assert.Zero(t, let(0, 5), "a share comes empty")
+	assert.Zero(t, let(0, 5), "a new share has no tokens")
 	now += time.Second
 	assert.Equal(t, 10, let(0, 30))
 	assert.Equal(t, 30, let(1, 30), "no quota")
@@ -57,10 +57,10 @@
 	ledger.Take(now, 1, 8)
 	now += 100 * time.Millisecond
 	g.Out(now, out, &p)
-	assert.Equal(t, []Command{Probe{Worker: 7}, Probe{Worker: 7}, Probe{Worker: 8}, Send{}}, p.do)
-	assert.Equal(t, []Message{Probed{Worker: 7, Result: policy.NeverSent}}, p.on)
+	assert.Equal(t, []Command{Probe{Worker: 7}, Probe{Worker: 7}, Probe{Worker: 8}, Send{}}, p.commands)
+	assert.Equal(t, []Message{Probed{Worker: 7, Result: policy.NeverSent}}, p.messages)
 
-	// In a chain with a host: the module goes on without the answer, and does not suspect the host.
+	// In a chain with a host: the module works without the probe's answer and does not suspect the host.
 	lim.Probes, lim.Tenants = 0.001, false
 	cfg.Probes, cfg.ReportInProbes = true, true
 	core, err := New(cfg, 1)
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -13,15 +13,15 @@
 	"gaugeslip/policy"
 )
 
-// job is one entry of the table: a request that is owed an answer, or whose upstream requests are still out.
+// job is an entry of the job table. A job stays in the table until it has its final answer and all its upstream requests have ended.
 type job struct {
-	deadline time.Duration
-	class    int
-	base     int // sends in earlier turns; attempts counts on from there
-	attempts []attempt
-	out      int
-	ran      int // attempts that are out or may have run
-	finished bool
+	deadline        time.Duration
+	class           int
+	earlierAttempts int // attempts made before this arrival; numbers of attempts continue from here
+	attempts        []attempt
+	inFlight        int
+	mayHaveRun      int // attempts that are in flight or may have run
+	finished        bool
 }
 
 type attempt struct {
@@ -30,49 +30,49 @@
 	ended  bool
 }
 
-// alarm is a timer that the module has set.
-type alarm struct {
+// timer is a timer that the module has set.
+type timer struct {
 	at time.Duration
 	id uint64
 }
 
-// Core owns the decision module. It is not safe for use by more than one goroutine.
+// Core owns the decision module. It is not safe for concurrent use.
 type Core struct {
-	d           *policy.Dispatcher
-	cfg         policy.Config
-	seed        uint64
-	maxAttempts int
-	jobs        map[uint64]*job
-	hosts       map[uint32]Host
-	hands       map[string]struct{}      // hosts out by hand, by name
-	back        map[string]time.Duration // when hosts came back from a stay out by hand
-	over        []uint64                 // jobs that may leave the table when the Step is over
-	alarms      []alarm
-	closeAt     time.Duration // when all that is open is answered, as the program ends; 0: it does not
-	version     uint64        // of the newest list
-	heard       uint64        // of the last one, from which a watch goes on
-	events      []policy.Event
-	actions     []policy.Action
-	out         []Command
+	module       *policy.Dispatcher
+	cfg          policy.Config
+	seed         uint64
+	maxAttempts  int
+	jobs         map[uint64]*job
+	hosts        map[uint32]Host
+	cordoned     map[string]struct{}      // names of hosts that an operator has taken out of service
+	uncordonedAt map[string]time.Duration // when a host was put back into service, by name
+	removable    []uint64                 // jobs to be checked for removal from the table at the end of the Step
+	timers       []timer
+	shutdownAt   time.Duration // when all open jobs are answered because the program ends; 0: not set
+	listVersion  uint64        // the highest version received
+	watchVersion uint64        // version of the last list received, after which a watch continues
+	events       []policy.Event
+	actions      []policy.Action
+	out          []Command
 }
 
-// New makes a Core for one dispatcher.
+// New returns a Core for one dispatcher.
 func New(cfg policy.Config, seed uint64) (*Core, error) {
 	d, err := policy.New(cfg, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &Core{d: d, cfg: cfg, seed: seed, maxAttempts: max(cfg.MaxAttempts, 1), jobs: map[uint64]*job{},
-		hosts: map[uint32]Host{}, hands: map[string]struct{}{}, back: map[string]time.Duration{}}, nil
+	return &Core{module: d, cfg: cfg, seed: seed, maxAttempts: max(cfg.MaxAttempts, 1), jobs: map[uint64]*job{},
+		hosts: map[uint32]Host{}, cordoned: map[string]struct{}{}, uncordonedAt: map[string]time.Duration{}}, nil
 }
 
-// Renew makes a Core for when a panic has left this one's module in doubt, and the list to begin it with.
+// Rebuild returns a new Core to use after a panic in the module, and the list of known hosts as its first message.
 func (c *Core) Renew() (*Core, Listed, error) {
 	n, err := New(c.cfg, c.seed+1)
-	if err == nil { // what was done by hand is not in doubt, nor that the program ends
-		n.hands, n.back, n.closeAt = c.hands, c.back, c.closeAt
+	if err == nil { // the operators' settings and the shutdown time are not affected by the panic
+		n.cordoned, n.uncordonedAt, n.shutdownAt = c.cordoned, c.uncordonedAt, c.shutdownAt
 	}
-	known := Listed{Version: c.version, Whole: true, Stale: true}
+	known := Listed{Version: c.listVersion, Whole: true, Stale: true}
 	for _, h := range c.hosts {
 		known.Hosts = append(known.Hosts, h)
 	}
@@ -80,64 +80,64 @@
 	return n, known, err
 }
 
-// Open is how many jobs the table holds, answered ones with requests still out included.
+// OpenJobs returns the number of jobs in the table. Answered jobs with upstream requests in flight count too.
 func (c *Core) Open() int { return len(c.jobs) }
 
-// Heard is the version of the last list taken in, which is what a watch begins after: lower than the newest's where the
-// cluster has told an older one since.
-func (c *Core) Heard() uint64 { return c.heard }
+// WatchVersion returns the version of the last list received, after which a watch starts. It is lower than the highest version
+// received if the cluster has sent an older list since.
+func (c *Core) Heard() uint64 { return c.watchVersion }
 
-// Step takes in what happened up to now and returns what to do, in order. The result is valid until the
-// next Step.
+// Step processes the messages received up to now and returns the commands to carry out, in order. The result is valid until the next
+// Step.
 func (c *Core) Step(now time.Duration, in []Message) []Command {
 	c.out, c.events = c.out[:0], c.events[:0]
 	for _, m := range in {
-		c.take(now, m)
+		c.handle(now, m)
 	}
-	if c.closeAt > 0 && now >= c.closeAt {
-		c.close()
+	if c.shutdownAt > 0 && now >= c.shutdownAt {
+		c.answerOpenJobs()
 	}
-	c.alarms = slices.DeleteFunc(c.alarms, func(a alarm) bool {
+	c.timers = slices.DeleteFunc(c.timers, func(a timer) bool {
 		if a.at <= now {
 			c.events = append(c.events, policy.Event{Kind: policy.TimerFired, Timer: a.id})
 		}
 		return a.at <= now
 	})
-	// A Send that can't be carried out ends at once, which is news for the module in turn: each round uses
-	// up an attempt of some job, so the rounds end.
+	// A Send that is not possible ends at once, which is a new event for the module. Each round uses up an attempt of some job, so the
+	// loop ends.
 	for len(c.events) > 0 {
-		c.actions = c.d.Step(now, c.events, c.actions[:0])
+		c.actions = c.module.Step(now, c.events, c.actions[:0])
 		c.events = c.events[:0]
 		for i := range c.actions {
-			c.carry(now, &c.actions[i])
+			c.execute(now, &c.actions[i])
 		}
 	}
-	// Not earlier: the module may yet send a job whose end is told later in the same batch, and then has to
-	// hear that this was never sent, or it counts the lane as taken for good.
-	for _, id := range c.over {
-		if j := c.jobs[id]; j != nil && j.finished && j.out == 0 {
+	// Jobs are removed only here: the module may still send a job whose end comes later in the same batch. It must then get the event
+	// that this attempt was never sent, or it counts the lane as occupied for ever.
+	for _, id := range c.removable {
+		if j := c.jobs[id]; j != nil && j.finished && j.inFlight == 0 {
 			delete(c.jobs, id)
 		}
 	}
-	c.over = c.over[:0]
+	c.removable = c.removable[:0]
 	return c.out
 }
 
-// Wake tells when the next Step is due though nothing happens.
+// Wake returns the time at which the next Step is due if no message arrives before.
 func (c *Core) Wake() (at time.Duration, ok bool) {
-	for _, a := range c.alarms {
+	for _, a := range c.timers {
 		if !ok || a.at < at {
 			at, ok = a.at, true
 		}
 	}
-	if c.closeAt > 0 && len(c.jobs) > 0 && (!ok || c.closeAt < at) && c.owes() {
-		at, ok = c.closeAt, true
+	if c.shutdownAt > 0 && len(c.jobs) > 0 && (!ok || c.shutdownAt < at) && c.hasUnanswered() {
+		at, ok = c.shutdownAt, true
 	}
 	return at, ok
 }
 
-// owes tells whether any job in the table is owed its answer.
-func (c *Core) owes() bool {
+// hasUnanswered reports whether any job in the table has no final answer yet.
+func (c *Core) hasUnanswered() bool {
 	for _, j := range c.jobs {
 		if !j.finished {
 			return true
@@ -146,15 +146,15 @@
 	return false
 }
 
-// close answers all that is open, as the program ends: a refusal where it is proved that a job never ran or a repeat is
-// harmless, else a failure. To the module their clients have left.
-func (c *Core) close() {
+// answerOpenJobs answers all open jobs because the program ends. A job is refused if it certainly never ran or a repeat is harmless,
+// and fails otherwise. The module gets the event that their clients have gone.
+func (c *Core) answerOpenJobs() {
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		j := c.jobs[id]
 		if j.finished {
 			continue
 		}
-		r := LocalReply{Job: id, Refused: j.ran == 0 || c.cfg.Classes[j.class].Harmless()}
+		r := LocalReply{Job: id, Refused: j.mayHaveRun == 0 || c.cfg.Classes[j.class].Harmless()}
 		if r.Refused {
 			r.RetryAfter = c.cfg.MaxRetryAfter
 		}
@@ -164,15 +164,15 @@
 	}
 }
 
-// take turns one message into an event.
-func (c *Core) take(now time.Duration, m Message) {
+// handle turns one message into an event for the module.
+func (c *Core) handle(now time.Duration, m Message) {
 	e := policy.Event{}
 	switch m := m.(type) {
 	case Arrived:
 		if c.jobs[m.Job] != nil {
 			return
 		}
-		c.jobs[m.Job] = &job{deadline: m.At + m.Budget, class: m.Class, base: m.Tried}
+		c.jobs[m.Job] = &job{deadline: m.At + m.Budget, class: m.Class, earlierAttempts: m.Tried}
 		e = policy.Event{Kind: policy.JobArrived, Job: m.Job, Class: m.Class, Tenant: m.Tenant,
 			Budget: m.Budget - (now - m.At), Size: m.Size, Slots: m.Slots, Retry: m.Retry,
 			Waited: m.Waited}
@@ -184,47 +184,47 @@
 		c.finish(m.Job, j)
 		e = policy.Event{Kind: policy.ClientGone, Job: m.Job}
 	case Started:
-		a, n := c.running(m.Key)
+		a, n := c.activeAttempt(m.Key)
 		if a == nil {
 			return
 		}
 		e = policy.Event{Kind: policy.JobStarted, Job: m.Job, Attempt: n, Worker: a.worker}
 	case Progress:
-		a, n := c.running(m.Key)
+		a, n := c.activeAttempt(m.Key)
 		if a == nil {
 			return
 		}
 		e = policy.Event{Kind: policy.JobProgress, Job: m.Job, Attempt: n, Worker: a.worker, Share: m.Share}
 	case Ended:
-		if !c.ended(now, m, &e) {
+		if !c.attemptEnded(now, m, &e) {
 			return
 		}
 	case Probed:
 		e = policy.Event{Kind: policy.ProbeEnded, Worker: m.Worker, Result: m.Result, Took: m.Took}
-		e.HasLoad, e.Load = load(m.Load)
+		e.HasLoad, e.Load = reportedLoad(m.Load)
 	case Listed:
-		if c.heard = m.Version; m.Version < c.version {
-			m = c.older(m)
+		if c.watchVersion = m.Version; m.Version < c.listVersion {
+			m = c.filterOlderList(m)
 		}
-		c.version = m.Version
-		e = policy.Event{Kind: policy.WorkerList, Whole: m.Whole, Stale: m.Stale, Workers: c.list(m)}
-		c.unsend()
+		c.listVersion = m.Version
+		e = policy.Event{Kind: policy.WorkerList, Whole: m.Whole, Stale: m.Stale, Workers: c.updateHosts(m)}
+		c.cancelUnsent()
 	case ListLost:
 		e = policy.Event{Kind: policy.ListLost}
 	case Hand:
-		known := c.knows(m.Name)
+		known := c.knowsHost(m.Name)
 		if known {
-			c.hand(now, m.Name, m.Out)
+			c.setCordoned(now, m.Name, m.Out)
 		}
 		c.out = append(c.out, Handed{Ask: m.Ask, Known: known})
 		return
 	case HandSet:
-		c.handSet(now, m.Names)
+		c.replaceCordoned(now, m.Names)
 		return
 	case Closing:
-		c.closeAt = m.By
+		c.shutdownAt = m.By
 		return
-	case Asked, Unasked, Tuned: // for gates
+	case Asked, Unasked, Tuned: // handled by gates only
 		return
 	default:
 		panic(fmt.Sprintf("dispatch: unknown message %T", m))
@@ -232,43 +232,43 @@
 	c.events = append(c.events, e)
 }
 
-// running finds an upstream request that has not ended, and the module's number of it.
-func (c *Core) running(k Key) (*attempt, int) {
+// activeAttempt returns an attempt that has not ended, and the module's number of it.
+func (c *Core) activeAttempt(k Key) (*attempt, int) {
 	j := c.jobs[k.Job]
 	if j == nil {
 		return nil, 0
 	}
-	n := k.Attempt - j.base
+	n := k.Attempt - j.earlierAttempts
 	if n < 0 || n >= len(j.attempts) || j.attempts[n].ended {
 		return nil, 0
 	}
 	return &j.attempts[n], n
 }
 
-// ended books the one outcome of an upstream request. A second outcome is dropped.
-func (c *Core) ended(now time.Duration, m Ended, e *policy.Event) bool {
-	a, n := c.running(m.Key)
+// attemptEnded records the outcome of an attempt. Each attempt has one outcome; any further one is dropped.
+func (c *Core) attemptEnded(now time.Duration, m Ended, e *policy.Event) bool {
+	a, n := c.activeAttempt(m.Key)
 	if a == nil {
 		return false
 	}
 	j := c.jobs[m.Job]
 	a.ended = true
-	j.out--
+	j.inFlight--
 	if m.Result.NeverRan() {
-		j.ran--
+		j.mayHaveRun--
 	}
-	// The first OK has reached the client by itself and finishes the job.
+	// The first OK has already reached the client, and finishes the job.
 	if m.Result == policy.OK {
 		j.finished = true
 	}
 	*e = policy.Event{Kind: policy.AttemptEnded, Job: m.Job, Attempt: n, Worker: a.worker,
 		Result: m.Result, Took: now - a.sent, Finished: j.finished}
-	e.HasLoad, e.Load = load(m.Load)
-	c.over = append(c.over, m.Job)
+	e.HasLoad, e.Load = reportedLoad(m.Load)
+	c.removable = append(c.removable, m.Job)
 	return true
 }
 
-func load(l *policy.Load) (bool, policy.Load) {
+func reportedLoad(l *policy.Load) (bool, policy.Load) {
 	if l == nil {
 		return false, policy.Load{}
 	}
@@ -277,11 +277,11 @@
 
 func (c *Core) finish(id uint64, j *job) {
 	j.finished = true
-	c.over = append(c.over, id)
+	c.removable = append(c.removable, id)
 }
 
-// carry turns one action of the module into a command.
-func (c *Core) carry(now time.Duration, a *policy.Action) {
+// execute turns one action of the module into a command.
+func (c *Core) execute(now time.Duration, a *policy.Action) {
 	switch a.Kind {
 	case policy.Send:
 		c.send(now, a)
@@ -290,13 +290,13 @@
 		if j == nil {
 			return
 		}
-		k := Key{a.Job, j.base + a.Attempt}
-		if a, _ := c.running(k); a != nil {
+		k := Key{a.Job, j.earlierAttempts + a.Attempt}
+		if a, _ := c.activeAttempt(k); a != nil {
 			c.out = append(c.out, CancelSend{k})
 		}
 	case policy.Refuse, policy.Fail:
 		j := c.jobs[a.Job]
-		if j == nil || j.finished { // exactly one final answer
+		if j == nil || j.finished { // a job has exactly one final answer
 			return
 		}
 		c.finish(a.Job, j)
@@ -313,75 +313,74 @@
 		c.events = append(c.events, policy.Event{Kind: policy.ProbeEnded, Worker: a.Worker,
 			Result: policy.ConnectFailed})
 	case policy.Timer:
-		c.alarms = append(c.alarms, alarm{now + a.After, a.Timer})
+		c.timers = append(c.timers, timer{now + a.After, a.Timer})
 	case policy.Watch:
-		c.out = append(c.out, Watch{c.heard})
+		c.out = append(c.out, Watch{c.watchVersion})
 	case policy.Log:
 		c.out = append(c.out, Log{Text: a.Text})
 	default:
-		panic("dispatch: an action without a command: " + strconv.Itoa(int(a.Kind)))
+		panic("dispatch: unknown action " + strconv.Itoa(int(a.Kind)))
 	}
 }
 
-// send books an upstream request. One that must not or can't go out has never been sent.
+// send records an attempt. If the attempt is not allowed or not possible, it ends at once as never sent.
 func (c *Core) send(now time.Duration, a *policy.Action) {
 	j := c.jobs[a.Job]
-	if j == nil { // a job is in the table for as long as the module may send it
-		panic(fmt.Sprintf("dispatch: a send for job %d, which is not known", a.Job))
+	if j == nil { // the table holds a job for as long as the module may send it
+		panic(fmt.Sprintf("dispatch: send for unknown job %d", a.Job))
 	}
 	n := len(j.attempts)
-	k := Key{a.Job, j.base + n}
+	k := Key{a.Job, j.earlierAttempts + n}
 	h, known := c.hosts[a.Worker]
-	until := j.deadline
+	deadline := j.deadline
 	if a.After > 0 {
-		until = min(until, now+a.After)
+		deadline = min(deadline, now+a.After)
 	}
-	dead := j.finished || !known || k.Attempt >= c.maxAttempts || until <= now
-	j.attempts = append(j.attempts, attempt{worker: a.Worker, sent: now, ended: dead})
-	if dead {
+	impossible := j.finished || !known || k.Attempt >= c.maxAttempts || deadline <= now
+	j.attempts = append(j.attempts, attempt{worker: a.Worker, sent: now, ended: impossible})
+	if impossible {
 		c.events = append(c.events, policy.Event{Kind: policy.AttemptEnded, Job: a.Job, Attempt: n,
 			Worker: a.Worker, Result: policy.NeverSent, Finished: j.finished})
 		return
 	}
-	j.out++
-	j.ran++
-	c.out = append(c.out, Send{Key: k, Addr: h.Addr, Until: until})
+	j.inFlight++
+	j.mayHaveRun++
+	c.out = append(c.out, Send{Key: k, Addr: h.Addr, Until: deadline})
 }
 
-// unsend calls back what was decided for hosts that are to get nothing new, and may still wait for a connection: the
-// time within which a drain has to be obeyed counts for it too.
-func (c *Core) unsend() {
+// cancelUnsent cancels attempts to hosts that must get no new jobs, if they still wait for a connection. The time limit for obeying a
+// drain covers these attempts too.
+func (c *Core) cancelUnsent() {
 	from := len(c.out)
 	for id, j := range c.jobs {
 		for n := range j.attempts {
 			a := &j.attempts[n]
-			if h, ok := c.hosts[a.worker]; !a.ended && (!ok || c.worker(h).State != policy.Ready) {
-				c.out = append(c.out, Unsend{Key{id, j.base + n}})
+			if h, ok := c.hosts[a.worker]; !a.ended && (!ok || c.moduleWorker(h).State != policy.Ready) {
+				c.out = append(c.out, Unsend{Key{id, j.earlierAttempts + n}})
 			}
 		}
 	}
-	slices.SortFunc(c.out[from:], func(a, b Command) int { // the same in each run
+	slices.SortFunc(c.out[from:], func(a, b Command) int { // the map has no fixed order
 		x, y := a.(Unsend).Key, b.(Unsend).Key
 		return cmp.Or(cmp.Compare(x.Job, y.Job), cmp.Compare(x.Attempt, y.Attempt))
 	})
 }
 
-// older is what counts of a list that is older than the newest one: that hosts drain or are gone, of a whole one by being
-// missing too, and hosts that the newest did not know or that have started since. What it says else has been told otherwise
-// since: a host that drains is not ready again by it. A host that is missing only as it was new then comes again with the
-// changes that follow.
-func (c *Core) older(m Listed) Listed {
-	l := Listed{Version: c.version}
-	told := map[uint32]bool{}
+// filterOlderList returns the part of an outdated list that still applies: hosts that drain or are gone, hosts that a full list lacks,
+// and hosts that are unknown or have started since. Newer lists override the rest; in particular a draining host does not become ready
+// again. A full list that is older than the start of a host removes that host; the changes that follow add it again.
+func (c *Core) filterOlderList(m Listed) Listed {
+	l := Listed{Version: c.listVersion}
+	listed := map[uint32]bool{}
 	for _, h := range m.Hosts {
 		id := WorkerID(h.Name)
 		old, known := c.hosts[id]
-		if told[id] = true; !known || h.State != policy.Ready || h.Born > old.Born {
+		if listed[id] = true; !known || h.State != policy.Ready || h.Born > old.Born {
 			l.Hosts = append(l.Hosts, h)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.hosts)) {
-		if h := c.hosts[id]; m.Whole && !told[id] {
+		if h := c.hosts[id]; m.Whole && !listed[id] {
 			h.State = policy.Gone
 			l.Hosts = append(l.Hosts, h)
 		}
@@ -389,8 +388,8 @@
 	return l
 }
 
-// list turns the cluster's entries into the module's workers, and keeps what the module need not know.
-func (c *Core) list(m Listed) []policy.Worker {
+// updateHosts stores the listed hosts and returns them as workers of the module.
+func (c *Core) updateHosts(m Listed) []policy.Worker {
 	if m.Whole {
 		clear(c.hosts)
 	}
@@ -398,23 +397,22 @@
 	for _, h := range m.Hosts {
 		id := WorkerID(h.Name)
 		if old, ok := c.hosts[id]; ok && old.Name != h.Name {
-			// Two hosts with one id would be one worker to the module: the second stays out of use.
+			// Two hosts with the same id would be one worker to the module, so the second is not used.
 			c.out = append(c.out, Log{Warn: true, Text: fmt.Sprintf(
 				"hosts %q and %q have one worker id %d: %q is not used", old.Name, h.Name, id, h.Name)})
 			continue
 		}
 		if c.hosts[id] = h; h.State == policy.Gone {
 			delete(c.hosts, id)
-			delete(c.back, h.Name)
+			delete(c.uncordonedAt, h.Name)
 		}
-		workers = append(workers, c.worker(h))
+		workers = append(workers, c.moduleWorker(h))
 	}
 	return workers
 }
 
-// WorkerID derives the module's number of a worker from its host's name alone, so that it is alike at all
-// dispatchers, in whatever order they hear of the hosts: eight hex digits after the last dash as they are,
-// else a hash of the name.
+// WorkerID derives the module's id of a worker from the name of its host alone, so that all dispatchers use the same id, in whatever
+// order they learn of the hosts. Eight hex digits after the last dash are the id; any other name is hashed.
 func WorkerID(name string) uint32 {
 	if tail := name[strings.LastIndexByte(name, '-')+1:]; len(tail) == 8 {
 		if v, err := strconv.ParseUint(tail, 16, 32); err == nil {
