--- a/coord/transport/peers.go
+++ b/coord/transport/peers.go
@@ -227,10 +227,10 @@
 	}
 }
 
-// Reachable reports to the client that a message from the process at an address has just arrived in another way. It ends the back-off
+// MarkReachable reports to the client that a message from the process at an address has just arrived in another way. It ends the back-off
 // of the address. If a dial is in progress, it starts another attempt at once, because the SYN packets sent so far may have been lost
 // before the process was up.
-func (c *Client) Reachable(addr string) {
+func (c *Client) MarkReachable(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known, found := c.peers[addr]
