--- a/cmd/gaugeslip/plan.go
+++ b/cmd/gaugeslip/plan.go
@@ -107,7 +107,7 @@
 		shed = *own.Overload
 	}
 	cfg := &c.Settings.Policy
-	order, err := shed.Ranked(cfg)
+	order, err := shed.ClassOrder(cfg)
 	if err != nil {
 		return nil, fmt.Errorf("site: overload.%w", err)
 	}
--- a/cmd/gaugeslip/shares_test.go
+++ b/cmd/gaugeslip/shares_test.go
@@ -28,7 +28,7 @@
 // owns asks a dispatcher what it owns of its one budget.
 func owns(t *testing.T, ops string) float64 {
 	_, text := opsCall(t, http.MethodGet, ops, "/budgets")
-	var all []budget.Figure
+	var all []budget.AccountStatus
 	require.NoError(t, json.Unmarshal([]byte(text), &all), text)
 	require.Len(t, all, 1)
 	return all[0].Owned
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -35,30 +35,30 @@
 
 // Share is what a process may use of a budget: Floor permanently, and Extra in addition until the time Until.
 type Share struct {
-	Floor, More Units
-	Until       time.Duration
-	Epoch       uint32 // increases with each change
+	Floor, Extra Units
+	Until        time.Duration
+	Epoch        uint32 // increases with each change
 }
 
 // At returns the units that may be used at a time.
 func (s Share) At(now time.Duration) Units {
 	if now < s.Until {
-		return s.Floor + s.More
+		return s.Floor + s.Extra
 	}
 	return s.Floor
 }
 
 // EqualShare returns the permanent share of one of a number of members that exchange no messages. The remainder of the division is
 // unused.
-func Static(members int) Share { return Share{Floor: Whole / Units(max(members, 1))} }
+func EqualShare(members int) Share { return Share{Floor: Whole / Units(max(members, 1))} }
 
 // Way is how budgets are divided.
 type Way string
 
 // The ways to divide budgets.
 const (
-	ByNumber Way = "static" // equal shares by the number of members in the settings
-	ByTalk   Way = "talk"   // a floor by the number of members in the settings, the rest leased by demand
+	StaticShares Way = "static" // equal shares by the number of members in the settings
+	LeasedShares Way = "talk"   // a floor by the number of members in the settings, the rest leased by demand
 )
 
 // Limits are the settings of the block budgets.
@@ -72,13 +72,13 @@
 }
 
 // Defaults returns the limits of an empty block.
-func Defaults() Limits { return Limits{Way: ByNumber, Floor: 0.25, Tenants: true, Burst: 1} }
+func Defaults() Limits { return Limits{Way: StaticShares, Floor: 0.25, Tenants: true, Burst: 1} }
 
 // Check returns an error for invalid settings. Its text starts with the key of the invalid setting.
 func (l *Limits) Check() error {
 	switch {
-	case l.Way != ByNumber && l.Way != ByTalk:
-		return fmt.Errorf("way: %q is neither %q nor %q", l.Way, ByNumber, ByTalk)
+	case l.Way != StaticShares && l.Way != LeasedShares:
+		return fmt.Errorf("way: %q is neither %q nor %q", l.Way, StaticShares, LeasedShares)
 	case !(l.Floor >= 0 && l.Floor <= 1):
 		return errors.New("floor: out of range, 0 to 1 of an equal part: above 1 the floors would exceed the whole")
 	case !(l.Burst > 0 && l.Burst <= 3600):
@@ -96,13 +96,13 @@
 }
 
 // FloorUnits returns the permanent units of each of a number of members.
-func (l *Limits) FloorOf(members int) Units {
-	return Units(float64(Static(members).Floor) * l.Floor)
+func (l *Limits) FloorUnits(members int) Units {
+	return Units(float64(EqualShare(members).Floor) * l.Floor)
 }
 
 // ExtraDemand returns the units that a member requests beyond its floor, for a demand and a whole budget in the same unit. It adds a
 // tenth for growth.
-func Wanted(asked, whole float64, floor Units) Units {
+func ExtraDemand(asked, whole float64, floor Units) Units {
 	const more = 1.1
 	if !(whole > 0) {
 		return 0
--- a/internal/budget/ledger.go
+++ b/internal/budget/ledger.go
@@ -15,7 +15,7 @@
 }
 
 // AccountStatus is the state of an Account.
-type Figure struct {
+type AccountStatus struct {
 	Name    string  `json:"budget"`
 	Whole   float64 `json:"whole_per_second"`
 	Keyed   bool    `json:"for_each_key,omitempty"`
@@ -41,8 +41,8 @@
 type accountState struct {
 	Account
 	share         Share
-	single        Rate
-	keys          map[uint64]*Rate
+	single        TokenBucket
+	keys          map[uint64]*TokenBucket
 	used, refused uint64
 	demand        float64 // recent uses per second, by decaying average
 	demandAt      time.Duration
@@ -52,32 +52,32 @@
 func NewLedger(accounts []Account, drift float64) *Ledger {
 	l := &Ledger{drift: drift}
 	for _, a := range accounts {
-		l.accounts = append(l.accounts, &accountState{Account: a, single: l.newBucket(&a), keys: map[uint64]*Rate{}})
+		l.accounts = append(l.accounts, &accountState{Account: a, single: l.newBucket(&a), keys: map[uint64]*TokenBucket{}})
 	}
 	return l
 }
 
-func (l *Ledger) newBucket(a *Account) Rate {
-	return Rate{PerSecond: a.PerSecond / (1 + l.drift), Burst: a.Burst}
+func (l *Ledger) newBucket(a *Account) TokenBucket {
+	return TokenBucket{PerSecond: a.PerSecond / (1 + l.drift), Burst: a.Burst}
 }
 
 // Accounts returns the number of accounts.
 func (l *Ledger) Accounts() int { return len(l.accounts) }
 
 // SetShare changes the process's share of an account.
-func (l *Ledger) Own(now time.Duration, account int, s Share) {
+func (l *Ledger) SetShare(now time.Duration, account int, s Share) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.accounts[account]
 	p.share = s
-	p.single.Own(now, s)
+	p.single.SetShare(now, s)
 	for _, r := range p.keys {
-		r.Own(now, s)
+		r.SetShare(now, s)
 	}
 }
 
 // bucket returns the bucket of a key. The caller holds the lock.
-func (l *Ledger) bucket(now time.Duration, p *accountState, key uint64) *Rate {
+func (l *Ledger) bucket(now time.Duration, p *accountState, key uint64) *TokenBucket {
 	if !p.Keyed {
 		return &p.single
 	}
@@ -88,7 +88,7 @@
 		}
 		fresh := l.newBucket(&p.Account)
 		r = &fresh
-		r.Own(now, p.share)
+		r.SetShare(now, p.share)
 		p.keys[key] = r
 	}
 	return r
@@ -118,11 +118,11 @@
 		return true, 0
 	}
 	p.refused++
-	return false, r.In(now, 1)
+	return false, r.TimeUntil(now, 1)
 }
 
 // ExtraDemand stores in want the units to request of each account beyond a floor.
-func (l *Ledger) Wanted(now time.Duration, floor Units, want []Units) {
+func (l *Ledger) ExtraDemand(now time.Duration, floor Units, want []Units) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i, p := range l.accounts {
@@ -131,17 +131,17 @@
 		if p.Keyed {
 			whole *= float64(max(len(p.keys), 1))
 		}
-		want[i] = Wanted(p.demand/demandDecay.Seconds(), whole, floor)
+		want[i] = ExtraDemand(p.demand/demandDecay.Seconds(), whole, floor)
 	}
 }
 
 // Status returns the state of all accounts at a time.
-func (l *Ledger) Figures(now time.Duration) []Figure {
+func (l *Ledger) Status(now time.Duration) []AccountStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := make([]Figure, 0, len(l.accounts))
+	all := make([]AccountStatus, 0, len(l.accounts))
 	for _, p := range l.accounts {
-		f := Figure{Name: p.Name, Whole: p.PerSecond, Keyed: p.Keyed, Floor: scaled(p.share.Floor, 1), Owned: scaled(p.share.At(now), 1),
+		f := AccountStatus{Name: p.Name, Whole: p.PerSecond, Keyed: p.Keyed, Floor: scaled(p.share.Floor, 1), Owned: scaled(p.share.At(now), 1),
 			Epoch: p.share.Epoch, Used: p.used, Refused: p.refused}
 		if now < p.share.Until {
 			f.EndsMS = (p.share.Until - now).Milliseconds()
--- a/internal/budget/model_test.go
+++ b/internal/budget/model_test.go
@@ -84,7 +84,7 @@
 			b = binary.AppendVarint(b, x)
 		}
 	}
-	ballot := func(x Ballot) { put(int64(x.N), int64(x.By), int64(x.Life)) }
+	ballot := func(x Ballot) { put(int64(x.N), int64(x.Proposer), int64(x.Incarnation)) }
 	units := func(all []Units) {
 		for _, u := range all {
 			put(int64(u))
@@ -164,13 +164,13 @@
 
 // modelNode starts a member.
 func modelNode(i int, incarnation uint64, now time.Duration, mut *mutant) *Node {
-	c := Config{Self: i, Members: 3, Voters: 3, Budgets: 2, Floor: Whole / 16, Term: 60, Every: 20, Drift: 0.2, Life: incarnation}
+	c := Config{Self: i, Members: 3, Voters: 3, Budgets: 2, Floor: Whole / 16, LeaseTime: 60, RequestInterval: 20, Drift: 0.2, Life: incarnation}
 	if mut.drift >= 0 {
 		c.Drift = mut.drift
 	}
 	n := NewNode(c, now)
 	n.nextRequestAt = now + time.Duration(i*7)
-	n.Want([]Units{Whole, Whole / Units(1+2*i)})
+	n.SetDemand([]Units{Whole, Whole / Units(1+2*i)})
 	if mut.restart != nil {
 		mut.restart(n)
 	}
@@ -244,7 +244,7 @@
 	return to
 }
 
-var kindNames = map[Kind]string{Prepare: "prepare", Promise: "promise", Nack: "nack", Propose: "propose", Accepted: "accepted", Ask: "ask",
+var kindNames = map[Kind]string{Prepare: "prepare", Promise: "promise", Nack: "nack", Propose: "propose", Accepted: "accepted", Request: "ask",
 	Grant: "grant", Redirect: "redirect"}
 
 func (s *modelState) deliver(m Message, mut *mutant) {
@@ -278,13 +278,13 @@
 		"drift of zero": {drift: 0},
 		"share used after its end": {drift: -1, usable: func(s *modelState, i, b int) Units {
 			x := s.nodes[i].Share(b)
-			return x.Floor + x.More
+			return x.Floor + x.Extra
 		}},
 		"checked before a pause, used after": {drift: -1, usable: func(s *modelState, i, b int) Units {
 			return s.nodes[i].Share(b).At(s.seen[i])
 		}},
 		"units reused before the confirmation": {drift: -1, before: func(s *modelState, m *Message) {
-			if m.Kind == Ask && s.nodes[m.To].Leads(s.at(m.To)) {
+			if m.Kind == Request && s.nodes[m.To].IsLeader(s.at(m.To)) {
 				m.Ballot, m.Epoch = s.nodes[m.To].leadBallot, 1<<31
 			}
 		}},
@@ -295,8 +295,8 @@
 		}},
 		"a voter that votes right after a start": {drift: -1, restart: func(n *Node) { n.startedAt -= 1000 }},
 		"leader lease counted from its confirmation": {drift: -1, after: func(s *modelState, m *Message) {
-			if n := s.nodes[m.To]; m.Kind == Accepted && n.Leads(s.at(m.To)) {
-				n.leadUntil = max(n.leadUntil, s.at(m.To)+n.cfg.Term)
+			if n := s.nodes[m.To]; m.Kind == Accepted && n.IsLeader(s.at(m.To)) {
+				n.leadUntil = max(n.leadUntil, s.at(m.To)+n.cfg.LeaseTime)
 			}
 		}},
 		"grant counted from its arrival": {drift: -1, before: func(s *modelState, m *Message) {
--- a/internal/budget/node.go
+++ b/internal/budget/node.go
@@ -9,23 +9,25 @@
 // Ballot identifies an attempt to become leader. Ballots are ordered by N, then Proposer, then Incarnation. A process never uses one
 // twice.
 type Ballot struct {
-	N    uint32
-	By   uint16
-	Life uint64
+	N           uint32
+	Proposer    uint16
+	Incarnation uint64
 }
 
 func (b Ballot) less(o Ballot) bool {
 	if b.N != o.N {
 		return b.N < o.N
 	}
-	if b.By != o.By {
-		return b.By < o.By
+	if b.Proposer != o.Proposer {
+		return b.Proposer < o.Proposer
 	}
-	return b.Life < o.Life
+	return b.Incarnation < o.Incarnation
 }
 
 // sameProcess reports whether two ballots are of the same process.
-func (b Ballot) sameProcess(o Ballot) bool { return b.By == o.By && b.Life == o.Life }
+func (b Ballot) sameProcess(o Ballot) bool {
+	return b.Proposer == o.Proposer && b.Incarnation == o.Incarnation
+}
 
 // Kind is the type of a Message.
 type Kind uint8
@@ -37,7 +39,7 @@
 	Nack                     // Ballot: a higher ballot was promised
 	Propose                  // Ballot: a candidate claims the leader lease
 	Accepted                 // Ballot
-	Ask                      // Seq, Units wanted beyond the floor; Ballot and Epoch of the present grant
+	Request                  // Seq, Units wanted beyond the floor; Ballot and Epoch of the present grant
 	Grant                    // Seq and Requester as in the request, Ballot, Epoch, TTL, Units
 	Redirect                 // Leader: where to send requests; -1: not known
 	kindEnd
@@ -45,33 +47,33 @@
 
 // Message is exchanged between members.
 type Message struct {
-	Kind     Kind
-	From, To int
-	Life     uint64 // of the sending process
-	Asker    uint64 // Grant: incarnation that sent the request
-	Ballot   Ballot
-	Open     bool
-	Seq      uint32
-	Epoch    uint32
-	TTL      time.Duration
-	Leader   int
-	Units    []Units // by budget
+	Kind        Kind
+	From, To    int
+	Incarnation uint64 // of the sending process
+	Requester   uint64 // Grant: incarnation that sent the request
+	Ballot      Ballot
+	Open        bool
+	Seq         uint32
+	Epoch       uint32
+	TTL         time.Duration
+	Leader      int
+	Units       []Units // by budget
 }
 
 // Config is the configuration of a Node. All members of a fleet use the same, except for Self and Incarnation.
 type Config struct {
-	Self, Members int
-	Voters        int // the members with lower numbers elect the leader: one, or better three or five
-	Budgets       int
-	Floor         Units         // permanent units of each member, of each budget
-	Term          time.Duration // of the leader lease, and the longest of a grant
-	Every         time.Duration // between two requests of a member
-	Drift         float64       // largest deviation of any clock from real time, as a share
-	Life          uint64        // differs for each start of a process; not 0
+	Self, Members   int
+	Voters          int // the members with lower numbers elect the leader: one, or better three or five
+	Budgets         int
+	Floor           Units         // permanent units of each member, of each budget
+	LeaseTime       time.Duration // of the leader lease, and the longest of a grant
+	RequestInterval time.Duration // between two requests of a member
+	Drift           float64       // largest deviation of any clock from real time, as a share
+	Life            uint64        // differs for each start of a process; not 0
 }
 
 // Timing returns RequestInterval and LeaseTime for a number of members. The leader gets a request from each of them once per interval.
-func Pace(members int) (every, term time.Duration) {
+func Timing(members int) (every, term time.Duration) {
 	every = min(max(time.Duration(members)*time.Millisecond, 200*time.Millisecond), time.Second)
 	return every, 5 * every
 }
@@ -156,8 +158,8 @@
 // NewNode returns a member that starts at a time.
 func NewNode(c Config, now time.Duration) *Node {
 	n := &Node{cfg: c, startedAt: now, now: now, leader: -1, lastGrantAt: now, demand: make([]Units, c.Budgets),
-		nextRequestAt: now + time.Duration(float64(c.Every)*jitter(c.Life, 0))}
-	n.retryAt = now + c.Term
+		nextRequestAt: now + time.Duration(float64(c.RequestInterval)*jitter(c.Life, 0))}
+	n.retryAt = now + c.LeaseTime
 	return n
 }
 
@@ -169,19 +171,19 @@
 }
 
 // SetDemand sets the units of each budget that the member could use beyond its floor.
-func (n *Node) Want(units []Units) { copy(n.demand, units) }
+func (n *Node) SetDemand(units []Units) { copy(n.demand, units) }
 
 // Share returns what the process may use of a budget.
 func (n *Node) Share(budget int) Share {
 	s := Share{Floor: n.cfg.Floor, Epoch: n.grantsTaken}
 	if budget < len(n.grant.Units) {
-		s.More, s.Until = n.grant.Units[budget], n.grantEnd
+		s.Extra, s.Until = n.grant.Units[budget], n.grantEnd
 	}
 	return s
 }
 
 // IsLeader reports whether this member is the leader at a time.
-func (n *Node) Leads(now time.Duration) bool { return now < n.leadUntil }
+func (n *Node) IsLeader(now time.Duration) bool { return now < n.leadUntil }
 
 // Leader returns the member that this one takes for the leader; -1: not known.
 func (n *Node) Leader() int { return n.leader }
@@ -190,7 +192,7 @@
 
 // send queues a message.
 func (n *Node) send(m Message) {
-	if m.From, m.Life = n.cfg.Self, n.cfg.Life; m.To == n.cfg.Self {
+	if m.From, m.Incarnation = n.cfg.Self, n.cfg.Life; m.To == n.cfg.Self {
 		n.selfMessages = append(n.selfMessages, m)
 	} else {
 		n.outbox = append(n.outbox, m)
@@ -229,13 +231,13 @@
 }
 
 func (n *Node) handle(m *Message) {
-	if m.From < 0 || m.From >= n.cfg.Members || m.To != n.cfg.Self || m.Life == 0 || len(m.Units) > n.cfg.Budgets {
+	if m.From < 0 || m.From >= n.cfg.Members || m.To != n.cfg.Self || m.Incarnation == 0 || len(m.Units) > n.cfg.Budgets {
 		return
 	}
 	voter := m.From < n.cfg.Voters
 	switch m.Kind {
 	case Prepare, Propose:
-		if voter && int(m.Ballot.By) == m.From && m.Ballot.Life == m.Life {
+		if voter && int(m.Ballot.Proposer) == m.From && m.Ballot.Incarnation == m.Incarnation {
 			n.handleProposal(m)
 		}
 	case Promise, Accepted:
@@ -244,7 +246,7 @@
 		}
 	case Nack:
 		n.maxBallotNumber = max(n.maxBallotNumber, m.Ballot.N)
-	case Ask:
+	case Request:
 		n.handleRequest(m)
 	case Grant:
 		n.handleGrant(m)
@@ -257,7 +259,7 @@
 
 // handleProposal answers a candidate, if this member is a voter.
 func (n *Node) handleProposal(m *Message) {
-	if n.cfg.Self >= n.cfg.Voters || n.now < n.startedAt+n.cfg.safeWait(n.cfg.Term) {
+	if n.cfg.Self >= n.cfg.Voters || n.now < n.startedAt+n.cfg.safeWait(n.cfg.LeaseTime) {
 		return // an earlier incarnation may have promised something else
 	}
 	b := m.Ballot
@@ -272,7 +274,7 @@
 		n.promised = b
 		n.send(Message{Kind: Promise, To: m.From, Ballot: b, Open: n.now >= n.acceptedUntil || n.acceptedBallot.sameProcess(b)})
 	default:
-		n.promised, n.acceptedBallot, n.acceptedUntil = b, b, n.now+n.cfg.safeWait(n.cfg.Term)
+		n.promised, n.acceptedBallot, n.acceptedUntil = b, b, n.now+n.cfg.safeWait(n.cfg.LeaseTime)
 		n.send(Message{Kind: Accepted, To: m.From, Ballot: b})
 	}
 }
@@ -280,9 +282,9 @@
 // nextAttemptAt returns when to start an election, or to renew the leader lease.
 func (n *Node) nextAttemptAt() time.Duration {
 	if n.now < n.leadUntil {
-		return n.leadUntil - n.cfg.Term/2
+		return n.leadUntil - n.cfg.LeaseTime/2
 	}
-	return n.lastGrantAt + n.cfg.Term
+	return n.lastGrantAt + n.cfg.LeaseTime
 }
 
 // tryToLead starts an attempt to become or remain leader, if it is time.
@@ -291,12 +293,12 @@
 		return
 	}
 	n.maxBallotNumber++
-	n.ballot = Ballot{N: n.maxBallotNumber, By: uint16(n.cfg.Self), Life: n.cfg.Life}
+	n.ballot = Ballot{N: n.maxBallotNumber, Proposer: uint16(n.cfg.Self), Incarnation: n.cfg.Life}
 	// The lease counts from here, before any voter has the message: voters count from later.
 	n.attemptStart, n.phase, n.votes = n.now, Prepare, 0
-	n.retryAt = n.now + n.cfg.Every
+	n.retryAt = n.now + n.cfg.RequestInterval
 	if n.now >= n.leadUntil { // random delay, since other voters may try at the same time
-		n.retryAt += time.Duration(float64(n.cfg.Term) * jitter(n.cfg.Life, n.maxBallotNumber))
+		n.retryAt += time.Duration(float64(n.cfg.LeaseTime) * jitter(n.cfg.Life, n.maxBallotNumber))
 	}
 	for v := range n.cfg.Voters {
 		n.send(Message{Kind: Prepare, To: v, Ballot: n.ballot})
@@ -320,14 +322,14 @@
 		return
 	}
 	n.phase = 0
-	if n.now >= n.attemptStart+n.cfg.Term {
+	if n.now >= n.attemptStart+n.cfg.LeaseTime {
 		return // the attempt took too long
 	}
 	if n.members == nil {
 		n.members = make([]memberState, n.cfg.Members)
 	}
 	// Grants under an earlier lease stay recorded until they have surely ended: members' clocks may be slower than this one's.
-	n.leadBallot, n.leadUntil, n.leader = n.ballot, n.attemptStart+n.cfg.Term, n.cfg.Self
+	n.leadBallot, n.leadUntil, n.leader = n.ballot, n.attemptStart+n.cfg.LeaseTime, n.cfg.Self
 }
 
 // requestUnits sends a request for units, if it is time.
@@ -335,7 +337,7 @@
 	if n.now < n.nextRequestAt {
 		return
 	}
-	n.nextRequestAt = n.now + n.cfg.Every
+	n.nextRequestAt = n.now + n.cfg.RequestInterval
 	if n.now < n.leadUntil {
 		n.leader = n.cfg.Self
 	} else if n.leader == n.cfg.Self || n.unanswered >= 3 {
@@ -348,7 +350,7 @@
 	n.unanswered++
 	n.seq++
 	n.requests[n.seq%uint32(len(n.requests))] = sentRequest{n.seq, n.now}
-	m := Message{Kind: Ask, To: to, Seq: n.seq, Units: append([]Units(nil), n.demand...)}
+	m := Message{Kind: Request, To: to, Seq: n.seq, Units: append([]Units(nil), n.demand...)}
 	if n.now < n.grantEnd {
 		m.Ballot, m.Epoch = n.grant.Ballot, n.grant.Epoch
 	}
@@ -367,12 +369,12 @@
 		return
 	}
 	a := &n.members[m.From]
-	a.incarnation, a.lastHeard, a.hasRequested, a.demand = m.Life, n.now, true, m.Units
+	a.incarnation, a.lastHeard, a.hasRequested, a.demand = m.Incarnation, n.now, true, m.Units
 	ownLease := m.Ballot.sameProcess(n.leadBallot)
 	keep := a.outstanding[:0]
 	for _, g := range a.outstanding {
 		// A process that has a later grant never uses this one again. A process that seems to have ended may only be paused.
-		if n.now < g.until && !(ownLease && g.incarnation == m.Life && g.epoch < m.Epoch) {
+		if n.now < g.until && !(ownLease && g.incarnation == m.Incarnation && g.epoch < m.Epoch) {
 			keep = append(keep, g)
 		}
 	}
@@ -382,12 +384,12 @@
 	n.recomputeParts()
 	n.epoch++
 	ttl := n.leadUntil - n.now
-	g := outstandingGrant{incarnation: m.Life, epoch: n.epoch, units: make([]Units, n.cfg.Budgets), until: n.now + n.cfg.safeWait(ttl)}
+	g := outstandingGrant{incarnation: m.Incarnation, epoch: n.epoch, units: make([]Units, n.cfg.Budgets), until: n.now + n.cfg.safeWait(ttl)}
 	for b := range g.units {
-		g.units[b] = max(0, min(n.parts[b][m.From], n.pool()-n.inUseByOthers(b, m.From, m.Life)))
+		g.units[b] = max(0, min(n.parts[b][m.From], n.pool()-n.inUseByOthers(b, m.From, m.Incarnation)))
 	}
 	a.outstanding = append(a.outstanding, g)
-	n.send(Message{Kind: Grant, To: m.From, Asker: m.Life, Seq: m.Seq, Ballot: n.leadBallot, Epoch: g.epoch, TTL: ttl, Units: g.units})
+	n.send(Message{Kind: Grant, To: m.From, Requester: m.Incarnation, Seq: m.Seq, Ballot: n.leadBallot, Epoch: g.epoch, TTL: ttl, Units: g.units})
 }
 
 // inUseByOthers returns the units of a budget that all processes but one may use.
@@ -425,7 +427,7 @@
 
 // recomputeParts computes the part of each member, at most four times in a RequestInterval.
 func (n *Node) recomputeParts() {
-	if n.parts != nil && n.now < n.dividedAt+n.cfg.Every/4 {
+	if n.parts != nil && n.now < n.dividedAt+n.cfg.RequestInterval/4 {
 		return
 	}
 	n.dividedAt = n.now
@@ -437,7 +439,7 @@
 	}
 	var active []int
 	for i := range n.members {
-		if a := &n.members[i]; a.hasRequested && n.now < a.lastHeard+n.cfg.Term {
+		if a := &n.members[i]; a.hasRequested && n.now < a.lastHeard+n.cfg.LeaseTime {
 			active = append(active, i)
 		}
 	}
@@ -459,7 +461,7 @@
 // handleGrant processes the answer to a request.
 func (n *Node) handleGrant(m *Message) {
 	at := n.requests[m.Seq%uint32(len(n.requests))]
-	if m.Asker != n.cfg.Life || at.seq != m.Seq || m.Seq == 0 || m.TTL <= 0 || m.TTL > n.cfg.Term {
+	if m.Requester != n.cfg.Life || at.seq != m.Seq || m.Seq == 0 || m.TTL <= 0 || m.TTL > n.cfg.LeaseTime {
 		return
 	}
 	n.leader, n.unanswered, n.lastGrantAt, n.maxBallotNumber = m.From, 0, n.now, max(n.maxBallotNumber, m.Ballot.N)
--- a/internal/budget/purse.go
+++ b/internal/budget/purse.go
@@ -10,7 +10,7 @@
 //
 // Over all members and any window, the uses are at most PerSecond x window + Burst + the number of members. Each bucket holds the
 // share's part of Burst, but at least one token, since a small share could otherwise never be used.
-type Rate struct {
+type TokenBucket struct {
 	PerSecond float64
 	Burst     float64 // tokens that all buckets hold together
 
@@ -24,26 +24,26 @@
 func scaled(u Units, of float64) float64 { return of * float64(u) / float64(Whole) }
 
 // SetShare changes the share at a time.
-func (r *Rate) Own(now time.Duration, s Share) {
+func (r *TokenBucket) SetShare(now time.Duration, s Share) {
 	r.refill(now)
 	r.share = s
 	r.clamp(s.At(now))
 }
 
-func (r *Rate) clamp(u Units) { r.tokens = min(r.tokens, max(1, scaled(u, r.Burst))) }
+func (r *TokenBucket) clamp(u Units) { r.tokens = min(r.tokens, max(1, scaled(u, r.Burst))) }
 
 // refill adds the tokens up to a time. A share that has expired meanwhile counts only until its end.
-func (r *Rate) refill(now time.Duration) {
+func (r *TokenBucket) refill(now time.Duration) {
 	if !r.started {
 		r.started, r.filledTo = true, now
 	}
 	if until := r.share.Until; r.filledTo < until && until <= now {
-		r.accrue(until, r.share.Floor+r.share.More)
+		r.accrue(until, r.share.Floor+r.share.Extra)
 	}
 	r.accrue(now, r.share.At(now))
 }
 
-func (r *Rate) accrue(to time.Duration, u Units) {
+func (r *TokenBucket) accrue(to time.Duration, u Units) {
 	if to > r.filledTo {
 		r.tokens += scaled(u, r.PerSecond) * (to - r.filledTo).Seconds()
 		r.filledTo = to
@@ -52,7 +52,7 @@
 }
 
 // Take uses n tokens at a time. If there are fewer, it uses none and returns false.
-func (r *Rate) Take(now time.Duration, n float64) bool {
+func (r *TokenBucket) Take(now time.Duration, n float64) bool {
 	if r.refill(now); r.tokens < n || r.share.At(now) <= 0 {
 		return false
 	}
@@ -61,7 +61,7 @@
 }
 
 // TimeUntil returns the time until n tokens are available if the share stays and none are used; negative if they never are.
-func (r *Rate) In(now time.Duration, n float64) time.Duration {
+func (r *TokenBucket) TimeUntil(now time.Duration, n float64) time.Duration {
 	r.refill(now)
 	u := r.share.At(now)
 	rate := scaled(u, r.PerSecond)
@@ -74,8 +74,8 @@
 // SlidingWindow enforces a member's share of a budget per window: at most Max uses within any interval of Length. A gained share takes
 // effect a window later, since the previous holder may have used it up until now. The same holds for the whole share of a process that
 // has just started. Over all members the uses in any window are at most Max, without a burst.
-type Window struct {
-	Most   float64
+type SlidingWindow struct {
+	Max    float64
 	Length time.Duration
 
 	share     Share
@@ -96,14 +96,14 @@
 }
 
 // SetShare changes the share at a time. A loss takes effect at once, first on units that do not count yet.
-func (w *Window) Own(now time.Duration, s Share) {
+func (w *SlidingWindow) SetShare(now time.Duration, s Share) {
 	w.advance(now)
 	w.share = s
 	w.adjust(now, s.At(now))
 }
 
 // advance moves the window to a time.
-func (w *Window) advance(now time.Duration) {
+func (w *SlidingWindow) advance(now time.Duration) {
 	w.adjust(now, w.share.At(now))
 	for len(w.pending) > 0 && w.pending[0].at <= now {
 		w.effective += w.pending[0].units
@@ -116,7 +116,7 @@
 }
 
 // adjust changes the sum of effective and pending units to u.
-func (w *Window) adjust(now time.Duration, u Units) {
+func (w *SlidingWindow) adjust(now time.Duration, u Units) {
 	total := w.effective
 	for _, r := range w.pending {
 		total += r.units
@@ -139,8 +139,8 @@
 }
 
 // Take records n uses at a time. If they exceed the share, it records none and returns false.
-func (w *Window) Take(now time.Duration, n float64) bool {
-	if w.advance(now); w.sum+n > scaled(w.effective, w.Most)+1e-9 {
+func (w *SlidingWindow) Take(now time.Duration, n float64) bool {
+	if w.advance(now); w.sum+n > scaled(w.effective, w.Max)+1e-9 {
 		return false
 	}
 	w.uses, w.sum = append(w.uses, use{now, n}), w.sum+n
@@ -151,29 +151,29 @@
 // effect after ReleaseTime, the longest that the previous holder may take to release what it holds. The same holds for the share of a
 // process that has just started. A member that loses a share must release its Excess within that time. Until then the wait of the
 // member that gained the share keeps the sum.
-type Held struct {
-	Most    float64
-	Longest time.Duration
+type ConcurrencyLimit struct {
+	Max         float64
+	ReleaseTime time.Duration
 
-	window Window // of length ReleaseTime and without uses: it delays gained units
+	window SlidingWindow // of length ReleaseTime and without uses: it delays gained units
 	held   int
 }
 
 // SetShare changes the share at a time.
-func (h *Held) Own(now time.Duration, s Share) {
-	h.window.Length = h.Longest
-	h.window.Own(now, s)
+func (h *ConcurrencyLimit) SetShare(now time.Duration, s Share) {
+	h.window.Length = h.ReleaseTime
+	h.window.SetShare(now, s)
 }
 
 // allowed returns the number that may be held.
-func (h *Held) allowed(now time.Duration) int {
-	h.window.Length = h.Longest
+func (h *ConcurrencyLimit) allowed(now time.Duration) int {
+	h.window.Length = h.ReleaseTime
 	h.window.advance(now)
-	return int(math.Floor(scaled(h.window.effective, h.Most) + 1e-9))
+	return int(math.Floor(scaled(h.window.effective, h.Max) + 1e-9))
 }
 
 // Take acquires one more, or returns false if the limit is reached.
-func (h *Held) Take(now time.Duration) bool {
+func (h *ConcurrencyLimit) Take(now time.Duration) bool {
 	if h.held >= h.allowed(now) {
 		return false
 	}
@@ -182,7 +182,7 @@
 }
 
 // Release releases one.
-func (h *Held) Drop() { h.held = max(0, h.held-1) }
+func (h *ConcurrencyLimit) Release() { h.held = max(0, h.held-1) }
 
 // Excess returns how many are held beyond the share. They must be released within ReleaseTime of the loss.
-func (h *Held) Over(now time.Duration) int { return max(0, h.held-h.allowed(now)) }
+func (h *ConcurrencyLimit) Excess(now time.Duration) int { return max(0, h.held-h.allowed(now)) }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -93,7 +93,7 @@
 }
 
 // KeysNeedingRestart returns the keys whose values differ in a newer configuration and take effect only at a start.
-func (c *Config) Fixed(newer *Config) (keys []string) {
+func (c *Config) KeysNeedingRestart(newer *Config) (keys []string) {
 	for key, same := range map[string]bool{
 		"name":     c.Name == newer.Name,
 		"listen":   c.Listen == newer.Listen,
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -49,16 +49,16 @@
 // In refuses jobs beyond their tenant's quota.
 func (g *BudgetGate) In(now time.Duration, in []Message, p *Pass) {
 	for _, m := range in {
-		if a, ok := m.(Arrived); ok && a.Wait == nil && a.Tenant >= 0 && a.Tenant < len(g.tenantAccounts) && g.tenantAccounts[a.Tenant] >= 0 {
+		if a, ok := m.(JobArrived); ok && a.Wait == nil && a.Tenant >= 0 && a.Tenant < len(g.tenantAccounts) && g.tenantAccounts[a.Tenant] >= 0 {
 			if ok, after := g.ledger.Take(now, g.tenantAccounts[a.Tenant], 0); !ok {
 				if after < 0 || after > g.maxRetryAfter {
 					after = g.maxRetryAfter
 				}
-				p.Do(LocalReply{Job: a.Job, Refused: true, RetryAfter: after})
+				p.Emit(LocalReply{Job: a.Job, Refused: true, RetryAfter: after})
 				continue
 			}
 		}
-		p.On(m)
+		p.Forward(m)
 	}
 }
 
@@ -67,11 +67,11 @@
 	for _, c := range out {
 		if x, ok := c.(Probe); ok && g.probeAccount >= 0 {
 			if ok, _ := g.ledger.Take(now, g.probeAccount, uint64(x.Worker)); !ok {
-				p.On(Probed{Worker: x.Worker, Result: policy.NeverSent})
+				p.Forward(ProbeEnded{Worker: x.Worker, Result: policy.NeverSent})
 				continue
 			}
 		}
-		p.Do(c)
+		p.Emit(c)
 	}
 }
 
@@ -82,10 +82,10 @@
 func (g *BudgetGate) Detached() int { return 0 }
 
 // ModuleLost does nothing: what was used stays used.
-func (g *BudgetGate) Crashed(time.Duration) {}
+func (g *BudgetGate) ModuleLost(time.Duration) {}
 
 // Owns returns false: all admitted jobs are in the module.
-func (g *BudgetGate) Keeps(uint64) bool { return false }
+func (g *BudgetGate) Owns(uint64) bool { return false }
 
 // Recreate returns the gate itself: it has no state but the ledger, which stays valid.
-func (g *BudgetGate) Anew() Gate { return g }
+func (g *BudgetGate) Recreate() Gate { return g }
--- a/internal/dispatch/chain.go
+++ b/internal/dispatch/chain.go
@@ -20,10 +20,10 @@
 	Detached() int
 	// ModuleLost is called when the module has lost its state in a panic. Owns then reports whether a job is in this gate alone and
 	// goes on.
-	Crashed(now time.Duration)
-	Keeps(job uint64) bool
+	ModuleLost(now time.Duration)
+	Owns(job uint64) bool
 	// Recreate returns an empty gate, for use after a panic in this one.
-	Anew() Gate
+	Recreate() Gate
 }
 
 // Pass collects what a gate forwards and emits.
@@ -33,10 +33,10 @@
 }
 
 // Forward sends a message on towards the core.
-func (p *Pass) On(m Message) { p.messages = append(p.messages, m) }
+func (p *Pass) Forward(m Message) { p.messages = append(p.messages, m) }
 
 // Emit sends a command on towards the sockets.
-func (p *Pass) Do(c Command) { p.commands = append(p.commands, c) }
+func (p *Pass) Emit(c Command) { p.commands = append(p.commands, c) }
 
 // Chain is a Core with gates in front of it. It is not safe for concurrent use. Without gates it adds no cost and changes nothing.
 type Chain struct {
@@ -124,33 +124,33 @@
 }
 
 // OpenJobs returns the number of jobs in the core's table.
-func (c *Chain) Open() int { return c.core.Open() }
+func (c *Chain) OpenJobs() int { return c.core.OpenJobs() }
 
 // WatchVersion returns the version after which a watch starts.
-func (c *Chain) Heard() uint64 { return c.core.Heard() }
+func (c *Chain) WatchVersion() uint64 { return c.core.WatchVersion() }
 
 // Rebuild returns a new Chain to use after a panic, and the list of known hosts as its first message. After a panic in the module the
 // gates keep the jobs that they alone hold; keeps reports which jobs those are. After a panic in a gate all gates start empty.
-func (c *Chain) Renew(now time.Duration) (n *Chain, known Listed, keeps func(job uint64) bool, err error) {
-	core, known, err := c.core.Renew()
+func (c *Chain) Rebuild(now time.Duration) (n *Chain, known HostList, keeps func(job uint64) bool, err error) {
+	core, known, err := c.core.Rebuild()
 	if err != nil {
-		return nil, Listed{}, nil, err
+		return nil, HostList{}, nil, err
 	}
 	n = &Chain{core: core}
 	if c.inCore {
 		n.gates = c.gates
 		for _, g := range n.gates {
-			g.Crashed(now)
+			g.ModuleLost(now)
 		}
 	} else {
 		for _, g := range c.gates {
-			n.gates = append(n.gates, g.Anew())
+			n.gates = append(n.gates, g.Recreate())
 		}
 	}
 	n.passes = make([]Pass, len(n.gates))
 	return n, known, func(job uint64) bool {
 		for _, g := range n.gates {
-			if g.Keeps(job) {
+			if g.Owns(job) {
 				return true
 			}
 		}
@@ -162,4 +162,4 @@
 func (c *Chain) Workers() (known, excluded int) { return c.core.Workers() }
 
 // Cordoned returns the names of the hosts that an operator has taken out of service.
-func (c *Chain) Hands() []string { return c.core.Hands() }
+func (c *Chain) Cordoned() []string { return c.core.Cordoned() }
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -67,12 +67,12 @@
 }
 
 // Rebuild returns a new Core to use after a panic in the module, and the list of known hosts as its first message.
-func (c *Core) Renew() (*Core, Listed, error) {
+func (c *Core) Rebuild() (*Core, HostList, error) {
 	n, err := New(c.cfg, c.seed+1)
 	if err == nil { // the operators' settings and the shutdown time are not affected by the panic
 		n.cordoned, n.uncordonedAt, n.shutdownAt = c.cordoned, c.uncordonedAt, c.shutdownAt
 	}
-	known := Listed{Version: c.listVersion, Whole: true, Stale: true}
+	known := HostList{Version: c.listVersion, Whole: true, Stale: true}
 	for _, h := range c.hosts {
 		known.Hosts = append(known.Hosts, h)
 	}
@@ -81,11 +81,11 @@
 }
 
 // OpenJobs returns the number of jobs in the table. Answered jobs with upstream requests in flight count too.
-func (c *Core) Open() int { return len(c.jobs) }
+func (c *Core) OpenJobs() int { return len(c.jobs) }
 
 // WatchVersion returns the version of the last list received, after which a watch starts. It is lower than the highest version
 // received if the cluster has sent an older list since.
-func (c *Core) Heard() uint64 { return c.watchVersion }
+func (c *Core) WatchVersion() uint64 { return c.watchVersion }
 
 // Step processes the messages received up to now and returns the commands to carry out, in order. The result is valid until the next
 // Step.
@@ -168,41 +168,41 @@
 func (c *Core) handle(now time.Duration, m Message) {
 	e := policy.Event{}
 	switch m := m.(type) {
-	case Arrived:
+	case JobArrived:
 		if c.jobs[m.Job] != nil {
 			return
 		}
-		c.jobs[m.Job] = &job{deadline: m.At + m.Budget, class: m.Class, earlierAttempts: m.Tried}
+		c.jobs[m.Job] = &job{deadline: m.At + m.Budget, class: m.Class, earlierAttempts: m.EarlierAttempts}
 		e = policy.Event{Kind: policy.JobArrived, Job: m.Job, Class: m.Class, Tenant: m.Tenant,
 			Budget: m.Budget - (now - m.At), Size: m.Size, Slots: m.Slots, Retry: m.Retry,
 			Waited: m.Waited}
-	case Left:
+	case ClientGone:
 		j := c.jobs[m.Job]
 		if j == nil || j.finished {
 			return
 		}
 		c.finish(m.Job, j)
 		e = policy.Event{Kind: policy.ClientGone, Job: m.Job}
-	case Started:
+	case JobStarted:
 		a, n := c.activeAttempt(m.Key)
 		if a == nil {
 			return
 		}
 		e = policy.Event{Kind: policy.JobStarted, Job: m.Job, Attempt: n, Worker: a.worker}
-	case Progress:
+	case JobProgress:
 		a, n := c.activeAttempt(m.Key)
 		if a == nil {
 			return
 		}
 		e = policy.Event{Kind: policy.JobProgress, Job: m.Job, Attempt: n, Worker: a.worker, Share: m.Share}
-	case Ended:
+	case AttemptEnded:
 		if !c.attemptEnded(now, m, &e) {
 			return
 		}
-	case Probed:
+	case ProbeEnded:
 		e = policy.Event{Kind: policy.ProbeEnded, Worker: m.Worker, Result: m.Result, Took: m.Took}
 		e.HasLoad, e.Load = reportedLoad(m.Load)
-	case Listed:
+	case HostList:
 		if c.watchVersion = m.Version; m.Version < c.listVersion {
 			m = c.filterOlderList(m)
 		}
@@ -211,20 +211,20 @@
 		c.cancelUnsent()
 	case ListLost:
 		e = policy.Event{Kind: policy.ListLost}
-	case Hand:
+	case SetCordon:
 		known := c.knowsHost(m.Name)
 		if known {
-			c.setCordoned(now, m.Name, m.Out)
+			c.setCordoned(now, m.Name, m.Cordoned)
 		}
-		c.out = append(c.out, Handed{Ask: m.Ask, Known: known})
+		c.out = append(c.out, CordonResult{Request: m.Request, Known: known})
 		return
-	case HandSet:
+	case CordonSet:
 		c.replaceCordoned(now, m.Names)
 		return
-	case Closing:
-		c.shutdownAt = m.By
+	case Shutdown:
+		c.shutdownAt = m.Deadline
 		return
-	case Asked, Unasked, Tuned: // handled by gates only
+	case JobQuery, QueryCancelled, WaitingLimits: // handled by gates only
 		return
 	default:
 		panic(fmt.Sprintf("dispatch: unknown message %T", m))
@@ -246,7 +246,7 @@
 }
 
 // attemptEnded records the outcome of an attempt. Each attempt has one outcome; any further one is dropped.
-func (c *Core) attemptEnded(now time.Duration, m Ended, e *policy.Event) bool {
+func (c *Core) attemptEnded(now time.Duration, m AttemptEnded, e *policy.Event) bool {
 	a, n := c.activeAttempt(m.Key)
 	if a == nil {
 		return false
@@ -345,7 +345,7 @@
 	}
 	j.inFlight++
 	j.mayHaveRun++
-	c.out = append(c.out, Send{Key: k, Addr: h.Addr, Until: deadline})
+	c.out = append(c.out, Send{Key: k, Addr: h.Addr, Deadline: deadline})
 }
 
 // cancelUnsent cancels attempts to hosts that must get no new jobs, if they still wait for a connection. The time limit for obeying a
@@ -356,12 +356,12 @@
 		for n := range j.attempts {
 			a := &j.attempts[n]
 			if h, ok := c.hosts[a.worker]; !a.ended && (!ok || c.moduleWorker(h).State != policy.Ready) {
-				c.out = append(c.out, Unsend{Key{id, j.earlierAttempts + n}})
+				c.out = append(c.out, CancelUnsent{Key{id, j.earlierAttempts + n}})
 			}
 		}
 	}
 	slices.SortFunc(c.out[from:], func(a, b Command) int { // the map has no fixed order
-		x, y := a.(Unsend).Key, b.(Unsend).Key
+		x, y := a.(CancelUnsent).Key, b.(CancelUnsent).Key
 		return cmp.Or(cmp.Compare(x.Job, y.Job), cmp.Compare(x.Attempt, y.Attempt))
 	})
 }
@@ -369,13 +369,13 @@
 // filterOlderList returns the part of an outdated list that still applies: hosts that drain or are gone, hosts that a full list lacks,
 // and hosts that are unknown or have started since. Newer lists override the rest; in particular a draining host does not become ready
 // again. A full list that is older than the start of a host removes that host; the changes that follow add it again.
-func (c *Core) filterOlderList(m Listed) Listed {
-	l := Listed{Version: c.listVersion}
+func (c *Core) filterOlderList(m HostList) HostList {
+	l := HostList{Version: c.listVersion}
 	listed := map[uint32]bool{}
 	for _, h := range m.Hosts {
 		id := WorkerID(h.Name)
 		old, known := c.hosts[id]
-		if listed[id] = true; !known || h.State != policy.Ready || h.Born > old.Born {
+		if listed[id] = true; !known || h.State != policy.Ready || h.StartedAt > old.StartedAt {
 			l.Hosts = append(l.Hosts, h)
 		}
 	}
@@ -389,7 +389,7 @@
 }
 
 // updateHosts stores the listed hosts and returns them as workers of the module.
-func (c *Core) updateHosts(m Listed) []policy.Worker {
+func (c *Core) updateHosts(m HostList) []policy.Worker {
 	if m.Whole {
 		clear(c.hosts)
 	}
--- a/internal/dispatch/hands.go
+++ b/internal/dispatch/hands.go
@@ -9,25 +9,25 @@
 )
 
 // SetCordon takes a host out of service on an operator's request (Cordoned), or puts it back. The answer is one CordonResult.
-type Hand struct {
-	Ask  uint64
-	Name string
-	Out  bool
+type SetCordon struct {
+	Request  uint64
+	Name     string
+	Cordoned bool
 }
 
 // CordonSet is the full set of hosts out of service, as stored outside the process. It is sent at the start, and when another process
 // of the same dispatcher has changed it.
-type HandSet struct{ Names []string }
+type CordonSet struct{ Names []string }
 
 // CordonResult answers a SetCordon. Known reports that the host is listed or out of service; if it is false, nothing was changed.
-type Handed struct {
-	Ask   uint64
-	Known bool
+type CordonResult struct {
+	Request uint64
+	Known   bool
 }
 
-func (Hand) message()    {}
-func (HandSet) message() {}
-func (Handed) command()  {}
+func (SetCordon) message()    {}
+func (CordonSet) message()    {}
+func (CordonResult) command() {}
 
 // A host that an operator has taken out of service is reported to the module as draining, whatever the list says of it. A host that is
 // put back is reported as just started, since it was restarted meanwhile. How to treat such hosts is the module's decision.
@@ -79,7 +79,7 @@
 // moduleWorker returns a listed host as the module sees it: the entry of the list, overridden by what operators have set.
 func (c *Core) moduleWorker(h Host) policy.Worker {
 	w := policy.Worker{ID: WorkerID(h.Name), Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, State: h.State,
-		Scale: h.Scale, Since: h.Born}
+		Scale: h.Scale, Since: h.StartedAt}
 	if c.isCordoned(h.Name) && w.State == policy.Ready {
 		w.State = policy.Draining
 	}
@@ -90,7 +90,7 @@
 }
 
 // Cordoned returns the names of the hosts that an operator has taken out of service, sorted.
-func (c *Core) Hands() []string {
+func (c *Core) Cordoned() []string {
 	names := make([]string, 0, len(c.cordoned))
 	for name := range c.cordoned {
 		names = append(names, name)
--- a/internal/dispatch/hands_test.go
+++ b/internal/dispatch/hands_test.go
@@ -19,12 +19,12 @@
 func TestCordon(t *testing.T) {
 	c := newCore(t, hostOne)
 	at := start + time.Second
-	results := commandsOf[Handed](c.Step(at, []Message{Hand{Ask: 1, Name: hostOne.Name, Out: true},
-		Hand{Ask: 2, Name: hostOne.Name, Out: true}, Hand{Ask: 3, Name: "s-0000000f", Out: true}}))
-	if !slices.Equal(results, []Handed{{1, true}, {2, true}, {3, false}}) {
+	results := commandsOf[CordonResult](c.Step(at, []Message{SetCordon{Request: 1, Name: hostOne.Name, Cordoned: true},
+		SetCordon{Request: 2, Name: hostOne.Name, Cordoned: true}, SetCordon{Request: 3, Name: "s-0000000f", Cordoned: true}}))
+	if !slices.Equal(results, []CordonResult{{1, true}, {2, true}, {3, false}}) {
 		t.Fatalf("results %+v", results)
 	}
-	if got := c.Hands(); !slices.Equal(got, []string{hostOne.Name}) {
+	if got := c.Cordoned(); !slices.Equal(got, []string{hostOne.Name}) {
 		t.Fatalf("out of service: %v", got)
 	}
 	if known, excluded := c.Workers(); known != 1 || excluded != 1 {
@@ -35,18 +35,18 @@
 		t.Fatalf("job while the only host is out of service: %+v", cmds)
 	}
 	// The list reports the host as ready again: it stays out of service.
-	c.Step(at, []Message{Listed{Version: 8, Hosts: []Host{hostOne}}})
+	c.Step(at, []Message{HostList{Version: 8, Hosts: []Host{hostOne}}})
 	if n := len(sendsTo(c.Step(at, []Message{arrival(2, 0)}))); n != 0 {
 		t.Fatalf("%d sends after the host was listed", n)
 	}
 	back := at + time.Second
-	if h := commandsOf[Handed](c.Step(back, []Message{Hand{Ask: 4, Name: hostOne.Name}})); !slices.Equal(h, []Handed{{4, true}}) {
+	if h := commandsOf[CordonResult](c.Step(back, []Message{SetCordon{Request: 4, Name: hostOne.Name}})); !slices.Equal(h, []CordonResult{{4, true}}) {
 		t.Fatalf("back: %+v", h)
 	}
 	if w := c.moduleWorker(c.hosts[WorkerID(hostOne.Name)]); w.Since != back || w.State != 0 {
 		t.Fatalf("the module sees %+v, want a host that started at the call", w)
 	}
-	c.Step(back, []Message{Listed{Version: 9, Hosts: []Host{hostOne}}}) // the list does not have the restart yet
+	c.Step(back, []Message{HostList{Version: 9, Hosts: []Host{hostOne}}}) // the list does not have the restart yet
 	if w := c.moduleWorker(c.hosts[WorkerID(hostOne.Name)]); w.Since != back {
 		t.Fatalf("warm after a later list: %+v", w)
 	}
@@ -58,20 +58,20 @@
 // The stored set replaces the core's set, before and after the list arrives, and is kept when the core is rebuilt.
 func TestCordonSet(t *testing.T) {
 	c := newCore(t)
-	c.Step(start, []Message{HandSet{Names: []string{hostOne.Name, hostTwo.Name}}})
-	c.Step(start, []Message{Listed{Version: 8, Hosts: []Host{hostOne, hostTwo}}})
+	c.Step(start, []Message{CordonSet{Names: []string{hostOne.Name, hostTwo.Name}}})
+	c.Step(start, []Message{HostList{Version: 8, Hosts: []Host{hostOne, hostTwo}}})
 	if n := len(sendsTo(c.Step(start, []Message{arrival(1, 0)}))); n != 0 {
 		t.Fatalf("%d sends to hosts out of service", n)
 	}
-	c.Step(start, []Message{HandSet{Names: []string{hostTwo.Name}}})
+	c.Step(start, []Message{CordonSet{Names: []string{hostTwo.Name}}})
 	if got := sendsTo(c.Step(start, []Message{arrival(2, 0)})); !slices.Equal(got, []string{hostOne.Addr}) {
 		t.Fatalf("sent to %v", got)
 	}
-	n, _, err := c.Renew()
+	n, _, err := c.Rebuild()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := n.Hands(); !slices.Equal(got, []string{hostTwo.Name}) {
+	if got := n.Cordoned(); !slices.Equal(got, []string{hostTwo.Name}) {
 		t.Fatalf("after Rebuild: %v", got)
 	}
 }
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -20,7 +20,7 @@
 type Message interface{ message() }
 
 // JobArrived reports a new job. Its deadline is At + Budget.
-type Arrived struct {
+type JobArrived struct {
 	Job           uint64
 	Class, Tenant int // Tenant -1: none
 	At            time.Duration
@@ -28,13 +28,13 @@
 	Slots         int
 	Retry         bool
 
-	Name, Client string        // the job's id and the client that sent it, for gates
-	Bytes        int           // size of the body
-	Wait         *Wait         // what the job asks of the waiting room; nil: nothing
-	Tried        int           // attempts made before this arrival; attempt numbers in Keys continue from here
-	Waited       time.Duration // part of Budget that the job waited at its client's request
-	Key          uint64        // what the job concerns, equal in all retries of its client; valid if Keyed
-	Keyed        bool
+	Name, Client    string        // the job's id and the client that sent it, for gates
+	Bytes           int           // size of the body
+	Wait            *Wait         // what the job asks of the waiting room; nil: nothing
+	EarlierAttempts int           // attempts made before this arrival; attempt numbers in Keys continue from here
+	Waited          time.Duration // part of Budget that the job waited at its client's request
+	Key             uint64        // what the job concerns, equal in all retries of its client; valid if Keyed
+	Keyed           bool
 }
 
 // Wait is what a job asks of the waiting room.
@@ -46,19 +46,19 @@
 }
 
 // ClientGone reports that the client has disconnected: the job needs no answer any more.
-type Left struct{ Job uint64 }
+type ClientGone struct{ Job uint64 }
 
 // JobStarted reports that a job has begun to run.
-type Started struct{ Key }
+type JobStarted struct{ Key }
 
 // JobProgress reports what share of a job is done.
-type Progress struct {
+type JobProgress struct {
 	Key
 	Share float64
 }
 
 // AttemptEnded is the outcome of an upstream request. Each Send has exactly one.
-type Ended struct {
+type AttemptEnded struct {
 	Key
 	Result policy.Result
 	Load   *policy.Load // nil: the response had no load report
@@ -66,7 +66,7 @@
 }
 
 // ProbeEnded is the outcome of a Probe.
-type Probed struct {
+type ProbeEnded struct {
 	Worker uint32
 	Result policy.Result
 	Took   time.Duration
@@ -74,7 +74,7 @@
 }
 
 // HostList is the cluster's list of hosts (Whole), or changes to it.
-type Listed struct {
+type HostList struct {
 	Version uint64
 	Whole   bool
 	Stale   bool // a copy from before this process started
@@ -85,29 +85,29 @@
 type ListLost struct{}
 
 // JobQuery asks about a job that waits or has waited, or about all of them if Name is empty. The answer is one QueryResult.
-type Asked struct{ waiting.Ask }
+type JobQuery struct{ waiting.Ask }
 
 // QueryCancelled reports that the client of a JobQuery has gone.
-type Unasked struct{ Ask uint64 }
+type QueryCancelled struct{ Query uint64 }
 
 // Shutdown reports that the program ends and sends answers until Deadline.
-type Closing struct{ By time.Duration }
+type Shutdown struct{ Deadline time.Duration }
 
 // WaitingLimits brings new limits of the waiting room.
-type Tuned struct{ Waiting waiting.Limits }
-
-func (Asked) message()    {}
-func (Unasked) message()  {}
-func (Closing) message()  {}
-func (Tuned) message()    {}
-func (Arrived) message()  {}
-func (Left) message()     {}
-func (Started) message()  {}
-func (Progress) message() {}
-func (Ended) message()    {}
-func (Probed) message()   {}
-func (Listed) message()   {}
-func (ListLost) message() {}
+type WaitingLimits struct{ Limits waiting.Limits }
+
+func (JobQuery) message()       {}
+func (QueryCancelled) message() {}
+func (Shutdown) message()       {}
+func (WaitingLimits) message()  {}
+func (JobArrived) message()     {}
+func (ClientGone) message()     {}
+func (JobStarted) message()     {}
+func (JobProgress) message()    {}
+func (AttemptEnded) message()   {}
+func (ProbeEnded) message()     {}
+func (HostList) message()       {}
+func (ListLost) message()       {}
 
 // Host is an entry of the cluster's list.
 type Host struct {
@@ -116,7 +116,7 @@
 	Cell       int
 	State      policy.State
 	Scale      float64
-	Born       time.Duration // last start, on the clock of Step; 0: long ago
+	StartedAt  time.Duration // last start, on the clock of Step; 0: long ago
 }
 
 // Command is an operation for the network layer.
@@ -125,8 +125,8 @@
 // Send starts an upstream request, which is given up at Deadline.
 type Send struct {
 	Key
-	Addr  string
-	Until time.Duration
+	Addr     string
+	Deadline time.Duration
 }
 
 // CancelSend cancels an upstream request.
@@ -134,7 +134,7 @@
 
 // CancelUnsent cancels an upstream request if its last byte has not been written yet, because its host must get no new jobs. A request
 // that has been written goes on.
-type Unsend struct{ Key }
+type CancelUnsent struct{ Key }
 
 // LocalReply is the final answer to a job that no upstream host has served. Refused promises that a repeat is harmless. Only then may
 // RetryAfter advise when to retry.
@@ -143,15 +143,15 @@
 	Refused    bool
 	RetryAfter time.Duration
 	Status     int    // HTTP status; 0: derived from Refused
-	Why        string // for the client, in words
+	Reason     string // for the client, in words
 }
 
 // Accepted confirms that a job goes on if its client disconnects.
 type Accepted struct{ Job uint64 }
 
 // QueryResult answers a JobQuery.
-type Told struct {
-	Ask    uint64
+type QueryResult struct {
+	Query  uint64
 	Status int
 	Info   *waiting.Info  // of one job
 	Board  *waiting.Board // of all jobs
@@ -172,12 +172,12 @@
 	Warn bool
 }
 
-func (Send) command()       {}
-func (CancelSend) command() {}
-func (Unsend) command()     {}
-func (LocalReply) command() {}
-func (Probe) command()      {}
-func (Watch) command()      {}
-func (Log) command()        {}
-func (Accepted) command()   {}
-func (Told) command()       {}
+func (Send) command()         {}
+func (CancelSend) command()   {}
+func (CancelUnsent) command() {}
+func (LocalReply) command()   {}
+func (Probe) command()        {}
+func (Watch) command()        {}
+func (Log) command()          {}
+func (Accepted) command()     {}
+func (QueryResult) command()  {}
--- a/internal/dispatch/shed.go
+++ b/internal/dispatch/shed.go
@@ -40,41 +40,41 @@
 }
 
 // Recreate returns a gate without jobs that admits all at first.
-func (g *ShedGate) Anew() Gate {
+func (g *ShedGate) Recreate() Gate {
 	n, _ := NewShedGate(g.limits, g.cfg) // the limits have been checked before
 	return n
 }
 
 // RefusedJobs returns the number of jobs of a class that this gate has refused. It is safe for concurrent use.
-func (g *ShedGate) Shed(class int) float64 { return float64(g.shedByClass[class].Load()) }
+func (g *ShedGate) RefusedJobs(class int) float64 { return float64(g.shedByClass[class].Load()) }
 
 // AdmittedShare returns the share of the offered work that is admitted. It is safe for concurrent use.
-func (g *ShedGate) Admit() float64 { return math.Float64frombits(g.admittedShare.Load()) }
+func (g *ShedGate) AdmittedShare() float64 { return math.Float64frombits(g.admittedShare.Load()) }
 
-func (g *ShedGate) publish() { g.admittedShare.Store(math.Float64bits(g.shedder.Admit())) }
+func (g *ShedGate) publish() { g.admittedShare.Store(math.Float64bits(g.shedder.AdmittedShare())) }
 
 // In refuses jobs as the shedder decides, and records when admitted jobs start and end.
 func (g *ShedGate) In(now time.Duration, in []Message, p *Pass) {
 	for _, m := range in {
 		switch m := m.(type) {
-		case Arrived:
+		case JobArrived:
 			if g.pending[m.Job] != nil {
 				break // a duplicate, which the core drops
 			}
-			if m.Wait == nil && m.Tried == 0 && m.Waited == 0 {
-				ok, after := g.shedder.Arrived(now, overload.Job{Class: m.Class, Key: m.Key, Keyed: m.Keyed, Retry: m.Retry, Work: m.Size})
+			if m.Wait == nil && m.EarlierAttempts == 0 && m.Waited == 0 {
+				ok, after := g.shedder.AdmitJob(now, overload.Job{Class: m.Class, Key: m.Key, Keyed: m.Keyed, Retry: m.Retry, Work: m.Size})
 				if !ok {
 					g.shedByClass[m.Class].Add(1)
-					p.Do(LocalReply{Job: m.Job, Refused: true, RetryAfter: min(after, g.cfg.MaxRetryAfter)})
+					p.Emit(LocalReply{Job: m.Job, Refused: true, RetryAfter: min(after, g.cfg.MaxRetryAfter)})
 					continue
 				}
 			}
 			g.pending[m.Job] = &admittedJob{class: m.Class, arrivedAt: m.At, size: m.Size}
-		case Started:
+		case JobStarted:
 			if j := g.pending[m.Job]; j != nil {
 				j.startedAt = now
 			}
-		case Ended:
+		case AttemptEnded:
 			if j := g.pending[m.Job]; j != nil && m.Result == policy.OK {
 				c := &g.cfg.Classes[j.class]
 				run := j.size
@@ -85,16 +85,16 @@
 				if now-j.arrivedAt > c.OnTime+time.Duration(c.Stretch*float64(run)) {
 					end = overload.Late
 				}
-				g.shedder.Came(j.size, end)
+				g.shedder.JobEnded(j.size, end)
 				delete(g.pending, m.Job)
 			}
-		case Left: // the client would not wait any longer
+		case ClientGone: // the client would not wait any longer
 			if j := g.pending[m.Job]; j != nil {
-				g.shedder.Came(j.size, overload.Late)
+				g.shedder.JobEnded(j.size, overload.Late)
 				delete(g.pending, m.Job)
 			}
 		}
-		p.On(m)
+		p.Forward(m)
 	}
 	g.publish()
 }
@@ -104,11 +104,11 @@
 	for _, c := range out {
 		if r, ok := c.(LocalReply); ok {
 			if j := g.pending[r.Job]; j != nil && r.Refused {
-				g.shedder.Came(j.size, overload.NoRoom)
+				g.shedder.JobEnded(j.size, overload.Refused)
 			}
 			delete(g.pending, r.Job)
 		}
-		p.Do(c)
+		p.Emit(c)
 	}
 }
 
@@ -119,7 +119,7 @@
 func (g *ShedGate) Detached() int { return 0 }
 
 // ModuleLost forgets the jobs that were in the module.
-func (g *ShedGate) Crashed(time.Duration) { clear(g.pending) }
+func (g *ShedGate) ModuleLost(time.Duration) { clear(g.pending) }
 
 // Owns returns false: all admitted jobs are in the module.
-func (g *ShedGate) Keeps(uint64) bool { return false }
+func (g *ShedGate) Owns(uint64) bool { return false }
--- a/internal/dispatch/sites.go
+++ b/internal/dispatch/sites.go
@@ -47,11 +47,11 @@
 func NewSitesGate(l siteloss.Limits, cfg policy.Config, names []string, order []int, floor float64) *SitesGate {
 	g := &SitesGate{limits: l, cfg: cfg, names: names, order: order, floor: floor,
 		settings: siteloss.Settings{Sites: max(cfg.Zones, 1), Own: cfg.Zone, WarmUp: cfg.WarmUp}}
-	return g.Anew().(*SitesGate)
+	return g.Recreate().(*SitesGate)
 }
 
 // Recreate returns a gate without observations.
-func (g *SitesGate) Anew() Gate {
+func (g *SitesGate) Recreate() Gate {
 	return &SitesGate{limits: g.limits, cfg: g.cfg, names: g.names, order: g.order, floor: g.floor, settings: g.settings, judge: siteloss.New(g.settings),
 		siteByWorker: map[uint32]int{}, workerByAddr: map[string]uint32{}, workerBySend: map[Key]uint32{}, scale: map[uint32]float64{},
 		states: make([]atomic.Uint32, g.settings.Sites), work: make([]float64, len(g.cfg.Classes))}
@@ -63,7 +63,7 @@
 func (g *SitesGate) Fleet() *siteloss.Fleet { return g.fleet.Load() }
 
 // addWork adds the hinted work of a job to the load.
-func (g *SitesGate) addWork(now time.Duration, m *Arrived) {
+func (g *SitesGate) addWork(now time.Duration, m *JobArrived) {
 	g.decayWork(now)
 	g.work[m.Class] += m.Size.Seconds() / loadDecay.Seconds()
 }
@@ -118,22 +118,22 @@
 func (g *SitesGate) In(now time.Duration, in []Message, p *Pass) {
 	for _, m := range in {
 		switch m := m.(type) {
-		case Arrived:
+		case JobArrived:
 			g.addWork(now, &m)
-		case Listed:
+		case HostList:
 			g.updateHosts(&m)
-		case Probed:
+		case ProbeEnded:
 			switch m.Result {
 			case policy.OK:
 				g.judge.Heard(now, m.Worker, true)
 			case policy.TimedOut, policy.ConnectFailed: // a connection that cannot be made or is refused counts as no answer
 				g.judge.Heard(now, m.Worker, false)
 			}
-		case Started:
+		case JobStarted:
 			g.recordAnswer(now, m.Key, true)
-		case Progress:
+		case JobProgress:
 			g.recordAnswer(now, m.Key, true)
-		case Ended:
+		case AttemptEnded:
 			switch m.Result {
 			case policy.OK, policy.AppError, policy.Full, policy.Rejected:
 				g.recordAnswer(now, m.Key, true)
@@ -142,7 +142,7 @@
 			}
 			delete(g.workerBySend, m.Key)
 		}
-		p.On(m)
+		p.Forward(m)
 	}
 	if now-g.judgedAt < judgeInterval {
 		return
@@ -154,7 +154,7 @@
 	}
 	for _, c := range g.judge.Step(now) {
 		g.states[c.Site].Store(uint32(c.To))
-		p.Do(Log{Text: fmt.Sprintf("site %s: %v, was %v: %s", g.siteName(c.Site), c.To, c.From, c.Ground), Warn: c.To != siteloss.Serving})
+		p.Emit(Log{Text: fmt.Sprintf("site %s: %v, was %v: %s", g.siteName(c.Site), c.To, c.From, c.Ground), Warn: c.To != siteloss.Serving})
 	}
 }
 
@@ -164,7 +164,7 @@
 	}
 }
 
-func (g *SitesGate) updateHosts(m *Listed) {
+func (g *SitesGate) updateHosts(m *HostList) {
 	if m.Whole {
 		for id := range g.siteByWorker {
 			g.judge.Listed(id, 0, true)
@@ -193,7 +193,7 @@
 				g.workerBySend[s.Key] = id
 			}
 		}
-		p.Do(c)
+		p.Emit(c)
 	}
 }
 
@@ -204,7 +204,7 @@
 func (g *SitesGate) Detached() int { return 0 }
 
 // ModuleLost forgets the attempts that were in flight.
-func (g *SitesGate) Crashed(time.Duration) { clear(g.workerBySend) }
+func (g *SitesGate) ModuleLost(time.Duration) { clear(g.workerBySend) }
 
 // Owns returns false: all admitted jobs are in the module.
-func (g *SitesGate) Keeps(uint64) bool { return false }
+func (g *SitesGate) Owns(uint64) bool { return false }
--- a/internal/dispatch/waiting.go
+++ b/internal/dispatch/waiting.go
@@ -30,7 +30,7 @@
 }
 
 // Recreate returns a gate with an empty room.
-func (g *WaitingGate) Anew() Gate {
+func (g *WaitingGate) Recreate() Gate {
 	return &WaitingGate{room: waiting.New(g.limits, g.fleet), limits: g.limits, fleet: g.fleet, readyHosts: map[string]bool{}}
 }
 
@@ -43,7 +43,7 @@
 	ticked := false
 	for _, m := range in {
 		switch m := m.(type) {
-		case Arrived:
+		case JobArrived:
 			if !ticked {
 				ticked = true
 				g.room.Tick(now)
@@ -54,37 +54,37 @@
 				g.room.Submit(now, &j)
 				g.execute(now, p)
 			} else if g.room.Fresh(now, &j) {
-				p.On(m)
+				p.Forward(m)
 			} else {
 				g.execute(now, p)
 			}
 			continue
-		case Left:
+		case ClientGone:
 			pass := g.room.Left(now, m.Job)
 			if g.execute(now, p); !pass {
 				continue
 			}
-		case Ended:
+		case AttemptEnded:
 			g.room.Ended(now, m.Job, outcomeOf(m.Result), m.Body)
 			g.execute(now, p)
-		case Listed:
+		case HostList:
 			g.updateHosts(&m)
-		case Asked:
+		case JobQuery:
 			g.room.Asked(now, &m.Ask)
 			g.execute(now, p)
 			continue
-		case Unasked:
-			g.room.Unasked(m.Ask)
+		case QueryCancelled:
+			g.room.Unasked(m.Query)
 			continue
-		case Closing:
-			g.room.Close(now, m.By)
+		case Shutdown:
+			g.room.Close(now, m.Deadline)
 			g.execute(now, p) // the core answers the jobs that are in the module
-		case Tuned:
-			g.limits = m.Waiting
-			g.room.SetLimits(m.Waiting)
+		case WaitingLimits:
+			g.limits = m.Limits
+			g.room.SetLimits(m.Limits)
 			continue
 		}
-		p.On(m)
+		p.Forward(m)
 	}
 	if !ticked {
 		g.room.Tick(now)
@@ -93,7 +93,7 @@
 }
 
 // waitingJob converts an arrival to a job of the room.
-func waitingJob(m *Arrived) waiting.Job {
+func waitingJob(m *JobArrived) waiting.Job {
 	j := waiting.Job{Number: m.Job, Name: m.Name, Client: m.Client, Class: m.Class, Tenant: m.Tenant, Size: m.Size,
 		Slots: m.Slots, Arrived: m.At, Deadline: m.At + m.Budget, Bytes: m.Bytes, Attached: true}
 	if w := m.Wait; w != nil {
@@ -121,7 +121,7 @@
 	return waiting.MayHave
 }
 
-func (g *WaitingGate) updateHosts(m *Listed) {
+func (g *WaitingGate) updateHosts(m *HostList) {
 	if m.Whole {
 		clear(g.readyHosts)
 	}
@@ -148,7 +148,7 @@
 				continue
 			}
 		}
-		p.Do(c)
+		p.Emit(c)
 		g.execute(now, p)
 	}
 }
@@ -160,17 +160,17 @@
 		switch a := &actions[i]; a.Kind {
 		case waiting.Release:
 			j := &a.Job
-			p.On(Arrived{Job: j.Number, Name: j.Name, Class: j.Class, Tenant: j.Tenant, At: j.Arrived, Budget: a.Budget,
-				Size: j.Size, Slots: j.Slots, Tried: a.Tried, Waited: a.Waited})
+			p.Forward(JobArrived{Job: j.Number, Name: j.Name, Class: j.Class, Tenant: j.Tenant, At: j.Arrived, Budget: a.Budget,
+				Size: j.Size, Slots: j.Slots, EarlierAttempts: a.Tried, Waited: a.Waited})
 		case waiting.Accept:
-			p.Do(Accepted{a.Job.Number})
+			p.Emit(Accepted{a.Job.Number})
 		case waiting.Answer:
-			p.Do(LocalReply{Job: a.Job.Number, Status: a.Status, Why: a.Why, RetryAfter: a.After,
+			p.Emit(LocalReply{Job: a.Job.Number, Status: a.Status, Reason: a.Why, RetryAfter: a.After,
 				Refused: a.Status == waiting.StatusRefused || a.Status == waiting.StatusFull})
 		case waiting.Withdraw:
-			p.On(Left{a.Job.Number})
+			p.Forward(ClientGone{a.Job.Number})
 		case waiting.Tell:
-			p.Do(Told{Ask: a.Ask, Status: a.Status, Info: a.Info, Board: a.Board})
+			p.Emit(QueryResult{Query: a.Ask, Status: a.Status, Info: a.Info, Board: a.Board})
 		}
 	}
 }
@@ -185,7 +185,7 @@
 func (g *WaitingGate) Detached() int { return g.room.Out() }
 
 // ModuleLost passes the loss of the module's state on to the room.
-func (g *WaitingGate) Crashed(now time.Duration) { g.room.Crashed(now) }
+func (g *WaitingGate) ModuleLost(now time.Duration) { g.room.Crashed(now) }
 
 // Owns reports whether the job is only in the room.
-func (g *WaitingGate) Keeps(job uint64) bool { return g.room.Keeps(job) }
+func (g *WaitingGate) Owns(job uint64) bool { return g.room.Keeps(job) }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -140,7 +140,7 @@
 	require.NoError(t, err)
 	l, err := cluster.Decode(f.List(), set)
 	require.NoError(t, err)
-	assert.Positive(t, l.Hosts[0].Born)
+	assert.Positive(t, l.Hosts[0].StartedAt)
 }
 
 // Discovery as the platform's: the whole list, changes on a watch, and an end of the watch when it goes down.
@@ -148,11 +148,11 @@
 	f, _ := start(t, 2, fleet.Params{Queue: 4})
 	set, err := settings.Parse([]byte(nettest.SettingsJSON))
 	require.NoError(t, err)
-	news, over := make(chan dispatch.Listed, 10), make(chan error, 1)
+	news, over := make(chan dispatch.HostList, 10), make(chan error, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	source := &cluster.Discovery{Addr: f.Discovery, Stall: nettest.Patience, Settings: set}
-	go func() { over <- source.Watch(ctx, 0, func(l dispatch.Listed) { news <- l }) }()
+	go func() { over <- source.Watch(ctx, 0, func(l dispatch.HostList) { news <- l }) }()
 	first := nettest.Wait(t, news)
 	assert.Len(t, first.Hosts, 2)
 	f.Hosts[0].Drain()
--- a/internal/net/cluster/cluster.go
+++ b/internal/net/cluster/cluster.go
@@ -32,7 +32,7 @@
 // Source provides the list of upstream hosts.
 type Source interface {
 	// Watch passes on all changes after a version until the watch breaks or ctx ends. The returned error is never nil.
-	Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error
+	Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error
 }
 
 // hostEntry is one host of the list.
@@ -58,26 +58,26 @@
 
 // Decode reads one list, either whole or of changes. An invalid entry is an error, since skipping it could mean missing
 // a drain.
-func Decode(text []byte, s *settings.Settings) (dispatch.Listed, error) {
+func Decode(text []byte, s *settings.Settings) (dispatch.HostList, error) {
 	var l hostList
 	if err := json.Unmarshal(text, &l); err != nil {
-		return dispatch.Listed{}, fmt.Errorf("cluster: %w", err)
+		return dispatch.HostList{}, fmt.Errorf("cluster: %w", err)
 	}
-	out := dispatch.Listed{Version: l.Seq, Whole: l.Whole, Hosts: make([]dispatch.Host, 0, len(l.Hosts))}
+	out := dispatch.HostList{Version: l.Seq, Whole: l.Whole, Hosts: make([]dispatch.Host, 0, len(l.Hosts))}
 	for _, e := range l.Hosts {
 		state, ok := healthStates[e.Health]
 		if !ok || e.Host == "" {
-			return dispatch.Listed{}, fmt.Errorf("cluster: host %q: health: unknown %q", e.Host, e.Health)
+			return dispatch.HostList{}, fmt.Errorf("cluster: host %q: health: unknown %q", e.Host, e.Health)
 		}
 		out.Hosts = append(out.Hosts, dispatch.Host{Name: e.Host, Addr: e.Dial,
-			Zone: settings.Find(s.Zones, e.Site), Kind: settings.Find(s.Kinds, e.Class), Cell: e.Block,
-			State: state, Scale: e.Share, Born: settings.Millis(e.BornMS)})
+			Zone: settings.IndexOf(s.Zones, e.Site), Kind: settings.IndexOf(s.Kinds, e.Class), Cell: e.Block,
+			State: state, Scale: e.Share, StartedAt: settings.Millis(e.BornMS)})
 	}
 	return out, nil
 }
 
 // Known reads the list of the configuration, which may be out of date. Without one the cluster is empty.
-func Known(text []byte, s *settings.Settings) (dispatch.Listed, error) {
+func Known(text []byte, s *settings.Settings) (dispatch.HostList, error) {
 	if len(text) == 0 {
 		text = []byte("{}")
 	}
@@ -94,7 +94,7 @@
 }
 
 // Watch opens the stream of changes and follows it.
-func (d *Discovery) Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error {
+func (d *Discovery) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
 	dialer := net.Dialer{Timeout: min(d.Stall, dialTimeout), KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", d.Addr)
 	if err != nil {
--- a/internal/net/cluster/cluster_test.go
+++ b/internal/net/cluster/cluster_test.go
@@ -17,9 +17,9 @@
 	`"block":3,"health":"terminating","share":1.5,"born_ms":1700000000123},` +
 	`{"host":"s-2","dial":"127.0.0.1:8444","site":"far","class":"m9","health":"terminated"}]}`
 
-var want = dispatch.Listed{Version: 43, Hosts: []dispatch.Host{
+var want = dispatch.HostList{Version: 43, Hosts: []dispatch.Host{
 	{Name: "s-1", Addr: "127.0.0.1:8443", Cell: 3, State: policy.Draining, Scale: 1.5,
-		Born: 1700000000123 * time.Millisecond},
+		StartedAt: 1700000000123 * time.Millisecond},
 	{Name: "s-2", Addr: "127.0.0.1:8444", Zone: -1, Kind: -1, State: policy.Gone}}}
 
 func TestDecode(t *testing.T) {
@@ -43,11 +43,11 @@
 }
 
 // watch follows a scripted discovery until the watch breaks.
-func watch(t *testing.T, stall time.Duration, script func(*nettest.Call)) (*nettest.Peer, []dispatch.Listed, error) {
+func watch(t *testing.T, stall time.Duration, script func(*nettest.Call)) (*nettest.Peer, []dispatch.HostList, error) {
 	p := nettest.Listen(t, script)
 	d := &Discovery{Addr: p.Addr, Stall: stall, Settings: nettest.Settings(t)}
-	var got []dispatch.Listed
-	err := d.Watch(t.Context(), 41, func(l dispatch.Listed) { got = append(got, l) })
+	var got []dispatch.HostList
+	err := d.Watch(t.Context(), 41, func(l dispatch.HostList) { got = append(got, l) })
 	return p, got, err
 }
 
@@ -58,7 +58,7 @@
 		c.Conn.Close()
 	})
 	require.Error(t, err)
-	assert.Equal(t, []dispatch.Listed{want, {Version: 44, Whole: true, Hosts: []dispatch.Host{}}}, got)
+	assert.Equal(t, []dispatch.HostList{want, {Version: 44, Whole: true, Hosts: []dispatch.Host{}}}, got)
 	assert.Equal(t, "/discovery/hosts?stream=1&index=41", nettest.Wait(t, p.Calls).RequestURI)
 }
 
@@ -81,7 +81,7 @@
 		_, got, err := watch(t, stall, func(c *nettest.Call) { c.Say(say) })
 		assert.Error(t, err, name)
 		if name == "half line" {
-			assert.Equal(t, []dispatch.Listed{want}, got, "complete lists are passed on")
+			assert.Equal(t, []dispatch.HostList{want}, got, "complete lists are passed on")
 		}
 	}
 }
@@ -106,5 +106,5 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	p := nettest.Listen(t, func(c *nettest.Call) { c.Say(nettest.Chunks(line)) })
 	d := &Discovery{Addr: p.Addr, Stall: nettest.Patience, Settings: nettest.Settings(t)}
-	assert.Error(t, d.Watch(ctx, 0, func(dispatch.Listed) { cancel() }))
+	assert.Error(t, d.Watch(ctx, 0, func(dispatch.HostList) { cancel() }))
 }
--- a/internal/net/cluster/endings_test.go
+++ b/internal/net/cluster/endings_test.go
@@ -33,7 +33,7 @@
 		"within a list": nettest.Chunks(line, `{"seq":44,`)} {
 		t.Run(name, func(t *testing.T) {
 			type end struct {
-				got []dispatch.Listed
+				got []dispatch.HostList
 				err error
 			}
 			ended := make(chan end, 1)
--- a/internal/net/downstream/downstream_test.go
+++ b/internal/net/downstream/downstream_test.go
@@ -24,7 +24,7 @@
 // none is a cluster of which nothing is heard.
 type none struct{}
 
-func (none) Watch(ctx context.Context, _ uint64, _ func(dispatch.Listed)) error {
+func (none) Watch(ctx context.Context, _ uint64, _ func(dispatch.HostList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -54,7 +54,7 @@
 		room = dispatch.NewWaitingGate(*lim, set.Policy)
 	}
 	l := loop.New(dispatch.NewChain(core, dispatch.Gates{Waiting: room}), set, pool, none{}, loop.NewClock())
-	l.Post(dispatch.Listed{Whole: true, Stale: true,
+	l.Post(dispatch.HostList{Whole: true, Stale: true,
 		Hosts: []dispatch.Host{{Name: "s-0000000a", Addr: host.Addr, Scale: 1},
 			{Name: "s-0000000b", Addr: host.Addr, Scale: 1}}})
 	s := New(Config{Listen: "127.0.0.1:0", MaxConns: maxConns, MaxBodies: maxBody, AcceptFor: acceptFor,
@@ -299,7 +299,7 @@
 	}
 	k, err := decode(r, nettest.Settings(t), time.Now())
 	require.NoError(t, err)
-	assert.Equal(t, dispatch.Arrived{Class: 1, Tenant: -1, Budget: 480 * time.Millisecond, Retry: true,
+	assert.Equal(t, dispatch.JobArrived{Class: 1, Tenant: -1, Budget: 480 * time.Millisecond, Retry: true,
 		Size: 2500 * time.Microsecond, Slots: 2, Key: k.Job.Key, Keyed: true}, k.Job)
 	r.Header.Set("X-Trace-Id", "another")
 	again, err := decode(r, nettest.Settings(t), time.Now())
--- a/internal/net/downstream/endings_test.go
+++ b/internal/net/downstream/endings_test.go
@@ -351,7 +351,7 @@
 			answered := make(chan struct{})
 			up := &ending{}
 			l := loop.New(dispatch.NewChain(core, dispatch.Gates{}), set, up, none{}, loop.NewClock())
-			l.Post(dispatch.Listed{Whole: true, Stale: true, Hosts: []dispatch.Host{{Name: "s-0000000a", Addr: "127.0.0.1:1", Scale: 1}}})
+			l.Post(dispatch.HostList{Whole: true, Stale: true, Hosts: []dispatch.Host{{Name: "s-0000000a", Addr: "127.0.0.1:1", Scale: 1}}})
 			ctx, halt := context.WithCancel(t.Context())
 			client, leave := context.WithCancel(t.Context())
 			up.halt = func() {
@@ -376,7 +376,7 @@
 			}
 			w := httptest.NewRecorder()
 			k := &loop.Ticket{Arrived: time.Now(), Forward: upstream.Request{TraceID: "t1"},
-				Job: dispatch.Arrived{Tenant: -1, Budget: 15 * time.Second, Size: 100 * time.Millisecond, Slots: 1}}
+				Job: dispatch.JobArrived{Tenant: -1, Budget: 15 * time.Second, Size: 100 * time.Millisecond, Slots: 1}}
 			s.await(w, r, k, prefer{})
 			assert.Equal(t, "200 r", strings.TrimSpace(w.Result().Status[:3]+" "+w.Body.String()), ends)
 			assert.Zero(t, l.Held())
--- a/internal/net/downstream/jobs.go
+++ b/internal/net/downstream/jobs.go
@@ -175,9 +175,9 @@
 }
 
 // ask puts a question to the room and waits for its end where wait says so.
-func (s *Server) ask(r *http.Request, q waiting.Ask, wait time.Duration) (dispatch.Told, bool) {
+func (s *Server) ask(r *http.Request, q waiting.Ask, wait time.Duration) (dispatch.QueryResult, bool) {
 	q.Until = s.loop.Clock().Now() + wait
-	return s.loop.Ask(r.Context(), dispatch.Asked{Ask: q})
+	return s.loop.Ask(r.Context(), dispatch.JobQuery{Ask: q})
 }
 
 // jobs serves what is below Jobs.
@@ -259,6 +259,6 @@
 // closing tells the room that the program ends, and when its answers have to be out.
 func (s *Server) closing() {
 	if s.loop != nil {
-		s.loop.Post(dispatch.Closing{By: s.loop.Clock().Since(s.answerBy(s.killedAt()))})
+		s.loop.Post(dispatch.Shutdown{Deadline: s.loop.Clock().Since(s.answerBy(s.killedAt()))})
 	}
 }
--- a/internal/net/operators/figures.go
+++ b/internal/net/operators/figures.go
@@ -1,7 +1,7 @@
 // Package operators is the operators' HTTP/1.1 server of a dispatcher, separate from the server for clients. It reports
 // whether the process can serve, exposes metrics in the Prometheus text format, and lets operators take game workers
 // out of use and put them back. It stores which game workers were taken out by hand in a file, so that the next process
-// of the same dispatcher keeps them out. See dispatch.Hand for the effect on the choice of hosts.
+// of the same dispatcher keeps them out. See dispatch.SetCordon for the effect on the choice of hosts.
 package operators
 
 import (
--- a/internal/node/gates.go
+++ b/internal/node/gates.go
@@ -22,9 +22,9 @@
 	}
 	for i, c := range cfg.Classes {
 		figures.Labelled("shed_total", "Jobs of a class refused at the door for overload, since the start; refused_total has them too.",
-			"class", c.Name, func() float64 { return g.Shed(i) })
+			"class", c.Name, func() float64 { return g.RefusedJobs(i) })
 	}
-	figures.Gauge("admitted_share", "Share of the work asked for that the door lets in.", g.Admit)
+	figures.Gauge("admitted_share", "Share of the work asked for that the door lets in.", g.AdmittedShare)
 	return g, nil
 }
 
@@ -37,7 +37,7 @@
 	if own.Overload != nil {
 		shed = *own.Overload
 	}
-	order, err := shed.Ranked(decisions)
+	order, err := shed.ClassOrder(decisions)
 	if err != nil {
 		return nil, fmt.Errorf("site: overload.%w", err)
 	}
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -87,7 +87,7 @@
 }
 
 // RecordAnswer records an answer at a time, which must not go back. It reports whether the level has changed.
-func (v *Level) Answered(now time.Duration, refused bool) (changed bool) {
+func (v *Level) RecordAnswer(now time.Duration, refused bool) (changed bool) {
 	v.decay(now)
 	if v.answers++; refused {
 		v.refusals++
@@ -102,7 +102,7 @@
 }
 
 // Current returns whether the dispatcher is overloaded at a time, and the share of refusals that decides it.
-func (v *Level) Now(now time.Duration) (overloaded bool, share float64) {
+func (v *Level) Current(now time.Duration) (overloaded bool, share float64) {
 	v.decay(now)
 	if v.answers < 1e-3 {
 		return v.overloaded, 0
@@ -111,4 +111,4 @@
 }
 
 // Changes returns how often the level has changed.
-func (v *Level) Turns() int { return v.changes }
+func (v *Level) Changes() int { return v.changes }
--- a/internal/overload/shed.go
+++ b/internal/overload/shed.go
@@ -68,7 +68,7 @@
 // NewShedder returns a Shedder that admits all jobs at first, for a dispatcher with these settings. Limits that are invalid or that
 // name unknown classes are an error whose text starts with the key.
 func NewShedder(l Limits, cfg *policy.Config) (*Shedder, error) {
-	order, err := l.Ranked(cfg)
+	order, err := l.ClassOrder(cfg)
 	if err != nil {
 		return nil, err
 	}
@@ -85,7 +85,7 @@
 
 // ClassOrder returns the numbers of the classes, the one refused last first. By default the class with more worth per work is refused
 // later. Where worth is per job, the class's deadline stands for its work.
-func (l *Limits) Ranked(cfg *policy.Config) (all []int, err error) {
+func (l *Limits) ClassOrder(cfg *policy.Config) (all []int, err error) {
 	named := map[string]int{}
 	for i, c := range cfg.Classes {
 		named[c.Name] = i
@@ -134,7 +134,7 @@
 
 // AdmitJob decides on a job at a time on a clock that all dispatchers share. If ok is false, the job is to be refused at once, with
 // after as advice when to retry.
-func (s *Shedder) Arrived(now time.Duration, j Job) (ok bool, after time.Duration) {
+func (s *Shedder) AdmitJob(now time.Duration, j Job) (ok bool, after time.Duration) {
 	if s.increaseAdmission(recoveryRate * max(0, min(now-s.lastArrival, time.Minute)).Seconds()); now > s.lastArrival {
 		s.lastArrival = now
 	}
@@ -182,17 +182,17 @@
 }
 
 // Outcome is what became of an admitted job.
-type End uint8
+type Outcome uint8
 
 // The outcomes that depend on capacity. Jobs that failed for other causes are not reported.
 const (
-	InTime End = iota
-	Late       // or its client left before the end
-	NoRoom     // by the module
+	InTime  Outcome = iota
+	Late            // or its client left before the end
+	Refused         // by the module
 )
 
 // JobEnded records the outcome of an admitted job.
-func (s *Shedder) Came(work time.Duration, end End) {
+func (s *Shedder) JobEnded(work time.Duration, end Outcome) {
 	w := min(work.Seconds()/max(s.meanWork, 1e-9), 3)
 	if work <= 0 {
 		w = 1
@@ -203,7 +203,7 @@
 		s.increaseAdmission(increase * w * float64(s.streak))
 	case Late:
 		s.admittedShare, s.streak = max(s.floor, s.admittedShare*(1-decreaseLate*w)), 0
-	case NoRoom:
+	case Refused:
 		s.admittedShare, s.streak = max(s.floor, s.admittedShare*(1-decreaseRefused*w)), 0
 	}
 }
@@ -216,4 +216,4 @@
 }
 
 // AdmittedShare returns the share of the offered work that is admitted now.
-func (s *Shedder) Admit() float64 { return s.admittedShare }
+func (s *Shedder) AdmittedShare() float64 { return s.admittedShare }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -188,7 +188,7 @@
 }
 
 // IndexOf returns the number of a name, or -1 if it is unknown.
-func Find(m map[string]int, name string) int {
+func IndexOf(m map[string]int, name string) int {
 	if v, ok := m[name]; ok {
 		return v
 	}
