--- a/cmd/gaugeslip/plan.go
+++ b/cmd/gaugeslip/plan.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	known, err := cluster.Known(c.Known, c.Settings)
+	known, err := cluster.DecodeKnown(c.Known, c.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
--- a/coord/transport/faults_test.go
+++ b/coord/transport/faults_test.go
@@ -25,7 +25,7 @@
 // Concurrent calls while the network cuts one direction or resets connections and the server is frozen or stopped. The error of each call
 // must agree with what happened to the call.
 func TestCallsUnderFaults(t *testing.T) {
-	played := seeds.Played(t, seedVariable, "", 1, faultSeeds)
+	played := seeds.List(t, seedVariable, "", 1, faultSeeds)
 	outcomes := map[string]int{}
 	for _, seed := range played {
 		withFixture(t, seed, func(t *testing.T, w *fixture) {
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -85,7 +85,7 @@
 type ListLost struct{}
 
 // JobQuery asks about a job that waits or has waited, or about all of them if Name is empty. The answer is one QueryResult.
-type JobQuery struct{ waiting.Ask }
+type JobQuery struct{ waiting.Query }
 
 // QueryCancelled reports that the client of a JobQuery has gone.
 type QueryCancelled struct{ Query uint64 }
@@ -153,8 +153,8 @@
 type QueryResult struct {
 	Query  uint64
 	Status int
-	Info   *waiting.Info  // of one job
-	Board  *waiting.Board // of all jobs
+	Info   *waiting.Info    // of one job
+	Board  *waiting.JobList // of all jobs
 }
 
 // Probe asks an upstream host for its load.
--- a/internal/dispatch/waiting.go
+++ b/internal/dispatch/waiting.go
@@ -8,11 +8,11 @@
 	"gaugeslip/policy"
 )
 
-// WaitingGate puts a waiting.Room in front of the core. Jobs that ask to wait are held in the room and enter the module when they are
+// WaitingGate puts a waiting.Queue in front of the core. Jobs that ask to wait are held in the room and enter the module when they are
 // due; all other jobs pass. Each job gets its one answer either from the module or from the room. When the room answers a job that is
 // in the module, the core gets the message that the client has gone, and does not answer.
 type WaitingGate struct {
-	room       *waiting.Room
+	room       *waiting.Queue
 	limits     waiting.Limits
 	fleet      waiting.Fleet
 	readyHosts map[string]bool // by name
@@ -35,7 +35,7 @@
 }
 
 // Room returns the gate's room. It may be read between Steps only.
-func (g *WaitingGate) Room() *waiting.Room { return g.room }
+func (g *WaitingGate) Room() *waiting.Queue { return g.room }
 
 // In releases jobs that are ready before the first new job of the Step, so that they get first what a host has just freed.
 func (g *WaitingGate) In(now time.Duration, in []Message, p *Pass) {
@@ -53,28 +53,28 @@
 			if m.Wait != nil {
 				g.room.Submit(now, &j)
 				g.execute(now, p)
-			} else if g.room.Fresh(now, &j) {
+			} else if g.room.AddFresh(now, &j) {
 				p.Forward(m)
 			} else {
 				g.execute(now, p)
 			}
 			continue
 		case ClientGone:
-			pass := g.room.Left(now, m.Job)
+			pass := g.room.ClientLeft(now, m.Job)
 			if g.execute(now, p); !pass {
 				continue
 			}
 		case AttemptEnded:
-			g.room.Ended(now, m.Job, outcomeOf(m.Result), m.Body)
+			g.room.SendEnded(now, m.Job, outcomeOf(m.Result), m.Body)
 			g.execute(now, p)
 		case HostList:
 			g.updateHosts(&m)
 		case JobQuery:
-			g.room.Asked(now, &m.Ask)
+			g.room.AddQuery(now, &m.Query)
 			g.execute(now, p)
 			continue
 		case QueryCancelled:
-			g.room.Unasked(m.Query)
+			g.room.RemoveQuery(m.Query)
 			continue
 		case Shutdown:
 			g.room.Close(now, m.Deadline)
@@ -116,9 +116,9 @@
 	case r.NeverRan():
 		return waiting.NeverRan
 	case r == policy.Rejected:
-		return waiting.TurnedOff
+		return waiting.Rejected
 	}
-	return waiting.MayHave
+	return waiting.MayHaveRun
 }
 
 func (g *WaitingGate) updateHosts(m *HostList) {
@@ -132,7 +132,7 @@
 			delete(g.readyHosts, h.Name)
 		}
 	}
-	g.room.Hosts(len(g.readyHosts))
+	g.room.SetReadyHosts(len(g.readyHosts))
 }
 
 // Out reports the module's sends and answers to the room, and drops refusals of jobs that the room takes back.
@@ -140,11 +140,11 @@
 	for _, c := range out {
 		switch c := c.(type) {
 		case Send:
-			g.room.Sent(now, c.Job)
+			g.room.JobSent(now, c.Job)
 		case LocalReply:
 			if !c.Refused {
-				g.room.Failed(now, c.Job)
-			} else if g.room.Refused(now, c.Job) {
+				g.room.JobFailed(now, c.Job)
+			} else if g.room.JobRefused(now, c.Job) {
 				continue
 			}
 		}
@@ -161,16 +161,16 @@
 		case waiting.Release:
 			j := &a.Job
 			p.Forward(JobArrived{Job: j.Number, Name: j.Name, Class: j.Class, Tenant: j.Tenant, At: j.Arrived, Budget: a.Budget,
-				Size: j.Size, Slots: j.Slots, EarlierAttempts: a.Tried, Waited: a.Waited})
+				Size: j.Size, Slots: j.Slots, EarlierAttempts: a.Attempts, Waited: a.Waited})
 		case waiting.Accept:
 			p.Emit(Accepted{a.Job.Number})
 		case waiting.Answer:
-			p.Emit(LocalReply{Job: a.Job.Number, Status: a.Status, Reason: a.Why, RetryAfter: a.After,
+			p.Emit(LocalReply{Job: a.Job.Number, Status: a.Status, Reason: a.Reason, RetryAfter: a.RetryAfter,
 				Refused: a.Status == waiting.StatusRefused || a.Status == waiting.StatusFull})
 		case waiting.Withdraw:
 			p.Forward(ClientGone{a.Job.Number})
-		case waiting.Tell:
-			p.Emit(QueryResult{Query: a.Ask, Status: a.Status, Info: a.Info, Board: a.Board})
+		case waiting.Reply:
+			p.Emit(QueryResult{Query: a.Query, Status: a.Status, Info: a.Info, Board: a.List})
 		}
 	}
 }
@@ -182,10 +182,10 @@
 }
 
 // Detached returns the number of jobs of the room that are in the module or at a host.
-func (g *WaitingGate) Detached() int { return g.room.Out() }
+func (g *WaitingGate) Detached() int { return g.room.DetachedOut() }
 
 // ModuleLost passes the loss of the module's state on to the room.
-func (g *WaitingGate) ModuleLost(now time.Duration) { g.room.Crashed(now) }
+func (g *WaitingGate) ModuleLost(now time.Duration) { g.room.ModuleCrashed(now) }
 
 // Owns reports whether the job is only in the room.
 func (g *WaitingGate) Owns(job uint64) bool { return g.room.Keeps(job) }
--- a/internal/dispatch/waiting_test.go
+++ b/internal/dispatch/waiting_test.go
@@ -153,7 +153,7 @@
 		if j.status == 0 && !j.left {
 			j.served = true
 		}
-	case waiting.MayHave, waiting.TurnedOff:
+	case waiting.MayHaveRun, waiting.Rejected:
 		j.mayHaveRun = true
 	}
 	m.step(AttemptEnded{Key: k, Result: r, Body: []byte("r")})
@@ -234,10 +234,10 @@
 			},
 			"cancel": func(*rapid.T) {
 				if len(m.names) > 0 {
-					m.step(JobQuery{waiting.Ask{Number: 1, Name: rapid.SampledFrom(m.names).Draw(rt, "name"), Cancel: true}})
+					m.step(JobQuery{waiting.Query{Number: 1, Name: rapid.SampledFrom(m.names).Draw(rt, "name"), Cancel: true}})
 				}
 			},
-			"list": func(*rapid.T) { m.step(JobQuery{waiting.Ask{Number: 2, Most: 10}}) },
+			"list": func(*rapid.T) { m.step(JobQuery{waiting.Query{Number: 2, MaxJobs: 10}}) },
 		})
 		// All attempts end, and time passes until no job waits.
 		for range 200 {
@@ -275,7 +275,7 @@
 			continue
 		}
 		first[j.name] = true
-		m.step(JobQuery{waiting.Ask{Number: 3, Name: j.name}})
+		m.step(JobQuery{waiting.Query{Number: 3, Name: j.name}})
 		i := m.answers[3].Info
 		if i == nil || !i.State.Final() {
 			m.Fatalf("%s: %+v", j.name, m.answers[3])
@@ -303,7 +303,7 @@
 		if out := commandsOf[Probe](n.Step(start+time.Second, nil)); len(out) != map[bool]int{true: 1, false: 0}[inCore] {
 			t.Errorf("panic in the core %v: probes %v", inCore, out)
 		}
-		gate.room.Crashed(start)
+		gate.room.ModuleCrashed(start)
 	}
 }
 
--- a/internal/net/cluster/cluster.go
+++ b/internal/net/cluster/cluster.go
@@ -19,10 +19,10 @@
 	"gaugeslip/policy"
 )
 
-// StallAfter is how long a watch may stay silent before it counts as broken. Discovery sends a line every 2 s and a
+// StallTimeout is how long a watch may stay silent before it counts as broken. Discovery sends a line every 2 s and a
 // call may wait 3 s for its turn. Discovery counts a change as delivered after 6 s even if it never arrives, or after 4
 // s if the service has moved.
-const StallAfter = 3500 * time.Millisecond
+const StallTimeout = 3500 * time.Millisecond
 
 const (
 	maxLine     = 1 << 20
@@ -76,8 +76,8 @@
 	return out, nil
 }
 
-// Known reads the list of the configuration, which may be out of date. Without one the cluster is empty.
-func Known(text []byte, s *settings.Settings) (dispatch.HostList, error) {
+// DecodeKnown reads the list of the configuration, which may be out of date. Without one the cluster is empty.
+func DecodeKnown(text []byte, s *settings.Settings) (dispatch.HostList, error) {
 	if len(text) == 0 {
 		text = []byte("{}")
 	}
@@ -88,14 +88,14 @@
 
 // Discovery is the Source that uses discovery's HTTP interface.
 type Discovery struct {
-	Addr     string
-	Stall    time.Duration // how long a watch may stay silent, see StallAfter
-	Settings *settings.Settings
+	Addr         string
+	StallTimeout time.Duration // how long a watch may stay silent, see StallTimeout
+	Settings     *settings.Settings
 }
 
 // Watch opens the stream of changes and follows it.
 func (d *Discovery) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
-	dialer := net.Dialer{Timeout: min(d.Stall, dialTimeout), KeepAlive: -1}
+	dialer := net.Dialer{Timeout: min(d.StallTimeout, dialTimeout), KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", d.Addr)
 	if err != nil {
 		return fmt.Errorf("cluster: %w", err)
@@ -104,7 +104,7 @@
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	// The deadline applies to each list, not to each read: a machine that vanishes leaves a silent connection open, and
 	// one that sends byte by byte makes no progress either.
-	alive := func() { conn.SetDeadline(time.Now().Add(d.Stall)) }
+	alive := func() { conn.SetDeadline(time.Now().Add(d.StallTimeout)) }
 	alive()
 	req := "GET /discovery/hosts?stream=1&index=" + strconv.FormatUint(after, 10) +
 		" HTTP/1.1\r\nHost: " + d.Addr + "\r\n\r\n"
--- a/internal/net/cluster/cluster_test.go
+++ b/internal/net/cluster/cluster_test.go
@@ -36,7 +36,7 @@
 // The configuration's copy of the list may be out of date or missing.
 func TestKnown(t *testing.T) {
 	for _, text := range []string{"", `{"seq":5,"whole":false}`} {
-		l, err := Known([]byte(text), nettest.Settings(t))
+		l, err := DecodeKnown([]byte(text), nettest.Settings(t))
 		require.NoError(t, err)
 		assert.True(t, l.Whole && l.Stale)
 	}
@@ -45,7 +45,7 @@
 // watch follows a scripted discovery until the watch breaks.
 func watch(t *testing.T, stall time.Duration, script func(*nettest.Call)) (*nettest.Peer, []dispatch.HostList, error) {
 	p := nettest.Listen(t, script)
-	d := &Discovery{Addr: p.Addr, Stall: stall, Settings: nettest.Settings(t)}
+	d := &Discovery{Addr: p.Addr, StallTimeout: stall, Settings: nettest.Settings(t)}
 	var got []dispatch.HostList
 	err := d.Watch(t.Context(), 41, func(l dispatch.HostList) { got = append(got, l) })
 	return p, got, err
@@ -53,8 +53,8 @@
 
 // A watch passes on every list, also a whole one, skips empty lines and returns an error when it breaks.
 func TestWatch(t *testing.T) {
-	p, got, err := watch(t, nettest.Patience, func(c *nettest.Call) {
-		c.Say(nettest.Chunks(line, "", `{"seq":44,"whole":true}`))
+	p, got, err := watch(t, nettest.Timeout, func(c *nettest.Call) {
+		c.WriteText(nettest.Chunks(line, "", `{"seq":44,"whole":true}`))
 		c.Conn.Close()
 	})
 	require.Error(t, err)
@@ -74,11 +74,11 @@
 		"stalled":   nettest.Chunks(line),
 		"half line": nettest.Chunks(line) + "40\r\n{\"seq\":44,",
 	} {
-		stall := nettest.Patience
+		stall := nettest.Timeout
 		if name == "no answer" || name == "stalled" || name == "unended" || name == "half line" {
 			stall = 50 * time.Millisecond
 		}
-		_, got, err := watch(t, stall, func(c *nettest.Call) { c.Say(say) })
+		_, got, err := watch(t, stall, func(c *nettest.Call) { c.WriteText(say) })
 		assert.Error(t, err, name)
 		if name == "half line" {
 			assert.Equal(t, []dispatch.HostList{want}, got, "complete lists are passed on")
@@ -90,11 +90,11 @@
 func TestWatchStaysUp(t *testing.T) {
 	const stall = time.Second
 	_, got, err := watch(t, stall, func(c *nettest.Call) {
-		c.Say(nettest.Chunks())
+		c.WriteText(nettest.Chunks())
 		for begun := time.Now(); time.Since(begun) < 3*stall/2; time.Sleep(stall / 50) {
-			c.Say(nettest.Chunk(""))
+			c.WriteText(nettest.Chunk(""))
 		}
-		c.Say(nettest.Chunk(line))
+		c.WriteText(nettest.Chunk(line))
 		c.Conn.Close()
 	})
 	require.Error(t, err)
@@ -104,7 +104,7 @@
 // A watch ends with its context.
 func TestWatchCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	p := nettest.Listen(t, func(c *nettest.Call) { c.Say(nettest.Chunks(line)) })
-	d := &Discovery{Addr: p.Addr, Stall: nettest.Patience, Settings: nettest.Settings(t)}
+	p := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks(line)) })
+	d := &Discovery{Addr: p.Addr, StallTimeout: nettest.Timeout, Settings: nettest.Settings(t)}
 	assert.Error(t, d.Watch(ctx, 0, func(dispatch.HostList) { cancel() }))
 }
--- a/internal/net/cluster/pace.go
+++ b/internal/net/cluster/pace.go
@@ -55,7 +55,7 @@
 		within := time.Duration(askWithinFactor * float64(askWithin))
 		p.firstWindow, p.maxWindow = min(window, within), min(p.maxWindow, failureFactor*within)
 	}
-	p.silentWindow = min(p.firstWindow, max(0, deliveredAfter+grace-StallAfter-reopenTime))
+	p.silentWindow = min(p.firstWindow, max(0, deliveredAfter+grace-StallTimeout-reopenTime))
 	return p
 }
 
--- a/internal/net/downstream/downstream_test.go
+++ b/internal/net/downstream/downstream_test.go
@@ -48,7 +48,7 @@
 	set := nettest.Settings(t)
 	core, err := dispatch.New(set.Policy, 1)
 	require.NoError(t, err)
-	pool := upstream.NewPool(upstream.Config{ConnectTimeout: nettest.Patience, ConnIdle: time.Minute, MaxConns: 9})
+	pool := upstream.NewPool(upstream.Config{ConnectTimeout: nettest.Timeout, ConnIdle: time.Minute, MaxConns: 9})
 	var room *dispatch.WaitingGate
 	if lim != nil {
 		room = dispatch.NewWaitingGate(*lim, set.Policy)
@@ -242,7 +242,7 @@
 	closed := make(chan int, maxConns)
 	for i, c := range idle {
 		go func() {
-			c.Conn.SetReadDeadline(time.Now().Add(nettest.Patience))
+			c.Conn.SetReadDeadline(time.Now().Add(nettest.Timeout))
 			if _, err := c.Conn.Read(make([]byte, 1)); err != nil {
 				closed <- i
 			}
@@ -409,7 +409,7 @@
 			<-hold
 		}
 		nettest.Serve(c)
-	}, nil, func(s *Server) { s.cfg.KilledAfter = nettest.Patience }) // else slow may have failed by then
+	}, nil, func(s *Server) { s.cfg.KilledAfter = nettest.Timeout }) // else slow may have failed by then
 	release := sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(release) // before the host ends, which waits for its script
 	slow, idle := nettest.Dial(t, addr), nettest.Dial(t, addr)
--- a/internal/net/loop/endings_test.go
+++ b/internal/net/loop/endings_test.go
@@ -77,7 +77,7 @@
 			k.Forward.Client = client
 		}
 		go func() { in <- l.Submit(k) }()
-		require.Eventually(t, func() bool { return l.Held() == int64(i+1) }, nettest.Patience, time.Millisecond)
+		require.Eventually(t, func() bool { return l.Held() == int64(i+1) }, nettest.Timeout, time.Millisecond)
 	}
 	leave()
 	end := start(t, l)
@@ -99,13 +99,13 @@
 	}
 	next := make(chan string) // the list that a watch tells; empty: it ends
 	discovery := nettest.Listen(t, func(c *nettest.Call) {
-		c.Say(nettest.Chunks())
+		c.WriteText(nettest.Chunks())
 		for text := range next {
 			if text == "" {
 				c.Conn.Close()
 				return
 			}
-			c.Say(nettest.Chunk(text))
+			c.WriteText(nettest.Chunk(text))
 		}
 	})
 	t.Cleanup(func() { close(next) })
@@ -113,7 +113,7 @@
 	core, err := dispatch.New(set.Policy, 1)
 	require.NoError(t, err)
 	s := &side{make(chan *sent, 9), nil, nil}
-	l := New(dispatch.NewChain(core, dispatch.Gates{}), set, s, &cluster.Discovery{Addr: discovery.Addr, Stall: time.Minute, Settings: set}, NewClock())
+	l := New(dispatch.NewChain(core, dispatch.Gates{}), set, s, &cluster.Discovery{Addr: discovery.Addr, StallTimeout: time.Minute, Settings: set}, NewClock())
 	l.Post(dispatch.HostList{Version: 41, Whole: true, Stale: true, Hosts: []dispatch.Host{{Name: "s-0000000a", Addr: "127.0.0.1:10a", Scale: 1}}})
 	defer start(t, l)()
 	assert.Equal(t, "41", nettest.Wait(t, discovery.Calls).URL.Query().Get("index"))
--- a/internal/node/budgets.go
+++ b/internal/node/budgets.go
@@ -34,7 +34,7 @@
 }
 
 // newBudgets makes them as the settings want; nil: there are none. Nothing is owned yet.
-func newBudgets(cfg *config.Config, own *operatorsettings.Settings, now func() time.Duration, figures *operators.Figures) *budgets {
+func newBudgets(cfg *config.Config, own *operatorsettings.Settings, now func() time.Duration, figures *operators.Metrics) *budgets {
 	if own.Budgets == nil {
 		return nil
 	}
@@ -45,13 +45,13 @@
 	}
 	accounts, gate, lists := dispatch.BudgetAccounts(own.Budgets, policy)
 	b := &budgets{ledger: budget.NewLedger(accounts, drift), lists: lists, now: now, done: make(chan struct{}),
-		path: operators.FileOf(os.TempDir(), cfg.Name, "share"), equal: budget.EqualShare(members)}
+		path: operators.StateFilePath(os.TempDir(), cfg.Name, "share"), equal: budget.EqualShare(members)}
 	b.gate = gate(b.ledger)
 	if own.Budgets.Way == budget.LeasedShares {
 		b.peers = peers.New(peers.Config{Limits: *own.Peers, Self: policy.Ordinal, Floor: own.Budgets.FloorUnits(members), Ledger: b.ledger,
 			Now: now, Life: rand.Uint64() | 1})
 		for _, state := range []string{"alive", "silent", "left"} {
-			figures.Labelled("members", "Dispatchers by what membership has of them.", "state", state, func() float64 { return b.peers.Count(state) })
+			figures.LabelledFunc("members", "Dispatchers by what membership has of them.", "state", state, func() float64 { return b.peers.Count(state) })
 		}
 	}
 	for i, f := range b.ledger.Status(now()) {
@@ -65,7 +65,7 @@
 			"budget_refused_total": {"Uses refused for want of a share, since the start.", func(f budget.AccountStatus) float64 { return float64(f.Refused) }},
 			"budget_epoch":         {"Rises with each change of the share.", func(f budget.AccountStatus) float64 { return float64(f.Epoch) }},
 		} {
-			figures.Labelled(name, x.help, "budget", f.Name, func() float64 { return x.of(b.ledger.Status(b.now())[i]) })
+			figures.LabelledFunc(name, x.help, "budget", f.Name, func() float64 { return x.of(b.ledger.Status(b.now())[i]) })
 		}
 	}
 	return b
--- a/internal/waiting/weigh_test.go
+++ b/internal/waiting/weigh_test.go
@@ -30,7 +30,7 @@
 type simulation struct {
 	rng    *rand.Rand
 	chain  *dispatch.Chain
-	room   *waiting.Room
+	room   *waiting.Queue
 	now    time.Duration
 	events eventQueue
 	seq    int
