--- a/internal/budget/node.go
+++ b/internal/budget/node.go
@@ -73,9 +73,9 @@
 }
 
 // Timing returns RequestInterval and LeaseTime for a number of members. The leader gets a request from each of them once per interval.
-func Timing(members int) (every, term time.Duration) {
-	every = min(max(time.Duration(members)*time.Millisecond, 200*time.Millisecond), time.Second)
-	return every, 5 * every
+func Timing(members int) (requestInterval, leaseTime time.Duration) {
+	requestInterval = min(max(time.Duration(members)*time.Millisecond, 200*time.Millisecond), time.Second)
+	return requestInterval, 5 * requestInterval
 }
 
 // safeWait returns the time to wait by this process's clock until a time d measured by any other clock has surely passed.
