--- a/coord/replica/cause.go
+++ b/coord/replica/cause.go
@@ -14,8 +14,8 @@
 const (
 	// CauseGenesis: the first view of the whole system.
 	CauseGenesis CauseKind = "genesis"
-	// CauseLearned: another replica had the view decided, and Member sent it; the cause is in that replica's log.
-	CauseLearned CauseKind = "learnt"
+	// CauseLearnt: another replica had the view decided, and Member sent it; the cause is in that replica's log.
+	CauseLearnt CauseKind = "learnt"
 	// CauseHeadSilent: an election, because the head hadn't been heard for longer than Patience.
 	CauseHeadSilent CauseKind = "head-silent"
 	// CauseMajorityLost: an election by a head that had no grant of a majority for longer than Patience.
@@ -98,7 +98,7 @@
 	case r.proposalCause.Kind != "" && r.proposer.Active() && proposed != nil && proposed.Equal(v):
 		return r.decidedCause(v)
 	case from != "":
-		return Cause{Kind: CauseLearned, Member: from}
+		return Cause{Kind: CauseLearnt, Member: from}
 	default:
 		return Cause{Kind: CauseGenesis}
 	}
--- a/coord/replica/cause_test.go
+++ b/coord/replica/cause_test.go
@@ -18,7 +18,7 @@
 	c := &causes{}
 	w.trace = func(_ string, args ...any) {
 		for _, arg := range args {
-			if changed, ok := arg.(ViewChanged); ok && changed.Cause.Kind != CauseLearned {
+			if changed, ok := arg.(ViewChanged); ok && changed.Cause.Kind != CauseLearnt {
 				c.seen = append(c.seen, changed.Cause)
 				return
 			}
