--- a/cmd/controlplane/ask.go
+++ b/cmd/controlplane/ask.go
@@ -10,22 +10,22 @@
 
 var errNoHead = errors.New("no head acts at present: look at `status` of each replica, and ask again in a second")
 
-// looking is the flags of all commands that ask a running replica.
-type looking struct {
+// replicaFlags is the flags of all commands that ask a running replica.
+type replicaFlags struct {
 	console.Target
 	JSON bool `help:"Print JSON in place of tables. Default: tables."`
 }
 
 // printer is where the command's output goes, in the form that was asked for.
-func (l *looking) printer(printer *console.Printer) console.Printer {
+func (l *replicaFlags) printer(printer *console.Printer) console.Printer {
 	return console.Printer{Out: printer.Out, JSON: l.JSON}
 }
 
-// asked is what replies have in common that only a certain replica may give.
-type asked func() (internalapi.Verdict, view.View)
+// verdictFunc is what replies have in common that only a certain replica may give.
+type verdictFunc func() (internalapi.Verdict, view.View)
 
-// ask calls the replica that the flags name.
-func (l *looking) ask(method string, args, reply any) error {
+// call calls the replica that the flags name.
+func (l *replicaFlags) call(method string, args, reply any) error {
 	address, err := l.Resolve()
 	if err != nil {
 		return err
@@ -35,8 +35,8 @@
 	return caller.Call(address, method, args, reply)
 }
 
-// askHead calls the replica that the flags name and, where that one may not answer, the head that it knows. Reset empties the reply.
-func (l *looking) askHead(method string, args, reply any, verdict asked, reset func()) error {
+// callHead calls the replica that the flags name and, where that one may not answer, the head that it knows. Reset empties the reply.
+func (l *replicaFlags) callHead(method string, args, reply any, verdict verdictFunc, reset func()) error {
 	address, err := l.Resolve()
 	if err != nil {
 		return err
--- a/cmd/controlplane/commands_test.go
+++ b/cmd/controlplane/commands_test.go
@@ -22,7 +22,7 @@
 	"gaugeslip/internal/system/nodesettings"
 )
 
-const testPatience = time.Minute
+const testTimeout = time.Minute
 
 // testReplica is a cluster of one in this process, with a configuration and a job.
 type testReplica struct {
@@ -49,17 +49,17 @@
 	settings.SeedNodes = []string{settings.Bind.ControlPlane}
 	settings.DataDir = filepath.Join(t.TempDir(), "data")
 	settings.FaultTolerance.Machines = 0
-	settings.CloudProvider.Address = serveList(t)
+	settings.CloudProvider.Address = servePlatformList(t)
 	node, err := control.Start(control.Options{Settings: settings, Logger: log.New(io.Discard)})
 	require.NoError(t, err)
 	t.Cleanup(node.Leave)
 	replica := &testReplica{settings: settings, address: settings.InternalAddress(), node: node}
-	replica.fill(t)
+	replica.submitConfigAndJob(t)
 	return replica
 }
 
-// serveList is a platform that lists one worker, at which nothing listens.
-func serveList(t *testing.T) string {
+// servePlatformList is a platform that lists one worker, at which nothing listens.
+func servePlatformList(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	body := `{"instances":[{"id":"w-1","backend":"farm","address":"127.0.0.1:` + strconv.Itoa(freeporttest.Port(t)) +
@@ -73,21 +73,21 @@
 	return listener.Addr().String()
 }
 
-// fill hands in a configuration and a job, as soon as the replica is the head.
-func (r *testReplica) fill(t *testing.T) {
+// submitConfigAndJob hands in a configuration and a job, as soon as the replica is the head.
+func (r *testReplica) submitConfigAndJob(t *testing.T) {
 	client := transport.NewClient(transport.Options{})
 	defer client.Close()
 	require.Eventually(t, func() bool {
 		var replaced internalapi.ReplaceReply
-		err := client.Call(r.address, internalapi.MethodReplace, internalapi.ReplaceArgs{Body: []byte(testConfig)}, &replaced, testPatience)
+		err := client.Call(r.address, internalapi.MethodReplace, internalapi.ReplaceArgs{Body: []byte(testConfig)}, &replaced, testTimeout)
 		return err == nil && replaced.Verdict == internalapi.Done
-	}, testPatience, 20*time.Millisecond)
+	}, testTimeout, 20*time.Millisecond)
 	require.Eventually(t, func() bool {
 		var submitted internalapi.JobReply
 		args := internalapi.SubmitArgs{ID: testJobID, Route: "barn", Body: []byte(testJob)}
-		err := client.Call(r.address, internalapi.MethodSubmit, args, &submitted, testPatience)
+		err := client.Call(r.address, internalapi.MethodSubmit, args, &submitted, testTimeout)
 		return err == nil && submitted.Verdict == internalapi.Done
-	}, testPatience, 20*time.Millisecond)
+	}, testTimeout, 20*time.Millisecond)
 }
 
 // eventually runs a command until it shows what is expected, as a lease may run out for a moment on a busy machine.
@@ -97,7 +97,7 @@
 		found, err := execute(t, arguments...)
 		text = found
 		return err == nil && strings.Contains(found, wanted)
-	}, testPatience, 20*time.Millisecond, "%v shows no %q", arguments, wanted)
+	}, testTimeout, 20*time.Millisecond, "%v shows no %q", arguments, wanted)
 	return text
 }
 
@@ -112,37 +112,37 @@
 			assert.Contains(t, text, part)
 		}
 		var overview internalapi.OverviewReply
-		showsJSON(t, &overview, "status", at)
+		mustExecuteJSON(t, &overview, "status", at)
 		assert.EqualValues(t, 3, overview.ConfigVersion)
 	})
 	t.Run("status by a settings file", func(t *testing.T) {
-		file := written(t, "ip = \"127.0.0.1\"\nephemeralPorts = ["+strconv.Itoa(replica.settings.EphemeralPorts[0])+", 65535]\n")
-		assert.Contains(t, shows(t, "status", "--settings", file), "core-1")
+		file := writeTempFile(t, "ip = \"127.0.0.1\"\nephemeralPorts = ["+strconv.Itoa(replica.settings.EphemeralPorts[0])+", 65535]\n")
+		assert.Contains(t, mustExecute(t, "status", "--settings", file), "core-1")
 	})
 	t.Run("view", func(t *testing.T) {
 		assert.Contains(t, eventually(t, "PLACE", "view", at), replica.address)
-		var shown shownView
-		showsJSON(t, &shown, "view", at)
+		var shown viewOutput
+		mustExecuteJSON(t, &shown, "view", at)
 		assert.Len(t, shown.View.Chain, 1)
 	})
 	t.Run("workers", func(t *testing.T) {
 		assert.Contains(t, eventually(t, "w-1", "workers", at), "0/4000")
 		assert.NotContains(t, eventually(t, "STEPS HELD", "workers", at, "--service=other"), "w-1")
-		var list shownWorkers
-		showsJSON(t, &list, "workers", at)
+		var list workersOutput
+		mustExecuteJSON(t, &list, "workers", at)
 		assert.Equal(t, 1, list.Held["farm"])
 	})
 	t.Run("tenants", func(t *testing.T) {
 		assert.Contains(t, eventually(t, "FOR ITS SHARE", "tenants", at), "TENANT")
-		var list shownTenants
-		showsJSON(t, &list, "tenants", at)
+		var list tenantsOutput
+		mustExecuteJSON(t, &list, "tenants", at)
 		assert.Empty(t, list.Tenants)
 	})
 	t.Run("jobs", func(t *testing.T) {
 		assert.Contains(t, eventually(t, testJobName, "jobs", at), "pending")
 		assert.NotContains(t, eventually(t, "JOB", "jobs", at, "--state=failed"), testJobName)
-		var list shownJobs
-		showsJSON(t, &list, "jobs", at, "--limit=1")
+		var list jobsOutput
+		mustExecuteJSON(t, &list, "jobs", at, "--limit=1")
 		require.Len(t, list.Jobs, 1)
 		assert.Equal(t, testJobName, list.Jobs[0].ID)
 	})
@@ -150,34 +150,34 @@
 		text := eventually(t, "waiting", "job", testJobName, at)
 		assert.Contains(t, text, "waits for the end of step 0")
 		assert.Contains(t, text, "DEADLINE")
-		var detail shownDetail
-		showsJSON(t, &detail, "job", testJobName, at)
+		var detail jobDetailOutput
+		mustExecuteJSON(t, &detail, "job", testJobName, at)
 		assert.Len(t, detail.Tasks, 4)
 	})
 	t.Run("why", func(t *testing.T) {
 		text := eventually(t, "no worker that answers", "why", testJobName, at)
 		assert.Contains(t, text, "waits for the end of step 0")
-		var detail shownDetail
-		showsJSON(t, &detail, "why", testJobName, at)
+		var detail jobDetailOutput
+		mustExecuteJSON(t, &detail, "why", testJobName, at)
 		assert.Len(t, detail.Tasks, 4)
 	})
 	t.Run("handover of the only replica", func(t *testing.T) {
 		require.Eventually(t, func() bool {
 			_, err := execute(t, "handover", at)
 			return err != nil && strings.Contains(err.Error(), "too few are left")
-		}, testPatience, 20*time.Millisecond)
+		}, testTimeout, 20*time.Millisecond)
 	})
 	t.Run("log of a running replica", func(t *testing.T) {
-		text := shows(t, "log", "inspect", replica.settings.DataDir)
+		text := mustExecute(t, "log", "inspect", replica.settings.DataDir)
 		for _, part := range []string{"config-replaced", "version 3", "job-accepted", testJobName, "identity"} {
 			assert.Contains(t, text, part)
 		}
-		assert.NotContains(t, shows(t, "log", "inspect", replica.settings.DataDir, "--limit=1"), "identity")
-		assert.Contains(t, shows(t, "log", "check", replica.settings.DataDir), "hold")
+		assert.NotContains(t, mustExecute(t, "log", "inspect", replica.settings.DataDir, "--limit=1"), "identity")
+		assert.Contains(t, mustExecute(t, "log", "check", replica.settings.DataDir), "hold")
 	})
 }
 
-func TestNamesThatAreNone(t *testing.T) {
+func TestInvalidArguments(t *testing.T) {
 	replica := startReplica(t)
 	at := "--address=" + replica.address
 	for _, command := range []string{"job", "why"} {
@@ -186,7 +186,7 @@
 		require.Eventually(t, func() bool {
 			_, err := execute(t, command, "00000000000000ff", at)
 			return err != nil && strings.Contains(err.Error(), "there is no job")
-		}, testPatience, 20*time.Millisecond)
+		}, testTimeout, 20*time.Millisecond)
 	}
 	_, err := execute(t, "jobs", at, "--limit=0")
 	assert.ErrorContains(t, err, "--limit")
@@ -194,7 +194,7 @@
 	assert.ErrorContains(t, err, "--state")
 }
 
-func TestWithoutAReplica(t *testing.T) {
+func TestCommandsWithoutAReplica(t *testing.T) {
 	t.Setenv("GAUGESLIP_NODE_FILE", "")
 	nowhere := "--address=127.0.0.1:" + strconv.Itoa(freeporttest.Port(t))
 	for _, command := range [][]string{{"status"}, {"view"}, {"workers"}, {"tenants"}, {"jobs"}, {"job", testJobName}, {"why", testJobName}, {"handover"}} {
--- a/cmd/controlplane/jobs.go
+++ b/cmd/controlplane/jobs.go
@@ -11,24 +11,24 @@
 )
 
 type jobsCommand struct {
-	looking
+	replicaFlags
 	State string `enum:",pending,running,completed,failed,cancelled" default:"" placeholder:"STATE" help:"Only jobs of this state: pending, running, completed, failed or cancelled. Default: all."`
 	Limit int    `default:"50" help:"Most jobs to list, in jobs. Default: 50."`
 }
 
-// shownJob is a job with its name as clients use it.
-type shownJob struct {
+// jobOutput is a job with its name as clients use it.
+type jobOutput struct {
 	ID string
 	internalapi.JobOverview
 }
 
-func shown(job internalapi.JobOverview) shownJob {
-	return shownJob{ID: jobspec.ID(job.ID).String(), JobOverview: job}
+func newJobOutput(job internalapi.JobOverview) jobOutput {
+	return jobOutput{ID: jobspec.ID(job.ID).String(), JobOverview: job}
 }
 
-// shownJobs is what `jobs --json` prints.
-type shownJobs struct {
-	Jobs  []shownJob
+// jobsOutput is what `jobs --json` prints.
+type jobsOutput struct {
+	Jobs  []jobOutput
 	Total int
 }
 
@@ -39,17 +39,17 @@
 	var reply internalapi.JobsReply
 	verdict := func() (internalapi.Verdict, view.View) { return reply.Verdict, reply.View }
 	args := internalapi.JobsArgs{State: c.State, Limit: c.Limit}
-	if err := c.askHead(internalapi.MethodJobs, args, &reply, verdict, func() { reply = internalapi.JobsReply{} }); err != nil {
+	if err := c.callHead(internalapi.MethodJobs, args, &reply, verdict, func() { reply = internalapi.JobsReply{} }); err != nil {
 		return err
 	}
-	list := shownJobs{Jobs: []shownJob{}, Total: reply.Total}
+	list := jobsOutput{Jobs: []jobOutput{}, Total: reply.Total}
 	for _, job := range reply.Jobs {
-		list.Jobs = append(list.Jobs, shown(job))
+		list.Jobs = append(list.Jobs, newJobOutput(job))
 	}
 	return c.printer(printer).Print(list, func(t *console.Table) { jobsTable(t, &list) })
 }
 
-func jobsTable(t *console.Table, list *shownJobs) {
+func jobsTable(t *console.Table, list *jobsOutput) {
 	t.Row("JOB", "QUEUE", "SERVICE", "STATE", "RUNS", "ACCEPTED", "OVER")
 	for i := range list.Jobs {
 		job := &list.Jobs[i]
@@ -61,8 +61,8 @@
 	}
 }
 
-// detail asks for one job by its name.
-func (l *looking) detail(name string) (*internalapi.JobDetailReply, error) {
+// jobDetail asks for one job by its name.
+func (l *replicaFlags) jobDetail(name string) (*internalapi.JobDetailReply, error) {
 	id, ok := jobspec.ParseID(name)
 	if !ok {
 		return nil, fmt.Errorf("%q is no job: a job's name is 16 hex digits, as in its path", name)
@@ -71,7 +71,7 @@
 	verdict := func() (internalapi.Verdict, view.View) { return reply.Verdict, reply.View }
 	reset := func() { reply = internalapi.JobDetailReply{} }
 	args := internalapi.JobDetailArgs{ID: uint64(id)}
-	if err := l.askHead(internalapi.MethodJobDetail, args, &reply, verdict, reset); err != nil {
+	if err := l.callHead(internalapi.MethodJobDetail, args, &reply, verdict, reset); err != nil {
 		return nil, err
 	}
 	if reply.Verdict == internalapi.NotKnown {
@@ -81,30 +81,30 @@
 }
 
 type jobCommand struct {
-	looking
+	replicaFlags
 	ID string `arg:"" help:"The job's name: 16 hex digits."`
 }
 
-// shownDetail is what `job --json` and `why --json` print.
-type shownDetail struct {
-	Job          shownJob
+// jobDetailOutput is what `job --json` and `why --json` print.
+type jobDetailOutput struct {
+	Job          jobOutput
 	Tasks        []internalapi.TaskOverview
 	TasksLeftOut int
 }
 
 func (c *jobCommand) Run(printer *console.Printer) error {
-	reply, err := c.detail(c.ID)
+	reply, err := c.jobDetail(c.ID)
 	if err != nil {
 		return err
 	}
-	detail := shownDetail{Job: shown(reply.Job), Tasks: reply.Tasks, TasksLeftOut: reply.TasksLeftOut}
+	detail := jobDetailOutput{Job: newJobOutput(reply.Job), Tasks: reply.Tasks, TasksLeftOut: reply.TasksLeftOut}
 	return c.printer(printer).Print(detail, func(t *console.Table) {
 		jobTable(t, &detail.Job)
 		tasksTable(t, &detail)
 	})
 }
 
-func jobTable(t *console.Table, job *shownJob) {
+func jobTable(t *console.Table, job *jobOutput) {
 	t.Row("job", job.ID)
 	t.Row("queue", job.Route)
 	t.Row("service", job.Service)
@@ -116,7 +116,7 @@
 	t.Row("runs", job.Runs)
 }
 
-func tasksTable(t *console.Table, detail *shownDetail) {
+func tasksTable(t *console.Table, detail *jobDetailOutput) {
 	if len(detail.Tasks) == 0 {
 		t.Gap()
 		t.Row("no tasks to show: the job is over, or its time hasn't come")
@@ -154,16 +154,16 @@
 }
 
 type whyCommand struct {
-	looking
+	replicaFlags
 	ID string `arg:"" help:"The job's name: 16 hex digits."`
 }
 
 func (c *whyCommand) Run(printer *console.Printer) error {
-	reply, err := c.detail(c.ID)
+	reply, err := c.jobDetail(c.ID)
 	if err != nil {
 		return err
 	}
-	detail := shownDetail{Job: shown(reply.Job), Tasks: waitingTasks(reply.Tasks), TasksLeftOut: reply.TasksLeftOut}
+	detail := jobDetailOutput{Job: newJobOutput(reply.Job), Tasks: waitingTasks(reply.Tasks), TasksLeftOut: reply.TasksLeftOut}
 	return c.printer(printer).Print(detail, func(t *console.Table) { whyTable(t, &detail) })
 }
 
@@ -179,13 +179,13 @@
 	return waiting
 }
 
-func whyTable(t *console.Table, detail *shownDetail) {
+func whyTable(t *console.Table, detail *jobDetailOutput) {
 	if len(detail.Tasks) == 0 {
 		t.Row(fmt.Sprintf("nothing of job %s waits; it is %s, with %d runs", detail.Job.ID, detail.Job.State, detail.Job.Runs))
 		return
 	}
 	t.Row("TIME", "STEP", "TASKS", "STATE", "WHY")
-	for _, group := range groups(detail.Tasks) {
+	for _, group := range groupByReason(detail.Tasks) {
 		why := group.first.Why
 		if why == "" && group.first.State == "paused" {
 			why = "it was refused or ended too often in turn, and is tried again after a pause of a second at most"
@@ -200,19 +200,19 @@
 	count int
 }
 
-func groups(tasks []internalapi.TaskOverview) []taskGroup {
-	var found []taskGroup
+func groupByReason(tasks []internalapi.TaskOverview) []taskGroup {
+	var result []taskGroup
 	for i := range tasks {
 		task := &tasks[i]
-		if last := len(found) - 1; last >= 0 && alike(found[last].first, task) {
-			found[last].count++
+		if last := len(result) - 1; last >= 0 && sameReason(result[last].first, task) {
+			result[last].count++
 			continue
 		}
-		found = append(found, taskGroup{first: task, count: 1})
+		result = append(result, taskGroup{first: task, count: 1})
 	}
-	return found
+	return result
 }
 
-func alike(a, b *internalapi.TaskOverview) bool {
+func sameReason(a, b *internalapi.TaskOverview) bool {
 	return a.Time == b.Time && a.Step == b.Step && a.State == b.State && a.Why == b.Why
 }
--- a/cmd/controlplane/logs.go
+++ b/cmd/controlplane/logs.go
@@ -16,28 +16,28 @@
 	Restore logRestoreCommand `cmd:"" help:"Write a log for a restored system, after the loss of more disks than are borne."`
 }
 
-// logFolder is the flags of the commands that read a log.
-type logFolder struct {
-	Folder string `arg:"" name:"dir" help:"Data folder of a replica: dataDir of its settings."`
-	JSON   bool   `help:"Print JSON in place of tables. Default: tables."`
+// logFlags is the flags of the commands that read a log.
+type logFlags struct {
+	Dir  string `arg:"" name:"dir" help:"Data folder of a replica: dataDir of its settings."`
+	JSON bool   `help:"Print JSON in place of tables. Default: tables."`
 }
 
-func (f *logFolder) printer(printer *console.Printer) console.Printer {
+func (f *logFlags) printer(printer *console.Printer) console.Printer {
 	return console.Printer{Out: printer.Out, JSON: f.JSON}
 }
 
 type logInspectCommand struct {
-	logFolder
+	logFlags
 	From  uint64 `default:"0" help:"First index of entries to show; other records are shown from there on too. Default: 0, all."`
 	Limit int    `default:"0" help:"Most records to show, the last ones, in records. Default: 0, all."`
 }
 
 func (c *logInspectCommand) Run(printer *console.Printer) error {
-	reading, err := logfile.Read(c.Folder, control.LogName)
+	reading, err := logfile.Read(c.Dir, control.LogName)
 	if err != nil {
 		return err
 	}
-	lines := lastOf(linesFrom(logfile.Lines(reading.Records), c.From), c.Limit)
+	lines := lastLines(linesFrom(logfile.Lines(reading.Records), c.From), c.Limit)
 	return c.printer(printer).Print(lines, func(t *console.Table) {
 		t.Row("RECORD", "TYPE", "INDEX", "EPOCH", "KIND", "BYTES", "SUMMARY")
 		for i := range lines {
@@ -68,18 +68,18 @@
 	return lines[:0]
 }
 
-// lastOf is the last lines, a number of them at most; 0: all.
-func lastOf(lines []logfile.Line, most int) []logfile.Line {
-	if most <= 0 || len(lines) <= most {
+// lastLines is the last lines, a number of them at limit; 0: all.
+func lastLines(lines []logfile.Line, limit int) []logfile.Line {
+	if limit <= 0 || len(lines) <= limit {
 		return lines
 	}
-	return lines[len(lines)-most:]
+	return lines[len(lines)-limit:]
 }
 
-type logCheckCommand struct{ logFolder }
+type logCheckCommand struct{ logFlags }
 
 func (c *logCheckCommand) Run(printer *console.Printer) error {
-	reading, err := logfile.Read(c.Folder, control.LogName)
+	reading, err := logfile.Read(c.Dir, control.LogName)
 	if err != nil {
 		return err
 	}
@@ -104,14 +104,14 @@
 }
 
 type logRestoreCommand struct {
-	logFolder
+	logFlags
 	Target string `arg:"" name:"new-dir" help:"Folder for the new log; it must be empty or missing."`
 }
 
 func (c *logRestoreCommand) Run(printer *console.Printer) error {
-	restored, err := logfile.Restore(c.Folder, control.LogName, c.Target)
+	restored, err := logfile.Restore(c.Dir, control.LogName, c.Target)
 	if errors.Is(err, logfile.ErrBroken) {
-		return findings.Findings{{Place: c.Folder, Text: err.Error()}}
+		return findings.Findings{{Place: c.Dir, Text: err.Error()}}
 	}
 	if err != nil {
 		return err
--- a/cmd/controlplane/main_test.go
+++ b/cmd/controlplane/main_test.go
@@ -29,21 +29,21 @@
 	return out.String(), err
 }
 
-// shows runs a command that has to do well.
-func shows(t *testing.T, arguments ...string) string {
+// mustExecute runs a command that has to do well.
+func mustExecute(t *testing.T, arguments ...string) string {
 	text, err := execute(t, arguments...)
 	require.NoError(t, err)
 	return text
 }
 
-// showsJSON runs a command with --json and reads what it prints.
-func showsJSON(t *testing.T, into any, arguments ...string) {
-	require.NoError(t, json.Unmarshal([]byte(shows(t, append(arguments, "--json")...)), into))
+// mustExecuteJSON runs a command with --json and reads what it prints.
+func mustExecuteJSON(t *testing.T, into any, arguments ...string) {
+	require.NoError(t, json.Unmarshal([]byte(mustExecute(t, append(arguments, "--json")...)), into))
 }
 
 func exitCode(err error) int { return console.Report(io.Discard, programName, err) }
 
-func written(t *testing.T, text string) string {
+func writeTempFile(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
@@ -60,10 +60,10 @@
 
 func TestCheckSettings(t *testing.T) {
 	t.Setenv("GAUGESLIP_NODE_FILE", "")
-	shows(t, "check-settings", written(t, goodSettings))
-	_, err := execute(t, "check-settings", written(t, `ip = "nowhere"`))
+	mustExecute(t, "check-settings", writeTempFile(t, goodSettings))
+	_, err := execute(t, "check-settings", writeTempFile(t, `ip = "nowhere"`))
 	assert.Equal(t, console.ExitFindings, exitCode(err))
-	_, err = execute(t, "check-settings", written(t, `ip = "127.0.0.1"`))
+	_, err = execute(t, "check-settings", writeTempFile(t, `ip = "127.0.0.1"`))
 	assert.Equal(t, console.ExitFindings, exitCode(err))
 	assert.ErrorContains(t, err, "dataDir")
 	assert.ErrorContains(t, err, "seedNodes")
@@ -74,8 +74,8 @@
 }
 
 func TestCheckConfig(t *testing.T) {
-	shows(t, "check-config", written(t, `{"version":1}`))
-	_, err := execute(t, "check-config", written(t, `{"version":0,"routes":[{"backend":"none"}]}`))
+	mustExecute(t, "check-config", writeTempFile(t, `{"version":1}`))
+	_, err := execute(t, "check-config", writeTempFile(t, `{"version":0,"routes":[{"backend":"none"}]}`))
 	assert.Equal(t, console.ExitFindings, exitCode(err))
 	assert.ErrorContains(t, err, "routes[0].backend")
 	_, err = execute(t, "check-config", filepath.Join(t.TempDir(), "none"))
@@ -86,18 +86,18 @@
 	t.Setenv("GAUGESLIP_NODE_FILE", "")
 	_, err := execute(t)
 	assert.ErrorIs(t, err, console.ErrNoSettings)
-	_, err = execute(t, "run", "--settings", written(t, `ip = "127.0.0.1"`))
+	_, err = execute(t, "run", "--settings", writeTempFile(t, `ip = "127.0.0.1"`))
 	assert.Equal(t, console.ExitFindings, exitCode(err))
 }
 
 func TestVersion(t *testing.T) {
-	assert.Contains(t, shows(t, "version"), version)
+	assert.Contains(t, mustExecute(t, "version"), version)
 	_, err := execute(t, "version", "--none")
 	assert.Error(t, err)
 }
 
-func TestFindingsAreReportedEachOnALine(t *testing.T) {
-	_, err := execute(t, "check-config", written(t, `{"version":0,"routes":[{"backend":"none"}]}`))
+func TestEachFindingIsReportedOnItsOwnLine(t *testing.T) {
+	_, err := execute(t, "check-config", writeTempFile(t, `{"version":0,"routes":[{"backend":"none"}]}`))
 	var out bytes.Buffer
 	console.Report(&out, programName, err)
 	assert.Greater(t, bytes.Count(out.Bytes(), []byte("\n")), 1)
--- a/cmd/controlplane/run.go
+++ b/cmd/controlplane/run.go
@@ -10,8 +10,8 @@
 	"gaugeslip/internal/system/control"
 )
 
-// leastProcessors lets other goroutines run while one waits for the disk: with one processor of Go's, a sync holds them all up.
-const leastProcessors = 3
+// minProcessors lets other goroutines run while one waits for the disk: with one processor of Go's, a sync holds them all up.
+const minProcessors = 3
 
 type runCommand struct {
 	Settings string `env:"GAUGESLIP_NODE_FILE" placeholder:"FILE" help:"Settings file (TOML). No default."`
@@ -19,29 +19,29 @@
 }
 
 func (c *runCommand) Run() error {
-	taken := console.TakeSignals() // before anything that takes time
+	signals := console.TakeSignals() // before anything that takes time
 	settings, err := loadSettings(c.Settings)
 	if err != nil {
 		return err
 	}
 	logger := console.NewLogger(c.Debug)
 	console.LimitMemory(settings.Limits.MemoryMb)
-	runtime.GOMAXPROCS(max(runtime.GOMAXPROCS(0), leastProcessors))
+	runtime.GOMAXPROCS(max(runtime.GOMAXPROCS(0), minProcessors))
 	node, err := control.Start(control.Options{Settings: settings, Logger: logger, Invariants: control.NewInvariants(logger)})
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	return serve(node, c.Settings, logger, taken)
+	return serve(node, c.Settings, logger, signals)
 }
 
 // serve waits for signals: SIGHUP reads the settings again, SIGTERM hands over and ends.
-func serve(node *control.Node, path string, logger *log.Logger, taken console.Signals) error {
+func serve(node *control.Node, path string, logger *log.Logger, signals console.Signals) error {
 	for {
 		select {
-		case <-taken.End:
+		case <-signals.End:
 			node.Leave()
 			return nil
-		case <-taken.Reload:
+		case <-signals.Reload:
 			reload(node, path, logger)
 		case err := <-node.Failed():
 			return err
--- a/cmd/controlplane/status.go
+++ b/cmd/controlplane/status.go
@@ -11,11 +11,11 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-type statusCommand struct{ looking }
+type statusCommand struct{ replicaFlags }
 
 func (c *statusCommand) Run(printer *console.Printer) error {
 	var overview internalapi.OverviewReply
-	if err := c.ask(internalapi.MethodOverview, internalapi.OverviewArgs{}, &overview); err != nil {
+	if err := c.call(internalapi.MethodOverview, internalapi.OverviewArgs{}, &overview); err != nil {
 		return err
 	}
 	return c.printer(printer).Print(overview, func(t *console.Table) { statusTable(t, &overview) })
@@ -42,7 +42,7 @@
 	t.Row("configuration", overview.ConfigVersion)
 	t.Row("jobs", jobCounts(overview.Jobs))
 	t.Row("runs", overview.Runs)
-	t.Row("catching up", catchingUp(overview.Learners))
+	t.Row("catching up", learnersText(overview.Learners))
 }
 
 func chainText(newest view.View) string {
@@ -64,7 +64,7 @@
 	return strings.Join(counts, ", ")
 }
 
-func catchingUp(learners []internalapi.LearnerOverview) string {
+func learnersText(learners []internalapi.LearnerOverview) string {
 	if len(learners) == 0 {
 		return "nobody (as far as this replica knows)"
 	}
@@ -75,10 +75,10 @@
 	return strings.Join(addresses, " ")
 }
 
-type viewCommand struct{ looking }
+type viewCommand struct{ replicaFlags }
 
-// shownView is the view with what the head knows of each member.
-type shownView struct {
+// viewOutput is the view with what the head knows of each member.
+type viewOutput struct {
 	View     view.View
 	Members  []internalapi.MemberOverview
 	Learners []internalapi.LearnerOverview
@@ -92,7 +92,7 @@
 	if !overview.View.Known() {
 		return fmt.Errorf("%s knows no view yet: it hasn't reached another replica", overview.Self.Address)
 	}
-	shown := shownView{View: overview.View, Members: overview.Members, Learners: overview.Learners}
+	shown := viewOutput{View: overview.View, Members: overview.Members, Learners: overview.Learners}
 	return c.printer(printer).Print(shown, func(t *console.Table) { viewTable(t, overview) })
 }
 
@@ -126,7 +126,7 @@
 	t.Row("PLACE", "ADDRESS", "IDENTITY", "HEARD", "HELD", "ON DISK", "ACKNOWLEDGED", "NOTE")
 	for i := range overview.Members {
 		member := &overview.Members[i]
-		t.Row(place(member, len(overview.View.Chain)), member.Member.Address, member.Member.ID, console.Milliseconds(member.HeardMs),
+		t.Row(positionText(member, len(overview.View.Chain)), member.Member.Address, member.Member.ID, console.Milliseconds(member.HeardMs),
 			member.Received, member.Synced, member.Acked, memberNote(member))
 	}
 	if len(overview.Learners) == 0 {
@@ -141,7 +141,7 @@
 	}
 }
 
-func place(member *internalapi.MemberOverview, chain int) string {
+func positionText(member *internalapi.MemberOverview, chain int) string {
 	switch {
 	case member.Position < 0:
 		return "voter"
--- a/cmd/controlplane/tenants.go
+++ b/cmd/controlplane/tenants.go
@@ -6,23 +6,23 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-type tenantsCommand struct{ looking }
+type tenantsCommand struct{ replicaFlags }
 
-// shownTenants is what `tenants --json` prints.
-type shownTenants struct{ Tenants []internalapi.TenantOverview }
+// tenantsOutput is what `tenants --json` prints.
+type tenantsOutput struct{ Tenants []internalapi.TenantOverview }
 
 func (c *tenantsCommand) Run(printer *console.Printer) error {
 	var reply internalapi.TenantsReply
 	verdict := func() (internalapi.Verdict, view.View) { return reply.Verdict, reply.View }
 	reset := func() { reply = internalapi.TenantsReply{} }
-	if err := c.askHead(internalapi.MethodTenants, internalapi.TenantsArgs{}, &reply, verdict, reset); err != nil {
+	if err := c.callHead(internalapi.MethodTenants, internalapi.TenantsArgs{}, &reply, verdict, reset); err != nil {
 		return err
 	}
-	shown := shownTenants{Tenants: reply.Tenants}
+	shown := tenantsOutput{Tenants: reply.Tenants}
 	return c.printer(printer).Print(shown, func(t *console.Table) { tenantsTable(t, &shown) })
 }
 
-func tenantsTable(t *console.Table, shown *shownTenants) {
+func tenantsTable(t *console.Table, shown *tenantsOutput) {
 	t.Row("TENANT", "NAMED", "LIMIT", "USED", "HELD", "FOR ITS SHARE")
 	for i := range shown.Tenants {
 		tenant := &shown.Tenants[i]
--- a/cmd/controlplane/workers.go
+++ b/cmd/controlplane/workers.go
@@ -11,12 +11,12 @@
 )
 
 type workersCommand struct {
-	looking
+	replicaFlags
 	Service string `placeholder:"NAME" help:"Show the workers of one service only. Default: all."`
 }
 
-// shownWorkers is what `workers --json` prints.
-type shownWorkers struct {
+// workersOutput is what `workers --json` prints.
+type workersOutput struct {
 	Workers []internalapi.WorkerOverview
 	// Held is how many steps wait for room, by service.
 	Held map[string]int
@@ -26,10 +26,10 @@
 	var reply internalapi.WorkersReply
 	verdict := func() (internalapi.Verdict, view.View) { return reply.Verdict, reply.View }
 	reset := func() { reply = internalapi.WorkersReply{} }
-	if err := c.askHead(internalapi.MethodWorkers, internalapi.WorkersArgs{}, &reply, verdict, reset); err != nil {
+	if err := c.callHead(internalapi.MethodWorkers, internalapi.WorkersArgs{}, &reply, verdict, reset); err != nil {
 		return err
 	}
-	shown := shownWorkers{Workers: reply.Workers, Held: reply.Held}
+	shown := workersOutput{Workers: reply.Workers, Held: reply.Held}
 	if c.Service != "" {
 		shown.Workers = slices.DeleteFunc(shown.Workers, func(w internalapi.WorkerOverview) bool { return w.Service != c.Service })
 		shown.Held = map[string]int{c.Service: reply.Held[c.Service]}
@@ -37,7 +37,7 @@
 	return c.printer(printer).Print(shown, func(t *console.Table) { workersTable(t, &shown) })
 }
 
-func workersTable(t *console.Table, shown *shownWorkers) {
+func workersTable(t *console.Table, shown *workersOutput) {
 	t.Row("WORKER", "SERVICE", "ADDRESS", "STATE", "RUNS", "CPU", "MEMORY MB", "GPUS", "WITHHELD", "SLOWNESS")
 	for i := range shown.Workers {
 		w := &shown.Workers[i]
--- a/cmd/dataplane/main_test.go
+++ b/cmd/dataplane/main_test.go
@@ -14,8 +14,8 @@
 	"gaugeslip/internal/system/console"
 )
 
-// quiet prints nowhere.
-var quiet = &console.Printer{Out: io.Discard}
+// discardPrinter prints nowhere.
+var discardPrinter = &console.Printer{Out: io.Discard}
 
 func parse(t *testing.T, arguments ...string) *kong.Context {
 	parser, err := kong.New(&commandLine{})
@@ -25,7 +25,7 @@
 	return context
 }
 
-func written(t *testing.T, text string) string {
+func writeTempFile(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
@@ -41,17 +41,17 @@
 `
 
 func TestCheckSettings(t *testing.T) {
-	assert.NoError(t, parse(t, "check-settings", written(t, goodSettings)).Run(quiet))
-	err := parse(t, "check-settings", written(t, `ip = "nowhere"`)).Run(quiet)
+	assert.NoError(t, parse(t, "check-settings", writeTempFile(t, goodSettings)).Run(discardPrinter))
+	err := parse(t, "check-settings", writeTempFile(t, `ip = "nowhere"`)).Run(discardPrinter)
 	assert.Equal(t, console.ExitFindings, console.Report(io.Discard, programName, err))
 	assert.ErrorContains(t, err, "bindAddresses.frontend")
-	err = parse(t, "check-settings", filepath.Join(t.TempDir(), "none")).Run(quiet)
+	err = parse(t, "check-settings", filepath.Join(t.TempDir(), "none")).Run(discardPrinter)
 	assert.Equal(t, console.ExitFault, console.Report(io.Discard, programName, err))
 }
 
 func TestCheckConfig(t *testing.T) {
-	assert.NoError(t, parse(t, "check-config", written(t, `{"version":1}`)).Run(quiet))
-	err := parse(t, "check-config", written(t, `{"version":0,"routes":[{"backend":"none"}]}`)).Run(quiet)
+	assert.NoError(t, parse(t, "check-config", writeTempFile(t, `{"version":1}`)).Run(discardPrinter))
+	err := parse(t, "check-config", writeTempFile(t, `{"version":0,"routes":[{"backend":"none"}]}`)).Run(discardPrinter)
 	assert.Equal(t, console.ExitFindings, console.Report(io.Discard, programName, err))
 	assert.ErrorContains(t, err, "routes[0].backend")
 }
--- a/cmd/dataplane/run.go
+++ b/cmd/dataplane/run.go
@@ -21,37 +21,37 @@
 		return console.ErrNoSettings
 	}
 	logger := console.NewLogger(c.Debug)
-	ending, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	hangUps := make(chan os.Signal, 1)
-	signal.Notify(hangUps, syscall.SIGHUP)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	process, err := dataplane.Start(c.Settings, logger, dataplane.Options{Invariants: dataplane.NewInvariants(logger)})
 	if err != nil {
 		return err
 	}
 	console.LimitMemory(process.MemoryMb())
-	watch(ending, process, hangUps)
+	watch(ctx, process, reloadSignals)
 	return process.Stop()
 }
 
 // watch reloads the settings now and then and at each hang-up, until the process is to end.
-func watch(ending context.Context, process *dataplane.Process, hangUps <-chan os.Signal) {
+func watch(ctx context.Context, process *dataplane.Process, reloadSignals <-chan os.Signal) {
 	reload := make(chan struct{})
 	var group sync.WaitGroup
 	group.Go(func() {
 		for {
 			select {
-			case <-ending.Done():
+			case <-ctx.Done():
 				return
-			case <-hangUps:
+			case <-reloadSignals:
 			}
 			select {
-			case <-ending.Done():
+			case <-ctx.Done():
 				return
 			case reload <- struct{}{}:
 			}
 		}
 	})
-	process.Watch(ending, reload)
+	process.Watch(ctx, reload)
 	group.Wait()
 }
--- a/cmd/dataplane/status.go
+++ b/cmd/dataplane/status.go
@@ -41,8 +41,8 @@
 	t.Row("configuration", fmt.Sprintf("%d, %d routes", overview.ConfigVersion, overview.Routes))
 	t.Row("epoch", overview.Epoch)
 	t.Row("chain", console.OrDash(strings.Join(overview.Chain, " > ")))
-	t.Row("core heard", ago(overview.CoreMs))
-	t.Row("head heard", ago(overview.HeadMs))
+	t.Row("core heard", agoText(overview.CoreMs))
+	t.Row("head heard", agoText(overview.HeadMs))
 	t.Row("peers", len(overview.Peers))
 	t.Gap()
 	t.Row("STATUS", "ANSWERS")
@@ -58,7 +58,7 @@
 	return "no: " + overview.NotReadyFor
 }
 
-func ago(ms int64) string {
+func agoText(ms int64) string {
 	if ms < 0 {
 		return "never"
 	}
--- a/cmd/dataplane/status_test.go
+++ b/cmd/dataplane/status_test.go
@@ -22,7 +22,7 @@
 // startDispatcher runs a dispatcher in this process that reaches no replica, and gives its settings file.
 func startDispatcher(t *testing.T) (file, address string) {
 	port := freeporttest.Port(t)
-	file = written(t, fmt.Sprintf(`
+	file = writeTempFile(t, fmt.Sprintf(`
 nodeName = "edge-1"
 zone = "bole"
 ip = "127.0.0.1"
@@ -60,8 +60,8 @@
 
 func TestStatusWithoutADispatcher(t *testing.T) {
 	t.Setenv("GAUGESLIP_NODE_FILE", "")
-	assert.ErrorIs(t, parse(t, "status").Run(quiet), console.ErrNoAddress)
-	err := parse(t, "status", "--address", fmt.Sprintf("127.0.0.1:%d", freeporttest.Port(t))).Run(quiet)
+	assert.ErrorIs(t, parse(t, "status").Run(discardPrinter), console.ErrNoAddress)
+	err := parse(t, "status", "--address", fmt.Sprintf("127.0.0.1:%d", freeporttest.Port(t))).Run(discardPrinter)
 	assert.ErrorContains(t, err, "check that the process runs")
 	assert.Equal(t, console.ExitFault, console.Report(io.Discard, programName, err))
 }
--- a/internal/system/console/console_test.go
+++ b/internal/system/console/console_test.go
@@ -22,7 +22,7 @@
 	return nil
 }
 
-func TestTheAddressComesFromTheFlagOrTheSettings(t *testing.T) {
+func TestAddressComesFromFlagOrSettings(t *testing.T) {
 	address, err := (&Target{Address: "127.0.0.1:7"}).Resolve()
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.0.1:7", address)
@@ -34,7 +34,7 @@
 	assert.Equal(t, "127.0.0.9:7660", address)
 }
 
-func TestAnAddressThatCannotBeTold(t *testing.T) {
+func TestUnresolvableAddresses(t *testing.T) {
 	_, err := (&Target{}).Resolve()
 	assert.ErrorIs(t, err, ErrNoAddress)
 	_, err = (&Target{Address: "core-1"}).Resolve()
@@ -47,7 +47,7 @@
 	assert.ErrorContains(t, err, "--address")
 }
 
-func TestCallsSayWhatToDo(t *testing.T) {
+func TestCallErrorsSayWhatToDo(t *testing.T) {
 	server, err := transport.Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, server.Register("Echo", Echo{}))
--- a/internal/system/console/program.go
+++ b/internal/system/console/program.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// collectorPercent makes collections rare: they cost processor time.
-	collectorPercent = 200
-	// memoryShare is the part of the machine's memory from which on the collector works harder.
-	memoryShare = 0.6
-	megabyte    = 1 << 20
+	// gcPercent makes collections rare: they cost processor time.
+	gcPercent = 200
+	// memoryLimitShare is the part of the machine's memory from which on the collector works harder.
+	memoryLimitShare = 0.6
+	megabyte         = 1 << 20
 )
 
 // ErrNoSettings says that no settings file was named.
@@ -63,6 +63,6 @@
 
 // LimitMemory keeps the process well under the machine's memory, given in megabytes; rare collections cost less processor time.
 func LimitMemory(memoryMb float64) {
-	debug.SetGCPercent(collectorPercent)
-	debug.SetMemoryLimit(int64(memoryMb * memoryShare * megabyte))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(memoryMb * memoryLimitShare * megabyte))
 }
--- a/internal/system/console/programtest/programtest.go
+++ b/internal/system/console/programtest/programtest.go
@@ -14,12 +14,12 @@
 	"gaugeslip/internal/system/nodesettings"
 )
 
-// asProgram has a test binary be the program itself.
-const asProgram = "GAUGESLIP_TEST_PROGRAM"
+// runAsProgramVariable has a test binary be the program itself.
+const runAsProgramVariable = "GAUGESLIP_TEST_PROGRAM"
 
 // Main is the body of a TestMain: it runs the program where a test has started this binary as that, and the tests otherwise.
 func Main(m *testing.M, name string, program func()) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramVariable) != "" {
 		os.Args = []string{name}
 		program()
 		return
@@ -33,7 +33,7 @@
 	path := filepath.Join(t.TempDir(), "node.toml")
 	require.NoError(t, syscall.Mkfifo(path, 0o600))
 	program := exec.Command(os.Args[0])
-	program.Env = append(os.Environ(), asProgram+"=1", nodesettings.FileVariable+"="+path)
+	program.Env = append(os.Environ(), runAsProgramVariable+"=1", nodesettings.FileVariable+"="+path)
 	require.NoError(t, program.Start())
 	settings, err := os.OpenFile(path, os.O_WRONLY, 0) // it opens once the program reads
 	require.NoError(t, err)
--- a/internal/system/figures/figures_test.go
+++ b/internal/system/figures/figures_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFiguresAreReadByThePublishedParser(t *testing.T) {
+func TestOutputIsReadByPrometheusParser(t *testing.T) {
 	var histogram Histogram
 	var sum time.Duration
 	random := rand.New(rand.NewPCG(1, 2))
@@ -48,10 +48,10 @@
 	}
 }
 
-func TestABoundBelongsToItsBucket(t *testing.T) {
+func TestBucketBoundsAreInclusive(t *testing.T) {
 	var histogram Histogram
-	histogram.Observe(bounds[0])
-	histogram.Observe(bounds[len(bounds)-1] + 1)
+	histogram.Observe(bucketBounds[0])
+	histogram.Observe(bucketBounds[len(bucketBounds)-1] + 1)
 	assert.EqualValues(t, 1, histogram.counts[0])
-	assert.EqualValues(t, 1, histogram.counts[len(bounds)])
+	assert.EqualValues(t, 1, histogram.counts[len(bucketBounds)])
 }
--- a/internal/system/figures/histogram.go
+++ b/internal/system/figures/histogram.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// bounds are the upper bounds of a histogram's buckets; a last one takes the rest.
-var bounds = [...]time.Duration{
+// bucketBounds are the upper bounds of a histogram's buckets; a last one takes the rest.
+var bucketBounds = [...]time.Duration{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond,
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond, time.Second,
 	2 * time.Second, 5 * time.Second,
@@ -11,14 +11,14 @@
 
 // Histogram counts durations by size. It belongs to one goroutine.
 type Histogram struct {
-	counts [len(bounds) + 1]uint64
+	counts [len(bucketBounds) + 1]uint64
 	sum    time.Duration
 }
 
 // Observe counts one duration.
 func (h *Histogram) Observe(duration time.Duration) {
 	at := 0
-	for at < len(bounds) && duration > bounds[at] {
+	for at < len(bucketBounds) && duration > bucketBounds[at] {
 		at++
 	}
 	h.counts[at]++
--- a/internal/system/figures/writer.go
+++ b/internal/system/figures/writer.go
@@ -22,14 +22,14 @@
 
 // Gauge writes one figure that goes up and down.
 func (w *Writer) Gauge(name, help string, value float64) {
-	w.head(name, help, "gauge")
-	w.sample(name, "", "", value)
+	w.writeHeader(name, help, "gauge")
+	w.writeSample(name, "", "", value)
 }
 
 // Counter writes one figure that only grows within a life of the process.
 func (w *Writer) Counter(name, help string, value float64) {
-	w.head(name, help, "counter")
-	w.sample(name, "", "", value)
+	w.writeHeader(name, help, "counter")
+	w.writeSample(name, "", "", value)
 }
 
 // Flag writes 1 for true and 0 for false.
@@ -49,27 +49,27 @@
 
 // Gauges writes a gauge once for each value of one label.
 func (w *Writer) Gauges(name, help, label string, values []Labelled) {
-	w.head(name, help, "gauge")
-	w.samples(name, label, values)
+	w.writeHeader(name, help, "gauge")
+	w.writeSamples(name, label, values)
 }
 
 // Counters writes a counter once for each value of one label.
 func (w *Writer) Counters(name, help, label string, values []Labelled) {
-	w.head(name, help, "counter")
-	w.samples(name, label, values)
+	w.writeHeader(name, help, "counter")
+	w.writeSamples(name, label, values)
 }
 
-func (w *Writer) samples(name, label string, values []Labelled) {
+func (w *Writer) writeSamples(name, label string, values []Labelled) {
 	for _, value := range values {
-		w.sample(name, label, value.Label, value.Value)
+		w.writeSample(name, label, value.Label, value.Value)
 	}
 }
 
-func (w *Writer) head(name, help, kind string) {
+func (w *Writer) writeHeader(name, help, kind string) {
 	w.text = append(w.text, "# HELP "+Prefix+name+" "+help+"\n# TYPE "+Prefix+name+" "+kind+"\n"...)
 }
 
-func (w *Writer) sample(name, label, labelValue string, value float64) {
+func (w *Writer) writeSample(name, label, labelValue string, value float64) {
 	w.text = append(w.text, Prefix...)
 	w.text = append(w.text, name...)
 	if label != "" {
@@ -86,16 +86,16 @@
 
 // Histogram writes a histogram of durations, in seconds.
 func (w *Writer) Histogram(name, help string, histogram *Histogram) {
-	w.head(name, help, "histogram")
+	w.writeHeader(name, help, "histogram")
 	total := uint64(0)
-	for i, bound := range bounds {
+	for i, bound := range bucketBounds {
 		total += histogram.counts[i]
-		w.sample(name+"_bucket", "le", strconv.FormatFloat(bound.Seconds(), 'g', -1, 64), float64(total))
+		w.writeSample(name+"_bucket", "le", strconv.FormatFloat(bound.Seconds(), 'g', -1, 64), float64(total))
 	}
-	total += histogram.counts[len(bounds)]
-	w.sample(name+"_bucket", "le", "+Inf", float64(total))
-	w.sample(name+"_sum", "", "", histogram.sum.Seconds())
-	w.sample(name+"_count", "", "", float64(total))
+	total += histogram.counts[len(bucketBounds)]
+	w.writeSample(name+"_bucket", "le", "+Inf", float64(total))
+	w.writeSample(name+"_sum", "", "", histogram.sum.Seconds())
+	w.writeSample(name+"_count", "", "", float64(total))
 }
 
 // Seconds is a duration as figures give it.
--- a/internal/system/logfile/check.go
+++ b/internal/system/logfile/check.go
@@ -11,8 +11,8 @@
 	"gaugeslip/internal/system/state"
 )
 
-// checkEvery is after how many entries the invariants of the whole state are looked at, and once more at the end.
-const checkEvery = 64
+// checkInterval is after how many entries the invariants of the whole state are looked at, and once more at the end.
+const checkInterval = 64
 
 // Report is what a sound log holds.
 type Report struct {
@@ -94,7 +94,7 @@
 		if err := apply(machine, entry); err != nil {
 			return nil, err
 		}
-		if i%checkEvery != checkEvery-1 && i != len(entries)-1 {
+		if i%checkInterval != checkInterval-1 && i != len(entries)-1 {
 			continue
 		}
 		if err := machine.Check(); err != nil {
--- a/internal/system/logfile/logfile.go
+++ b/internal/system/logfile/logfile.go
@@ -38,13 +38,13 @@
 }
 
 // Read reads the log of that name in a folder.
-func Read(folder, name string) (wal.ReadResult, error) {
-	if found, err := os.Stat(folder); err != nil {
+func Read(dir, name string) (wal.ReadResult, error) {
+	if info, err := os.Stat(dir); err != nil {
 		return wal.ReadResult{}, fmt.Errorf("data folder: %w", err)
-	} else if !found.IsDir() {
-		return wal.ReadResult{}, fmt.Errorf("data folder: %s is a file: give the folder, dataDir of the settings", folder)
+	} else if !info.IsDir() {
+		return wal.ReadResult{}, fmt.Errorf("data folder: %s is a file: give the dir, dataDir of the settings", dir)
 	}
-	disk, err := wal.OSDisk(folder)
+	disk, err := wal.OSDisk(dir)
 	if err != nil {
 		return wal.ReadResult{}, fmt.Errorf("data folder: %w", err)
 	}
@@ -66,46 +66,46 @@
 	if line.Record == "" {
 		line.Record = fmt.Sprintf("kind-%d", record.Kind)
 	}
-	found, err := replica.Inspect(replica.Record{Kind: record.Kind, Data: record.Data})
+	content, err := replica.Inspect(replica.Record{Kind: record.Kind, Data: record.Data})
 	if err != nil {
 		line.Problem = err.Error()
 		return line
 	}
-	fill(&line, &found)
+	describeContent(&line, &content)
 	return line
 }
 
-// fill tells what a readable record says.
-func fill(line *Line, found *replica.RecordContent) {
+// describeContent tells what a readable record says.
+func describeContent(line *Line, content *replica.RecordContent) {
 	switch {
-	case found.Entry != nil:
-		line.Index, line.Epoch = found.Entry.Index, found.Entry.Epoch
-		fillCommand(line, found.Entry.Data)
-	case found.Snapshot != nil:
-		line.Index, line.Epoch = found.Snapshot.Index, found.Snapshot.Epoch
+	case content.Entry != nil:
+		line.Index, line.Epoch = content.Entry.Index, content.Entry.Epoch
+		describeCommand(line, content.Entry.Data)
+	case content.Snapshot != nil:
+		line.Index, line.Epoch = content.Snapshot.Index, content.Snapshot.Epoch
 		line.Summary = "the state after all entries up to the index"
-	case found.View != nil:
-		line.Epoch = found.View.Epoch
-		line.Summary = fmt.Sprintf("%d voters, chain", len(found.View.Voters))
-		for _, member := range found.View.Chain {
+	case content.View != nil:
+		line.Epoch = content.View.Epoch
+		line.Summary = fmt.Sprintf("%d voters, chain", len(content.View.Voters))
+		for _, member := range content.View.Chain {
 			line.Summary += " " + member.Address
 		}
-	case found.Acceptor != nil:
-		line.Epoch = found.Acceptor.Instance
-		line.Summary = fmt.Sprintf("voting on the view of that epoch, promised round %d to %q", found.Acceptor.Promised.Round,
-			found.Acceptor.Promised.Owner)
-	case found.Kind == replica.KindTruncate:
-		line.Index, line.Summary = found.Truncate, "entries after the index dropped"
-	case found.Kind == replica.KindCommitted:
-		line.Index, line.Summary = found.Committed, "entries up to the index known to be committed"
-	case found.Kind == replica.KindIdentity:
-		line.Summary = string(found.Identity)
-	case found.Kind == replica.KindUnfit:
-		line.Summary = "not to be used again: " + found.Unfit
+	case content.Acceptor != nil:
+		line.Epoch = content.Acceptor.Instance
+		line.Summary = fmt.Sprintf("voting on the view of that epoch, promised round %d to %q", content.Acceptor.Promised.Round,
+			content.Acceptor.Promised.Owner)
+	case content.Kind == replica.KindTruncate:
+		line.Index, line.Summary = content.Truncate, "entries after the index dropped"
+	case content.Kind == replica.KindCommitted:
+		line.Index, line.Summary = content.Committed, "entries up to the index known to be committed"
+	case content.Kind == replica.KindIdentity:
+		line.Summary = string(content.Identity)
+	case content.Kind == replica.KindUnfit:
+		line.Summary = "not to be used again: " + content.Unfit
 	}
 }
 
-func fillCommand(line *Line, data []byte) {
+func describeCommand(line *Line, data []byte) {
 	if len(data) == 0 {
 		line.Kind = "empty"
 		return
--- a/internal/system/logfile/logfile_test.go
+++ b/internal/system/logfile/logfile_test.go
@@ -18,19 +18,19 @@
 
 const logName = "replica"
 
-// lone is the only replica of its cluster, driven by hand, with its log in a folder.
-type lone struct {
-	t      *testing.T
-	core   *replica.Replica
-	log    *wal.Log
-	now    time.Duration
-	folder string
+// singleReplica is the only replica of its cluster, driven by hand, with its log in a dir.
+type singleReplica struct {
+	t    *testing.T
+	core *replica.Replica
+	log  *wal.Log
+	now  time.Duration
+	dir  string
 }
 
-// startLone starts a replica on an empty folder, up to its lease.
-func startLone(t *testing.T) *lone {
-	l := &lone{t: t, folder: t.TempDir(), now: time.Second}
-	disk, err := wal.OSDisk(l.folder)
+// startSingleReplica starts a replica on an empty dir, up to its lease.
+func startSingleReplica(t *testing.T) *singleReplica {
+	l := &singleReplica{t: t, dir: t.TempDir(), now: time.Second}
+	disk, err := wal.OSDisk(l.dir)
 	require.NoError(t, err)
 	l.log, _, err = wal.Open(disk, logName)
 	require.NoError(t, err)
@@ -47,7 +47,7 @@
 }
 
 // store writes what the core wants on disk, and tells it so.
-func (l *lone) store(output replica.Output) {
+func (l *singleReplica) store(output replica.Output) {
 	for len(output.Persist) > 0 {
 		for _, record := range output.Persist {
 			require.NoError(l.t, l.log.Append(wal.Record{Kind: record.Kind, Data: record.Data}))
@@ -57,30 +57,30 @@
 	}
 }
 
-func (l *lone) propose(data ...[]byte) {
+func (l *singleReplica) propose(data ...[]byte) {
 	_, output, err := l.core.Propose(l.now, data)
 	require.NoError(l.t, err)
 	l.store(output)
 }
 
-const body = `{"stages":[{"count":2,"cpu":500,"memMb":100,"estimatedMs":200}]}`
+const jobBody = `{"stages":[{"count":2,"cpu":500,"memMb":100,"estimatedMs":200}]}`
 
-func accepted(id state.JobID) []byte {
+func jobAcceptedCommand(id state.JobID) []byte {
 	return state.Command{Kind: state.KindJobAccepted, JobAccepted: &state.JobAccepted{ID: id, Route: "barn", Service: "farm",
-		MaxRetries: 2, Body: []byte(body)}}.Encode()
+		MaxRetries: 2, Body: []byte(jobBody)}}.Encode()
 }
 
-func started(id state.JobID, index uint32) []byte {
+func taskStartingCommand(id state.JobID, index uint32) []byte {
 	run := state.Run{Task: state.TaskName{Job: id, Index: index}, Attempt: 1}
 	return state.Command{Kind: state.KindTasksStarting, TasksStarting: []state.Start{{Run: run, Worker: "w-1"}}}.Encode()
 }
 
-func TestALogIsDescribedAndChecked(t *testing.T) {
-	replica := startLone(t)
-	replica.propose(accepted(7), accepted(8))
-	replica.propose(started(7, 0), started(7, 1))
+func TestLogIsDescribedAndChecked(t *testing.T) {
+	replica := startSingleReplica(t)
+	replica.propose(jobAcceptedCommand(7), jobAcceptedCommand(8))
+	replica.propose(taskStartingCommand(7, 0), taskStartingCommand(7, 1))
 
-	reading, err := Read(replica.folder, logName)
+	reading, err := Read(replica.dir, logName)
 	require.NoError(t, err)
 	assert.False(t, reading.Torn)
 	kinds := map[string]int{}
@@ -103,25 +103,25 @@
 	assert.EqualValues(t, report.Entries, report.LastIndex)
 }
 
-func TestLookingChangesNothing(t *testing.T) {
-	replica := startLone(t)
-	replica.propose(accepted(7))
-	before := contents(t, replica.folder)
+func TestReadAndCheckChangeNothing(t *testing.T) {
+	replica := startSingleReplica(t)
+	replica.propose(jobAcceptedCommand(7))
+	before := readDirContents(t, replica.dir)
 	for range 3 {
-		reading, err := Read(replica.folder, logName)
+		reading, err := Read(replica.dir, logName)
 		require.NoError(t, err)
 		_, err = Check(reading)
 		require.NoError(t, err)
 	}
-	assert.Equal(t, before, contents(t, replica.folder))
+	assert.Equal(t, before, readDirContents(t, replica.dir))
 }
 
-func contents(t *testing.T, folder string) map[string]string {
+func readDirContents(t *testing.T, dir string) map[string]string {
 	files := map[string]string{}
-	entries, err := os.ReadDir(folder)
+	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	for _, entry := range entries {
-		content, err := os.ReadFile(filepath.Join(folder, entry.Name()))
+		content, err := os.ReadFile(filepath.Join(dir, entry.Name()))
 		require.NoError(t, err)
 		files[entry.Name()] = string(content)
 	}
@@ -129,14 +129,14 @@
 }
 
 // A log that is cut off anywhere, or of which any byte is turned, is read up to there: it never shows records that weren't written.
-func TestATornEndIsToldAndHarmless(t *testing.T) {
-	replica := startLone(t)
+func TestTornEndIsReportedAndHarmless(t *testing.T) {
+	replica := startSingleReplica(t)
 	for id := range state.JobID(20) {
-		replica.propose(accepted(id+1), started(id+1, 0))
+		replica.propose(jobAcceptedCommand(id+1), taskStartingCommand(id+1, 0))
 	}
-	whole, err := Read(replica.folder, logName)
+	whole, err := Read(replica.dir, logName)
 	require.NoError(t, err)
-	path := filepath.Join(replica.folder, whole.File)
+	path := filepath.Join(replica.dir, whole.File)
 	content, err := os.ReadFile(path)
 	require.NoError(t, err)
 	random := rand.New(rand.NewPCG(3, 4))
@@ -148,7 +148,7 @@
 			damaged[cut] ^= 0x40
 		}
 		require.NoError(t, os.WriteFile(path, damaged, 0o600))
-		reading, err := Read(replica.folder, logName)
+		reading, err := Read(replica.dir, logName)
 		require.NoError(t, err)
 		require.LessOrEqual(t, len(reading.Records), len(whole.Records))
 		for i, record := range reading.Records {
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestWhatCannotBeRead(t *testing.T) {
+func TestUnreadableDirectories(t *testing.T) {
 	_, err := Read(filepath.Join(t.TempDir(), "none"), logName)
 	assert.ErrorIs(t, err, os.ErrNotExist)
 	_, err = Read(t.TempDir(), logName)
@@ -171,10 +171,10 @@
 	assert.ErrorContains(t, err, "is a file")
 }
 
-func TestBrokenLogsAreNamed(t *testing.T) {
-	sound := startLone(t)
-	sound.propose(accepted(7))
-	reading, err := Read(sound.folder, logName)
+func TestCorruptLogsAreErrors(t *testing.T) {
+	sound := startSingleReplica(t)
+	sound.propose(jobAcceptedCommand(7))
+	reading, err := Read(sound.dir, logName)
 	require.NoError(t, err)
 	last := reading.Records[len(reading.Records)-1]
 
--- a/internal/system/logfile/restore.go
+++ b/internal/system/logfile/restore.go
@@ -10,8 +10,8 @@
 	"gaugeslip/coord/wal"
 )
 
-// restoreLeap is by how much the restored epoch is above the last one on the disk: above all that the others may have agreed on since.
-const restoreLeap = 1000
+// restoredEpochIncrement is by how much the restored epoch is above the last one on the disk: above all that the others may have agreed on since.
+const restoredEpochIncrement = 1000
 
 // ErrNotWhole says that a log can't be the start of a restored system.
 var ErrNotWhole = errors.New("this disk may lack what was committed")
@@ -26,8 +26,8 @@
 // Restore writes a new log that holds everything the log of that name in a folder does, under a view whose only voter and member is the
 // replica of that disk. It is for the loss of more disks than are borne: without a majority of the voters nothing goes on by itself. The
 // old folder isn't changed; the new one must be empty or missing. The error wraps ErrNotWhole if the replica wasn't in the chain.
-func Restore(folder, name, target string) (Restored, error) {
-	reading, err := Read(folder, name)
+func Restore(dir, name, target string) (Restored, error) {
+	reading, err := Read(dir, name)
 	if err != nil {
 		return Restored{}, err
 	}
@@ -35,20 +35,20 @@
 	if err != nil {
 		return Restored{}, err
 	}
-	newest, member, err := restoredView(reading.Records)
+	newest, member, err := singleMemberView(reading.Records)
 	if err != nil {
 		return Restored{}, err
 	}
-	if err := requireEmpty(target); err != nil {
+	if err := requireEmptyDir(target); err != nil {
 		return Restored{}, err
 	}
 	report.Epoch = newest.Epoch
-	written := wal.Record{Kind: replica.KindView, Data: view.AppendView(nil, newest)}
-	return Restored{Report: report, Member: member}, write(target, name, append(withoutBallots(reading.Records), written))
+	viewRecord := wal.Record{Kind: replica.KindView, Data: view.AppendView(nil, newest)}
+	return Restored{Report: report, Member: member}, writeLog(target, name, append(withoutBallots(reading.Records), viewRecord))
 }
 
-// restoredView is the view of the restored system, and its only member.
-func restoredView(records []wal.Record) (view.View, view.Member, error) {
+// singleMemberView is the view of the restored system, and its only member.
+func singleMemberView(records []wal.Record) (view.View, view.Member, error) {
 	converted := make([]replica.Record, len(records))
 	for i, record := range records {
 		converted[i] = replica.Record{Kind: record.Kind, Data: record.Data}
@@ -57,14 +57,14 @@
 	if err != nil {
 		return view.View{}, view.Member{}, fmt.Errorf("%w: %w", ErrBroken, err)
 	}
-	at := persisted.View.Position(persisted.Identity)
-	if at < 0 {
+	position := persisted.View.Position(persisted.Identity)
+	if position < 0 {
 		return view.View{}, view.Member{}, fmt.Errorf("%w: %s isn't in the chain of its newest view, epoch %d; take the disk of one that is",
 			ErrNotWhole, persisted.Identity, persisted.View.Epoch)
 	}
-	member := persisted.View.Chain[at]
+	member := persisted.View.Chain[position]
 	only := []view.Member{member}
-	return view.View{Epoch: persisted.View.Epoch + restoreLeap, Voters: only, Chain: only}, member, nil
+	return view.View{Epoch: persisted.View.Epoch + restoredEpochIncrement, Voters: only, Chain: only}, member, nil
 }
 
 // withoutBallots leaves out what was promised for the view that is passed over.
@@ -78,8 +78,8 @@
 	return kept
 }
 
-func requireEmpty(folder string) error {
-	entries, err := os.ReadDir(folder)
+func requireEmptyDir(dir string) error {
+	entries, err := os.ReadDir(dir)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
@@ -87,14 +87,14 @@
 		return fmt.Errorf("new folder: %w", err)
 	}
 	if len(entries) > 0 {
-		return fmt.Errorf("new folder: %s isn't empty: name one that is, or that doesn't exist", folder)
+		return fmt.Errorf("new folder: %s isn't empty: name one that is, or that doesn't exist", dir)
 	}
 	return nil
 }
 
-// write makes a log of the records that lasts.
-func write(folder, name string, records []wal.Record) (err error) {
-	disk, err := wal.OSDisk(folder)
+// writeLog makes a log of the records that lasts.
+func writeLog(dir, name string, records []wal.Record) (err error) {
+	disk, err := wal.OSDisk(dir)
 	if err != nil {
 		return fmt.Errorf("new folder: %w", err)
 	}
--- a/internal/system/logfile/restore_test.go
+++ b/internal/system/logfile/restore_test.go
@@ -13,14 +13,14 @@
 	"gaugeslip/coord/wal"
 )
 
-func TestARestoredLogHoldsEverythingUnderAViewOfItsOwn(t *testing.T) {
-	sound := startLone(t)
-	sound.propose(accepted(7), started(7, 0))
-	before := contents(t, sound.folder)
+func TestRestoredLogHasAllEntriesAndASingleMemberView(t *testing.T) {
+	sound := startSingleReplica(t)
+	sound.propose(jobAcceptedCommand(7), taskStartingCommand(7, 0))
+	before := readDirContents(t, sound.dir)
 	target := filepath.Join(t.TempDir(), "new")
-	restored, err := Restore(sound.folder, logName, target)
+	restored, err := Restore(sound.dir, logName, target)
 	require.NoError(t, err)
-	assert.Equal(t, before, contents(t, sound.folder))
+	assert.Equal(t, before, readDirContents(t, sound.dir))
 
 	reading, err := Read(target, logName)
 	require.NoError(t, err)
@@ -28,16 +28,16 @@
 	require.NoError(t, err)
 	assert.Equal(t, restored.Report.Jobs, report.Jobs)
 	assert.Equal(t, 1, report.Runs)
-	assert.GreaterOrEqual(t, report.Epoch, uint64(restoreLeap))
+	assert.GreaterOrEqual(t, report.Epoch, uint64(restoredEpochIncrement))
 	assert.EqualValues(t, "127.0.0.1:7660", restored.Member.ID)
 }
 
-func TestWhatIsNotRestored(t *testing.T) {
-	sound := startLone(t)
-	sound.propose(accepted(7))
+func TestRestoreRefusals(t *testing.T) {
+	sound := startSingleReplica(t)
+	sound.propose(jobAcceptedCommand(7))
 	full := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(full, "x"), nil, 0o600))
-	_, err := Restore(sound.folder, logName, full)
+	_, err := Restore(sound.dir, logName, full)
 	assert.ErrorContains(t, err, "isn't empty")
 	_, err = Restore(t.TempDir(), logName, filepath.Join(t.TempDir(), "new"))
 	assert.ErrorIs(t, err, wal.ErrNoLog)
@@ -46,7 +46,7 @@
 	without := view.View{Epoch: 5, Voters: others, Chain: others}
 	require.NoError(t, sound.log.Append(wal.Record{Kind: replica.KindView, Data: view.AppendView(nil, without)}))
 	target := filepath.Join(t.TempDir(), "new")
-	_, err = Restore(sound.folder, logName, target)
+	_, err = Restore(sound.dir, logName, target)
 	assert.ErrorIs(t, err, ErrNotWhole)
 	_, err = os.Stat(target)
 	assert.ErrorIs(t, err, os.ErrNotExist)
--- a/internal/system/memorybudget/memorybudget.go
+++ b/internal/system/memorybudget/memorybudget.go
@@ -5,24 +5,24 @@
 
 // Budget is the memory for all that is held at a time. It is safe for concurrent use.
 type Budget struct {
-	most int64
-	held atomic.Int64
+	limit int64
+	held  atomic.Int64
 }
 
 // NewBudget allows so many bytes.
-func NewBudget(most int64) *Budget { return &Budget{most: most} }
+func NewBudget(limit int64) *Budget { return &Budget{limit: limit} }
 
 // Held is how many bytes are held now.
 func (b *Budget) Held() int64 { return b.held.Load() }
 
-// take holds that many bytes more, or none.
-func (b *Budget) take(count int64) bool {
+// reserve holds that many bytes more, or none.
+func (b *Budget) reserve(size int64) bool {
 	for {
 		held := b.held.Load()
-		if held+count > b.most {
+		if held+size > b.limit {
 			return false
 		}
-		if b.held.CompareAndSwap(held, held+count) {
+		if b.held.CompareAndSwap(held, held+size) {
 			return true
 		}
 	}
@@ -45,7 +45,7 @@
 
 // Grow has the lease hold that many bytes, or tells that there aren't as many.
 func (l *Lease) Grow(size int64) bool {
-	if size > l.held && !l.budget.take(size-l.held) {
+	if size > l.held && !l.budget.reserve(size-l.held) {
 		return false
 	}
 	l.held = max(l.held, size)
--- a/internal/system/network/bound.go
+++ b/internal/system/network/bound.go
@@ -9,37 +9,37 @@
 type Slots chan struct{}
 
 // NewSlots are that many.
-func NewSlots(most int) Slots { return make(Slots, most) }
+func NewSlots(limit int) Slots { return make(Slots, limit) }
 
 // Hold has a connection give back, when it is closed, the slot that was taken for it.
-func (s Slots) Hold(conn net.Conn) net.Conn { return &slotted{Conn: conn, slots: s} }
+func (s Slots) Hold(conn net.Conn) net.Conn { return &slotConn{Conn: conn, slots: s} }
 
-// slotted is a connection that gives its slot back when it is closed.
-type slotted struct {
+// slotConn is a connection that gives its slot back when it is closed.
+type slotConn struct {
 	net.Conn
 	slots Slots
 	once  sync.Once
 }
 
-func (s *slotted) Close() error {
+func (s *slotConn) Close() error {
 	s.once.Do(func() { <-s.slots })
 	return s.Conn.Close()
 }
 
-// Bound has a listener accept at most so many connections at a time; further ones wait, as the operating system has them wait, until one is
+// Bound has a listener accept at limit so many connections at a time; further ones wait, as the operating system has them wait, until one is
 // closed.
-func Bound(listener net.Listener, most int) net.Listener {
-	return &bounded{Listener: listener, slots: NewSlots(most), closed: make(chan struct{})}
+func Bound(listener net.Listener, limit int) net.Listener {
+	return &limitListener{Listener: listener, slots: NewSlots(limit), closed: make(chan struct{})}
 }
 
-type bounded struct {
+type limitListener struct {
 	net.Listener
 	slots  Slots
 	closed chan struct{}
 	once   sync.Once
 }
 
-func (b *bounded) Accept() (net.Conn, error) {
+func (b *limitListener) Accept() (net.Conn, error) {
 	select {
 	case b.slots <- struct{}{}:
 	case <-b.closed:
@@ -53,7 +53,7 @@
 	return b.slots.Hold(conn), nil
 }
 
-func (b *bounded) Close() error {
+func (b *limitListener) Close() error {
 	b.once.Do(func() { close(b.closed) })
 	return b.Listener.Close()
 }
--- a/internal/system/network/bound_test.go
+++ b/internal/system/network/bound_test.go
@@ -17,14 +17,14 @@
 )
 
 // A bounded listener accepts no more than it may, goes on once one is closed, and ends while it waits.
-func TestABoundedListenerAcceptsNoMore(t *testing.T) {
+func TestLimitedListenerAcceptsNoMore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const most = 3
+		const limit = 3
 		simulated := simnet.New(1)
 		inner, err := simulated.Listen(server)
 		require.NoError(t, err)
-		listener := Bound(inner, most)
-		accepted, ended := make(chan net.Conn, 2*most), make(chan error, 1)
+		listener := Bound(inner, limit)
+		accepted, ended := make(chan net.Conn, 2*limit), make(chan error, 1)
 		go func() {
 			for {
 				conn, err := listener.Accept()
@@ -35,21 +35,21 @@
 				accepted <- conn
 			}
 		}()
-		for range 2 * most {
+		for range 2 * limit {
 			conn, err := simulated.Dial(t.Context(), caller, server)
 			require.NoError(t, err)
 			defer conn.Close()
 		}
 		synctest.Wait()
-		require.Len(t, accepted, most)
+		require.Len(t, accepted, limit)
 		first := <-accepted
 		require.NoError(t, first.Close())
 		_ = first.Close() // gives nothing back twice
 		synctest.Wait()
-		assert.Len(t, accepted, most)
+		assert.Len(t, accepted, limit)
 		require.NoError(t, listener.Close())
 		assert.ErrorIs(t, <-ended, net.ErrClosed)
-		for range most {
+		for range limit {
 			assert.NoError(t, (<-accepted).Close())
 		}
 	})
--- a/internal/system/requestbody/requestbody.go
+++ b/internal/system/requestbody/requestbody.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// firstUntold is the first room for a body whose length isn't told, mostAtOnce that for one whose length is.
-	firstUntold = 2 << 10
-	mostAtOnce  = 16 << 10
+	// initialUnknownLength is the first room for a body whose length isn't declared, initialKnownLength that for one whose length is.
+	initialUnknownLength = 2 << 10
+	initialKnownLength   = 16 << 10
 )
 
 var (
@@ -24,25 +24,25 @@
 )
 
 // Read reads a request's whole body, of at most so many bytes. The lease holds it.
-func Read(request *http.Request, most int64, lease *memorybudget.Lease) ([]byte, error) {
-	told := request.ContentLength
-	if told > most {
+func Read(request *http.Request, maxBytes int64, lease *memorybudget.Lease) ([]byte, error) {
+	declared := request.ContentLength
+	if declared > maxBytes {
 		return nil, ErrTooLarge
 	}
-	if told == 0 {
+	if declared == 0 {
 		return []byte{}, nil
 	}
-	limit, first := most+1, int64(firstUntold) // one more tells a body that is too large
-	if told > 0 {
-		limit, first = told, mostAtOnce
+	limit, first := maxBytes+1, int64(initialUnknownLength) // one more tells a body that is too large
+	if declared > 0 {
+		limit, first = declared, initialKnownLength
 	}
 	body, err := readUpTo(request.Body, min(first, limit), limit, lease)
 	switch {
 	case err != nil:
 		return nil, err
-	case int64(len(body)) > most:
+	case int64(len(body)) > maxBytes:
 		return nil, ErrTooLarge
-	case told > 0 && int64(len(body)) < told:
+	case declared > 0 && int64(len(body)) < declared:
 		return nil, io.ErrUnexpectedEOF
 	}
 	return body, nil
--- a/internal/system/requestbody/requestbody_test.go
+++ b/internal/system/requestbody/requestbody_test.go
@@ -16,22 +16,22 @@
 	"gaugeslip/internal/system/memorybudget"
 )
 
-const most = 100_000
+const maxBody = 100_000
 
-// request has a body of that length, told or not, that arrives in parts.
-func request(length int, told int64) *http.Request {
+// newRequest has a body of that length, told or not, that arrives in parts.
+func newRequest(length int, declared int64) *http.Request {
 	made := httptest.NewRequest(http.MethodPost, "/", iotest.HalfReader(bytes.NewReader(bytes.Repeat([]byte("x"), length))))
-	made.ContentLength = told
+	made.ContentLength = declared
 	return made
 }
 
-func TestBodiesAreReadWhole(t *testing.T) {
-	for _, length := range []int{0, 1, firstUntold - 1, firstUntold, firstUntold + 1, mostAtOnce, mostAtOnce + 1, most - 1, most} {
-		for _, told := range []int64{int64(length), -1} {
-			budget := memorybudget.NewBudget(2 * most)
+func TestBodiesAreReadInFull(t *testing.T) {
+	for _, length := range []int{0, 1, initialUnknownLength - 1, initialUnknownLength, initialUnknownLength + 1, initialKnownLength, initialKnownLength + 1, maxBody - 1, maxBody} {
+		for _, declared := range []int64{int64(length), -1} {
+			budget := memorybudget.NewBudget(2 * maxBody)
 			lease := budget.Lease()
-			body, err := Read(request(length, told), most, lease)
-			require.NoError(t, err, "%d told as %d", length, told)
+			body, err := Read(newRequest(length, declared), maxBody, lease)
+			require.NoError(t, err, "%d told as %d", length, declared)
 			assert.Len(t, body, length)
 			assert.LessOrEqual(t, int64(cap(body)), budget.Held(), "what is held is accounted for")
 			lease.Release()
@@ -40,22 +40,22 @@
 	}
 }
 
-func TestBodiesThatArentRead(t *testing.T) {
+func TestRejectedBodies(t *testing.T) {
 	for name, test := range map[string]struct {
 		request *http.Request
 		budget  int64
 		want    error
 	}{
-		"longer than may be, told":   {request(10, most+1), most, ErrTooLarge},
-		"longer than may be, untold": {request(most+1, -1), 2 * most, ErrTooLarge},
-		"shorter than told":          {request(10, 20), most, io.ErrUnexpectedEOF},
-		"no memory at all":           {request(10, 10), 5, ErrNoMemory},
-		"no memory for the rest":     {request(most, most), most / 2, ErrNoMemory},
-		"broken off":                 {httptest.NewRequest(http.MethodPost, "/", iotest.ErrReader(io.ErrClosedPipe)), most, io.ErrClosedPipe},
+		"longer than may be, told":   {newRequest(10, maxBody+1), maxBody, ErrTooLarge},
+		"longer than may be, untold": {newRequest(maxBody+1, -1), 2 * maxBody, ErrTooLarge},
+		"shorter than told":          {newRequest(10, 20), maxBody, io.ErrUnexpectedEOF},
+		"no memory at all":           {newRequest(10, 10), 5, ErrNoMemory},
+		"no memory for the rest":     {newRequest(maxBody, maxBody), maxBody / 2, ErrNoMemory},
+		"broken off":                 {httptest.NewRequest(http.MethodPost, "/", iotest.ErrReader(io.ErrClosedPipe)), maxBody, io.ErrClosedPipe},
 	} {
 		budget := memorybudget.NewBudget(test.budget)
 		lease := budget.Lease()
-		_, err := Read(test.request, most, lease)
+		_, err := Read(test.request, maxBody, lease)
 		assert.ErrorIs(t, err, test.want, name)
 		lease.Release()
 		assert.Zero(t, budget.Held(), name)
@@ -63,19 +63,19 @@
 }
 
 // Whatever comes at once, the budget is never exceeded, and all of it is there again afterwards.
-func TestABudgetIsKeptToUnderLoad(t *testing.T) {
+func TestBudgetIsNotExceededUnderLoad(t *testing.T) {
 	const readers = 16
-	budget := memorybudget.NewBudget(3 * most)
+	budget := memorybudget.NewBudget(3 * maxBody)
 	var all sync.WaitGroup
 	for reader := range readers {
 		all.Go(func() {
 			random := rand.New(rand.NewPCG(uint64(reader), 0))
 			for range 200 {
-				length := random.IntN(most)
-				told := []int64{int64(length), -1}[random.IntN(2)]
+				length := random.IntN(maxBody)
+				declared := []int64{int64(length), -1}[random.IntN(2)]
 				lease := budget.Lease()
-				body, err := Read(request(length, told), most, lease)
-				assert.LessOrEqual(t, budget.Held(), int64(3*most))
+				body, err := Read(newRequest(length, declared), maxBody, lease)
+				assert.LessOrEqual(t, budget.Held(), int64(3*maxBody))
 				if err == nil {
 					assert.Len(t, body, length)
 				} else {
@@ -90,11 +90,11 @@
 }
 
 // A body of which nothing arrives holds little, whatever length it tells.
-func TestAToldLengthTakesNoMemory(t *testing.T) {
-	budget := memorybudget.NewBudget(2 * most)
+func TestDeclaredLengthReservesLittleMemory(t *testing.T) {
+	budget := memorybudget.NewBudget(2 * maxBody)
 	lease := budget.Lease()
-	_, err := Read(request(0, most), most, lease)
+	_, err := Read(newRequest(0, maxBody), maxBody, lease)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
-	assert.LessOrEqual(t, budget.Held(), int64(mostAtOnce))
+	assert.LessOrEqual(t, budget.Held(), int64(initialKnownLength))
 	lease.Release()
 }
--- a/internal/system/workerapi/bytes_test.go
+++ b/internal/system/workerapi/bytes_test.go
@@ -24,21 +24,21 @@
 	workerAddress = "10.0.0.2:80"
 )
 
-// wireWorker is a worker on a simulated network that counts how often each order has come whole.
-type wireWorker struct {
+// simulatedWorker is a worker on a simulated network that counts how often each order has come whole.
+type simulatedWorker struct {
 	t       *testing.T
 	network *simnet.Network
 	mutex   sync.Mutex
 	orders  map[string]int
-	// late is how long an answer takes.
-	late atomic.Int64
+	// answerDelay is how long an answer takes.
+	answerDelay atomic.Int64
 }
 
-// inWire runs a test in a bubble with a worker and a client that calls it.
-func inWire(t *testing.T, options Options, body func(t *testing.T, w *wireWorker, client *Client)) {
+// withSimulatedWorker runs a test in a bubble with a worker and a client that calls it.
+func withSimulatedWorker(t *testing.T, options Options, body func(t *testing.T, w *simulatedWorker, client *Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &wireWorker{t: t, network: simnet.New(5), orders: map[string]int{}}
+		w := &simulatedWorker{t: t, network: simnet.New(5), orders: map[string]int{}}
 		listener, err := w.network.Listen(workerAddress)
 		require.NoError(t, err)
 		server := &http.Server{Handler: w}
@@ -55,7 +55,7 @@
 }
 
 // ServeHTTP counts the order; its answer tells the fencing token as the clock, so that an answer that strays shows itself.
-func (w *wireWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (w *simulatedWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	order, err := io.ReadAll(request.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -63,7 +63,7 @@
 	w.mutex.Lock()
 	w.orders[string(order)]++
 	w.mutex.Unlock()
-	time.Sleep(time.Duration(w.late.Load()))
+	time.Sleep(time.Duration(w.answerDelay.Load()))
 	var token uint64
 	if _, err := fmt.Sscanf(string(order[strings.LastIndexByte(string(order), ':')+1:]), "%d", &token); err != nil {
 		panic(err)
@@ -72,7 +72,7 @@
 }
 
 // stop orders a stop that carries the token, and requires that an answer is the answer to it.
-func (w *wireWorker) stop(client *Client, token uint64) Outcome {
+func (w *simulatedWorker) stop(client *Client, token uint64) Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	reply, err := client.Stop(ctx, Worker{"i-1", workerAddress}, StopOrder{Task: "t", Attempt: 1, FenceToken: token})
@@ -88,28 +88,28 @@
 	return reply.Outcome
 }
 
-// requireOnce requires that what was told of an order is true once everything under way has come.
-func (w *wireWorker) requireOnce(token uint64, told Outcome) {
+// requireOutcome requires that what was told of an order is true once everything under way has come.
+func (w *simulatedWorker) requireOutcome(token uint64, outcome Outcome) {
 	time.Sleep(time.Hour)
 	synctest.Wait()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	carriedOut := w.orders[fmt.Sprintf(`{"task":"t","attempt":1,"fenceToken":%d}`, token)]
-	switch told {
+	received := w.orders[fmt.Sprintf(`{"task":"t","attempt":1,"fenceToken":%d}`, token)]
+	switch outcome {
 	case Done:
-		require.Equal(w.t, 1, carriedOut)
+		require.Equal(w.t, 1, received)
 	case NotSent, BadRequest:
-		require.Zero(w.t, carriedOut)
+		require.Zero(w.t, received)
 	case Unknown:
-		require.LessOrEqual(w.t, carriedOut, 1)
+		require.LessOrEqual(w.t, received, 1)
 	default:
-		w.t.Fatalf("%s", told)
+		w.t.Fatalf("%s", outcome)
 	}
 }
 
-// measured are the bytes of one order and of its answer.
-func measured(t *testing.T) (request, answer int64) {
-	inWire(t, Options{}, func(t *testing.T, w *wireWorker, client *Client) {
+// measureExchange are the bytes of one order and of its answer.
+func measureExchange(t *testing.T) (request, answer int64) {
+	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		require.Equal(t, Done, w.stop(client, 1))
 		conn := w.network.Conns()[0]
 		request, answer = conn.Sent(), conn.Peer().Sent()
@@ -117,10 +117,10 @@
 	return request, answer
 }
 
-// eachEnding plays a connection's ending at each byte of the nth exchange on it, in either direction. A request ends at its last byte
+// forEachCutoff plays a connection's ending at each byte of the nth exchange on it, in either direction. A request ends at its last byte
 // in the play of its own exchange, not in that of the next.
-func eachEnding(t *testing.T, exchange int64, play func(fate simnet.Fate)) {
-	request, answer := measured(t)
+func forEachCutoff(t *testing.T, exchange int64, play func(fate simnet.Fate)) {
+	request, answer := measureExchange(t)
 	for _, ending := range []simnet.Ending{simnet.Reset, simnet.Finish, simnet.Silence} {
 		for at := exchange*request + min(exchange, 1); at <= (exchange+1)*request; at++ {
 			play(simnet.Fate{Out: simnet.Limit{Bytes: at, Then: ending}})
@@ -131,8 +131,8 @@
 	}
 }
 
-// firstOnly gives the fate to the first connection.
-func firstOnly(fate simnet.Fate) simnet.Plan {
+// planForFirst gives the fate to the first connection.
+func planForFirst(fate simnet.Fate) simnet.Plan {
 	return func(_, _ string, nth int) simnet.Fate {
 		if nth == 0 {
 			return fate
@@ -141,60 +141,60 @@
 	}
 }
 
-func TestAnOrderOnAFreshConnectionThatEndsAtAnyByteGoesOutOnce(t *testing.T) {
-	eachEnding(t, 0, func(fate simnet.Fate) {
-		inWire(t, Options{}, func(t *testing.T, w *wireWorker, client *Client) {
-			w.network.SetPlan(firstOnly(fate))
-			w.requireOnce(1, w.stop(client, 1))
-			w.requireOnce(2, w.stop(client, 2))
+func TestOrderIsSentAtMostOnceOnNewConnectionCutAtAnyByte(t *testing.T) {
+	forEachCutoff(t, 0, func(fate simnet.Fate) {
+		withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
+			w.network.SetPlan(planForFirst(fate))
+			w.requireOutcome(1, w.stop(client, 1))
+			w.requireOutcome(2, w.stop(client, 2))
 			require.Equal(t, Done, w.stop(client, 3), "at the latest the third call has another connection")
-			w.requireOnce(3, Done)
+			w.requireOutcome(3, Done)
 		})
 	})
 }
 
-func TestAnOrderOnAKeptConnectionThatEndsAtAnyByteGoesOutOnce(t *testing.T) {
-	eachEnding(t, 1, func(fate simnet.Fate) {
-		inWire(t, Options{}, func(t *testing.T, w *wireWorker, client *Client) {
-			w.network.SetPlan(firstOnly(fate))
+func TestOrderIsSentAtMostOnceOnReusedConnectionCutAtAnyByte(t *testing.T) {
+	forEachCutoff(t, 1, func(fate simnet.Fate) {
+		withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
+			w.network.SetPlan(planForFirst(fate))
 			require.Equal(t, Done, w.stop(client, 1))
-			told := w.stop(client, 2)
-			w.requireOnce(3, w.stop(client, 3))
-			w.requireOnce(2, told)
+			outcome := w.stop(client, 2)
+			w.requireOutcome(3, w.stop(client, 3))
+			w.requireOutcome(2, outcome)
 			require.Equal(t, Done, w.stop(client, 4))
-			w.requireOnce(4, Done)
+			w.requireOutcome(4, Done)
 		})
 	})
 }
 
-func TestAKeptConnectionThatWasResetUnseenIsReplaced(t *testing.T) {
-	inWire(t, Options{}, func(t *testing.T, w *wireWorker, client *Client) {
+func TestIdleConnectionResetByPeerIsReplaced(t *testing.T) {
+	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		require.Equal(t, Done, w.stop(client, 1))
 		w.network.Conns()[0].Peer().Abort()
-		told := w.stop(client, 2)
-		w.requireOnce(2, told)
+		outcome := w.stop(client, 2)
+		w.requireOutcome(2, outcome)
 		require.Equal(t, Done, w.stop(client, 3))
 		require.LessOrEqual(t, client.OpenConnections(), 1)
 	})
 }
 
-func TestALateAnswerReachesNobody(t *testing.T) {
-	inWire(t, Options{ConnectionsPerWorker: 1}, func(t *testing.T, w *wireWorker, client *Client) {
+func TestLateAnswerIsNotTakenForNextCall(t *testing.T) {
+	withSimulatedWorker(t, Options{ConnectionsPerWorker: 1}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		require.Equal(t, Done, w.stop(client, 1))
-		w.late.Store(int64(1500 * time.Millisecond))
+		w.answerDelay.Store(int64(1500 * time.Millisecond))
 		require.Equal(t, Unknown, w.stop(client, 2))
-		w.late.Store(0)
+		w.answerDelay.Store(0)
 		require.Equal(t, Done, w.stop(client, 3), "not on the connection on which an answer is out")
 		require.Equal(t, 1, client.OpenConnections())
-		w.requireOnce(2, Unknown)
+		w.requireOutcome(2, Unknown)
 	})
 }
 
-func TestAnswersThatCrossReachTheirCallers(t *testing.T) {
-	inWire(t, Options{ConnectionsPerWorker: 3}, func(t *testing.T, w *wireWorker, client *Client) {
+func TestConcurrentCallsGetTheirOwnAnswers(t *testing.T) {
+	withSimulatedWorker(t, Options{ConnectionsPerWorker: 3}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		var group sync.WaitGroup
 		for token := range uint64(60) {
-			w.late.Store(int64(token%7) * int64(200*time.Millisecond))
+			w.answerDelay.Store(int64(token%7) * int64(200*time.Millisecond))
 			group.Go(func() { w.stop(client, token+1) })
 			time.Sleep(30 * time.Millisecond)
 			if token%9 == 4 {
@@ -206,28 +206,28 @@
 }
 
 // The listener closes over a connection that it still takes, after the order has left: nobody can tell what became of it.
-func TestAListenerThatClosesOverATakenConnectionLeavesDoubt(t *testing.T) {
-	inWire(t, Options{}, func(t *testing.T, w *wireWorker, client *Client) {
+func TestListenerClosedAfterAcceptLeavesUnknown(t *testing.T) {
+	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		const address = "10.0.0.3:80"
 		listener, err := w.network.Listen(address)
 		require.NoError(t, err)
-		told := make(chan Reply)
+		outcome := make(chan Reply)
 		go func() {
 			reply, err := client.Start(context.Background(), Worker{"i-2", address}, StartOrder{Task: "t"})
 			require.ErrorIs(t, err, ErrUnanswered)
-			told <- reply
+			outcome <- reply
 		}()
 		time.Sleep(time.Second)
 		synctest.Wait()
 		require.NotZero(t, w.network.Conns()[0].Sent())
 		require.NoError(t, listener.Close())
-		require.Equal(t, Unknown, (<-told).Outcome)
+		require.Equal(t, Unknown, (<-outcome).Outcome)
 	})
 }
 
 // The listener closes before the connection is made: surely nothing was sent.
-func TestAListenerThatClosesFirstSendsNothing(t *testing.T) {
-	inWire(t, Options{}, func(t *testing.T, w *wireWorker, client *Client) {
+func TestListenerClosedBeforeConnectMeansNotSent(t *testing.T) {
+	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		const address = "10.0.0.3:80"
 		listener, err := w.network.Listen(address)
 		require.NoError(t, err)
@@ -240,8 +240,8 @@
 	})
 }
 
-// answeredBy calls a worker that answers the first connection with the texts, one for each request.
-func answeredBy(t *testing.T, options Options, texts []string, body func(t *testing.T, client *Client)) {
+// withScriptedWorker calls a worker that answers the first connection with the texts, one for each request.
+func withScriptedWorker(t *testing.T, options Options, texts []string, body func(t *testing.T, client *Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := simnet.New(5)
@@ -253,7 +253,7 @@
 				if err != nil {
 					return
 				}
-				go answerInTurn(conn, texts)
+				go serveScript(conn, texts)
 			}
 		}()
 		options.Dial = network.Dialer(callerHost)
@@ -265,7 +265,7 @@
 	})
 }
 
-func answerInTurn(conn net.Conn, texts []string) {
+func serveScript(conn net.Conn, texts []string) {
 	requests := bufio.NewReader(conn)
 	for _, text := range texts {
 		request, err := http.ReadRequest(requests)
@@ -282,17 +282,17 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func TestAnInterimAnswerIsNotTheAnswer(t *testing.T) {
-	answeredBy(t, Options{}, []string{"HTTP/1.1 103 Early Hints\r\n\r\n" + answerText(1)}, func(t *testing.T, client *Client) {
+func TestInterimAnswerIsSkipped(t *testing.T) {
+	withScriptedWorker(t, Options{}, []string{"HTTP/1.1 103 Early Hints\r\n\r\n" + answerText(1)}, func(t *testing.T, client *Client) {
 		reply, err := client.Stop(t.Context(), Worker{"i-1", workerAddress}, StopOrder{})
 		require.NoError(t, err)
 		require.Equal(t, Reply{Outcome: Done, ClockMs: 1}, reply)
 	})
 }
 
-func TestASwitchOfProtocolsHoldsNobodyUp(t *testing.T) {
+func TestSwitchingProtocolsDoesNotBlock(t *testing.T) {
 	const upgrade = "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: other\r\n\r\n"
-	answeredBy(t, Options{}, []string{upgrade}, func(t *testing.T, client *Client) {
+	withScriptedWorker(t, Options{}, []string{upgrade}, func(t *testing.T, client *Client) {
 		start := time.Now()
 		reply, err := client.Stop(t.Context(), Worker{"i-1", workerAddress}, StopOrder{})
 		require.Error(t, err)
@@ -304,10 +304,10 @@
 }
 
 // A worker that answers twice must not have its second answer taken for that to the next call.
-func TestASecondAnswerReachesNobody(t *testing.T) {
+func TestSecondAnswerIsNotTakenForNextCall(t *testing.T) {
 	twice := answerText(1) + answerText(99)
 	for range 200 {
-		answeredBy(t, Options{ConnectionsPerWorker: 1}, []string{twice, answerText(2)}, func(t *testing.T, client *Client) {
+		withScriptedWorker(t, Options{ConnectionsPerWorker: 1}, []string{twice, answerText(2)}, func(t *testing.T, client *Client) {
 			var group sync.WaitGroup
 			for range 4 {
 				group.Go(func() {
@@ -334,8 +334,8 @@
 }
 
 // The transport looks for another connection where the kept one took nothing: if there is none to be had, surely nothing was sent.
-func TestAnOrderThatTheKeptConnectionDidNotTakeIsNotSent(t *testing.T) {
-	inWire(t, Options{}, func(t *testing.T, w *wireWorker, _ *Client) {
+func TestOrderThatNoConnectionAcceptedIsNotSent(t *testing.T) {
+	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, _ *Client) {
 		var stuck atomic.Bool
 		client := NewClient(Options{Dial: func(ctx context.Context, _, address string) (net.Conn, error) {
 			conn, err := w.network.Dial(ctx, callerHost, address)
@@ -347,17 +347,17 @@
 		require.Equal(t, Done, w.stop(client, 1))
 		stuck.Store(true)
 		w.network.Cut(callerHost, "10.0.0.2")
-		told := w.stop(client, 2)
-		require.Equal(t, NotSent, told)
+		outcome := w.stop(client, 2)
+		require.Equal(t, NotSent, outcome)
 		w.network.HealAll()
-		w.requireOnce(2, told)
+		w.requireOutcome(2, outcome)
 		client.Close()
 	})
 }
 
-func TestCallsHaveABound(t *testing.T) {
-	inWire(t, Options{}, func(t *testing.T, w *wireWorker, client *Client) {
-		w.late.Store(int64(10 * time.Minute))
+func TestCallsHaveADefaultTimeout(t *testing.T) {
+	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
+		w.answerDelay.Store(int64(10 * time.Minute))
 		start := time.Now()
 		reply, err := client.Stop(context.Background(), Worker{"i-1", workerAddress}, StopOrder{Task: "t", FenceToken: 1})
 		require.ErrorIs(t, err, context.DeadlineExceeded)
--- a/internal/system/workerapi/call.go
+++ b/internal/system/workerapi/call.go
@@ -15,10 +15,10 @@
 const (
 	expectInstanceHeader = "X-Gaugeslip-Expect-Instance"
 	maxAnswerBytes       = 4 << 20
-	maxKeptBufferBytes   = 64 << 10
-	// smallAnswerBytes is what any answer may take: more than a worker says that has a thousand runs and ends. Longer ones share what there is
+	maxPooledBufferBytes = 64 << 10
+	// unleasedAnswerBytes is what any answer may take: more than a worker says that has a thousand runs and ends. Longer ones share what there is
 	// for all of them.
-	smallAnswerBytes = 64 << 10
+	unleasedAnswerBytes = 64 << 10
 )
 
 var (
@@ -30,19 +30,19 @@
 // call sends one order and reads the answer into answer. It never repeats an order of which a byte may have left: the
 // transport repeats only what was written on no connection.
 func (client *Client) call(ctx context.Context, worker Worker, path string, order []byte, answer *wireAnswer) (Outcome, error) {
-	sending := newSending()
-	response, err := client.transport.RoundTrip(newRequest(sending.context(ctx), worker, path, order))
+	trace := newConnectionTrace()
+	response, err := client.transport.RoundTrip(newRequest(trace.context(ctx), worker, path, order))
 	if err != nil {
-		return sending.failure(err)
+		return trace.classifyFailure(err)
 	}
 	buffer := acquireAnswerBuffer()
 	defer releaseAnswerBuffer(buffer)
-	lease := client.answers.Lease()
+	lease := client.answerMemory.Lease()
 	defer lease.Release()
 	if err := readAnswer(response, buffer, lease); err != nil {
 		return Unknown, fmt.Errorf("%w: %w", ErrUnanswered, err)
 	}
-	return interpret(response.StatusCode, buffer.Bytes(), path == holdPath, answer)
+	return classifyAnswer(response.StatusCode, buffer.Bytes(), path == holdPath, answer)
 }
 
 // newRequest gives the order as a reader that the transport knows to be in memory, so that header and body go out together.
@@ -76,37 +76,37 @@
 	if response.StatusCode == http.StatusSwitchingProtocols {
 		return fmt.Errorf("%w: %d", ErrUnexpectedStatus, response.StatusCode)
 	}
-	const tooMuch = maxAnswerBytes + 1
-	for limit := int64(smallAnswerBytes); ; {
+	const overLimit = maxAnswerBytes + 1
+	for limit := int64(unleasedAnswerBytes); ; {
 		if _, err := buffer.ReadFrom(io.LimitReader(response.Body, limit-int64(buffer.Len()))); err != nil {
 			return err
 		}
 		switch {
 		case int64(buffer.Len()) < limit:
 			return nil
-		case limit == tooMuch:
+		case limit == overLimit:
 			return fmt.Errorf("%w: more than %d bytes", ErrUnreadable, maxAnswerBytes)
 		}
-		if limit = min(2*limit, tooMuch); !lease.Grow(limit) {
+		if limit = min(2*limit, overLimit); !lease.Grow(limit) {
 			return fmt.Errorf("%w: %d bytes, and the answers of others take the memory for more", ErrUnreadable, buffer.Len())
 		}
 	}
 }
 
-// interpret classes an answer. An answer that can't be read leaves Unknown, also after a 200: the caller has then to look.
-func interpret(status int, data []byte, needBody bool, answer *wireAnswer) (Outcome, error) {
-	err := decodeIfAny(data, answer)
+// classifyAnswer classes an answer. An answer that can't be read leaves Unknown, also after a 200: the caller has then to look.
+func classifyAnswer(status int, data []byte, requiresBody bool, answer *wireAnswer) (Outcome, error) {
+	err := decodeOptional(data, answer)
 	switch status {
 	case http.StatusOK:
-		if needBody && len(data) == 0 {
+		if requiresBody && len(data) == 0 {
 			return Unknown, fmt.Errorf("%w: no body", ErrUnreadable)
 		}
-		return readOr(Done, err)
+		return outcomeUnlessError(Done, err)
 	case http.StatusConflict:
 		if err == nil && answer.refusal == Unknown {
 			err = fmt.Errorf("%w: refused without a known reason", ErrUnreadable)
 		}
-		return readOr(answer.refusal, err)
+		return outcomeUnlessError(answer.refusal, err)
 	case http.StatusBadRequest:
 		return BadRequest, nil
 	case http.StatusMisdirectedRequest:
@@ -118,8 +118,8 @@
 	return Unknown, fmt.Errorf("%w: %d", ErrUnexpectedStatus, status)
 }
 
-// decodeIfAny reads a body if there is one. What was read before an error doesn't count.
-func decodeIfAny(data []byte, answer *wireAnswer) error {
+// decodeOptional reads a body if there is one. What was read before an error doesn't count.
+func decodeOptional(data []byte, answer *wireAnswer) error {
 	if len(data) == 0 {
 		return nil
 	}
@@ -130,7 +130,7 @@
 	return err
 }
 
-func readOr(outcome Outcome, err error) (Outcome, error) {
+func outcomeUnlessError(outcome Outcome, err error) (Outcome, error) {
 	if err != nil {
 		return Unknown, err
 	}
@@ -144,7 +144,7 @@
 }
 
 func releaseAnswerBuffer(buffer *bytes.Buffer) {
-	if buffer.Cap() <= maxKeptBufferBytes {
+	if buffer.Cap() <= maxPooledBufferBytes {
 		answerBuffers.Put(buffer)
 	}
 }
--- a/internal/system/workerapi/client.go
+++ b/internal/system/workerapi/client.go
@@ -55,19 +55,19 @@
 // Client calls workers. It is safe for concurrent use.
 type Client struct {
 	transport     *http.Transport
-	bound         *connectionBound
-	answers       *memorybudget.Budget
+	limiter       *connectionLimiter
+	answerMemory  *memorybudget.Budget
 	answerTimeout time.Duration
 }
 
 // NewClient returns a client that has no connection yet.
 func NewClient(options Options) *Client {
 	options = options.withDefaults()
-	bound := newConnectionBound(options.Connections, options.Dial)
+	limiter := newConnectionLimiter(options.Connections, options.Dial)
 	return &Client{
-		transport:     newTransport(bound, options.ConnectionsPerWorker),
-		bound:         bound,
-		answers:       memorybudget.NewBudget(options.AnswerMemory),
+		transport:     newTransport(limiter, options.ConnectionsPerWorker),
+		limiter:       limiter,
+		answerMemory:  memorybudget.NewBudget(options.AnswerMemory),
 		answerTimeout: options.AnswerTimeout,
 	}
 }
@@ -79,23 +79,23 @@
 
 // OpenConnections returns the number of connections that are open or being opened.
 func (client *Client) OpenConnections() int {
-	return int(client.bound.open.Load())
+	return int(client.limiter.open.Load())
 }
 
 // Start orders one run. The error is nil whenever the worker's answer was understood, also if it refused; otherwise it wraps
 // ErrNotSent, ErrUnanswered, ErrUnreadable or ErrUnexpectedStatus, and the reply's Outcome says what is certain.
 func (client *Client) Start(ctx context.Context, worker Worker, order StartOrder) (Reply, error) {
 	data := make([]byte, 0, order.sizeHint())
-	return client.order(ctx, worker, startPath, appendStart(data, &order))
+	return client.sendOrder(ctx, worker, startPath, appendStart(data, &order))
 }
 
 // Stop orders the end of one run. Errors are as for Start.
 func (client *Client) Stop(ctx context.Context, worker Worker, order StopOrder) (Reply, error) {
 	data := make([]byte, 0, smallOrderBytes)
-	return client.order(ctx, worker, stopPath, appendStop(data, &order))
+	return client.sendOrder(ctx, worker, stopPath, appendStop(data, &order))
 }
 
-func (client *Client) order(ctx context.Context, worker Worker, path string, order []byte) (Reply, error) {
+func (client *Client) sendOrder(ctx context.Context, worker Worker, path string, order []byte) (Reply, error) {
 	ctx, cancel := withTimeout(ctx, client.answerTimeout)
 	defer cancel()
 	var answer wireAnswer
--- a/internal/system/workerapi/client_test.go
+++ b/internal/system/workerapi/client_test.go
@@ -25,8 +25,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// bench is a hollow worker on loopback with a clock of its own, and a client.
-type bench struct {
+// fixture is a hollow worker on loopback with a clock of its own, and a client.
+type fixture struct {
 	t      *testing.T
 	clock  *hollow.ManualClock
 	world  *hollow.World
@@ -34,7 +34,7 @@
 	client *Client
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	clock := hollow.NewManualClock(0)
 	world := hollow.NewWorld(hollow.DefaultSettings(), clock)
 	worker := world.NewWorker(hollow.WorkerSettings{
@@ -57,11 +57,11 @@
 	t.Cleanup(worker.Close)
 	t.Cleanup(world.Close)
 	t.Cleanup(client.Close)
-	return &bench{t: t, clock: clock, world: world, worker: worker, client: client}
+	return &fixture{t: t, clock: clock, world: world, worker: worker, client: client}
 }
 
-func (bench *bench) target() Worker {
-	return Worker{Instance: bench.worker.Instance(), Address: bench.worker.Address()}
+func (fixture *fixture) target() Worker {
+	return Worker{Instance: fixture.worker.Instance(), Address: fixture.worker.Address()}
 }
 
 func order(stage, index int) StartOrder {
@@ -74,33 +74,33 @@
 	}
 }
 
-func (bench *bench) start(order StartOrder) Reply {
-	bench.t.Helper()
-	reply, err := bench.client.Start(bench.t.Context(), bench.target(), order)
-	require.NoError(bench.t, err)
+func (fixture *fixture) start(order StartOrder) Reply {
+	fixture.t.Helper()
+	reply, err := fixture.client.Start(fixture.t.Context(), fixture.target(), order)
+	require.NoError(fixture.t, err)
 	return reply
 }
 
-func (bench *bench) hold(order HoldOrder) HoldReply {
-	bench.t.Helper()
-	reply, err := bench.client.Hold(bench.t.Context(), bench.target(), order)
-	require.NoError(bench.t, err)
+func (fixture *fixture) hold(order HoldOrder) HoldReply {
+	fixture.t.Helper()
+	reply, err := fixture.client.Hold(fixture.t.Context(), fixture.target(), order)
+	require.NoError(fixture.t, err)
 	return reply
 }
 
 func TestOrdersAndLists(t *testing.T) {
-	bench := newBench(t)
-	require.Equal(t, Reply{Outcome: Done, ClockMs: 10_000}, bench.start(order(0, 0)))
-	require.Equal(t, Done, bench.start(order(0, 1)).Outcome)
-	bench.clock.Advance(2500 * time.Millisecond)
+	fixture := newFixture(t)
+	require.Equal(t, Reply{Outcome: Done, ClockMs: 10_000}, fixture.start(order(0, 0)))
+	require.Equal(t, Done, fixture.start(order(0, 1)).Outcome)
+	fixture.clock.Advance(2500 * time.Millisecond)
 
 	stopped := StopOrder{Task: order(0, 1).Task, Attempt: 1, FenceToken: 1}
-	reply, err := bench.client.Stop(t.Context(), bench.target(), stopped)
+	reply, err := fixture.client.Stop(t.Context(), fixture.target(), stopped)
 	require.NoError(t, err)
 	require.Equal(t, Reply{Outcome: Done, ClockMs: 12_500}, reply)
 
-	bench.clock.Advance(400 * time.Millisecond)
-	lists := bench.hold(HoldOrder{DueAtMs: farDue, FenceToken: 1})
+	fixture.clock.Advance(400 * time.Millisecond)
+	lists := fixture.hold(HoldOrder{DueAtMs: farDue, FenceToken: 1})
 	require.Equal(t, Done, lists.Outcome)
 	require.EqualValues(t, 12_900, lists.ClockMs)
 	require.Len(t, lists.Running, 1)
@@ -111,97 +111,97 @@
 	require.EqualValues(t, 1, lists.Finished[0].N)
 	require.Equal(t, HowStopped, lists.Finished[0].How)
 
-	lists = bench.hold(HoldOrder{DueAtMs: farDue, FenceToken: 1, LastSeen: 1})
+	lists = fixture.hold(HoldOrder{DueAtMs: farDue, FenceToken: 1, LastSeen: 1})
 	require.Empty(t, lists.Finished)
-	require.Empty(t, bench.world.Violations())
-	require.Equal(t, 1, bench.client.OpenConnections(), "one connection serves one call after the other")
+	require.Empty(t, fixture.world.Violations())
+	require.Equal(t, 1, fixture.client.OpenConnections(), "one connection serves one call after the other")
 }
 
 func TestAnsweredOutcomes(t *testing.T) {
 	cases := []struct {
 		name    string
-		prepare func(bench *bench, order *StartOrder)
+		prepare func(fixture *fixture, order *StartOrder)
 		outcome Outcome
 		clockMs int64
 	}{
-		{"done", func(bench *bench, order *StartOrder) {}, Done, 10_000},
-		{"fence", func(bench *bench, order *StartOrder) { order.FenceToken = 4 }, RefusedFence, 10_000},
-		{"old", func(bench *bench, order *StartOrder) {
-			_, err := bench.client.Stop(bench.t.Context(), bench.target(), StopOrder{Task: order.Task, Attempt: 1, FenceToken: 5})
-			require.NoError(bench.t, err)
+		{"done", func(fixture *fixture, order *StartOrder) {}, Done, 10_000},
+		{"fence", func(fixture *fixture, order *StartOrder) { order.FenceToken = 4 }, RefusedFence, 10_000},
+		{"old", func(fixture *fixture, order *StartOrder) {
+			_, err := fixture.client.Stop(fixture.t.Context(), fixture.target(), StopOrder{Task: order.Task, Attempt: 1, FenceToken: 5})
+			require.NoError(fixture.t, err)
 		}, RefusedOld, 10_000},
-		{"late", func(bench *bench, order *StartOrder) { order.DueAtMs = 9_999 }, RefusedLate, 10_000},
-		{"room", func(bench *bench, order *StartOrder) { order.Task = hollow.TaskName(testJob, 0, 1, 0) }, RefusedRoom, 10_000},
-		{"bad", func(bench *bench, order *StartOrder) { order.Task = "x" }, BadRequest, 10_000},
-		{"busy", func(bench *bench, order *StartOrder) { bench.worker.SetFaults(hollow.Faults{Busy: true}) }, Busy, 0},
+		{"late", func(fixture *fixture, order *StartOrder) { order.DueAtMs = 9_999 }, RefusedLate, 10_000},
+		{"room", func(fixture *fixture, order *StartOrder) { order.Task = hollow.TaskName(testJob, 0, 1, 0) }, RefusedRoom, 10_000},
+		{"bad", func(fixture *fixture, order *StartOrder) { order.Task = "x" }, BadRequest, 10_000},
+		{"busy", func(fixture *fixture, order *StartOrder) { fixture.worker.SetFaults(hollow.Faults{Busy: true}) }, Busy, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			bench := newBench(t)
-			bench.hold(HoldOrder{FenceToken: 5})
+			fixture := newFixture(t)
+			fixture.hold(HoldOrder{FenceToken: 5})
 			order := order(0, 0)
 			order.FenceToken = 5
-			test.prepare(bench, &order)
-			require.Equal(t, Reply{Outcome: test.outcome, ClockMs: test.clockMs}, bench.start(order))
-			require.Equal(t, test.outcome == Done, bench.world.Stats().Starts == 1)
+			test.prepare(fixture, &order)
+			require.Equal(t, Reply{Outcome: test.outcome, ClockMs: test.clockMs}, fixture.start(order))
+			require.Equal(t, test.outcome == Done, fixture.world.Stats().Starts == 1)
 		})
 	}
 }
 
-func TestOtherLife(t *testing.T) {
-	bench := newBench(t)
-	before := bench.target()
-	bench.worker.Crash(0)
-	bench.clock.Advance(0)
-	reply, err := bench.client.Hold(t.Context(), before, HoldOrder{FenceToken: 1})
+func TestOtherInstance(t *testing.T) {
+	fixture := newFixture(t)
+	before := fixture.target()
+	fixture.worker.Crash(0)
+	fixture.clock.Advance(0)
+	reply, err := fixture.client.Hold(t.Context(), before, HoldOrder{FenceToken: 1})
 	require.NoError(t, err)
 	require.Equal(t, HoldReply{Outcome: OtherLife}, reply)
 }
 
-func TestNobodyListens(t *testing.T) {
-	bench := newBench(t)
-	target := bench.target()
-	bench.worker.Close()
-	reply, err := bench.client.Start(t.Context(), target, order(0, 0))
+func TestNoListenerMeansNotSent(t *testing.T) {
+	fixture := newFixture(t)
+	target := fixture.target()
+	fixture.worker.Close()
+	reply, err := fixture.client.Start(t.Context(), target, order(0, 0))
 	require.ErrorIs(t, err, ErrNotSent)
 	require.Equal(t, NotSent, reply.Outcome)
-	require.Zero(t, bench.client.OpenConnections())
+	require.Zero(t, fixture.client.OpenConnections())
 }
 
 // busyAndOther gives a client with a bound of connections, one of which a hold uses that waits, and another worker.
-func (bench *bench) busyAndOther(connections int) (*Client, Worker) {
+func (fixture *fixture) busyAndOther(connections int) (*Client, Worker) {
 	client := NewClient(Options{Connections: connections})
-	bench.t.Cleanup(client.Close)
-	other := bench.world.NewWorker(hollow.WorkerSettings{})
-	require.NoError(bench.t, other.Listen())
-	bench.t.Cleanup(other.Close)
+	fixture.t.Cleanup(client.Close)
+	other := fixture.world.NewWorker(hollow.WorkerSettings{})
+	require.NoError(fixture.t, other.Listen())
+	fixture.t.Cleanup(other.Close)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_, _ = client.Hold(bench.t.Context(), bench.target(), HoldOrder{DueAtMs: farDue, FenceToken: 1, WaitMs: 9000})
+		_, _ = client.Hold(fixture.t.Context(), fixture.target(), HoldOrder{DueAtMs: farDue, FenceToken: 1, WaitMs: 9000})
 	}()
-	bench.t.Cleanup(func() {
-		bench.clock.Advance(10 * time.Second)
+	fixture.t.Cleanup(func() {
+		fixture.clock.Advance(10 * time.Second)
 		<-ended
 	})
-	bench.world.AwaitWaiting(1)
+	fixture.world.AwaitWaiting(1)
 	return client, Worker{Instance: other.Instance(), Address: other.Address()}
 }
 
-func TestConnectionBound(t *testing.T) {
-	bench := newBench(t)
-	client, other := bench.busyAndOther(1)
+func TestConnectionLimit(t *testing.T) {
+	fixture := newFixture(t)
+	client, other := fixture.busyAndOther(1)
 	reply, err := client.Hold(t.Context(), other, HoldOrder{})
 	require.ErrorIs(t, err, ErrTooManyConnections)
 	require.Equal(t, NotSent, reply.Outcome)
 	require.Equal(t, 1, client.OpenConnections())
 }
 
-func TestConnectionsThatNoCallUsesGiveWay(t *testing.T) {
-	bench := newBench(t)
-	client, first := bench.busyAndOther(2)
+func TestIdleConnectionsAreClosedAtTheLimit(t *testing.T) {
+	fixture := newFixture(t)
+	client, first := fixture.busyAndOther(2)
 	for range 3 {
-		other := bench.world.NewWorker(hollow.WorkerSettings{})
+		other := fixture.world.NewWorker(hollow.WorkerSettings{})
 		require.NoError(t, other.Listen())
 		t.Cleanup(other.Close)
 		for _, worker := range []Worker{first, {Instance: other.Instance(), Address: other.Address()}} {
@@ -210,19 +210,19 @@
 			require.Equal(t, Done, reply.Outcome)
 		}
 	}
-	bench.world.AwaitWaiting(1) // the one in use stays
+	fixture.world.AwaitWaiting(1) // the one in use stays
 }
 
 // Holds that wait use nearly all connections, as in a cluster that is as large as the bound allows: a start on each worker in turn is sent.
-func TestStartsAreSentBesideHoldsThatWait(t *testing.T) {
+func TestStartsAreSentWhileHoldsWait(t *testing.T) {
 	const workers, spare = 40, 4
-	bench := newBench(t)
+	fixture := newFixture(t)
 	client := NewClient(Options{Connections: workers + spare, ConnectionsPerWorker: 8})
 	t.Cleanup(client.Close)
 	var targets []Worker
 	ended := make(chan struct{}, workers)
 	for range workers {
-		worker := bench.world.NewWorker(hollow.WorkerSettings{Backend: testBackend, Allocatable: hollow.Resources{CPU: 2000}})
+		worker := fixture.world.NewWorker(hollow.WorkerSettings{Backend: testBackend, Allocatable: hollow.Resources{CPU: 2000}})
 		require.NoError(t, worker.Listen())
 		t.Cleanup(worker.Close)
 		targets = append(targets, Worker{Instance: worker.Instance(), Address: worker.Address()})
@@ -232,81 +232,81 @@
 			ended <- struct{}{}
 		}()
 	}
-	bench.world.AwaitWaiting(workers)
+	fixture.world.AwaitWaiting(workers)
 	for index, target := range targets {
 		reply, err := client.Start(t.Context(), target, order(0, index%9))
 		require.NoError(t, err, "start %d", index)
 		require.NotEqual(t, NotSent, reply.Outcome)
 	}
-	bench.clock.Advance(3 * time.Second)
+	fixture.clock.Advance(3 * time.Second)
 	for range workers {
 		<-ended
 	}
 }
 
 // startUnanswered sends a start and gives it up once the worker has it.
-func (bench *bench) startUnanswered() (Reply, error) {
-	ctx, cancel := context.WithCancel(bench.t.Context())
+func (fixture *fixture) startUnanswered() (Reply, error) {
+	ctx, cancel := context.WithCancel(fixture.t.Context())
 	defer cancel()
 	go func() {
-		bench.world.AwaitUnanswered(1)
+		fixture.world.AwaitUnanswered(1)
 		cancel()
 	}()
-	return bench.client.Start(ctx, bench.target(), order(0, 0))
+	return fixture.client.Start(ctx, fixture.target(), order(0, 0))
 }
 
 func TestSilentWorkerLeavesUnknown(t *testing.T) {
-	bench := newBench(t)
-	bench.worker.SetFaults(hollow.Faults{Silent: true})
-	reply, err := bench.startUnanswered()
+	fixture := newFixture(t)
+	fixture.worker.SetFaults(hollow.Faults{Silent: true})
+	reply, err := fixture.startUnanswered()
 	require.ErrorIs(t, err, ErrUnanswered)
 	require.ErrorIs(t, err, context.Canceled)
 	require.Equal(t, Unknown, reply.Outcome)
 }
 
-func TestCallsAreBounded(t *testing.T) {
-	bench := newBench(t)
-	bench.worker.SetFaults(hollow.Faults{Silent: true})
+func TestAnswerTimeoutEndsCall(t *testing.T) {
+	fixture := newFixture(t)
+	fixture.worker.SetFaults(hollow.Faults{Silent: true})
 	client := NewClient(Options{AnswerTimeout: time.Millisecond})
 	defer client.Close()
-	reply, err := client.Start(t.Context(), bench.target(), order(0, 0))
+	reply, err := client.Start(t.Context(), fixture.target(), order(0, 0))
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	require.NotEqual(t, Done, reply.Outcome)
 }
 
 func TestLateOrderIsUnknownAndCarriedOut(t *testing.T) {
-	bench := newBench(t)
-	bench.worker.SetFaults(hollow.Faults{LateBy: 2 * time.Second})
-	reply, err := bench.startUnanswered()
+	fixture := newFixture(t)
+	fixture.worker.SetFaults(hollow.Faults{LateBy: 2 * time.Second})
+	reply, err := fixture.startUnanswered()
 	require.ErrorIs(t, err, ErrUnanswered)
 	require.Equal(t, Unknown, reply.Outcome)
-	bench.clock.Advance(2 * time.Second)
-	require.Len(t, bench.hold(HoldOrder{FenceToken: 1}).Running, 1)
+	fixture.clock.Advance(2 * time.Second)
+	require.Len(t, fixture.hold(HoldOrder{FenceToken: 1}).Running, 1)
 }
 
 func TestEndedContextSendsNothing(t *testing.T) {
-	bench := newBench(t)
-	bench.hold(HoldOrder{})
+	fixture := newFixture(t)
+	fixture.hold(HoldOrder{})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	reply, err := bench.client.Start(ctx, bench.target(), order(0, 0))
+	reply, err := fixture.client.Start(ctx, fixture.target(), order(0, 0))
 	require.ErrorIs(t, err, ErrNotSent)
 	require.Equal(t, NotSent, reply.Outcome)
 }
 
-func TestHoldWaitsWhileOrdersPass(t *testing.T) {
-	bench := newBench(t)
+func TestOrdersAreServedWhileHoldWaits(t *testing.T) {
+	fixture := newFixture(t)
 	replies := make(chan HoldReply)
 	go func() {
-		reply, _ := bench.client.Hold(t.Context(), bench.target(), HoldOrder{DueAtMs: farDue, FenceToken: 1, WaitMs: 9000})
+		reply, _ := fixture.client.Hold(t.Context(), fixture.target(), HoldOrder{DueAtMs: farDue, FenceToken: 1, WaitMs: 9000})
 		replies <- reply
 	}()
-	bench.world.AwaitWaiting(1)
-	require.Equal(t, Done, bench.start(order(0, 0)).Outcome)
-	bench.clock.Advance(2 * time.Second)
+	fixture.world.AwaitWaiting(1)
+	require.Equal(t, Done, fixture.start(order(0, 0)).Outcome)
+	fixture.clock.Advance(2 * time.Second)
 	reply := <-replies
 	require.Len(t, reply.Running, 1, "the wait is cut to what workers grant")
-	require.Equal(t, 2, bench.client.OpenConnections())
+	require.Equal(t, 2, fixture.client.OpenConnections())
 }
 
 // connectionServer answers the connections of a listener one after the other, each with its own function.
@@ -332,8 +332,8 @@
 	return listener.Addr().String()
 }
 
-// answering reads one request and writes the text.
-func answering(text string) func(connection net.Conn) {
+// writeAnswer reads one request and writes the text.
+func writeAnswer(text string) func(connection net.Conn) {
 	return func(connection net.Conn) {
 		http.ReadRequest(bufio.NewReader(connection))
 		connection.Write([]byte(text))
@@ -363,7 +363,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			client := NewClient(Options{})
 			defer client.Close()
-			address := connectionServer(t, answering(test.text))
+			address := connectionServer(t, writeAnswer(test.text))
 			reply, err := client.Hold(t.Context(), Worker{"i-1", address}, HoldOrder{})
 			require.ErrorIs(t, err, test.failure)
 			require.Equal(t, test.outcome, reply.Outcome)
@@ -371,9 +371,9 @@
 	}
 }
 
-func TestOrderIsNotRepeatedOnAStaleConnection(t *testing.T) {
+func TestOrderIsNotRepeatedOnStaleConnection(t *testing.T) {
 	keep := func(connection net.Conn) {
-		answering("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")(connection)
+		writeAnswer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")(connection)
 		connection.Read(make([]byte, 4096)) // the second order comes on the kept connection and is cut
 	}
 	repeated := make(chan struct{}, 1)
@@ -406,9 +406,9 @@
 	require.Equal(t, expected, <-seen)
 }
 
-func TestManyWorkersLeaveRoomForCallsThatComeAtOnce(t *testing.T) {
-	transport := newTransport(newConnectionBound(100, nil), 8)
+func TestIdleConnectionsLeaveRoomForNewCalls(t *testing.T) {
+	transport := newTransport(newConnectionLimiter(100, nil), 8)
 	require.Equal(t, 50, transport.MaxIdleConns, "half of the bound stays free of idle connections")
-	require.Equal(t, idlePerHost, transport.MaxIdleConnsPerHost)
+	require.Equal(t, maxIdlePerHost, transport.MaxIdleConnsPerHost)
 	require.Equal(t, 8, transport.MaxConnsPerHost)
 }
--- a/internal/system/workerapi/codec_test.go
+++ b/internal/system/workerapi/codec_test.go
@@ -57,7 +57,7 @@
 	})
 }
 
-func TestRowsMayBeShorterOrLonger(t *testing.T) {
+func TestRowsMayLackOrAddColumns(t *testing.T) {
 	var answer wireAnswer
 	require.NoError(t, answer.decode([]byte(`{"running":[["a",1],["b",2,null,41.7,{"more":[1]}]],"finished":[[58,"c",1,"odd"]],"remainingMs":2999.9}`)))
 	require.Equal(t, []RunningTask{{"a", 1, "", 0}, {"b", 2, "", 41}}, answer.running)
@@ -65,7 +65,7 @@
 	require.EqualValues(t, 2999, answer.remainingMs)
 }
 
-func TestBrokenAnswersAreErrors(t *testing.T) {
+func TestMalformedAnswersAreErrors(t *testing.T) {
 	for _, data := range []string{`{`, `[]`, `null x`, `{"running":{}}`, `{"finished":[58]}`, `{"clockMs":"1"}`, `{"running":[["a",1]`} {
 		var answer wireAnswer
 		require.ErrorIs(t, answer.decode([]byte(data)), ErrUnreadable, data)
@@ -81,7 +81,7 @@
 	})
 }
 
-func TestOutcomesAreTold(t *testing.T) {
+func TestOutcomesHaveNames(t *testing.T) {
 	for outcome := Unknown; outcome < outcomeCount; outcome++ {
 		require.NotEmpty(t, outcome.String())
 	}
--- a/internal/system/workerapi/decode.go
+++ b/internal/system/workerapi/decode.go
@@ -40,11 +40,11 @@
 	}
 	switch field {
 	case "clockMs":
-		answer.clockMs = whole(lexer)
+		answer.clockMs = truncatedInt(lexer)
 	case "remainingMs":
-		answer.remainingMs = whole(lexer)
+		answer.remainingMs = truncatedInt(lexer)
 	case "reason":
-		answer.refusal = refusalOf(lexer.UnsafeString())
+		answer.refusal = parseRefusal(lexer.UnsafeString())
 	case "running":
 		answer.running = decodeRunning(lexer)
 	case "finished":
@@ -54,7 +54,7 @@
 	}
 }
 
-func refusalOf(reason string) Outcome {
+func parseRefusal(reason string) Outcome {
 	switch reason {
 	case "fence":
 		return RefusedFence
@@ -76,13 +76,13 @@
 		decodeRow(lexer, func(column int) {
 			switch column {
 			case 0:
-				task.Task = text(lexer)
+				task.Task = stringOrEmpty(lexer)
 			case 1:
-				task.Attempt = int(whole(lexer))
+				task.Attempt = int(truncatedInt(lexer))
 			case 2:
-				task.Checkpoint = text(lexer)
+				task.Checkpoint = stringOrEmpty(lexer)
 			case 3:
-				task.Percent = int(whole(lexer))
+				task.Percent = int(truncatedInt(lexer))
 			default:
 				lexer.SkipRecursive()
 			}
@@ -102,15 +102,15 @@
 		decodeRow(lexer, func(column int) {
 			switch column {
 			case 0:
-				task.N = uint64(whole(lexer))
+				task.N = uint64(truncatedInt(lexer))
 			case 1:
-				task.Task = text(lexer)
+				task.Task = stringOrEmpty(lexer)
 			case 2:
-				task.Attempt = int(whole(lexer))
+				task.Attempt = int(truncatedInt(lexer))
 			case 3:
-				task.How = howOf(lexer.UnsafeString())
+				task.How = parseEndReason(lexer.UnsafeString())
 			case 4:
-				task.Checkpoint = text(lexer)
+				task.Checkpoint = stringOrEmpty(lexer)
 			default:
 				lexer.SkipRecursive()
 			}
@@ -132,8 +132,8 @@
 	lexer.Delim(']')
 }
 
-// whole reads a number and drops what follows its point.
-func whole(lexer *jlexer.Lexer) int64 {
+// truncatedInt reads a number and drops what follows its point.
+func truncatedInt(lexer *jlexer.Lexer) int64 {
 	if lexer.IsNull() {
 		lexer.Skip()
 		return 0
@@ -141,7 +141,7 @@
 	return int64(lexer.Float64())
 }
 
-func text(lexer *jlexer.Lexer) string {
+func stringOrEmpty(lexer *jlexer.Lexer) string {
 	if lexer.IsNull() {
 		lexer.Skip()
 		return ""
--- a/internal/system/workerapi/framing_test.go
+++ b/internal/system/workerapi/framing_test.go
@@ -29,7 +29,7 @@
 func feed(f *framing, text string, size int) (own int) {
 	for at := 0; at < len(text); at += size {
 		piece := text[at:min(at+size, len(text))]
-		count := f.own([]byte(piece))
+		count := f.countExpected([]byte(piece))
 		own += count
 		if count < len(piece) {
 			break
@@ -38,20 +38,20 @@
 	return own
 }
 
-func TestAnAnswersEndIsKnown(t *testing.T) {
+func TestFramingFindsTheEndOfAnAnswer(t *testing.T) {
 	const extra = "HTTP/1.1 200 OK\r\n"
 	for _, answer := range answersWithEnds {
 		for size := 1; size <= len(answer)+len(extra); size++ {
 			var f framing
-			f.ask()
+			f.noteRequest()
 			require.Equal(t, len(answer), feed(&f, answer+extra, size), "%q in pieces of %d", answer, size)
-			f.ask()
+			f.noteRequest()
 			require.Equal(t, len(extra), feed(&f, extra, size), "the next request's answer")
 		}
 	}
 }
 
-func TestAnswersWithoutAnEndPass(t *testing.T) {
+func TestAnswersEndedByCloseAreExpected(t *testing.T) {
 	for _, answer := range []string{
 		"HTTP/1.1 200 OK\r\n\r\nto the end of the connection",
 		"HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\n\r\nanything",
@@ -60,14 +60,14 @@
 		"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxHeaderBytes+1) + "\r\n\r\nmore",
 	} {
 		var f framing
-		f.ask()
+		f.noteRequest()
 		require.Equal(t, len(answer), feed(&f, answer, 7))
 	}
 }
 
-func TestNothingMayComeBeforeARequest(t *testing.T) {
+func TestBytesBeforeARequestAreUnsolicited(t *testing.T) {
 	var f framing
-	require.Zero(t, f.own([]byte("HTTP/1.1 408 Request Timeout\r\n\r\n")))
+	require.Zero(t, f.countExpected([]byte("HTTP/1.1 408 Request Timeout\r\n\r\n")))
 }
 
 // What net/http takes for an answer is what the framing takes for one.
@@ -90,12 +90,12 @@
 		require.NoError(t, err)
 		require.Equal(t, rest, string(left))
 		var f framing
-		f.ask()
+		f.noteRequest()
 		require.Equal(t, text.Len(), feed(&f, text.String()+rest, rapid.IntRange(1, 400).Draw(t, "size")), fmt.Sprintf("%q", text.String()))
 	})
 }
 
-func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
+func TestBytesAfterAnAnswerEndTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simnet.New(5)
 		listener, err := network.Listen(workerAddress)
@@ -104,7 +104,7 @@
 		require.NoError(t, err)
 		far, err := listener.Accept()
 		require.NoError(t, err)
-		connection := &boundConnection{Conn: near, bound: newConnectionBound(1, nil)}
+		connection := &limitedConnection{Conn: near, limiter: newConnectionLimiter(1, nil)}
 		_, err = connection.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 		require.NoError(t, err)
 		_, err = far.Write([]byte(answerText(1) + answerText(99)))
@@ -116,6 +116,6 @@
 		_, err = connection.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 		require.NoError(t, err)
 		_, err = connection.Read(buffer)
-		require.ErrorIs(t, err, errUnasked, "also once the next request is out")
+		require.ErrorIs(t, err, errUnsolicited, "also once the next request is out")
 	})
 }
--- a/internal/system/workerapi/list.go
+++ b/internal/system/workerapi/list.go
@@ -17,9 +17,9 @@
 	maxListPages       = 10_000
 	listConnections    = 2
 	defaultListTimeout = 5 * time.Second
-	// ratePause is how long a page that was refused for the rate waits, mostPageTries how often it is asked for.
-	ratePause     = 120 * time.Millisecond
-	mostPageTries = 10
+	// rateLimitBackoff is how long a page that was refused for the rate waits, maxPageAttempts how often it is asked for.
+	rateLimitBackoff = 120 * time.Millisecond
+	maxPageAttempts  = 10
 )
 
 // Errors of the platform's list.
@@ -67,15 +67,15 @@
 
 // ListClient reads the platform's list. It is safe for concurrent use.
 type ListClient struct {
-	transport *http.Transport
-	answers   *memorybudget.Budget
-	pause     func(ctx context.Context, length time.Duration) error
+	transport    *http.Transport
+	answerMemory *memorybudget.Budget
+	pause        func(ctx context.Context, length time.Duration) error
 }
 
 // NewListClient returns a client that has no connection yet. Dial makes its connections; nil stands for the operating system's sockets.
 func NewListClient(dial Dial) *ListClient {
-	return &ListClient{transport: newTransport(newConnectionBound(listConnections, dial), listConnections),
-		answers: memorybudget.NewBudget(defaultAnswerMemory), pause: pause.For}
+	return &ListClient{transport: newTransport(newConnectionLimiter(listConnections, dial), listConnections),
+		answerMemory: memorybudget.NewBudget(defaultAnswerMemory), pause: pause.For}
 }
 
 // Close closes the connections that no call uses.
@@ -92,7 +92,7 @@
 	var instances []Instance
 	token := ""
 	for range maxListPages {
-		page, err := client.patientPage(ctx, address, token)
+		page, err := client.pageWithRetries(ctx, address, token)
 		if err != nil {
 			return nil, fmt.Errorf("list of %s: %w", address, err)
 		}
@@ -108,28 +108,28 @@
 	return nil, fmt.Errorf("list of %s: %w", address, ErrEndlessList)
 }
 
-// patientPage reads a page; one that is refused for the rate is asked for again, so that a list of many pages gets through: the pages
+// pageWithRetries reads a page; one that is refused for the rate is asked for again, so that a list of many pages gets through: the pages
 // read so far aren't thrown away.
-func (client *ListClient) patientPage(ctx context.Context, address, token string) (listPage, error) {
-	for try := 1; ; try++ {
-		page, err := client.page(ctx, address, token)
-		if !errors.Is(err, ErrRateLimited) || try == mostPageTries || token == "" {
+func (client *ListClient) pageWithRetries(ctx context.Context, address, token string) (listPage, error) {
+	for attempt := 1; ; attempt++ {
+		page, err := client.fetchPage(ctx, address, token)
+		if !errors.Is(err, ErrRateLimited) || attempt == maxPageAttempts || token == "" {
 			return page, err
 		}
-		if pauseErr := client.pause(ctx, ratePause); pauseErr != nil {
+		if pauseErr := client.pause(ctx, rateLimitBackoff); pauseErr != nil {
 			return page, err
 		}
 	}
 }
 
-func (client *ListClient) page(ctx context.Context, address, token string) (listPage, error) {
+func (client *ListClient) fetchPage(ctx context.Context, address, token string) (listPage, error) {
 	response, err := client.transport.RoundTrip(newListRequest(ctx, address, token))
 	if err != nil {
 		return listPage{}, fmt.Errorf("%w: %w", ErrUnanswered, err)
 	}
 	buffer := acquireAnswerBuffer()
 	defer releaseAnswerBuffer(buffer)
-	lease := client.answers.Lease()
+	lease := client.answerMemory.Lease()
 	defer lease.Release()
 	if err := readAnswer(response, buffer, lease); err != nil {
 		return listPage{}, fmt.Errorf("%w: %w", ErrUnanswered, err)
--- a/internal/system/workerapi/list_test.go
+++ b/internal/system/workerapi/list_test.go
@@ -79,7 +79,7 @@
 	require.Nil(t, instances)
 }
 
-func TestPagesRefusedForTheRateAreAskedForAgain(t *testing.T) {
+func TestRateLimitedPagesAreRetried(t *testing.T) {
 	_, _, address, clock := newTimedPlatform(t, 5, hollow.PlatformSettings{PageSize: 1, RatePerS: 2})
 	client := newListClient(t)
 	client.pause = func(context.Context, time.Duration) error {
@@ -100,16 +100,16 @@
 
 func TestOddListsAreErrors(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-	same := answering(head + `{"instances":[],"nextPageToken":"p-1"}`)
+	same := writeAnswer(head + `{"instances":[],"nextPageToken":"p-1"}`)
 	cases := []struct {
 		name    string
 		answers []func(connection net.Conn)
 		failure error
 	}{
-		{"cut page", []func(net.Conn){answering(head + `{"instances":[{"id":"i-1"`)}, ErrUnreadable},
-		{"cut second page", []func(net.Conn){same, answering("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{")}, ErrUnanswered},
+		{"cut page", []func(net.Conn){writeAnswer(head + `{"instances":[{"id":"i-1"`)}, ErrUnreadable},
+		{"cut second page", []func(net.Conn){same, writeAnswer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{")}, ErrUnanswered},
 		{"same token again", []func(net.Conn){same, same}, ErrEndlessList},
-		{"server error", []func(net.Conn){answering("HTTP/1.1 500 Error\r\nConnection: close\r\n\r\n")}, ErrUnexpectedStatus},
+		{"server error", []func(net.Conn){writeAnswer("HTTP/1.1 500 Error\r\nConnection: close\r\n\r\n")}, ErrUnexpectedStatus},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/system/workerapi/listbytes_test.go
+++ b/internal/system/workerapi/listbytes_test.go
@@ -15,12 +15,12 @@
 
 const platformAddress = "10.0.0.4:80"
 
-// listWire reads a list of two pages over a simulated network; the first connection has the fate. Calls counts the pages asked for.
-func listWire(t *testing.T, fate simnet.Fate, body func(t *testing.T, read func() ([]Instance, error), calls *int, network *simnet.Network)) {
+// withSimulatedPlatform reads a list of two pages over a simulated network; the first connection has the fate. Calls counts the pages asked for.
+func withSimulatedPlatform(t *testing.T, fate simnet.Fate, body func(t *testing.T, read func() ([]Instance, error), calls *int, network *simnet.Network)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := simnet.New(7)
-		network.SetPlan(firstOnly(fate))
+		network.SetPlan(planForFirst(fate))
 		listener, err := network.Listen(platformAddress)
 		require.NoError(t, err)
 		calls := 0
@@ -49,10 +49,10 @@
 
 // A connection that ends at any byte of two lists, of two pages each: each list is read whole or not at all, and no page is asked for more
 // than once for each connection.
-func TestAListOverAConnectionThatEndsAtAnyByteIsWholeOrAnError(t *testing.T) {
+func TestListOverConnectionCutAtAnyByteIsCompleteOrAnError(t *testing.T) {
 	whole := []Instance{{ID: "i-1"}, {ID: "i-2"}}
 	var request, answer int64
-	listWire(t, simnet.Fate{}, func(t *testing.T, read func() ([]Instance, error), _ *int, network *simnet.Network) {
+	withSimulatedPlatform(t, simnet.Fate{}, func(t *testing.T, read func() ([]Instance, error), _ *int, network *simnet.Network) {
 		for range 2 {
 			instances, err := read()
 			require.NoError(t, err)
@@ -62,7 +62,7 @@
 		request, answer = conn.Sent(), conn.Peer().Sent()
 	})
 	play := func(fate simnet.Fate) {
-		listWire(t, fate, func(t *testing.T, read func() ([]Instance, error), calls *int, network *simnet.Network) {
+		withSimulatedPlatform(t, fate, func(t *testing.T, read func() ([]Instance, error), calls *int, network *simnet.Network) {
 			for range 2 {
 				instances, err := read()
 				if err != nil {
--- a/internal/system/workerapi/listdecode.go
+++ b/internal/system/workerapi/listdecode.go
@@ -84,13 +84,13 @@
 	case "version":
 		instance.Version = lexer.StringIntern()
 	case "capacity":
-		instance.Capacity = int(whole(lexer))
+		instance.Capacity = int(truncatedInt(lexer))
 	case "state":
-		instance.State = instanceStateOf(lexer.UnsafeString())
+		instance.State = parseInstanceState(lexer.UnsafeString())
 	case "coldRemainingMs":
-		instance.ColdRemainingMs = whole(lexer)
+		instance.ColdRemainingMs = truncatedInt(lexer)
 	case "remainingMs":
-		instance.RemainingMs = whole(lexer)
+		instance.RemainingMs = truncatedInt(lexer)
 	case "allocatable":
 		instance.Allocatable = decodeAllocatable(lexer)
 	case "labels":
@@ -100,7 +100,7 @@
 	}
 }
 
-func instanceStateOf(word string) InstanceState {
+func parseInstanceState(word string) InstanceState {
 	switch word {
 	case "ready":
 		return StateReady
@@ -118,11 +118,11 @@
 		lexer.WantColon()
 		switch field {
 		case "cpu":
-			allocatable.CPU = int(whole(lexer))
+			allocatable.CPU = int(truncatedInt(lexer))
 		case "memMb":
-			allocatable.MemoryMB = int(whole(lexer))
+			allocatable.MemoryMB = int(truncatedInt(lexer))
 		case "gpus":
-			allocatable.GPUs = int(whole(lexer))
+			allocatable.GPUs = int(truncatedInt(lexer))
 		default:
 			lexer.SkipRecursive()
 		}
--- a/internal/system/workerapi/outcome.go
+++ b/internal/system/workerapi/outcome.go
@@ -114,7 +114,7 @@
 	return howNames[how]
 }
 
-func howOf(word string) How {
+func parseEndReason(word string) How {
 	for how := HowDone; how < howCount; how++ {
 		if howNames[how] == word {
 			return how
--- a/internal/system/workerapi/transport.go
+++ b/internal/system/workerapi/transport.go
@@ -21,30 +21,30 @@
 	idleTimeout       = time.Minute
 	bufferBytes       = 2 << 10
 	maxHeaderBytes    = 16 << 10
-	// idlePerHost connections that no call uses are kept to one host, and to all hosts one part in idlePart of the bound, so that there
+	// maxIdlePerHost connections that no call uses are kept to one host, and to all hosts one part in idleShareDivisor of the limiter, so that there
 	// is always room for the calls that come at once.
-	idlePerHost = 4
-	idlePart    = 2
+	maxIdlePerHost   = 4
+	idleShareDivisor = 2
 )
 
 // Dial makes a connection, as net.Dialer's DialContext does.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// connectionBound counts the open connections of one client and refuses to dial beyond its limit. Connections that no call uses don't
+// connectionLimiter counts the open connections of one client and refuses to dial beyond its limit. Connections that no call uses don't
 // stand in the way of one that a call needs: at the limit they are closed first.
-type connectionBound struct {
+type connectionLimiter struct {
 	dial      Dial
 	limit     int64
 	open      atomic.Int64
 	closeIdle func()
 }
 
-// newConnectionBound returns a bound of connections that dial makes; nil stands for the operating system's sockets.
-func newConnectionBound(limit int, dial Dial) *connectionBound {
+// newConnectionLimiter returns a bound of connections that dial makes; nil stands for the operating system's sockets.
+func newConnectionLimiter(limit int, dial Dial) *connectionLimiter {
 	if dial == nil {
 		dial = newDialer().DialContext
 	}
-	return &connectionBound{limit: int64(limit), dial: dial}
+	return &connectionLimiter{limit: int64(limit), dial: dial}
 }
 
 func newDialer() *net.Dialer {
@@ -72,95 +72,95 @@
 	return setError
 }
 
-func (bound *connectionBound) connect(ctx context.Context, network, address string) (net.Conn, error) {
-	if !bound.take() {
-		return nil, fmt.Errorf("%w: %w", errNotDialled, ErrTooManyConnections)
+func (limiter *connectionLimiter) connect(ctx context.Context, network, address string) (net.Conn, error) {
+	if !limiter.acquire() {
+		return nil, fmt.Errorf("%w: %w", errDialFailed, ErrTooManyConnections)
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	connection, err := bound.dial(ctx, network, address)
+	connection, err := limiter.dial(ctx, network, address)
 	if err != nil {
-		bound.open.Add(-1)
-		return nil, fmt.Errorf("%w: %w", errNotDialled, err)
+		limiter.open.Add(-1)
+		return nil, fmt.Errorf("%w: %w", errDialFailed, err)
 	}
-	return &boundConnection{Conn: connection, bound: bound}, nil
+	return &limitedConnection{Conn: connection, limiter: limiter}, nil
 }
 
-// take counts one more connection, if need be in the place of those that no call uses.
-func (bound *connectionBound) take() bool {
-	if bound.tryTake() {
+// acquire counts one more connection, if need be in the place of those that no call uses.
+func (limiter *connectionLimiter) acquire() bool {
+	if limiter.tryAcquire() {
 		return true
 	}
-	bound.closeIdle()
-	return bound.tryTake()
+	limiter.closeIdle()
+	return limiter.tryAcquire()
 }
 
-func (bound *connectionBound) tryTake() bool {
-	if bound.open.Add(1) <= bound.limit {
+func (limiter *connectionLimiter) tryAcquire() bool {
+	if limiter.open.Add(1) <= limiter.limit {
 		return true
 	}
-	bound.open.Add(-1)
+	limiter.open.Add(-1)
 	return false
 }
 
-// boundConnection gives its place back when it is closed, and ends with errUnasked once more has come than the answers that were asked
+// limitedConnection gives its place back when it is closed, and ends with errUnsolicited once more has come than the answers that were asked
 // for.
-type boundConnection struct {
+type limitedConnection struct {
 	net.Conn
-	bound   *connectionBound
-	closed  atomic.Bool
-	framing framing
-	unasked bool
+	limiter     *connectionLimiter
+	closed      atomic.Bool
+	framing     framing
+	unsolicited bool
 }
 
 // Read implements net.Conn.
-func (connection *boundConnection) Read(buffer []byte) (int, error) {
-	if connection.unasked {
-		return 0, errUnasked
+func (connection *limitedConnection) Read(buffer []byte) (int, error) {
+	if connection.unsolicited {
+		return 0, errUnsolicited
 	}
 	count, err := connection.Conn.Read(buffer)
-	own := connection.framing.own(buffer[:count])
-	if own == count {
+	expected := connection.framing.countExpected(buffer[:count])
+	if expected == count {
 		return count, err
 	}
-	connection.unasked = true
-	if own == 0 {
-		return 0, errUnasked
+	connection.unsolicited = true
+	if expected == 0 {
+		return 0, errUnsolicited
 	}
-	return own, nil
+	return expected, nil
 }
 
 // Write implements net.Conn.
-func (connection *boundConnection) Write(data []byte) (int, error) {
-	connection.framing.ask()
+func (connection *limitedConnection) Write(data []byte) (int, error) {
+	connection.framing.noteRequest()
 	return connection.Conn.Write(data)
 }
 
 // Close implements net.Conn; it may be called more than once.
-func (connection *boundConnection) Close() error {
+func (connection *limitedConnection) Close() error {
 	if connection.closed.CompareAndSwap(false, true) {
-		connection.bound.open.Add(-1)
+		connection.limiter.open.Add(-1)
 	}
 	return connection.Conn.Close()
 }
 
 // newTransport returns a transport that speaks plain HTTP/1.1 to hosts given by address, keeps its connections and never
 // asks a proxy.
-func newTransport(bound *connectionBound, connectionsPerHost int) *http.Transport {
+func newTransport(limiter *connectionLimiter, connectionsPerHost int) *http.Transport {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	transport := &http.Transport{
-		DialContext:            bound.connect,
+		DialContext:            limiter.connect,
 		Protocols:              protocols,
 		DisableCompression:     true,
-		MaxIdleConns:           int(bound.limit) / idlePart,
-		MaxIdleConnsPerHost:    min(connectionsPerHost, idlePerHost),
+		MaxIdleConns:           int(limiter.limit) / idleShareDivisor,
+		MaxIdleConnsPerHost:    min(connectionsPerHost, maxIdlePerHost),
 		MaxConnsPerHost:        connectionsPerHost,
 		IdleConnTimeout:        idleTimeout,
 		ReadBufferSize:         bufferBytes,
 		WriteBufferSize:        bufferBytes,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
-	bound.closeIdle = transport.CloseIdleConnections
+	limiter.closeIdle = transport.CloseIdleConnections
 	return transport
 }
