--- a/internal/system/workerapi/call.go
+++ b/internal/system/workerapi/call.go
@@ -16,8 +16,8 @@
 	expectInstanceHeader = "X-Gaugeslip-Expect-Instance"
 	maxAnswerBytes       = 4 << 20
 	maxPooledBufferBytes = 64 << 10
-	// unleasedAnswerBytes is what any answer may take: more than a worker says that has a thousand runs and ends. Longer ones share what there is
-	// for all of them.
+	// unleasedAnswerBytes is the size up to which an answer takes no memory from the client's budget. It exceeds the answer of a worker with a
+	// thousand runs and ends. Longer answers share the budget.
 	unleasedAnswerBytes = 64 << 10
 )
 
@@ -27,8 +27,8 @@
 	answerBuffers   = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 )
 
-// call sends one order and reads the answer into answer. It never repeats an order of which a byte may have left: the
-// transport repeats only what was written on no connection.
+// call sends one order and reads the worker's answer into answer. An order of which a byte may have been sent is never sent
+// again: the transport retries only requests of which it wrote nothing on any connection.
 func (client *Client) call(ctx context.Context, worker Worker, path string, order []byte, answer *wireAnswer) (Outcome, error) {
 	trace := newConnectionTrace()
 	response, err := client.transport.RoundTrip(newRequest(trace.context(ctx), worker, path, order))
@@ -45,8 +45,8 @@
 	return classifyAnswer(response.StatusCode, buffer.Bytes(), path == holdPath, answer)
 }
 
-// newRequest gives the order as a reader that the transport knows to be in memory, so that header and body go out together.
-// The order's bytes belong to the transport from then on, which may read them after the call.
+// newRequest passes the order as a reader that the transport knows to be in memory, so that it sends header and body together.
+// The transport then owns the order's bytes and may read them after the call has returned.
 func newRequest(ctx context.Context, worker Worker, path string, order []byte) *http.Request {
 	body := func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(order)), nil }
 	first, _ := body()
@@ -69,8 +69,9 @@
 	return request.WithContext(ctx)
 }
 
-// readAnswer reads the body to its end, so that the connection can be kept, and closes it. Of a switch of protocols nothing is read:
-// the connection is then the caller's, and no context ends a read from it. What is longer than a small answer is held by the lease.
+// readAnswer reads the body to its end, so that the connection can be reused, and closes it. After status 101 (switching protocols) it
+// reads nothing: the connection then belongs to the caller, and no context ends a read from it. The lease reserves the memory of answers
+// longer than unleasedAnswerBytes.
 func readAnswer(response *http.Response, buffer *bytes.Buffer, lease *memorybudget.Lease) error {
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusSwitchingProtocols {
@@ -88,12 +89,13 @@
 			return fmt.Errorf("%w: more than %d bytes", ErrUnreadable, maxAnswerBytes)
 		}
 		if limit = min(2*limit, overLimit); !lease.Grow(limit) {
-			return fmt.Errorf("%w: %d bytes, and the answers of others take the memory for more", ErrUnreadable, buffer.Len())
+			return fmt.Errorf("%w: %d bytes; no memory for more beside other answers", ErrUnreadable, buffer.Len())
 		}
 	}
 }
 
-// classifyAnswer classes an answer. An answer that can't be read leaves Unknown, also after a 200: the caller has then to look.
+// classifyAnswer maps an answer to an outcome. The outcome of an unreadable answer is Unknown, also with status 200: the caller then has to
+// find out whether the order was carried out.
 func classifyAnswer(status int, data []byte, requiresBody bool, answer *wireAnswer) (Outcome, error) {
 	err := decodeOptional(data, answer)
 	switch status {
@@ -110,7 +112,7 @@
 	case http.StatusBadRequest:
 		return BadRequest, nil
 	case http.StatusMisdirectedRequest:
-		*answer = wireAnswer{} // what it tells belongs to the other life
+		*answer = wireAnswer{} // the answer describes the other instance
 		return OtherLife, nil
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return Busy, nil
@@ -118,7 +120,7 @@
 	return Unknown, fmt.Errorf("%w: %d", ErrUnexpectedStatus, status)
 }
 
-// decodeOptional reads a body if there is one. What was read before an error doesn't count.
+// decodeOptional decodes the body unless it is empty. On an error it resets answer.
 func decodeOptional(data []byte, answer *wireAnswer) error {
 	if len(data) == 0 {
 		return nil
--- a/internal/system/workerapi/client.go
+++ b/internal/system/workerapi/client.go
@@ -22,17 +22,17 @@
 	defaultAnswerMemory         = 16 << 20
 )
 
-// Options bound a client; zero values stand for the defaults.
+// Options are the limits of a client. Zero values select the defaults.
 type Options struct {
-	// Connections bounds the open connections to all workers together (1024).
+	// Connections limits the open connections to all workers together (1024).
 	Connections int
-	// ConnectionsPerWorker bounds those to one worker, busy and kept (4): calls beyond wait for a free one.
+	// ConnectionsPerWorker limits the connections to one worker, in use and idle (4). Further calls wait for a free connection.
 	ConnectionsPerWorker int
-	// AnswerMemory is how many bytes all answers that are longer than usual may take together (16 MiB).
+	// AnswerMemory limits the bytes that all answers longer than 64 KiB take together (16 MiB).
 	AnswerMemory int64
-	// AnswerTimeout bounds a call whose context has no deadline (2 s); a hold may take its wait besides.
+	// AnswerTimeout limits a call whose context has no deadline (2 s). A hold may take its own wait in addition.
 	AnswerTimeout time.Duration
-	// Dial makes connections in place of the operating system's sockets, for a simulated network.
+	// Dial replaces the operating system's sockets, for a simulated network.
 	Dial Dial
 }
 
@@ -60,7 +60,7 @@
 	answerTimeout time.Duration
 }
 
-// NewClient returns a client that has no connection yet.
+// NewClient returns a client without open connections.
 func NewClient(options Options) *Client {
 	options = options.withDefaults()
 	limiter := newConnectionLimiter(options.Connections, options.Dial)
@@ -72,7 +72,7 @@
 	}
 }
 
-// Close closes the connections that no call uses; those in use are closed by the end of their calls' contexts.
+// Close closes the idle connections. Connections in use are closed when the contexts of their calls end.
 func (client *Client) Close() {
 	client.transport.CloseIdleConnections()
 }
@@ -82,14 +82,14 @@
 	return int(client.limiter.open.Load())
 }
 
-// Start orders one run. The error is nil whenever the worker's answer was understood, also if it refused; otherwise it wraps
-// ErrNotSent, ErrUnanswered, ErrUnreadable or ErrUnexpectedStatus, and the reply's Outcome says what is certain.
+// Start orders one run. The error is nil whenever the worker's answer was understood, also if the worker refused. Otherwise it wraps
+// ErrNotSent, ErrUnanswered, ErrUnreadable or ErrUnexpectedStatus, and the reply's Outcome states what is certain.
 func (client *Client) Start(ctx context.Context, worker Worker, order StartOrder) (Reply, error) {
 	data := make([]byte, 0, order.sizeHint())
 	return client.sendOrder(ctx, worker, startPath, appendStart(data, &order))
 }
 
-// Stop orders the end of one run. Errors are as for Start.
+// Stop orders the end of one run. It returns the same errors as Start.
 func (client *Client) Stop(ctx context.Context, worker Worker, order StopOrder) (Reply, error) {
 	data := make([]byte, 0, smallOrderBytes)
 	return client.sendOrder(ctx, worker, stopPath, appendStop(data, &order))
@@ -106,7 +106,7 @@
 	return Reply{Outcome: outcome, ClockMs: answer.clockMs}, err
 }
 
-// Hold renews the hold of what runs on the worker, acknowledges ends and reads both lists. Errors are as for Start.
+// Hold renews the hold on all runs of the worker, acknowledges ends, and reads the lists of runs and ends. It returns the same errors as Start.
 func (client *Client) Hold(ctx context.Context, worker Worker, order HoldOrder) (HoldReply, error) {
 	wait := time.Duration(min(order.WaitMs, MaxWaitMs)) * time.Millisecond
 	ctx, cancel := withTimeout(ctx, client.answerTimeout+wait)
--- a/internal/system/workerapi/decode.go
+++ b/internal/system/workerapi/decode.go
@@ -6,7 +6,7 @@
 	"github.com/mailru/easyjson/jlexer"
 )
 
-// wireAnswer is everything that an answer of a worker may carry.
+// wireAnswer holds all fields that a worker's answer may contain.
 type wireAnswer struct {
 	clockMs     int64
 	remainingMs int64
@@ -15,7 +15,7 @@
 	finished    []FinishedTask
 }
 
-// decode reads the body of an answer. Unknown fields are skipped; whatever is missing stays zero.
+// decode reads the body of an answer. It skips unknown fields; missing fields stay zero.
 func (answer *wireAnswer) decode(data []byte) error {
 	lexer := jlexer.Lexer{Data: data}
 	lexer.Delim('{')
@@ -122,7 +122,7 @@
 	return finished
 }
 
-// decodeRow reads one array whose columns differ in type; columns that are missing at its end stay zero.
+// decodeRow reads one array whose columns differ in type. It calls decodeColumn for each column that is present.
 func decodeRow(lexer *jlexer.Lexer, decodeColumn func(column int)) {
 	lexer.Delim('[')
 	for column := 0; !lexer.IsDelim(']'); column++ {
@@ -132,7 +132,7 @@
 	lexer.Delim(']')
 }
 
-// truncatedInt reads a number and drops what follows its point.
+// truncatedInt reads a number and drops its fraction. It reads null as 0.
 func truncatedInt(lexer *jlexer.Lexer) int64 {
 	if lexer.IsNull() {
 		lexer.Skip()
--- a/internal/system/workerapi/encode.go
+++ b/internal/system/workerapi/encode.go
@@ -5,15 +5,15 @@
 	"unicode/utf8"
 )
 
-// smallOrderBytes is room for an order without a spec.
+// smallOrderBytes is the initial capacity for an order without a spec.
 const smallOrderBytes = 160
 
-// sizeHint is room for the order if its spec needs few escapes.
+// sizeHint returns the initial capacity for the order. It suffices if the spec needs few escapes.
 func (order *StartOrder) sizeHint() int {
 	return smallOrderBytes + len(order.Spec) + len(order.Spec)/8
 }
 
-// The encoders write what differs from zero and omit the rest, as the workers' contract asks for.
+// The encoders omit fields that are zero, as the workers' contract requires.
 
 func appendStart(data []byte, order *StartOrder) []byte {
 	data = append(data, '{')
@@ -71,7 +71,7 @@
 	return append(data, name...)
 }
 
-// appendQuoted writes a JSON string. Bytes from 0x80 on go out as they are: texts come from JSON and are handed on unchanged.
+// appendQuoted appends value as a JSON string. It leaves bytes from 0x80 on as they are: the texts come from JSON and are passed on unchanged.
 func appendQuoted(data []byte, value string) []byte {
 	const hex = "0123456789abcdef"
 	data = append(data, '"')
--- a/internal/system/workerapi/framing.go
+++ b/internal/system/workerapi/framing.go
@@ -8,14 +8,14 @@
 	"sync/atomic"
 )
 
-// errUnsolicited ends a connection on which bytes came that no request had asked for.
+// errUnsolicited ends a connection that delivered bytes without a request for them.
 var errUnsolicited = errors.New("bytes that answer no request")
 
-// parseState is where in an answer the next byte lies.
+// parseState is the part of an answer that the next byte belongs to.
 type parseState uint8
 
 const (
-	// betweenAnswers answers: a byte may come only once a request has begun.
+	// betweenAnswers: bytes may arrive only after a request has begun.
 	betweenAnswers parseState = iota
 	statusLine
 	headerLines
@@ -23,29 +23,29 @@
 	chunkSizeLine
 	chunkBytes
 	trailerLines
-	// endless: the answer ends with the connection, or can't be measured.
+	// untilClose: the answer ends with the connection, or its length can't be determined.
 	untilClose
 )
 
-// framing follows the answers on one connection and tells where each ends. net/http gives a connection to the next call before it looks
-// whether more has come behind an answer, and would take a second answer for the next call's.
+// framing parses the answers on one connection to find where each ends. net/http hands a connection to the next call before it checks
+// for further bytes after an answer, and would take a second answer for that of the next call.
 type framing struct {
-	// expectsAnswer is set from the first byte of a request to the last of its answer.
+	// expectsAnswer is true from the first byte of a request to the last byte of its answer.
 	expectsAnswer atomic.Bool
 
 	state parseState
-	// line is what has come of a line that isn't whole yet.
+	// line is the received part of an incomplete line.
 	line      []byte
 	status    int
-	length    int64 // of the body, -1 if the head doesn't tell
+	length    int64 // of the body; -1 if the headers don't state it
 	chunked   bool
-	remaining int64 // bytes of the body or the chunk
+	remaining int64 // bytes left of the body or the chunk
 }
 
-// noteRequest takes note that bytes of a request go out.
+// noteRequest records that bytes of a request are being sent.
 func (f *framing) noteRequest() { f.expectsAnswer.Store(true) }
 
-// countExpected follows the bytes and returns how many of them belong to answers that were asked for.
+// countExpected parses the received bytes and returns how many of them belong to answers to requests.
 func (f *framing) countExpected(data []byte) int {
 	for at := 0; at < len(data); {
 		switch f.state {
@@ -65,7 +65,7 @@
 	return len(data)
 }
 
-// skipBody passes over bytes of a body.
+// skipBody skips bytes of a body or a chunk and returns how many of the available bytes it skipped.
 func (f *framing) skipBody(available int) int {
 	count := min(f.remaining, int64(available))
 	f.remaining -= count
@@ -80,7 +80,7 @@
 	return int(count)
 }
 
-// consumeLine takes the rest of a line, or what there is of it, and returns how many bytes that was.
+// consumeLine consumes data up to the end of the line, or all of it, and returns the number of bytes consumed.
 func (f *framing) consumeLine(data []byte) int {
 	end := bytes.IndexByte(data, '\n')
 	if end < 0 {
@@ -155,7 +155,7 @@
 }
 
 func (f *framing) parseChunkSize(line []byte) {
-	const lineEnd = 2 // behind the bytes of a chunk
+	const lineEnd = 2 // CR LF after the bytes of a chunk
 	size, _, _ := bytes.Cut(line, []byte{';'})
 	switch length := parseLength(size, 16); {
 	case length < 0:
@@ -167,15 +167,15 @@
 	}
 }
 
-// answerDone is the change to no answer under way.
+// answerDone notes the end of an answer.
 func (f *framing) answerDone() {
 	f.state = betweenAnswers
 	f.expectsAnswer.Store(false)
 }
 
-// parseLength reads a length; -1 if it is none.
+// parseLength parses a length. It returns -1 for invalid text.
 func parseLength(text []byte, base int) int64 {
-	const bits = 48 // no length comes near this, and a few bytes more don't overflow
+	const bits = 48 // far above any real length; adding a few bytes can't overflow
 	value, err := strconv.ParseUint(string(bytes.TrimSpace(text)), base, bits)
 	if err != nil {
 		return -1
--- a/internal/system/workerapi/list.go
+++ b/internal/system/workerapi/list.go
@@ -17,40 +17,40 @@
 	maxListPages       = 10_000
 	listConnections    = 2
 	defaultListTimeout = 5 * time.Second
-	// rateLimitBackoff is how long a page that was refused for the rate waits, maxPageAttempts how often it is asked for.
+	// rateLimitBackoff is the wait before a rate-limited page is requested again, maxPageAttempts the number of requests per page.
 	rateLimitBackoff = 120 * time.Millisecond
 	maxPageAttempts  = 10
 )
 
-// Errors of the platform's list.
+// Errors of reading the platform's list.
 var (
-	// ErrRateLimited means that the platform has had more calls than it accepts.
+	// ErrRateLimited means that the platform received more calls than it accepts.
 	ErrRateLimited = errors.New("rate of calls exceeded")
-	// ErrEndlessList means that the pages of a list don't come to an end.
+	// ErrEndlessList means that a list has too many pages or repeats a page token.
 	ErrEndlessList = errors.New("list without end")
 )
 
-// InstanceState is what the platform does with a worker.
+// InstanceState is the state of a worker on the platform's list.
 type InstanceState uint8
 
 const (
-	// StateUnknown is a word that the contract doesn't know.
+	// StateUnknown: the platform sent a word that the contract doesn't define.
 	StateUnknown InstanceState = iota
 	// StateReady: the worker serves.
 	StateReady
-	// StateDraining: the worker is to end.
+	// StateDraining: the worker is going to be terminated.
 	StateDraining
 )
 
-// Allocatable is a worker's room: thousandths of a core, megabytes, and whole GPUs.
+// Allocatable is a worker's capacity: CPU in thousandths of a core, memory in megabytes, and whole GPUs.
 type Allocatable struct {
 	CPU      int
 	MemoryMB int
 	GPUs     int
 }
 
-// Instance is one worker on the platform's list. ColdRemainingMs is how long it stays slow after its start, RemainingMs the
-// least time that a draining one still has (0 if it isn't told).
+// Instance is one worker on the platform's list. ColdRemainingMs is how much longer it stays slow after its start. RemainingMs is the
+// least time that a draining worker still has (0 if the platform doesn't state it). Both are in milliseconds.
 type Instance struct {
 	ID              string
 	Backend         string
@@ -72,19 +72,19 @@
 	pause        func(ctx context.Context, length time.Duration) error
 }
 
-// NewListClient returns a client that has no connection yet. Dial makes its connections; nil stands for the operating system's sockets.
+// NewListClient returns a client without open connections. Dial makes its connections; nil selects the operating system's sockets.
 func NewListClient(dial Dial) *ListClient {
 	return &ListClient{transport: newTransport(newConnectionLimiter(listConnections, dial), listConnections),
 		answerMemory: memorybudget.NewBudget(defaultAnswerMemory), pause: pause.For}
 }
 
-// Close closes the connections that no call uses.
+// Close closes the idle connections.
 func (client *ListClient) Close() {
 	client.transport.CloseIdleConnections()
 }
 
-// List reads all pages of the list at the platform's address (host:port). It returns the whole list or an error, never a part;
-// each page is one call in the platform's count, and a call beyond its rate gives ErrRateLimited. A context without a
+// List reads all pages of the list at the platform's address (host:port). It returns the complete list or an error, never a part.
+// Each page counts as one call at the platform; a call beyond its rate limit gives ErrRateLimited. A context without a
 // deadline gets one of 5 s for all pages together.
 func (client *ListClient) List(ctx context.Context, address string) ([]Instance, error) {
 	ctx, cancel := withTimeout(ctx, defaultListTimeout)
@@ -108,8 +108,8 @@
 	return nil, fmt.Errorf("list of %s: %w", address, ErrEndlessList)
 }
 
-// pageWithRetries reads a page; one that is refused for the rate is asked for again, so that a list of many pages gets through: the pages
-// read so far aren't thrown away.
+// pageWithRetries reads a page and requests it again if it was rate-limited, so that a list of many pages is completed without reading the
+// earlier pages anew. It doesn't retry the first page.
 func (client *ListClient) pageWithRetries(ctx context.Context, address, token string) (listPage, error) {
 	for attempt := 1; ; attempt++ {
 		page, err := client.fetchPage(ctx, address, token)
--- a/internal/system/workerapi/listdecode.go
+++ b/internal/system/workerapi/listdecode.go
@@ -6,7 +6,7 @@
 	"github.com/mailru/easyjson/jlexer"
 )
 
-// listPage is one page of the platform's list; nextToken is empty on the last.
+// listPage is one page of the platform's list. nextToken is empty on the last page.
 type listPage struct {
 	instances []Instance
 	nextToken string
--- a/internal/system/workerapi/outcome.go
+++ b/internal/system/workerapi/outcome.go
@@ -2,25 +2,25 @@
 
 import "errors"
 
-// Errors of calls. A call that got an answer which this package understands returns none of them.
+// Errors of calls. A call whose answer was understood returns none of them.
 var (
-	// ErrNotSent means that the call never reached the worker in full: surely nothing was done.
+	// ErrNotSent means that the call never reached the worker in full, so it certainly had no effect.
 	ErrNotSent = errors.New("not sent")
-	// ErrUnanswered means that the call was sent, at least in part, and that no whole answer came.
+	// ErrUnanswered means that the call was sent, at least in part, and that no complete answer arrived.
 	ErrUnanswered = errors.New("no answer")
-	// ErrUnreadable means that an answer came whose body can't be read.
+	// ErrUnreadable means that the body of the answer can't be decoded.
 	ErrUnreadable = errors.New("unreadable answer")
-	// ErrUnexpectedStatus means that an answer came with a status that the contract doesn't know.
+	// ErrUnexpectedStatus means that the answer has a status that the contract doesn't define.
 	ErrUnexpectedStatus = errors.New("unexpected status")
-	// ErrTooManyConnections means that calls use as many connections as the client may have open.
+	// ErrTooManyConnections means that the client's maximum number of connections is in use.
 	ErrTooManyConnections = errors.New("too many connections")
 )
 
-// Outcome tells what is certain about one call. The zero value is Unknown, the careful one.
+// Outcome is what is certain about one call. The zero value is Unknown, the safe assumption.
 type Outcome uint8
 
 const (
-	// Unknown: the call may have been done, or may still be done seconds later, or never.
+	// Unknown: the order may have been carried out, may still be carried out seconds later, or never.
 	Unknown Outcome = iota
 	// Done: the worker answered 200.
 	Done
@@ -28,17 +28,17 @@
 	RefusedFence
 	// RefusedOld: the worker has stopped or ended this run or a later one of the task.
 	RefusedOld
-	// RefusedLate: the order's due time was over on the worker's clock.
+	// RefusedLate: the order's due time had passed on the worker's clock.
 	RefusedLate
-	// RefusedRoom: the task doesn't fit into what is free on the worker.
+	// RefusedRoom: the worker lacks the free capacity for the task.
 	RefusedRoom
-	// BadRequest: the worker can't read the order or doesn't accept its form.
+	// BadRequest: the worker can't decode the order or rejects its format.
 	BadRequest
-	// Busy: an unhealthy worker refused the call and has done nothing.
+	// Busy: an unhealthy worker refused the call and did nothing.
 	Busy
-	// OtherLife: another life of the process is at that address; the one that was meant is over.
+	// OtherLife: another instance of the process listens at that address; the intended one has ended.
 	OtherLife
-	// NotSent: the call didn't reach the worker in full; surely nothing was done.
+	// NotSent: the call didn't reach the worker in full, so it certainly had no effect.
 	NotSent
 	outcomeCount
 )
@@ -56,7 +56,7 @@
 	NotSent:      "not sent",
 }
 
-// String names the outcome for logs.
+// String returns the outcome's name for logs.
 func (outcome Outcome) String() string {
 	if outcome >= outcomeCount {
 		return "invalid outcome"
@@ -64,34 +64,34 @@
 	return outcomeNames[outcome]
 }
 
-// Answered tells whether the worker's own answer decided the outcome.
+// Answered reports whether the worker's answer determined the outcome.
 func (outcome Outcome) Answered() bool {
 	return outcome != Unknown && outcome != NotSent
 }
 
-// CertainlyNotDone tells whether this very call started and stopped nothing, and never will. It says nothing of earlier
-// calls of the same order: after an Unknown start, RefusedOld may mean that the first one has run and ended.
+// CertainlyNotDone reports whether this call started and stopped nothing, and never will. It says nothing about earlier
+// calls with the same order: after an Unknown start, RefusedOld may mean that the first start has run and ended.
 func (outcome Outcome) CertainlyNotDone() bool {
 	return outcome != Unknown && outcome != Done
 }
 
-// How is the way in which a run ended, as the worker lists it.
+// How is the reason why a run ended, as the worker lists it.
 type How uint8
 
 const (
-	// HowUnknown is a word that the contract doesn't know.
+	// HowUnknown: the worker sent a word that the contract doesn't define.
 	HowUnknown How = iota
-	// HowDone: the work is done.
+	// HowDone: the task completed.
 	HowDone
-	// HowFailed: by the task's own fault or by the worker's.
+	// HowFailed: the task or the worker failed.
 	HowFailed
-	// HowStopped: by an order.
+	// HowStopped: a stop order ended the run.
 	HowStopped
-	// HowLapsed: the hold ran out.
+	// HowLapsed: the hold expired.
 	HowLapsed
 	// HowBroken: another member of the gang ended.
 	HowBroken
-	// HowAlone: it waited too long for the other members of the gang.
+	// HowAlone: the run waited too long for the other members of the gang.
 	HowAlone
 	howCount
 )
@@ -106,7 +106,7 @@
 	HowAlone:   "alone",
 }
 
-// String is the word on the wire.
+// String returns the word used on the wire.
 func (how How) String() string {
 	if how >= howCount {
 		return howNames[HowUnknown]
--- a/internal/system/workerapi/sending.go
+++ b/internal/system/workerapi/sending.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 )
 
-// errDialFailed marks errors of making a connection.
+// errDialFailed marks errors of opening a connection.
 var errDialFailed = errors.New("not connected")
 
-// connectionTrace notes whether a call was ever given a connection.
+// connectionTrace records whether a call ever got a connection.
 type connectionTrace struct {
 	hooks     httptrace.ClientTrace
 	connected atomic.Bool
@@ -31,8 +31,8 @@
 	return httptrace.WithClientTrace(ctx, &trace.hooks)
 }
 
-// classifyFailure tells what is certain of a call that got no answer. Without a connection nothing went out. The transport looks for
-// another connection after the first only if it wrote nothing on that, so an error of the dial proves the same.
+// classifyFailure returns the outcome of a call that got no answer. Without a connection nothing was sent. The transport tries a
+// second connection only if it wrote nothing on the first, so a dial error also proves that nothing was sent.
 func (trace *connectionTrace) classifyFailure(err error) (Outcome, error) {
 	if !trace.connected.Load() || errors.Is(err, errDialFailed) {
 		return NotSent, fmt.Errorf("%w: %w", ErrNotSent, err)
--- a/internal/system/workerapi/transport.go
+++ b/internal/system/workerapi/transport.go
@@ -21,17 +21,17 @@
 	idleTimeout       = time.Minute
 	bufferBytes       = 2 << 10
 	maxHeaderBytes    = 16 << 10
-	// maxIdlePerHost connections that no call uses are kept to one host, and to all hosts one part in idleShareDivisor of the limiter, so that there
-	// is always room for the calls that come at once.
+	// maxIdlePerHost limits the idle connections to one host. The idle connections to all hosts are limited to the connection limit divided
+	// by idleShareDivisor, so that bursts of calls always find free connections.
 	maxIdlePerHost   = 4
 	idleShareDivisor = 2
 )
 
-// Dial makes a connection, as net.Dialer's DialContext does.
+// Dial opens a connection, like net.Dialer's DialContext.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// connectionLimiter counts the open connections of one client and refuses to dial beyond its limit. Connections that no call uses don't
-// stand in the way of one that a call needs: at the limit they are closed first.
+// connectionLimiter counts the open connections of one client and refuses to dial beyond its limit. At the limit it first closes the idle
+// connections, so that they don't prevent a connection that a call needs.
 type connectionLimiter struct {
 	dial      Dial
 	limit     int64
@@ -39,7 +39,7 @@
 	closeIdle func()
 }
 
-// newConnectionLimiter returns a bound of connections that dial makes; nil stands for the operating system's sockets.
+// newConnectionLimiter returns a limiter of connections opened by dial; nil selects the operating system's sockets.
 func newConnectionLimiter(limit int, dial Dial) *connectionLimiter {
 	if dial == nil {
 		dial = newDialer().DialContext
@@ -59,7 +59,7 @@
 	}
 }
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged before the kernel gives the connection up.
+// setUserTimeout limits how long sent bytes may stay unacknowledged before the kernel aborts the connection.
 func setUserTimeout(_, _ string, connection syscall.RawConn) error {
 	var setError error
 	err := connection.Control(func(descriptor uintptr) {
@@ -86,7 +86,7 @@
 	return &limitedConnection{Conn: connection, limiter: limiter}, nil
 }
 
-// acquire counts one more connection, if need be in the place of those that no call uses.
+// acquire reserves a place for one more connection, and closes the idle connections first if none is free.
 func (limiter *connectionLimiter) acquire() bool {
 	if limiter.tryAcquire() {
 		return true
@@ -103,8 +103,8 @@
 	return false
 }
 
-// limitedConnection gives its place back when it is closed, and ends with errUnsolicited once more has come than the answers that were asked
-// for.
+// limitedConnection releases its place in the limiter when it is closed. Its reads fail with errUnsolicited once bytes arrive that answer
+// no request.
 type limitedConnection struct {
 	net.Conn
 	limiter     *connectionLimiter
@@ -144,8 +144,8 @@
 	return connection.Conn.Close()
 }
 
-// newTransport returns a transport that speaks plain HTTP/1.1 to hosts given by address, keeps its connections and never
-// asks a proxy.
+// newTransport returns a transport that speaks plain HTTP/1.1 to hosts given by address, reuses its connections and never
+// uses a proxy.
 func newTransport(limiter *connectionLimiter, connectionsPerHost int) *http.Transport {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
