--- a/cmd/controlplane/ask.go
+++ b/cmd/controlplane/ask.go
@@ -8,23 +8,23 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-var errNoHead = errors.New("no head acts at present: look at `status` of each replica, and ask again in a second")
+var errNoHead = errors.New("no replica is head at present: run `status` for each replica, and try again in a second")
 
-// replicaFlags is the flags of all commands that ask a running replica.
+// replicaFlags contains the flags of all commands that call a running replica.
 type replicaFlags struct {
 	console.Target
 	JSON bool `help:"Print JSON in place of tables. Default: tables."`
 }
 
-// printer is where the command's output goes, in the form that was asked for.
+// printer returns a printer with the output format that the flags select.
 func (l *replicaFlags) printer(printer *console.Printer) console.Printer {
 	return console.Printer{Out: printer.Out, JSON: l.JSON}
 }
 
-// verdictFunc is what replies have in common that only a certain replica may give.
+// verdictFunc returns the verdict and the view of a reply that only the head (or another certain replica) may give.
 type verdictFunc func() (internalapi.Verdict, view.View)
 
-// call calls the replica that the flags name.
+// call calls the replica that the flags select.
 func (l *replicaFlags) call(method string, args, reply any) error {
 	address, err := l.Resolve()
 	if err != nil {
@@ -35,7 +35,8 @@
 	return caller.Call(address, method, args, reply)
 }
 
-// callHead calls the replica that the flags name and, where that one may not answer, the head that it knows. Reset empties the reply.
+// callHead calls the replica that the flags select. If that replica isn't the head, it calls the head of the view in the reply. Reset clears the
+// reply between the calls.
 func (l *replicaFlags) callHead(method string, args, reply any, verdict verdictFunc, reset func()) error {
 	address, err := l.Resolve()
 	if err != nil {
--- a/cmd/controlplane/commands_test.go
+++ b/cmd/controlplane/commands_test.go
@@ -24,7 +24,7 @@
 
 const testTimeout = time.Minute
 
-// testReplica is a cluster of one in this process, with a configuration and a job.
+// testReplica is the only replica of a cluster, in this process, with a configuration and a job.
 type testReplica struct {
 	settings *nodesettings.Settings
 	address  string
@@ -58,7 +58,7 @@
 	return replica
 }
 
-// servePlatformList is a platform that lists one worker, at which nothing listens.
+// servePlatformList serves a platform's list with one worker, at whose address nothing listens. It returns the platform's address.
 func servePlatformList(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -73,7 +73,7 @@
 	return listener.Addr().String()
 }
 
-// submitConfigAndJob hands in a configuration and a job, as soon as the replica is the head.
+// submitConfigAndJob submits a configuration and a job as soon as the replica is the head.
 func (r *testReplica) submitConfigAndJob(t *testing.T) {
 	client := transport.NewClient(transport.Options{})
 	defer client.Close()
@@ -90,7 +90,7 @@
 	}, testTimeout, 20*time.Millisecond)
 }
 
-// eventually runs a command until it shows what is expected, as a lease may run out for a moment on a busy machine.
+// eventually runs a command until its output contains the wanted text. A lease may lapse for a moment on a busy machine.
 func eventually(t *testing.T, wanted string, arguments ...string) string {
 	var text string
 	require.Eventually(t, func() bool {
--- a/cmd/controlplane/handover.go
+++ b/cmd/controlplane/handover.go
@@ -10,7 +10,7 @@
 
 type handoverCommand struct{ replicaFlags }
 
-// handoverOutput is what `handover --json` prints.
+// handoverOutput is the output of `handover --json`.
 type handoverOutput struct {
 	Epoch uint64
 	Head  string
--- a/cmd/controlplane/jobs.go
+++ b/cmd/controlplane/jobs.go
@@ -13,10 +13,10 @@
 type jobsCommand struct {
 	replicaFlags
 	State string `enum:",pending,running,completed,failed,cancelled" default:"" placeholder:"STATE" help:"Only jobs of this state: pending, running, completed, failed or cancelled. Default: all."`
-	Limit int    `default:"50" help:"Most jobs to list, in jobs. Default: 50."`
+	Limit int    `default:"50" help:"Maximum number of jobs to list. Default: 50."`
 }
 
-// jobOutput is a job with its name as clients use it.
+// jobOutput is a job with its ID in the form that clients use.
 type jobOutput struct {
 	ID string
 	internalapi.JobOverview
@@ -26,7 +26,7 @@
 	return jobOutput{ID: jobspec.ID(job.ID).String(), JobOverview: job}
 }
 
-// jobsOutput is what `jobs --json` prints.
+// jobsOutput is the output of `jobs --json`.
 type jobsOutput struct {
 	Jobs  []jobOutput
 	Total int
@@ -61,11 +61,11 @@
 	}
 }
 
-// jobDetail asks for one job by its name.
+// jobDetail requests one job by its name.
 func (l *replicaFlags) jobDetail(name string) (*internalapi.JobDetailReply, error) {
 	id, ok := jobspec.ParseID(name)
 	if !ok {
-		return nil, fmt.Errorf("%q is no job: a job's name is 16 hex digits, as in its path", name)
+		return nil, fmt.Errorf("%q isn't a job's name: that is 16 hex digits, as in the job's path", name)
 	}
 	var reply internalapi.JobDetailReply
 	verdict := func() (internalapi.Verdict, view.View) { return reply.Verdict, reply.View }
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	if reply.Verdict == internalapi.NotKnown {
-		return nil, fmt.Errorf("there is no job %s: it was never accepted, or was over for so long that it is forgotten", id)
+		return nil, fmt.Errorf("there is no job %s: it was never accepted, or it ended so long ago that it has been deleted", id)
 	}
 	return &reply, nil
 }
@@ -85,7 +85,7 @@
 	ID string `arg:"" help:"The job's name: 16 hex digits."`
 }
 
-// jobDetailOutput is what `job --json` and `why --json` print.
+// jobDetailOutput is the output of `job --json` and `why --json`.
 type jobDetailOutput struct {
 	Job          jobOutput
 	Tasks        []internalapi.TaskOverview
@@ -142,7 +142,7 @@
 	return "-"
 }
 
-// deadline tells when a task has to end, from now.
+// deadline formats the time until a task has to end, or since it should have ended.
 func deadline(task *internalapi.TaskOverview) string {
 	switch {
 	case !task.HasDeadline:
@@ -167,7 +167,7 @@
 	return c.printer(printer).Print(detail, func(t *console.Table) { whyTable(t, &detail) })
 }
 
-// waitingTasks are those that don't run and aren't done.
+// waitingTasks returns the tasks that don't run and aren't done.
 func waitingTasks(tasks []internalapi.TaskOverview) []internalapi.TaskOverview {
 	waiting := []internalapi.TaskOverview{}
 	for _, task := range tasks {
@@ -181,20 +181,20 @@
 
 func whyTable(t *console.Table, detail *jobDetailOutput) {
 	if len(detail.Tasks) == 0 {
-		t.Row(fmt.Sprintf("nothing of job %s waits; it is %s, with %d runs", detail.Job.ID, detail.Job.State, detail.Job.Runs))
+		t.Row(fmt.Sprintf("no task of job %s waits; the job is %s, with %d runs", detail.Job.ID, detail.Job.State, detail.Job.Runs))
 		return
 	}
 	t.Row("TIME", "STEP", "TASKS", "STATE", "WHY")
 	for _, group := range groupByReason(detail.Tasks) {
 		why := group.first.Why
 		if why == "" && group.first.State == "paused" {
-			why = "it was refused or ended too often in turn, and is tried again after a pause of a second at most"
+			why = "it was refused or failed several times in a row, and is retried after at most one second"
 		}
 		t.Row(group.first.Time, group.first.Step, group.count, group.first.State, console.OrDash(why))
 	}
 }
 
-// taskGroup is tasks of one step that wait for the same.
+// taskGroup is a number of consecutive tasks of one step that wait for the same reason.
 type taskGroup struct {
 	first *internalapi.TaskOverview
 	count int
--- a/cmd/controlplane/logs.go
+++ b/cmd/controlplane/logs.go
@@ -12,13 +12,13 @@
 
 type logCommands struct {
 	Inspect logInspectCommand `cmd:"" help:"Show the records of a log: index, epoch, kind, summary."`
-	Check   logCheckCommand   `cmd:"" help:"Replay a log and check its invariants (exit code 2 if one is broken)."`
-	Restore logRestoreCommand `cmd:"" help:"Write a log for a restored system, after the loss of more disks than are borne."`
+	Check   logCheckCommand   `cmd:"" help:"Replay a log and check its invariants (exit code 2 if one is violated)."`
+	Restore logRestoreCommand `cmd:"" help:"Write a log for a restored system, after the loss of more disks than the system tolerates."`
 }
 
-// logFlags is the flags of the commands that read a log.
+// logFlags contains the arguments and flags of the commands that read a log.
 type logFlags struct {
-	Dir  string `arg:"" name:"dir" help:"Data folder of a replica: dataDir of its settings."`
+	Dir  string `arg:"" name:"dir" help:"Data directory of a replica: dataDir of its settings."`
 	JSON bool   `help:"Print JSON in place of tables. Default: tables."`
 }
 
@@ -28,8 +28,8 @@
 
 type logInspectCommand struct {
 	logFlags
-	From  uint64 `default:"0" help:"First index of entries to show; other records are shown from there on too. Default: 0, all."`
-	Limit int    `default:"0" help:"Most records to show, the last ones, in records. Default: 0, all."`
+	From  uint64 `default:"0" help:"First index of entries to show, with all records after it. Default: 0, all."`
+	Limit int    `default:"0" help:"Maximum number of records to show, the last ones. Default: 0, all."`
 }
 
 func (c *logInspectCommand) Run(printer *console.Printer) error {
@@ -45,7 +45,7 @@
 		}
 		if reading.Torn {
 			t.Gap()
-			t.Row("the file ends in something that is no record: an append was under way, or was cut off")
+			t.Row("the file ends in bytes that are no record: an append was in progress, or was interrupted")
 		}
 	})
 }
@@ -58,7 +58,7 @@
 	t.Row(line.Number, line.Record, line.Index, line.Epoch, console.OrDash(line.Kind), line.Bytes, summary)
 }
 
-// linesFrom leaves out what stands before the first entry of the index.
+// linesFrom returns the lines from the first one with at least that index on.
 func linesFrom(lines []logfile.Line, index uint64) []logfile.Line {
 	for i := range lines {
 		if lines[i].Index >= index {
@@ -68,7 +68,7 @@
 	return lines[:0]
 }
 
-// lastLines is the last lines, a number of them at limit; 0: all.
+// lastLines returns the last limit lines, or all if limit is 0.
 func lastLines(lines []logfile.Line, limit int) []logfile.Line {
 	if limit <= 0 || len(lines) <= limit {
 		return lines
@@ -105,7 +105,7 @@
 
 type logRestoreCommand struct {
 	logFlags
-	Target string `arg:"" name:"new-dir" help:"Folder for the new log; it must be empty or missing."`
+	Target string `arg:"" name:"new-dir" help:"Directory for the new log; it must be empty or missing."`
 }
 
 func (c *logRestoreCommand) Run(printer *console.Printer) error {
@@ -125,6 +125,6 @@
 		t.Row("configuration", restored.ConfigVersion)
 		t.Row("jobs", restored.Jobs)
 		t.Gap()
-		t.Row("start that member alone with this folder as its dataDir, then the others with empty ones and bootstrap false")
+		t.Row("start that member alone with this directory as its dataDir, then the others with empty ones and bootstrap false")
 	})
 }
--- a/cmd/controlplane/logs_test.go
+++ b/cmd/controlplane/logs_test.go
@@ -16,7 +16,7 @@
 	"gaugeslip/internal/system/logfile"
 )
 
-// writeTestLog is a data dir with a log of these records.
+// writeTestLog writes a log of the records and returns its data directory.
 func writeTestLog(t *testing.T, records ...wal.Record) string {
 	dir := t.TempDir()
 	disk, err := wal.OSDisk(dir)
@@ -67,16 +67,16 @@
 
 func TestRestoredLog(t *testing.T) {
 	member := []view.Member{{ID: "10.0.0.1:7660", Address: "10.0.0.1:7660"}}
-	whole := view.View{Epoch: 3, Voters: member, Chain: member}
-	agreed := wal.Record{Kind: replica.KindView, Data: view.AppendView(nil, whole)}
+	onlyView := view.View{Epoch: 3, Voters: member, Chain: member}
+	viewRecord := wal.Record{Kind: replica.KindView, Data: view.AppendView(nil, onlyView)}
 	target := filepath.Join(t.TempDir(), "new")
-	assert.Contains(t, mustExecute(t, "log", "restore", writeTestLog(t, identity, agreed, entry), target), "start that member alone")
+	assert.Contains(t, mustExecute(t, "log", "restore", writeTestLog(t, identity, viewRecord, entry), target), "start that member alone")
 	assert.Contains(t, mustExecute(t, "log", "check", target), "10.0.0.1:7660")
 
-	_, err := execute(t, "log", "restore", writeTestLog(t, identity, agreed, entry), target)
+	_, err := execute(t, "log", "restore", writeTestLog(t, identity, viewRecord, entry), target)
 	assert.ErrorContains(t, err, "isn't empty")
 	_, err = execute(t, "log", "restore", writeTestLog(t, identity, entry), filepath.Join(t.TempDir(), "new"))
 	assert.ErrorIs(t, err, logfile.ErrNotWhole)
-	_, err = execute(t, "log", "restore", writeTestLog(t, identity, agreed, entry, gap), filepath.Join(t.TempDir(), "new"))
+	_, err = execute(t, "log", "restore", writeTestLog(t, identity, viewRecord, entry, gap), filepath.Join(t.TempDir(), "new"))
 	assert.Equal(t, console.ExitFindings, exitCode(err))
 }
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -1,5 +1,5 @@
-// Command controlplane is one replica of the control plane: custody of the operator's configuration and of accepted jobs and, at the
-// head of the chain, the scheduler. Its other commands show operators a running replica, or the files of one.
+// Command controlplane is one replica of the control plane. It stores the operator's configuration and the accepted jobs; at the head of
+// the chain it also runs the scheduler. Its other commands inspect a running replica or its files.
 package main
 
 import (
@@ -18,15 +18,15 @@
 
 type commandLine struct {
 	Run           runCommand           `cmd:"" default:"1" help:"Run the replica until SIGTERM."`
-	Status        statusCommand        `cmd:"" help:"Show a running replica: role, view, lease, who catches up, jobs."`
-	View          viewCommand          `cmd:"" help:"Show the agreed view: epoch, chain, voters, who catches up."`
+	Status        statusCommand        `cmd:"" help:"Show a running replica: role, view, lease, replicas that catch up, jobs."`
+	View          viewCommand          `cmd:"" help:"Show the agreed view: epoch, chain, voters, replicas that catch up."`
 	Workers       workersCommand       `cmd:"" help:"Show the workers as the scheduler at the head sees them."`
-	Tenants       tenantsCommand       `cmd:"" help:"Show the tenants' shares of accelerators, what they use, and what waits."`
+	Tenants       tenantsCommand       `cmd:"" help:"Show the tenants' shares of accelerators, their use of them, and the tasks that wait."`
 	Jobs          jobsCommand          `cmd:"" help:"List accepted jobs, the newest first."`
 	Job           jobCommand           `cmd:"" help:"Show one job: its tasks, attempts, where they run, why they wait."`
-	Why           whyCommand           `cmd:"" help:"Tell what keeps the tasks of a job from starting."`
+	Why           whyCommand           `cmd:"" help:"Show why the tasks of a job don't start."`
 	Handover      handoverCommand      `cmd:"" help:"Have the head hand over to its successor; it comes back as a learner."`
-	Log           logCommands          `cmd:"" help:"Look at a replica's log on disk, which is not changed, or restore from it."`
+	Log           logCommands          `cmd:"" help:"Inspect a replica's log on disk without changing it, or restore from it."`
 	CheckSettings checkSettingsCommand `cmd:"" help:"Check a settings file and print all findings (exit code 2)."`
 	CheckConfig   console.CheckConfig  `cmd:"" help:"Check an operator's configuration and print all findings (exit code 2)."`
 	Version       console.ShowVersion  `cmd:"" help:"Print the version."`
@@ -54,7 +54,7 @@
 
 func main() {
 	var line commandLine
-	context := kong.Parse(&line, kong.Name(programName), kong.Description("A replica of gaugeslip's control plane, and its operators' commands."))
+	context := kong.Parse(&line, kong.Name(programName), kong.Description("A replica of gaugeslip's control plane, and its operator commands."))
 	if err := context.Run(&console.Printer{Out: os.Stdout}, console.Program{Name: programName, Version: version}); err != nil {
 		os.Exit(console.Report(os.Stderr, programName, err))
 	}
--- a/cmd/controlplane/main_test.go
+++ b/cmd/controlplane/main_test.go
@@ -16,7 +16,7 @@
 	"gaugeslip/internal/system/console"
 )
 
-// execute runs one command line and gives what it prints.
+// execute runs one command line and returns its output.
 func execute(t *testing.T, arguments ...string) (string, error) {
 	parser, err := kong.New(&commandLine{}, kong.Name(programName), kong.Writers(io.Discard, io.Discard))
 	require.NoError(t, err)
@@ -29,14 +29,14 @@
 	return out.String(), err
 }
 
-// mustExecute runs a command that has to do well.
+// mustExecute runs a command that must succeed and returns its output.
 func mustExecute(t *testing.T, arguments ...string) string {
 	text, err := execute(t, arguments...)
 	require.NoError(t, err)
 	return text
 }
 
-// mustExecuteJSON runs a command with --json and reads what it prints.
+// mustExecuteJSON runs a command with --json and decodes its output.
 func mustExecuteJSON(t *testing.T, into any, arguments ...string) {
 	require.NoError(t, json.Unmarshal([]byte(mustExecute(t, append(arguments, "--json")...)), into))
 }
--- a/cmd/controlplane/run.go
+++ b/cmd/controlplane/run.go
@@ -10,7 +10,8 @@
 	"gaugeslip/internal/system/control"
 )
 
-// minProcessors lets other goroutines run while one waits for the disk: with one processor of Go's, a sync holds them all up.
+// minProcessors is the minimum of GOMAXPROCS. It lets other goroutines run while one waits for the disk: with a single processor, a disk sync
+// blocks all of them.
 const minProcessors = 3
 
 type runCommand struct {
@@ -34,7 +35,7 @@
 	return serve(node, c.Settings, logger, signals)
 }
 
-// serve waits for signals: SIGHUP reads the settings again, SIGTERM hands over and ends.
+// serve handles signals until the node ends: SIGHUP reloads the settings, SIGTERM hands over and ends the process.
 func serve(node *control.Node, path string, logger *log.Logger, signals console.Signals) error {
 	for {
 		select {
--- a/cmd/controlplane/signals_test.go
+++ b/cmd/controlplane/signals_test.go
@@ -8,5 +8,5 @@
 
 func TestMain(m *testing.M) { programtest.Main(m, programName, main) }
 
-// A SIGHUP that comes while the program starts doesn't end it.
+// A SIGHUP during the start of the program doesn't end it.
 func TestSIGHUPDuringStart(t *testing.T) { programtest.HangUpDuringTheStart(t) }
--- a/cmd/controlplane/status.go
+++ b/cmd/controlplane/status.go
@@ -77,7 +77,7 @@
 
 type viewCommand struct{ replicaFlags }
 
-// viewOutput is the view with what the head knows of each member.
+// viewOutput is the view with the head's status of each member and learner.
 type viewOutput struct {
 	View     view.View
 	Members  []internalapi.MemberOverview
@@ -90,13 +90,13 @@
 		return err
 	}
 	if !overview.View.Known() {
-		return fmt.Errorf("%s knows no view yet: it hasn't reached another replica", overview.Self.Address)
+		return fmt.Errorf("%s has no view yet: it hasn't reached another replica", overview.Self.Address)
 	}
 	shown := viewOutput{View: overview.View, Members: overview.Members, Learners: overview.Learners}
 	return c.printer(printer).Print(shown, func(t *console.Table) { viewTable(t, overview) })
 }
 
-// headOverview asks the head for its overview; where it can't be reached, what the asked replica knows has to do.
+// headOverview returns the head's overview. If the head can't be reached or has an older view, it returns the overview of the selected replica.
 func (c *viewCommand) headOverview() (*internalapi.OverviewReply, error) {
 	address, err := c.Resolve()
 	if err != nil {
@@ -121,7 +121,7 @@
 
 func viewTable(t *console.Table, overview *internalapi.OverviewReply) {
 	t.Row("epoch", overview.View.Epoch)
-	t.Row("told by", overview.Self.Address, overview.Role)
+	t.Row("reported by", overview.Self.Address, overview.Role)
 	t.Gap()
 	t.Row("PLACE", "ADDRESS", "IDENTITY", "HEARD", "HELD", "ON DISK", "ACKNOWLEDGED", "NOTE")
 	for i := range overview.Members {
--- a/cmd/controlplane/tenants.go
+++ b/cmd/controlplane/tenants.go
@@ -8,7 +8,7 @@
 
 type tenantsCommand struct{ replicaFlags }
 
-// tenantsOutput is what `tenants --json` prints.
+// tenantsOutput is the output of `tenants --json`.
 type tenantsOutput struct{ Tenants []internalapi.TenantOverview }
 
 func (c *tenantsCommand) Run(printer *console.Printer) error {
--- a/cmd/controlplane/workers.go
+++ b/cmd/controlplane/workers.go
@@ -15,10 +15,10 @@
 	Service string `placeholder:"NAME" help:"Show the workers of one service only. Default: all."`
 }
 
-// workersOutput is what `workers --json` prints.
+// workersOutput is the output of `workers --json`.
 type workersOutput struct {
 	Workers []internalapi.WorkerOverview
-	// Held is how many steps wait for room, by service.
+	// Held is the number of steps that wait for capacity, by service.
 	Held map[string]int
 }
 
--- a/cmd/dataplane/main.go
+++ b/cmd/dataplane/main.go
@@ -1,4 +1,4 @@
-// Command dataplane is the dispatcher on edge machines: it takes clients' jobs and hands them to the control plane.
+// Command dataplane is the dispatcher on edge machines. It accepts jobs from clients and passes them to the control plane.
 package main
 
 import (
@@ -37,7 +37,7 @@
 
 func main() {
 	var line commandLine
-	context := kong.Parse(&line, kong.Name(programName), kong.Description("The dispatcher of gaugeslip's data plane, and its operators' commands."))
+	context := kong.Parse(&line, kong.Name(programName), kong.Description("The dispatcher of gaugeslip's data plane, and its operator commands."))
 	if err := context.Run(&console.Printer{Out: os.Stdout}, console.Program{Name: programName, Version: version}); err != nil {
 		os.Exit(console.Report(os.Stderr, programName, err))
 	}
--- a/cmd/dataplane/main_test.go
+++ b/cmd/dataplane/main_test.go
@@ -14,7 +14,7 @@
 	"gaugeslip/internal/system/console"
 )
 
-// discardPrinter prints nowhere.
+// discardPrinter discards its output.
 var discardPrinter = &console.Printer{Out: io.Discard}
 
 func parse(t *testing.T, arguments ...string) *kong.Context {
--- a/cmd/dataplane/run.go
+++ b/cmd/dataplane/run.go
@@ -34,7 +34,7 @@
 	return process.Stop()
 }
 
-// watch reloads the settings now and then and at each hang-up, until the process is to end.
+// watch reloads the settings at intervals and at each SIGHUP, until ctx ends.
 func watch(ctx context.Context, process *dataplane.Process, reloadSignals <-chan os.Signal) {
 	reload := make(chan struct{})
 	var group sync.WaitGroup
--- a/cmd/dataplane/status_test.go
+++ b/cmd/dataplane/status_test.go
@@ -19,7 +19,7 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// startDispatcher runs a dispatcher in this process that reaches no replica, and gives its settings file.
+// startDispatcher starts a dispatcher in this process that reaches no replica. It returns its settings file and its internal address.
 func startDispatcher(t *testing.T) (file, address string) {
 	port := freeporttest.Port(t)
 	file = writeTempFile(t, fmt.Sprintf(`
--- a/internal/system/console/console.go
+++ b/internal/system/console/console.go
@@ -1,4 +1,4 @@
-// Package console is what the operators' commands of both programs share: calls to a running process, tables, and JSON.
+// Package console contains what the operator commands of both programs share: calls to a running process, tables, and JSON.
 package console
 
 import (
@@ -15,19 +15,19 @@
 	"gaugeslip/internal/system/nodesettings"
 )
 
-// CallTimeout bounds one call to a running process.
+// CallTimeout limits one call to a running process.
 const CallTimeout = 5 * time.Second
 
-// ErrNoAddress says that neither a flag nor a settings file tells whom to call.
+// ErrNoAddress means that neither a flag nor a settings file gives the address to call.
 var ErrNoAddress = errors.New("no address: give --address IP:PORT, or name a settings file by --settings or " + nodesettings.FileVariable)
 
-// Target is the flags that name a running process.
+// Target contains the flags that select a running process.
 type Target struct {
 	Address  string `placeholder:"IP:PORT" help:"Internal address of the process: its ip with the first of its ephemeralPorts. Default: that of the settings file."`
-	Settings string `env:"GAUGESLIP_NODE_FILE" placeholder:"FILE" help:"Settings file (TOML) that tells the address. No default."`
+	Settings string `env:"GAUGESLIP_NODE_FILE" placeholder:"FILE" help:"Settings file (TOML) that gives the address. No default."`
 }
 
-// Resolve gives the address that the flags mean.
+// Resolve returns the address that the flags select.
 func (t *Target) Resolve() (string, error) {
 	if t.Address != "" {
 		if _, err := netip.ParseAddrPort(t.Address); err != nil {
@@ -49,16 +49,16 @@
 	return address, nil
 }
 
-// Caller calls running processes by the internal protocol.
+// Caller calls running processes over the internal protocol.
 type Caller struct{ client *transport.Client }
 
-// NewCaller makes a caller without connections.
+// NewCaller returns a caller without open connections.
 func NewCaller() *Caller { return &Caller{client: transport.NewClient(transport.Options{})} }
 
-// Close ends its connections.
+// Close closes the caller's connections.
 func (c *Caller) Close() { _ = c.client.Close() }
 
-// Call calls a method; the error says what to do.
+// Call calls a method. Its error tells the operator what to do.
 func (c *Caller) Call(address, method string, args, reply any) error {
 	err := c.client.Call(address, method, args, reply, CallTimeout)
 	switch {
@@ -68,18 +68,18 @@
 		return fmt.Errorf("nothing answers at %s: check that the process runs and that this is its internal address, "+
 			"not the operator's or clients': %w", address, err)
 	case errors.Is(err, transport.ErrUnknown):
-		return fmt.Errorf("no answer from %s within %s: it may be frozen or cut off; ask another: %w", address, CallTimeout, err)
+		return fmt.Errorf("no answer from %s within %s: it may be frozen or unreachable; ask another: %w", address, CallTimeout, err)
 	}
 	return fmt.Errorf("%s refuses %s: it may be another program or an older version: %w", address, method, err)
 }
 
-// Printer writes what a command shows, as a table or as JSON.
+// Printer writes the output of a command, as tables or as JSON.
 type Printer struct {
 	Out  io.Writer
 	JSON bool
 }
 
-// Print writes the value as JSON, or has table write it.
+// Print writes the value as JSON, or calls table to write it.
 func (p Printer) Print(value any, table func(*Table)) error {
 	if p.JSON {
 		encoder := json.NewEncoder(p.Out)
@@ -96,7 +96,7 @@
 // Table writes aligned columns.
 type Table struct{ writer *tabwriter.Writer }
 
-// Row writes one line; columns are formatted as by fmt.Sprint.
+// Row writes one line. It formats the columns with fmt.Sprint.
 func (t *Table) Row(columns ...any) {
 	texts := make([]string, len(columns))
 	for i, column := range columns {
@@ -106,13 +106,13 @@
 	_, _ = fmt.Fprintln(t.writer, line)
 }
 
-// Gap writes an empty line, after which columns align anew.
+// Gap writes an empty line. The rows after it are aligned separately.
 func (t *Table) Gap() {
 	_, _ = fmt.Fprintln(t.writer)
 	_ = t.writer.Flush()
 }
 
-// YesNo is how tables show a flag.
+// YesNo formats a boolean for tables.
 func YesNo(flag bool) string {
 	if flag {
 		return "yes"
@@ -120,7 +120,7 @@
 	return "no"
 }
 
-// OrDash is how tables show a text that may be empty.
+// OrDash formats a text for tables; it returns "-" for an empty one.
 func OrDash(text string) string {
 	if text == "" {
 		return "-"
@@ -128,7 +128,7 @@
 	return text
 }
 
-// Milliseconds is how tables show a length of time; a negative one isn't known.
+// Milliseconds formats a duration for tables. A negative one is unknown and becomes "-".
 func Milliseconds(ms int64) string {
 	if ms < 0 {
 		return "-"
@@ -136,7 +136,7 @@
 	return (time.Duration(ms) * time.Millisecond).String()
 }
 
-// Moment is how tables show a time of day in milliseconds since 1970; 0 is none.
+// Moment formats a Unix time in milliseconds as UTC for tables. 0 means no time and becomes "-".
 func Moment(unixMs int64) string {
 	if unixMs == 0 {
 		return "-"
--- a/internal/system/console/console_test.go
+++ b/internal/system/console/console_test.go
@@ -13,10 +13,10 @@
 	"gaugeslip/internal/freeport/freeporttest"
 )
 
-// Echo is a service to call.
+// Echo is a service for calls in tests.
 type Echo struct{}
 
-// Same gives back what it gets.
+// Same returns its argument.
 func (Echo) Same(args string, reply *string) error {
 	*reply = args
 	return nil
--- a/internal/system/console/program.go
+++ b/internal/system/console/program.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// gcPercent makes collections rare: they cost processor time.
+	// gcPercent makes garbage collections less frequent than the default of 100, because they cost processor time.
 	gcPercent = 200
-	// memoryLimitShare is the part of the machine's memory from which on the collector works harder.
+	// memoryLimitShare is the fraction of the machine's memory above which the garbage collector runs more often.
 	memoryLimitShare = 0.6
 	megabyte         = 1 << 20
 )
 
-// ErrNoSettings says that no settings file was named.
+// ErrNoSettings means that no settings file was named.
 var ErrNoSettings = errors.New("no settings file: set " + nodesettings.FileVariable)
 
-// Program names one of the system's programs, for commands that all have.
+// Program is the name and version of a program, for the commands that all programs have.
 type Program struct{ Name, Version string }
 
-// CheckConfig is the command that checks an operator's configuration.
+// CheckConfig is the command that checks an operator's configuration file.
 type CheckConfig struct {
 	File string `arg:"" help:"Configuration (JSON)."`
 }
 
-// Run reports all findings; the error holds findings.Findings.
+// Run checks the file. The error wraps findings.Findings with all findings.
 func (c *CheckConfig) Run() error {
 	body, err := os.ReadFile(c.File)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return err
 }
 
-// NewLogger gives a program's logger, on standard error.
+// NewLogger returns a program's logger, which writes to standard error.
 func NewLogger(debugLevel bool) *log.Logger {
 	logger := log.NewWithOptions(os.Stderr, log.Options{ReportTimestamp: true})
 	if debugLevel {
@@ -61,7 +61,7 @@
 	return logger
 }
 
-// LimitMemory keeps the process well under the machine's memory, given in megabytes; rare collections cost less processor time.
+// LimitMemory configures the garbage collector to keep the process well below the machine's memory, given in megabytes.
 func LimitMemory(memoryMb float64) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(memoryMb * memoryLimitShare * megabyte))
--- a/internal/system/console/programtest/programtest.go
+++ b/internal/system/console/programtest/programtest.go
@@ -1,4 +1,4 @@
-// Package programtest runs a program's own main in a process of its own, from the program's tests. It is for tests only.
+// Package programtest runs a program's main function in a separate process, from the program's tests. It is for tests only.
 package programtest
 
 import (
@@ -14,10 +14,10 @@
 	"gaugeslip/internal/system/nodesettings"
 )
 
-// runAsProgramVariable has a test binary be the program itself.
+// runAsProgramVariable is the environment variable that makes a test binary run the program instead of the tests.
 const runAsProgramVariable = "GAUGESLIP_TEST_PROGRAM"
 
-// Main is the body of a TestMain: it runs the program where a test has started this binary as that, and the tests otherwise.
+// Main is the body of a TestMain. It runs the program if a test has started this binary as the program, and the tests otherwise.
 func Main(m *testing.M, name string, program func()) {
 	if os.Getenv(runAsProgramVariable) != "" {
 		os.Args = []string{name}
@@ -27,15 +27,15 @@
 	os.Exit(m.Run())
 }
 
-// HangUpDuringTheStart holds that a SIGHUP which comes while the program starts doesn't end it: it tells the program to read its settings, which
-// it is about to do. The settings file is a pipe, so that the program certainly stands where it reads them.
+// HangUpDuringTheStart checks that a SIGHUP during the start of the program doesn't end it. The signal asks for a reload of the settings, which
+// the program is about to read anyway. The settings file is a named pipe, so that the signal certainly arrives while the program reads it.
 func HangUpDuringTheStart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	require.NoError(t, syscall.Mkfifo(path, 0o600))
 	program := exec.Command(os.Args[0])
 	program.Env = append(os.Environ(), runAsProgramVariable+"=1", nodesettings.FileVariable+"="+path)
 	require.NoError(t, program.Start())
-	settings, err := os.OpenFile(path, os.O_WRONLY, 0) // it opens once the program reads
+	settings, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the program opens the pipe for reading
 	require.NoError(t, err)
 	require.NoError(t, program.Process.Signal(syscall.SIGHUP))
 	_, err = settings.WriteString("ip = \"nowhere\"\n")
@@ -43,5 +43,5 @@
 	require.NoError(t, settings.Close())
 	var ended *exec.ExitError
 	require.ErrorAs(t, program.Wait(), &ended)
-	require.Equal(t, console.ExitFindings, ended.ExitCode(), "it went on to the findings: %v", ended)
+	require.Equal(t, console.ExitFindings, ended.ExitCode(), "the program must go on and report findings: %v", ended)
 }
--- a/internal/system/console/report.go
+++ b/internal/system/console/report.go
@@ -8,13 +8,13 @@
 	"gaugeslip/internal/system/findings"
 )
 
-// Exit codes: a fault at run time, and settings, a configuration or a log with findings.
+// Exit codes: ExitFault for an error at run time, ExitFindings for findings in settings, a configuration or a log.
 const (
 	ExitFault    = 1
 	ExitFindings = 2
 )
 
-// Report writes what went wrong, each finding on a line of its own, and gives the exit code.
+// Report writes the error, each finding on its own line, and returns the exit code.
 func Report(out io.Writer, program string, err error) int {
 	var found findings.Findings
 	if !errors.As(err, &found) {
--- a/internal/system/console/signals.go
+++ b/internal/system/console/signals.go
@@ -6,10 +6,12 @@
 	"syscall"
 )
 
-// Signals are those that a process takes. Each kind has a place of its own: reloads that wait can't crowd out the order to end.
+// Signals delivers the signals that a process handles. Each kind has its own channel, so that pending reloads can't displace a termination
+// request.
 type Signals struct{ End, Reload <-chan os.Signal }
 
-// TakeSignals has the process take signals from now on; those that come before it serves wait. Till then a SIGHUP ends it.
+// TakeSignals starts the handling of signals. Signals that arrive before the process reads the channels wait there. Without this call a
+// SIGHUP ends the process.
 func TakeSignals() Signals {
 	end, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
--- a/internal/system/figures/histogram.go
+++ b/internal/system/figures/histogram.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// bucketBounds are the upper bounds of a histogram's buckets; a last one takes the rest.
+// bucketBounds are the inclusive upper bounds of a histogram's buckets. One more bucket counts the longer durations.
 var bucketBounds = [...]time.Duration{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond,
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond, time.Second,
 	2 * time.Second, 5 * time.Second,
 }
 
-// Histogram counts durations by size. It belongs to one goroutine.
+// Histogram counts durations by size. It is not safe for concurrent use.
 type Histogram struct {
 	counts [len(bucketBounds) + 1]uint64
 	sum    time.Duration
@@ -25,7 +25,7 @@
 	h.sum += duration
 }
 
-// Count is how many durations were observed.
+// Count returns the number of observed durations.
 func (h *Histogram) Count() uint64 {
 	total := uint64(0)
 	for _, count := range h.counts {
--- a/internal/system/figures/writer.go
+++ b/internal/system/figures/writer.go
@@ -1,5 +1,5 @@
-// Package figures counts what operators watch and writes it in the Prometheus text format. Counting is one addition; nothing else
-// is computed until somebody asks.
+// Package figures collects metrics for operators and writes them in the Prometheus text format. Observing a value costs a few comparisons and additions;
+// everything else is computed when the metrics are read.
 package figures
 
 import (
@@ -11,28 +11,28 @@
 // ContentType is the Prometheus text format, version 0.0.4.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// Prefix begins the name of every figure.
+// Prefix is the prefix of every metric name.
 const Prefix = "gaugeslip_"
 
-// Writer collects figures as text. The zero value is ready for use; it belongs to one goroutine.
+// Writer collects metrics as text. The zero value is ready for use. It is not safe for concurrent use.
 type Writer struct{ text []byte }
 
-// Bytes is all that was written.
+// Bytes returns the text written so far.
 func (w *Writer) Bytes() []byte { return w.text }
 
-// Gauge writes one figure that goes up and down.
+// Gauge writes a gauge.
 func (w *Writer) Gauge(name, help string, value float64) {
 	w.writeHeader(name, help, "gauge")
 	w.writeSample(name, "", "", value)
 }
 
-// Counter writes one figure that only grows within a life of the process.
+// Counter writes a counter, which only grows while the process runs.
 func (w *Writer) Counter(name, help string, value float64) {
 	w.writeHeader(name, help, "counter")
 	w.writeSample(name, "", "", value)
 }
 
-// Flag writes 1 for true and 0 for false.
+// Flag writes a gauge of 1 for true and 0 for false.
 func (w *Writer) Flag(name, help string, value bool) {
 	figure := 0.0
 	if value {
@@ -41,19 +41,19 @@
 	w.Gauge(name, help, figure)
 }
 
-// Labelled is one value of a figure that has a label.
+// Labelled is the value of a metric for one label value.
 type Labelled struct {
 	Label string
 	Value float64
 }
 
-// Gauges writes a gauge once for each value of one label.
+// Gauges writes a gauge with one sample for each value of a label.
 func (w *Writer) Gauges(name, help, label string, values []Labelled) {
 	w.writeHeader(name, help, "gauge")
 	w.writeSamples(name, label, values)
 }
 
-// Counters writes a counter once for each value of one label.
+// Counters writes a counter with one sample for each value of a label.
 func (w *Writer) Counters(name, help, label string, values []Labelled) {
 	w.writeHeader(name, help, "counter")
 	w.writeSamples(name, label, values)
@@ -98,13 +98,13 @@
 	w.writeSample(name+"_count", "", "", float64(total))
 }
 
-// Seconds is a duration as figures give it.
+// Seconds converts a duration to the unit of metrics.
 func Seconds(duration time.Duration) float64 { return duration.Seconds() }
 
-// Serve answers a request for figures with what collect writes.
+// Serve answers a request for metrics with the output of collect.
 func Serve(w http.ResponseWriter, collect func(*Writer)) {
 	var writer Writer
 	collect(&writer)
 	w.Header().Set("Content-Type", ContentType)
-	_, _ = w.Write(writer.Bytes()) // a reader that has gone needs no answer
+	_, _ = w.Write(writer.Bytes()) // the client may have closed the connection
 }
--- a/internal/system/logfile/check.go
+++ b/internal/system/logfile/check.go
@@ -11,10 +11,10 @@
 	"gaugeslip/internal/system/state"
 )
 
-// checkInterval is after how many entries the invariants of the whole state are looked at, and once more at the end.
+// checkInterval is the number of entries between two checks of the invariants of the whole state. The state is also checked after the last entry.
 const checkInterval = 64
 
-// Report is what a sound log holds.
+// Report summarizes a valid log.
 type Report struct {
 	Identity      view.ReplicaID
 	Epoch         uint64
@@ -24,12 +24,12 @@
 	Entries       int
 	ConfigVersion uint64
 	Jobs, Runs    int
-	// Torn tells that the file ends in something that is no record: an append was under way, or was cut off. It does no harm.
+	// Torn reports that the file ends in bytes that are no record: an append was in progress, or was interrupted. This is harmless.
 	Torn bool
 }
 
-// Check replays the log as a replica would at its start and looks at the invariants. Entries are taken for committed up to the last
-// one, though the last few may not be. The error wraps ErrBroken and names the place.
+// Check replays the log as a replica does at its start and checks the invariants. It treats all entries as committed, though the last
+// few may not be. The error wraps ErrBroken and names the record or entry.
 func Check(reading wal.ReadResult) (Report, error) {
 	records := make([]replica.Record, len(reading.Records))
 	for i, record := range reading.Records {
@@ -55,7 +55,7 @@
 	return report, nil
 }
 
-// checkView looks at what is kept for the agreed view.
+// checkView checks the identity of the disk and the stored view.
 func checkView(persisted *replica.Persisted) error {
 	switch {
 	case persisted.Identity == "":
@@ -65,13 +65,13 @@
 	}
 	for _, member := range persisted.View.Chain {
 		if !persisted.View.IsVoter(member.ID) {
-			return fmt.Errorf("%w: %s is in the chain of epoch %d and no voter", ErrBroken, member.ID, persisted.View.Epoch)
+			return fmt.Errorf("%w: %s is in the chain of epoch %d but is not a voter", ErrBroken, member.ID, persisted.View.Epoch)
 		}
 	}
 	return nil
 }
 
-// replay applies snapshot and entries to an empty state.
+// replay applies the snapshot and the entries to an empty state.
 func replay(persisted *replica.Persisted, report *Report) (*state.Machine, error) {
 	machine := state.New()
 	if persisted.Snapshot != nil {
@@ -104,7 +104,7 @@
 	return machine, nil
 }
 
-// apply carries out one entry. A command that comes to nothing is sound; bytes that are no command aren't.
+// apply applies one entry. A command without effect is valid; bytes that aren't a command are an error.
 func apply(machine *state.Machine, entry chain.Entry) error {
 	if len(entry.Data) == 0 {
 		return nil
--- a/internal/system/logfile/logfile.go
+++ b/internal/system/logfile/logfile.go
@@ -1,4 +1,5 @@
-// Package logfile looks at a replica's log on disk, for operators. It changes nothing, and may be used while the replica runs.
+// Package logfile inspects a replica's log on disk, for operators. Read, Lines and Check change nothing and may be used while the replica runs.
+// Restore writes a new log to another directory.
 package logfile
 
 import (
@@ -11,23 +12,24 @@
 	"gaugeslip/internal/system/state"
 )
 
-// ErrBroken says that a log can't have been written by a sound replica.
+// ErrBroken means that a correct replica can't have written the log.
 var ErrBroken = errors.New("log broken")
 
 // Line is one record of the log.
 type Line struct {
-	// Number counts the records of the file, from 1.
+	// Number is the record's position in the file, from 1.
 	Number int
-	// Record is what the replica wrote: entry, truncate, snapshot, view, acceptor or identity.
+	// Record is the type of the record: entry, truncate, snapshot, view, acceptor, identity and so on.
 	Record string
-	// Index and Epoch are set for entries, snapshots and truncations (the index alone); Epoch for views too.
+	// Index and Epoch are set for entries and snapshots. Truncate and committed records have the index only, view
+	// and acceptor records the epoch only.
 	Index, Epoch uint64
-	// Kind names the command of an entry.
+	// Kind is the name of an entry's command.
 	Kind  string `json:",omitempty"`
 	Bytes int
-	// Summary tells in a few words what the record says.
+	// Summary describes the content of the record.
 	Summary string
-	// Problem says why the record can't be read.
+	// Problem states why the record can't be decoded.
 	Problem string `json:",omitempty"`
 }
 
@@ -37,12 +39,12 @@
 	replica.KindUnfit: "unfit", replica.KindSnapshotPart: "snapshot-part", replica.KindCommitted: "committed",
 }
 
-// Read reads the log of that name in a folder.
+// Read reads the log of that name in a directory.
 func Read(dir, name string) (wal.ReadResult, error) {
 	if info, err := os.Stat(dir); err != nil {
 		return wal.ReadResult{}, fmt.Errorf("data folder: %w", err)
 	} else if !info.IsDir() {
-		return wal.ReadResult{}, fmt.Errorf("data folder: %s is a file: give the dir, dataDir of the settings", dir)
+		return wal.ReadResult{}, fmt.Errorf("data directory: %s is a file: give the directory, dataDir of the settings", dir)
 	}
 	disk, err := wal.OSDisk(dir)
 	if err != nil {
@@ -75,7 +77,7 @@
 	return line
 }
 
-// describeContent tells what a readable record says.
+// describeContent fills the line from the content of a record.
 func describeContent(line *Line, content *replica.RecordContent) {
 	switch {
 	case content.Entry != nil:
--- a/internal/system/logfile/logfile_test.go
+++ b/internal/system/logfile/logfile_test.go
@@ -18,7 +18,7 @@
 
 const logName = "replica"
 
-// singleReplica is the only replica of its cluster, driven by hand, with its log in a dir.
+// singleReplica is the only replica of its cluster. The test drives it step by step; its log is in dir.
 type singleReplica struct {
 	t    *testing.T
 	core *replica.Replica
@@ -27,7 +27,7 @@
 	dir  string
 }
 
-// startSingleReplica starts a replica on an empty dir, up to its lease.
+// startSingleReplica starts a replica on an empty directory and steps it until it has the lease.
 func startSingleReplica(t *testing.T) *singleReplica {
 	l := &singleReplica{t: t, dir: t.TempDir(), now: time.Second}
 	disk, err := wal.OSDisk(l.dir)
@@ -46,7 +46,7 @@
 	return l
 }
 
-// store writes what the core wants on disk, and tells it so.
+// store writes the records of the output to the log and reports the sync to the core.
 func (l *singleReplica) store(output replica.Output) {
 	for len(output.Persist) > 0 {
 		for _, record := range output.Persist {
@@ -128,15 +128,15 @@
 	return files
 }
 
-// A log that is cut off anywhere, or of which any byte is turned, is read up to there: it never shows records that weren't written.
+// A log that is truncated anywhere, or in which any byte is damaged, is read up to that place. It never yields records that weren't written.
 func TestTornEndIsReportedAndHarmless(t *testing.T) {
 	replica := startSingleReplica(t)
 	for id := range state.JobID(20) {
 		replica.propose(jobAcceptedCommand(id+1), taskStartingCommand(id+1, 0))
 	}
-	whole, err := Read(replica.dir, logName)
+	original, err := Read(replica.dir, logName)
 	require.NoError(t, err)
-	path := filepath.Join(replica.dir, whole.File)
+	path := filepath.Join(replica.dir, original.File)
 	content, err := os.ReadFile(path)
 	require.NoError(t, err)
 	random := rand.New(rand.NewPCG(3, 4))
@@ -150,9 +150,9 @@
 		require.NoError(t, os.WriteFile(path, damaged, 0o600))
 		reading, err := Read(replica.dir, logName)
 		require.NoError(t, err)
-		require.LessOrEqual(t, len(reading.Records), len(whole.Records))
+		require.LessOrEqual(t, len(reading.Records), len(original.Records))
 		for i, record := range reading.Records {
-			require.Equal(t, whole.Records[i], record)
+			require.Equal(t, original.Records[i], record)
 		}
 		report, err := Check(reading)
 		require.NoError(t, err)
@@ -172,9 +172,9 @@
 }
 
 func TestCorruptLogsAreErrors(t *testing.T) {
-	sound := startSingleReplica(t)
-	sound.propose(jobAcceptedCommand(7))
-	reading, err := Read(sound.dir, logName)
+	source := startSingleReplica(t)
+	source.propose(jobAcceptedCommand(7))
+	reading, err := Read(source.dir, logName)
 	require.NoError(t, err)
 	last := reading.Records[len(reading.Records)-1]
 
--- a/internal/system/logfile/restore.go
+++ b/internal/system/logfile/restore.go
@@ -10,22 +10,23 @@
 	"gaugeslip/coord/wal"
 )
 
-// restoredEpochIncrement is by how much the restored epoch is above the last one on the disk: above all that the others may have agreed on since.
+// restoredEpochIncrement is added to the last epoch on the disk, to exceed any epoch that the other replicas may have agreed on since.
 const restoredEpochIncrement = 1000
 
-// ErrNotWhole says that a log can't be the start of a restored system.
+// ErrNotWhole means that a system can't be restored from a log, because it may lack committed entries.
 var ErrNotWhole = errors.New("this disk may lack what was committed")
 
-// Restored is what a restored log holds.
+// Restored summarizes a restored log.
 type Restored struct {
 	Report
 	// Member is the only member of the new view.
 	Member view.Member
 }
 
-// Restore writes a new log that holds everything the log of that name in a folder does, under a view whose only voter and member is the
-// replica of that disk. It is for the loss of more disks than are borne: without a majority of the voters nothing goes on by itself. The
-// old folder isn't changed; the new one must be empty or missing. The error wraps ErrNotWhole if the replica wasn't in the chain.
+// Restore writes a new log to target. It contains all records of the log of that name in dir but those of ballots, and a view whose only voter
+// and member is the replica of that disk. It is for the loss of more disks than the system tolerates: without a majority of the voters the
+// system can't continue by itself. Restore doesn't change dir; target must be empty or missing. The error wraps ErrNotWhole if the replica
+// wasn't in the chain.
 func Restore(dir, name, target string) (Restored, error) {
 	reading, err := Read(dir, name)
 	if err != nil {
@@ -47,7 +48,7 @@
 	return Restored{Report: report, Member: member}, writeLog(target, name, append(withoutBallots(reading.Records), viewRecord))
 }
 
-// singleMemberView is the view of the restored system, and its only member.
+// singleMemberView returns the view of the restored system and its only member.
 func singleMemberView(records []wal.Record) (view.View, view.Member, error) {
 	converted := make([]replica.Record, len(records))
 	for i, record := range records {
@@ -67,7 +68,7 @@
 	return view.View{Epoch: persisted.View.Epoch + restoredEpochIncrement, Voters: only, Chain: only}, member, nil
 }
 
-// withoutBallots leaves out what was promised for the view that is passed over.
+// withoutBallots returns the records without those of ballots: they concern an epoch that the restored view skips.
 func withoutBallots(records []wal.Record) []wal.Record {
 	kept := make([]wal.Record, 0, len(records)+1)
 	for _, record := range records {
@@ -87,12 +88,12 @@
 		return fmt.Errorf("new folder: %w", err)
 	}
 	if len(entries) > 0 {
-		return fmt.Errorf("new folder: %s isn't empty: name one that is, or that doesn't exist", dir)
+		return fmt.Errorf("new directory: %s isn't empty: name one that is, or that doesn't exist", dir)
 	}
 	return nil
 }
 
-// writeLog makes a log of the records that lasts.
+// writeLog writes a durable log of the records.
 func writeLog(dir, name string, records []wal.Record) (err error) {
 	disk, err := wal.OSDisk(dir)
 	if err != nil {
--- a/internal/system/logfile/restore_test.go
+++ b/internal/system/logfile/restore_test.go
@@ -14,13 +14,13 @@
 )
 
 func TestRestoredLogHasAllEntriesAndASingleMemberView(t *testing.T) {
-	sound := startSingleReplica(t)
-	sound.propose(jobAcceptedCommand(7), taskStartingCommand(7, 0))
-	before := readDirContents(t, sound.dir)
+	source := startSingleReplica(t)
+	source.propose(jobAcceptedCommand(7), taskStartingCommand(7, 0))
+	before := readDirContents(t, source.dir)
 	target := filepath.Join(t.TempDir(), "new")
-	restored, err := Restore(sound.dir, logName, target)
+	restored, err := Restore(source.dir, logName, target)
 	require.NoError(t, err)
-	assert.Equal(t, before, readDirContents(t, sound.dir))
+	assert.Equal(t, before, readDirContents(t, source.dir))
 
 	reading, err := Read(target, logName)
 	require.NoError(t, err)
@@ -33,20 +33,20 @@
 }
 
 func TestRestoreRefusals(t *testing.T) {
-	sound := startSingleReplica(t)
-	sound.propose(jobAcceptedCommand(7))
+	source := startSingleReplica(t)
+	source.propose(jobAcceptedCommand(7))
 	full := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(full, "x"), nil, 0o600))
-	_, err := Restore(sound.dir, logName, full)
+	_, err := Restore(source.dir, logName, full)
 	assert.ErrorContains(t, err, "isn't empty")
 	_, err = Restore(t.TempDir(), logName, filepath.Join(t.TempDir(), "new"))
 	assert.ErrorIs(t, err, wal.ErrNoLog)
 
 	others := []view.Member{{ID: "other", Address: "127.0.0.2:7660"}}
 	without := view.View{Epoch: 5, Voters: others, Chain: others}
-	require.NoError(t, sound.log.Append(wal.Record{Kind: replica.KindView, Data: view.AppendView(nil, without)}))
+	require.NoError(t, source.log.Append(wal.Record{Kind: replica.KindView, Data: view.AppendView(nil, without)}))
 	target := filepath.Join(t.TempDir(), "new")
-	_, err = Restore(sound.dir, logName, target)
+	_, err = Restore(source.dir, logName, target)
 	assert.ErrorIs(t, err, ErrNotWhole)
 	_, err = os.Stat(target)
 	assert.ErrorIs(t, err, os.ErrNotExist)
--- a/internal/system/memorybudget/memorybudget.go
+++ b/internal/system/memorybudget/memorybudget.go
@@ -1,21 +1,21 @@
-// Package memorybudget bounds the memory that many take together, each as much as it needs.
+// Package memorybudget limits the memory that several users reserve together.
 package memorybudget
 
 import "sync/atomic"
 
-// Budget is the memory for all that is held at a time. It is safe for concurrent use.
+// Budget is a limit on the bytes reserved at a time. It is safe for concurrent use.
 type Budget struct {
 	limit int64
 	held  atomic.Int64
 }
 
-// NewBudget allows so many bytes.
+// NewBudget returns a budget of limit bytes.
 func NewBudget(limit int64) *Budget { return &Budget{limit: limit} }
 
-// Held is how many bytes are held now.
+// Held returns the number of bytes reserved at present.
 func (b *Budget) Held() int64 { return b.held.Load() }
 
-// reserve holds that many bytes more, or none.
+// reserve reserves size more bytes. It reports false, and reserves nothing, if the budget lacks them.
 func (b *Budget) reserve(size int64) bool {
 	for {
 		held := b.held.Load()
@@ -28,22 +28,22 @@
 	}
 }
 
-// Lease is what one holder has of a budget, until its release. It isn't safe for concurrent use.
+// Lease is one user's reservation, until its release. It isn't safe for concurrent use.
 type Lease struct {
 	budget *Budget
 	held   int64
 }
 
-// Lease begins with nothing.
+// Lease returns a lease that reserves nothing yet.
 func (b *Budget) Lease() *Lease { return &Lease{budget: b} }
 
-// Release gives all of it back; what was held may not be used after that.
+// Release returns all reserved bytes to the budget. The memory they stand for must not be used after that.
 func (l *Lease) Release() {
 	l.budget.held.Add(-l.held)
 	l.held = 0
 }
 
-// Grow has the lease hold that many bytes, or tells that there aren't as many.
+// Grow raises the reservation to size bytes; it never lowers it. It reports false if the budget lacks the memory.
 func (l *Lease) Grow(size int64) bool {
 	if size > l.held && !l.budget.reserve(size-l.held) {
 		return false
--- a/internal/system/network/bound.go
+++ b/internal/system/network/bound.go
@@ -5,16 +5,16 @@
 	"sync"
 )
 
-// Slots are the places that connections take until they are closed.
+// Slots limits the number of open connections. Sending to the channel takes a slot.
 type Slots chan struct{}
 
-// NewSlots are that many.
+// NewSlots returns slots for limit connections.
 func NewSlots(limit int) Slots { return make(Slots, limit) }
 
-// Hold has a connection give back, when it is closed, the slot that was taken for it.
+// Hold returns a connection that releases one slot when it is closed. The caller has taken the slot.
 func (s Slots) Hold(conn net.Conn) net.Conn { return &slotConn{Conn: conn, slots: s} }
 
-// slotConn is a connection that gives its slot back when it is closed.
+// slotConn releases its slot on the first Close.
 type slotConn struct {
 	net.Conn
 	slots Slots
@@ -26,8 +26,8 @@
 	return s.Conn.Close()
 }
 
-// Bound has a listener accept at limit so many connections at a time; further ones wait, as the operating system has them wait, until one is
-// closed.
+// Bound returns a listener that has at most limit accepted connections open at a time. Further connections wait in the operating system's
+// backlog until one is closed.
 func Bound(listener net.Listener, limit int) net.Listener {
 	return &limitListener{Listener: listener, slots: NewSlots(limit), closed: make(chan struct{})}
 }
--- a/internal/system/network/bound_test.go
+++ b/internal/system/network/bound_test.go
@@ -16,7 +16,7 @@
 	server = "10.0.0.2:80"
 )
 
-// A bounded listener accepts no more than it may, goes on once one is closed, and ends while it waits.
+// A limited listener accepts no more than limit connections, accepts again once one is closed, and returns from Accept when it is closed.
 func TestLimitedListenerAcceptsNoMore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 3
@@ -44,7 +44,7 @@
 		require.Len(t, accepted, limit)
 		first := <-accepted
 		require.NoError(t, first.Close())
-		_ = first.Close() // gives nothing back twice
+		_ = first.Close() // a second Close must not release a slot again
 		synctest.Wait()
 		assert.Len(t, accepted, limit)
 		require.NoError(t, listener.Close())
--- a/internal/system/network/network.go
+++ b/internal/system/network/network.go
@@ -1,4 +1,4 @@
-// Package network says where a process has its connections from: the operating system's sockets in service, a simulated network in
+// Package network selects where a process gets its connections from: the operating system's sockets in production, a simulated network in
 // tests. The rest of the process is the same for both.
 package network
 
@@ -10,15 +10,15 @@
 	"gaugeslip/coord/transport"
 )
 
-// Network is one host's way to others. A nil Network stands for the operating system's sockets, with the options of each use.
+// Network connects one host to others. A nil Network selects the operating system's sockets, with the options of each use.
 type Network interface {
-	// Listen takes an address, host:port.
+	// Listen listens on an address, host:port.
 	Listen(address string) (net.Listener, error)
-	// Dial connects to an address; the network is always "tcp". It ends with the context at the latest.
+	// Dial connects to an address; the network is always "tcp". It returns when the context ends at the latest.
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Listen takes the address on the network; with a nil network, system does it.
+// Listen listens on the address on the network. With a nil network it calls system instead.
 func Listen(network Network, address string, system func(address string) (net.Listener, error)) (net.Listener, error) {
 	if network == nil {
 		return system(address)
@@ -30,10 +30,10 @@
 	return listener, nil
 }
 
-// Sockets listens with the options that package net has of itself.
+// Sockets listens with the default options of package net.
 func Sockets(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// ListenForPeers returns the server of the address for calls of other machines.
+// ListenForPeers returns a server that listens on the address for calls from other machines.
 func ListenForPeers(network Network, address string) (*transport.Server, error) {
 	if network == nil {
 		return transport.Listen(address)
@@ -45,7 +45,7 @@
 	return transport.NewServer(listener), nil
 }
 
-// DialOf gives the network's dial, and nil for a nil network, which clients take for the operating system's sockets.
+// DialOf returns the network's dial function. It returns nil for a nil network, for which clients use the operating system's sockets.
 func DialOf(network Network) func(ctx context.Context, network, address string) (net.Conn, error) {
 	if network == nil {
 		return nil
--- a/internal/system/requestbody/requestbody.go
+++ b/internal/system/requestbody/requestbody.go
@@ -1,5 +1,5 @@
-// Package requestbody reads the bodies of HTTP requests into memory of which there is a bounded amount for all of them together. A body takes
-// memory as it arrives, whatever length was told.
+// Package requestbody reads the bodies of HTTP requests within a memory budget for all bodies together. A body reserves memory as it arrives,
+// whatever length the request declares.
 package requestbody
 
 import (
@@ -11,19 +11,20 @@
 )
 
 const (
-	// initialUnknownLength is the first room for a body whose length isn't declared, initialKnownLength that for one whose length is.
+	// initialUnknownLength is the initial buffer size for a body without a declared length, initialKnownLength the largest one for a body with
+	// a declared length.
 	initialUnknownLength = 2 << 10
 	initialKnownLength   = 16 << 10
 )
 
 var (
-	// ErrTooLarge says that a body is longer than it may be.
+	// ErrTooLarge means that a body exceeds the maximum length.
 	ErrTooLarge = errors.New("body too large")
-	// ErrNoMemory says that the bodies of others take what there is.
+	// ErrNoMemory means that the budget has too little memory left for the body.
 	ErrNoMemory = errors.New("no memory for the body")
 )
 
-// Read reads a request's whole body, of at most so many bytes. The lease holds it.
+// Read reads the complete body of a request, of at most maxBytes bytes. The lease reserves its memory.
 func Read(request *http.Request, maxBytes int64, lease *memorybudget.Lease) ([]byte, error) {
 	declared := request.ContentLength
 	if declared > maxBytes {
@@ -32,7 +33,7 @@
 	if declared == 0 {
 		return []byte{}, nil
 	}
-	limit, first := maxBytes+1, int64(initialUnknownLength) // one more tells a body that is too large
+	limit, first := maxBytes+1, int64(initialUnknownLength) // one byte more, to detect a body that is too large
 	if declared > 0 {
 		limit, first = declared, initialKnownLength
 	}
@@ -48,7 +49,7 @@
 	return body, nil
 }
 
-// readUpTo reads to the end, or that many bytes, in a buffer that grows with what arrives.
+// readUpTo reads to the end, or limit bytes, into a buffer that starts with first bytes and grows as data arrives.
 func readUpTo(reader io.Reader, first, limit int64, lease *memorybudget.Lease) ([]byte, error) {
 	if !lease.Grow(first) {
 		return nil, ErrNoMemory
--- a/internal/system/requestbody/requestbody_test.go
+++ b/internal/system/requestbody/requestbody_test.go
@@ -18,7 +18,7 @@
 
 const maxBody = 100_000
 
-// newRequest has a body of that length, told or not, that arrives in parts.
+// newRequest returns a request whose body has that length and arrives in parts. A declared length of -1 is unknown.
 func newRequest(length int, declared int64) *http.Request {
 	made := httptest.NewRequest(http.MethodPost, "/", iotest.HalfReader(bytes.NewReader(bytes.Repeat([]byte("x"), length))))
 	made.ContentLength = declared
@@ -31,9 +31,9 @@
 			budget := memorybudget.NewBudget(2 * maxBody)
 			lease := budget.Lease()
 			body, err := Read(newRequest(length, declared), maxBody, lease)
-			require.NoError(t, err, "%d told as %d", length, declared)
+			require.NoError(t, err, "%d declared as %d", length, declared)
 			assert.Len(t, body, length)
-			assert.LessOrEqual(t, int64(cap(body)), budget.Held(), "what is held is accounted for")
+			assert.LessOrEqual(t, int64(cap(body)), budget.Held(), "the buffer is within the reserved memory")
 			lease.Release()
 			assert.Zero(t, budget.Held())
 		}
@@ -46,12 +46,12 @@
 		budget  int64
 		want    error
 	}{
-		"longer than may be, told":   {newRequest(10, maxBody+1), maxBody, ErrTooLarge},
-		"longer than may be, untold": {newRequest(maxBody+1, -1), 2 * maxBody, ErrTooLarge},
-		"shorter than told":          {newRequest(10, 20), maxBody, io.ErrUnexpectedEOF},
-		"no memory at all":           {newRequest(10, 10), 5, ErrNoMemory},
-		"no memory for the rest":     {newRequest(maxBody, maxBody), maxBody / 2, ErrNoMemory},
-		"broken off":                 {httptest.NewRequest(http.MethodPost, "/", iotest.ErrReader(io.ErrClosedPipe)), maxBody, io.ErrClosedPipe},
+		"too long, declared":     {newRequest(10, maxBody+1), maxBody, ErrTooLarge},
+		"too long, undeclared":   {newRequest(maxBody+1, -1), 2 * maxBody, ErrTooLarge},
+		"shorter than declared":  {newRequest(10, 20), maxBody, io.ErrUnexpectedEOF},
+		"no memory at all":       {newRequest(10, 10), 5, ErrNoMemory},
+		"no memory for the rest": {newRequest(maxBody, maxBody), maxBody / 2, ErrNoMemory},
+		"read error":             {httptest.NewRequest(http.MethodPost, "/", iotest.ErrReader(io.ErrClosedPipe)), maxBody, io.ErrClosedPipe},
 	} {
 		budget := memorybudget.NewBudget(test.budget)
 		lease := budget.Lease()
@@ -62,7 +62,7 @@
 	}
 }
 
-// Whatever comes at once, the budget is never exceeded, and all of it is there again afterwards.
+// Concurrent requests never exceed the budget, and all memory is released afterwards.
 func TestBudgetIsNotExceededUnderLoad(t *testing.T) {
 	const readers = 16
 	budget := memorybudget.NewBudget(3 * maxBody)
@@ -89,7 +89,7 @@
 	assert.Zero(t, budget.Held())
 }
 
-// A body of which nothing arrives holds little, whatever length it tells.
+// A body of which nothing arrives reserves little memory, whatever length it declares.
 func TestDeclaredLengthReservesLittleMemory(t *testing.T) {
 	budget := memorybudget.NewBudget(2 * maxBody)
 	lease := budget.Lease()
--- a/internal/system/workerapi/answermemory_test.go
+++ b/internal/system/workerapi/answermemory_test.go
@@ -19,13 +19,14 @@
 
 const (
 	floodingWorkers = 60
-	// maxHeapGrowth is what all that they have begun to say may take: a machine of the operators' has 280 MB for the whole process.
+	// maxHeapGrowth limits the memory of all their incomplete answers. In production a machine has 280 MB for the whole process.
 	maxHeapGrowth = 60 << 20
 )
 
 const regularAddress = "10.0.1.1:80"
 
-// dialFlooding gives connections to workers that answer any request with so many bytes of more than they ever say, but for a sound one.
+// dialFlooding returns a Dial whose workers answer any request with a body of length bytes and never complete it. The worker at regularAddress
+// sends a regular answer.
 func dialFlooding(length int) Dial {
 	return func(_ context.Context, _, address string) (net.Conn, error) {
 		near, far := net.Pipe()
@@ -41,7 +42,7 @@
 			chunk := make([]byte, 4<<10)
 			for left := length; left > 0; left -= len(chunk) {
 				if _, err := far.Write(chunk); err != nil {
-					return // the caller has enough
+					return // the caller has closed the connection
 				}
 			}
 		}()
@@ -49,7 +50,7 @@
 	}
 }
 
-// Workers that answer without end take a bounded part of the memory all together, and others are still understood beside them.
+// Endless answers of many workers together stay within the answer memory, and the answers of other workers are still read.
 func TestEndlessAnswersStayWithinAnswerMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := NewClient(Options{Connections: 2 * floodingWorkers, AnswerTimeout: time.Second, Dial: dialFlooding(3 << 20)})
@@ -63,7 +64,7 @@
 				assert.Equal(t, Unknown, reply.Outcome)
 			})
 		}
-		synctest.Wait() // each has said all that it says, or is hung up on
+		synctest.Wait() // each worker has sent all its bytes, or its connection is closed
 		held := heaptest.Held() - before
 		reply, err := client.Hold(t.Context(), Worker{Address: regularAddress, Instance: "i"}, HoldOrder{FenceToken: 1})
 		assert.NoError(t, err)
--- a/internal/system/workerapi/bytes_test.go
+++ b/internal/system/workerapi/bytes_test.go
@@ -24,17 +24,17 @@
 	workerAddress = "10.0.0.2:80"
 )
 
-// simulatedWorker is a worker on a simulated network that counts how often each order has come whole.
+// simulatedWorker is a worker on a simulated network that counts how often it has received each order completely.
 type simulatedWorker struct {
 	t       *testing.T
 	network *simnet.Network
 	mutex   sync.Mutex
 	orders  map[string]int
-	// answerDelay is how long an answer takes.
+	// answerDelay is the time between an order and its answer, in nanoseconds.
 	answerDelay atomic.Int64
 }
 
-// withSimulatedWorker runs a test in a bubble with a worker and a client that calls it.
+// withSimulatedWorker runs a test in a synctest bubble with a worker and a client that calls it.
 func withSimulatedWorker(t *testing.T, options Options, body func(t *testing.T, w *simulatedWorker, client *Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -50,11 +50,11 @@
 			_ = server.Close()
 		})
 		body(t, w, client)
-		time.Sleep(time.Hour) // what is late comes to its end
+		time.Sleep(time.Hour) // delayed orders and answers complete
 	})
 }
 
-// ServeHTTP counts the order; its answer tells the fencing token as the clock, so that an answer that strays shows itself.
+// ServeHTTP counts the order. Its answer returns the fencing token as the clock, so that a test detects an answer to another call.
 func (w *simulatedWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	order, err := io.ReadAll(request.Body)
 	if err != nil {
@@ -71,14 +71,14 @@
 	_, _ = fmt.Fprintf(writer, `{"clockMs":%d}`, token)
 }
 
-// stop orders a stop that carries the token, and requires that an answer is the answer to it.
+// stop sends a stop order with the token and requires that an answer belongs to this order.
 func (w *simulatedWorker) stop(client *Client, token uint64) Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	reply, err := client.Stop(ctx, Worker{"i-1", workerAddress}, StopOrder{Task: "t", Attempt: 1, FenceToken: token})
 	if reply.Outcome == Done {
 		require.NoError(w.t, err)
-		require.EqualValues(w.t, token, reply.ClockMs, "another call's answer")
+		require.EqualValues(w.t, token, reply.ClockMs, "answer to another call")
 		return Done
 	}
 	if reply.Outcome != BadRequest {
@@ -88,7 +88,7 @@
 	return reply.Outcome
 }
 
-// requireOutcome requires that what was told of an order is true once everything under way has come.
+// requireOutcome requires that the reported outcome of an order is true once everything in flight has arrived.
 func (w *simulatedWorker) requireOutcome(token uint64, outcome Outcome) {
 	time.Sleep(time.Hour)
 	synctest.Wait()
@@ -107,7 +107,7 @@
 	}
 }
 
-// measureExchange are the bytes of one order and of its answer.
+// measureExchange returns the number of bytes of one order and of its answer.
 func measureExchange(t *testing.T) (request, answer int64) {
 	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		require.Equal(t, Done, w.stop(client, 1))
@@ -117,8 +117,8 @@
 	return request, answer
 }
 
-// forEachCutoff plays a connection's ending at each byte of the nth exchange on it, in either direction. A request ends at its last byte
-// in the play of its own exchange, not in that of the next.
+// forEachCutoff calls play with a connection that ends at each byte of the given exchange on it, in either direction. A cut at a request's
+// last byte belongs to its own exchange, not to the next.
 func forEachCutoff(t *testing.T, exchange int64, play func(fate simnet.Fate)) {
 	request, answer := measureExchange(t)
 	for _, ending := range []simnet.Ending{simnet.Reset, simnet.Finish, simnet.Silence} {
@@ -131,7 +131,7 @@
 	}
 }
 
-// planForFirst gives the fate to the first connection.
+// planForFirst applies the fate to the first connection only.
 func planForFirst(fate simnet.Fate) simnet.Plan {
 	return func(_, _ string, nth int) simnet.Fate {
 		if nth == 0 {
@@ -147,7 +147,7 @@
 			w.network.SetPlan(planForFirst(fate))
 			w.requireOutcome(1, w.stop(client, 1))
 			w.requireOutcome(2, w.stop(client, 2))
-			require.Equal(t, Done, w.stop(client, 3), "at the latest the third call has another connection")
+			require.Equal(t, Done, w.stop(client, 3), "the third call has another connection at the latest")
 			w.requireOutcome(3, Done)
 		})
 	})
@@ -184,7 +184,7 @@
 		w.answerDelay.Store(int64(1500 * time.Millisecond))
 		require.Equal(t, Unknown, w.stop(client, 2))
 		w.answerDelay.Store(0)
-		require.Equal(t, Done, w.stop(client, 3), "not on the connection on which an answer is out")
+		require.Equal(t, Done, w.stop(client, 3), "must not use the connection on which an answer is pending")
 		require.Equal(t, 1, client.OpenConnections())
 		w.requireOutcome(2, Unknown)
 	})
@@ -205,7 +205,7 @@
 	})
 }
 
-// The listener closes over a connection that it still takes, after the order has left: nobody can tell what became of it.
+// The listener closes after it has taken a connection and the order was sent: whether the order was carried out is unknown.
 func TestListenerClosedAfterAcceptLeavesUnknown(t *testing.T) {
 	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		const address = "10.0.0.3:80"
@@ -225,7 +225,7 @@
 	})
 }
 
-// The listener closes before the connection is made: surely nothing was sent.
+// The listener closes before the connection is established: certainly nothing was sent.
 func TestListenerClosedBeforeConnectMeansNotSent(t *testing.T) {
 	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		const address = "10.0.0.3:80"
@@ -240,7 +240,7 @@
 	})
 }
 
-// withScriptedWorker calls a worker that answers the first connection with the texts, one for each request.
+// withScriptedWorker runs a test with a worker that answers the requests of each connection with the texts, one text per request.
 func withScriptedWorker(t *testing.T, options Options, texts []string, body func(t *testing.T, client *Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -303,7 +303,7 @@
 	})
 }
 
-// A worker that answers twice must not have its second answer taken for that to the next call.
+// The second answer of a worker that answers twice must not be taken for the answer to the next call.
 func TestSecondAnswerIsNotTakenForNextCall(t *testing.T) {
 	twice := answerText(1) + answerText(99)
 	for range 200 {
@@ -320,7 +320,7 @@
 	}
 }
 
-// stuckConnection takes nothing more once it is stuck, and says nothing of its end.
+// stuckConnection accepts no more writes once it is stuck, without ending its reads.
 type stuckConnection struct {
 	net.Conn
 	stuck *atomic.Bool
@@ -333,7 +333,7 @@
 	return c.Conn.Write(data)
 }
 
-// The transport looks for another connection where the kept one took nothing: if there is none to be had, surely nothing was sent.
+// The transport dials another connection if the reused one accepted nothing. If that dial fails, certainly nothing was sent.
 func TestOrderThatNoConnectionAcceptedIsNotSent(t *testing.T) {
 	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, _ *Client) {
 		var stuck atomic.Bool
@@ -367,6 +367,6 @@
 		_, err = client.Hold(context.Background(), Worker{"i-1", workerAddress}, HoldOrder{FenceToken: 1, WaitMs: 1000})
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 		require.Equal(t, defaultAnswerTimeout+time.Second, time.Since(start))
-		require.Zero(t, client.OpenConnections(), "no answer is waited for on a kept connection")
+		require.Zero(t, client.OpenConnections(), "a connection with a pending answer is closed")
 	})
 }
--- a/internal/system/workerapi/client_test.go
+++ b/internal/system/workerapi/client_test.go
@@ -25,7 +25,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// fixture is a hollow worker on loopback with a clock of its own, and a client.
+// fixture is a hollow worker on loopback with a manual clock, and a client.
 type fixture struct {
 	t      *testing.T
 	clock  *hollow.ManualClock
@@ -114,7 +114,7 @@
 	lists = fixture.hold(HoldOrder{DueAtMs: farDue, FenceToken: 1, LastSeen: 1})
 	require.Empty(t, lists.Finished)
 	require.Empty(t, fixture.world.Violations())
-	require.Equal(t, 1, fixture.client.OpenConnections(), "one connection serves one call after the other")
+	require.Equal(t, 1, fixture.client.OpenConnections(), "successive calls use one connection")
 }
 
 func TestAnsweredOutcomes(t *testing.T) {
@@ -168,7 +168,7 @@
 	require.Zero(t, fixture.client.OpenConnections())
 }
 
-// busyAndOther gives a client with a bound of connections, one of which a hold uses that waits, and another worker.
+// busyAndOther returns a client with that connection limit, one connection of which is used by a waiting hold, and another worker.
 func (fixture *fixture) busyAndOther(connections int) (*Client, Worker) {
 	client := NewClient(Options{Connections: connections})
 	fixture.t.Cleanup(client.Close)
@@ -206,14 +206,14 @@
 		t.Cleanup(other.Close)
 		for _, worker := range []Worker{first, {Instance: other.Instance(), Address: other.Address()}} {
 			reply, err := client.Hold(t.Context(), worker, HoldOrder{})
-			require.NoError(t, err, "an idle connection to another worker takes no place")
+			require.NoError(t, err, "an idle connection to another worker must give way")
 			require.Equal(t, Done, reply.Outcome)
 		}
 	}
-	fixture.world.AwaitWaiting(1) // the one in use stays
+	fixture.world.AwaitWaiting(1) // the connection in use stays open
 }
 
-// Holds that wait use nearly all connections, as in a cluster that is as large as the bound allows: a start on each worker in turn is sent.
+// Waiting holds use nearly all connections, as in a cluster as large as the limit allows. Starts on each worker in turn are still sent.
 func TestStartsAreSentWhileHoldsWait(t *testing.T) {
 	const workers, spare = 40, 4
 	fixture := newFixture(t)
@@ -244,7 +244,7 @@
 	}
 }
 
-// startUnanswered sends a start and gives it up once the worker has it.
+// startUnanswered sends a start and cancels the call once the worker has received the order.
 func (fixture *fixture) startUnanswered() (Reply, error) {
 	ctx, cancel := context.WithCancel(fixture.t.Context())
 	defer cancel()
@@ -305,11 +305,11 @@
 	require.Equal(t, Done, fixture.start(order(0, 0)).Outcome)
 	fixture.clock.Advance(2 * time.Second)
 	reply := <-replies
-	require.Len(t, reply.Running, 1, "the wait is cut to what workers grant")
+	require.Len(t, reply.Running, 1, "the wait is limited to MaxWaitMs")
 	require.Equal(t, 2, fixture.client.OpenConnections())
 }
 
-// connectionServer answers the connections of a listener one after the other, each with its own function.
+// connectionServer listens on loopback and serves its connections one after the other, each with its own function. It returns its address.
 func connectionServer(t *testing.T, answers ...func(connection net.Conn)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -332,7 +332,7 @@
 	return listener.Addr().String()
 }
 
-// writeAnswer reads one request and writes the text.
+// writeAnswer returns a function that reads one request and writes the text.
 func writeAnswer(text string) func(connection net.Conn) {
 	return func(connection net.Conn) {
 		http.ReadRequest(bufio.NewReader(connection))
@@ -374,7 +374,7 @@
 func TestOrderIsNotRepeatedOnStaleConnection(t *testing.T) {
 	keep := func(connection net.Conn) {
 		writeAnswer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")(connection)
-		connection.Read(make([]byte, 4096)) // the second order comes on the kept connection and is cut
+		connection.Read(make([]byte, 4096)) // receives the second order on the reused connection, then closes it
 	}
 	repeated := make(chan struct{}, 1)
 	address := connectionServer(t, keep, func(net.Conn) { repeated <- struct{}{} })
--- a/internal/system/workerapi/framing_test.go
+++ b/internal/system/workerapi/framing_test.go
@@ -15,7 +15,7 @@
 	"gaugeslip/internal/simnet"
 )
 
-// answersWithEnds are whole answers of every kind that ends before its connection does.
+// answersWithEnds are complete answers of every kind that ends before its connection.
 var answersWithEnds = []string{
 	"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
 	"HTTP/1.1 200 OK\r\ncontent-length:  0\r\n\r\n",
@@ -25,17 +25,17 @@
 	"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\na;ext=1\r\n0123456789\r\n0\r\nTrailer: x\r\n\r\n",
 }
 
-// feed gives the text in pieces of the size and returns how much of it was owned.
-func feed(f *framing, text string, size int) (own int) {
+// feed passes the text in pieces of the given size and returns how many bytes were expected.
+func feed(f *framing, text string, size int) (expected int) {
 	for at := 0; at < len(text); at += size {
 		piece := text[at:min(at+size, len(text))]
 		count := f.countExpected([]byte(piece))
-		own += count
+		expected += count
 		if count < len(piece) {
 			break
 		}
 	}
-	return own
+	return expected
 }
 
 func TestFramingFindsTheEndOfAnAnswer(t *testing.T) {
@@ -70,7 +70,7 @@
 	require.Zero(t, f.countExpected([]byte("HTTP/1.1 408 Request Timeout\r\n\r\n")))
 }
 
-// What net/http takes for an answer is what the framing takes for one.
+// The framing finds the same end of an answer as net/http.
 func TestFramingAgreesWithNetHTTP(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.StringN(0, 300, 300).Draw(t, "body")
@@ -116,6 +116,6 @@
 		_, err = connection.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 		require.NoError(t, err)
 		_, err = connection.Read(buffer)
-		require.ErrorIs(t, err, errUnsolicited, "also once the next request is out")
+		require.ErrorIs(t, err, errUnsolicited, "also after the next request was sent")
 	})
 }
--- a/internal/system/workerapi/listbytes_test.go
+++ b/internal/system/workerapi/listbytes_test.go
@@ -15,7 +15,8 @@
 
 const platformAddress = "10.0.0.4:80"
 
-// withSimulatedPlatform reads a list of two pages over a simulated network; the first connection has the fate. Calls counts the pages asked for.
+// withSimulatedPlatform runs a test that reads a list of two pages over a simulated network. The first connection has the fate; calls counts
+// the requested pages.
 func withSimulatedPlatform(t *testing.T, fate simnet.Fate, body func(t *testing.T, read func() ([]Instance, error), calls *int, network *simnet.Network)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -47,16 +48,16 @@
 	})
 }
 
-// A connection that ends at any byte of two lists, of two pages each: each list is read whole or not at all, and no page is asked for more
-// than once for each connection.
+// A connection ends at any byte of two lists of two pages each. Each list is read completely or not at all, and no page is requested more
+// than once per connection.
 func TestListOverConnectionCutAtAnyByteIsCompleteOrAnError(t *testing.T) {
-	whole := []Instance{{ID: "i-1"}, {ID: "i-2"}}
+	complete := []Instance{{ID: "i-1"}, {ID: "i-2"}}
 	var request, answer int64
 	withSimulatedPlatform(t, simnet.Fate{}, func(t *testing.T, read func() ([]Instance, error), _ *int, network *simnet.Network) {
 		for range 2 {
 			instances, err := read()
 			require.NoError(t, err)
-			require.Equal(t, whole, instances)
+			require.Equal(t, complete, instances)
 		}
 		conn := network.Conns()[0]
 		request, answer = conn.Sent(), conn.Peer().Sent()
@@ -69,12 +70,12 @@
 					require.Nil(t, instances, "%+v", fate)
 					continue
 				}
-				require.Equal(t, whole, instances, "%+v", fate)
+				require.Equal(t, complete, instances, "%+v", fate)
 			}
 			instances, err := read()
-			require.NoError(t, err, "%+v: at last there is another connection", fate)
-			require.Equal(t, whole, instances)
-			require.LessOrEqual(t, *calls, 3*len(whole)+1, "%+v", fate)
+			require.NoError(t, err, "%+v: the last list uses another connection", fate)
+			require.Equal(t, complete, instances)
+			require.LessOrEqual(t, *calls, 3*len(complete)+1, "%+v", fate)
 		})
 	}
 	for _, ending := range []simnet.Ending{simnet.Reset, simnet.Finish, simnet.Silence} {
