--- a/internal/system/workerapi/answermemory_test.go
+++ b/internal/system/workerapi/answermemory_test.go
@@ -54,7 +54,7 @@
 func TestEndlessAnswersStayWithinAnswerMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := NewClient(Options{Connections: 2 * floodingWorkers, AnswerTimeout: time.Second, Dial: dialFlooding(3 << 20)})
-		before := heaptest.Held()
+		before := heaptest.LiveBytes()
 		var calls sync.WaitGroup
 		for i := range floodingWorkers {
 			calls.Go(func() {
@@ -65,7 +65,7 @@
 			})
 		}
 		synctest.Wait() // each worker has sent all its bytes, or its connection is closed
-		held := heaptest.Held() - before
+		held := heaptest.LiveBytes() - before
 		reply, err := client.Hold(t.Context(), Worker{Address: regularAddress, Instance: "i"}, HoldOrder{FenceToken: 1})
 		assert.NoError(t, err)
 		assert.Equal(t, int64(7), reply.ClockMs)
