--- a/internal/system/logfile/logfile.go
+++ b/internal/system/logfile/logfile.go
@@ -1,4 +1,5 @@
-// Package logfile looks at a replica's log on disk, for operators. It changes nothing, and may be used while the replica runs.
+// Package logfile inspects a replica's log on disk, for operators. Read, Lines and Check change nothing and may be used while the replica runs.
+// Restore writes a new log to another directory.
 package logfile
 
 import (
@@ -11,23 +12,24 @@
 	"gaugeslip/internal/system/state"
 )
 
-// ErrBroken says that a log can't have been written by a sound replica.
+// ErrBroken means that a correct replica can't have written the log.
 var ErrBroken = errors.New("log broken")
 
 // Line is one record of the log.
 type Line struct {
-	// Number counts the records of the file, from 1.
+	// Number is the record's position in the file, from 1.
 	Number int
-	// Record is what the replica wrote: entry, truncate, snapshot, view, acceptor or identity.
+	// Record is the type of the record: entry, truncate, snapshot, view, acceptor, identity and so on.
 	Record string
-	// Index and Epoch are set for entries, snapshots and truncations (the index alone); Epoch for views too.
+	// Index and Epoch are set for entries and snapshots. Truncate and committed records have the index only, view
+	// and acceptor records the epoch only.
 	Index, Epoch uint64
-	// Kind names the command of an entry.
+	// Kind is the name of an entry's command.
 	Kind  string `json:",omitempty"`
 	Bytes int
-	// Summary tells in a few words what the record says.
+	// Summary describes the content of the record.
 	Summary string
-	// Problem says why the record can't be read.
+	// Problem states why the record can't be decoded.
 	Problem string `json:",omitempty"`
 }
 
@@ -37,14 +39,14 @@
 	replica.KindUnfit: "unfit", replica.KindSnapshotPart: "snapshot-part", replica.KindCommitted: "committed",
 }
 
-// Read reads the log of that name in a folder.
-func Read(folder, name string) (wal.ReadResult, error) {
-	if found, err := os.Stat(folder); err != nil {
+// Read reads the log of that name in a directory.
+func Read(dir, name string) (wal.ReadResult, error) {
+	if info, err := os.Stat(dir); err != nil {
 		return wal.ReadResult{}, fmt.Errorf("data folder: %w", err)
-	} else if !found.IsDir() {
-		return wal.ReadResult{}, fmt.Errorf("data folder: %s is a file: give the folder, dataDir of the settings", folder)
+	} else if !info.IsDir() {
+		return wal.ReadResult{}, fmt.Errorf("data directory: %s is a file: give the directory, dataDir of the settings", dir)
 	}
-	disk, err := wal.OSDisk(folder)
+	disk, err := wal.OSDisk(dir)
 	if err != nil {
 		return wal.ReadResult{}, fmt.Errorf("data folder: %w", err)
 	}
@@ -66,46 +68,46 @@
 	if line.Record == "" {
 		line.Record = fmt.Sprintf("kind-%d", record.Kind)
 	}
-	found, err := replica.Inspect(replica.Record{Kind: record.Kind, Data: record.Data})
+	content, err := replica.Inspect(replica.Record{Kind: record.Kind, Data: record.Data})
 	if err != nil {
 		line.Problem = err.Error()
 		return line
 	}
-	fill(&line, &found)
+	describeContent(&line, &content)
 	return line
 }
 
-// fill tells what a readable record says.
-func fill(line *Line, found *replica.RecordContent) {
+// describeContent fills the line from the content of a record.
+func describeContent(line *Line, content *replica.RecordContent) {
 	switch {
-	case found.Entry != nil:
-		line.Index, line.Epoch = found.Entry.Index, found.Entry.Epoch
-		fillCommand(line, found.Entry.Data)
-	case found.Snapshot != nil:
-		line.Index, line.Epoch = found.Snapshot.Index, found.Snapshot.Epoch
+	case content.Entry != nil:
+		line.Index, line.Epoch = content.Entry.Index, content.Entry.Epoch
+		describeCommand(line, content.Entry.Data)
+	case content.Snapshot != nil:
+		line.Index, line.Epoch = content.Snapshot.Index, content.Snapshot.Epoch
 		line.Summary = "the state after all entries up to the index"
-	case found.View != nil:
-		line.Epoch = found.View.Epoch
-		line.Summary = fmt.Sprintf("%d voters, chain", len(found.View.Voters))
-		for _, member := range found.View.Chain {
+	case content.View != nil:
+		line.Epoch = content.View.Epoch
+		line.Summary = fmt.Sprintf("%d voters, chain", len(content.View.Voters))
+		for _, member := range content.View.Chain {
 			line.Summary += " " + member.Address
 		}
-	case found.Acceptor != nil:
-		line.Epoch = found.Acceptor.Instance
-		line.Summary = fmt.Sprintf("voting on the view of that epoch, promised round %d to %q", found.Acceptor.Promised.Round,
-			found.Acceptor.Promised.Owner)
-	case found.Kind == replica.KindTruncate:
-		line.Index, line.Summary = found.Truncate, "entries after the index dropped"
-	case found.Kind == replica.KindCommitted:
-		line.Index, line.Summary = found.Committed, "entries up to the index known to be committed"
-	case found.Kind == replica.KindIdentity:
-		line.Summary = string(found.Identity)
-	case found.Kind == replica.KindUnfit:
-		line.Summary = "not to be used again: " + found.Unfit
+	case content.Acceptor != nil:
+		line.Epoch = content.Acceptor.Instance
+		line.Summary = fmt.Sprintf("voting on the view of that epoch, promised round %d to %q", content.Acceptor.Promised.Round,
+			content.Acceptor.Promised.Owner)
+	case content.Kind == replica.KindTruncate:
+		line.Index, line.Summary = content.Truncate, "entries after the index dropped"
+	case content.Kind == replica.KindCommitted:
+		line.Index, line.Summary = content.Committed, "entries up to the index known to be committed"
+	case content.Kind == replica.KindIdentity:
+		line.Summary = string(content.Identity)
+	case content.Kind == replica.KindUnfit:
+		line.Summary = "not to be used again: " + content.Unfit
 	}
 }
 
-func fillCommand(line *Line, data []byte) {
+func describeCommand(line *Line, data []byte) {
 	if len(data) == 0 {
 		line.Kind = "empty"
 		return
--- a/internal/system/requestbody/requestbody.go
+++ b/internal/system/requestbody/requestbody.go
@@ -1,5 +1,5 @@
-// Package requestbody reads the bodies of HTTP requests into memory of which there is a bounded amount for all of them together. A body takes
-// memory as it arrives, whatever length was told.
+// Package requestbody reads the bodies of HTTP requests within a memory budget for all bodies together. A body reserves memory as it arrives,
+// whatever length the request declares.
 package requestbody
 
 import (
@@ -11,44 +11,45 @@
 )
 
 const (
-	// firstUntold is the first room for a body whose length isn't told, mostAtOnce that for one whose length is.
-	firstUntold = 2 << 10
-	mostAtOnce  = 16 << 10
+	// initialUnknownLength is the initial buffer size for a body without a declared length, initialKnownLength the largest one for a body with
+	// a declared length.
+	initialUnknownLength = 2 << 10
+	initialKnownLength   = 16 << 10
 )
 
 var (
-	// ErrTooLarge says that a body is longer than it may be.
+	// ErrTooLarge means that a body exceeds the maximum length.
 	ErrTooLarge = errors.New("body too large")
-	// ErrNoMemory says that the bodies of others take what there is.
+	// ErrNoMemory means that the budget has too little memory left for the body.
 	ErrNoMemory = errors.New("no memory for the body")
 )
 
-// Read reads a request's whole body, of at most so many bytes. The lease holds it.
-func Read(request *http.Request, most int64, lease *memorybudget.Lease) ([]byte, error) {
-	told := request.ContentLength
-	if told > most {
+// Read reads the complete body of a request, of at most maxBytes bytes. The lease reserves its memory.
+func Read(request *http.Request, maxBytes int64, lease *memorybudget.Lease) ([]byte, error) {
+	declared := request.ContentLength
+	if declared > maxBytes {
 		return nil, ErrTooLarge
 	}
-	if told == 0 {
+	if declared == 0 {
 		return []byte{}, nil
 	}
-	limit, first := most+1, int64(firstUntold) // one more tells a body that is too large
-	if told > 0 {
-		limit, first = told, mostAtOnce
+	limit, first := maxBytes+1, int64(initialUnknownLength) // one byte more, to detect a body that is too large
+	if declared > 0 {
+		limit, first = declared, initialKnownLength
 	}
 	body, err := readUpTo(request.Body, min(first, limit), limit, lease)
 	switch {
 	case err != nil:
 		return nil, err
-	case int64(len(body)) > most:
+	case int64(len(body)) > maxBytes:
 		return nil, ErrTooLarge
-	case told > 0 && int64(len(body)) < told:
+	case declared > 0 && int64(len(body)) < declared:
 		return nil, io.ErrUnexpectedEOF
 	}
 	return body, nil
 }
 
-// readUpTo reads to the end, or that many bytes, in a buffer that grows with what arrives.
+// readUpTo reads to the end, or limit bytes, into a buffer that starts with first bytes and grows as data arrives.
 func readUpTo(reader io.Reader, first, limit int64, lease *memorybudget.Lease) ([]byte, error) {
 	if !lease.Grow(first) {
 		return nil, ErrNoMemory
--- a/internal/system/workerapi/bytes_test.go
+++ b/internal/system/workerapi/bytes_test.go
@@ -24,21 +24,21 @@
 	workerAddress = "10.0.0.2:80"
 )
 
-// wireWorker is a worker on a simulated network that counts how often each order has come whole.
-type wireWorker struct {
+// simulatedWorker is a worker on a simulated network that counts how often it has received each order completely.
+type simulatedWorker struct {
 	t       *testing.T
 	network *simnet.Network
 	mutex   sync.Mutex
 	orders  map[string]int
-	// late is how long an answer takes.
-	late atomic.Int64
+	// answerDelay is the time between an order and its answer, in nanoseconds.
+	answerDelay atomic.Int64
 }
 
-// inWire runs a test in a bubble with a worker and a client that calls it.
-func inWire(t *testing.T, options Options, body func(t *testing.T, w *wireWorker, client *Client)) {
+// withSimulatedWorker runs a test in a synctest bubble with a worker and a client that calls it.
+func withSimulatedWorker(t *testing.T, options Options, body func(t *testing.T, w *simulatedWorker, client *Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &wireWorker{t: t, network: simnet.New(5), orders: map[string]int{}}
+		w := &simulatedWorker{t: t, network: simnet.New(5), orders: map[string]int{}}
 		listener, err := w.network.Listen(workerAddress)
 		require.NoError(t, err)
 		server := &http.Server{Handler: w}
@@ -50,12 +50,12 @@
 			_ = server.Close()
 		})
 		body(t, w, client)
-		time.Sleep(time.Hour) // what is late comes to its end
+		time.Sleep(time.Hour) // delayed orders and answers complete
 	})
 }
 
-// ServeHTTP counts the order; its answer tells the fencing token as the clock, so that an answer that strays shows itself.
-func (w *wireWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+// ServeHTTP counts the order. Its answer returns the fencing token as the clock, so that a test detects an answer to another call.
+func (w *simulatedWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	order, err := io.ReadAll(request.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -63,7 +63,7 @@
 	w.mutex.Lock()
 	w.orders[string(order)]++
 	w.mutex.Unlock()
-	time.Sleep(time.Duration(w.late.Load()))
+	time.Sleep(time.Duration(w.answerDelay.Load()))
 	var token uint64
 	if _, err := fmt.Sscanf(string(order[strings.LastIndexByte(string(order), ':')+1:]), "%d", &token); err != nil {
 		panic(err)
@@ -71,14 +71,14 @@
 	_, _ = fmt.Fprintf(writer, `{"clockMs":%d}`, token)
 }
 
-// stop orders a stop that carries the token, and requires that an answer is the answer to it.
-func (w *wireWorker) stop(client *Client, token uint64) Outcome {
+// stop sends a stop order with the token and requires that an answer belongs to this order.
+func (w *simulatedWorker) stop(client *Client, token uint64) Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	reply, err := client.Stop(ctx, Worker{"i-1", workerAddress}, StopOrder{Task: "t", Attempt: 1, FenceToken: token})
 	if reply.Outcome == Done {
 		require.NoError(w.t, err)
-		require.EqualValues(w.t, token, reply.ClockMs, "another call's answer")
+		require.EqualValues(w.t, token, reply.ClockMs, "answer to another call")
 		return Done
 	}
 	if reply.Outcome != BadRequest {
@@ -88,28 +88,28 @@
 	return reply.Outcome
 }
 
-// requireOnce requires that what was told of an order is true once everything under way has come.
-func (w *wireWorker) requireOnce(token uint64, told Outcome) {
+// requireOutcome requires that the reported outcome of an order is true once everything in flight has arrived.
+func (w *simulatedWorker) requireOutcome(token uint64, outcome Outcome) {
 	time.Sleep(time.Hour)
 	synctest.Wait()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	carriedOut := w.orders[fmt.Sprintf(`{"task":"t","attempt":1,"fenceToken":%d}`, token)]
-	switch told {
+	received := w.orders[fmt.Sprintf(`{"task":"t","attempt":1,"fenceToken":%d}`, token)]
+	switch outcome {
 	case Done:
-		require.Equal(w.t, 1, carriedOut)
+		require.Equal(w.t, 1, received)
 	case NotSent, BadRequest:
-		require.Zero(w.t, carriedOut)
+		require.Zero(w.t, received)
 	case Unknown:
-		require.LessOrEqual(w.t, carriedOut, 1)
+		require.LessOrEqual(w.t, received, 1)
 	default:
-		w.t.Fatalf("%s", told)
+		w.t.Fatalf("%s", outcome)
 	}
 }
 
-// measured are the bytes of one order and of its answer.
-func measured(t *testing.T) (request, answer int64) {
-	inWire(t, Options{}, func(t *testing.T, w *wireWorker, client *Client) {
+// measureExchange returns the number of bytes of one order and of its answer.
+func measureExchange(t *testing.T) (request, answer int64) {
+	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		require.Equal(t, Done, w.stop(client, 1))
 		conn := w.network.Conns()[0]
 		request, answer = conn.Sent(), conn.Peer().Sent()
@@ -117,10 +117,10 @@
 	return request, answer
 }
 
-// eachEnding plays a connection's ending at each byte of the nth exchange on it, in either direction. A request ends at its last byte
-// in the play of its own exchange, not in that of the next.
-func eachEnding(t *testing.T, exchange int64, play func(fate simnet.Fate)) {
-	request, answer := measured(t)
+// forEachCutoff calls play with a connection that ends at each byte of the given exchange on it, in either direction. A cut at a request's
+// last byte belongs to its own exchange, not to the next.
+func forEachCutoff(t *testing.T, exchange int64, play func(fate simnet.Fate)) {
+	request, answer := measureExchange(t)
 	for _, ending := range []simnet.Ending{simnet.Reset, simnet.Finish, simnet.Silence} {
 		for at := exchange*request + min(exchange, 1); at <= (exchange+1)*request; at++ {
 			play(simnet.Fate{Out: simnet.Limit{Bytes: at, Then: ending}})
@@ -131,8 +131,8 @@
 	}
 }
 
-// firstOnly gives the fate to the first connection.
-func firstOnly(fate simnet.Fate) simnet.Plan {
+// planForFirst applies the fate to the first connection only.
+func planForFirst(fate simnet.Fate) simnet.Plan {
 	return func(_, _ string, nth int) simnet.Fate {
 		if nth == 0 {
 			return fate
@@ -141,60 +141,60 @@
 	}
 }
 
-func TestAnOrderOnAFreshConnectionThatEndsAtAnyByteGoesOutOnce(t *testing.T) {
-	eachEnding(t, 0, func(fate simnet.Fate) {
-		inWire(t, Options{}, func(t *testing.T, w *wireWorker, client *Client) {
-			w.network.SetPlan(firstOnly(fate))
-			w.requireOnce(1, w.stop(client, 1))
-			w.requireOnce(2, w.stop(client, 2))
-			require.Equal(t, Done, w.stop(client, 3), "at the latest the third call has another connection")
-			w.requireOnce(3, Done)
+func TestOrderIsSentAtMostOnceOnNewConnectionCutAtAnyByte(t *testing.T) {
+	forEachCutoff(t, 0, func(fate simnet.Fate) {
+		withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
+			w.network.SetPlan(planForFirst(fate))
+			w.requireOutcome(1, w.stop(client, 1))
+			w.requireOutcome(2, w.stop(client, 2))
+			require.Equal(t, Done, w.stop(client, 3), "the third call has another connection at the latest")
+			w.requireOutcome(3, Done)
 		})
 	})
 }
 
-func TestAnOrderOnAKeptConnectionThatEndsAtAnyByteGoesOutOnce(t *testing.T) {
-	eachEnding(t, 1, func(fate simnet.Fate) {
-		inWire(t, Options{}, func(t *testing.T, w *wireWorker, client *Client) {
-			w.network.SetPlan(firstOnly(fate))
+func TestOrderIsSentAtMostOnceOnReusedConnectionCutAtAnyByte(t *testing.T) {
+	forEachCutoff(t, 1, func(fate simnet.Fate) {
+		withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
+			w.network.SetPlan(planForFirst(fate))
 			require.Equal(t, Done, w.stop(client, 1))
-			told := w.stop(client, 2)
-			w.requireOnce(3, w.stop(client, 3))
-			w.requireOnce(2, told)
+			outcome := w.stop(client, 2)
+			w.requireOutcome(3, w.stop(client, 3))
+			w.requireOutcome(2, outcome)
 			require.Equal(t, Done, w.stop(client, 4))
-			w.requireOnce(4, Done)
+			w.requireOutcome(4, Done)
 		})
 	})
 }
 
-func TestAKeptConnectionThatWasResetUnseenIsReplaced(t *testing.T) {
-	inWire(t, Options{}, func(t *testing.T, w *wireWorker, client *Client) {
+func TestIdleConnectionResetByPeerIsReplaced(t *testing.T) {
+	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		require.Equal(t, Done, w.stop(client, 1))
 		w.network.Conns()[0].Peer().Abort()
-		told := w.stop(client, 2)
-		w.requireOnce(2, told)
+		outcome := w.stop(client, 2)
+		w.requireOutcome(2, outcome)
 		require.Equal(t, Done, w.stop(client, 3))
 		require.LessOrEqual(t, client.OpenConnections(), 1)
 	})
 }
 
-func TestALateAnswerReachesNobody(t *testing.T) {
-	inWire(t, Options{ConnectionsPerWorker: 1}, func(t *testing.T, w *wireWorker, client *Client) {
+func TestLateAnswerIsNotTakenForNextCall(t *testing.T) {
+	withSimulatedWorker(t, Options{ConnectionsPerWorker: 1}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		require.Equal(t, Done, w.stop(client, 1))
-		w.late.Store(int64(1500 * time.Millisecond))
+		w.answerDelay.Store(int64(1500 * time.Millisecond))
 		require.Equal(t, Unknown, w.stop(client, 2))
-		w.late.Store(0)
-		require.Equal(t, Done, w.stop(client, 3), "not on the connection on which an answer is out")
+		w.answerDelay.Store(0)
+		require.Equal(t, Done, w.stop(client, 3), "must not use the connection on which an answer is pending")
 		require.Equal(t, 1, client.OpenConnections())
-		w.requireOnce(2, Unknown)
+		w.requireOutcome(2, Unknown)
 	})
 }
 
-func TestAnswersThatCrossReachTheirCallers(t *testing.T) {
-	inWire(t, Options{ConnectionsPerWorker: 3}, func(t *testing.T, w *wireWorker, client *Client) {
+func TestConcurrentCallsGetTheirOwnAnswers(t *testing.T) {
+	withSimulatedWorker(t, Options{ConnectionsPerWorker: 3}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		var group sync.WaitGroup
 		for token := range uint64(60) {
-			w.late.Store(int64(token%7) * int64(200*time.Millisecond))
+			w.answerDelay.Store(int64(token%7) * int64(200*time.Millisecond))
 			group.Go(func() { w.stop(client, token+1) })
 			time.Sleep(30 * time.Millisecond)
 			if token%9 == 4 {
@@ -205,29 +205,29 @@
 	})
 }
 
-// The listener closes over a connection that it still takes, after the order has left: nobody can tell what became of it.
-func TestAListenerThatClosesOverATakenConnectionLeavesDoubt(t *testing.T) {
-	inWire(t, Options{}, func(t *testing.T, w *wireWorker, client *Client) {
+// The listener closes after it has taken a connection and the order was sent: whether the order was carried out is unknown.
+func TestListenerClosedAfterAcceptLeavesUnknown(t *testing.T) {
+	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		const address = "10.0.0.3:80"
 		listener, err := w.network.Listen(address)
 		require.NoError(t, err)
-		told := make(chan Reply)
+		outcome := make(chan Reply)
 		go func() {
 			reply, err := client.Start(context.Background(), Worker{"i-2", address}, StartOrder{Task: "t"})
 			require.ErrorIs(t, err, ErrUnanswered)
-			told <- reply
+			outcome <- reply
 		}()
 		time.Sleep(time.Second)
 		synctest.Wait()
 		require.NotZero(t, w.network.Conns()[0].Sent())
 		require.NoError(t, listener.Close())
-		require.Equal(t, Unknown, (<-told).Outcome)
+		require.Equal(t, Unknown, (<-outcome).Outcome)
 	})
 }
 
-// The listener closes before the connection is made: surely nothing was sent.
-func TestAListenerThatClosesFirstSendsNothing(t *testing.T) {
-	inWire(t, Options{}, func(t *testing.T, w *wireWorker, client *Client) {
+// The listener closes before the connection is established: certainly nothing was sent.
+func TestListenerClosedBeforeConnectMeansNotSent(t *testing.T) {
+	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
 		const address = "10.0.0.3:80"
 		listener, err := w.network.Listen(address)
 		require.NoError(t, err)
@@ -240,8 +240,8 @@
 	})
 }
 
-// answeredBy calls a worker that answers the first connection with the texts, one for each request.
-func answeredBy(t *testing.T, options Options, texts []string, body func(t *testing.T, client *Client)) {
+// withScriptedWorker runs a test with a worker that answers the requests of each connection with the texts, one text per request.
+func withScriptedWorker(t *testing.T, options Options, texts []string, body func(t *testing.T, client *Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := simnet.New(5)
@@ -253,7 +253,7 @@
 				if err != nil {
 					return
 				}
-				go answerInTurn(conn, texts)
+				go serveScript(conn, texts)
 			}
 		}()
 		options.Dial = network.Dialer(callerHost)
@@ -265,7 +265,7 @@
 	})
 }
 
-func answerInTurn(conn net.Conn, texts []string) {
+func serveScript(conn net.Conn, texts []string) {
 	requests := bufio.NewReader(conn)
 	for _, text := range texts {
 		request, err := http.ReadRequest(requests)
@@ -282,17 +282,17 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func TestAnInterimAnswerIsNotTheAnswer(t *testing.T) {
-	answeredBy(t, Options{}, []string{"HTTP/1.1 103 Early Hints\r\n\r\n" + answerText(1)}, func(t *testing.T, client *Client) {
+func TestInterimAnswerIsSkipped(t *testing.T) {
+	withScriptedWorker(t, Options{}, []string{"HTTP/1.1 103 Early Hints\r\n\r\n" + answerText(1)}, func(t *testing.T, client *Client) {
 		reply, err := client.Stop(t.Context(), Worker{"i-1", workerAddress}, StopOrder{})
 		require.NoError(t, err)
 		require.Equal(t, Reply{Outcome: Done, ClockMs: 1}, reply)
 	})
 }
 
-func TestASwitchOfProtocolsHoldsNobodyUp(t *testing.T) {
+func TestSwitchingProtocolsDoesNotBlock(t *testing.T) {
 	const upgrade = "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: other\r\n\r\n"
-	answeredBy(t, Options{}, []string{upgrade}, func(t *testing.T, client *Client) {
+	withScriptedWorker(t, Options{}, []string{upgrade}, func(t *testing.T, client *Client) {
 		start := time.Now()
 		reply, err := client.Stop(t.Context(), Worker{"i-1", workerAddress}, StopOrder{})
 		require.Error(t, err)
@@ -303,11 +303,11 @@
 	})
 }
 
-// A worker that answers twice must not have its second answer taken for that to the next call.
-func TestASecondAnswerReachesNobody(t *testing.T) {
+// The second answer of a worker that answers twice must not be taken for the answer to the next call.
+func TestSecondAnswerIsNotTakenForNextCall(t *testing.T) {
 	twice := answerText(1) + answerText(99)
 	for range 200 {
-		answeredBy(t, Options{ConnectionsPerWorker: 1}, []string{twice, answerText(2)}, func(t *testing.T, client *Client) {
+		withScriptedWorker(t, Options{ConnectionsPerWorker: 1}, []string{twice, answerText(2)}, func(t *testing.T, client *Client) {
 			var group sync.WaitGroup
 			for range 4 {
 				group.Go(func() {
@@ -320,7 +320,7 @@
 	}
 }
 
-// stuckConnection takes nothing more once it is stuck, and says nothing of its end.
+// stuckConnection accepts no more writes once it is stuck, without ending its reads.
 type stuckConnection struct {
 	net.Conn
 	stuck *atomic.Bool
@@ -333,9 +333,9 @@
 	return c.Conn.Write(data)
 }
 
-// The transport looks for another connection where the kept one took nothing: if there is none to be had, surely nothing was sent.
-func TestAnOrderThatTheKeptConnectionDidNotTakeIsNotSent(t *testing.T) {
-	inWire(t, Options{}, func(t *testing.T, w *wireWorker, _ *Client) {
+// The transport dials another connection if the reused one accepted nothing. If that dial fails, certainly nothing was sent.
+func TestOrderThatNoConnectionAcceptedIsNotSent(t *testing.T) {
+	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, _ *Client) {
 		var stuck atomic.Bool
 		client := NewClient(Options{Dial: func(ctx context.Context, _, address string) (net.Conn, error) {
 			conn, err := w.network.Dial(ctx, callerHost, address)
@@ -347,17 +347,17 @@
 		require.Equal(t, Done, w.stop(client, 1))
 		stuck.Store(true)
 		w.network.Cut(callerHost, "10.0.0.2")
-		told := w.stop(client, 2)
-		require.Equal(t, NotSent, told)
+		outcome := w.stop(client, 2)
+		require.Equal(t, NotSent, outcome)
 		w.network.HealAll()
-		w.requireOnce(2, told)
+		w.requireOutcome(2, outcome)
 		client.Close()
 	})
 }
 
-func TestCallsHaveABound(t *testing.T) {
-	inWire(t, Options{}, func(t *testing.T, w *wireWorker, client *Client) {
-		w.late.Store(int64(10 * time.Minute))
+func TestCallsHaveADefaultTimeout(t *testing.T) {
+	withSimulatedWorker(t, Options{}, func(t *testing.T, w *simulatedWorker, client *Client) {
+		w.answerDelay.Store(int64(10 * time.Minute))
 		start := time.Now()
 		reply, err := client.Stop(context.Background(), Worker{"i-1", workerAddress}, StopOrder{Task: "t", FenceToken: 1})
 		require.ErrorIs(t, err, context.DeadlineExceeded)
@@ -367,6 +367,6 @@
 		_, err = client.Hold(context.Background(), Worker{"i-1", workerAddress}, HoldOrder{FenceToken: 1, WaitMs: 1000})
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 		require.Equal(t, defaultAnswerTimeout+time.Second, time.Since(start))
-		require.Zero(t, client.OpenConnections(), "no answer is waited for on a kept connection")
+		require.Zero(t, client.OpenConnections(), "a connection with a pending answer is closed")
 	})
 }
--- a/internal/system/workerapi/decode.go
+++ b/internal/system/workerapi/decode.go
@@ -6,7 +6,7 @@
 	"github.com/mailru/easyjson/jlexer"
 )
 
-// wireAnswer is everything that an answer of a worker may carry.
+// wireAnswer holds all fields that a worker's answer may contain.
 type wireAnswer struct {
 	clockMs     int64
 	remainingMs int64
@@ -15,7 +15,7 @@
 	finished    []FinishedTask
 }
 
-// decode reads the body of an answer. Unknown fields are skipped; whatever is missing stays zero.
+// decode reads the body of an answer. It skips unknown fields; missing fields stay zero.
 func (answer *wireAnswer) decode(data []byte) error {
 	lexer := jlexer.Lexer{Data: data}
 	lexer.Delim('{')
@@ -40,11 +40,11 @@
 	}
 	switch field {
 	case "clockMs":
-		answer.clockMs = whole(lexer)
+		answer.clockMs = truncatedInt(lexer)
 	case "remainingMs":
-		answer.remainingMs = whole(lexer)
+		answer.remainingMs = truncatedInt(lexer)
 	case "reason":
-		answer.refusal = refusalOf(lexer.UnsafeString())
+		answer.refusal = parseRefusal(lexer.UnsafeString())
 	case "running":
 		answer.running = decodeRunning(lexer)
 	case "finished":
@@ -54,7 +54,7 @@
 	}
 }
 
-func refusalOf(reason string) Outcome {
+func parseRefusal(reason string) Outcome {
 	switch reason {
 	case "fence":
 		return RefusedFence
@@ -76,13 +76,13 @@
 		decodeRow(lexer, func(column int) {
 			switch column {
 			case 0:
-				task.Task = text(lexer)
+				task.Task = stringOrEmpty(lexer)
 			case 1:
-				task.Attempt = int(whole(lexer))
+				task.Attempt = int(truncatedInt(lexer))
 			case 2:
-				task.Checkpoint = text(lexer)
+				task.Checkpoint = stringOrEmpty(lexer)
 			case 3:
-				task.Percent = int(whole(lexer))
+				task.Percent = int(truncatedInt(lexer))
 			default:
 				lexer.SkipRecursive()
 			}
@@ -102,15 +102,15 @@
 		decodeRow(lexer, func(column int) {
 			switch column {
 			case 0:
-				task.N = uint64(whole(lexer))
+				task.N = uint64(truncatedInt(lexer))
 			case 1:
-				task.Task = text(lexer)
+				task.Task = stringOrEmpty(lexer)
 			case 2:
-				task.Attempt = int(whole(lexer))
+				task.Attempt = int(truncatedInt(lexer))
 			case 3:
-				task.How = howOf(lexer.UnsafeString())
+				task.How = parseEndReason(lexer.UnsafeString())
 			case 4:
-				task.Checkpoint = text(lexer)
+				task.Checkpoint = stringOrEmpty(lexer)
 			default:
 				lexer.SkipRecursive()
 			}
@@ -122,7 +122,7 @@
 	return finished
 }
 
-// decodeRow reads one array whose columns differ in type; columns that are missing at its end stay zero.
+// decodeRow reads one array whose columns differ in type. It calls decodeColumn for each column that is present.
 func decodeRow(lexer *jlexer.Lexer, decodeColumn func(column int)) {
 	lexer.Delim('[')
 	for column := 0; !lexer.IsDelim(']'); column++ {
@@ -132,8 +132,8 @@
 	lexer.Delim(']')
 }
 
-// whole reads a number and drops what follows its point.
-func whole(lexer *jlexer.Lexer) int64 {
+// truncatedInt reads a number and drops its fraction. It reads null as 0.
+func truncatedInt(lexer *jlexer.Lexer) int64 {
 	if lexer.IsNull() {
 		lexer.Skip()
 		return 0
@@ -141,7 +141,7 @@
 	return int64(lexer.Float64())
 }
 
-func text(lexer *jlexer.Lexer) string {
+func stringOrEmpty(lexer *jlexer.Lexer) string {
 	if lexer.IsNull() {
 		lexer.Skip()
 		return ""
