--- a/internal/system/control/callsowner_test.go
+++ b/internal/system/control/callsowner_test.go
@@ -19,53 +19,53 @@
 )
 
 const (
-	headHost       = "10.0.0.1"
-	ownedWorker    = "10.0.0.2:80"
-	lateAnswer     = time.Second
-	ownedCallLimit = 10 * time.Second
+	headHost          = "10.0.0.1"
+	testWorkerAddress = "10.0.0.2:80"
+	answerDelay       = time.Second
+	testCallTimeout   = 10 * time.Second
 )
 
-// newOwner is a scheduler with one worker, and its first call: of the same number in each scheduler.
-func newOwner(t *testing.T, token uint64) (*scheduler.Scheduler, scheduler.Call) {
+// newSchedulerWithCall is a scheduler with one worker, and its first call: of the same number in each scheduler.
+func newSchedulerWithCall(t *testing.T, token uint64) (*scheduler.Scheduler, scheduler.Call) {
 	s := scheduler.New(scheduler.Options{Token: token, Machine: state.New(), Bounds: nodesettings.DefaultBounds()}, 0)
-	s.Listed(0, []workerapi.Instance{{ID: "i-1", Address: ownedWorker, State: workerapi.StateReady}})
+	s.Listed(0, []workerapi.Instance{{ID: "i-1", Address: testWorkerAddress, State: workerapi.StateReady}})
 	calls := s.Drain().Calls
 	require.NotEmpty(t, calls)
 	call := calls[0]
-	call.Timeout = ownedCallLimit
+	call.Timeout = testCallTimeout
 	return s, call
 }
 
 // An answer to a call that a scheduler made before this replica lost its office and took it again isn't that to the call with the same
 // number of the one that acts now.
-func TestAnAnswerCountsOnlyForTheSchedulerThatMadeTheCall(t *testing.T) {
+func TestCallResultGoesOnlyToTheSchedulerThatMadeIt(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			network := simnet.New(1)
-			listener, err := network.Listen(ownedWorker)
+			listener, err := network.Listen(testWorkerAddress)
 			require.NoError(t, err)
 			server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				time.Sleep(lateAnswer)
+				time.Sleep(answerDelay)
 				w.WriteHeader(http.StatusConflict)
 				_, _ = w.Write([]byte(`{"clockMs":1,"reason":"fence"}`))
 			})}
 			go func() { _ = server.Serve(listener) }()
 			ctx, cancel := context.WithCancel(context.Background())
-			made := &orders{client: workerapi.NewClient(workerapi.Options{Dial: network.Dialer(headHost)}),
-				slots: make(chan struct{}, mostCalls), ctx: ctx, cancel: cancel}
-			n := &Node{loop: newLoop(), orders: made, clock: time.Now, started: time.Now()}
-			first, call := newOwner(t, 1)
+			made := &workerCalls{client: workerapi.NewClient(workerapi.Options{Dial: network.Dialer(headHost)}),
+				slots: make(chan struct{}, maxWorkerCalls), ctx: ctx, cancel: cancel}
+			n := &Node{loop: newLoop(), workerCalls: made, clock: time.Now, started: time.Now()}
+			first, call := newSchedulerWithCall(t, 1)
 			n.scheduler = first
-			n.call(call)
+			n.callWorker(call)
 			acting := first
 			if taken {
-				second, next := newOwner(t, 2)
+				second, next := newSchedulerWithCall(t, 2)
 				require.Equal(t, call.ID, next.ID)
 				acting, n.scheduler = second, second
 			}
-			time.Sleep(2 * lateAnswer)
+			time.Sleep(2 * answerDelay)
 			synctest.Wait()
-			for _, work := range n.loop.take(nil) {
+			for _, work := range n.loop.takeQueue(nil) {
 				work()
 			}
 			require.Equal(t, !taken, acting.Drain().Superseded)
@@ -82,10 +82,10 @@
 	n := &Node{loop: newLoop(), clock: time.Now, started: time.Now(), engine: &engine{replica: core, options: engineOptions{
 		now: func() time.Duration { return 0 }}}}
 	require.False(t, n.engine.isHead())
-	acting, call := newOwner(t, 1)
+	acting, call := newSchedulerWithCall(t, 1)
 	n.scheduler = acting
-	n.makeCalls([]scheduler.Call{call}) // without a client: to send would fail
-	for _, work := range n.loop.take(nil) {
+	n.sendCalls([]scheduler.Call{call}) // without a client: to send would fail
+	for _, work := range n.loop.takeQueue(nil) {
 		work()
 	}
 	acting.Tick(3 * time.Second)
--- a/internal/system/control/captures.go
+++ b/internal/system/control/captures.go
@@ -5,59 +5,59 @@
 	"gaugeslip/internal/system/state"
 )
 
-// captureSlice is how many bytes of a snapshot are made in one turn of the loop: some milliseconds' work. A head that stands still for
+// captureChunkSize is how many bytes of a snapshot are made in one turn of the loop: some milliseconds' work. A head that stands still for
 // as long as a large snapshot takes loses its lease.
-const captureSlice = 256 << 10
+const captureChunkSize = 256 << 10
 
-// captureUse tells what a snapshot is wanted for.
-type captureUse byte
+// capturePurpose tells what a snapshot is wanted for.
+type capturePurpose byte
 
 // The uses of a snapshot.
 const (
-	forLearners captureUse = 1 << iota
-	forLog
+	captureForLearners capturePurpose = 1 << iota
+	captureForLog
 )
 
-// capturing is the snapshot under way.
-type capturing struct {
-	capture *state.Capture // nil: none
-	index   uint64         // the last entry that is in it
-	uses    captureUse
+// pendingCapture is the snapshot under way.
+type pendingCapture struct {
+	capture  *state.Capture // nil: none
+	index    uint64         // the last entry that is in it
+	purposes capturePurpose
 }
 
-// capture has a snapshot made, unless one is under way that serves.
-func (e *engine) capture(use captureUse) {
-	e.capturing.uses |= use
-	if e.capturing.capture != nil {
+// startCapture has a snapshot made, unless one is under way that serves.
+func (e *engine) startCapture(use capturePurpose) {
+	e.pendingCapture.purposes |= use
+	if e.pendingCapture.capture != nil {
 		return
 	}
-	e.capturing.capture, e.capturing.index = e.machine.Capture(), e.appliedTo
-	e.continueCapture(e.capturing.capture)
+	e.pendingCapture.capture, e.pendingCapture.index = e.machine.Capture(), e.appliedIndex
+	e.continueCapture(e.pendingCapture.capture)
 }
 
 // continueCapture makes a slice, and hands the snapshot out once it is whole.
 func (e *engine) continueCapture(capture *state.Capture) {
-	if e.closed || e.capturing.capture != capture {
+	if e.closed || e.pendingCapture.capture != capture {
 		return
 	}
-	if !capture.Continue(captureSlice) {
+	if !capture.Continue(captureChunkSize) {
 		e.options.post(func() { e.continueCapture(capture) })
 		return
 	}
-	whole := e.capturing
-	e.capturing = capturing{}
-	if whole.uses&forLog != 0 {
-		e.rewrite(whole.index, capture.Bytes())
+	whole := e.pendingCapture
+	e.pendingCapture = pendingCapture{}
+	if whole.purposes&captureForLog != 0 {
+		e.rewriteLog(whole.index, capture.Bytes())
 	}
-	if whole.uses&forLearners != 0 {
+	if whole.purposes&captureForLearners != 0 {
 		e.step(replica.SnapshotReady{Index: whole.index, Data: capture.Bytes()})
 	}
 }
 
 // dropCapture gives the snapshot under way up, as another state has come.
 func (e *engine) dropCapture() {
-	if e.capturing.uses&forLog != 0 {
+	if e.pendingCapture.purposes&captureForLog != 0 {
 		e.rewriting = false
 	}
-	e.capturing = capturing{}
+	e.pendingCapture = pendingCapture{}
 }
--- a/internal/system/control/causes.go
+++ b/internal/system/control/causes.go
@@ -6,8 +6,8 @@
 	"gaugeslip/coord/replica"
 )
 
-// figuresOf are the keys and values with which the log tells of a cause; what is zero is left out.
-func figuresOf(cause replica.Cause) []any {
+// causeFields are the keys and values with which the log tells of a cause; what is zero is left out.
+func causeFields(cause replica.Cause) []any {
 	line := []any{"cause", string(cause.Kind)}
 	if cause.Member != "" {
 		line = append(line, "of", cause.Member)
--- a/internal/system/control/clock.go
+++ b/internal/system/control/clock.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// offsetLife is how long the reading of another replica's clock counts.
-const offsetLife = 5 * time.Second
+// clockReadingTTL is how long the reading of another replica's clock counts.
+const clockReadingTTL = 5 * time.Second
 
 // wallClock estimates the time of day as the median over the replicas' clocks: one that jumps doesn't move it.
 type wallClock struct {
@@ -21,8 +21,8 @@
 
 func newWallClock() *wallClock { return &wallClock{others: map[string]clockReading{}} }
 
-// heard takes in what another replica's clock showed: its time of day, against ours at the middle of the call.
-func (w *wallClock) heard(from string, theirs, ours time.Time, now time.Duration) {
+// observe takes in what another replica's clock showed: its time of day, against ours at the middle of the call.
+func (w *wallClock) observe(from string, theirs, ours time.Time, now time.Duration) {
 	w.others[from] = clockReading{offset: theirs.Sub(ours), at: now}
 }
 
@@ -30,7 +30,7 @@
 func (w *wallClock) offset(now time.Duration) time.Duration {
 	offsets := []time.Duration{0}
 	for from, reading := range w.others {
-		if now-reading.at > offsetLife {
+		if now-reading.at > clockReadingTTL {
 			delete(w.others, from)
 			continue
 		}
--- a/internal/system/control/cluster_test.go
+++ b/internal/system/control/cluster_test.go
@@ -17,8 +17,8 @@
 	"gaugeslip/internal/system/nodesettings"
 )
 
-// testPatience bounds every wait of these tests.
-const testPatience = time.Minute
+// testTimeout bounds every wait of these tests.
+const testTimeout = time.Minute
 
 // testCluster is a few replicas on loopback addresses, alike but for their address and folder.
 type testCluster struct {
@@ -64,7 +64,7 @@
 
 // until asks again and again, as on a busy machine any single call may come too late and any lease may run out for a moment.
 func (c *testCluster) until(condition func() bool) {
-	require.Eventually(c.t, condition, testPatience, 20*time.Millisecond)
+	require.Eventually(c.t, condition, testTimeout, 20*time.Millisecond)
 }
 
 // call calls a replica over its internal protocol and tells whether it answered.
--- a/internal/system/control/committed.go
+++ b/internal/system/control/committed.go
@@ -6,37 +6,37 @@
 	"gaugeslip/internal/system/state"
 )
 
-// applied takes in a committed command.
-func (n *Node) applied(result state.Result) {
-	n.counts.applied(&result)
+// commandApplied takes in a committed command.
+func (n *Node) commandApplied(result state.Result) {
+	n.counts.countCommand(&result)
 	n.checkResult(&result)
-	n.commits.note(n.now())
+	n.commitPauses.record(n.now())
 	if result.Command.Kind == state.KindConfigReplaced && result.Outcome == state.Applied {
-		n.configStale = true
+		n.configPending = true
 	}
-	n.tellOfLoss(&result)
+	n.logWorkerLost(&result)
 	if n.scheduler != nil {
 		n.scheduler.Applied(n.now(), result)
 	}
 }
 
-// takeConfig puts the newest of the configurations in force that a batch of commits, or a backlog, has brought; those before it are passed
+// applyPendingConfig puts the newest of the configurations in force that a batch of commits, or a backlog, has brought; those before it are passed
 // over.
-func (n *Node) takeConfig() {
-	if n.configStale && !n.engine.catchingUp() {
-		n.configTaken()
+func (n *Node) applyPendingConfig() {
+	if n.configPending && !n.engine.catchingUp() {
+		n.applyConfig()
 	}
 }
 
-// installed takes in that a snapshot took the place of the state.
-func (n *Node) installed() {
+// snapshotInstalled takes in that a snapshot took the place of the state.
+func (n *Node) snapshotInstalled() {
 	n.dropScheduler()
-	n.configTaken()
+	n.applyConfig()
 }
 
-// configTaken puts the newest committed configuration in force here and, unless it may be an old one, gives it to the epidemic.
-func (n *Node) configTaken() {
-	n.configStale = false
+// applyConfig puts the newest committed configuration in force here and, unless it may be an old one, gives it to the epidemic.
+func (n *Node) applyConfig() {
+	n.configPending = false
 	current := n.engine.machine.Config()
 	if current.Version == 0 {
 		return
@@ -53,14 +53,14 @@
 		n.scheduler.Configured(n.now(), parsed)
 	}
 	if n.engine.upToDate() {
-		n.spreadConfig()
+		n.gossipConfig()
 	}
 }
 
-// spreadConfig gives the configuration in force to the epidemic. One that may be older than what is committed by now isn't: a dispatcher that
+// gossipConfig gives the configuration in force to the epidemic. One that may be older than what is committed by now isn't: a dispatcher that
 // has just started would take it.
-func (n *Node) spreadConfig() {
+func (n *Node) gossipConfig() {
 	if current := n.engine.machine.Config(); current.Version > 0 {
-		n.spread(internalapi.KeyConfig, current.Version, current.Body)
+		n.gossip(internalapi.KeyConfig, current.Version, current.Body)
 	}
 }
--- a/internal/system/control/config.go
+++ b/internal/system/control/config.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// forwardMost bounds one call to the replica that may answer, and retryFor the time in which another is begun: a replica that can't
+	// forwardTimeout bounds one call to the replica that may answer, and forwardRetryWindow the time in which another is begun: a replica that can't
 	// reach it says so soon, and its operator goes on to another.
-	forwardMost  = 500 * time.Millisecond
-	retryFor     = 400 * time.Millisecond
-	forwardPause = 60 * time.Millisecond
+	forwardTimeout       = 500 * time.Millisecond
+	forwardRetryWindow   = 400 * time.Millisecond
+	forwardRetryInterval = 60 * time.Millisecond
 )
 
 // Replace takes an operator's configuration.
 func (s *Service) Replace(args internalapi.ReplaceArgs, reply *internalapi.ReplaceReply) error {
-	*reply = s.node.replaceHere(args, operatorPatience)
+	*reply = s.node.replaceLocally(args, operatorTimeout)
 	return nil
 }
 
-func (n *Node) replaceHere(args internalapi.ReplaceArgs, patience time.Duration) internalapi.ReplaceReply {
-	return ask(n, patience, undecided(true), func(answer func(internalapi.ReplaceReply)) { n.replace(&args, answer) })
+func (n *Node) replaceLocally(args internalapi.ReplaceArgs, timeout time.Duration) internalapi.ReplaceReply {
+	return runOnLoop(n, timeout, undecidedReply(true), func(answer func(internalapi.ReplaceReply)) { n.replace(&args, answer) })
 }
 
 // replace runs on the loop. A refusal stands on what is committed; whatever isn't refused by that is decided where it is applied, after
@@ -36,26 +36,26 @@
 		answer(internalapi.ReplaceReply{Verdict: internalapi.NotHead, View: n.engine.view()})
 		return
 	}
-	command, refusal := n.checkReplace(args)
+	command, refusal := n.validateReplace(args)
 	if refusal != nil {
-		n.configRefused(args, refusal)
+		n.logConfigRefused(args, refusal)
 		answer(*refusal)
 		return
 	}
-	n.engine.propose(state.Command{Kind: state.KindConfigReplaced, ConfigReplaced: command}, func(result state.Result, fate fate) {
-		answer(n.replaceReply(result, fate))
+	n.engine.propose(state.Command{Kind: state.KindConfigReplaced, ConfigReplaced: command}, func(result state.Result, status commitStatus) {
+		answer(n.replaceReply(result, status))
 	})
 }
 
-// configRefused logs an order that wasn't taken; a repeated one is none.
-func (n *Node) configRefused(args *internalapi.ReplaceArgs, refusal *internalapi.ReplaceReply) {
+// logConfigRefused logs an order that wasn't taken; a repeated one is none.
+func (n *Node) logConfigRefused(args *internalapi.ReplaceArgs, refusal *internalapi.ReplaceReply) {
 	if refusal.Verdict == internalapi.Invalid {
 		n.logger.Warn("configuration refused", "base", args.Base, "status", refusal.Status, "reason", refusal.Text)
 	}
 }
 
-// checkReplace gives the command for a configuration that may be taken, or the answer for one that surely isn't or was already.
-func (n *Node) checkReplace(args *internalapi.ReplaceArgs) (*state.ConfigReplaced, *internalapi.ReplaceReply) {
+// validateReplace gives the command for a configuration that may be taken, or the answer for one that surely isn't or was already.
+func (n *Node) validateReplace(args *internalapi.ReplaceArgs) (*state.ConfigReplaced, *internalapi.ReplaceReply) {
 	parsed, err := clusterconfig.Parse(args.Body)
 	if err != nil {
 		return nil, &internalapi.ReplaceReply{Verdict: internalapi.Invalid, Status: http.StatusBadRequest, Text: err.Error()}
@@ -64,23 +64,23 @@
 	if outcome := n.engine.machine.CheckConfig(command); outcome != state.Applied {
 		reply := configReply(outcome)
 		if reply.Verdict == internalapi.Done {
-			n.noteTold()
+			n.recordShownVersion()
 		}
 		return nil, &reply
 	}
 	return command, nil
 }
 
-func (n *Node) replaceReply(result state.Result, fate fate) internalapi.ReplaceReply {
-	switch fate {
-	case fateInDoubt:
-		return undecided(true)
-	case fateRefused:
+func (n *Node) replaceReply(result state.Result, status commitStatus) internalapi.ReplaceReply {
+	switch status {
+	case statusInDoubt:
+		return undecidedReply(true)
+	case statusRejected:
 		return internalapi.ReplaceReply{Verdict: internalapi.NotHead, View: n.engine.view()}
 	}
 	reply := configReply(result.Outcome)
 	if reply.Verdict == internalapi.Done {
-		n.noteTold()
+		n.recordShownVersion()
 	}
 	return reply
 }
@@ -100,14 +100,14 @@
 
 // Read gives the newest configuration.
 func (s *Service) Read(_ internalapi.ReadArgs, reply *internalapi.ReadReply) error {
-	*reply = s.node.readHere()
+	*reply = s.node.readLocally()
 	return nil
 }
 
-// readHere gives the newest configuration that was acknowledged when it was asked for, if this replica can know it.
-func (n *Node) readHere() internalapi.ReadReply {
+// readLocally gives the newest configuration that was acknowledged when it was asked for, if this replica can know it.
+func (n *Node) readLocally() internalapi.ReadReply {
 	refused := internalapi.ReadReply{Verdict: internalapi.NotHead}
-	return ask(n, forwardMost, refused, func(answer func(internalapi.ReadReply)) {
+	return runOnLoop(n, forwardTimeout, refused, func(answer func(internalapi.ReadReply)) {
 		n.engine.read(func(current bool) { answer(n.readReply(current)) })
 	})
 }
@@ -117,18 +117,18 @@
 		return internalapi.ReadReply{Verdict: internalapi.NotHead, View: n.engine.view()}
 	}
 	newest := n.engine.machine.Config()
-	n.checkTold(newest.Version)
+	n.checkShownVersion(newest.Version)
 	return internalapi.ReadReply{Verdict: internalapi.Done, Version: newest.Version, Body: newest.Body}
 }
 
-// replaceAnywhere decides an order here or passes it on to the head, until it is decided or the patience is over.
-func (n *Node) replaceAnywhere(args internalapi.ReplaceArgs, patience time.Duration) internalapi.ReplaceReply {
-	deadline, retryUntil := time.Now().Add(patience), time.Now().Add(retryFor)
+// replaceOrForward decides an order here or passes it on to the head, until it is decided or the timeout is over.
+func (n *Node) replaceOrForward(args internalapi.ReplaceArgs, timeout time.Duration) internalapi.ReplaceReply {
+	deadline, retryUntil := time.Now().Add(timeout), time.Now().Add(forwardRetryWindow)
 	inDoubt := false
 	for {
-		reply := n.replaceHere(args, time.Until(deadline))
-		if reply.Verdict == internalapi.NotHead && n.outOfTouch() {
-			return undecided(inDoubt)
+		reply := n.replaceLocally(args, time.Until(deadline))
+		if reply.Verdict == internalapi.NotHead && n.isCutOff() {
+			return undecidedReply(inDoubt)
 		}
 		if reply.Verdict == internalapi.NotHead {
 			var err error
@@ -139,15 +139,15 @@
 		if reply.Verdict != internalapi.NotHead && !(inDoubt && reply.Status == http.StatusPreconditionFailed) {
 			return reply
 		}
-		if time.Until(retryUntil) < 2*forwardPause {
-			return undecided(inDoubt)
+		if time.Until(retryUntil) < 2*forwardRetryInterval {
+			return undecidedReply(inDoubt)
 		}
-		time.Sleep(forwardPause)
+		time.Sleep(forwardRetryInterval)
 	}
 }
 
-// undecided is the answer to an order of which nothing is known here: it may be taken if it is in doubt, and is not from here otherwise.
-func undecided(inDoubt bool) internalapi.ReplaceReply {
+// undecidedReply is the answer to an order of which nothing is known here: it may be taken if it is in doubt, and is not from here otherwise.
+func undecidedReply(inDoubt bool) internalapi.ReplaceReply {
 	if inDoubt {
 		return internalapi.ReplaceReply{Verdict: internalapi.InDoubt, Status: http.StatusGatewayTimeout, Text: "not decided in time"}
 	}
@@ -160,7 +160,7 @@
 	if head == "" {
 		return reply, transport.ErrNotSent
 	}
-	err := n.forward(head, internalapi.MethodReplace, args, &reply, min(forwardMost, time.Until(deadline)))
+	err := n.forward(head, internalapi.MethodReplace, args, &reply, min(forwardTimeout, time.Until(deadline)))
 	if err != nil {
 		reply = internalapi.ReplaceReply{Verdict: internalapi.NotHead}
 	}
@@ -169,7 +169,7 @@
 
 // headAddress is where the head of the newest view takes calls, empty if that is this replica or not known.
 func (n *Node) headAddress() string {
-	return ask(n, time.Second, "", func(answer func(string)) {
+	return runOnLoop(n, time.Second, "", func(answer func(string)) {
 		newest := n.engine.view()
 		if !newest.Known() || newest.Head().ID == n.engine.replica.Self().ID {
 			answer("")
@@ -179,33 +179,33 @@
 	})
 }
 
-// readAnywhere gives the newest configuration from here or, if this replica can't know it, from the chain's tail or head.
-func (n *Node) readAnywhere(patience time.Duration) internalapi.ReadReply {
-	deadline, retryUntil := time.Now().Add(patience), time.Now().Add(retryFor)
+// readOrForward gives the newest configuration from here or, if this replica can't know it, from the chain's tail or head.
+func (n *Node) readOrForward(timeout time.Duration) internalapi.ReadReply {
+	deadline, retryUntil := time.Now().Add(timeout), time.Now().Add(forwardRetryWindow)
 	for {
-		reply := n.readHere()
+		reply := n.readLocally()
 		if reply.Verdict == internalapi.Done {
 			return reply
 		}
-		if n.outOfTouch() {
+		if n.isCutOff() {
 			return internalapi.ReadReply{Verdict: internalapi.NotHead, Text: errNoHead.Error()}
 		}
-		for _, address := range n.readers() {
+		for _, address := range n.readerAddresses() {
 			reply = internalapi.ReadReply{}
-			err := n.forward(address, internalapi.MethodRead, internalapi.ReadArgs{}, &reply, min(forwardMost, time.Until(deadline)))
+			err := n.forward(address, internalapi.MethodRead, internalapi.ReadArgs{}, &reply, min(forwardTimeout, time.Until(deadline)))
 			if err == nil && reply.Verdict == internalapi.Done {
 				return reply
 			}
 		}
-		if time.Until(retryUntil) < 2*forwardPause {
+		if time.Until(retryUntil) < 2*forwardRetryInterval {
 			return internalapi.ReadReply{Verdict: internalapi.NotHead, Text: errNoHead.Error()}
 		}
-		time.Sleep(forwardPause)
+		time.Sleep(forwardRetryInterval)
 	}
 }
 
-func (n *Node) readers() []string {
-	return ask(n, time.Second, nil, func(answer func([]string)) {
+func (n *Node) readerAddresses() []string {
+	return runOnLoop(n, time.Second, nil, func(answer func([]string)) {
 		newest := n.engine.view()
 		if !newest.Known() || len(newest.Chain) == 0 {
 			answer(nil)
--- a/internal/system/control/contact.go
+++ b/internal/system/control/contact.go
@@ -6,32 +6,32 @@
 	"gaugeslip/coord/replica"
 )
 
-// contactPatience is how long after its last word from the head, or its own lease, a replica still looks for a head that takes an
+// headContactTimeout is how long after its last word from the head, or its own lease, a replica still looks for a head that takes an
 // order or answers a read. A change of head takes about one second.
-const contactPatience = 2 * time.Second
+const headContactTimeout = 2 * time.Second
 
-// noteContact notes a message from the head of the view in force.
-func (e *engine) noteContact(input replica.Input) {
+// recordHeadContact notes a message from the head of the view in force.
+func (e *engine) recordHeadContact(input replica.Input) {
 	received, ok := input.(replica.Receive)
 	if !ok {
 		return
 	}
 	newest := e.view()
 	if from := received.Message.From.ID; from == newest.Head().ID && received.Message.Epoch == newest.Epoch {
-		e.contactAt = e.options.now()
+		e.headContactAt = e.options.now()
 	}
 }
 
-// inTouch tells whether a head has been heard of lately, be it this replica itself.
-func (e *engine) inTouch() bool {
+// hasHeadContact tells whether a head has been heard of lately, be it this replica itself.
+func (e *engine) hasHeadContact() bool {
 	now := e.options.now()
 	if e.replica.IsHead(now) {
-		e.contactAt = now
+		e.headContactAt = now
 	}
-	return now-e.contactAt <= contactPatience
+	return now-e.headContactAt <= headContactTimeout
 }
 
-// outOfTouch tells whether this replica is cut off, so that it is no use to look for a head: the caller had better go elsewhere.
-func (n *Node) outOfTouch() bool {
-	return ask(n, time.Second, false, func(answer func(bool)) { answer(!n.engine.inTouch()) })
+// isCutOff tells whether this replica is cut off, so that it is no use to look for a head: the caller had better go elsewhere.
+func (n *Node) isCutOff() bool {
+	return runOnLoop(n, time.Second, false, func(answer func(bool)) { answer(!n.engine.hasHeadContact()) })
 }
--- a/internal/system/control/digests.go
+++ b/internal/system/control/digests.go
@@ -7,11 +7,11 @@
 	"gaugeslip/internal/system/state"
 )
 
-// auditBacklog is how many entries may come at once for their digests to be taken; a head proposes half as many at a time.
-const auditBacklog = 2 * mostProposalBatch
+// maxDigestBatch is how many entries may come at once for their digests to be taken; a head proposes half as many at a time.
+const maxDigestBatch = 2 * maxProposalBatch
 
-// audited sums up what an entry came to.
-func (e *engine) audited(entry chain.Entry, result *state.Result) {
+// recordDigest sums up what an entry came to.
+func (e *engine) recordDigest(entry chain.Entry, result *state.Result) {
 	if e.catchingUp() {
 		return
 	}
@@ -20,8 +20,8 @@
 	}
 }
 
-// tellDigests hands the digests that have come up to the core, which compares them with those of the others.
-func (e *engine) tellDigests() {
+// reportDigests hands the digests that have come up to the core, which compares them with those of the others.
+func (e *engine) reportDigests() {
 	for len(e.digests) > 0 {
 		digest := e.digests[0]
 		e.digests = e.digests[1:]
--- a/internal/system/control/disk.go
+++ b/internal/system/control/disk.go
@@ -17,7 +17,7 @@
 type disk struct {
 	log     *wal.Log
 	mutex   sync.Mutex
-	waiting []diskJob
+	queue   []diskJob
 	wake    chan struct{}
 	stopped chan struct{}
 	ended   chan struct{} // closed when nothing is written any more
@@ -32,7 +32,7 @@
 // submit queues a job; done is called on the disk's goroutine.
 func (d *disk) submit(job diskJob) {
 	d.mutex.Lock()
-	d.waiting = append(d.waiting, job)
+	d.queue = append(d.queue, job)
 	d.mutex.Unlock()
 	select {
 	case d.wake <- struct{}{}:
@@ -44,7 +44,7 @@
 	for {
 		select {
 		case <-d.wake:
-			d.work(d.take())
+			d.runJobs(d.takeJobs())
 		case <-d.stopped:
 			_ = d.log.Close()
 			close(d.ended)
@@ -65,23 +65,23 @@
 	}
 }
 
-func (d *disk) take() []diskJob {
+func (d *disk) takeJobs() []diskJob {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	jobs := d.waiting
-	d.waiting = nil
+	jobs := d.queue
+	d.queue = nil
 	return jobs
 }
 
-// bytes is the log's length after the last job.
-func (d *disk) bytes() int64 {
+// logSize is the log's length after the last job.
+func (d *disk) logSize() int64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.size
 }
 
-// work does jobs in order: a run of appends with one write and one sync, a rewrite by itself.
-func (d *disk) work(jobs []diskJob) {
+// runJobs does jobs in order: a run of appends with one write and one sync, a rewrite by itself.
+func (d *disk) runJobs(jobs []diskJob) {
 	for len(jobs) > 0 {
 		n := 1
 		if jobs[0].rewrite {
--- a/internal/system/control/engine_test.go
+++ b/internal/system/control/engine_test.go
@@ -21,11 +21,11 @@
 	"gaugeslip/internal/system/state"
 )
 
-// engineRig is an engine on a simulated disk whose callbacks only take notes. Its disk works only when told to.
-type engineRig struct {
+// engineHarness is an engine on a simulated disk whose callbacks only take notes. Its disk works only when told to.
+type engineHarness struct {
 	*engine
 	t         *testing.T
-	folder    *simdisk.Disk
+	simDisk   *simdisk.Disk
 	now       time.Duration
 	posted    []func()
 	sent      []*replica.Message
@@ -39,10 +39,10 @@
 
 var engineSelf = view.Member{ID: "one", Address: "10.0.0.1:9001"}
 
-// newEngineRig starts an engine that is the only replica of its system.
-func newEngineRig(t *testing.T, folder *simdisk.Disk) *engineRig {
-	r := &engineRig{t: t, folder: folder, now: time.Hour}
-	file, records, err := wal.Open(folder.Process(), logName)
+// newEngineHarness starts an engine that is the only replica of its system.
+func newEngineHarness(t *testing.T, disk *simdisk.Disk) *engineHarness {
+	r := &engineHarness{t: t, simDisk: disk, now: time.Hour}
+	file, records, err := wal.Open(disk.Process(), logName)
 	require.NoError(t, err)
 	genesis := view.View{Voters: []view.Member{engineSelf}, Chain: []view.Member{engineSelf}}
 	r.engine, err = newEngine(engineOptions{config: replica.Config{Self: engineSelf, Genesis: &genesis, Seed: uint64(len(records)) + 1},
@@ -50,19 +50,19 @@
 		post:    func(work func()) { r.posted = append(r.posted, work) },
 		send:    func(_ string, message *replica.Message) { r.sent = append(r.sent, message) },
 		applied: func(result state.Result) { r.results = append(r.results, result) }, committed: func(time.Duration) {}, caughtUp: func(int, time.Duration) {},
-		yield:     func(work func()) { r.posted = append(r.posted, work) },
-		installed: func() { r.installs++ }, event: func(event replica.Event) { r.events = append(r.events, event) },
-		rewritten: func(int64, time.Duration) { r.rewritten++ },
-		failed:    func(err error) { r.failures = append(r.failures, err) },
-		fault:     func(err error) { r.faults = append(r.faults, err) }})
+		postDeferred:      func(work func()) { r.posted = append(r.posted, work) },
+		snapshotInstalled: func() { r.installs++ }, event: func(event replica.Event) { r.events = append(r.events, event) },
+		logRewritten: func(int64, time.Duration) { r.rewritten++ },
+		diskFailed:   func(err error) { r.failures = append(r.failures, err) },
+		fatal:        func(err error) { r.faults = append(r.faults, err) }})
 	require.NoError(t, err)
 	return r
 }
 
-// work lets the disk do what it was given and the loop take in what comes of that, until there is nothing more.
-func (r *engineRig) work() {
-	for jobs := r.disk.take(); len(jobs) > 0 || len(r.posted) > 0; jobs = r.disk.take() {
-		r.disk.work(jobs)
+// drain lets the disk do what it was given and the loop take in what comes of that, until there is nothing more.
+func (r *engineHarness) drain() {
+	for jobs := r.disk.takeJobs(); len(jobs) > 0 || len(r.posted) > 0; jobs = r.disk.takeJobs() {
+		r.disk.runJobs(jobs)
 		posted := r.posted
 		r.posted = nil
 		for _, work := range posted {
@@ -71,25 +71,25 @@
 	}
 }
 
-// lead plays until this replica is the head.
-func (r *engineRig) lead() {
+// becomeHead plays until this replica is the head.
+func (r *engineHarness) becomeHead() {
 	for range 1000 {
 		if r.isHead() {
 			return
 		}
 		r.now += 10 * time.Millisecond
 		r.step(replica.Tick{})
-		r.work()
+		r.drain()
 	}
 	r.t.Fatal("it doesn't become the head")
 }
 
 // onDisk is what the disk holds, read as after a loss of power.
-func (r *engineRig) onDisk() replica.Persisted {
-	r.folder.PowerLoss()
-	_, records, err := wal.Open(r.folder.Process(), logName)
+func (r *engineHarness) onDisk() replica.Persisted {
+	r.simDisk.PowerLoss()
+	_, records, err := wal.Open(r.simDisk.Process(), logName)
 	require.NoError(r.t, err)
-	persisted, err := restore(records)
+	persisted, err := restoreRecords(records)
 	require.NoError(r.t, err)
 	return persisted
 }
@@ -100,35 +100,35 @@
 
 // A snapshot that can't be read must not get to the disk: the replica would never start again.
 func TestASnapshotThatCantBeReadIsNotStored(t *testing.T) {
-	r := newEngineRig(t, simdisk.New(1))
-	r.lead()
+	r := newEngineHarness(t, simdisk.New(1))
+	r.becomeHead()
 	before := r.machine.Snapshot()
 	damaged := chain.Snapshot{Index: 100, Epoch: 9, Data: []byte("no state")}
-	r.carryOut(replica.Output{Install: &damaged, Persist: []replica.Record{snapshotRecord(damaged)}, Token: 99})
+	r.handleOutput(replica.Output{Install: &damaged, Persist: []replica.Record{snapshotRecord(damaged)}, Token: 99})
 	require.Len(t, r.failures, 1)
 	assert.ErrorIs(t, r.failures[0], state.ErrCorrupt)
 	assert.Zero(t, r.installs)
 	assert.Equal(t, before, r.machine.Snapshot())
-	r.work()
+	r.drain()
 	assert.Nil(t, r.onDisk().Snapshot)
-	newEngineRig(t, r.folder).lead()
+	newEngineHarness(t, r.simDisk).becomeHead()
 }
 
 // What a core asks for along with a fault comes from a state that contradicts itself.
 func TestAfterAFaultNothingIsSentStoredOrApplied(t *testing.T) {
-	r := newEngineRig(t, simdisk.New(1))
-	r.lead()
+	r := newEngineHarness(t, simdisk.New(1))
+	r.becomeHead()
 	r.sent, r.results = nil, nil
 	broken := errors.New("broken")
 	command := state.Command{Kind: state.KindWorkerLost, WorkerLost: "w"}.Encode()
 	last := r.replica.LastIndex()
 	stored := replica.Record{Kind: replica.KindEntry, Data: append([]byte{byte(last + 1), 9}, command...)}
-	r.carryOut(replica.Output{Fault: broken, Send: []replica.Envelope{{To: "x", Message: &replica.Message{}}}, Token: 99,
+	r.handleOutput(replica.Output{Fault: broken, Send: []replica.Envelope{{To: "x", Message: &replica.Message{}}}, Token: 99,
 		Persist: []replica.Record{stored}, Committed: []chain.Entry{{Index: last + 1, Epoch: 9, Data: command}}})
 	assert.Equal(t, []error{broken}, r.faults)
 	assert.Empty(t, r.sent)
 	assert.Empty(t, r.results)
-	r.work()
+	r.drain()
 	persisted := r.onDisk()
 	assert.Equal(t, last, persisted.Log.Last())
 }
@@ -137,97 +137,97 @@
 	return state.Command{Kind: state.KindWorkerLost, WorkerLost: name}
 }
 
-// put proposes a command and gives where its fate will stand.
-func (r *engineRig) put(command state.Command) *[]fate {
-	fates := &[]fate{}
-	r.propose(command, func(_ state.Result, f fate) { *fates = append(*fates, f) })
+// submit proposes a command and returns the slice that receives its status.
+func (r *engineHarness) submit(command state.Command) *[]commitStatus {
+	statuses := &[]commitStatus{}
+	r.propose(command, func(_ state.Result, status commitStatus) { *statuses = append(*statuses, status) })
 	r.flush()
-	return fates
+	return statuses
 }
 
 func TestAnEntryIsAppliedOnce(t *testing.T) {
-	r := newEngineRig(t, simdisk.New(1))
-	r.lead()
-	r.put(workerLost("a"))
-	r.work()
+	r := newEngineHarness(t, simdisk.New(1))
+	r.becomeHead()
+	r.submit(workerLost("a"))
+	r.drain()
 	require.Len(t, r.results, 1)
-	at := r.appliedTo
-	r.carryOut(replica.Output{Committed: []chain.Entry{{Index: at, Epoch: 1, Data: workerLost("b").Encode()}}})
+	at := r.appliedIndex
+	r.handleOutput(replica.Output{Committed: []chain.Entry{{Index: at, Epoch: 1, Data: workerLost("b").Encode()}}})
 	assert.Len(t, r.results, 1)
-	assert.Equal(t, at, r.appliedTo)
+	assert.Equal(t, at, r.appliedIndex)
 }
 
 // Another head's entry may stand where a proposal was put: then the proposal never will be.
-func TestAProposalWhosePlaceIsTakenIsRefused(t *testing.T) {
-	r := newEngineRig(t, simdisk.New(1))
-	r.lead()
-	fates := r.put(workerLost("a"))
-	require.Empty(t, *fates)
+func TestProposalIsRejectedWhenAnotherEntryTakesItsIndex(t *testing.T) {
+	r := newEngineHarness(t, simdisk.New(1))
+	r.becomeHead()
+	statuses := r.submit(workerLost("a"))
+	require.Empty(t, *statuses)
 	index, epoch := r.replica.LastIndex(), r.view().Epoch
-	r.carryOut(replica.Output{Committed: []chain.Entry{{Index: index, Epoch: epoch + 1, Data: workerLost("b").Encode()}}})
-	assert.Equal(t, []fate{fateRefused}, *fates)
+	r.handleOutput(replica.Output{Committed: []chain.Entry{{Index: index, Epoch: epoch + 1, Data: workerLost("b").Encode()}}})
+	assert.Equal(t, []commitStatus{statusRejected}, *statuses)
 }
 
 // Whether a proposal is in a snapshot that takes the place of the state isn't known.
 func TestASnapshotLeavesProposalsInDoubt(t *testing.T) {
-	r := newEngineRig(t, simdisk.New(1))
-	r.lead()
-	first, second := r.put(workerLost("a")), r.put(workerLost("b"))
+	r := newEngineHarness(t, simdisk.New(1))
+	r.becomeHead()
+	first, second := r.submit(workerLost("a")), r.submit(workerLost("b"))
 	at := r.replica.LastIndex() - 1
-	r.carryOut(replica.Output{Install: &chain.Snapshot{Index: at, Epoch: 9, Data: state.New().Snapshot()}})
-	assert.Equal(t, []fate{fateInDoubt}, *first)
+	r.handleOutput(replica.Output{Install: &chain.Snapshot{Index: at, Epoch: 9, Data: state.New().Snapshot()}})
+	assert.Equal(t, []commitStatus{statusInDoubt}, *first)
 	assert.Empty(t, *second)
-	assert.Equal(t, at, r.appliedTo)
+	assert.Equal(t, at, r.appliedIndex)
 	r.close()
-	assert.Equal(t, []fate{fateInDoubt}, *second)
+	assert.Equal(t, []commitStatus{statusInDoubt}, *second)
 }
 
 // What is told as committed outlasts a loss of power, whatever the disk loses.
-func TestACommitIsToldOnceItIsSynced(t *testing.T) {
+func TestCommitIsReportedOnlyAfterSync(t *testing.T) {
 	for seed := range uint64(20) {
-		r := newEngineRig(t, simdisk.New(seed))
-		r.lead()
-		fates := r.put(workerLost("a"))
-		assert.Empty(t, *fates)
-		r.work()
-		require.Equal(t, []fate{fateCommitted}, *fates)
-		index := r.appliedTo
+		r := newEngineHarness(t, simdisk.New(seed))
+		r.becomeHead()
+		statuses := r.submit(workerLost("a"))
+		assert.Empty(t, *statuses)
+		r.drain()
+		require.Equal(t, []commitStatus{statusCommitted}, *statuses)
+		index := r.appliedIndex
 		persisted := r.onDisk()
 		require.GreaterOrEqual(t, persisted.Log.Last(), index, "seed %d", seed)
 	}
 }
 
-func TestADiskThatRefusesIsTold(t *testing.T) {
+func TestDiskErrorsAreReported(t *testing.T) {
 	for _, rewrite := range []bool{false, true} {
-		r := newEngineRig(t, simdisk.New(1))
-		r.lead()
+		r := newEngineHarness(t, simdisk.New(1))
+		r.becomeHead()
 		if rewrite {
 			r.compactAt = 0
-			r.put(workerLost("a"))
-			r.disk.work(r.disk.take())
-			r.folder.SetFaults(simdisk.Faults{Sync: 1})
+			r.submit(workerLost("a"))
+			r.disk.runJobs(r.disk.takeJobs())
+			r.simDisk.SetFaults(simdisk.Faults{Sync: 1})
 		} else {
-			r.folder.SetFaults(simdisk.Faults{Sync: 1})
-			r.put(workerLost("a"))
+			r.simDisk.SetFaults(simdisk.Faults{Sync: 1})
+			r.submit(workerLost("a"))
 		}
-		r.work()
+		r.drain()
 		assert.Len(t, r.failures, 1, "rewrite %v", rewrite)
 		assert.Zero(t, r.rewritten)
 	}
 }
 
 // A closed engine takes no word any more, not even from its own disk.
-func TestAClosedEngineIsSilent(t *testing.T) {
-	r := newEngineRig(t, simdisk.New(1))
-	r.lead()
-	fates := r.put(workerLost("a"))
-	jobs := r.disk.take()
+func TestClosedEngineReportsNothing(t *testing.T) {
+	r := newEngineHarness(t, simdisk.New(1))
+	r.becomeHead()
+	statuses := r.submit(workerLost("a"))
+	jobs := r.disk.takeJobs()
 	r.close()
-	assert.Equal(t, []fate{fateInDoubt}, *fates)
+	assert.Equal(t, []commitStatus{statusInDoubt}, *statuses)
 	r.sent, r.events = nil, nil
-	r.folder.SetFaults(simdisk.Faults{Sync: 1})
-	r.disk.work(jobs)
-	r.work()
+	r.simDisk.SetFaults(simdisk.Faults{Sync: 1})
+	r.disk.runJobs(jobs)
+	r.drain()
 	r.step(replica.Tick{})
 	assert.Empty(t, r.results)
 	assert.Empty(t, r.sent)
@@ -236,35 +236,35 @@
 }
 
 // A rewritten log holds the state and all that came after it, and a restart goes on from there.
-func TestARewrittenLogIsStartedFrom(t *testing.T) {
+func TestRestartUsesCompactedLog(t *testing.T) {
 	for seed := range uint64(10) {
-		r := newEngineRig(t, simdisk.New(seed))
-		r.lead()
+		r := newEngineHarness(t, simdisk.New(seed))
+		r.becomeHead()
 		accepted := state.Command{Kind: state.KindJobAccepted, JobAccepted: &state.JobAccepted{ID: 7, Route: "r", Body: []byte(testJob)}}
-		r.put(accepted)
-		r.work()
+		r.submit(accepted)
+		r.drain()
 		r.compactAt = 0
-		r.put(workerLost("a"))
-		r.work()
+		r.submit(workerLost("a"))
+		r.drain()
 		require.Equal(t, 1, r.rewritten)
-		require.GreaterOrEqual(t, r.compactAt, int64(leastCompaction))
-		fates := r.put(state.Command{Kind: state.KindJobCancelled, JobCancelled: &state.JobCancelled{ID: 7}})
-		r.work()
-		require.Equal(t, []fate{fateCommitted}, *fates)
-		want, at := r.machine.Snapshot(), r.appliedTo
-		r.folder.PowerLoss()
-		r = newEngineRig(t, r.folder)
-		assert.Positive(t, r.appliedTo, "it starts from the snapshot")
-		r.lead()
+		require.GreaterOrEqual(t, r.compactAt, int64(minCompactionSize))
+		statuses := r.submit(state.Command{Kind: state.KindJobCancelled, JobCancelled: &state.JobCancelled{ID: 7}})
+		r.drain()
+		require.Equal(t, []commitStatus{statusCommitted}, *statuses)
+		want, at := r.machine.Snapshot(), r.appliedIndex
+		r.simDisk.PowerLoss()
+		r = newEngineHarness(t, r.simDisk)
+		assert.Positive(t, r.appliedIndex, "it starts from the snapshot")
+		r.becomeHead()
 		assert.Equal(t, want, r.machine.Snapshot(), "seed %d", seed)
-		assert.GreaterOrEqual(t, r.appliedTo, at)
+		assert.GreaterOrEqual(t, r.appliedIndex, at)
 	}
 }
 
-func TestLogsOfTheSameLengthAreRewrittenApart(t *testing.T) {
+func TestCompactionThresholdsAreJittered(t *testing.T) {
 	lengths := map[int64]bool{}
 	for seed := range uint64(64) {
-		length := apart(1000, seed)
+		length := jitterThreshold(1000, seed)
 		lengths[length] = true
 		assert.GreaterOrEqual(t, length, int64(1000))
 		assert.Less(t, length, int64(1500))
@@ -273,8 +273,8 @@
 }
 
 func TestTheDiskWorksInOrder(t *testing.T) {
-	folder := simdisk.New(1)
-	file, _, err := wal.Open(folder.Process(), logName)
+	disk := simdisk.New(1)
+	file, _, err := wal.Open(disk.Process(), logName)
 	require.NoError(t, err)
 	d := newDisk(file)
 	var order []string
@@ -284,11 +284,11 @@
 			order = append(order, name)
 		}}
 	}
-	d.work([]diskJob{job("a", false), job("b", false), job("c", true), job("d", false), job("e", false)})
+	d.runJobs([]diskJob{job("a", false), job("b", false), job("c", true), job("d", false), job("e", false)})
 	assert.Equal(t, []string{"a", "b", "c", "d", "e"}, order)
-	assert.Equal(t, file.Size(), d.bytes())
-	folder.PowerLoss()
-	_, records, err := wal.Open(folder.Process(), logName)
+	assert.Equal(t, file.Size(), d.logSize())
+	disk.PowerLoss()
+	_, records, err := wal.Open(disk.Process(), logName)
 	require.NoError(t, err)
 	var found []string
 	for _, record := range records {
@@ -300,27 +300,27 @@
 // A disk that was marked as unfit comes back with another identity and nothing else, and what it held is kept beside.
 func TestAnUnfitDiskIsGivenUp(t *testing.T) {
 	for seed := range uint64(10) {
-		folder := simdisk.New(seed)
-		file, _, err := wal.Open(folder.Process(), logName)
+		disk := simdisk.New(seed)
+		file, _, err := wal.Open(disk.Process(), logName)
 		require.NoError(t, err)
-		held := append(toLog(replica.BlankDisk("old")), wal.Record{Kind: replica.KindUnfit, Data: []byte("why")})
+		held := append(toWALRecords(replica.BlankDisk("old")), wal.Record{Kind: replica.KindUnfit, Data: []byte("why")})
 		require.NoError(t, file.Append(held...))
 		require.NoError(t, file.Sync())
 		node := testNode()
-		records, err := node.fitRecords(folder.Process(), file, held)
+		records, err := node.replaceUnfitRecords(disk.Process(), file, held)
 		require.NoError(t, err)
-		persisted, err := restore(records)
+		persisted, err := restoreRecords(records)
 		require.NoError(t, err)
 		assert.NotEqual(t, view.ReplicaID("old"), persisted.Identity)
 		assert.Empty(t, persisted.Unfit)
-		folder.PowerLoss()
-		_, again, err := wal.Open(folder.Process(), logName)
+		disk.PowerLoss()
+		_, again, err := wal.Open(disk.Process(), logName)
 		require.NoError(t, err)
 		assert.Equal(t, records, again, "the same identity at the next start")
-		kept, err := wal.Read(folder.Process(), UnfitName)
+		kept, err := wal.Read(disk.Process(), UnfitLogName)
 		require.NoError(t, err)
 		assert.Equal(t, held, kept.Records)
-		same, err := node.fitRecords(folder.Process(), file, again)
+		same, err := node.replaceUnfitRecords(disk.Process(), file, again)
 		require.NoError(t, err)
 		assert.Equal(t, again, same, "a disk that is fit stays")
 	}
@@ -328,13 +328,13 @@
 
 // A full disk has no room for what is kept; the replica comes back all the same.
 func TestAnUnfitDiskThatIsFullIsGivenUp(t *testing.T) {
-	folder := simdisk.New(1)
-	file, _, err := wal.Open(folder.Process(), logName)
+	disk := simdisk.New(1)
+	file, _, err := wal.Open(disk.Process(), logName)
 	require.NoError(t, err)
 	held := []wal.Record{{Kind: replica.KindEntry, Data: make([]byte, 4000)}, {Kind: replica.KindUnfit, Data: []byte("why")}}
 	require.NoError(t, file.Append(held...))
-	folder.SetCapacity(int(file.Size()) + 300)
-	records, err := testNode().fitRecords(folder.Process(), file, held)
+	disk.SetCapacity(int(file.Size()) + 300)
+	records, err := testNode().replaceUnfitRecords(disk.Process(), file, held)
 	require.NoError(t, err)
 	assert.Len(t, records, 1)
 }
@@ -346,22 +346,22 @@
 }
 
 // A state that takes the place of the one before ends the snapshot that is being made of that.
-func TestASnapshotThatComesEndsTheOneUnderWay(t *testing.T) {
-	r := newEngineRig(t, simdisk.New(1))
-	r.lead()
+func TestInstalledSnapshotCancelsPendingCapture(t *testing.T) {
+	r := newEngineHarness(t, simdisk.New(1))
+	r.becomeHead()
 	for id := range state.JobID(4) {
-		body := fmt.Appendf(nil, `{"spec":"x","note":"%0*d","stages":[{"count":1,"cpu":100}]}`, captureSlice, 0)
-		r.put(state.Command{Kind: state.KindJobAccepted, JobAccepted: &state.JobAccepted{ID: id + 1, Route: "r", Body: body}})
+		body := fmt.Appendf(nil, `{"spec":"x","note":"%0*d","stages":[{"count":1,"cpu":100}]}`, captureChunkSize, 0)
+		r.submit(state.Command{Kind: state.KindJobAccepted, JobAccepted: &state.JobAccepted{ID: id + 1, Route: "r", Body: body}})
 	}
-	r.work()
+	r.drain()
 	require.Len(t, r.machine.Jobs(), 4)
 	r.compactAt = 0
-	r.compact()
-	require.NotNil(t, r.capturing.capture, "it takes several turns")
-	r.carryOut(replica.Output{Install: &chain.Snapshot{Index: r.appliedTo, Epoch: 9, Data: state.New().Snapshot()}})
+	r.compactIfDue()
+	require.NotNil(t, r.pendingCapture.capture, "it takes several turns")
+	r.handleOutput(replica.Output{Install: &chain.Snapshot{Index: r.appliedIndex, Epoch: 9, Data: state.New().Snapshot()}})
 	r.compactAt = math.MaxInt64
-	r.work()
+	r.drain()
 	assert.Zero(t, r.rewritten)
 	assert.False(t, r.rewriting, "the next one may begin")
-	assert.Nil(t, r.capturing.capture)
+	assert.Nil(t, r.pendingCapture.capture)
 }
--- a/internal/system/control/events_test.go
+++ b/internal/system/control/events_test.go
@@ -18,56 +18,56 @@
 	"gaugeslip/internal/system/state"
 )
 
-func TestAnOutageOfTheListIsOneLineAndItsEndAnother(t *testing.T) {
+func TestListOutageLogsOneLineAndRecoveryAnother(t *testing.T) {
 	var out bytes.Buffer
 	node := &Node{logger: log.New(&out)}
 	for range 20 {
 		node.platform.failures++
-		node.listNotRead(errors.New("no answer"))
+		node.listReadFailed(errors.New("no answer"))
 	}
 	assert.Equal(t, 1, strings.Count(out.String(), "list not read"))
-	node.listRead()
-	node.listRead()
+	node.listReadSucceeded()
+	node.listReadSucceeded()
 	assert.Equal(t, 1, strings.Count(out.String(), "read again"))
 }
 
-func TestALostWorkerIsToldOfAtTheHead(t *testing.T) {
+func TestHeadLogsLostWorker(t *testing.T) {
 	var out bytes.Buffer
 	node := &Node{logger: log.New(&out)}
 	lost := &state.Result{Command: state.Command{Kind: state.KindWorkerLost, WorkerLost: "w-1"}, Jobs: []*state.Job{{}, {}}}
-	node.tellOfLoss(lost)
+	node.logWorkerLost(lost)
 	assert.Empty(t, out.String())
 	node.schedulerActive = true
-	node.tellOfLoss(&state.Result{Command: lost.Command})
+	node.logWorkerLost(&state.Result{Command: lost.Command})
 	assert.Empty(t, out.String())
-	node.tellOfLoss(lost)
+	node.logWorkerLost(lost)
 	assert.Contains(t, out.String(), "worker=w-1 jobs=2")
 }
 
-func TestAViewTellsWhoLeftAndWhoCameIn(t *testing.T) {
+func TestViewLogNamesMembersThatLeftAndJoined(t *testing.T) {
 	var out bytes.Buffer
 	node := &Node{logger: log.New(&out)}
 	a, b := view.Member{ID: "a:1", Address: "a:1"}, view.Member{ID: "b:1", Address: "b:1"}
 	anew := view.Member{ID: "a:1#5877", Address: "a:1"}
-	node.tellOfView(view.View{Epoch: 1, Voters: []view.Member{a, b}, Chain: []view.Member{a, b}}, replica.Cause{})
+	node.logView(view.View{Epoch: 1, Voters: []view.Member{a, b}, Chain: []view.Member{a, b}}, replica.Cause{})
 	out.Reset()
-	node.tellOfView(view.View{Epoch: 2, Voters: []view.Member{a, b}, Chain: []view.Member{b}}, replica.Cause{})
+	node.logView(view.View{Epoch: 2, Voters: []view.Member{a, b}, Chain: []view.Member{b}}, replica.Cause{})
 	assert.Contains(t, out.String(), "left=[a:1] joined=[]")
 	out.Reset()
-	node.tellOfView(view.View{Epoch: 3, Voters: []view.Member{anew, b}, Chain: []view.Member{b, anew}}, replica.Cause{})
+	node.logView(view.View{Epoch: 3, Voters: []view.Member{anew, b}, Chain: []view.Member{b, anew}}, replica.Cause{})
 	assert.Contains(t, out.String(), "left=[] joined=[a:1#5877]")
 }
 
-func TestAViewTellsItsCauseWithTheFiguresThatDecidedIt(t *testing.T) {
+func TestViewLogContainsCauseFields(t *testing.T) {
 	var out bytes.Buffer
 	node := &Node{logger: log.New(&out)}
-	node.tellOfView(view.View{Epoch: 1}, replica.Cause{Kind: replica.CauseStuck, Member: "b:1", Silence: 90 * time.Millisecond,
+	node.logView(view.View{Epoch: 1}, replica.Cause{Kind: replica.CauseStuck, Member: "b:1", Silence: 90 * time.Millisecond,
 		Paused: 40 * time.Millisecond, Stuck: 310 * time.Millisecond, Patience: 250 * time.Millisecond, Index: 77,
 		Sync: 12 * time.Millisecond})
 	assert.Contains(t, out.String(), "cause=stuck of=b:1 silence=90ms paused=40ms stuck=310ms patience=250ms sync=12ms index=77")
 	assert.NotContains(t, out.String(), "lease-over")
 	out.Reset()
-	node.tellOfView(view.View{Epoch: 2}, replica.Cause{Kind: replica.CauseHeadSilent, Member: "a:1", LeaseOver: time.Second,
+	node.logView(view.View{Epoch: 2}, replica.Cause{Kind: replica.CauseHeadSilent, Member: "a:1", LeaseOver: time.Second,
 		Answered: []view.ReplicaID{"b:1", "c:1"}, Adopted: true})
 	assert.Contains(t, out.String(), `cause=head-silent of=a:1 lease-over=1s answered="[b:1 c:1]" adopted=true`)
 }
@@ -82,46 +82,46 @@
 		command := state.Command{Kind: state.KindConfigReplaced, ConfigReplaced: &state.ConfigReplaced{Base: base, Version: version, Body: body}}
 		result := node.engine.machine.ApplyBytes(command.Encode())
 		require.Equal(t, state.Applied, result.Outcome)
-		node.applied(result)
+		node.commandApplied(result)
 	}
-	taken := ask(node, 5*time.Second, "", func(answer func(string)) {
+	taken := runOnLoop(node, 5*time.Second, "", func(answer func(string)) {
 		node.logger = log.New(&out)
 		for version := uint64(1); version <= 20; version++ {
 			commit(version, version-1)
 		}
-		node.takeConfig()
+		node.applyPendingConfig()
 		answer(out.String())
 	})
 	assert.Equal(t, 1, strings.Count(taken, "configuration in force"))
 	assert.Contains(t, taken, "version=20")
 }
 
-func TestAPauseOfCommitsIsToldThoughCommitsHaveJustGoneOn(t *testing.T) {
+func TestCommitPauseIsReportedShortlyAfterItEnds(t *testing.T) {
 	var commits commitPauses
 	for at := 10 * time.Millisecond; at <= time.Second; at += 10 * time.Millisecond {
-		commits.note(at)
+		commits.record(at)
 	}
-	assert.Equal(t, 30*time.Millisecond, commits.quiet(1030*time.Millisecond))
-	assert.Equal(t, 700*time.Millisecond, commits.quiet(1700*time.Millisecond))
-	commits.note(1700 * time.Millisecond)
-	commits.note(1701 * time.Millisecond)
-	assert.Equal(t, 700*time.Millisecond, commits.quiet(1705*time.Millisecond))
-	commits.note(1740 * time.Millisecond)
-	assert.Equal(t, 20*time.Millisecond, commits.quiet(1760*time.Millisecond))
+	assert.Equal(t, 30*time.Millisecond, commits.pauseLength(1030*time.Millisecond))
+	assert.Equal(t, 700*time.Millisecond, commits.pauseLength(1700*time.Millisecond))
+	commits.record(1700 * time.Millisecond)
+	commits.record(1701 * time.Millisecond)
+	assert.Equal(t, 700*time.Millisecond, commits.pauseLength(1705*time.Millisecond))
+	commits.record(1740 * time.Millisecond)
+	assert.Equal(t, 20*time.Millisecond, commits.pauseLength(1760*time.Millisecond))
 }
 
-func TestWhatWasForgottenIsToldOfLoudly(t *testing.T) {
+func TestRepairedTasksAreLoggedAsWarnings(t *testing.T) {
 	var out bytes.Buffer
 	node := &Node{logger: log.New(&out)}
 	task := state.TaskName{Job: 7}
-	node.tellOfWaits([]scheduler.Finding{{Task: task, Waited: 3 * time.Second, Reason: "no room"}})
+	node.logWaitingTasks([]scheduler.Finding{{Task: task, Waited: 3 * time.Second, Reason: "no room"}})
 	assert.Empty(t, out.String(), "a wait for room is no news")
-	node.tellOfWaits([]scheduler.Finding{{Task: task, Waited: 3 * time.Second, Reason: "its run is doubtful", Worker: "w-1"}})
+	node.logWaitingTasks([]scheduler.Finding{{Task: task, Waited: 3 * time.Second, Reason: "its run is doubtful", Worker: "w-1"}})
 	assert.Contains(t, out.String(), `INFO task waits task=0000000000000007.0.0.0 waited=3s reason="its run is doubtful" worker=w-1`)
 	out.Reset()
-	node.tellOfWaits([]scheduler.Finding{{Task: task, Waited: 3 * time.Second, Reason: "it pauses", Refused: true}})
+	node.logWaitingTasks([]scheduler.Finding{{Task: task, Waited: 3 * time.Second, Reason: "it pauses", Refused: true}})
 	assert.Contains(t, out.String(), "INFO task waits")
 	out.Reset()
-	node.tellOfWaits([]scheduler.Finding{{Task: task, Waited: 3 * time.Second, Reason: "there is room", Repaired: true}})
+	node.logWaitingTasks([]scheduler.Finding{{Task: task, Waited: 3 * time.Second, Reason: "there is room", Repaired: true}})
 	assert.Contains(t, out.String(), "WARN forgotten, tried again")
 }
--- a/internal/system/control/figures.go
+++ b/internal/system/control/figures.go
@@ -13,18 +13,18 @@
 
 // counts are what is counted as it happens. All but refused belong to the loop.
 type counts struct {
-	commits uint64
-	latency figures.Histogram
-	starts  uint64
-	ends    [state.GangIncomplete + 1]uint64
-	lost    uint64
-	views   uint64
-	late    lateCounts
-	refused [internalapi.InDoubt + 1]atomic.Uint64 // by verdict
+	commits     uint64
+	latency     figures.Histogram
+	starts      uint64
+	ends        [state.GangIncomplete + 1]uint64
+	workersLost uint64
+	views       uint64
+	lateJobs    lateCounts
+	refused     [internalapi.InDoubt + 1]atomic.Uint64 // by verdict
 }
 
-// applied counts a committed command.
-func (c *counts) applied(result *state.Result) {
+// countCommand counts a committed command.
+func (c *counts) countCommand(result *state.Result) {
 	c.commits++
 	c.starts += uint64(len(result.Started))
 	switch result.Command.Kind {
@@ -35,12 +35,12 @@
 			}
 		}
 	case state.KindWorkerLost:
-		c.lost++
+		c.workersLost++
 	}
 }
 
-// answered counts the verdict on a job that was handed in.
-func (c *counts) answered(verdict internalapi.Verdict) {
+// countSubmitVerdict counts the verdict on a job that was handed in.
+func (c *counts) countSubmitVerdict(verdict internalapi.Verdict) {
 	if verdict != internalapi.Done && int(verdict) < len(c.refused) {
 		c.refused[verdict].Add(1)
 	}
@@ -51,15 +51,15 @@
 	internalapi.Overloaded: "overloaded", internalapi.InDoubt: "in-doubt",
 }
 
-// shownVerdicts are the verdicts that a job may get, in the order in which they are written.
-var shownVerdicts = []internalapi.Verdict{internalapi.NotHead, internalapi.NoRoute, internalapi.Invalid, internalapi.Overloaded,
+// reportedVerdicts are the verdicts that a job may get, in the order in which they are written.
+var reportedVerdicts = []internalapi.Verdict{internalapi.NotHead, internalapi.NoRoute, internalapi.Invalid, internalapi.Overloaded,
 	internalapi.InDoubt}
 
-// serveFigures answers GET /metrics. Nothing is computed between two of them.
-func (n *Node) serveFigures(w http.ResponseWriter, _ *http.Request) {
-	text, err := look(n, func() *figures.Writer {
+// serveMetrics answers GET /metrics. Nothing is computed between two of them.
+func (n *Node) serveMetrics(w http.ResponseWriter, _ *http.Request) {
+	text, err := queryOnLoop(n, func() *figures.Writer {
 		var writer figures.Writer
-		n.writeFigures(&writer)
+		n.writeMetrics(&writer)
 		return &writer
 	})
 	if err != nil {
@@ -71,11 +71,11 @@
 	_, _ = w.Write(text.Bytes()) // a reader that has gone needs no answer
 }
 
-func (n *Node) writeFigures(w *figures.Writer) {
+func (n *Node) writeMetrics(w *figures.Writer) {
 	overview := n.overview()
 	writeChain(w, &overview)
 	n.counts.write(w)
-	n.counts.late.write(w)
+	n.counts.lateJobs.write(w)
 	n.invariants.Write(w)
 	jobs := make([]figures.Labelled, 0, len(overview.Jobs))
 	for number := state.Pending; number <= state.Cancelled; number++ {
@@ -96,16 +96,16 @@
 	w.Gauge("learners", "Replicas that catch up, as the head knows them; 0 elsewhere.", float64(len(overview.Learners)))
 	w.Flag("is_head", "Whether this replica is the head and holds the lease.", overview.Role == internalapi.RoleHead)
 	w.Flag("is_stopped", "Whether this replica is out because its disk refused.", overview.Role == internalapi.RoleStopped)
-	w.Gauge("lease_seconds", "What is left of the head's lease; 0 elsewhere.", milliseconds(overview.LeaseMs))
+	w.Gauge("lease_seconds", "What is left of the head's lease; 0 elsewhere.", secondsFromMs(overview.LeaseMs))
 	w.Gauge("committed_index", "Last index of the chain known to be committed.", float64(overview.Committed))
 	w.Gauge("applied_index", "Last index of the chain applied here.", float64(overview.Applied))
 	w.Gauge("last_index", "Last index of the chain held here.", float64(overview.Last))
 	w.Gauge("log_bytes", "Length of the log on disk.", float64(overview.LogBytes))
 	w.Gauge("config_version", "Version of the configuration in force; 0: none yet.", float64(overview.ConfigVersion))
-	w.Gauge("uptime_seconds", "Time since the start of the process.", milliseconds(overview.UptimeMs))
+	w.Gauge("uptime_seconds", "Time since the start of the process.", secondsFromMs(overview.UptimeMs))
 }
 
-func milliseconds(ms int64) float64 { return float64(ms) / float64(time.Second/time.Millisecond) }
+func secondsFromMs(ms int64) float64 { return float64(ms) / float64(time.Second/time.Millisecond) }
 
 func (c *counts) write(w *figures.Writer) {
 	w.Counter("commits_total", "Commands applied here since the start.", float64(c.commits))
@@ -117,9 +117,9 @@
 		ends = append(ends, figures.Labelled{Label: how.String(), Value: float64(c.ends[how])})
 	}
 	w.Counters("ends_total", "Ends of runs that were committed, by how.", "how", ends)
-	w.Counter("workers_lost_total", "Lives of workers that were given up.", float64(c.lost))
-	refused := make([]figures.Labelled, 0, len(shownVerdicts))
-	for _, verdict := range shownVerdicts {
+	w.Counter("workers_lost_total", "Lives of workers that were given up.", float64(c.workersLost))
+	refused := make([]figures.Labelled, 0, len(reportedVerdicts))
+	for _, verdict := range reportedVerdicts {
 		refused = append(refused, figures.Labelled{Label: verdictNames[verdict], Value: float64(c.refused[verdict].Load())})
 	}
 	w.Counters("submits_refused_total", "Jobs handed in here that weren't taken, by verdict.", "verdict", refused)
--- a/internal/system/control/handover.go
+++ b/internal/system/control/handover.go
@@ -8,11 +8,11 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// handoverPatience is how long an operator's call waits: for the transfer, and for the loop besides.
-const handoverPatience = leavePatience + lookPatience
+// handoverTimeout is how long an operator's call waits: for the transfer, and for the loop besides.
+const handoverTimeout = leaveTimeout + operatorQueryTimeout
 
-// handover is a transfer that an operator has asked for; the replica comes back as a learner.
-type handover struct {
+// pendingHandover is a transfer that an operator has asked for; the replica comes back as a learner.
+type pendingHandover struct {
 	engine *engine
 	answer func(internalapi.HandoverReply)
 }
@@ -20,20 +20,20 @@
 // Handover has the head hand over to its successor.
 func (s *Service) Handover(_ internalapi.HandoverArgs, reply *internalapi.HandoverReply) error {
 	doubt := internalapi.HandoverReply{Verdict: internalapi.InDoubt, Text: "no answer in time: look at the view"}
-	*reply = ask(s.node, handoverPatience, doubt, s.node.handOver)
+	*reply = runOnLoop(s.node, handoverTimeout, doubt, s.node.startHandover)
 	return nil
 }
 
-// handOver runs on the loop.
-func (n *Node) handOver(answer func(internalapi.HandoverReply)) {
+// startHandover runs on the loop.
+func (n *Node) startHandover(answer func(internalapi.HandoverReply)) {
 	if refusal := n.handoverRefusal(); refusal != nil {
 		answer(*refusal)
 		return
 	}
 	n.logger.Info("handover asked for", "epoch", n.engine.view().Epoch)
-	asked := &handover{engine: n.engine, answer: answer}
+	asked := &pendingHandover{engine: n.engine, answer: answer}
 	n.handover = asked
-	time.AfterFunc(leavePatience, func() { n.loop.post(func() { n.handoverExpired(asked) }) })
+	time.AfterFunc(leaveTimeout, func() { n.loop.post(func() { n.handoverExpired(asked) }) })
 	n.engine.step(replica.Leave{})
 }
 
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// handoverDone answers for a transfer that is decided, and has the replica come back as a learner.
-func (n *Node) handoverDone() {
+// finishHandover answers for a transfer that is decided, and has the replica come back as a learner.
+func (n *Node) finishHandover() {
 	asked := n.handover
 	if asked == nil {
 		return
@@ -67,7 +67,7 @@
 }
 
 // handoverExpired ends a transfer that came to nothing: a replica that has said it leaves can only come back by a restart of its core.
-func (n *Node) handoverExpired(asked *handover) {
+func (n *Node) handoverExpired(asked *pendingHandover) {
 	if n.handover != asked {
 		return
 	}
@@ -86,5 +86,5 @@
 	}
 	n.dropScheduler()
 	n.engine.close()
-	time.AfterFunc(restartPause, func() { n.loop.post(n.restartEngine) })
+	time.AfterFunc(restartDelay, func() { n.loop.post(n.restartEngine) })
 }
--- a/internal/system/control/headship.go
+++ b/internal/system/control/headship.go
@@ -7,33 +7,33 @@
 	"gaugeslip/internal/system/scheduler"
 )
 
-// event takes in what the replica core tells.
-func (n *Node) event(event replica.Event) {
+// handleEvent takes in what the replica core tells.
+func (n *Node) handleEvent(event replica.Event) {
 	switch event := event.(type) {
 	case replica.BecameHead:
 		n.becameHead(event)
 	case replica.LostHead:
 		n.schedulerActive = false
-		n.logger.Info("head's lease lost", append([]any{"epoch", event.Epoch}, figuresOf(event.Cause)...)...)
+		n.logger.Info("head's lease lost", append([]any{"epoch", event.Epoch}, causeFields(event.Cause)...)...)
 	case replica.ViewChanged:
 		n.viewChanged(event.View, event.Cause)
 	case replica.Left:
-		n.handedOver()
+		n.leftChain()
 	}
 }
 
-// handedOver ends the wait of Leave; a replica that only its disk has taken out of the chain comes back.
-func (n *Node) handedOver() {
+// leftChain ends the wait of Leave; a replica that only its disk has taken out of the chain comes back.
+func (n *Node) leftChain() {
 	if n.leaving {
 		n.leaving = false
 		close(n.left)
 		return
 	}
-	n.handoverDone()
+	n.finishHandover()
 }
 
 func (n *Node) becameHead(event replica.BecameHead) {
-	n.logger.Info("head", "epoch", event.Epoch, "continued", event.Continued, "quiet", n.commits.quiet(n.now()))
+	n.logger.Info("head", "epoch", event.Epoch, "continued", event.Continued, "quiet", n.commitPauses.pauseLength(n.now()))
 	n.schedulerActive = true
 	if event.Continued && n.scheduler != nil {
 		return
@@ -44,8 +44,8 @@
 	if n.config != nil {
 		n.scheduler.Configured(n.now(), n.config)
 	}
-	n.takeEarlyList()
-	n.spreadConfig() // others that have just started may know an old one only, and spread none
+	n.useEarlyList()
+	n.gossipConfig() // others that have just started may know an old one only, and spread none
 }
 
 // dropScheduler ends the scheduler role here; what its calls come to concerns nobody any more.
@@ -55,10 +55,10 @@
 
 func (n *Node) viewChanged(newest view.View, cause replica.Cause) {
 	n.counts.views++
-	n.tellOfView(newest, cause)
+	n.logView(newest, cause)
 	if newest.Head().ID != n.engine.replica.Self().ID {
 		n.dropScheduler()
-		n.engine.refuseQueued()
+		n.engine.rejectQueued()
 	} else {
 		n.readListEarly()
 	}
@@ -67,7 +67,7 @@
 		n.logger.Error("view not spread", "error", err)
 		return
 	}
-	n.spread(internalapi.KeyView, internalapi.ViewVersion(newest), data)
+	n.gossip(internalapi.KeyView, internalapi.ViewVersion(newest), data)
 }
 
 func addresses(members []view.Member) []string {
--- a/internal/system/control/invariants.go
+++ b/internal/system/control/invariants.go
@@ -45,39 +45,41 @@
 	}, invariantNames...)
 }
 
-// watched is what the invariants remember.
-type watched struct {
-	config uint64 // the highest version that was in force here
-	told   uint64 // the highest version that was acknowledged or shown
-	token  uint64 // the highest that was sent
-	// schedulerAt is when the scheduler's accounts are looked at next.
-	schedulerAt time.Duration
+// invariantState is what the invariants remember.
+type invariantState struct {
+	configVersion uint64 // the highest version that was in force here
+	shownVersion  uint64 // the highest version that was acknowledged or shown
+	highestToken  uint64 // the highest that was sent
+	// nextSchedulerCheck is when the scheduler's accounts are looked at next.
+	nextSchedulerCheck time.Duration
 }
 
 // checkEntry holds that an entry is the next one.
 func (e *engine) checkEntry(entry chain.Entry) {
-	if entry.Index != e.appliedTo+1 {
-		e.options.invariants.Violated(appliedInOrder, "entry %d after %d", entry.Index, e.appliedTo)
+	if entry.Index != e.appliedIndex+1 {
+		e.options.invariants.Violated(appliedInOrder, "entry %d after %d", entry.Index, e.appliedIndex)
 	}
 }
 
 // checkConfig holds that the version in force doesn't fall.
 func (n *Node) checkConfig(version uint64) {
-	if version < n.watched.config {
-		n.invariants.Violated(configRises, "version %d after %d", version, n.watched.config)
+	if version < n.invariantState.configVersion {
+		n.invariants.Violated(configRises, "version %d after %d", version, n.invariantState.configVersion)
 	}
-	n.watched.config = max(n.watched.config, version)
+	n.invariantState.configVersion = max(n.invariantState.configVersion, version)
 }
 
-// noteTold takes note that the version in force here is acknowledged.
-func (n *Node) noteTold() { n.watched.told = max(n.watched.told, n.engine.machine.Config().Version) }
+// recordShownVersion takes note that the version in force here is acknowledged.
+func (n *Node) recordShownVersion() {
+	n.invariantState.shownVersion = max(n.invariantState.shownVersion, n.engine.machine.Config().Version)
+}
 
-// checkTold holds that what is acknowledged or shown is no older than what was before.
-func (n *Node) checkTold(version uint64) {
-	if version < n.watched.told {
-		n.invariants.Violated(readIsCurrent, "version %d is shown after %d", version, n.watched.told)
+// checkShownVersion holds that what is acknowledged or shown is no older than what was before.
+func (n *Node) checkShownVersion(version uint64) {
+	if version < n.invariantState.shownVersion {
+		n.invariants.Violated(readIsCurrent, "version %d is shown after %d", version, n.invariantState.shownVersion)
 	}
-	n.watched.told = max(n.watched.told, version)
+	n.invariantState.shownVersion = max(n.invariantState.shownVersion, version)
 }
 
 // checkResult holds that a command has broken nothing in the state.
@@ -88,19 +90,19 @@
 }
 
 // checkCalls holds what orders to workers need, at the moment at which they are sent.
-func (n *Node) checkCalls(calls []scheduler.Call, sender sending) {
+func (n *Node) checkCalls(calls []scheduler.Call, sender senderState) {
 	for i := range calls {
 		n.checkCall(&calls[i], sender)
 	}
 }
 
-// sending is what this replica is while it sends orders.
-type sending struct {
+// senderState is what this replica is while it sends orders.
+type senderState struct {
 	epoch uint64
 	head  bool
 }
 
-func (n *Node) checkCall(call *scheduler.Call, sender sending) {
+func (n *Node) checkCall(call *scheduler.Call, sender senderState) {
 	switch call.Kind {
 	case scheduler.CallStart:
 		n.checkToken(call.Start.FenceToken, sender)
@@ -113,14 +115,14 @@
 	}
 }
 
-func (n *Node) checkToken(token uint64, sender sending) {
-	if token < n.watched.token || token > sender.epoch {
-		n.invariants.Violated(tokenRises, "token %d after %d in epoch %d", token, n.watched.token, sender.epoch)
+func (n *Node) checkToken(token uint64, sender senderState) {
+	if token < n.invariantState.highestToken || token > sender.epoch {
+		n.invariants.Violated(tokenRises, "token %d after %d in epoch %d", token, n.invariantState.highestToken, sender.epoch)
 	}
-	n.watched.token = max(n.watched.token, token)
+	n.invariantState.highestToken = max(n.invariantState.highestToken, token)
 }
 
-func (n *Node) checkStart(call *scheduler.Call, sender sending) {
+func (n *Node) checkStart(call *scheduler.Call, sender senderState) {
 	name, ok := jobspec.ParseTask(call.Start.Task)
 	run := state.Run{Task: name, Attempt: uint32(call.Start.Attempt)}
 	job := n.engine.machine.Job(name.Job)
@@ -157,15 +159,15 @@
 	}
 }
 
-// checkSchedulerEvery is the time between two looks at a part of the scheduler's accounts.
-const checkSchedulerEvery = time.Second
+// schedulerCheckInterval is the time between two looks at a part of the scheduler's accounts.
+const schedulerCheckInterval = time.Second
 
 // checkScheduler looks at a part of the scheduler's accounts, now and then. All that it was told has to be drained from it before.
 func (n *Node) checkScheduler(now time.Duration) {
-	if now < n.watched.schedulerAt {
+	if now < n.invariantState.nextSchedulerCheck {
 		return
 	}
-	n.watched.schedulerAt = now + checkSchedulerEvery
+	n.invariantState.nextSchedulerCheck = now + schedulerCheckInterval
 	if err := n.scheduler.CheckSome(); err != nil {
 		n.invariants.Violated(schedulerConsistent, "%v", err)
 	}
--- a/internal/system/control/invariants_test.go
+++ b/internal/system/control/invariants_test.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	guardedJob    state.JobID = 7
-	guardedWorker             = "i-1"
-	guardedEpoch              = 4
+	checkedJob    state.JobID = 7
+	checkedWorker             = "i-1"
+	checkedEpoch              = 4
 )
 
-// guarded is a node that has one job with one run, and counts what it breaks.
-func guarded(t *testing.T) *Node {
+// newCheckedNode is a node that has one job with one run, and counts what it breaks.
+func newCheckedNode(t *testing.T) *Node {
 	n := &Node{invariants: invariant.NewSet(func(invariant.Name, string) {}, invariantNames...)}
 	n.engine = &engine{machine: state.New(), options: engineOptions{invariants: n.invariants}}
 	spec := jobspec.Spec{Text: "work", Stages: []jobspec.Stage{{Count: 2, CPU: 1}}}
 	body, err := spec.Encode()
 	require.NoError(t, err)
-	accepted := &state.JobAccepted{ID: guardedJob, Route: "r", Service: "s", MaxRetries: 1, Body: body}
+	accepted := &state.JobAccepted{ID: checkedJob, Route: "r", Service: "s", MaxRetries: 1, Body: body}
 	for _, command := range []state.Command{
 		{Kind: state.KindJobAccepted, JobAccepted: accepted},
-		{Kind: state.KindTasksStarting, TasksStarting: []state.Start{{Run: guardedRun(0), Worker: guardedWorker}}},
+		{Kind: state.KindTasksStarting, TasksStarting: []state.Start{{Run: checkedRun(0), Worker: checkedWorker}}},
 	} {
 		require.Equal(t, state.Applied, n.engine.machine.Apply(command).Outcome)
 	}
 	return n
 }
 
-func guardedRun(index uint32) state.Run {
-	return state.Run{Task: state.TaskName{Job: guardedJob, Index: index}, Attempt: 1}
+func checkedRun(index uint32) state.Run {
+	return state.Run{Task: state.TaskName{Job: checkedJob, Index: index}, Attempt: 1}
 }
 
 func startOf(run state.Run, worker string) *scheduler.Call {
 	return &scheduler.Call{Kind: scheduler.CallStart, Worker: workerapi.Worker{Instance: worker},
-		Start: workerapi.StartOrder{Task: run.Task.String(), Attempt: int(run.Attempt), FenceToken: guardedEpoch}}
+		Start: workerapi.StartOrder{Task: run.Task.String(), Attempt: int(run.Attempt), FenceToken: checkedEpoch}}
 }
 
-// broken are the invariants that were violated.
-func (n *Node) broken() (names []invariant.Name) {
+// violations are the invariants that were violated.
+func (n *Node) violations() (names []invariant.Name) {
 	for _, count := range n.invariants.Counts() {
 		if count.Violations > 0 {
 			names = append(names, count.Name)
@@ -56,84 +56,84 @@
 	return names
 }
 
-var leads = sending{epoch: guardedEpoch, head: true}
+var actingSender = senderState{epoch: checkedEpoch, head: true}
 
 func TestAStartIsSentForACommittedRunOnly(t *testing.T) {
-	n := guarded(t)
-	n.checkCall(startOf(guardedRun(0), guardedWorker), leads)
-	require.Empty(t, n.broken())
+	n := newCheckedNode(t)
+	n.checkCall(startOf(checkedRun(0), checkedWorker), actingSender)
+	require.Empty(t, n.violations())
 	for name, call := range map[string]*scheduler.Call{
-		"another worker":     startOf(guardedRun(0), "i-2"),
-		"a run not proposed": startOf(guardedRun(1), guardedWorker),
-		"no name":            {Kind: scheduler.CallStart, Start: workerapi.StartOrder{Task: "work", FenceToken: guardedEpoch}},
+		"another worker":     startOf(checkedRun(0), "i-2"),
+		"a run not proposed": startOf(checkedRun(1), checkedWorker),
+		"no name":            {Kind: scheduler.CallStart, Start: workerapi.StartOrder{Task: "work", FenceToken: checkedEpoch}},
 	} {
-		n := guarded(t)
-		n.checkCall(call, leads)
-		assert.Equal(t, []invariant.Name{startIsCommitted}, n.broken(), name)
+		n := newCheckedNode(t)
+		n.checkCall(call, actingSender)
+		assert.Equal(t, []invariant.Name{startIsCommitted}, n.violations(), name)
 	}
-	n.checkCall(startOf(guardedRun(0), guardedWorker), sending{epoch: guardedEpoch})
-	assert.Equal(t, []invariant.Name{startIsCommitted}, n.broken(), "no lease")
+	n.checkCall(startOf(checkedRun(0), checkedWorker), senderState{epoch: checkedEpoch})
+	assert.Equal(t, []invariant.Name{startIsCommitted}, n.violations(), "no lease")
 }
 
 func TestAStartIsAlone(t *testing.T) {
-	n := guarded(t)
-	task := n.engine.machine.Job(guardedJob).Task(guardedRun(0).Task)
+	n := newCheckedNode(t)
+	task := n.engine.machine.Job(checkedJob).Task(checkedRun(0).Task)
 	task.Done = true
-	n.checkCall(startOf(guardedRun(0), guardedWorker), leads)
-	assert.Equal(t, []invariant.Name{startIsAlone}, n.broken())
-	n = guarded(t)
-	task = n.engine.machine.Job(guardedJob).Task(guardedRun(0).Task)
+	n.checkCall(startOf(checkedRun(0), checkedWorker), actingSender)
+	assert.Equal(t, []invariant.Name{startIsAlone}, n.violations())
+	n = newCheckedNode(t)
+	task = n.engine.machine.Job(checkedJob).Task(checkedRun(0).Task)
 	task.Placements = append(task.Placements, state.Placement{Attempt: 2, Worker: "i-2"})
-	n.checkCall(startOf(guardedRun(0), guardedWorker), leads)
-	assert.Equal(t, []invariant.Name{startIsAlone}, n.broken())
+	n.checkCall(startOf(checkedRun(0), checkedWorker), actingSender)
+	assert.Equal(t, []invariant.Name{startIsAlone}, n.violations())
 }
 
 func TestTokensRise(t *testing.T) {
-	n := guarded(t)
+	n := newCheckedNode(t)
 	for _, token := range []uint64{2, 2, 4} {
-		n.checkCall(&scheduler.Call{Kind: scheduler.CallStop, Stop: workerapi.StopOrder{FenceToken: token}}, leads)
+		n.checkCall(&scheduler.Call{Kind: scheduler.CallStop, Stop: workerapi.StopOrder{FenceToken: token}}, actingSender)
 	}
-	require.Empty(t, n.broken())
-	n.checkCall(&scheduler.Call{Kind: scheduler.CallHold, Hold: workerapi.HoldOrder{FenceToken: 3}}, leads)
-	assert.Equal(t, []invariant.Name{tokenRises}, n.broken())
-	n = guarded(t)
-	n.checkCall(&scheduler.Call{Kind: scheduler.CallHold, Hold: workerapi.HoldOrder{FenceToken: guardedEpoch + 1}}, leads)
-	assert.Equal(t, []invariant.Name{tokenRises}, n.broken(), "above the epoch")
+	require.Empty(t, n.violations())
+	n.checkCall(&scheduler.Call{Kind: scheduler.CallHold, Hold: workerapi.HoldOrder{FenceToken: 3}}, actingSender)
+	assert.Equal(t, []invariant.Name{tokenRises}, n.violations())
+	n = newCheckedNode(t)
+	n.checkCall(&scheduler.Call{Kind: scheduler.CallHold, Hold: workerapi.HoldOrder{FenceToken: checkedEpoch + 1}}, actingSender)
+	assert.Equal(t, []invariant.Name{tokenRises}, n.violations(), "above the epoch")
 }
 
-func TestAWorkerIsToldOfCommittedEndsOnly(t *testing.T) {
-	n := guarded(t)
-	hold := &scheduler.Call{Kind: scheduler.CallHold, Worker: workerapi.Worker{Instance: guardedWorker}, Hold: workerapi.HoldOrder{FenceToken: 1}}
-	n.checkCall(hold, leads)
-	require.Empty(t, n.broken())
+func TestWorkersAcknowledgedEndsAreCommitted(t *testing.T) {
+	n := newCheckedNode(t)
+	hold := &scheduler.Call{Kind: scheduler.CallHold, Worker: workerapi.Worker{Instance: checkedWorker}, Hold: workerapi.HoldOrder{FenceToken: 1}}
+	n.checkCall(hold, actingSender)
+	require.Empty(t, n.violations())
 	hold.Hold.LastSeen = 1
-	n.checkCall(hold, leads)
-	assert.Equal(t, []invariant.Name{endsAreCommitted}, n.broken())
+	n.checkCall(hold, actingSender)
+	assert.Equal(t, []invariant.Name{endsAreCommitted}, n.violations())
 }
 
 func TestVersionsDoNotFall(t *testing.T) {
-	n := guarded(t)
+	n := newCheckedNode(t)
 	n.checkConfig(3)
-	n.checkTold(3)
+	n.checkShownVersion(3)
 	n.checkConfig(5)
-	n.checkTold(5)
-	require.Empty(t, n.broken())
+	n.checkShownVersion(5)
+	require.Empty(t, n.violations())
 	n.checkConfig(4)
-	n.checkTold(4)
-	assert.Equal(t, []invariant.Name{configRises, readIsCurrent}, n.broken())
+	n.checkShownVersion(4)
+	assert.Equal(t, []invariant.Name{configRises, readIsCurrent}, n.violations())
 }
 
 func TestEntriesAreAppliedInOrder(t *testing.T) {
-	n := guarded(t)
-	n.engine.appliedTo = 3
+	n := newCheckedNode(t)
+	n.engine.appliedIndex = 3
 	n.engine.checkEntry(chain.Entry{Index: 4})
-	require.Empty(t, n.broken())
+	require.Empty(t, n.violations())
 	n.engine.checkEntry(chain.Entry{Index: 5})
-	assert.Equal(t, []invariant.Name{appliedInOrder}, n.broken())
+	assert.Equal(t, []invariant.Name{appliedInOrder}, n.violations())
 }
 
-func TestABrokenStateIsCounted(t *testing.T) {
-	n := guarded(t)
+func TestStateViolationIsCounted(t *testing.T) {
+	n := newCheckedNode(t)
 	n.checkResult(&state.Result{Broken: "a job that is over is finished"})
-	assert.Equal(t, []invariant.Name{stateConsistent}, n.broken())
+	assert.Equal(t, []invariant.Name{stateConsistent}, n.violations())
 }
--- a/internal/system/control/jobdetail.go
+++ b/internal/system/control/jobdetail.go
@@ -11,12 +11,12 @@
 	"gaugeslip/internal/system/state"
 )
 
-// mostTasksShown bounds the tasks of one reply.
-const mostTasksShown = 2000
+// maxTasksPerReply bounds the tasks of one reply.
+const maxTasksPerReply = 2000
 
 // JobDetail shows one job with its tasks and what they wait for; only the head can.
 func (s *Service) JobDetail(args internalapi.JobDetailArgs, reply *internalapi.JobDetailReply) (err error) {
-	*reply, err = look(s.node, func() internalapi.JobDetailReply { return s.node.jobDetail(state.JobID(args.ID)) })
+	*reply, err = queryOnLoop(s.node, func() internalapi.JobDetailReply { return s.node.jobDetail(state.JobID(args.ID)) })
 	return err
 }
 
@@ -28,9 +28,9 @@
 	if job == nil {
 		return internalapi.JobDetailReply{Verdict: internalapi.NotKnown}
 	}
-	detail := jobDetail{job: job, waits: map[state.TaskName]scheduler.TaskView{}, nowMs: n.now().Milliseconds()}
+	detail := jobDetail{job: job, openTasks: map[state.TaskName]scheduler.TaskView{}, nowMs: n.now().Milliseconds()}
 	for _, task := range n.scheduler.ExplainJob(id) {
-		detail.waits[task.Task] = task
+		detail.openTasks[task.Task] = task
 	}
 	detail.collect()
 	detail.reply.Verdict, detail.reply.Job = internalapi.Done, jobOverview(job)
@@ -39,39 +39,39 @@
 
 // jobDetail joins what is replicated of a job with what the scheduler tells of its open tasks.
 type jobDetail struct {
-	job   *state.Job
-	waits map[state.TaskName]scheduler.TaskView
-	nowMs int64
-	reply internalapi.JobDetailReply
+	job       *state.Job
+	openTasks map[state.TaskName]scheduler.TaskView
+	nowMs     int64
+	reply     internalapi.JobDetailReply
 }
 
 func (d *jobDetail) collect() {
 	if d.job.Spec == nil {
 		return // it is over, and nothing of it runs: its tasks aren't kept
 	}
-	for _, time := range d.times() {
+	for _, time := range d.occurrences() {
 		for step := range d.job.Spec.Stages {
 			d.collectStep(time, uint32(step))
 		}
 	}
 }
 
-// times are the due times that have come: those of which something was started or is waiting.
-func (d *jobDetail) times() []uint32 {
+// occurrences are the due times that have come: those of which something was started or is waiting.
+func (d *jobDetail) occurrences() []uint32 {
 	come := map[uint32]struct{}{}
 	for time := range d.job.Times {
 		come[time] = struct{}{}
 	}
-	for name := range d.waits {
+	for name := range d.openTasks {
 		come[name.Time] = struct{}{}
 	}
 	return slices.Sorted(maps.Keys(come))
 }
 
 func (d *jobDetail) collectStep(time, step uint32) {
-	blocked := d.blockedBy(time, step)
+	blocked := d.blockedReason(time, step)
 	for index := range d.job.Spec.Stages[step].Count {
-		if len(d.reply.Tasks) >= mostTasksShown {
+		if len(d.reply.Tasks) >= maxTasksPerReply {
 			d.reply.TasksLeftOut++
 			continue
 		}
@@ -80,8 +80,8 @@
 	}
 }
 
-// blockedBy names the earlier steps that a step waits for; empty when its turn has come.
-func (d *jobDetail) blockedBy(time, step uint32) string {
+// blockedReason names the earlier steps that a step waits for; empty when its turn has come.
+func (d *jobDetail) blockedReason(time, step uint32) string {
 	var open []string
 	for _, earlier := range d.job.Spec.Stages[step].DependsOn {
 		if !d.job.StepDone(time, uint32(earlier)) {
@@ -106,7 +106,7 @@
 		task.State, task.Why = d.job.State.String(), ""
 		return task
 	}
-	if shown, open := d.waits[name]; open {
+	if shown, open := d.openTasks[name]; open {
 		task.State, task.Why, task.Spent = shown.State, shown.Reason, shown.Spent.String()
 		task.HasDeadline, task.DeadlineMs = true, shown.Deadline.Milliseconds()-d.nowMs
 		if len(shown.Runs) > 0 {
--- a/internal/system/control/jobreply_test.go
+++ b/internal/system/control/jobreply_test.go
@@ -11,25 +11,25 @@
 )
 
 // What became of a job's command is told as it is: only what is committed has an outcome, and what may be committed is in doubt.
-func TestWhatBecameOfAJobsCommand(t *testing.T) {
+func TestJobReplyForEachCommitStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newShareWorld(t, 1, nil)
+		w := newShareSim(t, 1, nil)
 		defer w.stop()
 		for _, test := range []struct {
 			outcome state.Outcome
-			fate    fate
+			status  commitStatus
 			verdict internalapi.Verdict
 		}{
-			{state.Applied, fateCommitted, internalapi.Done},
-			{state.Repeated, fateCommitted, internalapi.Done},
-			{state.Malformed, fateCommitted, internalapi.Invalid},
-			{state.Unknown, fateCommitted, internalapi.NotKnown},
-			{state.Applied, fateInDoubt, internalapi.InDoubt},
-			{state.Applied, fateRefused, internalapi.NotHead},
+			{state.Applied, statusCommitted, internalapi.Done},
+			{state.Repeated, statusCommitted, internalapi.Done},
+			{state.Malformed, statusCommitted, internalapi.Invalid},
+			{state.Unknown, statusCommitted, internalapi.NotKnown},
+			{state.Applied, statusInDoubt, internalapi.InDoubt},
+			{state.Applied, statusRejected, internalapi.NotHead},
 		} {
 			r := w.replicas[0]
-			reply := lookAt(r, func() internalapi.JobReply { return r.jobReply(state.Result{Outcome: test.outcome}, test.fate) })
-			assert.Equal(t, test.verdict, reply.Verdict, "outcome %v, fate %v", test.outcome, test.fate)
+			reply := onReplica(r, func() internalapi.JobReply { return r.jobReply(state.Result{Outcome: test.outcome}, test.status) })
+			assert.Equal(t, test.verdict, reply.Verdict, "outcome %v, status %v", test.outcome, test.status)
 		}
 	})
 }
--- a/internal/system/control/late.go
+++ b/internal/system/control/late.go
@@ -7,50 +7,50 @@
 	"gaugeslip/internal/system/scheduler"
 )
 
-// tellLateEvery is how often the log is told of late jobs, if there were any.
-const tellLateEvery = 10 * time.Second
+// lateLogInterval is how often the log is told of late jobs, if there were any.
+const lateLogInterval = 10 * time.Second
 
 // lateCounts sum up the jobs that missed their objective, by what their time was spent on.
 type lateCounts struct {
 	jobs uint64
 	// parts are the times that late jobs have spent on each part, where they spent any.
 	parts [scheduler.PartCount]figures.Histogram
-	// recent is what the log hasn't been told yet.
-	recent     scheduler.Spent
-	recentJobs uint64
-	toldAt     time.Duration
+	// unloggedSpent is what the log hasn't been told yet.
+	unloggedSpent scheduler.Spent
+	unloggedJobs  uint64
+	loggedAt      time.Duration
 }
 
-// note takes in jobs that have ended late.
-func (c *lateCounts) note(late []scheduler.LateJob) {
+// record takes in jobs that have ended late.
+func (c *lateCounts) record(late []scheduler.LateJob) {
 	for i := range late {
 		c.jobs++
-		c.recentJobs++
+		c.unloggedJobs++
 		for part, length := range late[i].Spent {
 			if length > 0 {
 				c.parts[part].Observe(length)
-				c.recent[part] += length
+				c.unloggedSpent[part] += length
 			}
 		}
 	}
 }
 
-// tellOfLateJobs logs the late jobs since the last time, now and then.
-func (n *Node) tellOfLateJobs(now time.Duration) {
-	if now-n.counts.late.toldAt >= tellLateEvery {
-		n.counts.late.toldAt = now
-		n.tellOfRecentLateJobs()
+// logLateJobsIfDue logs the late jobs since the last time, now and then.
+func (n *Node) logLateJobsIfDue(now time.Duration) {
+	if now-n.counts.lateJobs.loggedAt >= lateLogInterval {
+		n.counts.lateJobs.loggedAt = now
+		n.logUnloggedLateJobs()
 	}
 }
 
-// tellOfRecentLateJobs logs the late jobs that haven't been told yet.
-func (n *Node) tellOfRecentLateJobs() {
-	c := &n.counts.late
-	if c.recentJobs == 0 {
+// logUnloggedLateJobs logs the late jobs that haven't been told yet.
+func (n *Node) logUnloggedLateJobs() {
+	c := &n.counts.lateJobs
+	if c.unloggedJobs == 0 {
 		return
 	}
-	n.logger.Info("jobs late", "jobs", c.recentJobs, "spent", c.recent)
-	c.recent, c.recentJobs = scheduler.Spent{}, 0
+	n.logger.Info("jobs late", "jobs", c.unloggedJobs, "spent", c.unloggedSpent)
+	c.unloggedSpent, c.unloggedJobs = scheduler.Spent{}, 0
 }
 
 func (c *lateCounts) write(w *figures.Writer) {
--- a/internal/system/control/looks.go
+++ b/internal/system/control/looks.go
@@ -9,12 +9,12 @@
 	"gaugeslip/internal/system/state"
 )
 
-// mostJobsShown bounds the jobs of one reply.
-const mostJobsShown = 10_000
+// maxJobsPerReply bounds the jobs of one reply.
+const maxJobsPerReply = 10_000
 
 // Workers shows the workers as the scheduler sees them; only the head can.
 func (s *Service) Workers(_ internalapi.WorkersArgs, reply *internalapi.WorkersReply) (err error) {
-	*reply, err = look(s.node, s.node.workers)
+	*reply, err = queryOnLoop(s.node, s.node.workers)
 	return err
 }
 
@@ -42,7 +42,7 @@
 
 // Jobs shows accepted jobs; the tail and the head can.
 func (s *Service) Jobs(args internalapi.JobsArgs, reply *internalapi.JobsReply) error {
-	answer := ask(s.node, lookPatience, (*internalapi.JobsReply)(nil), func(answer func(*internalapi.JobsReply)) {
+	answer := runOnLoop(s.node, operatorQueryTimeout, (*internalapi.JobsReply)(nil), func(answer func(*internalapi.JobsReply)) {
 		s.node.engine.read(func(current bool) {
 			found := s.node.listJobs(args, current)
 			answer(&found)
@@ -68,9 +68,9 @@
 	slices.SortFunc(jobs, func(a, b internalapi.JobOverview) int {
 		return cmp.Or(cmp.Compare(b.AcceptedMs, a.AcceptedMs), cmp.Compare(a.ID, b.ID))
 	})
-	limit := mostJobsShown
+	limit := maxJobsPerReply
 	if args.Limit > 0 {
-		limit = min(args.Limit, mostJobsShown)
+		limit = min(args.Limit, maxJobsPerReply)
 	}
 	return internalapi.JobsReply{Verdict: internalapi.Done, Jobs: jobs[:min(limit, len(jobs))], Total: len(jobs)}
 }
--- a/internal/system/control/looks_test.go
+++ b/internal/system/control/looks_test.go
@@ -27,7 +27,7 @@
 		`"dependsOn":[0]}]}`
 )
 
-func TestOperatorsLooks(t *testing.T) {
+func TestOperatorQueries(t *testing.T) {
 	cluster := startCluster(t, 1, 0)
 	head := cluster.head(1)
 	cluster.replace(1, testConfig)
@@ -169,7 +169,7 @@
 	})
 }
 
-func TestWhatOnlyTheHeadKnowsIsRefusedElsewhereWithTheView(t *testing.T) {
+func TestHeadOnlyQueriesReturnTheViewElsewhere(t *testing.T) {
 	cluster := startCluster(t, 2, 1)
 	cluster.until(func() bool {
 		head := cluster.head(2)
@@ -187,10 +187,10 @@
 	})
 }
 
-func TestABusyReplicaSaysSo(t *testing.T) {
+func TestBusyReplicaReturnsErrBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stopped := &Node{loop: newLoop()}
-		_, err := look(stopped, func() int { return 1 })
+		_, err := queryOnLoop(stopped, func() int { return 1 })
 		assert.ErrorIs(t, err, errBusy)
 	})
 }
--- a/internal/system/control/loop.go
+++ b/internal/system/control/loop.go
@@ -17,18 +17,18 @@
 	ended   chan struct{} // closed at the end of run
 	once    sync.Once
 	// between, if set, runs before each function of a batch and after it, once nothing urgent waits.
-	between func()
-	spare   []func()
-	// attendEvery is how long other work may go on before what is urgent is looked for in its midst.
-	attendEvery time.Duration
-	attendedAt  time.Time
+	afterUrgent func()
+	spareBatch  []func()
+	// urgentCheckInterval is how long other work may go on before what is urgent is looked for in its midst.
+	urgentInterval time.Duration
+	urgentRunAt    time.Time
 }
 
-// attendEvery is far below a heartbeat's interval, and long enough that work in batches stays in batches.
-const attendEvery = 5 * time.Millisecond
+// urgentCheckInterval is far below a heartbeat's interval, and long enough that work in batches stays in batches.
+const urgentCheckInterval = 5 * time.Millisecond
 
 func newLoop() *loop {
-	return &loop{wake: make(chan struct{}, 1), stopped: make(chan struct{}), ended: make(chan struct{}), attendEvery: attendEvery}
+	return &loop{wake: make(chan struct{}, 1), stopped: make(chan struct{}), ended: make(chan struct{}), urgentInterval: urgentCheckInterval}
 }
 
 // post hands in a function; it never blocks. What is posted after stop isn't run.
@@ -36,7 +36,7 @@
 	l.mutex.Lock()
 	l.queue = append(l.queue, work)
 	l.mutex.Unlock()
-	l.rouse()
+	l.signal()
 }
 
 // postUrgent hands in a function that goes before those of post. Urgent ones run in the order in which they came.
@@ -44,27 +44,27 @@
 	l.mutex.Lock()
 	l.urgent = append(l.urgent, work)
 	l.mutex.Unlock()
-	l.rouse()
+	l.signal()
 }
 
-// othersTurn is how long the loop rests before work that goes on for long: enough for goroutines that wait for the processor, the disk's and the
+// yieldDelay is how long the loop rests before work that goes on for long: enough for goroutines that wait for the processor, the disk's and the
 // senders' among them, to get it. On a machine of one core they would have to wait until the system takes the processor away from the loop.
-const othersTurn = 50 * time.Microsecond
+const yieldDelay = 50 * time.Microsecond
 
-// postAfterOthers is postUrgent for work that is one of many pieces.
-func (l *loop) postAfterOthers(work func()) {
-	time.AfterFunc(othersTurn, func() { l.postUrgent(work) })
+// postDeferred is postUrgent for work that is one of many pieces.
+func (l *loop) postDeferred(work func()) {
+	time.AfterFunc(yieldDelay, func() { l.postUrgent(work) })
 }
 
-func (l *loop) rouse() {
+func (l *loop) signal() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// take gives all that waits and isn't urgent.
-func (l *loop) take(reuse []func()) []func() {
+// takeQueue gives all that waits and isn't urgent.
+func (l *loop) takeQueue(reuse []func()) []func() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	batch := l.queue
@@ -81,24 +81,24 @@
 	return batch
 }
 
-// attend runs what is urgent and had come in before, and then between.
-func (l *loop) attend() {
-	batch := l.takeUrgent(l.spare)
+// runUrgent runs what is urgent and had come in before, and then between.
+func (l *loop) runUrgent() {
+	batch := l.takeUrgent(l.spareBatch)
 	for i, work := range batch {
 		work()
 		batch[i] = nil
 	}
-	l.spare = batch
-	l.attendedAt = time.Now()
-	if l.between != nil {
-		l.between()
+	l.spareBatch = batch
+	l.urgentRunAt = time.Now()
+	if l.afterUrgent != nil {
+		l.afterUrgent()
 	}
 }
 
-// attendWhenDue attends if other work has gone on for a while.
-func (l *loop) attendWhenDue() {
-	if time.Since(l.attendedAt) >= l.attendEvery {
-		l.attend()
+// runUrgentIfDue attends if other work has gone on for a while.
+func (l *loop) runUrgentIfDue() {
+	if time.Since(l.urgentRunAt) >= l.urgentInterval {
+		l.runUrgent()
 	}
 }
 
@@ -110,12 +110,12 @@
 	defer timer.Stop()
 	var batch []func()
 	for {
-		l.attend()
-		batch = l.take(batch)
+		l.runUrgent()
+		batch = l.takeQueue(batch)
 		for i, work := range batch {
 			work()
 			batch[i] = nil
-			l.attendWhenDue()
+			l.runUrgentIfDue()
 		}
 		timer.Reset(max(flush(), 0))
 		select {
--- a/internal/system/control/loop_test.go
+++ b/internal/system/control/loop_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWhatIsUrgentGoesFirstInTheMidstOfABatchToo(t *testing.T) {
+func TestUrgentWorkRunsWithinABatch(t *testing.T) {
 	l := newLoop()
-	l.attendEvery = 0
+	l.urgentInterval = 0
 	var order []string
 	note := func(what string) func() { return func() { order = append(order, what) } }
 	l.post(func() {
@@ -20,7 +20,7 @@
 	})
 	l.post(note("second"))
 	l.postUrgent(note("before"))
-	l.between = note("tick")
+	l.afterUrgent = note("tick")
 	l.post(func() { l.post(l.stop) })
 	l.run(func() time.Duration { return 0 })
 	require.GreaterOrEqual(t, len(order), 10)
@@ -28,9 +28,9 @@
 	assert.Equal(t, []string{"before", "tick", "first", "message", "tick", "second", "tick", "tick", "tick", "third"}, order[:10])
 }
 
-func TestWhatIsUrgentWaitsForAShortBatchToEnd(t *testing.T) {
+func TestUrgentWorkWaitsForAShortBatch(t *testing.T) {
 	l := newLoop()
-	l.attendEvery = time.Hour
+	l.urgentInterval = time.Hour
 	var order []string
 	l.post(func() {
 		l.postUrgent(func() { order = append(order, "message"); l.stop() })
--- a/internal/system/control/manyoperators_test.go
+++ b/internal/system/control/manyoperators_test.go
@@ -27,7 +27,7 @@
 // Callers that connect and say nothing take some of the descriptors, and not those of workers, peers and the log.
 func TestIdleOperatorsTakeFewDescriptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const callers = reservedFiles
+		const callers = reservedDescriptors
 		settings := nodesettings.Default()
 		settings.Bind.ControlPlane = operatorAddress
 		host := simulatedHost{simnet.New(1)}
@@ -43,11 +43,11 @@
 				given.Add(1)
 			}()
 		}
-		time.Sleep(operatorHeaderTime + time.Second)
+		time.Sleep(operatorHeaderTimeout + time.Second)
 		first := given.Load()
 		assert.Positive(t, first)
 		assert.Less(t, first, int64(callers/2), "so many were accepted at once")
-		time.Sleep(callers / 100 * operatorHeaderTime)
+		time.Sleep(callers / 100 * operatorHeaderTimeout)
 		assert.EqualValues(t, callers, given.Load(), "all have their turn")
 		assert.NoError(t, node.operator.Close())
 	})
--- a/internal/system/control/node.go
+++ b/internal/system/control/node.go
@@ -27,19 +27,19 @@
 const (
 	// A head that is gone is replaced after about a grant; work that has to start within a second can't wait for long. Pauses of a
 	// replica, for collection or want of processor, stay well below.
-	grant          = 450 * time.Millisecond
-	heartbeatEvery = 90 * time.Millisecond
-	dropAfter      = 400 * time.Millisecond
-	stallAfter     = 250 * time.Millisecond
+	grantDuration     = 450 * time.Millisecond
+	heartbeatInterval = 90 * time.Millisecond
+	dropAfter         = 400 * time.Millisecond
+	stallAfter        = 250 * time.Millisecond
 
 	logName      = "replica"
 	chainService = "Chain"
-	// restartPause is how long a replica whose disk refused waits before it tries again with what the disk holds.
-	restartPause = time.Second
-	// leavePatience bounds a planned transfer.
-	leavePatience = 1500 * time.Millisecond
-	// leaveReserve is what is left of the grace for the end itself.
-	leaveReserve = 2 * time.Second
+	// restartDelay is how long a replica whose disk refused waits before it tries again with what the disk holds.
+	restartDelay = time.Second
+	// leaveTimeout bounds a planned transfer.
+	leaveTimeout = 1500 * time.Millisecond
+	// shutdownReserve is what is left of the grace for the end itself.
+	shutdownReserve = 2 * time.Second
 	// RoleName is how replicas call themselves among the peers.
 	RoleName = "replica"
 )
@@ -60,52 +60,52 @@
 
 // Node is a running replica.
 type Node struct {
-	settings   *nodesettings.Settings
-	logger     *log.Logger
-	invariants *invariant.Set
-	watched    watched
-	network    network.Network
-	folder     wal.Disk // nil: the folder that the settings name
-	clock      func() time.Time
-	started    time.Time
-	loop       *loop
-	engine     *engine
-	client     *transport.Client
-	forward    func(address, method string, args, reply any, timeout time.Duration) error // calls another replica
-	sender     *transport.Sender[*replica.Message]
-	server     *transport.Server
-	members    *membership.Node
-	operator   *http.Server
-	orders     *orders
-	list       *workerapi.ListClient
-	wall       *wallClock
+	settings       *nodesettings.Settings
+	logger         *log.Logger
+	invariants     *invariant.Set
+	invariantState invariantState
+	network        network.Network
+	disk           wal.Disk // nil: the folder that the settings name
+	clock          func() time.Time
+	started        time.Time
+	loop           *loop
+	engine         *engine
+	client         *transport.Client
+	forward        func(address, method string, args, reply any, timeout time.Duration) error // calls another replica
+	sender         *transport.Sender[*replica.Message]
+	server         *transport.Server
+	members        *membership.Node
+	operator       *http.Server
+	workerCalls    *workerCalls
+	listClient     *workerapi.ListClient
+	wallClock      *wallClock
 	// scheduler is set while this replica is the head, schedulerActive while it holds the lease besides.
 	scheduler       *scheduler.Scheduler
 	schedulerActive bool
 	schedulerEpoch  uint64
-	schedulerWake   time.Duration
+	schedulerWakeAt time.Duration
 	platform        platformList
-	clockAt         time.Duration
-	tickedAt        time.Duration
-	// overSince is when this replica, as the head, first saw each job over; forgetAt is when it looks next.
-	overSince      map[state.JobID]time.Duration
-	forgetAt       time.Duration
-	housekeepingAt time.Duration
-	config         *clusterconfig.Config
-	configStale    bool // a newer one was committed since
-	leaving        bool
-	handover       *handover // a transfer that an operator has asked for
-	counts         counts
-	seenView       view.View // the newest that the log was told of
-	commits        commitPauses
-	left           chan struct{}
-	failures       chan error
+	nextClockRead   time.Duration
+	lastTick        time.Duration
+	// finishedSince is when this replica, as the head, first saw each job over; nextForgetAt is when it looks next.
+	finishedSince    map[state.JobID]time.Duration
+	nextForgetAt     time.Duration
+	nextHousekeeping time.Duration
+	config           *clusterconfig.Config
+	configPending    bool // a newer one was committed since
+	leaving          bool
+	handover         *pendingHandover // a transfer that an operator has asked for
+	counts           counts
+	loggedView       view.View // the newest that the log was told of
+	commitPauses     commitPauses
+	left             chan struct{}
+	failures         chan error
 }
 
 // Start brings a replica up: its log is read, its sockets listen.
 func Start(options Options) (*Node, error) {
-	n := &Node{settings: options.Settings, logger: options.Logger, invariants: options.Invariants, network: options.Network, folder: options.Disk, clock: options.Clock,
-		loop: newLoop(), wall: newWallClock(), left: make(chan struct{}), failures: make(chan error, 1)}
+	n := &Node{settings: options.Settings, logger: options.Logger, invariants: options.Invariants, network: options.Network, disk: options.Disk, clock: options.Clock,
+		loop: newLoop(), wallClock: newWallClock(), left: make(chan struct{}), failures: make(chan error, 1)}
 	if n.clock == nil {
 		n.clock = time.Now
 	}
@@ -114,8 +114,8 @@
 	n.client = transport.NewClient(transport.Options{Dial: dial})
 	n.forward = n.client.Call
 	n.sender = transport.NewSender[*replica.Message](n.client, chainService+".Receive", transport.SenderOptions{})
-	n.orders = newOrders(n.workerConnections(), dial)
-	n.list = workerapi.NewListClient(dial)
+	n.workerCalls = newWorkerCalls(n.workerConnections(), dial)
+	n.listClient = workerapi.NewListClient(dial)
 	if err := n.listen(); err != nil {
 		return nil, err
 	}
@@ -123,7 +123,7 @@
 		return nil, err
 	}
 	n.members.Start()
-	n.loop.between = n.tickCore
+	n.loop.afterUrgent = n.tickCore
 	go func() { _ = n.server.Serve() }()
 	n.logger.Info("replica started", "address", n.self().Address, "id", n.engine.replica.Self().ID, "epoch", n.engine.view().Epoch)
 	go n.loop.run(n.flush)
@@ -159,14 +159,14 @@
 	n.loop.post(func() {
 		n.leaving = true
 		if n.engine.closed {
-			n.handedOver()
+			n.leftChain()
 			return
 		}
 		n.engine.step(replica.Leave{})
 	})
 	select {
 	case <-n.left:
-	case <-time.After(max(leavePatience, n.settings.Bounds.GracePeriod()-leaveReserve)):
+	case <-time.After(max(leaveTimeout, n.settings.Bounds.GracePeriod()-shutdownReserve)):
 		n.logger.Warn("left without a handover")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -186,10 +186,10 @@
 func (n *Node) stop() {
 	n.loop.stop()
 	<-n.loop.ended
-	n.tellOfRecentLateJobs()
+	n.logUnloggedLateJobs()
 	n.engine.close()
-	n.orders.close()
-	n.list.Close()
+	n.workerCalls.close()
+	n.listClient.Close()
 	_ = n.sender.Close()
 	_ = n.client.Close()
 	n.members.Stop()
--- a/internal/system/control/operator.go
+++ b/internal/system/control/operator.go
@@ -14,35 +14,35 @@
 
 const (
 	baseVersionHeader = "X-Gaugeslip-Base-Version"
-	// operatorPatience is how long an order may take before it is left without a clear answer: less than the second after which an
+	// operatorTimeout is how long an order may take before it is left without a clear answer: less than the second after which an
 	// operator goes on to another machine.
-	operatorPatience = 900 * time.Millisecond
-	mostConfigBytes  = 8 << 20
-	// orderPart is the part of the machine's memory that all orders which arrive may take together, leastOrderMemory what they may take at
+	operatorTimeout = 900 * time.Millisecond
+	maxConfigBytes  = 8 << 20
+	// configMemoryDivisor is the part of the machine's memory that all orders which arrive may take together, minConfigMemory what they may take at
 	// least: two of the largest. In the process an order is held several times over.
-	orderPart        = 8
-	leastOrderMemory = 2 * mostConfigBytes
-	megabyte         = 1 << 20
+	configMemoryDivisor = 8
+	minConfigMemory     = 2 * maxConfigBytes
+	megabyte            = 1 << 20
 )
 
 // operatorAPI is the operator's API over HTTP. It knows how to reach whoever may answer.
 type operatorAPI struct {
 	replace func(internalapi.ReplaceArgs, time.Duration) internalapi.ReplaceReply
 	read    func(time.Duration) internalapi.ReadReply
-	figures http.HandlerFunc
+	metrics http.HandlerFunc
 	bodies  *memorybudget.Budget
 }
 
 // newOperatorAPI is one for a machine with so much memory, in megabytes; 0: not known.
 func newOperatorAPI(memoryMb float64) *operatorAPI {
-	return &operatorAPI{bodies: memorybudget.NewBudget(max(leastOrderMemory, int64(memoryMb*megabyte)/orderPart))}
+	return &operatorAPI{bodies: memorybudget.NewBudget(max(minConfigMemory, int64(memoryMb*megabyte)/configMemoryDivisor))}
 }
 
 func (o *operatorAPI) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /Config.Replace", o.serveReplace)
 	mux.HandleFunc("GET /Config.Read", o.serveRead)
-	mux.HandleFunc("GET /metrics", o.figures)
+	mux.HandleFunc("GET /metrics", o.metrics)
 	return mux
 }
 
@@ -54,7 +54,7 @@
 	}
 	lease := o.bodies.Lease()
 	defer lease.Release()
-	body, err := requestbody.Read(request, mostConfigBytes, lease)
+	body, err := requestbody.Read(request, maxConfigBytes, lease)
 	if errors.Is(err, requestbody.ErrTooLarge) {
 		writer.Header().Set("Connection", "close")
 		http.Error(writer, err.Error(), http.StatusRequestEntityTooLarge)
@@ -63,10 +63,10 @@
 	if err != nil {
 		// An answer without a status would be a 200, which a caller that has only closed its own direction still reads.
 		writer.Header().Set("Connection", "close")
-		http.Error(writer, "the body can't be read in full: "+err.Error(), unreadStatus(err))
+		http.Error(writer, "the body can't be read in full: "+err.Error(), bodyErrorStatus(err))
 		return
 	}
-	reply := o.replace(internalapi.ReplaceArgs{Base: base, Body: body}, operatorPatience)
+	reply := o.replace(internalapi.ReplaceArgs{Base: base, Body: body}, operatorTimeout)
 	if reply.Status == http.StatusOK {
 		writer.WriteHeader(http.StatusOK)
 		return
@@ -74,9 +74,9 @@
 	http.Error(writer, reply.Text, reply.Status)
 }
 
-// unreadStatus is the answer to an order whose body can't be read in full. One that broke off on its way, or that there is no memory for, may
+// bodyErrorStatus is the answer to an order whose body can't be read in full. One that broke off on its way, or that there is no memory for, may
 // be whole at the caller, and taken before: it isn't refused.
-func unreadStatus(err error) int {
+func bodyErrorStatus(err error) int {
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, requestbody.ErrNoMemory) {
 		return http.StatusServiceUnavailable
 	}
@@ -92,7 +92,7 @@
 }
 
 func (o *operatorAPI) serveRead(writer http.ResponseWriter, _ *http.Request) {
-	reply := o.read(operatorPatience)
+	reply := o.read(operatorTimeout)
 	if reply.Verdict != internalapi.Done {
 		writer.Header().Set("Retry-After", "1")
 		http.Error(writer, reply.Text, http.StatusServiceUnavailable)
--- a/internal/system/control/operator_test.go
+++ b/internal/system/control/operator_test.go
@@ -16,10 +16,10 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// orderOver sends an order through the operator's API, which hands it to replace, and gives the answer.
-func orderOver(body io.Reader, base string, replace func(internalapi.ReplaceArgs, time.Duration) internalapi.ReplaceReply) int {
+// sendReplace sends an order through the operator's API, which hands it to replace, and gives the answer.
+func sendReplace(body io.Reader, base string, replace func(internalapi.ReplaceArgs, time.Duration) internalapi.ReplaceReply) int {
 	api := newOperatorAPI(0)
-	api.replace, api.figures = replace, http.NotFound
+	api.replace, api.metrics = replace, http.NotFound
 	request := httptest.NewRequest(http.MethodPost, "/Config.Replace", body)
 	request.Header.Set(baseVersionHeader, base)
 	recorder := httptest.NewRecorder()
@@ -35,20 +35,20 @@
 	}
 	begun := strings.NewReader(`{"version":1`)
 	brokenOff := io.MultiReader(begun, iotest.ErrReader(fmt.Errorf("read: %w", io.ErrUnexpectedEOF)))
-	assert.Equal(t, http.StatusServiceUnavailable, orderOver(brokenOff, "0", never), "broken off on its way, it isn't refused")
+	assert.Equal(t, http.StatusServiceUnavailable, sendReplace(brokenOff, "0", never), "broken off on its way, it isn't refused")
 	malformed := io.MultiReader(begun, iotest.ErrReader(errors.New("malformed chunk")))
-	assert.Equal(t, http.StatusBadRequest, orderOver(malformed, "0", never), "malformed")
-	assert.Equal(t, http.StatusBadRequest, orderOver(strings.NewReader("{}"), "one", never), "base without a number")
-	assert.Equal(t, http.StatusBadRequest, orderOver(strings.NewReader("{}"), "-1", never), "base below 0")
-	tooLong := strings.NewReader(strings.Repeat(" ", mostConfigBytes+1))
-	assert.Equal(t, http.StatusRequestEntityTooLarge, orderOver(tooLong, "0", never), "too long")
+	assert.Equal(t, http.StatusBadRequest, sendReplace(malformed, "0", never), "malformed")
+	assert.Equal(t, http.StatusBadRequest, sendReplace(strings.NewReader("{}"), "one", never), "base without a number")
+	assert.Equal(t, http.StatusBadRequest, sendReplace(strings.NewReader("{}"), "-1", never), "base below 0")
+	tooLong := strings.NewReader(strings.Repeat(" ", maxConfigBytes+1))
+	assert.Equal(t, http.StatusRequestEntityTooLarge, sendReplace(tooLong, "0", never), "too long")
 }
 
 // The answer is the reply's status; an order without a base builds on none.
 func TestOrdersAreAnsweredWithTheRepliesStatus(t *testing.T) {
 	for _, status := range []int{http.StatusOK, http.StatusBadRequest, http.StatusPreconditionFailed, http.StatusServiceUnavailable,
 		http.StatusGatewayTimeout} {
-		code := orderOver(strings.NewReader("body"), "", func(args internalapi.ReplaceArgs, _ time.Duration) internalapi.ReplaceReply {
+		code := sendReplace(strings.NewReader("body"), "", func(args internalapi.ReplaceArgs, _ time.Duration) internalapi.ReplaceReply {
 			assert.Equal(t, internalapi.ReplaceArgs{Base: 0, Body: []byte("body")}, args)
 			return internalapi.ReplaceReply{Status: status}
 		})
--- a/internal/system/control/operatorbytes_test.go
+++ b/internal/system/control/operatorbytes_test.go
@@ -21,7 +21,7 @@
 	operatorHost    = "10.0.0.1"
 	operatorAddress = "10.0.0.2:80"
 	orderBody       = `{"version":7,"routes":[]}`
-	wholeOrder      = "POST /Config.Replace HTTP/1.1\r\nHost: a\r\n" + baseVersionHeader + ": 6\r\nContent-Length: 25\r\n\r\n" + orderBody
+	completeRequest = "POST /Config.Replace HTTP/1.1\r\nHost: a\r\n" + baseVersionHeader + ": 6\r\nContent-Length: 25\r\n\r\n" + orderBody
 )
 
 // listeningAPI is the operator's API on a simulated network, with the orders that it was given.
@@ -38,7 +38,7 @@
 		return internalapi.ReplaceReply{Verdict: internalapi.Done, Status: http.StatusOK}
 	}
 	api.read = func(time.Duration) internalapi.ReadReply { return internalapi.ReadReply{} }
-	api.figures = func(http.ResponseWriter, *http.Request) {}
+	api.metrics = func(http.ResponseWriter, *http.Request) {}
 	listener, err := l.network.Listen(operatorAddress)
 	require.NoError(t, err)
 	server := &http.Server{Handler: api.handler()}
@@ -63,11 +63,11 @@
 }
 
 func TestAnOrderThatEndsEarlyIsNeverAcknowledged(t *testing.T) {
-	for length := range len(wholeOrder) {
+	for length := range len(completeRequest) {
 		synctest.Test(t, func(t *testing.T) {
 			l := newListeningAPI(t)
 			conn := l.dial(t)
-			_, err := conn.Write([]byte(wholeOrder[:length]))
+			_, err := conn.Write([]byte(completeRequest[:length]))
 			require.NoError(t, err)
 			require.NoError(t, conn.CloseWrite())
 			status := answerOn(conn)
@@ -89,20 +89,20 @@
 }
 
 func TestAResetAtAnyByteOfAnOrderTakesItWholeOrNotAtAll(t *testing.T) {
-	for length := range int64(len(wholeOrder) + 1) {
+	for length := range int64(len(completeRequest) + 1) {
 		synctest.Test(t, func(t *testing.T) {
 			l := newListeningAPI(t)
 			l.network.SetPlan(func(string, string, int) simnet.Fate {
 				return simnet.Fate{Out: simnet.Limit{Bytes: length, Then: simnet.Reset}}
 			})
-			_, _ = io.WriteString(l.dial(t), wholeOrder)
+			_, _ = io.WriteString(l.dial(t), completeRequest)
 			time.Sleep(time.Minute)
 			synctest.Wait()
 			for _, order := range l.orders {
 				require.Equal(t, internalapi.ReplaceArgs{Base: 6, Body: []byte(orderBody)}, order)
 			}
 			require.LessOrEqual(t, len(l.orders), 1)
-			if length < int64(len(wholeOrder)) {
+			if length < int64(len(completeRequest)) {
 				require.Empty(t, l.orders)
 			}
 		})
@@ -113,8 +113,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newListeningAPI(t)
 		conn := l.dial(t)
-		other := strings.Replace(wholeOrder, "Base-Version: 6", "Base-Version: x", 1)
-		_, err := io.WriteString(conn, wholeOrder+other+wholeOrder)
+		other := strings.Replace(completeRequest, "Base-Version: 6", "Base-Version: x", 1)
+		_, err := io.WriteString(conn, completeRequest+other+completeRequest)
 		require.NoError(t, err)
 		answers := bufio.NewReader(conn)
 		for _, status := range []int{http.StatusOK, http.StatusBadRequest, http.StatusOK} {
--- a/internal/system/control/operatorscheck_test.go
+++ b/internal/system/control/operatorscheck_test.go
@@ -44,20 +44,20 @@
 		stale bool
 		want  porcupine.CheckResult
 	}{{false, porcupine.Ok}, {true, porcupine.Illegal}} {
-		judged := uncertainHistory(40, 3, test.stale).judged(everything)
-		result, _ := porcupine.CheckOperationsVerbose(registerModel(), judged, historyCheck)
+		judged := uncertainHistory(40, 3, test.stale).forChecker(everything)
+		result, _ := porcupine.CheckOperationsVerbose(registerModel(), judged, historyCheckTimeout)
 		assert.Equal(t, test.want, result, "stale read: %v", test.stale)
 	}
 }
 
 // What is left out for the checker changes none of its verdicts: small histories, drawn, are judged alike with everything in.
-func TestNoVerdictRestsOnWhatTheCheckerIsSpared(t *testing.T) {
+func TestHistoryReductionKeepsCheckerVerdicts(t *testing.T) {
 	verdicts := map[bool]int{}
 	for seed := range uint64(3000) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		h, taken := drawnHistory(random)
-		want := porcupine.CheckOperations(registerModel(), h.unabridged(taken))
-		assert.Equal(t, want, porcupine.CheckOperations(registerModel(), h.judged(taken)), "seed %d", seed)
+		want := porcupine.CheckOperations(registerModel(), h.complete(taken))
+		assert.Equal(t, want, porcupine.CheckOperations(registerModel(), h.forChecker(taken)), "seed %d", seed)
 		verdicts[want]++
 	}
 	assert.Greater(t, verdicts[true], 300)
--- a/internal/system/control/operatorsdoubt_test.go
+++ b/internal/system/control/operatorsdoubt_test.go
@@ -16,9 +16,9 @@
 	"gaugeslip/internal/system/state"
 )
 
-// replaceElsewhere passes an order on from a replica that isn't the head, to one that answers as told.
-func replaceElsewhere(t *testing.T, answers ...func(*internalapi.ReplaceReply) error) (reply internalapi.ReplaceReply) {
-	playOperators(t, 3, func(w *operatorsWorld, head *operatorsMachine) {
+// replaceAtFollower passes an order on from a replica that isn't the head, to one that answers as told.
+func replaceAtFollower(t *testing.T, answers ...func(*internalapi.ReplaceReply) error) (reply internalapi.ReplaceReply) {
+	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
 		p := w.others(head)[0].running()
 		p.forward = func(_, _ string, _, reply any, _ time.Duration) error {
 			next := answers[0]
@@ -27,36 +27,36 @@
 			}
 			return next(reply.(*internalapi.ReplaceReply))
 		}
-		reply = p.replaceAnywhere(internalapi.ReplaceArgs{Base: 1, Body: []byte(operatorsBody(2, 10))}, operatorPatience)
+		reply = p.replaceOrForward(internalapi.ReplaceArgs{Base: 1, Body: []byte(operatorsBody(2, 10))}, operatorTimeout)
 	})
 	return reply
 }
 
-func answered(verdict internalapi.Verdict, status int) func(*internalapi.ReplaceReply) error {
+func replyWith(verdict internalapi.Verdict, status int) func(*internalapi.ReplaceReply) error {
 	return func(reply *internalapi.ReplaceReply) error {
 		*reply = internalapi.ReplaceReply{Verdict: verdict, Status: status}
 		return nil
 	}
 }
 
-func failed(err error) func(*internalapi.ReplaceReply) error {
+func failWith(err error) func(*internalapi.ReplaceReply) error {
 	return func(*internalapi.ReplaceReply) error { return err }
 }
 
 // A refusal counts only if no earlier copy of the order may still be carried out: one on a version that is yet to come may be.
-func TestARefusalAfterADoubtIsNoAnswer(t *testing.T) {
-	refused := answered(internalapi.Invalid, http.StatusPreconditionFailed)
-	assert.Equal(t, http.StatusGatewayTimeout, replaceElsewhere(t, failed(transport.ErrUnknown), refused).Status)
-	assert.Equal(t, http.StatusPreconditionFailed, replaceElsewhere(t, failed(transport.ErrNotSent), refused).Status)
-	assert.Equal(t, http.StatusPreconditionFailed, replaceElsewhere(t, answered(internalapi.NotHead, 0), refused).Status)
+func TestRefusalAfterAnUnknownOutcomeIsInDoubt(t *testing.T) {
+	refused := replyWith(internalapi.Invalid, http.StatusPreconditionFailed)
+	assert.Equal(t, http.StatusGatewayTimeout, replaceAtFollower(t, failWith(transport.ErrUnknown), refused).Status)
+	assert.Equal(t, http.StatusPreconditionFailed, replaceAtFollower(t, failWith(transport.ErrNotSent), refused).Status)
+	assert.Equal(t, http.StatusPreconditionFailed, replaceAtFollower(t, replyWith(internalapi.NotHead, 0), refused).Status)
 }
 
 // Whoever doesn't know of a head says so; where an order may be on its way, that it isn't decided.
 func TestAnOrderWithoutAHeadIsLeftUnclear(t *testing.T) {
-	assert.Equal(t, http.StatusServiceUnavailable, replaceElsewhere(t, failed(transport.ErrNotSent)).Status)
-	assert.Equal(t, http.StatusGatewayTimeout, replaceElsewhere(t, failed(transport.ErrUnknown)).Status)
-	assert.Equal(t, http.StatusServiceUnavailable, replaceElsewhere(t, answered(internalapi.NotHead, 0)).Status)
-	assert.Equal(t, http.StatusOK, replaceElsewhere(t, failed(transport.ErrUnknown), answered(internalapi.Done, http.StatusOK)).Status)
+	assert.Equal(t, http.StatusServiceUnavailable, replaceAtFollower(t, failWith(transport.ErrNotSent)).Status)
+	assert.Equal(t, http.StatusGatewayTimeout, replaceAtFollower(t, failWith(transport.ErrUnknown)).Status)
+	assert.Equal(t, http.StatusServiceUnavailable, replaceAtFollower(t, replyWith(internalapi.NotHead, 0)).Status)
+	assert.Equal(t, http.StatusOK, replaceAtFollower(t, failWith(transport.ErrUnknown), replyWith(internalapi.Done, http.StatusOK)).Status)
 }
 
 // A call whose reply came with an error has none.
@@ -65,59 +65,59 @@
 		*reply = internalapi.ReplaceReply{Verdict: internalapi.Done, Status: http.StatusOK}
 		return transport.ErrUnknown
 	}
-	assert.Equal(t, http.StatusGatewayTimeout, replaceElsewhere(t, half).Status)
+	assert.Equal(t, http.StatusGatewayTimeout, replaceAtFollower(t, half).Status)
 }
 
-// fates proposes a command at a head whose peers don't answer any more, lets something happen, and gives what the proposal came to.
-func fates(t *testing.T, happens func(e *engine)) (came []fate) {
-	var all []fate
-	playOperators(t, 3, func(w *operatorsWorld, head *operatorsMachine) {
+// proposalStatuses proposes a command at a head whose peers don't answer any more, lets something happen, and gives what the proposal came to.
+func proposalStatuses(t *testing.T, happens func(e *engine)) (came []commitStatus) {
+	var all []commitStatus
+	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
 		w.isolate(head, true, true, true)
 		p := head.running()
 		command := state.Command{Kind: state.KindConfigReplaced, ConfigReplaced: &state.ConfigReplaced{Base: 1, Version: 2, Body: []byte("x")}}
 		p.loop.post(func() {
-			p.engine.propose(command, func(_ state.Result, fate fate) { all = append(all, fate) })
+			p.engine.propose(command, func(_ state.Result, status commitStatus) { all = append(all, status) })
 			require.True(t, p.engine.flush())
-			p.engine.propose(command, func(_ state.Result, fate fate) { all = append(all, fate) })
+			p.engine.propose(command, func(_ state.Result, status commitStatus) { all = append(all, status) })
 			happens(p.engine)
 		})
 		time.Sleep(100 * time.Millisecond)
-		came = ask(p.Node, time.Second, nil, func(answer func([]fate)) { answer(slices.Clone(all)) }) // without what the end of the world adds
+		came = runOnLoop(p.Node, time.Second, nil, func(answer func([]commitStatus)) { answer(slices.Clone(all)) }) // without what the end of the world adds
 	})
 	return came
 }
 
 // What was appended and is not settled when the replica's core ends may be committed by the others; what never was appended can't be.
 func TestTheEndOfACoreLeavesWhatItAppendedInDoubt(t *testing.T) {
-	assert.Equal(t, []fate{fateRefused, fateInDoubt}, fates(t, (*engine).close))
+	assert.Equal(t, []commitStatus{statusRejected, statusInDoubt}, proposalStatuses(t, (*engine).close))
 }
 
 // A snapshot tells nothing of the index at which an order was appended: it may be in there.
 func TestASnapshotLeavesWhatItCoversInDoubt(t *testing.T) {
-	came := fates(t, func(e *engine) {
-		e.install(&chain.Snapshot{Index: e.replica.LastIndex(), Data: e.machine.Snapshot()})
+	came := proposalStatuses(t, func(e *engine) {
+		e.installSnapshot(&chain.Snapshot{Index: e.replica.LastIndex(), Data: e.machine.Snapshot()})
 	})
-	assert.Equal(t, []fate{fateInDoubt}, came)
+	assert.Equal(t, []commitStatus{statusInDoubt}, came)
 }
 
 // What an earlier epoch left at an index may still be held by a replica that could become the head before it hears of this epoch.
 func TestWhatIsDroppedFromTheLogIsInDoubt(t *testing.T) {
-	came := fates(t, func(e *engine) {
-		earlier := e.flying[e.replica.LastIndex()]
-		delete(e.flying, e.replica.LastIndex())
-		e.flying[e.replica.LastIndex()+1] = earlier
+	came := proposalStatuses(t, func(e *engine) {
+		earlier := e.inFlight[e.replica.LastIndex()]
+		delete(e.inFlight, e.replica.LastIndex())
+		e.inFlight[e.replica.LastIndex()+1] = earlier
 		e.flush()
 	})
-	assert.Equal(t, []fate{fateInDoubt}, came)
+	assert.Equal(t, []commitStatus{statusInDoubt}, came)
 }
 
-// undecidedHere orders at a head that is cut off, lets something happen there, and gives the head's answer.
-func undecidedHere(t *testing.T, happens func(head *operatorsMachine)) (reply internalapi.ReplaceReply) {
-	playOperators(t, 3, func(w *operatorsWorld, head *operatorsMachine) {
+// replaceAtCutOffHead orders at a head that is cut off, lets something happen there, and gives the head's answer.
+func replaceAtCutOffHead(t *testing.T, happens func(head *operatorsMachine)) (reply internalapi.ReplaceReply) {
+	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
 		w.isolate(head, true, true, true)
 		p := head.running()
 		time.AfterFunc(100*time.Millisecond, func() { happens(head) })
-		reply = p.replaceHere(internalapi.ReplaceArgs{Base: 1, Body: []byte(operatorsBody(2, 10))}, 5*time.Second)
+		reply = p.replaceLocally(internalapi.ReplaceArgs{Base: 1, Body: []byte(operatorsBody(2, 10))}, 5*time.Second)
 	})
 	return reply
 }
@@ -125,16 +125,16 @@
 // An order that was appended and isn't settled is in doubt: when time is up, and when the core ends.
 func TestAnAppendedOrderIsInDoubt(t *testing.T) {
 	expected := internalapi.ReplaceReply{Verdict: internalapi.InDoubt, Status: http.StatusGatewayTimeout, Text: "not decided in time"}
-	assert.Equal(t, expected, undecidedHere(t, func(*operatorsMachine) {}))
-	assert.Equal(t, expected, undecidedHere(t, func(m *operatorsMachine) {
+	assert.Equal(t, expected, replaceAtCutOffHead(t, func(*operatorsMachine) {}))
+	assert.Equal(t, expected, replaceAtCutOffHead(t, func(m *operatorsMachine) {
 		p := m.running()
 		p.loop.post(p.engine.close)
 	}))
 }
 
 // A core that has ended neither answers nor stands for the head's place: its disk takes nothing any more.
-func TestACoreThatHasEndedSaysNothing(t *testing.T) {
-	playOperators(t, 3, func(w *operatorsWorld, head *operatorsMachine) {
+func TestClosedCoreSendsNothing(t *testing.T) {
+	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
 		p := w.others(head)[0].running()
 		said := 0
 		p.loop.post(func() {
--- a/internal/system/control/operatorsfaults_test.go
+++ b/internal/system/control/operatorsfaults_test.go
@@ -49,7 +49,7 @@
 
 // wipe takes a machine's disk while all are there with everything; it comes back with an empty one.
 func (r *operatorsRun) wipe(m *operatorsMachine, length time.Duration) {
-	if len(r.machines) == 1 || !r.whole() {
+	if len(r.machines) == 1 || !r.isComplete() {
 		return
 	}
 	m.settings.Bootstrap = false
@@ -58,19 +58,19 @@
 	time.AfterFunc(length/2, m.start)
 }
 
-// whole tells whether a head has all machines in its chain, each with the disk that it has now.
-func (r *operatorsRun) whole() bool {
-	head := r.wholeHead()
+// isComplete tells whether a head has all machines in its chain, each with the disk that it has now.
+func (r *operatorsRun) isComplete() bool {
+	head := r.completeHead()
 	if head == nil || head.running() == nil {
 		return false
 	}
-	members := peek(head.running(), func(n *Node) []view.Member { return n.engine.view().Chain })
+	members := onProcess(head.running(), func(n *Node) []view.Member { return n.engine.view().Chain })
 	for _, m := range r.machines {
 		p := m.running()
 		if p == nil {
 			return false
 		}
-		self := peek(p, func(n *Node) view.Member { return n.engine.replica.Self() })
+		self := onProcess(p, func(n *Node) view.Member { return n.engine.replica.Self() })
 		if !slices.ContainsFunc(members, func(member view.Member) bool { return member.ID == self.ID }) {
 			return false
 		}
@@ -99,8 +99,8 @@
 		r.history.record(historySessions, call, func() operatorsAnswer { return operatorsAnswer{status: http.StatusOK} })
 		r.confirmed(call)
 		p.loop.post(func() {
-			p.engine.propose(state.Command{Kind: state.KindConfigReplaced, ConfigReplaced: command}, func(result state.Result, fate fate) {
-				assert.Equal(r.t, []any{state.Applied, fateCommitted}, []any{result.Outcome, fate})
+			p.engine.propose(state.Command{Kind: state.KindConfigReplaced, ConfigReplaced: command}, func(result state.Result, status commitStatus) {
+				assert.Equal(r.t, []any{state.Applied, statusCommitted}, []any{result.Outcome, status})
 			})
 		})
 	}
--- a/internal/system/control/operatorshistory_test.go
+++ b/internal/system/control/operatorshistory_test.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	historySeeds    = 60
-	historySessions = 4
-	historyFaulty   = 12 * time.Second
-	historyPatience = time.Second // after which an operator sends an order again
-	historyRepeats  = 5
-	historyCopies   = 8
-	// historyRecovers is how long after all faults an order may take to be confirmed.
-	historyRecovers = 5 * time.Second
-	// historyCheck bounds the checker, which takes long only for histories of more than one register; others take up to some seconds beside
+	historySeeds     = 60
+	historySessions  = 4
+	historyFaultTime = 12 * time.Second
+	historyTimeout   = time.Second // after which an operator sends an order again
+	historyRepeats   = 5
+	historyCopies    = 8
+	// historyRecoveryTime is how long after all faults an order may take to be confirmed.
+	historyRecoveryTime = 5 * time.Second
+	// historyCheckTimeout bounds the checker, which takes long only for histories of more than one register; others take up to some seconds beside
 	// much other work.
-	historyCheck = 30 * time.Second
+	historyCheckTimeout = 30 * time.Second
 )
 
 // operatorsRun is a few operators at their machines, whose faults are drawn.
 type operatorsRun struct {
-	*operatorsWorld
+	*operatorsSim
 	history operatorsHistory
 	over    time.Time
 
@@ -64,8 +64,8 @@
 	r.orders = append(r.orders, call)
 }
 
-// earlier draws an order that was confirmed to anybody, and whether there is one.
-func (s *session) earlier() (operatorsCall, bool) {
+// confirmedOrder draws an order that was confirmed to anybody, and whether there is one.
+func (s *session) confirmedOrder() (operatorsCall, bool) {
 	s.run.ordersMutex.Lock()
 	defer s.run.ordersMutex.Unlock()
 	if len(s.run.orders) == 0 {
@@ -74,26 +74,26 @@
 	return s.run.orders[s.random.IntN(len(s.run.orders))], true
 }
 
-func (s *session) play() {
+func (s *session) issueCalls() {
 	for time.Now().Before(s.run.over) {
 		time.Sleep(time.Duration(10+s.random.IntN(250)) * time.Millisecond)
 		switch choice := s.random.IntN(20); {
 		case choice < 4:
 			s.read()
 		case choice < 6:
-			if call, ok := s.earlier(); ok {
-				s.ask(call)
+			if call, ok := s.confirmedOrder(); ok {
+				s.callOnce(call)
 			}
 		case choice < 8:
-			s.copies(s.draw())
+			s.sendCopies(s.randomOrder())
 		default:
-			s.insist(s.draw())
+			s.sendUntilClear(s.randomOrder())
 		}
 	}
 }
 
-// draw draws an order: mostly on the newest version known, at times on another one, with a lower number, or invalid.
-func (s *session) draw() operatorsCall {
+// randomOrder draws an order: mostly on the newest version known, at times on another one, with a lower number, or invalid.
+func (s *session) randomOrder() operatorsCall {
 	base, step, mark := s.known, uint64(1+s.random.IntN(2)), s.run.mark()
 	switch s.random.IntN(20) {
 	case 0:
@@ -113,10 +113,10 @@
 	return s.run.machines[s.random.IntN(len(s.run.machines))]
 }
 
-// ask makes a call once, of any machine.
-func (s *session) ask(call operatorsCall) operatorsAnswer {
+// callOnce makes a call once, of any machine.
+func (s *session) callOnce(call operatorsCall) operatorsAnswer {
 	m := s.machine()
-	answer := s.run.history.record(s.number, call, func() operatorsAnswer { return s.run.send(m, call, historyPatience) })
+	answer := s.run.history.record(s.number, call, func() operatorsAnswer { return s.run.send(m, call, historyTimeout) })
 	if answer.status == http.StatusOK {
 		s.known = max(s.known, call.version, answer.version)
 		if !call.read {
@@ -126,12 +126,12 @@
 	return answer
 }
 
-func (s *session) read() { s.ask(operatorsCall{read: true}) }
+func (s *session) read() { s.callOnce(operatorsCall{read: true}) }
 
-// insist sends an order until its answer is clear.
-func (s *session) insist(call operatorsCall) {
+// sendUntilClear sends an order until its answer is clear.
+func (s *session) sendUntilClear(call operatorsCall) {
 	for range historyRepeats {
-		if answer := s.ask(call); answer.status != unclear {
+		if answer := s.callOnce(call); answer.status != unclear {
 			break
 		}
 		time.Sleep(time.Duration(s.random.IntN(300)) * time.Millisecond)
@@ -141,24 +141,24 @@
 	}
 }
 
-// copies sends an order to several machines at once.
-func (s *session) copies(call operatorsCall) {
+// sendCopies sends an order to several machines at once.
+func (s *session) sendCopies(call operatorsCall) {
 	var all sync.WaitGroup
 	for range historyCopies {
 		m := s.machine()
 		all.Go(func() {
-			s.run.history.record(s.number, call, func() operatorsAnswer { return s.run.send(m, call, historyPatience) })
+			s.run.history.record(s.number, call, func() operatorsAnswer { return s.run.send(m, call, historyTimeout) })
 		})
 	}
 	all.Wait()
 	s.read()
 }
 
-// playHistory plays one seed and gives what the operators saw, for the checker.
-func playHistory(t *testing.T, seed uint64, trace func(string, ...any)) (judged []porcupine.Operation) {
+// runHistory plays one seed and gives what the operators saw, for the checker.
+func runHistory(t *testing.T, seed uint64, trace func(string, ...any)) (judged []porcupine.Operation) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := []int{3, 5, 3, 1}[seed%4]
-		r := &operatorsRun{operatorsWorld: newOperatorsWorld(t, seed, replicas)}
+		r := &operatorsRun{operatorsSim: newOperatorsSim(t, seed, replicas)}
 		if trace != nil {
 			r.trace = trace
 		}
@@ -167,18 +167,18 @@
 			r.fill()
 		}
 		r.setLossy([]float64{0, 0.002, 0.03}[r.intn(3)])
-		r.over = time.Now().Add(historyFaulty)
+		r.over = time.Now().Add(historyFaultTime)
 		var all sync.WaitGroup
 		for i := range historySessions {
 			s := &session{run: r, number: i, random: rand.New(rand.NewPCG(seed, uint64(i)))}
-			all.Go(s.play)
+			all.Go(s.issueCalls)
 		}
 		all.Go(func() { r.faults(rand.New(rand.NewPCG(seed, historySessions))) })
 		all.Wait()
 		time.Sleep(3 * time.Second) // the last of the faults is over
 		r.heal()
 		r.finish()
-		judged = r.history.judged(r.everTaken())
+		judged = r.history.forChecker(r.everTaken())
 		r.stop()
 	})
 	return judged
@@ -188,14 +188,14 @@
 func (r *operatorsRun) finish() {
 	s := &session{run: r, number: historySessions, random: rand.New(rand.NewPCG(0, 0))}
 	began := time.Now()
-	for done := false; !done && time.Since(began) < historyRecovers; {
+	for done := false; !done && time.Since(began) < historyRecoveryTime; {
 		s.read()
-		done = s.ask(newOrder(s.known, s.known+1, r.mark())).status == http.StatusOK
+		done = s.callOnce(newOrder(s.known, s.known+1, r.mark())).status == http.StatusOK
 	}
-	assert.Less(r.t, time.Since(began), historyRecovers, "no order is confirmed after the faults")
+	assert.Less(r.t, time.Since(began), historyRecoveryTime, "no order is confirmed after the faults")
 	for _, m := range r.machines {
 		call := operatorsCall{read: true}
-		answer := r.history.record(m.number, call, func() operatorsAnswer { return r.send(m, call, longPatience) })
+		answer := r.history.record(m.number, call, func() operatorsAnswer { return r.send(m, call, longTimeout) })
 		assert.NotEqual(r.t, unclear, answer.status, "machine %d can't tell the configuration after the faults", m.number)
 	}
 }
@@ -203,7 +203,7 @@
 // everTaken tells by the state of the head which configurations were in force.
 func (r *operatorsRun) everTaken() func(operatorsCall) bool {
 	machine := state.New()
-	require.NoError(r.t, machine.Restore(peek(r.head().running(), func(n *Node) []byte { return n.engine.machine.Snapshot() })))
+	require.NoError(r.t, machine.Restore(onProcess(r.head().running(), func(n *Node) []byte { return n.engine.machine.Snapshot() })))
 	return func(call operatorsCall) bool {
 		order := &state.ConfigReplaced{Base: call.base, Version: call.version, Body: []byte(call.body)}
 		return machine.CheckConfig(order) == state.Repeated
@@ -213,8 +213,8 @@
 // checkHistory plays one seed and holds that what the operators saw is that of one register.
 func checkHistory(t *testing.T, seed uint64, trace func(string, ...any)) {
 	const replay = "replay with GAUGESLIP_OPERATORS=%d go test -v -run TestOperatorsSeeOneRegister ./internal/system/control"
-	judged := playHistory(t, seed, trace)
-	result, _ := porcupine.CheckOperationsVerbose(registerModel(), judged, historyCheck)
+	judged := runHistory(t, seed, trace)
+	result, _ := porcupine.CheckOperationsVerbose(registerModel(), judged, historyCheckTimeout)
 	if !assert.Equal(t, porcupine.Ok, result, replay, seed) || trace != nil {
 		for _, operation := range judged {
 			t.Logf("%d to %d: %s", operation.Call, operation.Return, describe(operation))
--- a/internal/system/control/operatorsnetwork_test.go
+++ b/internal/system/control/operatorsnetwork_test.go
@@ -9,19 +9,19 @@
 )
 
 // lost tells whether what goes from one machine to another now gets lost.
-func (w *operatorsWorld) lost(from, to int) bool {
+func (w *operatorsSim) lost(from, to int) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.cut[[2]int{from, to}] || w.random.Float64() < w.lossy
 }
 
 // latency is how long something is on its way.
-func (w *operatorsWorld) latency() time.Duration {
-	return w.between(time.Millisecond, 3*time.Millisecond)
+func (w *operatorsSim) latency() time.Duration {
+	return w.randomDuration(time.Millisecond, 3*time.Millisecond)
 }
 
 // isolate cuts a machine off or joins it again; in and out say which ways.
-func (w *operatorsWorld) isolate(m *operatorsMachine, cut, in, out bool) {
+func (w *operatorsSim) isolate(m *operatorsMachine, cut, in, out bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, other := range w.machines {
@@ -34,13 +34,13 @@
 	}
 }
 
-func (w *operatorsWorld) setLossy(part float64) {
+func (w *operatorsSim) setLossy(part float64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.lossy = part
 }
 
-func (w *operatorsWorld) at(address string) *operatorsMachine {
+func (w *operatorsSim) machineAt(address string) *operatorsMachine {
 	for _, m := range w.machines {
 		if m.settings.InternalAddress() == address {
 			return m
@@ -50,8 +50,8 @@
 }
 
 func (p *operatorsProcess) send(to string, message *replica.Message) {
-	w, target := p.machine.world, p.machine.world.at(to)
-	if target == nil || !p.alive() || w.lost(p.machine.number, target.number) {
+	w, target := p.host.sim, p.host.sim.machineAt(to)
+	if target == nil || !p.alive() || w.lost(p.host.number, target.number) {
 		return
 	}
 	time.AfterFunc(w.latency(), func() {
@@ -64,9 +64,9 @@
 // callPeer is a call of another replica's service: refused where nothing runs, else its outcome isn't known if the call or its answer
 // gets lost.
 func (p *operatorsProcess) callPeer(address, method string, args, reply any, timeout time.Duration) error {
-	w, target := p.machine.world, p.machine.world.at(address)
+	w, target := p.host.sim, p.host.sim.machineAt(address)
 	expired := time.After(timeout)
-	if w.lost(p.machine.number, target.number) {
+	if w.lost(p.host.number, target.number) {
 		<-expired
 		return transport.ErrUnknown
 	}
@@ -80,7 +80,7 @@
 	select {
 	case answer := <-answers:
 		time.Sleep(w.latency())
-		if !other.alive() || !p.alive() || w.lost(target.number, p.machine.number) {
+		if !other.alive() || !p.alive() || w.lost(target.number, p.host.number) {
 			<-expired
 			return transport.ErrUnknown
 		}
--- a/internal/system/control/operatorsregister_test.go
+++ b/internal/system/control/operatorsregister_test.go
@@ -111,14 +111,14 @@
 	return answer
 }
 
-// judged is the history for the checker, without what changes no verdict but has it try far more. Several unclear sends of one order are
+// forChecker is the history for the checker, without what changes no verdict but has it try far more. Several unclear sends of one order are
 // one, from the first of them on: one of them took effect at most. It may have taken effect until somebody was shown so, and not later: where
 // it comes after that, it changes nothing.
-func (h *operatorsHistory) judged(everTaken func(operatorsCall) bool) []porcupine.Operation {
-	shown := h.shownBy()
+func (h *operatorsHistory) forChecker(everTaken func(operatorsCall) bool) []porcupine.Operation {
+	shown := h.firstShown()
 	unclearSends := make(map[operatorsCall]int) // where in judged
 	var judged []porcupine.Operation
-	for _, operation := range h.unabridged(everTaken) {
+	for _, operation := range h.complete(everTaken) {
 		call, answer := operation.Input.(operatorsCall), operation.Output.(operatorsAnswer)
 		if call.read || answer.status != unclear {
 			operation.ClientId = len(judged)
@@ -161,9 +161,9 @@
 	})
 }
 
-// shownBy is for each version that was in force when the first call ended that shows it: a read of it, its confirmation, or that of
+// firstShown is for each version that was in force when the first call ended that shows it: a read of it, its confirmation, or that of
 // an order on top of it.
-func (h *operatorsHistory) shownBy() map[uint64]int64 {
+func (h *operatorsHistory) firstShown() map[uint64]int64 {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	shown := make(map[uint64]int64)
@@ -186,8 +186,8 @@
 	return shown
 }
 
-// unabridged is the whole history: unclear orders last to its end, and those that were never in force are left out.
-func (h *operatorsHistory) unabridged(everTaken func(operatorsCall) bool) []porcupine.Operation {
+// complete is the whole history: unclear orders last to its end, and those that were never in force are left out.
+func (h *operatorsHistory) complete(everTaken func(operatorsCall) bool) []porcupine.Operation {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	end := h.clock.Add(1)
@@ -217,8 +217,8 @@
 	return operatorsCall{base: base, version: version, body: operatorsBody(version, mark), invalid: mark == 0}
 }
 
-// send makes an operator's call of a machine and waits for its answer for the patience at most. Answers of 5xx aren't clear.
-func (w *operatorsWorld) send(m *operatorsMachine, call operatorsCall, patience time.Duration) operatorsAnswer {
+// send makes an operator's call of a machine and waits for its answer for the timeout at most. Answers of 5xx aren't clear.
+func (w *operatorsSim) send(m *operatorsMachine, call operatorsCall, timeout time.Duration) operatorsAnswer {
 	p := m.running()
 	if p == nil {
 		return operatorsAnswer{}
@@ -227,7 +227,7 @@
 	go func() {
 		recorder := httptest.NewRecorder()
 		api := newOperatorAPI(0)
-		api.replace, api.read, api.figures = p.replaceAnywhere, p.readAnywhere, http.NotFound
+		api.replace, api.read, api.metrics = p.replaceOrForward, p.readOrForward, http.NotFound
 		api.handler().ServeHTTP(recorder, request(call))
 		answers <- recorder
 	}()
@@ -241,7 +241,7 @@
 			w.confirm(max(call.version, got.version))
 		}
 		return got
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		return operatorsAnswer{}
 	}
 }
--- a/internal/system/control/operatorsworld_test.go
+++ b/internal/system/control/operatorsworld_test.go
@@ -26,15 +26,15 @@
 )
 
 const (
-	// operatorsKeep is how many entries replicas keep for those that come back: few, so that these get snapshots.
-	operatorsKeep = 6
+	// operatorsKeepEntries is how many entries replicas keep for those that come back: few, so that these get snapshots.
+	operatorsKeepEntries = 6
 	// operatorsCompaction is the length at which a log is rewritten for the first time in a life.
 	operatorsCompaction = 8 << 10
 )
 
-// operatorsWorld is a few machines with replicas whose disks are in memory and whose peers and operators are reached without sockets,
+// operatorsSim is a few machines with replicas whose disks are in memory and whose peers and operators are reached without sockets,
 // inside a synctest bubble. All of a replica but its sockets is the program's own.
-type operatorsWorld struct {
+type operatorsSim struct {
 	t        testing.TB
 	machines []*operatorsMachine
 	trace    func(format string, args ...any)
@@ -49,7 +49,7 @@
 
 // operatorsMachine is a machine; its process may be down.
 type operatorsMachine struct {
-	world    *operatorsWorld
+	sim      *operatorsSim
 	number   int
 	settings *nodesettings.Settings
 	disk     *simdisk.Disk
@@ -60,12 +60,12 @@
 // operatorsProcess is one life of a replica.
 type operatorsProcess struct {
 	*Node
-	machine *operatorsMachine
-	frozen  time.Duration // for how long it stands still next
+	host   *operatorsMachine
+	frozen time.Duration // for how long it stands still next
 }
 
-func newOperatorsWorld(t testing.TB, seed uint64, replicas int) *operatorsWorld {
-	w := &operatorsWorld{t: t, random: rand.New(rand.NewPCG(seed, 3)), cut: map[[2]int]bool{}, trace: func(string, ...any) {}}
+func newOperatorsSim(t testing.TB, seed uint64, replicas int) *operatorsSim {
+	w := &operatorsSim{t: t, random: rand.New(rand.NewPCG(seed, 3)), cut: map[[2]int]bool{}, trace: func(string, ...any) {}}
 	var seeds []string
 	for i := range replicas {
 		seeds = append(seeds, loopback(i)+":9000")
@@ -75,7 +75,7 @@
 		settings.NodeName, settings.IP, settings.Bind.ControlPlane = fmt.Sprint("core-", i), loopback(i), seeds[i]
 		settings.EphemeralPorts = []int{9001, 9001}
 		settings.SeedNodes, settings.Bootstrap, settings.FaultTolerance.Machines = seeds, true, (replicas-1)/2
-		w.machines = append(w.machines, &operatorsMachine{world: w, number: i, settings: settings, disk: simdisk.New(seed + uint64(i))})
+		w.machines = append(w.machines, &operatorsMachine{sim: w, number: i, settings: settings, disk: simdisk.New(seed + uint64(i))})
 	}
 	for _, m := range w.machines {
 		m.start()
@@ -93,24 +93,24 @@
 	if m.running() != nil {
 		return
 	}
-	p := &operatorsProcess{machine: m, Node: &Node{settings: m.settings, logger: log.New(io.Discard),
+	p := &operatorsProcess{host: m, Node: &Node{settings: m.settings, logger: log.New(io.Discard),
 		clock: time.Now, started: time.Now().Add(-time.Second), loop: newLoop(),
-		wall: newWallClock(), client: transport.NewClient(transport.Options{}), list: noPlatform(), left: make(chan struct{})}}
+		wallClock: newWallClock(), client: transport.NewClient(transport.Options{}), listClient: noPlatform(), left: make(chan struct{})}}
 	p.members = membership.New(p.client, membership.Options{Self: peersampling.Peer{Address: p.self().Address, Role: RoleName}})
 	p.forward = p.callPeer
 	file, records, err := wal.Open(m.disk.Process(), logName)
-	require.NoError(m.world.t, err)
+	require.NoError(m.sim.t, err)
 	config := p.replicaConfig()
-	config.KeepEntries, config.Seed = operatorsKeep, m.world.draw()
+	config.KeepEntries, config.Seed = operatorsKeepEntries, m.sim.randomUint64()
 	p.engine, err = newEngine(engineOptions{config: config, log: file, records: records, now: p.now, post: p.loop.post, send: p.send,
-		applied: p.applied, caughtUp: func(int, time.Duration) {}, yield: p.loop.post, committed: p.counts.latency.Observe,
-		installed: p.snapshotTaken, event: p.event, failed: p.failed, fault: p.broken,
-		rewritten: func(int64, time.Duration) {}})
-	require.NoError(m.world.t, err)
+		applied: p.commandApplied, caughtUp: func(int, time.Duration) {}, postDeferred: p.loop.post, committed: p.counts.latency.Observe,
+		snapshotInstalled: p.restoredFromSnapshot, event: p.handleEvent, diskFailed: p.diskFailed, fatal: p.fatal,
+		logRewritten: func(int64, time.Duration) {}})
+	require.NoError(m.sim.t, err)
 	p.engine.compactAt = operatorsCompaction
-	p.configTaken()
+	p.applyConfig()
 	m.put(p)
-	p.loop.post(p.engine.begin)
+	p.loop.post(p.engine.start)
 	p.loop.post(func() { p.engine.step(replica.Contacts{Addresses: p.settings.SeedInternalAddresses()}) })
 	go p.loop.run(p.flush)
 }
@@ -164,21 +164,21 @@
 }
 
 // alive tells whether this is still the machine's process.
-func (p *operatorsProcess) alive() bool { return p.machine.running() == p }
+func (p *operatorsProcess) alive() bool { return p.host.running() == p }
 
-func (p *operatorsProcess) failed(err error) {
+func (p *operatorsProcess) diskFailed(err error) {
 	if p.alive() {
-		p.machine.world.t.Errorf("machine %d: disk: %v", p.machine.number, err)
+		p.host.sim.t.Errorf("machine %d: disk: %v", p.host.number, err)
 	}
 }
 
-func (p *operatorsProcess) broken(err error) {
-	p.machine.world.t.Errorf("machine %d: %v", p.machine.number, err)
+func (p *operatorsProcess) fatal(err error) {
+	p.host.sim.t.Errorf("machine %d: %v", p.host.number, err)
 }
 
-func (p *operatorsProcess) snapshotTaken() {
-	p.machine.world.trace("machine %d has a snapshot", p.machine.number)
-	p.installed()
+func (p *operatorsProcess) restoredFromSnapshot() {
+	p.host.sim.trace("machine %d has a snapshot", p.host.number)
+	p.snapshotInstalled()
 }
 
 // flush is what the program does after each batch, but for the scheduler and the calls that need sockets.
@@ -186,14 +186,14 @@
 	if p.engine.closed {
 		return time.Hour
 	}
-	if p.now() >= p.engine.wake {
+	if p.now() >= p.engine.wakeAt {
 		p.engine.step(replica.Tick{})
 	}
-	p.takeConfig()
+	p.applyPendingConfig()
 	p.checkState()
 	for p.engine.flush() {
 	}
-	wake := max(p.engine.wake-p.now(), time.Millisecond)
+	wake := max(p.engine.wakeAt-p.now(), time.Millisecond)
 	time.Sleep(p.frozen)
 	p.frozen = 0
 	return wake
@@ -204,34 +204,34 @@
 	if !p.alive() || !p.acting() {
 		return
 	}
-	w := p.machine.world
+	w := p.host.sim
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if version := p.engine.machine.Config().Version; version < w.confirmed {
-		w.t.Errorf("machine %d acts as the head on version %d, confirmed is %d", p.machine.number, version, w.confirmed)
+		w.t.Errorf("machine %d acts as the head on version %d, confirmed is %d", p.host.number, version, w.confirmed)
 	}
 }
 
-func (w *operatorsWorld) confirm(version uint64) {
+func (w *operatorsSim) confirm(version uint64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.confirmed = max(w.confirmed, version)
 }
 
-func (w *operatorsWorld) draw() uint64 {
+func (w *operatorsSim) randomUint64() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.random.Uint64()
 }
 
-func (w *operatorsWorld) intn(n int) int { return int(w.draw() % uint64(n)) }
+func (w *operatorsSim) intn(n int) int { return int(w.randomUint64() % uint64(n)) }
 
-func (w *operatorsWorld) between(low, high time.Duration) time.Duration {
-	return low + time.Duration(w.draw()%uint64(high-low+1))
+func (w *operatorsSim) randomDuration(low, high time.Duration) time.Duration {
+	return low + time.Duration(w.randomUint64()%uint64(high-low+1))
 }
 
 // heal ends all faults and starts what is down.
-func (w *operatorsWorld) heal() {
+func (w *operatorsSim) heal() {
 	w.mutex.Lock()
 	clear(w.cut)
 	w.lossy = 0
@@ -241,11 +241,11 @@
 	}
 }
 
-func (w *operatorsWorld) stop() {
+func (w *operatorsSim) stop() {
 	for _, m := range w.machines {
 		m.kill(false)
 	}
-	time.Sleep(2 * operatorPatience) // of the bubble: all calls have ended
+	time.Sleep(2 * operatorTimeout) // of the bubble: all calls have ended
 }
 
 func put(reply, answer any) {
@@ -257,20 +257,20 @@
 	}
 }
 
-// peek runs a question on a process's loop and waits for the answer.
-func peek[T any](p *operatorsProcess, question func(n *Node) T) T {
+// onProcess runs a question on a process's loop and waits for the answer.
+func onProcess[T any](p *operatorsProcess, question func(n *Node) T) T {
 	var none T
-	return ask(p.Node, time.Second, none, func(answer func(T)) { answer(question(p.Node)) })
+	return runOnLoop(p.Node, time.Second, none, func(answer func(T)) { answer(question(p.Node)) })
 }
 
-// wholeHead is the machine that acts as the head of a chain of all machines, nil if there is none now.
-func (w *operatorsWorld) wholeHead() *operatorsMachine {
+// completeHead is the machine that acts as the head of a chain of all machines, nil if there is none now.
+func (w *operatorsSim) completeHead() *operatorsMachine {
 	for _, m := range w.machines {
 		p := m.running()
 		if p == nil {
 			continue
 		}
-		if peek(p, func(n *Node) bool { return n.acting() && len(n.engine.view().Chain) == len(w.machines) }) {
+		if onProcess(p, func(n *Node) bool { return n.acting() && len(n.engine.view().Chain) == len(w.machines) }) {
 			return m
 		}
 	}
@@ -278,16 +278,16 @@
 }
 
 // head waits until a machine acts as the head and the chain has all machines, or gives up.
-func (w *operatorsWorld) head() *operatorsMachine {
+func (w *operatorsSim) head() *operatorsMachine {
 	for range 400 {
-		if m := w.wholeHead(); m != nil {
+		if m := w.completeHead(); m != nil {
 			return m
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	for _, m := range w.machines {
 		if p := m.running(); p != nil {
-			w.t.Logf("machine %d: %+v", m.number, peek(p, func(n *Node) replica.Status { return n.engine.replica.Status(n.now()) }))
+			w.t.Logf("machine %d: %+v", m.number, onProcess(p, func(n *Node) replica.Status { return n.engine.replica.Status(n.now()) }))
 		}
 	}
 	w.stop() // what is left of a bubble would hide why
@@ -296,7 +296,7 @@
 }
 
 // others are the machines but one.
-func (w *operatorsWorld) others(but *operatorsMachine) []*operatorsMachine {
+func (w *operatorsSim) others(but *operatorsMachine) []*operatorsMachine {
 	var others []*operatorsMachine
 	for _, m := range w.machines {
 		if m != but {
--- a/internal/system/control/ordermemory_test.go
+++ b/internal/system/control/ordermemory_test.go
@@ -19,23 +19,23 @@
 
 const (
 	stalledOrders = 40
-	// mostOrdersHeld is what all that they have begun to send may take: a machine of the operators' has 280 MB for the whole process.
-	mostOrdersHeld = 80 << 20
+	// maxOrderMemory is what all that they have begun to send may take: a machine of the operators' has 280 MB for the whole process.
+	maxOrderMemory = 80 << 20
 )
 
 // Operators that begin a large configuration and stall take a bounded part of the memory all together.
-func TestStalledOrdersTakeABoundedPartOfTheMemory(t *testing.T) {
+func TestStalledOrdersTakeBoundedMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simnet.New(1)
 		listener, err := network.Listen(operatorAddress)
 		require.NoError(t, err)
 		api := newOperatorAPI(0)
-		api.figures = http.NotFound
+		api.metrics = http.NotFound
 		server := operatorServer(api.handler())
 		go func() { _ = server.Serve(listener) }()
 		before := heaptest.Held()
-		head := fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", mostConfigBytes)
-		half := strings.Repeat(" ", mostConfigBytes/2)
+		head := fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", maxConfigBytes)
+		half := strings.Repeat(" ", maxConfigBytes/2)
 		var conns []net.Conn
 		for range stalledOrders {
 			conn, err := network.Dial(t.Context(), operatorHost, operatorAddress)
@@ -54,6 +54,6 @@
 		}
 		assert.NoError(t, server.Close())
 		time.Sleep(time.Second)
-		assert.Less(t, held, int64(mostOrdersHeld))
+		assert.Less(t, held, int64(maxOrderMemory))
 	})
 }
--- a/internal/system/control/orders.go
+++ b/internal/system/control/orders.go
@@ -8,26 +8,26 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// mostCalls bounds the calls on workers that are out at once.
-const mostCalls = 4096
+// maxWorkerCalls bounds the calls on workers that are out at once.
+const maxWorkerCalls = 4096
 
-// reservedFiles are the descriptors left for the platform, the log, other processes and the operator; leastConnections are allowed
+// reservedDescriptors are the descriptors left for the platform, the log, other processes and the operator; minWorkerConnections are allowed
 // to workers whatever the limit.
 const (
-	reservedFiles    = 700
-	leastConnections = 256
+	reservedDescriptors  = 700
+	minWorkerConnections = 256
 )
 
 // workerConnections is how many connections to workers there may be.
 func (n *Node) workerConnections() int {
-	return max(n.settings.Limits.MaxOpenFiles-reservedFiles, leastConnections)
+	return max(n.settings.Limits.MaxOpenFiles-reservedDescriptors, minWorkerConnections)
 }
 
 // connectionsPerWorker bounds the connections to one worker: two holds, and orders beside them of which some get no answer.
 const connectionsPerWorker = 8
 
-// orders carries out the scheduler's calls on workers, each on a goroutine of its own.
-type orders struct {
+// workerCalls carries out the scheduler's calls on workers, each on a goroutine of its own.
+type workerCalls struct {
 	client *workerapi.Client
 	slots  chan struct{}
 
@@ -36,21 +36,21 @@
 	cancel context.CancelFunc
 }
 
-func newOrders(connections int, dial workerapi.Dial) *orders {
+func newWorkerCalls(connections int, dial workerapi.Dial) *workerCalls {
 	client := workerapi.NewClient(workerapi.Options{Connections: connections, ConnectionsPerWorker: connectionsPerWorker, Dial: dial})
-	o := &orders{client: client, slots: make(chan struct{}, mostCalls)}
+	o := &workerCalls{client: client, slots: make(chan struct{}, maxWorkerCalls)}
 	o.ctx, o.cancel = context.WithCancel(context.Background())
 	return o
 }
 
 // start runs one call; with no slot free it answers false, and nothing was sent.
-func (o *orders) start(timeout time.Duration, call func(ctx context.Context, client *workerapi.Client)) bool {
+func (o *workerCalls) start(timeout time.Duration, call func(ctx context.Context, client *workerapi.Client)) bool {
 	select {
 	case o.slots <- struct{}{}:
 	default:
 		return false
 	}
-	until := o.current()
+	until := o.callContext()
 	go func() {
 		defer func() { <-o.slots }()
 		ctx, cancel := context.WithTimeout(until, timeout)
@@ -60,15 +60,15 @@
 	return true
 }
 
-// current is the context of the calls that begin now.
-func (o *orders) current() context.Context {
+// callContext is the context of the calls that begin now.
+func (o *workerCalls) callContext() context.Context {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.ctx
 }
 
-// breakOff ends all calls that are out, those among them that still wait for a connection; calls may be made again.
-func (o *orders) breakOff() {
+// cancelAll ends all calls that are out, those among them that still wait for a connection; calls may be made again.
+func (o *workerCalls) cancelAll() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.cancel()
@@ -76,7 +76,7 @@
 }
 
 // close breaks off all calls for good.
-func (o *orders) close() {
+func (o *workerCalls) close() {
 	o.mutex.Lock()
 	o.cancel()
 	o.mutex.Unlock()
--- a/internal/system/control/orders_test.go
+++ b/internal/system/control/orders_test.go
@@ -13,7 +13,7 @@
 )
 
 // Calls that still wait for a connection when they are broken off never go out; later ones are made.
-func TestCallsThatAreBrokenOffGoNowhere(t *testing.T) {
+func TestCancelledCallsAreNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
 		silent := func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -21,7 +21,7 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		o := newOrders(10, silent)
+		o := newWorkerCalls(10, silent)
 		defer o.close()
 		worker := workerapi.Worker{Instance: "w", Address: "10.0.0.1:1"}
 		outcomes := make(chan workerapi.Outcome, 2)
@@ -32,7 +32,7 @@
 		began := time.Now()
 		assert.True(t, o.start(400*time.Millisecond, hold))
 		synctest.Wait()
-		o.breakOff()
+		o.cancelAll()
 		assert.Equal(t, workerapi.NotSent, <-outcomes)
 		assert.Zero(t, time.Since(began))
 		assert.True(t, o.start(400*time.Millisecond, hold))
--- a/internal/system/control/overview.go
+++ b/internal/system/control/overview.go
@@ -12,15 +12,15 @@
 // LogName is the name of a replica's log in its data folder.
 const LogName = logName
 
-// lookPatience bounds how long an operator's question waits for the loop.
-const lookPatience = 2 * time.Second
+// operatorQueryTimeout bounds how long an operator's question waits for the loop.
+const operatorQueryTimeout = 2 * time.Second
 
 var errBusy = errors.New("the replica is too busy to answer; ask again")
 
-// look runs an operator's question on the loop.
-func look[T any](n *Node, question func() T) (T, error) {
+// queryOnLoop runs an operator's question on the loop.
+func queryOnLoop[T any](n *Node, question func() T) (T, error) {
 	var none T
-	answer := ask(n, lookPatience, (*T)(nil), func(answer func(*T)) {
+	answer := runOnLoop(n, operatorQueryTimeout, (*T)(nil), func(answer func(*T)) {
 		found := question()
 		answer(&found)
 	})
@@ -32,7 +32,7 @@
 
 // Overview tells what the replica knows of itself and of the chain.
 func (s *Service) Overview(_ internalapi.OverviewArgs, reply *internalapi.OverviewReply) (err error) {
-	*reply, err = look(s.node, s.node.overview)
+	*reply, err = queryOnLoop(s.node, s.node.overview)
 	return err
 }
 
@@ -50,10 +50,10 @@
 		LeaseMs:       status.Lease.Milliseconds(),
 		Scheduling:    n.acting(),
 		Committed:     status.Committed,
-		Applied:       n.engine.appliedTo,
+		Applied:       n.engine.appliedIndex,
 		Last:          status.Last,
 		Synced:        status.Synced,
-		LogBytes:      n.engine.disk.bytes(),
+		LogBytes:      n.engine.disk.logSize(),
 		ConfigVersion: n.engine.machine.Config().Version,
 		Tolerance:     n.settings.FaultTolerance.Machines,
 		Leaving:       status.Leaving,
--- a/internal/system/control/platformlist_test.go
+++ b/internal/system/control/platformlist_test.go
@@ -16,70 +16,70 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// listStand is a node whose platform says nothing until the reading's time is over.
-func listStand() *Node {
+// newUnresponsiveListNode is a node whose platform says nothing until the reading's time is over.
+func newUnresponsiveListNode() *Node {
 	silent := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	return &Node{loop: newLoop(), clock: time.Now, started: time.Now(), settings: nodesettings.Default(), logger: log.New(io.Discard),
-		list: workerapi.NewListClient(silent)}
+		listClient: workerapi.NewListClient(silent)}
 }
 
 // A reading that is out when its scheduler goes keeps neither that replica's next scheduler from reading, nor one that comes after its end.
-func TestAReadingOfAGoneSchedulerHoldsNobodyUp(t *testing.T) {
+func TestListRequestOfADroppedSchedulerBlocksNoOther(t *testing.T) {
 	for _, endsFirst := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			n := listStand()
-			n.scheduler, _ = newOwner(t, 1)
+			n := newUnresponsiveListNode()
+			n.scheduler, _ = newSchedulerWithCall(t, 1)
 			n.readList()
 			require.False(t, n.platform.due(n.now()))
 			n.dropScheduler()
 			if endsFirst {
 				time.Sleep(2 * listTimeout)
 				synctest.Wait()
-				for _, work := range n.loop.take(nil) {
+				for _, work := range n.loop.takeQueue(nil) {
 					work()
 				}
 			}
-			n.scheduler, _ = newOwner(t, 2)
-			n.takeEarlyList()
+			n.scheduler, _ = newSchedulerWithCall(t, 2)
+			n.useEarlyList()
 			require.True(t, n.platform.due(n.now()), "the reading had ended first: %v", endsFirst)
 			n.readList()
 			time.Sleep(2 * listTimeout)
 			synctest.Wait()
-			for _, work := range n.loop.take(nil) {
+			for _, work := range n.loop.takeQueue(nil) {
 				work()
 			}
-			require.True(t, n.platform.due(n.now()+listRetryMost), "it is read again")
+			require.True(t, n.platform.due(n.now()+listRetryMax), "it is read again")
 			require.Equal(t, 1, n.platform.failures, "the reading of the one that is gone doesn't count")
 		})
 	}
 }
 
 // An early reading serves the scheduler that is made while it is out, or after it.
-func TestAnEarlyReadingServesTheNextScheduler(t *testing.T) {
+func TestEarlyListIsDeliveredToTheNextScheduler(t *testing.T) {
 	for _, endsFirst := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			n := listStand()
+			n := newUnresponsiveListNode()
 			n.readListEarly()
-			early := n.platform.reading
+			early := n.platform.request
 			require.NotNil(t, early)
-			list := []workerapi.Instance{{ID: "i-9", Address: ownedWorker, State: workerapi.StateReady}}
+			list := []workerapi.Instance{{ID: "i-9", Address: testWorkerAddress, State: workerapi.StateReady}}
 			if endsFirst {
-				n.listed(early, list, nil)
+				n.listReceived(early, list, nil)
 			}
-			n.scheduler, _ = newOwner(t, 1)
-			n.takeEarlyList()
-			require.Equal(t, endsFirst, n.platform.reading == nil)
+			n.scheduler, _ = newSchedulerWithCall(t, 1)
+			n.useEarlyList()
+			require.Equal(t, endsFirst, n.platform.request == nil)
 			if !endsFirst {
-				n.listed(early, list, nil)
+				n.listReceived(early, list, nil)
 			}
 			calls := n.scheduler.Drain().Calls
 			require.NotEmpty(t, calls, "the worker of the list is looked at")
 			require.Equal(t, "i-9", calls[0].Worker.Instance)
 			require.False(t, n.platform.due(n.now()))
-			n.listed(early, nil, errors.New("twice"))
+			n.listReceived(early, nil, errors.New("twice"))
 			require.Zero(t, n.platform.failures)
 			time.Sleep(2 * listTimeout)
 		})
--- a/internal/system/control/reads.go
+++ b/internal/system/control/reads.go
@@ -2,11 +2,11 @@
 
 import "gaugeslip/internal/system/state"
 
-// mostWaitingReads bounds the reads that wait for their state; more are refused at once.
-const mostWaitingReads = 4096
+// maxPendingReads bounds the reads that wait for their state; more are refused at once.
+const maxPendingReads = 4096
 
-// waitingRead is a read that may be answered once the state here has come to an index.
-type waitingRead struct {
+// pendingRead is a read that may be answered once the state here has come to an index.
+type pendingRead struct {
 	index  uint64
 	answer func(current bool)
 }
@@ -16,18 +16,18 @@
 // goes out.
 func (e *engine) read(answer func(current bool)) {
 	index, ok := e.readIndex()
-	e.await(index, ok, answer)
+	e.awaitIndex(index, ok, answer)
 }
 
 // readJob is read for one job: it waits only for what may change that job. Nothing is said of the order of changes to different jobs. A
 // backlog is waited for as a whole: to look through it takes about as long as to apply it.
 func (e *engine) readJob(id state.JobID, answer func(current bool)) {
 	index, ok := e.readIndex()
-	if ok && index > e.appliedTo && !e.catchingUp() {
-		e.unapplied.look(e.replica.EntriesAfter(max(e.unapplied.seen, e.appliedTo)))
-		index = min(index, e.unapplied.lastOf(id))
+	if ok && index > e.appliedIndex && !e.catchingUp() {
+		e.unapplied.scan(e.replica.EntriesAfter(max(e.unapplied.scannedTo, e.appliedIndex)))
+		index = min(index, e.unapplied.lastChange(id))
 	}
-	e.await(index, ok, answer)
+	e.awaitIndex(index, ok, answer)
 }
 
 // readIndex is what has to be applied for the state here to show all that has been acknowledged; ok is false where that isn't known here.
@@ -38,36 +38,36 @@
 	return e.replica.ReadIndex(e.options.now())
 }
 
-// await answers once the state here has come to an index.
-func (e *engine) await(index uint64, ok bool, answer func(current bool)) {
+// awaitIndex answers once the state here has come to an index.
+func (e *engine) awaitIndex(index uint64, ok bool, answer func(current bool)) {
 	switch {
-	case !ok || len(e.reads) >= mostWaitingReads:
+	case !ok || len(e.pendingReads) >= maxPendingReads:
 		answer(false)
-	case index <= e.appliedTo:
+	case index <= e.appliedIndex:
 		answer(true)
 	default:
-		e.reads = append(e.reads, waitingRead{index, answer})
+		e.pendingReads = append(e.pendingReads, pendingRead{index, answer})
 	}
 }
 
-// settleReads answers the reads whose state is reached.
-func (e *engine) settleReads() {
-	kept := e.reads[:0]
-	for _, waiting := range e.reads {
-		if waiting.index > e.appliedTo {
+// answerReadyReads answers the reads whose state is reached.
+func (e *engine) answerReadyReads() {
+	kept := e.pendingReads[:0]
+	for _, waiting := range e.pendingReads {
+		if waiting.index > e.appliedIndex {
 			kept = append(kept, waiting)
 			continue
 		}
 		waiting.answer(true)
 	}
-	clear(e.reads[len(kept):])
-	e.reads = kept
+	clear(e.pendingReads[len(kept):])
+	e.pendingReads = kept
 }
 
-// refuseReads ends all reads that wait: in another view their indexes may never come, and others may stand there.
-func (e *engine) refuseReads() {
-	waiting := e.reads
-	e.reads, e.unapplied = nil, unapplied{}
+// rejectReads ends all reads that wait: in another view their indexes may never come, and others may stand there.
+func (e *engine) rejectReads() {
+	waiting := e.pendingReads
+	e.pendingReads, e.unapplied = nil, unapplied{}
 	for _, read := range waiting {
 		read.answer(false)
 	}
--- a/internal/system/control/reads_test.go
+++ b/internal/system/control/reads_test.go
@@ -14,14 +14,14 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// readWorld is a deployment with one configuration after the other, of which the newest acknowledged is known.
-type readWorld struct {
-	*shareWorld
+// readSim is a deployment with one configuration after the other, of which the newest acknowledged is known.
+type readSim struct {
+	*shareSim
 	acknowledged uint64
 }
 
-func startReadWorld(t *testing.T, seed uint64) *readWorld {
-	w := &readWorld{shareWorld: newShareWorld(t, seed, nil)}
+func startReadSim(t *testing.T, seed uint64) *readSim {
+	w := &readSim{shareSim: newShareSim(t, seed, nil)}
 	time.Sleep(2 * time.Second) // of the bubble, as all pauses here
 	require.NotNil(t, w.head())
 	w.replace()
@@ -29,13 +29,13 @@
 }
 
 // replace puts the next configuration in force, wherever there is a head, and notes it once it is acknowledged.
-func (w *readWorld) replace() { w.replaceAt(w.replicas) }
+func (w *readSim) replace() { w.replaceAt(w.replicas) }
 
-func (w *readWorld) replaceAt(replicas []*shareReplica) {
+func (w *readSim) replaceAt(replicas []*shareReplica) {
 	next := w.acknowledged + 1
 	args := internalapi.ReplaceArgs{Base: w.acknowledged, Body: fmt.Appendf(nil, `{"version":%d}`, next)}
 	for attempt := 0; ; attempt++ {
-		reply := replicas[attempt%len(replicas)].replaceHere(args, operatorPatience)
+		reply := replicas[attempt%len(replicas)].replaceLocally(args, operatorTimeout)
 		if reply.Verdict == internalapi.Done {
 			w.acknowledged = next
 			return
@@ -46,9 +46,9 @@
 }
 
 // tail is the replica at the chain's end, as the head knows it.
-func (w *readWorld) tail() *shareReplica {
+func (w *readSim) tail() *shareReplica {
 	head := w.head()
-	address := lookAt(head, func() string { return head.engine.view().Tail().Address })
+	address := onReplica(head, func() string { return head.engine.view().Tail().Address })
 	for _, r := range w.replicas {
 		if r.self().Address == address {
 			return r
@@ -61,12 +61,12 @@
 // committed.
 func TestReadsShowWhatIsAcknowledged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startReadWorld(t, 1)
+		w := startReadSim(t, 1)
 		defer w.stop()
 		for range 20 {
 			w.replace()
 			w.checkReads()
-			reply := w.tail().readHere()
+			reply := w.tail().readLocally()
 			assert.Equal(t, internalapi.Done, reply.Verdict, "the tail answers")
 			assert.Equal(t, w.acknowledged, reply.Version)
 		}
@@ -74,9 +74,9 @@
 }
 
 // checkReads asks every replica in every way; none may show less than what is acknowledged.
-func (w *readWorld) checkReads() {
+func (w *readSim) checkReads() {
 	for i, r := range w.replicas {
-		if reply := r.readHere(); reply.Verdict == internalapi.Done {
+		if reply := r.readLocally(); reply.Verdict == internalapi.Done {
 			assert.Equal(w.t, w.acknowledged, reply.Version, "Read at %d", i)
 		}
 		var digest internalapi.DigestReply
@@ -94,10 +94,10 @@
 	for place := range shareReplicas {
 		t.Run(fmt.Sprint(place), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := startReadWorld(t, uint64(10+place))
+				w := startReadSim(t, uint64(10+place))
 				defer w.stop()
 				head := w.head()
-				chain := lookAt(head, func() []string { return addresses(head.engine.view().Chain) })
+				chain := onReplica(head, func() []string { return addresses(head.engine.view().Chain) })
 				for _, r := range w.replicas {
 					if r.self().Address == chain[place] {
 						w.cutOff(r, 20*time.Second)
@@ -109,15 +109,15 @@
 }
 
 // cutOff cuts a replica off for a while, asks and orders there, and goes on with the others.
-func (w *readWorld) cutOff(r *shareReplica, length time.Duration) {
+func (w *readSim) cutOff(r *shareReplica, length time.Duration) {
 	w.setCut(r.number, true)
 	began := time.Now()
 	stale := internalapi.ReplaceArgs{Base: w.acknowledged, Body: fmt.Appendf(nil, `{"version":%d}`, 1000)}
 	for time.Since(began) < length {
 		time.Sleep(500 * time.Millisecond)
 		asked := time.Now()
-		assert.Equal(w.t, internalapi.NotHead, r.readHere().Verdict)
-		assert.Equal(w.t, internalapi.NotHead, r.replaceHere(stale, operatorPatience).Verdict)
+		assert.Equal(w.t, internalapi.NotHead, r.readLocally().Verdict)
+		assert.Equal(w.t, internalapi.NotHead, r.replaceLocally(stale, operatorTimeout).Verdict)
 		var job internalapi.JobReply
 		require.NoError(w.t, (&Service{node: r.Node}).Cancel(internalapi.CancelArgs{ID: 1}, &job))
 		assert.Equal(w.t, internalapi.NotHead, job.Verdict)
@@ -127,7 +127,7 @@
 	}
 	w.setCut(r.number, false)
 	for range 100 {
-		assert.NotEqual(w.t, internalapi.Done, r.replaceHere(stale, operatorPatience).Verdict)
+		assert.NotEqual(w.t, internalapi.Done, r.replaceLocally(stale, operatorTimeout).Verdict)
 		w.checkReads()
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -138,12 +138,12 @@
 // A read that waits for a state ends with the view: its index may never be committed.
 func TestWaitingReadEndsWithTheView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startReadWorld(t, 2)
+		w := startReadSim(t, 2)
 		defer w.stop()
 		tail, head := w.tail(), w.head()
 		answers := make(chan bool, 1)
 		tail.loop.post(func() {
-			tail.engine.reads = append(tail.engine.reads, waitingRead{index: 1 << 40, answer: func(current bool) { answers <- current }})
+			tail.engine.pendingReads = append(tail.engine.pendingReads, pendingRead{index: 1 << 40, answer: func(current bool) { answers <- current }})
 		})
 		w.replace()
 		assert.Empty(t, answers, "it waits for its index")
@@ -158,18 +158,18 @@
 // At most so many reads wait, and a closed engine answers all.
 func TestWaitingReadsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startReadWorld(t, 3)
+		w := startReadSim(t, 3)
 		defer w.stop()
 		tail := w.tail()
-		refused := lookAt(tail, func() int {
+		refused := onReplica(tail, func() int {
 			refused := 0
 			count := func(current bool) {
 				if !current {
 					refused++
 				}
 			}
-			for range mostWaitingReads {
-				tail.engine.reads = append(tail.engine.reads, waitingRead{index: 1 << 40, answer: count})
+			for range maxPendingReads {
+				tail.engine.pendingReads = append(tail.engine.pendingReads, pendingRead{index: 1 << 40, answer: count})
 			}
 			tail.engine.read(count)
 			assert.Equal(t, 1, refused)
@@ -177,7 +177,7 @@
 			tail.engine.read(count)
 			return refused
 		})
-		assert.Equal(t, mostWaitingReads+2, refused)
+		assert.Equal(t, maxPendingReads+2, refused)
 	})
 }
 
@@ -185,7 +185,7 @@
 // knows, an order on top of the newest version would be refused.
 func TestFrozenHeadDecidesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startReadWorld(t, 4)
+		w := startReadSim(t, 4)
 		defer w.stop()
 		frozen := w.head()
 		const length = 20 * time.Second
@@ -215,18 +215,18 @@
 func TestCutOffReplicaSendsOperatorsAway(t *testing.T) {
 	for place := range shareReplicas {
 		synctest.Test(t, func(t *testing.T) {
-			w := startReadWorld(t, uint64(20+place))
+			w := startReadSim(t, uint64(20+place))
 			defer w.stop()
 			r := w.replicas[place]
-			time.Sleep(2 * contactPatience)
+			time.Sleep(2 * headContactTimeout)
 			w.checkInTouch(r, true)
 			w.setCut(r.number, true)
-			time.Sleep(contactPatience + time.Second)
+			time.Sleep(headContactTimeout + time.Second)
 			w.checkInTouch(r, false)
 			asked := time.Now()
-			order := r.replaceAnywhere(internalapi.ReplaceArgs{Base: w.acknowledged, Body: []byte(`{"version":1000}`)}, operatorPatience)
+			order := r.replaceOrForward(internalapi.ReplaceArgs{Base: w.acknowledged, Body: []byte(`{"version":1000}`)}, operatorTimeout)
 			assert.Equal(t, http.StatusServiceUnavailable, order.Status)
-			assert.Equal(t, internalapi.NotHead, r.readAnywhere(operatorPatience).Verdict)
+			assert.Equal(t, internalapi.NotHead, r.readOrForward(operatorTimeout).Verdict)
 			assert.Less(t, time.Since(asked), 10*time.Millisecond)
 			w.setCut(r.number, false)
 			time.Sleep(time.Second)
@@ -235,6 +235,6 @@
 	}
 }
 
-func (w *readWorld) checkInTouch(r *shareReplica, want bool) {
-	assert.Equal(w.t, want, !r.outOfTouch(), "replica %d", r.number)
+func (w *readSim) checkInTouch(r *shareReplica, want bool) {
+	assert.Equal(w.t, want, !r.isCutOff(), "replica %d", r.number)
 }
--- a/internal/system/control/restart.go
+++ b/internal/system/control/restart.go
@@ -14,35 +14,35 @@
 
 // startEngine opens the log and makes the replica from what it holds.
 func (n *Node) startEngine() error {
-	folder, err := n.dataFolder()
+	disk, err := n.openDataDisk()
 	if err != nil {
-		return fmt.Errorf("data folder: %w", err)
+		return fmt.Errorf("data directory: %w", err)
 	}
-	file, records, err := wal.Open(folder, logName)
+	file, records, err := wal.Open(disk, logName)
 	if err != nil {
 		return fmt.Errorf("open log: %w", err)
 	}
-	if records, err = n.fitRecords(folder, file, records); err != nil {
+	if records, err = n.replaceUnfitRecords(disk, file, records); err != nil {
 		return fmt.Errorf("give up an unfit disk: %w", err)
 	}
-	engine, err := newEngine(engineOptions{config: n.replicaConfig(), log: file, records: records, now: n.now, post: n.loop.postUrgent, yield: n.loop.postAfterOthers,
-		send: n.sender.Send, applied: n.applied, caughtUp: n.tellOfBacklog, committed: n.counts.latency.Observe, installed: n.installed, event: n.event,
-		failed: n.engineFailed, fault: n.fail, rewritten: n.logRewritten, invariants: n.invariants})
+	engine, err := newEngine(engineOptions{config: n.replicaConfig(), log: file, records: records, now: n.now, post: n.loop.postUrgent, postDeferred: n.loop.postDeferred,
+		send: n.sender.Send, applied: n.commandApplied, caughtUp: n.logBacklogApplied, committed: n.counts.latency.Observe, snapshotInstalled: n.snapshotInstalled, event: n.handleEvent,
+		diskFailed: n.diskFailed, fatal: n.fail, logRewritten: n.logRewritten, invariants: n.invariants})
 	if err != nil {
 		return fmt.Errorf("read log: %w", err)
 	}
 	n.engine = engine
-	n.watched.config = 0 // what the disk holds may be older, and isn't shown before it is current
-	n.tellOfDisk(len(records), file.Size())
-	n.configTaken()
-	n.engine.begin()
+	n.invariantState.configVersion = 0 // what the disk holds may be older, and isn't shown before it is current
+	n.logRestoredLog(len(records), file.Size())
+	n.applyConfig()
+	n.engine.start()
 	n.engine.step(replica.Contacts{Addresses: n.contacts()})
 	return nil
 }
 
-func (n *Node) dataFolder() (wal.Disk, error) {
-	if n.folder != nil {
-		return n.folder, nil
+func (n *Node) openDataDisk() (wal.Disk, error) {
+	if n.disk != nil {
+		return n.disk, nil
 	}
 	return wal.OSDisk(n.settings.DataDir)
 }
@@ -51,8 +51,8 @@
 func (n *Node) replicaConfig() replica.Config {
 	self := n.self()
 	seeds := n.settings.SeedInternalAddresses()
-	config := replica.Config{Tolerance: n.settings.FaultTolerance.Machines, Seed: rand.Uint64(), Grant: grant,
-		HeartbeatEvery: heartbeatEvery, DropAfter: dropAfter, StallAfter: stallAfter}
+	config := replica.Config{Tolerance: n.settings.FaultTolerance.Machines, Seed: rand.Uint64(), Grant: grantDuration,
+		HeartbeatEvery: heartbeatInterval, DropAfter: dropAfter, StallAfter: stallAfter}
 	if n.settings.Bootstrap && slices.Contains(seeds, self.Address) {
 		self.ID = view.ReplicaID(self.Address)
 		config.Genesis = n.genesis()
@@ -73,8 +73,8 @@
 	return &first
 }
 
-// engineFailed takes the replica out; it comes back after a pause with what the disk holds.
-func (n *Node) engineFailed(err error) {
+// diskFailed takes the replica out; it comes back after a pause with what the disk holds.
+func (n *Node) diskFailed(err error) {
 	if n.engine == nil || n.engine.closed {
 		return
 	}
@@ -82,7 +82,7 @@
 	n.engine.step(replica.DiskFailed{})
 	n.dropScheduler()
 	n.engine.close()
-	time.AfterFunc(restartPause, func() { n.loop.post(n.restartEngine) })
+	time.AfterFunc(restartDelay, func() { n.loop.post(n.restartEngine) })
 }
 
 func (n *Node) restartEngine() {
@@ -90,12 +90,12 @@
 		return
 	}
 	if !n.engine.disk.hasEnded() {
-		time.AfterFunc(restartPause, func() { n.loop.post(n.restartEngine) })
+		time.AfterFunc(restartDelay, func() { n.loop.post(n.restartEngine) })
 		return
 	}
 	if err := n.startEngine(); err != nil {
 		n.logger.Error("replica doesn't start", "error", err)
-		time.AfterFunc(restartPause, func() { n.loop.post(n.restartEngine) })
+		time.AfterFunc(restartDelay, func() { n.loop.post(n.restartEngine) })
 		return
 	}
 	n.logger.Info("replica started again")
--- a/internal/system/control/restart_test.go
+++ b/internal/system/control/restart_test.go
@@ -15,19 +15,19 @@
 	"gaugeslip/internal/system/state"
 )
 
-// restartBack is how long it may take until all machines are back after the last fault.
-const restartBack = 10 * time.Second
+// restartRecoveryTime is how long it may take until all machines are back after the last fault.
+const restartRecoveryTime = 10 * time.Second
 
 // restartWriter writes configurations and jobs at the head, one after the other.
 type restartWriter struct {
-	world   *restartWorld
+	sim     *restartSim
 	changes uint64 // confirmed configurations
 	jobs    uint64
 }
 
 // write hands one command to the head, if there is one, and tells whether it is committed.
 func (r *restartWriter) write(command state.Command) bool {
-	head := r.world.head()
+	head := r.sim.head()
 	if head == nil {
 		time.Sleep(20 * time.Millisecond)
 		return false
@@ -38,8 +38,8 @@
 	}
 	answers := make(chan bool, 1)
 	p.loop.post(func() {
-		p.engine.propose(command, func(result state.Result, fate fate) {
-			answers <- fate == fateCommitted && result.Outcome <= state.Repeated
+		p.engine.propose(command, func(result state.Result, status commitStatus) {
+			answers <- status == statusCommitted && result.Outcome <= state.Repeated
 		})
 	})
 	select {
@@ -60,17 +60,17 @@
 			return
 		}
 	}
-	r.world.t.Errorf("change %d is never confirmed", r.changes+1)
+	r.sim.t.Errorf("change %d is never confirmed", r.changes+1)
 }
 
-// work brings some jobs on their way: accepted, started, ended, forgotten.
-func (r *restartWriter) work() {
+// writeJobs brings some jobs on their way: accepted, started, ended, forgotten.
+func (r *restartWriter) writeJobs() {
 	r.jobs++
 	id := state.JobID(r.jobs)
 	worker := fmt.Sprint("w", r.jobs%7)
 	run := state.Run{Task: state.TaskName{Job: id}, Attempt: 1}
 	r.write(state.Command{Kind: state.KindJobAccepted, JobAccepted: &state.JobAccepted{ID: id, Route: fmt.Sprint("r", r.jobs%3), MaxRetries: 2,
-		Body: fmt.Appendf(nil, `{"spec":"x%d","note":"%0*d","stages":[{"count":2,"cpu":100}]}`, r.jobs, r.world.note, 0)}})
+		Body: fmt.Appendf(nil, `{"spec":"x%d","note":"%0*d","stages":[{"count":2,"cpu":100}]}`, r.jobs, r.sim.noteBytes, 0)}})
 	r.write(state.Command{Kind: state.KindTasksStarting, TasksStarting: []state.Start{{Run: run, Worker: worker}}})
 	if r.jobs > 5 {
 		old := r.jobs - 5
@@ -87,15 +87,15 @@
 	}
 }
 
-// trouble is one fault of one machine, or a loss of power of all, and its end.
-func (w *restartWorld) trouble() {
+// injectFault is one fault of one machine, or a loss of power of all, and its end.
+func (w *restartSim) injectFault() {
 	m := w.machines[w.intn(len(w.machines))]
 	if head := w.head(); head != nil && w.intn(3) == 0 {
 		m = head
 	}
-	length := w.between(50*time.Millisecond, 4*time.Second)
+	length := w.randomDuration(50*time.Millisecond, 4*time.Second)
 	kind := w.intn(9)
-	w.trace("trouble %d at %d for %v, committed %d", kind, m.number, length, w.highest())
+	w.trace("trouble %d at %d for %v, committed %d", kind, m.number, length, w.maxApplied())
 	switch kind {
 	case 0:
 		m.kill((*simdisk.Disk).Restart)
@@ -115,9 +115,9 @@
 		time.Sleep(length)
 		return
 	case 7:
-		m.refuse()
+		m.failDisk()
 		time.Sleep(length)
-		m.obey()
+		m.repairDisk()
 		return
 	case 8:
 		for _, one := range w.machines {
@@ -129,17 +129,17 @@
 		one.start()
 	}
 	if w.intn(2) == 0 { // cut off in the midst of coming back, at times for so long that the head forgets it
-		time.Sleep(w.between(time.Millisecond, 400*time.Millisecond))
+		time.Sleep(w.randomDuration(time.Millisecond, 400*time.Millisecond))
 		w.isolate(m, true)
-		time.Sleep(w.between(time.Millisecond, 4*time.Second) * time.Duration(1+w.intn(4)))
+		time.Sleep(w.randomDuration(time.Millisecond, 4*time.Second) * time.Duration(1+w.intn(4)))
 		w.isolate(m, false)
 	}
 }
 
-// untilWhole waits until all machines are back and tells whether they came in time.
-func (w *restartWorld) untilWhole() bool {
-	for range int(restartBack / (50 * time.Millisecond)) {
-		if w.whole() {
+// waitComplete waits until all machines are back and tells whether they came in time.
+func (w *restartSim) waitComplete() bool {
+	for range int(restartRecoveryTime / (50 * time.Millisecond)) {
+		if w.isComplete() {
 			return true
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -147,33 +147,33 @@
 	return false
 }
 
-// playRestarts makes so many changes, with jobs between, while faults come one after the other.
-func playRestarts(t *testing.T, seed uint64, changes int, trace func(string, ...any)) {
-	w := newRestartWorld(t, seed)
+// runRestarts makes so many changes, with jobs between, while faults come one after the other.
+func runRestarts(t *testing.T, seed uint64, changes int, trace func(string, ...any)) {
+	w := newRestartSim(t, seed)
 	if trace != nil {
 		w.trace = trace
 	}
-	require.True(t, w.untilWhole(), "seed %d: the start", seed)
-	r := &restartWriter{world: w}
+	require.True(t, w.waitComplete(), "seed %d: the start", seed)
+	r := &restartWriter{sim: w}
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
 		for int(r.changes) < changes && !t.Failed() {
 			r.change()
 			for range w.intn(4) {
-				r.work()
+				r.writeJobs()
 			}
-			time.Sleep(w.between(0, 500*time.Millisecond))
+			time.Sleep(w.randomDuration(0, 500*time.Millisecond))
 		}
 	}()
 	for done := false; !done; {
 		select {
 		case <-over:
 			done = true
-		case <-time.After(w.between(100*time.Millisecond, time.Second)):
-			w.trouble()
-			if !w.untilWhole() {
-				t.Errorf("seed %d: not all are back %v after a fault", seed, restartBack)
+		case <-time.After(w.randomDuration(100*time.Millisecond, time.Second)):
+			w.injectFault()
+			if !w.waitComplete() {
+				t.Errorf("seed %d: not all are back %v after a fault", seed, restartRecoveryTime)
 				<-over
 				done = true
 			}
@@ -182,16 +182,16 @@
 	for _, m := range w.machines {
 		m.start()
 	}
-	r.work()
-	assert.True(t, w.untilWhole(), "seed %d: the end", seed)
+	r.writeJobs()
+	assert.True(t, w.waitComplete(), "seed %d: the end", seed)
 	reference := w.reference()
 	for _, m := range w.machines {
 		if p := m.running(); p != nil {
 			assert.Equal(t, reference, onLoop(p, p.engine.machine.Snapshot), "seed %d: machine %d", seed, m.number)
 		}
 	}
-	t.Logf("seed %d: %d changes, %d jobs, %d entries, %d snapshots, %d heads, %d refusals", seed, r.changes, r.jobs, w.highest(), w.snapshots,
-		w.heads, w.refusals)
+	t.Logf("seed %d: %d changes, %d jobs, %d entries, %d snapshots, %d heads, %d refusals", seed, r.changes, r.jobs, w.maxApplied(), w.snapshots,
+		w.heads, w.diskFailures)
 	w.stop()
 }
 
@@ -200,47 +200,47 @@
 func TestRestartsAmongChanges(t *testing.T) {
 	changes := seeds.Count(t, "GAUGESLIP_CHANGES", 60)
 	if seed, alone := seeds.Alone(t, "GAUGESLIP_RESTART"); alone {
-		synctest.Test(t, func(t *testing.T) { playRestarts(t, seed, changes, t.Logf) })
+		synctest.Test(t, func(t *testing.T) { runRestarts(t, seed, changes, t.Logf) })
 		return
 	}
 	for seed := range seeds.Count(t, "GAUGESLIP_RESTARTS", 4) {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playRestarts(t, uint64(seed), changes, nil) })
+			synctest.Test(t, func(t *testing.T) { runRestarts(t, uint64(seed), changes, nil) })
 		})
 	}
 }
 
 // A bit turns in a replica's state: it stops by itself, wherever it stands, and comes back with the right state.
-func TestAStateThatTurnedWrongStopsItsReplica(t *testing.T) {
+func TestReplicaWithDivergedStateStops(t *testing.T) {
 	for place := range restartReplicas {
 		t.Run(strconv.Itoa(place), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newRestartWorld(t, uint64(place))
-				require.True(t, w.untilWhole())
-				r := &restartWriter{world: w}
+				w := newRestartSim(t, uint64(place))
+				require.True(t, w.waitComplete())
+				r := &restartWriter{sim: w}
 				for range 10 {
-					r.work()
+					r.writeJobs()
 				}
-				victim := w.place(place)
+				victim := w.machineAtPosition(place)
 				p := victim.running()
 				before := p.engine.replica.Self().ID
-				victim.wrong = true
+				victim.stateCorrupted = true
 				onLoop(p, func() bool {
 					p.engine.machine.Job(9).MaxRetries ^= 1
 					return true
 				})
 				for w.unfitCount() == 0 && r.jobs < 200 {
-					r.work()
+					r.writeJobs()
 				}
 				assert.Equal(t, 1, w.unfitCount())
 				r.change()
-				require.True(t, w.untilWhole())
+				require.True(t, w.waitComplete())
 				p = victim.running()
 				assert.NotEqual(t, before, p.engine.replica.Self().ID)
 				for range 30 {
-					r.work()
+					r.writeJobs()
 				}
-				require.True(t, w.untilWhole())
+				require.True(t, w.waitComplete())
 				assert.Equal(t, w.reference(), onLoop(p, p.engine.machine.Snapshot))
 				assert.Equal(t, 1, w.unfitCount())
 				w.stop()
@@ -249,8 +249,8 @@
 	}
 }
 
-// place is the machine at a place of the chain.
-func (w *restartWorld) place(at int) *restartMachine {
+// machineAtPosition is the machine at a place of the chain.
+func (w *restartSim) machineAtPosition(at int) *restartMachine {
 	head := w.head().running()
 	id := onLoop(head, func() string { return string(head.engine.view().Chain[at].ID) })
 	for _, m := range w.machines {
@@ -261,7 +261,7 @@
 	return nil
 }
 
-func (w *restartWorld) unfitCount() int {
+func (w *restartSim) unfitCount() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.unfit
