--- a/internal/system/control/restartworld_test.go
+++ b/internal/system/control/restartworld_test.go
@@ -24,47 +24,47 @@
 
 const (
 	restartReplicas = 3
-	// restartKeep is how many entries replicas keep for those that come back: few, so that these get snapshots.
-	restartKeep       = 20
-	restartCompaction = 64 << 10
-	// restartNote is how many bytes a job has in worlds of a large state, so that a snapshot takes several chunks.
-	restartNote = 6000
-	// restartCompare is after how many entries the whole states are compared.
-	restartCompare = 16
+	// restartKeepEntries is how many entries replicas keep for those that come back: few, so that these get snapshots.
+	restartKeepEntries = 20
+	restartCompaction  = 64 << 10
+	// restartNoteBytes is how many bytes a job has in worlds of a large state, so that a snapshot takes several chunks.
+	restartNoteBytes = 6000
+	// restartCompareInterval is after how many entries the whole states are compared.
+	restartCompareInterval = 16
 )
 
 var restartSums = crc64.MakeTable(crc64.ECMA)
 
-// restartWorld is a few machines whose replicas are the program's own but for sockets and scheduler, inside a synctest bubble. Writes go
+// restartSim is a few machines whose replicas are the program's own but for sockets and scheduler, inside a synctest bubble. Writes go
 // on whatever happens; an oracle compares the states of all replicas with each other and with a reference.
-type restartWorld struct {
+type restartSim struct {
 	t        testing.TB
 	machines []*restartMachine
 	trace    func(format string, args ...any)
 
-	mutex     sync.Mutex
-	random    *rand.Rand
-	cut       map[[2]int]bool // from, to
-	committed uint64          // the highest index that any replica has applied
-	commands  map[uint64][]byte
-	sums      map[uint64]uint64 // of the whole state, at some indexes
-	snapshots int
-	unfit     int
-	heads     int
-	refusals  int // of disks
-	note      int // bytes besides of each job
+	mutex           sync.Mutex
+	random          *rand.Rand
+	cut             map[[2]int]bool // from, to
+	maxAppliedIndex uint64          // the highest index that any replica has applied
+	commands        map[uint64][]byte
+	sums            map[uint64]uint64 // of the whole state, at some indexes
+	snapshots       int
+	unfit           int
+	heads           int
+	diskFailures    int // of disks
+	noteBytes       int // bytes besides of each job
 }
 
 // restartMachine is a machine; its process may be down.
 type restartMachine struct {
-	world    *restartWorld
-	number   int
-	settings *nodesettings.Settings
-	disk     *simdisk.Disk
-	mutex    sync.Mutex
-	process  *restartProcess
-	wrong    bool // its state has been made wrong: it may differ until it has stopped
-	refuses  bool // its disk may refuse
+	sim            *restartSim
+	number         int
+	settings       *nodesettings.Settings
+	disk           *simdisk.Disk
+	mutex          sync.Mutex
+	process        *restartProcess
+	stateCorrupted bool // its state has been made wrong: it may differ until it has stopped
+	diskMayFail    bool // its disk may refuse
 }
 
 // restartProcess is one life of a replica.
@@ -73,8 +73,8 @@
 	machine *restartMachine
 }
 
-func newRestartWorld(t testing.TB, seed uint64) *restartWorld {
-	w := &restartWorld{t: t, random: rand.New(rand.NewPCG(seed, 4)), cut: map[[2]int]bool{}, commands: map[uint64][]byte{},
+func newRestartSim(t testing.TB, seed uint64) *restartSim {
+	w := &restartSim{t: t, random: rand.New(rand.NewPCG(seed, 4)), cut: map[[2]int]bool{}, commands: map[uint64][]byte{},
 		sums: map[uint64]uint64{}, trace: func(string, ...any) {}}
 	var seeds []string
 	for i := range restartReplicas {
@@ -85,10 +85,10 @@
 		settings.NodeName, settings.IP, settings.Bind.ControlPlane = fmt.Sprint("core-", i), loopback(i), seeds[i]
 		settings.EphemeralPorts = []int{9001, 9001}
 		settings.SeedNodes, settings.Bootstrap, settings.FaultTolerance.Machines = seeds, true, 1
-		w.machines = append(w.machines, &restartMachine{world: w, number: i, settings: settings, disk: simdisk.New(seed<<8 + uint64(i))})
+		w.machines = append(w.machines, &restartMachine{sim: w, number: i, settings: settings, disk: simdisk.New(seed<<8 + uint64(i))})
 	}
 	if seed%2 == 1 {
-		w.note = restartNote
+		w.noteBytes = restartNoteBytes
 	}
 	for _, m := range w.machines {
 		m.start()
@@ -102,25 +102,25 @@
 	if m.running() != nil {
 		return
 	}
-	w := m.world
+	w := m.sim
 	p := &restartProcess{machine: m, Node: &Node{settings: m.settings, logger: log.New(io.Discard), clock: time.Now,
-		started: time.Now().Add(-time.Second), loop: newLoop(), wall: newWallClock(), list: noPlatform(), left: make(chan struct{})}}
+		started: time.Now().Add(-time.Second), loop: newLoop(), wallClock: newWallClock(), listClient: noPlatform(), left: make(chan struct{})}}
 	disk := m.disk.Process()
 	file, records, err := wal.Open(disk, logName)
 	require.NoError(w.t, err)
-	records, err = p.fitRecords(disk, file, records)
+	records, err = p.replaceUnfitRecords(disk, file, records)
 	require.NoError(w.t, err)
 	config := p.replicaConfig()
-	config.KeepEntries, config.Seed = restartKeep, w.draw()
+	config.KeepEntries, config.Seed = restartKeepEntries, w.randomUint64()
 	p.engine, err = newEngine(engineOptions{config: config, log: file, records: records, now: p.now, post: p.loop.post, send: p.send,
-		applied: p.applied, caughtUp: func(int, time.Duration) {}, yield: p.loop.post, committed: func(time.Duration) {},
-		installed: p.installed, event: p.event, failed: p.failed, fault: p.broken,
-		rewritten: func(int64, time.Duration) {}})
+		applied: p.applied, caughtUp: func(int, time.Duration) {}, postDeferred: p.loop.post, committed: func(time.Duration) {},
+		snapshotInstalled: p.installed, event: p.event, diskFailed: p.diskFailed, fatal: p.fatal,
+		logRewritten: func(int64, time.Duration) {}})
 	require.NoError(w.t, err)
 	p.engine.compactAt = restartCompaction
-	w.trace("%d starts at %d as %s", m.number, p.engine.appliedTo, p.engine.replica.Self().ID)
+	w.trace("%d starts at %d as %s", m.number, p.engine.appliedIndex, p.engine.replica.Self().ID)
 	m.put(p)
-	p.loop.post(p.engine.begin)
+	p.loop.post(p.engine.start)
 	p.loop.post(func() { p.engine.step(replica.Contacts{Addresses: p.settings.SeedInternalAddresses()}) })
 	go p.loop.run(p.flush)
 }
@@ -154,50 +154,50 @@
 // alive tells whether this is still the machine's process.
 func (p *restartProcess) alive() bool { return p.machine.running() == p }
 
-func (p *restartProcess) failed(err error) {
-	m, w := p.machine, p.machine.world
+func (p *restartProcess) diskFailed(err error) {
+	m, w := p.machine, p.machine.sim
 	if !p.alive() {
 		return
 	}
-	if !m.refuses {
+	if !m.diskMayFail {
 		w.t.Errorf("machine %d: %v", m.number, err)
 		return
 	}
 	w.trace("%d: %v", m.number, err)
 	w.mutex.Lock()
-	w.refusals++
+	w.diskFailures++
 	w.mutex.Unlock()
 	m.kill((*simdisk.Disk).Restart)
 }
 
-// refuse lets the machine's disk refuse from some moment on: it is full, or its syncs fail.
-func (m *restartMachine) refuse() {
-	m.refuses = true
-	if m.world.intn(2) == 0 {
-		m.disk.SetCapacity(m.world.intn(1 << 17))
+// failDisk lets the machine's disk refuse from some moment on: it is full, or its syncs fail.
+func (m *restartMachine) failDisk() {
+	m.diskMayFail = true
+	if m.sim.intn(2) == 0 {
+		m.disk.SetCapacity(m.sim.intn(1 << 17))
 		return
 	}
 	m.disk.SetFaults(simdisk.Faults{Write: 0.02, Sync: 0.1, Folder: 0.1})
 }
 
-// obey ends that.
-func (m *restartMachine) obey() {
+// repairDisk ends that.
+func (m *restartMachine) repairDisk() {
 	m.disk.SetCapacity(-1)
 	m.disk.SetFaults(simdisk.Faults{})
 	if m.running() != nil { // what it has refused may not have come up yet
 		m.kill((*simdisk.Disk).PowerLoss)
 	}
-	m.refuses = false
+	m.diskMayFail = false
 	m.start()
 }
 
-// broken ends the process as the program does; only a state that was made wrong may be the reason.
-func (p *restartProcess) broken(err error) {
-	m, w := p.machine, p.machine.world
+// fatal ends the process as the program does; only a state that was made wrong may be the reason.
+func (p *restartProcess) fatal(err error) {
+	m, w := p.machine, p.machine.sim
 	if !p.alive() {
 		return
 	}
-	if !m.wrong || !errors.Is(err, replica.ErrStateDiverged) {
+	if !m.stateCorrupted || !errors.Is(err, replica.ErrStateDiverged) {
 		w.t.Errorf("machine %d: %v", m.number, err)
 		return
 	}
@@ -205,17 +205,17 @@
 	w.mutex.Lock()
 	w.unfit++
 	w.mutex.Unlock()
-	m.wrong = false
+	m.stateCorrupted = false
 	m.kill((*simdisk.Disk).PowerLoss)
-	time.AfterFunc(w.between(100*time.Millisecond, time.Second), m.start)
+	time.AfterFunc(w.randomDuration(100*time.Millisecond, time.Second), m.start)
 }
 
 func (p *restartProcess) installed() {
-	w := p.machine.world
+	w := p.machine.sim
 	w.mutex.Lock()
 	w.snapshots++
 	w.mutex.Unlock()
-	w.trace("%d has a snapshot at %d", p.machine.number, p.engine.appliedTo)
+	w.trace("%d has a snapshot at %d", p.machine.number, p.engine.appliedIndex)
 	p.compare()
 }
 
@@ -225,37 +225,37 @@
 	if !ok || !p.alive() {
 		return
 	}
-	w := p.machine.world
+	w := p.machine.sim
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.heads++
-	w.trace("%d is the head of epoch %d at %d", p.machine.number, became.Epoch, p.engine.appliedTo)
-	if p.engine.appliedTo < w.committed {
-		w.t.Errorf("machine %d is the head of epoch %d with %d, committed is %d", p.machine.number, became.Epoch, p.engine.appliedTo,
-			w.committed)
+	w.trace("%d is the head of epoch %d at %d", p.machine.number, became.Epoch, p.engine.appliedIndex)
+	if p.engine.appliedIndex < w.maxAppliedIndex {
+		w.t.Errorf("machine %d is the head of epoch %d with %d, committed is %d", p.machine.number, became.Epoch, p.engine.appliedIndex,
+			w.maxAppliedIndex)
 	}
 }
 
 // applied holds that all replicas apply the same commands, and that they come to the same.
 func (p *restartProcess) applied(result state.Result) {
-	w, index, data := p.machine.world, p.engine.appliedTo, result.Command.Encode()
+	w, index, data := p.machine.sim, p.engine.appliedIndex, result.Command.Encode()
 	w.mutex.Lock()
-	w.committed = max(w.committed, index)
+	w.maxAppliedIndex = max(w.maxAppliedIndex, index)
 	known, ok := w.commands[index]
 	w.commands[index] = data
 	w.mutex.Unlock()
 	if ok && !slices.Equal(known, data) {
 		w.t.Errorf("machine %d applies another command at %d", p.machine.number, index)
 	}
-	if index%restartCompare == 0 {
+	if index%restartCompareInterval == 0 {
 		p.compare()
 	}
 }
 
 // compare compares the whole state with that of whoever came to the index first.
 func (p *restartProcess) compare() {
-	w, index := p.machine.world, p.engine.appliedTo
-	if p.machine.wrong {
+	w, index := p.machine.sim, p.engine.appliedIndex
+	if p.machine.stateCorrupted {
 		return
 	}
 	sum := crc64.Checksum(p.engine.machine.Snapshot(), restartSums)
@@ -271,21 +271,21 @@
 	if p.engine.closed {
 		return time.Hour
 	}
-	if p.now() >= p.engine.wake {
+	if p.now() >= p.engine.wakeAt {
 		p.engine.step(replica.Tick{})
 	}
 	for p.engine.flush() {
 	}
-	return max(p.engine.wake-p.now(), time.Millisecond)
+	return max(p.engine.wakeAt-p.now(), time.Millisecond)
 }
 
 func (p *restartProcess) send(to string, message *replica.Message) {
-	w := p.machine.world
+	w := p.machine.sim
 	for _, target := range w.machines {
 		if target.settings.InternalAddress() != to || !p.alive() || w.separated(p.machine.number, target.number) {
 			continue
 		}
-		delay := w.between(time.Millisecond, 3*time.Millisecond)
+		delay := w.randomDuration(time.Millisecond, 3*time.Millisecond)
 		if message.Chain != nil && (message.Chain.Chunk != nil || message.Chain.ChunkAck != nil) {
 			delay *= 30 // so that a transfer takes a while
 		}
@@ -297,26 +297,26 @@
 	}
 }
 
-func (w *restartWorld) draw() uint64 {
+func (w *restartSim) randomUint64() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.random.Uint64()
 }
 
-func (w *restartWorld) intn(n int) int { return int(w.draw() % uint64(n)) }
+func (w *restartSim) intn(n int) int { return int(w.randomUint64() % uint64(n)) }
 
-func (w *restartWorld) between(low, high time.Duration) time.Duration {
-	return low + time.Duration(w.draw()%uint64(high-low+1))
+func (w *restartSim) randomDuration(low, high time.Duration) time.Duration {
+	return low + time.Duration(w.randomUint64()%uint64(high-low+1))
 }
 
-func (w *restartWorld) separated(from, to int) bool {
+func (w *restartSim) separated(from, to int) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.cut[[2]int{from, to}]
 }
 
 // isolate cuts a machine off from all others, or joins it again.
-func (w *restartWorld) isolate(m *restartMachine, cut bool) {
+func (w *restartSim) isolate(m *restartMachine, cut bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, other := range w.machines {
@@ -339,7 +339,7 @@
 }
 
 // head is the machine that acts as the head, if any.
-func (w *restartWorld) head() *restartMachine {
+func (w *restartSim) head() *restartMachine {
 	for _, m := range w.machines {
 		if p := m.running(); p != nil && onLoop(p, p.engine.isHead) {
 			return m
@@ -348,8 +348,8 @@
 	return nil
 }
 
-// whole tells whether all machines are in the chain and at the same index, that of all commits.
-func (w *restartWorld) whole() bool {
+// isComplete tells whether all machines are in the chain and at the same index, that of all commits.
+func (w *restartSim) isComplete() bool {
 	head := w.head()
 	if head == nil {
 		return false
@@ -361,7 +361,7 @@
 		}
 		in := onLoop(p, func() bool {
 			view := p.engine.view()
-			return len(view.Chain) == restartReplicas && view.InChain(p.engine.replica.Self().ID) && p.engine.appliedTo >= w.highest()
+			return len(view.Chain) == restartReplicas && view.InChain(p.engine.replica.Self().ID) && p.engine.appliedIndex >= w.maxApplied()
 		})
 		if !in {
 			return false
@@ -370,14 +370,14 @@
 	return true
 }
 
-func (w *restartWorld) highest() uint64 {
+func (w *restartSim) maxApplied() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.committed
+	return w.maxAppliedIndex
 }
 
 // reference is the state that all commands come to, one after the other.
-func (w *restartWorld) reference() []byte {
+func (w *restartSim) reference() []byte {
 	machine := state.New()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -387,7 +387,7 @@
 	return machine.Snapshot()
 }
 
-func (w *restartWorld) stop() {
+func (w *restartSim) stop() {
 	for _, m := range w.machines {
 		m.kill((*simdisk.Disk).Restart)
 	}
--- a/internal/system/control/restore_test.go
+++ b/internal/system/control/restore_test.go
@@ -12,7 +12,7 @@
 )
 
 // All disks but one are lost, more than is borne: the one that is left, restored, takes the others in as learners.
-func TestOneDiskBringsTheSystemBack(t *testing.T) {
+func TestSystemRecoversFromOneDisk(t *testing.T) {
 	cluster := startCluster(t, 3, 1)
 	cluster.replace(3, testConfig)
 	cluster.submit(3, 7, "barn", testJob, internalapi.Done)
--- a/internal/system/control/roles.go
+++ b/internal/system/control/roles.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	clockEvery        = time.Second
-	clockCallTimeout  = 400 * time.Millisecond
-	housekeepingEvery = time.Second
-	forgetAtMost      = 8192
-	forgetEvery       = 10 * time.Second
-	// tickEvery is how often the core is told to judge at least, while there is anything to do: each of its steps may put its wake off.
-	tickEvery = 20 * time.Millisecond
+	clockReadInterval    = time.Second
+	clockCallTimeout     = 400 * time.Millisecond
+	housekeepingInterval = time.Second
+	maxForgottenJobs     = 8192
+	forgetInterval       = 10 * time.Second
+	// maxTickInterval is how often the core is told to judge at least, while there is anything to do: each of its steps may put its wake off.
+	maxTickInterval = 20 * time.Millisecond
 )
 
 // flush collects what the cores want done after a batch of inputs, until nothing more comes up, and gives the time to the next wake.
 func (n *Node) flush() time.Duration {
-	n.loop.attend()
-	n.takeConfig()
+	n.loop.runUrgent()
+	n.applyPendingConfig()
 	n.periodic(n.now())
 	for range 8 {
 		ordered := n.runScheduler()
-		n.loop.attendWhenDue()
+		n.loop.runUrgentIfDue()
 		if !n.engine.flush() && !ordered {
 			break
 		}
@@ -39,24 +39,24 @@
 // tickCore lets the replica core judge, beat and stand for election as soon as that is due, also in the midst of a batch: just then
 // all that had come in for it has been handed to it.
 func (n *Node) tickCore() {
-	if now := n.now(); !n.engine.closed && (now >= n.engine.wake || now-n.tickedAt >= tickEvery) {
-		n.tickedAt = now
+	if now := n.now(); !n.engine.closed && (now >= n.engine.wakeAt || now-n.lastTick >= maxTickInterval) {
+		n.lastTick = now
 		n.engine.step(replica.Tick{})
 	}
 }
 
 func (n *Node) nextWake() time.Duration {
 	now := n.now()
-	wake := min(n.clockAt, n.housekeepingAt)
+	wake := min(n.nextClockRead, n.nextHousekeeping)
 	if !n.engine.closed {
-		wake = min(wake, n.engine.wake)
+		wake = min(wake, n.engine.wakeAt)
 	}
 	if n.schedulerActive {
-		if n.schedulerWake > 0 {
-			wake = min(wake, n.schedulerWake)
+		if n.schedulerWakeAt > 0 {
+			wake = min(wake, n.schedulerWakeAt)
 		}
-		if n.platform.reading == nil {
-			wake = min(wake, n.platform.readAt)
+		if n.platform.request == nil {
+			wake = min(wake, n.platform.nextReadAt)
 		}
 	}
 	return max(wake-now, time.Millisecond)
@@ -64,14 +64,14 @@
 
 // periodic does what falls due by itself.
 func (n *Node) periodic(now time.Duration) {
-	if now >= n.clockAt {
-		n.clockAt = now + clockEvery
+	if now >= n.nextClockRead {
+		n.nextClockRead = now + clockReadInterval
 		n.readClocks()
-		n.tellWallClock(now)
+		n.updateSchedulerClock(now)
 	}
-	if now >= n.housekeepingAt {
-		n.housekeepingAt = now + housekeepingEvery
-		n.keepHouse()
+	if now >= n.nextHousekeeping {
+		n.nextHousekeeping = now + housekeepingInterval
+		n.housekeep()
 	}
 	if n.schedulerActive && n.platform.due(now) {
 		n.readList()
@@ -84,34 +84,34 @@
 		return false
 	}
 	now := n.now()
-	if n.schedulerWake > 0 && now >= n.schedulerWake {
+	if n.schedulerWakeAt > 0 && now >= n.schedulerWakeAt {
 		n.scheduler.Tick(now)
 	}
 	output := n.scheduler.Drain()
 	n.checkScheduler(now)
-	n.schedulerWake = output.Wake
+	n.schedulerWakeAt = output.Wake
 	if output.Superseded {
 		n.logger.Warn("a worker has seen a higher token", "epoch", n.schedulerEpoch)
 		n.schedulerActive = false
-		n.orders.breakOff() // nothing more goes out with this token
+		n.workerCalls.cancelAll() // nothing more goes out with this token
 		return false
 	}
-	n.tellOfWaits(output.Findings)
-	n.counts.late.note(output.Late)
+	n.logWaitingTasks(output.Findings)
+	n.counts.lateJobs.record(output.Late)
 	for _, command := range output.Commands {
-		n.engine.propose(command, func(state.Result, fate) {})
+		n.engine.propose(command, func(state.Result, commitStatus) {})
 	}
-	n.makeCalls(output.Calls)
+	n.sendCalls(output.Calls)
 	return len(output.Commands)+len(output.Calls) > 0
 }
 
-// makeCalls makes the scheduler's calls if this replica is still the head: with a large fleet the decisions before may have outlasted its
+// sendCalls makes the scheduler's calls if this replica is still the head: with a large fleet the decisions before may have outlasted its
 // lease. Otherwise none is sent, and the scheduler is told so.
-func (n *Node) makeCalls(calls []scheduler.Call) {
+func (n *Node) sendCalls(calls []scheduler.Call) {
 	if len(calls) == 0 {
 		return
 	}
-	sender := sending{epoch: n.engine.view().Epoch, head: n.engine.isHead()}
+	sender := senderState{epoch: n.engine.view().Epoch, head: n.engine.isHead()}
 	if !sender.head {
 		for i := range calls {
 			n.callEnded(n.scheduler, calls[i].ID, workerapi.HoldReply{Outcome: workerapi.NotSent})
@@ -120,7 +120,7 @@
 	}
 	n.checkCalls(calls, sender)
 	for _, call := range calls {
-		n.call(call)
+		n.callWorker(call)
 	}
 }
 
@@ -133,20 +133,20 @@
 	})
 }
 
-// call makes one of the scheduler's calls.
-func (n *Node) call(call scheduler.Call) {
+// callWorker makes one of the scheduler's calls.
+func (n *Node) callWorker(call scheduler.Call) {
 	from := n.scheduler
 	end := func(reply workerapi.HoldReply) { n.callEnded(from, call.ID, reply) }
-	started := n.orders.start(call.Timeout, func(ctx context.Context, client *workerapi.Client) {
-		end(carryOut(ctx, client, &call))
+	started := n.workerCalls.start(call.Timeout, func(ctx context.Context, client *workerapi.Client) {
+		end(performCall(ctx, client, &call))
 	})
 	if !started {
 		end(workerapi.HoldReply{Outcome: workerapi.NotSent})
 	}
 }
 
-// carryOut makes a call and gives what is certain about it.
-func carryOut(ctx context.Context, client *workerapi.Client, call *scheduler.Call) workerapi.HoldReply {
+// perform makes a call and gives what is certain about it.
+func performCall(ctx context.Context, client *workerapi.Client, call *scheduler.Call) workerapi.HoldReply {
 	switch call.Kind {
 	case scheduler.CallStart:
 		reply, _ := client.Start(ctx, call.Worker, call.Start)
@@ -180,27 +180,29 @@
 	}
 	received := n.clock()
 	ours := sent.Add(received.Sub(sent) / 2)
-	n.loop.post(func() { n.wall.heard(address, time.UnixMilli(reply.UnixMs), ours, n.now()) })
+	n.loop.post(func() { n.wallClock.observe(address, time.UnixMilli(reply.UnixMs), ours, n.now()) })
 }
 
-func (n *Node) tellWallClock(now time.Duration) {
+func (n *Node) updateSchedulerClock(now time.Duration) {
 	if n.scheduler != nil {
 		n.scheduler.WallClock(now, n.unixMs(now))
 	}
 }
 
 // unixMs is the trusted time of day in milliseconds since 1970.
-func (n *Node) unixMs(now time.Duration) int64 { return n.clock().Add(n.wall.offset(now)).UnixMilli() }
+func (n *Node) unixMs(now time.Duration) int64 {
+	return n.clock().Add(n.wallClock.offset(now)).UnixMilli()
+}
 
-// keepHouse tells the core of replicas that were heard of, and forgets jobs that were over for long enough.
-func (n *Node) keepHouse() {
-	n.tellOfLateJobs(n.now())
+// housekeep tells the core of replicas that were heard of, and forgets jobs that were over for long enough.
+func (n *Node) housekeep() {
+	n.logLateJobsIfDue(n.now())
 	if n.engine.closed {
 		return
 	}
 	n.engine.step(replica.Contacts{Addresses: n.contacts()})
-	if n.schedulerActive && n.engine.isHead() && n.now() >= n.forgetAt {
-		n.forgetAt = n.now() + forgetEvery
+	if n.schedulerActive && n.engine.isHead() && n.now() >= n.nextForgetAt {
+		n.nextForgetAt = n.now() + forgetInterval
 		n.forgetJobs()
 	}
 }
@@ -209,23 +211,23 @@
 func (n *Node) forgetJobs() {
 	now := n.now()
 	keep := 2 * n.settings.Bounds.Status()
-	over := make(map[state.JobID]time.Duration, len(n.overSince))
+	over := make(map[state.JobID]time.Duration, len(n.finishedSince))
 	var old []state.JobID
 	for id, job := range n.engine.machine.Jobs() {
 		if !job.State.Finished() || job.Runs > 0 {
 			continue
 		}
-		since, seen := n.overSince[id]
+		since, seen := n.finishedSince[id]
 		if !seen {
 			since = now
 		}
 		over[id] = since
-		if now-since > keep && len(old) < forgetAtMost {
+		if now-since > keep && len(old) < maxForgottenJobs {
 			old = append(old, id)
 		}
 	}
-	n.overSince = over
+	n.finishedSince = over
 	if len(old) > 0 {
-		n.engine.propose(state.Command{Kind: state.KindJobsForgotten, JobsForgotten: old}, func(state.Result, fate) {})
+		n.engine.propose(state.Command{Kind: state.KindJobsForgotten, JobsForgotten: old}, func(state.Result, commitStatus) {})
 	}
 }
--- a/internal/system/control/service.go
+++ b/internal/system/control/service.go
@@ -7,14 +7,14 @@
 	"gaugeslip/internal/system/state"
 )
 
-// commitPatience bounds how long a call waits for its commit; after that its outcome is in doubt.
-const commitPatience = 5 * time.Second
+// commitTimeout bounds how long a call waits for its commit; after that its outcome is in doubt.
+const commitTimeout = 5 * time.Second
 
 // Service is what dispatchers and other replicas call over net/rpc.
 type Service struct{ node *Node }
 
-// ask runs a question on the loop and waits for its answer, for the patience at most.
-func ask[T any](n *Node, patience time.Duration, expired T, question func(answer func(T))) T {
+// runOnLoop runs a question on the loop and waits for its answer, for the timeout at most.
+func runOnLoop[T any](n *Node, timeout time.Duration, expired T, question func(answer func(T))) T {
 	answers := make(chan T, 1)
 	n.loop.post(func() {
 		question(func(answer T) {
@@ -24,7 +24,7 @@
 			}
 		})
 	})
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case answer := <-answers:
@@ -38,7 +38,7 @@
 
 // Digest tells what is newest here.
 func (s *Service) Digest(_ internalapi.DigestArgs, reply *internalapi.DigestReply) error {
-	*reply = ask(s.node, time.Second, internalapi.DigestReply{}, func(answer func(internalapi.DigestReply)) {
+	*reply = runOnLoop(s.node, time.Second, internalapi.DigestReply{}, func(answer func(internalapi.DigestReply)) {
 		e := s.node.engine
 		e.read(func(current bool) {
 			answer(internalapi.DigestReply{Epoch: e.view().Epoch, ConfigVersion: e.machine.Config().Version, Serving: current,
@@ -50,7 +50,7 @@
 
 // Fetch gives what is newer here than at the caller, but no configuration that may be an old one.
 func (s *Service) Fetch(args internalapi.FetchArgs, reply *internalapi.FetchReply) error {
-	*reply = ask(s.node, time.Second, internalapi.FetchReply{}, func(answer func(internalapi.FetchReply)) {
+	*reply = runOnLoop(s.node, time.Second, internalapi.FetchReply{}, func(answer func(internalapi.FetchReply)) {
 		e := s.node.engine
 		var newer internalapi.FetchReply
 		if newest := e.view(); newest.Known() && newest.Epoch >= args.Epoch {
@@ -67,8 +67,8 @@
 // Submit takes a job into custody.
 func (s *Service) Submit(args internalapi.SubmitArgs, reply *internalapi.JobReply) error {
 	doubt := internalapi.JobReply{Verdict: internalapi.InDoubt}
-	*reply = ask(s.node, commitPatience, doubt, func(answer func(internalapi.JobReply)) { s.node.submit(&args, answer) })
-	s.node.counts.answered(reply.Verdict)
+	*reply = runOnLoop(s.node, commitTimeout, doubt, func(answer func(internalapi.JobReply)) { s.node.submit(&args, answer) })
+	s.node.counts.countSubmitVerdict(reply.Verdict)
 	return nil
 }
 
@@ -86,7 +86,7 @@
 		answer(internalapi.JobReply{Verdict: internalapi.Overloaded, Text: "no configuration yet"})
 		return
 	}
-	accepted := n.accepted(args)
+	accepted := n.acceptedCommand(args)
 	if accepted == nil {
 		answer(internalapi.JobReply{Verdict: internalapi.NoRoute, ConfigVersion: uint64(n.config.Version)})
 		return
@@ -95,13 +95,13 @@
 		answer(internalapi.JobReply{Verdict: internalapi.Invalid, Text: err.Error()})
 		return
 	}
-	n.engine.propose(state.Command{Kind: state.KindJobAccepted, JobAccepted: accepted}, func(result state.Result, fate fate) {
-		answer(n.jobReply(result, fate))
+	n.engine.propose(state.Command{Kind: state.KindJobAccepted, JobAccepted: accepted}, func(result state.Result, status commitStatus) {
+		answer(n.jobReply(result, status))
 	})
 }
 
-// accepted joins a job with what its queue says now; nil if there is no such queue.
-func (n *Node) accepted(args *internalapi.SubmitArgs) *state.JobAccepted {
+// acceptedCommand joins a job with what its queue says now; nil if there is no such queue.
+func (n *Node) acceptedCommand(args *internalapi.SubmitArgs) *state.JobAccepted {
 	for i := range n.config.Routes {
 		route := &n.config.Routes[i]
 		if route.Name != args.Route {
@@ -114,11 +114,11 @@
 	return nil
 }
 
-func (n *Node) jobReply(result state.Result, fate fate) internalapi.JobReply {
+func (n *Node) jobReply(result state.Result, status commitStatus) internalapi.JobReply {
 	switch {
-	case fate == fateInDoubt:
+	case status == statusInDoubt:
 		return internalapi.JobReply{Verdict: internalapi.InDoubt}
-	case fate == fateRefused:
+	case status == statusRejected:
 		return n.notHead()
 	case result.Outcome == state.Malformed:
 		return internalapi.JobReply{Verdict: internalapi.Invalid, Text: "the job can't be read"}
@@ -138,7 +138,7 @@
 // Cancel cancels a job.
 func (s *Service) Cancel(args internalapi.CancelArgs, reply *internalapi.JobReply) error {
 	doubt := internalapi.JobReply{Verdict: internalapi.InDoubt}
-	*reply = ask(s.node, commitPatience, doubt, func(answer func(internalapi.JobReply)) { s.node.cancel(args, answer) })
+	*reply = runOnLoop(s.node, commitTimeout, doubt, func(answer func(internalapi.JobReply)) { s.node.cancel(args, answer) })
 	return nil
 }
 
@@ -148,8 +148,8 @@
 		return
 	}
 	cancelled := &state.JobCancelled{ID: state.JobID(args.ID), AtMs: n.unixMs(n.now())}
-	n.engine.propose(state.Command{Kind: state.KindJobCancelled, JobCancelled: cancelled}, func(result state.Result, fate fate) {
-		answer(n.jobReply(result, fate))
+	n.engine.propose(state.Command{Kind: state.KindJobCancelled, JobCancelled: cancelled}, func(result state.Result, status commitStatus) {
+		answer(n.jobReply(result, status))
 	})
 }
 
@@ -157,7 +157,7 @@
 func (s *Service) Status(args internalapi.StatusArgs, reply *internalapi.JobReply) error {
 	id := state.JobID(args.ID)
 	refused := internalapi.JobReply{Verdict: internalapi.NotHead}
-	*reply = ask(s.node, time.Second, refused, func(answer func(internalapi.JobReply)) {
+	*reply = runOnLoop(s.node, time.Second, refused, func(answer func(internalapi.JobReply)) {
 		s.node.engine.readJob(id, func(current bool) { answer(s.node.statusOf(id, current)) })
 	})
 	return nil
@@ -179,7 +179,7 @@
 // whether it has begun is between the head and the worker until it ends.
 func (s *Service) Count(args internalapi.CountArgs, reply *internalapi.JobReply) error {
 	refused := internalapi.JobReply{Verdict: internalapi.NotHead}
-	*reply = ask(s.node, time.Second, refused, func(answer func(internalapi.JobReply)) {
+	*reply = runOnLoop(s.node, time.Second, refused, func(answer func(internalapi.JobReply)) {
 		if !s.node.acting() {
 			answer(s.node.notHead())
 			return
--- a/internal/system/control/shares_test.go
+++ b/internal/system/control/shares_test.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	shareSeeds   = 2
-	shareTenants = 160
-	jobsATenant  = 6
-	lookEvery    = 250 * time.Millisecond
-	// longestIdle is how long a task may be held beside room that it could have: reservations of room and pauses end within that.
-	longestIdle = 5 * time.Second
+	shareSeeds    = 2
+	shareTenants  = 160
+	jobsPerTenant = 6
+	pollInterval  = 250 * time.Millisecond
+	// maxIdleTime is how long a task may be held beside room that it could have: reservations of room and pauses end within that.
+	maxIdleTime = 5 * time.Second
 	cutLength   = 1500 * time.Millisecond
 	cutEvery    = 4 * time.Second
 	cuts        = 5
@@ -51,8 +51,8 @@
 		routes[1:]), limits
 }
 
-// drawJob draws a job that its tenant's share can hold, and tells the workers of its tasks.
-func (w *shareWorld) drawJob(id uint64, tenant string) []byte {
+// randomJob draws a job that its tenant's share can hold, and tells the workers of its tasks.
+func (w *shareSim) randomJob(id uint64, tenant string) []byte {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	stage := jobspec.Stage{Count: 1 + w.random.IntN(3), GPUs: 1 + w.random.Int64N(2), CPU: 100, MemoryMb: 10, Gang: w.random.IntN(4) == 0,
@@ -71,20 +71,20 @@
 	return body
 }
 
-func (w *shareWorld) pause(most time.Duration) {
+func (w *shareSim) pause(most time.Duration) {
 	w.mutex.Lock()
 	pause := time.Duration(w.random.Int64N(int64(most)))
 	w.mutex.Unlock()
 	time.Sleep(pause) // of the bubble
 }
 
-// handIn hands all jobs of a tenant in, each until it is taken.
-func (w *shareWorld) handIn(number int) {
+// submitJobs hands all jobs of a tenant in, each until it is taken.
+func (w *shareSim) submitJobs(number int) {
 	w.pause(15 * time.Second)
-	for i := range jobsATenant {
-		id := uint64(number*jobsATenant + i + 1)
+	for i := range jobsPerTenant {
+		id := uint64(number*jobsPerTenant + i + 1)
 		args := internalapi.SubmitArgs{ID: id, Route: routeName(number, shareServices[i%len(shareServices)]),
-			Body: w.drawJob(id, tenantName(number))}
+			Body: w.randomJob(id, tenantName(number))}
 		for replica := i; ; replica++ {
 			service := &Service{node: w.replicas[replica%shareReplicas].Node}
 			var reply internalapi.JobReply
@@ -97,25 +97,25 @@
 	}
 }
 
-// lookAt runs a question on a replica's loop.
-func lookAt[T any](r *shareReplica, question func() T) T {
+// onReplica runs a question on a replica's loop.
+func onReplica[T any](r *shareReplica, question func() T) T {
 	answers := make(chan T, 1)
 	r.loop.post(func() { answers <- question() })
 	return <-answers
 }
 
 // head is the replica that acts as the head; nil while none does.
-func (w *shareWorld) head() *shareReplica {
+func (w *shareSim) head() *shareReplica {
 	for _, r := range w.replicas {
-		if lookAt(r, func() bool { return r.acting() && r.scheduler != nil }) {
+		if onReplica(r, func() bool { return r.acting() && r.scheduler != nil }) {
 			return r
 		}
 	}
 	return nil
 }
 
-// trouble cuts the head off again and again, so that others take over while it still believes itself the head for a moment.
-func (w *shareWorld) trouble() {
+// cutHeadRepeatedly cuts the head off again and again, so that others take over while it still believes itself the head for a moment.
+func (w *shareSim) cutHeadRepeatedly() {
 	for range cuts {
 		time.Sleep(cutEvery)
 		if head := w.head(); head != nil {
@@ -127,37 +127,37 @@
 }
 
 // watchIdle looks again and again for tasks that are held beside room on workers and in their tenant's share, until all jobs are over.
-func (w *shareWorld) watchIdle(deadline time.Duration) {
+func (w *shareSim) watchIdle(deadline time.Duration) {
 	var since map[state.TaskName]time.Time
 	epoch := uint64(0)
 	for time.Since(w.started) < deadline {
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 		head := w.head()
 		if head == nil {
 			since = nil
 			continue
 		}
-		view := lookAt(head, head.idleTasks)
-		if view.over == shareTenants*jobsATenant {
+		view := onReplica(head, head.idleTasks)
+		if view.over == shareTenants*jobsPerTenant {
 			return
 		}
 		if view.epoch != epoch {
 			since, epoch = nil, view.epoch
 		}
-		since = w.prolong(since, view.idle)
+		since = w.updateIdleSince(since, view.idle)
 	}
 	w.t.Error("not all jobs are over in time")
 }
 
-// prolong keeps since when each task has been idle, and tells of those that are it for too long.
-func (w *shareWorld) prolong(since map[state.TaskName]time.Time, idle []state.TaskName) map[state.TaskName]time.Time {
+// updateIdleSince keeps since when each task has been idle, and tells of those that are it for too long.
+func (w *shareSim) updateIdleSince(since map[state.TaskName]time.Time, idle []state.TaskName) map[state.TaskName]time.Time {
 	next := make(map[state.TaskName]time.Time, len(idle))
 	for _, name := range idle {
 		next[name] = time.Now()
 		if from, known := since[name]; known {
 			next[name] = from
 		}
-		if time.Since(next[name]) > longestIdle {
+		if time.Since(next[name]) > maxIdleTime {
 			w.t.Errorf("%v is held since %v though its share stands unused and room is free", name, next[name])
 		}
 	}
@@ -175,7 +175,7 @@
 // once isn't idle.
 func (r *shareReplica) idleTasks() idleView {
 	view := idleView{epoch: r.schedulerEpoch}
-	free := r.freeRoom()
+	free := r.freeAccelerators()
 	wanted := map[string]int64{} // the most that waits at once, by tenant
 	waiting := map[state.TaskName]*state.Job{}
 	for _, job := range r.engine.machine.Jobs() {
@@ -185,23 +185,23 @@
 		}
 		for _, name := range waitingTasks(job) {
 			waiting[name] = job
-			wanted[job.Tenant] = max(wanted[job.Tenant], needAtOnce(job))
+			wanted[job.Tenant] = max(wanted[job.Tenant], acceleratorsAtOnce(job))
 		}
 	}
 	for name, job := range waiting {
-		need := needAtOnce(job)
-		if need <= r.engine.machine.Quotas().Available(job.Tenant) && need == wanted[job.Tenant] && hasRoom(free[job.Service], job) {
+		need := acceleratorsAtOnce(job)
+		if need <= r.engine.machine.Quotas().Available(job.Tenant) && need == wanted[job.Tenant] && hasCapacity(free[job.Service], job) {
 			view.idle = append(view.idle, name)
 		}
 	}
 	return view
 }
 
-// freeRoom is what is free on each worker, by service.
-func (r *shareReplica) freeRoom() map[string][]int64 {
+// freeAccelerators is what is free on each worker, by service.
+func (r *shareReplica) freeAccelerators() map[string][]int64 {
 	free := map[string][]int64{}
-	for _, worker := range r.world.workers {
-		left := int64(acceleratorsEach)
+	for _, worker := range r.sim.workers {
+		left := int64(acceleratorsPerWorker)
 		if record := r.engine.machine.Worker(worker.instance); record != nil {
 			for run := range record.Runs {
 				left -= r.engine.machine.Job(run.Task.Job).Spec.Stages[0].GPUs
@@ -232,7 +232,7 @@
 	return names
 }
 
-func needAtOnce(job *state.Job) int64 {
+func acceleratorsAtOnce(job *state.Job) int64 {
 	stage := &job.Spec.Stages[0]
 	if stage.Gang {
 		return int64(stage.Count) * stage.GPUs
@@ -240,7 +240,7 @@
 	return stage.GPUs
 }
 
-func hasRoom(free []int64, job *state.Job) bool {
+func hasCapacity(free []int64, job *state.Job) bool {
 	stage := &job.Spec.Stages[0]
 	fits := int64(0)
 	for _, left := range free {
@@ -256,38 +256,38 @@
 // again. No tenant has more than its share at any commit of any replica nor on the workers, and nothing is held for long beside room.
 func TestSharesHoldWhileReplicasTakeOver(t *testing.T) {
 	for seed := range uint64(shareSeeds) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { playShares(t, seed) }) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { runShares(t, seed) }) })
 	}
 }
 
-func playShares(t *testing.T, seed uint64) {
+func runShares(t *testing.T, seed uint64) {
 	body, limits := shareConfig(rand.New(rand.NewPCG(seed, 1)))
-	w := newShareWorld(t, seed, limits)
+	w := newShareSim(t, seed, limits)
 	defer w.stop()
 	for w.head() == nil {
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
-	reply := w.head().replaceHere(internalapi.ReplaceArgs{Body: body}, operatorPatience)
+	reply := w.head().replaceLocally(internalapi.ReplaceArgs{Body: body}, operatorTimeout)
 	require.Equal(t, internalapi.Done, reply.Verdict, reply.Text)
 
 	var clients sync.WaitGroup
 	for number := range shareTenants {
-		clients.Go(func() { w.handIn(number) })
+		clients.Go(func() { w.submitJobs(number) })
 	}
-	clients.Go(w.trouble)
+	clients.Go(w.cutHeadRepeatedly)
 	w.watchIdle(3 * time.Minute)
 	clients.Wait()
 	w.checkEnd()
 }
 
 // checkEnd looks at what there is when all is over.
-func (w *shareWorld) checkEnd() {
+func (w *shareSim) checkEnd() {
 	for _, r := range w.replicas {
-		lookAt(r, func() bool { return assert.NoError(w.t, r.engine.machine.Check()) })
+		onReplica(r, func() bool { return assert.NoError(w.t, r.engine.machine.Check()) })
 	}
 	head := w.head()
 	require.NotNil(w.t, head)
-	completed := lookAt(head, func() int {
+	completed := onReplica(head, func() int {
 		count := 0
 		for _, job := range head.engine.machine.Jobs() {
 			if job.State == state.Completed {
@@ -296,12 +296,12 @@
 		}
 		return count
 	})
-	epoch := lookAt(head, func() uint64 { return head.schedulerEpoch })
+	epoch := onReplica(head, func() uint64 { return head.schedulerEpoch })
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.t.Logf("%d jobs completed, %d starts, %d tenants had their whole share, epoch %d, %v", completed, w.starts, len(w.atLimit), epoch,
 		time.Since(w.started))
-	assert.Equal(w.t, shareTenants*jobsATenant, completed)
+	assert.Equal(w.t, shareTenants*jobsPerTenant, completed)
 	assert.GreaterOrEqual(w.t, epoch, uint64(3), "hardly anybody took over")
 	assert.Greater(w.t, len(w.atLimit), shareTenants/2, "the shares hardly bound anybody")
 }
--- a/internal/system/control/sharesworker_test.go
+++ b/internal/system/control/sharesworker_test.go
@@ -9,33 +9,33 @@
 
 // shareWorker is a worker that keeps its contract: one highest token, due times, cumulative ends, and room that it guards.
 type shareWorker struct {
-	world    *shareWorld
+	sim      *shareSim
 	instance string
 	service  string
 	// All that follows is under the world's mutex.
-	token    uint64
-	running  map[string]workerapi.RunningTask
-	attempts map[string]int
-	finished []workerapi.FinishedTask
-	ends     uint64
-	waiting  func(workerapi.HoldReply)
-	asked    int
+	token      uint64
+	running    map[string]workerapi.RunningTask
+	attempts   map[string]int
+	finished   []workerapi.FinishedTask
+	ends       uint64
+	waiting    func(workerapi.HoldReply)
+	holdNumber int
 }
 
-func (s *shareWorker) clockMs() int64 { return time.Since(s.world.started).Milliseconds() + 1 }
+func (s *shareWorker) clockMs() int64 { return time.Since(s.sim.started).Milliseconds() + 1 }
 
-// take carries out a call.
-func (s *shareWorker) take(made *scheduler.Call, answer func(workerapi.HoldReply)) {
-	s.world.mutex.Lock()
-	reply, later := s.carryOut(made, answer)
+// handleCall carries out a call.
+func (s *shareWorker) handleCall(made *scheduler.Call, answer func(workerapi.HoldReply)) {
+	s.sim.mutex.Lock()
+	reply, later := s.perform(made, answer)
 	reply.ClockMs = s.clockMs()
-	s.world.mutex.Unlock()
+	s.sim.mutex.Unlock()
 	if !later {
 		answer(reply)
 	}
 }
 
-func (s *shareWorker) carryOut(made *scheduler.Call, answer func(workerapi.HoldReply)) (reply workerapi.HoldReply, later bool) {
+func (s *shareWorker) perform(made *scheduler.Call, answer func(workerapi.HoldReply)) (reply workerapi.HoldReply, later bool) {
 	token := max(made.Start.FenceToken, made.Stop.FenceToken, made.Hold.FenceToken)
 	if token < s.token {
 		return workerapi.HoldReply{Outcome: workerapi.RefusedFence}, false
@@ -57,13 +57,13 @@
 	if run, runs := s.running[order.Task]; runs && run.Attempt == order.Attempt {
 		return workerapi.Done
 	}
-	task := s.world.tasks[order.Task]
+	task := s.sim.tasks[order.Task]
 	switch {
 	case order.Attempt <= s.attempts[order.Task]:
 		return workerapi.RefusedOld
 	case order.DueAtMs < s.clockMs():
 		return workerapi.RefusedLate
-	case s.used()+task.accelerators > acceleratorsEach:
+	case s.used()+task.accelerators > acceleratorsPerWorker:
 		return workerapi.RefusedRoom
 	}
 	if s.attempts == nil {
@@ -71,11 +71,11 @@
 	}
 	run := workerapi.RunningTask{Task: order.Task, Attempt: order.Attempt}
 	s.running[order.Task], s.attempts[order.Task] = run, order.Attempt
-	s.world.starts++
-	s.world.checkRunning(task.tenant)
+	s.sim.starts++
+	s.sim.checkRunning(task.tenant)
 	time.AfterFunc(task.length, func() {
-		s.world.mutex.Lock()
-		defer s.world.mutex.Unlock()
+		s.sim.mutex.Lock()
+		defer s.sim.mutex.Unlock()
 		if s.running[order.Task] == run {
 			s.end(run, workerapi.HowDone)
 		}
@@ -86,13 +86,13 @@
 func (s *shareWorker) used() int64 {
 	sum := int64(0)
 	for name := range s.running {
-		sum += s.world.tasks[name].accelerators
+		sum += s.sim.tasks[name].accelerators
 	}
 	return sum
 }
 
 // checkRunning counts what really runs of a tenant.
-func (w *shareWorld) checkRunning(tenant string) {
+func (w *shareSim) checkRunning(tenant string) {
 	sum := int64(0)
 	for _, worker := range w.workers {
 		for name := range worker.running {
@@ -120,15 +120,15 @@
 		s.finished = s.finished[1:]
 	}
 	if len(s.finished) > 0 || order.WaitMs == 0 {
-		return s.lists(), false
+		return s.listReply(), false
 	}
-	s.asked++
-	asked := s.asked
+	s.holdNumber++
+	asked := s.holdNumber
 	s.waiting = answer
 	time.AfterFunc(time.Duration(order.WaitMs)*time.Millisecond, func() {
-		s.world.mutex.Lock()
-		defer s.world.mutex.Unlock()
-		if s.asked == asked {
+		s.sim.mutex.Lock()
+		defer s.sim.mutex.Unlock()
+		if s.holdNumber == asked {
 			s.answerHold()
 		}
 	})
@@ -138,13 +138,13 @@
 func (s *shareWorker) answerHold() {
 	if waiting := s.waiting; waiting != nil {
 		s.waiting = nil
-		reply := s.lists()
+		reply := s.listReply()
 		reply.ClockMs = s.clockMs()
 		go waiting(reply)
 	}
 }
 
-func (s *shareWorker) lists() workerapi.HoldReply {
+func (s *shareWorker) listReply() workerapi.HoldReply {
 	reply := workerapi.HoldReply{Outcome: workerapi.Done, Finished: append([]workerapi.FinishedTask(nil), s.finished...)}
 	for _, run := range s.running {
 		reply.Running = append(reply.Running, run)
--- a/internal/system/control/sharesworld_test.go
+++ b/internal/system/control/sharesworld_test.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	shareReplicas    = 3
-	shareWorkers     = 40
-	acceleratorsEach = 8
-	shareListEvery   = 900 * time.Millisecond
-	mostLatency      = 3 * time.Millisecond
+	shareReplicas         = 3
+	shareWorkers          = 40
+	acceleratorsPerWorker = 8
+	shareListEvery        = 900 * time.Millisecond
+	maxLatency            = 3 * time.Millisecond
 )
 
-// shareWorld is a few replicas with their disks in memory, their peers and workers reached without sockets, inside a synctest bubble.
-type shareWorld struct {
+// shareSim is a few replicas with their disks in memory, their peers and workers reached without sockets, inside a synctest bubble.
+type shareSim struct {
 	t        *testing.T
 	replicas []*shareReplica
 	workers  []*shareWorker
@@ -57,17 +57,17 @@
 // shareReplica is a replica of which all but the sockets is the program's own.
 type shareReplica struct {
 	*Node
-	world  *shareWorld
+	sim    *shareSim
 	number int
 	listed *scheduler.Scheduler
 	nextAt time.Duration
 }
 
-func newShareWorld(t *testing.T, seed uint64, limits map[string]int64) *shareWorld {
-	w := &shareWorld{t: t, random: rand.New(rand.NewPCG(seed, 2)), started: time.Now(), limits: limits, tasks: map[string]shareTask{},
+func newShareSim(t *testing.T, seed uint64, limits map[string]int64) *shareSim {
+	w := &shareSim{t: t, random: rand.New(rand.NewPCG(seed, 2)), started: time.Now(), limits: limits, tasks: map[string]shareTask{},
 		atLimit: map[string]bool{}}
 	for i := range shareWorkers {
-		w.workers = append(w.workers, &shareWorker{world: w, instance: fmt.Sprintf("i-%02d", i),
+		w.workers = append(w.workers, &shareWorker{sim: w, instance: fmt.Sprintf("i-%02d", i),
 			service: shareServices[i%len(shareServices)], running: map[string]workerapi.RunningTask{}})
 	}
 	var seeds []string
@@ -78,32 +78,32 @@
 		w.replicas = append(w.replicas, w.newReplica(i, seeds))
 	}
 	for _, r := range w.replicas {
-		r.loop.post(r.engine.begin)
+		r.loop.post(r.engine.start)
 		go r.loop.run(r.flush)
 	}
 	return w
 }
 
-func (w *shareWorld) newReplica(number int, seeds []string) *shareReplica {
+func (w *shareSim) newReplica(number int, seeds []string) *shareReplica {
 	settings := nodesettings.Default()
 	settings.NodeName, settings.IP, settings.Bind.ControlPlane = fmt.Sprint("core-", number), loopback(number), seeds[number]
 	settings.EphemeralPorts = []int{9001, 9001}
 	settings.SeedNodes, settings.Bootstrap, settings.FaultTolerance.Machines = seeds, true, 1
-	r := &shareReplica{world: w, number: number, Node: &Node{settings: settings, logger: log.New(io.Discard), clock: time.Now, started: time.Now(),
-		loop: newLoop(), wall: newWallClock(), client: transport.NewClient(transport.Options{}), list: noPlatform(), left: make(chan struct{})}}
+	r := &shareReplica{sim: w, number: number, Node: &Node{settings: settings, logger: log.New(io.Discard), clock: time.Now, started: time.Now(),
+		loop: newLoop(), wallClock: newWallClock(), client: transport.NewClient(transport.Options{}), listClient: noPlatform(), left: make(chan struct{})}}
 	r.members = membership.New(r.client, membership.Options{Self: peersampling.Peer{Address: r.self().Address, Role: RoleName}})
 	file, records, err := wal.Open(simdisk.New(uint64(number)).Process(), logName)
 	require.NoError(w.t, err)
 	r.engine, err = newEngine(engineOptions{config: r.replicaConfig(), log: file, records: records, now: r.now, post: r.loop.post,
-		send: r.send, applied: r.take, caughtUp: func(int, time.Duration) {}, yield: r.loop.post, committed: r.counts.latency.Observe, installed: r.installed, event: r.event,
-		failed: r.fault, fault: r.fault})
+		send: r.send, applied: r.applyAndCheckShares, caughtUp: func(int, time.Duration) {}, postDeferred: r.loop.post, committed: r.counts.latency.Observe, snapshotInstalled: r.snapshotInstalled, event: r.handleEvent,
+		diskFailed: r.fault, fatal: r.fault})
 	require.NoError(w.t, err)
 	return r
 }
 
-func (r *shareReplica) fault(err error) { r.world.t.Errorf("replica %d: %v", r.number, err) }
+func (r *shareReplica) fault(err error) { r.sim.t.Errorf("replica %d: %v", r.number, err) }
 
-func (w *shareWorld) stop() {
+func (w *shareSim) stop() {
 	for _, r := range w.replicas {
 		r.loop.post(r.engine.close)
 	}
@@ -114,38 +114,38 @@
 }
 
 // latency is how long something is on its way.
-func (w *shareWorld) latency() time.Duration {
+func (w *shareSim) latency() time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return time.Duration(1 + w.random.Int64N(int64(mostLatency)))
+	return time.Duration(1 + w.random.Int64N(int64(maxLatency)))
 }
 
-func (w *shareWorld) separated(a, b int) bool {
+func (w *shareSim) separated(a, b int) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.cut[a] || w.cut[b]
 }
 
-func (w *shareWorld) setCut(number int, cut bool) {
+func (w *shareSim) setCut(number int, cut bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.cut[number] = cut
 }
 
 func (r *shareReplica) send(to string, message *replica.Message) {
-	for _, other := range r.world.replicas {
-		if other.self().Address != to || r.world.separated(r.number, other.number) {
+	for _, other := range r.sim.replicas {
+		if other.self().Address != to || r.sim.separated(r.number, other.number) {
 			continue
 		}
-		time.AfterFunc(r.world.latency(), func() {
+		time.AfterFunc(r.sim.latency(), func() {
 			other.loop.post(func() { other.engine.step(replica.Receive{Message: message}) })
 		})
 	}
 }
 
-// take takes in a commit as the program does, and looks at all shares.
-func (r *shareReplica) take(result state.Result) {
-	r.applied(result)
+// applyAndCheckShares takes in a commit as the program does, and looks at all shares.
+func (r *shareReplica) applyAndCheckShares(result state.Result) {
+	r.commandApplied(result)
 	if len(result.Started) > 0 {
 		r.checkShares()
 	}
@@ -166,14 +166,14 @@
 			}
 		}
 	}
-	r.world.mutex.Lock()
-	defer r.world.mutex.Unlock()
+	r.sim.mutex.Lock()
+	defer r.sim.mutex.Unlock()
 	for tenant, count := range used {
-		if count > r.world.limits[tenant] {
-			r.world.t.Errorf("tenant %s has %d accelerators of %d at index %d", tenant, count, r.world.limits[tenant], r.engine.appliedTo)
+		if count > r.sim.limits[tenant] {
+			r.sim.t.Errorf("tenant %s has %d accelerators of %d at index %d", tenant, count, r.sim.limits[tenant], r.engine.appliedIndex)
 		}
-		if count == r.world.limits[tenant] {
-			r.world.atLimit[tenant] = true
+		if count == r.sim.limits[tenant] {
+			r.sim.atLimit[tenant] = true
 		}
 	}
 }
@@ -183,56 +183,56 @@
 	if r.engine.closed {
 		return time.Hour
 	}
-	if r.now() >= r.engine.wake {
+	if r.now() >= r.engine.wakeAt {
 		r.engine.step(replica.Tick{})
 	}
-	r.takeConfig()
-	r.tellScheduler()
+	r.applyPendingConfig()
+	r.updateScheduler()
 	for range 8 {
-		ordered := r.order()
+		ordered := r.runSchedulerStep()
 		if !r.engine.flush() && !ordered {
 			break
 		}
 	}
-	wake := r.engine.wake
-	if r.schedulerActive && r.schedulerWake > 0 {
-		wake = min(wake, r.schedulerWake)
+	wake := r.engine.wakeAt
+	if r.schedulerActive && r.schedulerWakeAt > 0 {
+		wake = min(wake, r.schedulerWakeAt)
 	}
 	return max(wake-r.now(), time.Millisecond)
 }
 
-// tellScheduler shows a scheduler the list and the time.
-func (r *shareReplica) tellScheduler() {
+// updateScheduler shows a scheduler the list and the time.
+func (r *shareReplica) updateScheduler() {
 	now := r.now()
 	if r.scheduler == nil || r.scheduler == r.listed && now < r.nextAt {
 		return
 	}
 	r.listed, r.nextAt = r.scheduler, now+shareListEvery
-	r.tellWallClock(now)
-	instances := make([]workerapi.Instance, 0, len(r.world.workers))
-	for _, worker := range r.world.workers {
+	r.updateSchedulerClock(now)
+	instances := make([]workerapi.Instance, 0, len(r.sim.workers))
+	for _, worker := range r.sim.workers {
 		instances = append(instances, workerapi.Instance{ID: worker.instance, Backend: worker.service, Address: worker.instance,
-			State: workerapi.StateReady, Allocatable: workerapi.Allocatable{CPU: 64000, MemoryMB: 64000, GPUs: acceleratorsEach}})
+			State: workerapi.StateReady, Allocatable: workerapi.Allocatable{CPU: 64000, MemoryMB: 64000, GPUs: acceleratorsPerWorker}})
 	}
 	r.scheduler.Listed(now, instances)
 }
 
-// order carries out what the scheduler wants and tells whether there was anything.
-func (r *shareReplica) order() bool {
+// runSchedulerStep carries out what the scheduler wants and tells whether there was anything.
+func (r *shareReplica) runSchedulerStep() bool {
 	if r.scheduler == nil || !r.acting() {
 		return false
 	}
-	if now := r.now(); r.schedulerWake > 0 && now >= r.schedulerWake {
+	if now := r.now(); r.schedulerWakeAt > 0 && now >= r.schedulerWakeAt {
 		r.scheduler.Tick(now)
 	}
 	output := r.scheduler.Drain()
-	r.schedulerWake = output.Wake
+	r.schedulerWakeAt = output.Wake
 	if output.Superseded {
 		r.schedulerActive = false
 		return false
 	}
 	for _, command := range output.Commands {
-		r.engine.propose(command, func(state.Result, fate) {})
+		r.engine.propose(command, func(state.Result, commitStatus) {})
 	}
 	for i := range output.Calls {
 		r.callWorker(&output.Calls[i])
@@ -243,7 +243,7 @@
 func (r *shareReplica) callWorker(made *scheduler.Call) {
 	from := r.scheduler
 	answer := func(reply workerapi.HoldReply) {
-		time.AfterFunc(r.world.latency(), func() {
+		time.AfterFunc(r.sim.latency(), func() {
 			r.loop.post(func() {
 				if r.scheduler == from {
 					from.CallEnded(r.now(), scheduler.CallResult{ID: made.ID, Reply: reply})
@@ -251,9 +251,9 @@
 			})
 		})
 	}
-	for _, worker := range r.world.workers {
+	for _, worker := range r.sim.workers {
 		if worker.instance == made.Worker.Instance {
-			time.AfterFunc(r.world.latency(), func() { worker.take(made, answer) })
+			time.AfterFunc(r.sim.latency(), func() { worker.handleCall(made, answer) })
 		}
 	}
 }
--- a/internal/system/control/sockets.go
+++ b/internal/system/control/sockets.go
@@ -26,7 +26,7 @@
 		Self:  peersampling.Peer{Address: n.self().Address, Role: RoleName, Zone: n.settings.Zone, Incarnation: uint64(n.clock().UnixNano())},
 		Seeds: n.settings.SeedInternalAddresses(), RandomSeed: rand.Uint64(), Clock: n.now,
 	})
-	receiver := transport.NewReceiver(n.received)
+	receiver := transport.NewReceiver(n.receiveMessages)
 	for name, service := range map[string]any{chainService: receiver, membership.ServiceName: n.members.Service(),
 		internalapi.Service: &Service{node: n}} {
 		if err := server.Register(name, service); err != nil {
@@ -42,31 +42,31 @@
 		return fmt.Errorf("listen for the operator: %w", err)
 	}
 	api := newOperatorAPI(n.settings.Limits.MemoryMb)
-	api.replace, api.read, api.figures = n.replaceAnywhere, n.readAnywhere, n.serveFigures
+	api.replace, api.read, api.metrics = n.replaceOrForward, n.readOrForward, n.serveMetrics
 	n.operator = operatorServer(api.handler())
-	bounded := network.Bound(listener, mostOperators)
+	bounded := network.Bound(listener, maxOperatorConnections)
 	go func() { _ = n.operator.Serve(bounded) }()
 	return nil
 }
 
 // The bounds of the operator's API on its callers.
 const (
-	operatorHeaderTime = 5 * time.Second
-	operatorIdleTime   = 30 * time.Second
-	// operatorReadTime is how long a whole order may take to arrive: the largest at 4 Mbit/s.
-	operatorReadTime = 20 * time.Second
-	// operatorWriteTime bounds the work and the answer, from the end of the header on.
-	operatorWriteTime = 45 * time.Second
-	// mostOperators bounds the connections to the operator's API: they come out of the descriptors that are kept from the workers' connections.
-	mostOperators = 256
+	operatorHeaderTimeout = 5 * time.Second
+	operatorIdleTimeout   = 30 * time.Second
+	// operatorReadTimeout is how long a whole order may take to arrive: the largest at 4 Mbit/s.
+	operatorReadTimeout = 20 * time.Second
+	// operatorWriteTimeout bounds the work and the answer, from the end of the header on.
+	operatorWriteTimeout = 45 * time.Second
+	// maxOperatorConnections bounds the connections to the operator's API: they come out of the descriptors that are kept from the workers' connections.
+	maxOperatorConnections = 256
 )
 
 func operatorServer(handler http.Handler) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: operatorHeaderTime, ReadTimeout: operatorReadTime,
-		WriteTimeout: operatorWriteTime, IdleTimeout: operatorIdleTime}
+	return &http.Server{Handler: handler, ReadHeaderTimeout: operatorHeaderTimeout, ReadTimeout: operatorReadTimeout,
+		WriteTimeout: operatorWriteTimeout, IdleTimeout: operatorIdleTimeout}
 }
 
-func (n *Node) received(messages []*replica.Message) {
+func (n *Node) receiveMessages(messages []*replica.Message) {
 	if len(messages) > 0 {
 		n.client.Reachable(messages[0].From.Address) // all of them are of one sender
 	}
@@ -88,8 +88,8 @@
 	return slices.DeleteFunc(addresses, func(address string) bool { return address == n.self().Address })
 }
 
-// spread gives a value to the epidemic.
-func (n *Node) spread(key gossip.Key, version uint64, data []byte) {
+// gossip gives a value to the epidemic.
+func (n *Node) gossip(key gossip.Key, version uint64, data []byte) {
 	members := n.members
 	go func() {
 		if err := members.Set(gossip.Value{Key: key, Version: gossip.Version{Major: version}, Data: data}); err != nil {
--- a/internal/system/control/tenants.go
+++ b/internal/system/control/tenants.go
@@ -11,7 +11,7 @@
 
 // Tenants shows the tenants' shares of accelerators and what waits for them; only the head can.
 func (s *Service) Tenants(_ internalapi.TenantsArgs, reply *internalapi.TenantsReply) (err error) {
-	*reply, err = look(s.node, s.node.tenants)
+	*reply, err = queryOnLoop(s.node, s.node.tenants)
 	return err
 }
 
--- a/internal/system/control/tenants_test.go
+++ b/internal/system/control/tenants_test.go
@@ -59,7 +59,7 @@
 	})
 }
 
-func TestWithoutTenantsThereAreNoFiguresOfThem(t *testing.T) {
+func TestNoTenantMetricsWithoutTenants(t *testing.T) {
 	cluster := startCluster(t, 1, 0)
 	cluster.replace(1, testConfig)
 	cluster.submit(1, 7, "barn", `{"stages":[{"count":1,"cpu":500,"memMb":100,"gpus":4,"estimatedMs":200}]}`, internalapi.Done)
--- a/internal/system/control/unfit.go
+++ b/internal/system/control/unfit.go
@@ -10,19 +10,19 @@
 	"gaugeslip/coord/wal"
 )
 
-// UnfitName is the name of the log that keeps what a replica held whose state was found to be wrong, for whoever looks into it.
-const UnfitName = "unfit"
+// UnfitLogName is the name of the log that keeps what a replica held whose state was found to be wrong, for whoever looks into it.
+const UnfitLogName = "unfit"
 
-// fitRecords gives what a replica may start from. A disk that was marked as unfit, as its state differs from the chain's, is given up: its
+// replaceUnfitRecords gives what a replica may start from. A disk that was marked as unfit, as its state differs from the chain's, is given up: its
 // records are kept under another name and a new identity takes their place, so that the replica comes back as one that knows nothing.
-func (n *Node) fitRecords(folder wal.Disk, file *wal.Log, records []wal.Record) ([]wal.Record, error) {
+func (n *Node) replaceUnfitRecords(disk wal.Disk, file *wal.Log, records []wal.Record) ([]wal.Record, error) {
 	reason, unfit := unfitReason(records)
 	if !unfit {
 		return records, nil
 	}
-	kept := keepUnfit(folder, records)
+	kept := saveUnfitRecords(disk, records)
 	id := view.ReplicaID(fmt.Sprintf("%s#%016x", n.self().Address, rand.Uint64()))
-	blank := toLog(replica.BlankDisk(id))
+	blank := toWALRecords(replica.BlankDisk(id))
 	if err := file.Rewrite(blank); err != nil {
 		return nil, errors.Join(err, file.Close())
 	}
@@ -38,15 +38,15 @@
 	return string(records[len(records)-1].Data), true
 }
 
-// keepUnfit writes the records to a log of another name, in the place of what it held. Where there is no room the replica comes back all
+// saveUnfitRecords writes the records to a log of another name, in the place of what it held. Where there is no room the replica comes back all
 // the same.
-func keepUnfit(folder wal.Disk, records []wal.Record) error {
-	kept, _, err := wal.Open(folder, UnfitName)
+func saveUnfitRecords(disk wal.Disk, records []wal.Record) error {
+	kept, _, err := wal.Open(disk, UnfitLogName)
 	if err != nil {
-		return errors.Join(err, wal.Remove(folder, UnfitName))
+		return errors.Join(err, wal.Remove(disk, UnfitLogName))
 	}
 	if err := errors.Join(kept.Rewrite(records), kept.Close()); err != nil {
-		return errors.Join(err, wal.Remove(folder, UnfitName))
+		return errors.Join(err, wal.Remove(disk, UnfitLogName))
 	}
 	return nil
 }
--- a/internal/system/control/unruly_test.go
+++ b/internal/system/control/unruly_test.go
@@ -16,13 +16,13 @@
 )
 
 // An operator who sends half of an order and says no more holds its connection, and the memory of what it has sent, for a bounded time.
-func TestAnOrderThatNeverEndsIsGivenUp(t *testing.T) {
+func TestStalledOrderTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simnet.New(1)
 		listener, err := network.Listen(operatorAddress)
 		require.NoError(t, err)
 		api := newOperatorAPI(0)
-		api.figures = func(http.ResponseWriter, *http.Request) {}
+		api.metrics = func(http.ResponseWriter, *http.Request) {}
 		api.read = func(time.Duration) internalapi.ReadReply { return internalapi.ReadReply{} }
 		server := operatorServer(api.handler())
 		go func() { _ = server.Serve(listener) }()
@@ -30,7 +30,7 @@
 		conn, err := network.Dial(t.Context(), operatorHost, operatorAddress)
 		require.NoError(t, err)
 		defer conn.Close()
-		_, err = io.WriteString(conn, strings.TrimSuffix(wholeOrder, orderBody[10:]))
+		_, err = io.WriteString(conn, strings.TrimSuffix(completeRequest, orderBody[10:]))
 		require.NoError(t, err)
 		began := time.Now()
 		require.NoError(t, conn.SetReadDeadline(began.Add(time.Minute)))
