--- a/internal/system/control/backlog.go
+++ b/internal/system/control/backlog.go
@@ -8,35 +8,36 @@
 	"gaugeslip/internal/system/state"
 )
 
-// applyBatchSize is how many committed entries are applied in one turn of the loop: some milliseconds' work. Heartbeats, acknowledgements and
-// the forwarding along the chain don't wait for more of a backlog than that.
+// applyBatchSize is how many committed entries are applied in one turn of the loop, which takes some milliseconds. It bounds how long
+// heartbeats, acknowledgements and forwarding along the chain wait behind a backlog.
 const applyBatchSize = maxDigestBatch
 
-// backlog is what is committed and not yet applied, where more came at once than is applied in one turn: after a restart, or when a replica
-// has been away.
+// backlog holds committed entries that are not applied yet, if more arrived at once than one turn of the loop applies. This happens after a
+// restart, or when a replica was disconnected for a while.
 type backlog struct {
-	pending   []chain.Entry // in order, from the one after the engine's appliedIndex on
-	total     int           // that the backlog has had in all
+	pending   []chain.Entry // in order, starting after the engine's appliedIndex
+	total     int           // entries added to the backlog since it began
 	startedAt time.Duration
-	// generation tells continuations of a backlog that was dropped from those of the present one.
+	// generation distinguishes the continuations of a dropped backlog from those of the present one.
 	generation uint64
-	// pendingHead is held back until the state has all that was committed before it.
+	// pendingHead is the deferred event that this replica is the head, delivered once the backlog is applied.
 	pendingHead *replica.BecameHead
 }
 
-// drop gives up what waits, as another state takes its place or the engine ends.
+// drop discards the pending entries because another state replaces the present one or the engine closes.
 func (b *backlog) drop() { *b = backlog{generation: b.generation + 1} }
 
-// upToDate tells whether the state shows more than what the disk knew to be committed: the head, or the chain, has told of it in this life.
-// Before that it may be as old as this replica was away.
+// upToDate reports whether the state is newer than what the disk recorded as committed at the start: since then the head or the chain has
+// announced a commit. Before that the state may be as old as this replica's absence.
 func (e *engine) upToDate() bool {
 	return e.appliedIndex > e.restoredCommit || e.isHead() && !e.catchingUp()
 }
 
-// catchingUp tells whether a backlog is being applied.
+// catchingUp reports whether a backlog is being applied.
 func (e *engine) catchingUp() bool { return len(e.backlog.pending) > 0 }
 
-// applyCommitted applies committed entries. What is more than one slice is a backlog and is applied in turns of the loop.
+// applyCommitted applies committed entries. More than applyBatchSize entries form a backlog, which is applied over several turns of the
+// loop.
 func (e *engine) applyCommitted(entries []chain.Entry) {
 	switch {
 	case e.catchingUp():
@@ -52,7 +53,7 @@
 	}
 }
 
-// continueBacklog applies the next slice of a backlog.
+// continueBacklog applies the next batch of a backlog.
 func (e *engine) continueBacklog(generation uint64) {
 	if e.closed || e.backlog.generation != generation {
 		return
@@ -73,19 +74,19 @@
 	e.finishBacklog()
 }
 
-// finishBacklog goes on as usual: digests are taken again from here on, and what was held back is told.
+// finishBacklog ends the backlog: digests are taken again from here on, and a deferred BecameHead event is delivered.
 func (e *engine) finishBacklog() {
-	over := e.backlog
+	finished := e.backlog
 	e.backlog.drop()
 	e.audit = state.NewAudit(e.appliedIndex)
-	e.options.caughtUp(over.total, e.options.now()-over.startedAt)
-	if over.pendingHead != nil {
-		e.options.event(*over.pendingHead)
+	e.options.caughtUp(finished.total, e.options.now()-finished.startedAt)
+	if finished.pendingHead != nil {
+		e.options.event(*finished.pendingHead)
 	}
 }
 
-// apply applies an entry. Those of a backlog aren't summed up: that takes a replica that has just started, or has been away, the time that
-// it needs to be there; nobody waits for its digests of then.
+// apply applies an entry unless it is applied already. recordDigest takes no digests of backlog entries: they would delay the replica's
+// return, and no other member waits for digests of old entries.
 func (e *engine) apply(entry chain.Entry) {
 	if entry.Index <= e.appliedIndex {
 		return
@@ -103,7 +104,7 @@
 	e.resolveProposal(entry, result)
 }
 
-// forwardEvent passes an event on. That this replica acts as the head is held back while the state lacks what was committed before.
+// forwardEvent passes an event to the node. BecameHead is deferred until everything committed before it is applied.
 func (e *engine) forwardEvent(event replica.Event) {
 	switch event := event.(type) {
 	case replica.BecameHead:
@@ -119,7 +120,8 @@
 	e.options.event(event)
 }
 
-// deferBecameHead keeps an event until the backlog is over; one before it that was never told counts with it.
+// deferBecameHead keeps the event until the backlog is applied. It merges with an earlier deferred event: the headship is continued only if
+// both events say so.
 func (e *engine) deferBecameHead(event replica.BecameHead) {
 	if held := e.backlog.pendingHead; held != nil {
 		event.Continued = event.Continued && held.Continued
--- a/internal/system/control/captures.go
+++ b/internal/system/control/captures.go
@@ -5,27 +5,27 @@
 	"gaugeslip/internal/system/state"
 )
 
-// captureChunkSize is how many bytes of a snapshot are made in one turn of the loop: some milliseconds' work. A head that stands still for
-// as long as a large snapshot takes loses its lease.
+// captureChunkSize is how many bytes of a snapshot are serialised in one turn of the loop, which takes some milliseconds. A head that
+// stopped for a whole large snapshot would lose its lease.
 const captureChunkSize = 256 << 10
 
-// capturePurpose tells what a snapshot is wanted for.
+// capturePurpose is what a snapshot is needed for, as a bit set.
 type capturePurpose byte
 
-// The uses of a snapshot.
+// The purposes of a snapshot.
 const (
 	captureForLearners capturePurpose = 1 << iota
 	captureForLog
 )
 
-// pendingCapture is the snapshot under way.
+// pendingCapture is the snapshot being serialised.
 type pendingCapture struct {
-	capture  *state.Capture // nil: none
-	index    uint64         // the last entry that is in it
+	capture  *state.Capture // nil: no snapshot in progress
+	index    uint64         // index of the last entry included
 	purposes capturePurpose
 }
 
-// startCapture has a snapshot made, unless one is under way that serves.
+// startCapture starts a snapshot, or adds the purpose to the one in progress.
 func (e *engine) startCapture(use capturePurpose) {
 	e.pendingCapture.purposes |= use
 	if e.pendingCapture.capture != nil {
@@ -35,7 +35,7 @@
 	e.continueCapture(e.pendingCapture.capture)
 }
 
-// continueCapture makes a slice, and hands the snapshot out once it is whole.
+// continueCapture serialises the next chunk and delivers the snapshot once it is complete.
 func (e *engine) continueCapture(capture *state.Capture) {
 	if e.closed || e.pendingCapture.capture != capture {
 		return
@@ -54,7 +54,7 @@
 	}
 }
 
-// dropCapture gives the snapshot under way up, as another state has come.
+// dropCapture cancels the snapshot in progress because another state has replaced the captured one.
 func (e *engine) dropCapture() {
 	if e.pendingCapture.purposes&captureForLog != 0 {
 		e.rewriting = false
--- a/internal/system/control/causes.go
+++ b/internal/system/control/causes.go
@@ -6,21 +6,21 @@
 	"gaugeslip/coord/replica"
 )
 
-// causeFields are the keys and values with which the log tells of a cause; what is zero is left out.
+// causeFields returns the log keys and values of a cause, without those that are zero.
 func causeFields(cause replica.Cause) []any {
 	line := []any{"cause", string(cause.Kind)}
 	if cause.Member != "" {
 		line = append(line, "of", cause.Member)
 	}
-	for _, figure := range []struct {
+	for _, field := range []struct {
 		name   string
 		length time.Duration
 	}{
 		{"silence", cause.Silence}, {"paused", cause.Paused}, {"stuck", cause.Stuck}, {"patience", cause.Patience},
 		{"sync", cause.Sync}, {"lease-over", cause.LeaseOver},
 	} {
-		if length := figure.length.Round(time.Millisecond); length > 0 {
-			line = append(line, figure.name, length)
+		if length := field.length.Round(time.Millisecond); length > 0 {
+			line = append(line, field.name, length)
 		}
 	}
 	if cause.Index > 0 {
--- a/internal/system/control/clock.go
+++ b/internal/system/control/clock.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// clockReadingTTL is how long the reading of another replica's clock counts.
+// clockReadingTTL is how long a reading of another replica's clock is used.
 const clockReadingTTL = 5 * time.Second
 
-// wallClock estimates the time of day as the median over the replicas' clocks: one that jumps doesn't move it.
+// wallClock estimates the time of day as the median over the replicas' clocks, so that a jump of one clock does not move it.
 type wallClock struct {
 	others map[string]clockReading
 }
 
-// clockReading is by how much another replica's time of day was ahead of ours, and when that was read.
+// clockReading is the offset of another replica's time of day from the local one, positive if it is ahead, and when it was read.
 type clockReading struct {
 	offset time.Duration
 	at     time.Duration
@@ -21,12 +21,12 @@
 
 func newWallClock() *wallClock { return &wallClock{others: map[string]clockReading{}} }
 
-// observe takes in what another replica's clock showed: its time of day, against ours at the middle of the call.
+// observe records another replica's time of day against the local one at the middle of the call.
 func (w *wallClock) observe(from string, theirs, ours time.Time, now time.Duration) {
 	w.others[from] = clockReading{offset: theirs.Sub(ours), at: now}
 }
 
-// offset is what has to be added to our time of day to have the median.
+// offset returns the difference between the median and the local time of day.
 func (w *wallClock) offset(now time.Duration) time.Duration {
 	offsets := []time.Duration{0}
 	for from, reading := range w.others {
--- a/internal/system/control/committed.go
+++ b/internal/system/control/committed.go
@@ -6,7 +6,7 @@
 	"gaugeslip/internal/system/state"
 )
 
-// commandApplied takes in a committed command.
+// commandApplied handles the result of a committed command.
 func (n *Node) commandApplied(result state.Result) {
 	n.counts.countCommand(&result)
 	n.checkResult(&result)
@@ -20,21 +20,20 @@
 	}
 }
 
-// applyPendingConfig puts the newest of the configurations in force that a batch of commits, or a backlog, has brought; those before it are passed
-// over.
+// applyPendingConfig puts the newest configuration in force after a batch of commits or a backlog, and skips the versions before it.
 func (n *Node) applyPendingConfig() {
 	if n.configPending && !n.engine.catchingUp() {
 		n.applyConfig()
 	}
 }
 
-// snapshotInstalled takes in that a snapshot took the place of the state.
+// snapshotInstalled handles the replacement of the state by a snapshot.
 func (n *Node) snapshotInstalled() {
 	n.dropScheduler()
 	n.applyConfig()
 }
 
-// applyConfig puts the newest committed configuration in force here and, unless it may be an old one, gives it to the epidemic.
+// applyConfig puts the newest committed configuration in force here. It gossips the configuration unless it may be outdated.
 func (n *Node) applyConfig() {
 	n.configPending = false
 	current := n.engine.machine.Config()
@@ -43,7 +42,7 @@
 	}
 	parsed, err := clusterconfig.Parse(current.Body)
 	if err != nil {
-		n.logger.Error("committed configuration can't be read", "version", current.Version, "error", err)
+		n.logger.Error("cannot parse committed configuration", "version", current.Version, "error", err)
 		return
 	}
 	n.checkConfig(current.Version)
@@ -57,8 +56,8 @@
 	}
 }
 
-// gossipConfig gives the configuration in force to the epidemic. One that may be older than what is committed by now isn't: a dispatcher that
-// has just started would take it.
+// gossipConfig gossips the configuration in force. Callers must not gossip one that may be older than the newest committed version: a
+// dispatcher that has just started would use it.
 func (n *Node) gossipConfig() {
 	if current := n.engine.machine.Config(); current.Version > 0 {
 		n.gossip(internalapi.KeyConfig, current.Version, current.Body)
--- a/internal/system/control/compaction.go
+++ b/internal/system/control/compaction.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// minCompactionSize is the length at which the log is rewritten, and again at each multiple of its compacted length.
+// minCompactionSize is the log length in bytes that triggers the first compaction. Later ones are triggered at compactionGrowth times the
+// compacted length.
 const (
 	minCompactionSize = 1 << 20
 	compactionGrowth  = 3
 )
 
-// jitterThreshold gives a length up to a half longer, as a replica's seed has it. Nothing is synced while a log is rewritten, and the logs of all replicas
-// grow alike: they should not be rewritten all at once.
+// jitterThreshold increases a length by up to a half, depending on the replica's seed. No entry is synced during a compaction, and the logs
+// of all replicas grow alike: the jitter keeps the replicas from compacting at the same time.
 func jitterThreshold(length int64, seed uint64) int64 {
 	const steps = 64
 	return length + length/2*int64(seed%steps)/steps
 }
 
-// compactIfDue rewrites the log once it has grown long.
+// compactIfDue starts a compaction once the log has reached its threshold.
 func (e *engine) compactIfDue() {
 	if e.rewriting || e.disk.logSize() < e.compactAt {
 		return
@@ -24,7 +25,7 @@
 	e.startCapture(captureForLog)
 }
 
-// rewriteLog replaces the log by a snapshot and what follows it.
+// rewriteLog replaces the log by a snapshot and the entries after it.
 func (e *engine) rewriteLog(index uint64, snapshot []byte) {
 	records := e.replica.Compact(snapshot, index)
 	if records == nil {
--- a/internal/system/control/config.go
+++ b/internal/system/control/config.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// forwardTimeout bounds one call to the replica that may answer, and forwardRetryWindow the time in which another is begun: a replica that can't
-	// reach it says so soon, and its operator goes on to another.
+	// forwardTimeout bounds one call to the replica that may answer. forwardRetryWindow is the time in which another call may begin. It is
+	// short because an operator goes on to another replica when this one cannot reach the head.
 	forwardTimeout       = 500 * time.Millisecond
 	forwardRetryWindow   = 400 * time.Millisecond
 	forwardRetryInterval = 60 * time.Millisecond
 )
 
-// Replace takes an operator's configuration.
+// Replace handles an operator's request to replace the configuration.
 func (s *Service) Replace(args internalapi.ReplaceArgs, reply *internalapi.ReplaceReply) error {
 	*reply = s.node.replaceLocally(args, operatorTimeout)
 	return nil
@@ -29,8 +29,8 @@
 	return runOnLoop(n, timeout, undecidedReply(true), func(answer func(internalapi.ReplaceReply)) { n.replace(&args, answer) })
 }
 
-// replace runs on the loop. A refusal stands on what is committed; whatever isn't refused by that is decided where it is applied, after
-// all that is on its way.
+// replace runs on the loop. A request is rejected here only on the basis of committed state. All other requests are decided when they are
+// applied, after all entries already in flight.
 func (n *Node) replace(args *internalapi.ReplaceArgs, answer func(internalapi.ReplaceReply)) {
 	if !n.acting() {
 		answer(internalapi.ReplaceReply{Verdict: internalapi.NotHead, View: n.engine.view()})
@@ -47,14 +47,15 @@
 	})
 }
 
-// logConfigRefused logs an order that wasn't taken; a repeated one is none.
+// logConfigRefused logs a rejected request. A repeated one is confirmed, not rejected, and is not logged.
 func (n *Node) logConfigRefused(args *internalapi.ReplaceArgs, refusal *internalapi.ReplaceReply) {
 	if refusal.Verdict == internalapi.Invalid {
 		n.logger.Warn("configuration refused", "base", args.Base, "status", refusal.Status, "reason", refusal.Text)
 	}
 }
 
-// validateReplace gives the command for a configuration that may be taken, or the answer for one that surely isn't or was already.
+// validateReplace returns the command for a configuration that may be accepted, or the reply if it is certainly invalid or already
+// accepted.
 func (n *Node) validateReplace(args *internalapi.ReplaceArgs) (*state.ConfigReplaced, *internalapi.ReplaceReply) {
 	parsed, err := clusterconfig.Parse(args.Body)
 	if err != nil {
@@ -98,13 +99,13 @@
 	return internalapi.ReplaceReply{Verdict: internalapi.Invalid, Status: http.StatusBadRequest, Text: "version: not higher than the one in force"}
 }
 
-// Read gives the newest configuration.
+// Read returns the newest configuration.
 func (s *Service) Read(_ internalapi.ReadArgs, reply *internalapi.ReadReply) error {
 	*reply = s.node.readLocally()
 	return nil
 }
 
-// readLocally gives the newest configuration that was acknowledged when it was asked for, if this replica can know it.
+// readLocally returns the newest configuration acknowledged before the call, if this replica can determine it.
 func (n *Node) readLocally() internalapi.ReadReply {
 	refused := internalapi.ReadReply{Verdict: internalapi.NotHead}
 	return runOnLoop(n, forwardTimeout, refused, func(answer func(internalapi.ReadReply)) {
@@ -121,7 +122,8 @@
 	return internalapi.ReadReply{Verdict: internalapi.Done, Version: newest.Version, Body: newest.Body}
 }
 
-// replaceOrForward decides an order here or passes it on to the head, until it is decided or the timeout is over.
+// replaceOrForward decides a request locally or forwards it to the head, until it is decided or forwardRetryWindow is over. Once a copy of
+// the request may still be carried out, a precondition failure is no definite answer and is retried.
 func (n *Node) replaceOrForward(args internalapi.ReplaceArgs, timeout time.Duration) internalapi.ReplaceReply {
 	deadline, retryUntil := time.Now().Add(timeout), time.Now().Add(forwardRetryWindow)
 	inDoubt := false
@@ -146,7 +148,8 @@
 	}
 }
 
-// undecidedReply is the answer to an order of which nothing is known here: it may be taken if it is in doubt, and is not from here otherwise.
+// undecidedReply returns the reply to a request without a known outcome: in doubt if a copy of it may be carried out, otherwise certainly
+// not carried out by this replica.
 func undecidedReply(inDoubt bool) internalapi.ReplaceReply {
 	if inDoubt {
 		return internalapi.ReplaceReply{Verdict: internalapi.InDoubt, Status: http.StatusGatewayTimeout, Text: "not decided in time"}
@@ -167,7 +170,7 @@
 	return reply, err
 }
 
-// headAddress is where the head of the newest view takes calls, empty if that is this replica or not known.
+// headAddress returns the address of the head of the newest view. It is empty if that is this replica or if no view is known.
 func (n *Node) headAddress() string {
 	return runOnLoop(n, time.Second, "", func(answer func(string)) {
 		newest := n.engine.view()
@@ -179,7 +182,7 @@
 	})
 }
 
-// readOrForward gives the newest configuration from here or, if this replica can't know it, from the chain's tail or head.
+// readOrForward returns the newest configuration from here or, if this replica cannot determine it, from the tail or head of the chain.
 func (n *Node) readOrForward(timeout time.Duration) internalapi.ReadReply {
 	deadline, retryUntil := time.Now().Add(timeout), time.Now().Add(forwardRetryWindow)
 	for {
--- a/internal/system/control/contact.go
+++ b/internal/system/control/contact.go
@@ -6,11 +6,11 @@
 	"gaugeslip/coord/replica"
 )
 
-// headContactTimeout is how long after its last word from the head, or its own lease, a replica still looks for a head that takes an
-// order or answers a read. A change of head takes about one second.
+// headContactTimeout is how long after the last message from the head, or after its own lease, a replica still looks for a head that
+// accepts a request or answers a read. A change of head takes about one second.
 const headContactTimeout = 2 * time.Second
 
-// recordHeadContact notes a message from the head of the view in force.
+// recordHeadContact records the time of a message from the head of the view in force.
 func (e *engine) recordHeadContact(input replica.Input) {
 	received, ok := input.(replica.Receive)
 	if !ok {
@@ -22,7 +22,7 @@
 	}
 }
 
-// hasHeadContact tells whether a head has been heard of lately, be it this replica itself.
+// hasHeadContact reports whether this replica heard from a head within headContactTimeout, or is the head.
 func (e *engine) hasHeadContact() bool {
 	now := e.options.now()
 	if e.replica.IsHead(now) {
@@ -31,7 +31,8 @@
 	return now-e.headContactAt <= headContactTimeout
 }
 
-// isCutOff tells whether this replica is cut off, so that it is no use to look for a head: the caller had better go elsewhere.
+// isCutOff reports whether this replica has lost contact with the head. The caller should then try another replica instead of waiting for a
+// head here.
 func (n *Node) isCutOff() bool {
 	return runOnLoop(n, time.Second, false, func(answer func(bool)) { answer(!n.engine.hasHeadContact()) })
 }
--- a/internal/system/control/digests.go
+++ b/internal/system/control/digests.go
@@ -7,10 +7,10 @@
 	"gaugeslip/internal/system/state"
 )
 
-// maxDigestBatch is how many entries may come at once for their digests to be taken; a head proposes half as many at a time.
+// maxDigestBatch is how many entries may arrive at once and still have their digests taken. A head proposes half as many at a time.
 const maxDigestBatch = 2 * maxProposalBatch
 
-// recordDigest sums up what an entry came to.
+// recordDigest adds an applied entry and its result to the audit, and queues the digest if one is due.
 func (e *engine) recordDigest(entry chain.Entry, result *state.Result) {
 	if e.catchingUp() {
 		return
@@ -20,7 +20,7 @@
 	}
 }
 
-// reportDigests hands the digests that have come up to the core, which compares them with those of the others.
+// reportDigests passes the queued digests to the core, which compares them with those of the other replicas.
 func (e *engine) reportDigests() {
 	for len(e.digests) > 0 {
 		digest := e.digests[0]
--- a/internal/system/control/disk.go
+++ b/internal/system/control/disk.go
@@ -6,21 +6,22 @@
 	"gaugeslip/coord/wal"
 )
 
-// diskJob is one piece of work for the disk: records to append and sync, or a whole new content.
+// diskJob is one write: records to append and sync, or the complete new content of the log.
 type diskJob struct {
 	records []wal.Record
 	rewrite bool
 	done    func(error)
 }
 
-// disk writes to the log on a goroutine of its own. Jobs are done in order; appends that wait together share one sync.
+// disk writes the log on a goroutine of its own. Jobs run in order. Consecutive appends that wait in the queue share one write and one
+// sync.
 type disk struct {
 	log     *wal.Log
 	mutex   sync.Mutex
 	queue   []diskJob
 	wake    chan struct{}
 	stopped chan struct{}
-	ended   chan struct{} // closed when nothing is written any more
+	ended   chan struct{} // closed after the last write
 	once    sync.Once
 	size    int64
 }
@@ -29,7 +30,7 @@
 	return &disk{log: log, wake: make(chan struct{}, 1), stopped: make(chan struct{}), ended: make(chan struct{}), size: log.Size()}
 }
 
-// submit queues a job; done is called on the disk's goroutine.
+// submit queues a job. Its done function is called on the disk's goroutine.
 func (d *disk) submit(job diskJob) {
 	d.mutex.Lock()
 	d.queue = append(d.queue, job)
@@ -55,7 +56,7 @@
 
 func (d *disk) stop() { d.once.Do(func() { close(d.stopped) }) }
 
-// hasEnded tells whether the last write is over, so that the log may be opened anew.
+// hasEnded reports whether the last write is over, so that the log may be opened again.
 func (d *disk) hasEnded() bool {
 	select {
 	case <-d.ended:
@@ -73,14 +74,14 @@
 	return jobs
 }
 
-// logSize is the log's length after the last job.
+// logSize returns the length of the log in bytes after the last job.
 func (d *disk) logSize() int64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.size
 }
 
-// runJobs does jobs in order: a run of appends with one write and one sync, a rewrite by itself.
+// runJobs runs jobs in order: consecutive appends with one write and one sync, each rewrite by itself.
 func (d *disk) runJobs(jobs []diskJob) {
 	for len(jobs) > 0 {
 		n := 1
--- a/internal/system/control/engine.go
+++ b/internal/system/control/engine.go
@@ -12,47 +12,47 @@
 	"gaugeslip/internal/system/state"
 )
 
-// engineOptions are what an engine is made of; its callbacks run on the node's loop.
+// engineOptions configure an engine. Its callbacks run on the node's loop.
 type engineOptions struct {
 	config  replica.Config
 	log     *wal.Log
 	records []wal.Record
 	now     func() time.Duration
 	post    func(func())
-	// postDeferred is post for work that goes on for long: goroutines that wait for the processor go before it.
+	// postDeferred posts work that is one of many parts, after a pause that lets other goroutines run.
 	postDeferred func(func())
 	send         func(to string, message *replica.Message)
 	applied      func(state.Result)
-	// caughtUp is told that a backlog of so many entries has been applied.
+	// caughtUp is called after a backlog of the given number of entries has been applied.
 	caughtUp func(entries int, took time.Duration)
-	// committed is told how long an own command took from its append to its commit.
+	// committed receives the time from the append of a command of this replica to its commit.
 	committed         func(took time.Duration)
-	snapshotInstalled func() // a snapshot took the place of the state
+	snapshotInstalled func() // a snapshot has replaced the state
 	event             func(replica.Event)
-	logRewritten      func(bytes int64, took time.Duration) // the log was rewritten
-	diskFailed        func(error)                           // the disk refuses
-	fatal             func(error)                           // an invariant is broken: the process has to end before it does harm
-	// invariants are those that are counted and don't end the process.
+	logRewritten      func(bytes int64, took time.Duration) // the log was compacted
+	diskFailed        func(error)                           // a write to the disk failed
+	fatal             func(error)                           // an invariant is violated: the process must exit before it does harm
+	// invariants are the ones that are counted and do not end the process.
 	invariants *invariant.Set
 }
 
-// engine drives one replica core: its records to disk, its messages to peers, its committed entries to the machine. All its methods
-// run on the node's loop.
+// engine drives one replica core. It writes the core's records to disk, sends its messages to peers and applies its committed entries to
+// the state machine. All methods run on the node's loop.
 type engine struct {
 	options        engineOptions
 	replica        *replica.Replica
 	machine        *state.Machine
 	disk           *disk
 	appliedIndex   uint64
-	restoredCommit uint64 // what the disk knew to be committed when this life began
+	restoredCommit uint64 // last committed index that the disk recorded when the engine started
 	audit          *state.Audit
 	backlog        backlog
-	digests        []view.Digest // not yet handed to the core
+	digests        []view.Digest // not yet passed to the core
 	queue          []*proposal
 	inFlight       map[uint64]*proposal
 	pendingReads   []pendingRead
 	unapplied      unapplied
-	headContactAt  time.Duration // last word from the head, or the last own lease that was seen
+	headContactAt  time.Duration // last message from the head, or last time this replica held the lease
 	wakeAt         time.Duration
 	closed         bool
 	rewriting      bool
@@ -60,7 +60,7 @@
 	compactAt      int64
 }
 
-// newEngine reads what the disk holds; begin sets it going.
+// newEngine creates an engine from the records on the disk. Call start to run it.
 func newEngine(options engineOptions) (*engine, error) {
 	persisted, err := restoreRecords(options.records)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return e, nil
 }
 
-// start starts the engine; from here on it calls back.
+// start starts the engine, which calls its callbacks from here on.
 func (e *engine) start() {
 	go e.disk.run()
 	e.step(replica.Tick{})
@@ -95,7 +95,7 @@
 	return replica.Restore(converted)
 }
 
-// step hands one input to the core and does what it asks for.
+// step passes one input to the core and carries out the output.
 func (e *engine) step(input replica.Input) {
 	if e.closed {
 		return
@@ -104,8 +104,8 @@
 	e.recordHeadContact(input)
 }
 
-// perform does what the core asks for. After a fault it does nothing of it, and a snapshot that can't be read is not stored: the disk
-// stays as it was.
+// handleOutput carries out the core's output. After a fault it carries out nothing. If a snapshot cannot be decoded, nothing is stored
+// either, so that the disk stays as it was.
 func (e *engine) handleOutput(output replica.Output) {
 	if output.Fault != nil {
 		e.options.fatal(output.Fault)
@@ -158,8 +158,8 @@
 	e.compactIfDue()
 }
 
-// installSnapshot puts a snapshot in the place of the state and tells whether it could be read; what was proposed and isn't known to be
-// committed is in doubt.
+// installSnapshot replaces the state by a snapshot and reports whether the snapshot could be decoded. Proposals at indexes that the
+// snapshot covers become in doubt.
 func (e *engine) installSnapshot(snapshot *chain.Snapshot) bool {
 	if err := e.machine.Restore(snapshot.Data); err != nil {
 		e.options.diskFailed(fmt.Errorf("snapshot at %d: %w", snapshot.Index, err))
@@ -179,13 +179,13 @@
 	return true
 }
 
-// isHead tells whether this replica may act as the head now.
+// isHead reports whether this replica may act as the head now.
 func (e *engine) isHead() bool { return !e.closed && e.replica.IsHead(e.options.now()) }
 
-// view is the newest view known here.
+// view returns the newest view known here.
 func (e *engine) view() view.View { return e.replica.View() }
 
-// close ends the engine; all that waits is in doubt, but for what was never appended.
+// close ends the engine. Appended proposals become in doubt, those never appended are rejected.
 func (e *engine) close() {
 	if e.closed {
 		return
--- a/internal/system/control/events.go
+++ b/internal/system/control/events.go
@@ -9,27 +9,27 @@
 	"gaugeslip/internal/system/state"
 )
 
-// listFailuresLogged is how many readings of the platform's list have to fail in turn until the log says so, once.
+// listFailuresLogged is how many consecutive requests for the platform's list must fail before one warning is logged.
 const listFailuresLogged = 5
 
-// listReadFailed takes note of a reading of the platform's list that failed.
+// listReadFailed logs a failed request for the platform's list.
 func (n *Node) listReadFailed(err error) {
 	if n.platform.failures == listFailuresLogged {
-		n.logger.Warn("platform's list not read", "failures", n.platform.failures, "error", err)
+		n.logger.Warn("platform list request failed", "failures", n.platform.failures, "error", err)
 		return
 	}
-	n.logger.Debug("platform's list not read", "failures", n.platform.failures, "error", err)
+	n.logger.Debug("platform list request failed", "failures", n.platform.failures, "error", err)
 }
 
-// listReadSucceeded takes note of a reading that did well.
+// listReadSucceeded resets the failure count after a successful request.
 func (n *Node) listReadSucceeded() {
 	if n.platform.failures >= listFailuresLogged {
-		n.logger.Info("platform's list read again", "failures", n.platform.failures)
+		n.logger.Info("platform list request succeeded again", "failures", n.platform.failures)
 	}
 	n.platform.failures = 0
 }
 
-// logWorkerLost logs, at the head, that a worker's runs were given up; a worker without runs is only forgotten.
+// logWorkerLost logs, at the head, that the runs of a worker were given up. A worker without runs is not logged.
 func (n *Node) logWorkerLost(result *state.Result) {
 	if result.Command.Kind != state.KindWorkerLost || len(result.Jobs) == 0 || !n.schedulerActive {
 		return
@@ -37,8 +37,8 @@
 	n.logger.Warn("worker lost", "worker", result.Command.WorkerLost, "jobs", len(result.Jobs))
 }
 
-// logView logs a view that has come into force, and who fell out of its chain and who came in. They are named by their disks'
-// identities: a replica that lost its disk leaves under one and comes in under another, at the same address.
+// logView logs a view that has come into force, with the members that left and joined its chain. They are named by the identities of their
+// disks: a replica that lost its disk leaves under one identity and joins under another, at the same address.
 func (n *Node) logView(newest view.View, cause replica.Cause) {
 	before := n.loggedView
 	n.loggedView = newest
@@ -47,7 +47,7 @@
 	n.logger.Info("view", append(line, causeFields(cause)...)...)
 }
 
-// membersNotIn are the identities of the members that aren't in the chain of a view.
+// membersNotIn returns the identities of the members that are not in the chain of a view.
 func membersNotIn(members []view.Member, from *view.View) []view.ReplicaID {
 	var gone []view.ReplicaID
 	for _, member := range members {
@@ -61,15 +61,15 @@
 // minCommitPause is the shortest time without a commit that counts as a pause.
 const minCommitPause = 50 * time.Millisecond
 
-// commitPauses keeps the last time for which nothing was committed here. A head tells of it when it takes office: by then what its
-// predecessor has left is committed already.
+// commitPauses records the last pause of commits on this replica. A new head logs it: by then the entries inherited from its predecessor
+// are committed already, so the pause may just have ended.
 type commitPauses struct {
-	lastCommit time.Duration // when something committed was applied last
+	lastCommit time.Duration // when a committed command was last applied
 	pause      time.Duration
 	pauseEnd   time.Duration
 }
 
-// record takes in that something committed was applied.
+// record notes that a committed command was applied.
 func (c *commitPauses) record(now time.Duration) {
 	if pause := now - c.lastCommit; pause >= minCommitPause {
 		c.pause, c.pauseEnd = pause, now
@@ -77,7 +77,7 @@
 	c.lastCommit = now
 }
 
-// pauseLength is how long the pause lasts, or the one that is just over.
+// pauseLength returns the length of the present pause, or of one that has just ended.
 func (c *commitPauses) pauseLength(now time.Duration) time.Duration {
 	quiet := now - c.lastCommit
 	if c.pause > 0 && now-c.pauseEnd < minCommitPause {
@@ -86,7 +86,7 @@
 	return quiet.Round(time.Millisecond)
 }
 
-// logRestoredLog logs what the log on disk held; an empty one, other than at the very first start, is a disk that was lost or is new.
+// logRestoredLog logs what the log on disk contained. An empty log, except at the very first start, means that the disk is new or was lost.
 func (n *Node) logRestoredLog(records int, bytes int64) {
 	if records == 0 && !n.settings.Bootstrap {
 		n.logger.Warn("disk is empty, joining as a new replica", "id", n.engine.replica.Self().ID)
@@ -95,20 +95,20 @@
 	n.logger.Info("log read", "records", records, "bytes", bytes, "applied", n.engine.appliedIndex)
 }
 
-// logBacklogApplied logs that what was committed before this replica came back is applied.
+// logBacklogApplied logs that the entries committed while this replica was away are applied.
 func (n *Node) logBacklogApplied(entries int, took time.Duration) {
 	n.logger.Info("backlog applied", "entries", entries, "took", took.Round(time.Millisecond), "applied", n.engine.appliedIndex)
 }
 
-// logWaitingTasks logs, at the head, tasks that have waited for long, and for what: loudly what was found forgotten, quietly those that are
-// held for a reason.
+// logWaitingTasks logs, at the head, tasks that have waited for long, with the reason. Tasks that the audit found forgotten are warnings,
+// those held for a known reason are info or debug lines.
 func (n *Node) logWaitingTasks(findings []scheduler.Finding) {
 	for i := range findings {
 		found := &findings[i]
 		fields := []any{"task", found.Task, "waited", found.Waited.Round(time.Millisecond), "reason", found.Reason, "worker", found.Worker}
 		switch {
 		case found.Repaired:
-			n.logger.Warn("forgotten, tried again", fields...)
+			n.logger.Warn("forgotten task scheduled again", fields...)
 		case found.Worker != "" || found.Refused:
 			n.logger.Info("task waits", fields...)
 		default:
--- a/internal/system/control/events_test.go
+++ b/internal/system/control/events_test.go
@@ -25,10 +25,10 @@
 		node.platform.failures++
 		node.listReadFailed(errors.New("no answer"))
 	}
-	assert.Equal(t, 1, strings.Count(out.String(), "list not read"))
+	assert.Equal(t, 1, strings.Count(out.String(), "list request failed"))
 	node.listReadSucceeded()
 	node.listReadSucceeded()
-	assert.Equal(t, 1, strings.Count(out.String(), "read again"))
+	assert.Equal(t, 1, strings.Count(out.String(), "succeeded again"))
 }
 
 func TestHeadLogsLostWorker(t *testing.T) {
@@ -123,5 +123,5 @@
 	assert.Contains(t, out.String(), "INFO task waits")
 	out.Reset()
 	node.logWaitingTasks([]scheduler.Finding{{Task: task, Waited: 3 * time.Second, Reason: "there is room", Repaired: true}})
-	assert.Contains(t, out.String(), "WARN forgotten, tried again")
+	assert.Contains(t, out.String(), "WARN forgotten task scheduled again")
 }
--- a/internal/system/control/figures.go
+++ b/internal/system/control/figures.go
@@ -11,7 +11,7 @@
 	"gaugeslip/internal/system/state"
 )
 
-// counts are what is counted as it happens. All but refused belong to the loop.
+// counts are the counters of a replica. Except for refused, which is atomic, they belong to the loop.
 type counts struct {
 	commits     uint64
 	latency     figures.Histogram
@@ -39,7 +39,7 @@
 	}
 }
 
-// countSubmitVerdict counts the verdict on a job that was handed in.
+// countSubmitVerdict counts the verdict on a submitted job, unless it was accepted.
 func (c *counts) countSubmitVerdict(verdict internalapi.Verdict) {
 	if verdict != internalapi.Done && int(verdict) < len(c.refused) {
 		c.refused[verdict].Add(1)
@@ -51,11 +51,11 @@
 	internalapi.Overloaded: "overloaded", internalapi.InDoubt: "in-doubt",
 }
 
-// reportedVerdicts are the verdicts that a job may get, in the order in which they are written.
+// reportedVerdicts are the verdicts that a submitted job may get, in the order in which they are written.
 var reportedVerdicts = []internalapi.Verdict{internalapi.NotHead, internalapi.NoRoute, internalapi.Invalid, internalapi.Overloaded,
 	internalapi.InDoubt}
 
-// serveMetrics answers GET /metrics. Nothing is computed between two of them.
+// serveMetrics answers GET /metrics. Metrics are computed for each request only.
 func (n *Node) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	text, err := queryOnLoop(n, func() *figures.Writer {
 		var writer figures.Writer
@@ -68,7 +68,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", figures.ContentType)
-	_, _ = w.Write(text.Bytes()) // a reader that has gone needs no answer
+	_, _ = w.Write(text.Bytes()) // the client may have disconnected
 }
 
 func (n *Node) writeMetrics(w *figures.Writer) {
@@ -125,7 +125,7 @@
 	w.Counters("submits_refused_total", "Jobs handed in here that weren't taken, by verdict.", "verdict", refused)
 }
 
-// workerState sums up one worker in a word.
+// workerState returns the state of a worker for the label of the workers metric.
 func workerState(worker *scheduler.WorkerView) string {
 	switch {
 	case worker.Draining:
@@ -138,7 +138,7 @@
 	return worker.Reach
 }
 
-// workerStates are the words of workerState.
+// workerStates are the values of workerState.
 var workerStates = []string{"answering", "silent", "unheard", "over", "draining", "shut", "unlisted"}
 
 func writeScheduler(w *figures.Writer, view scheduler.View) {
--- a/internal/system/control/handover.go
+++ b/internal/system/control/handover.go
@@ -8,36 +8,36 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// handoverTimeout is how long an operator's call waits: for the transfer, and for the loop besides.
+// handoverTimeout is how long an operator's call waits: for the transfer, and in addition for the loop.
 const handoverTimeout = leaveTimeout + operatorQueryTimeout
 
-// pendingHandover is a transfer that an operator has asked for; the replica comes back as a learner.
+// pendingHandover is a transfer that an operator has requested. Afterwards the replica rejoins the chain as a learner.
 type pendingHandover struct {
 	engine *engine
 	answer func(internalapi.HandoverReply)
 }
 
-// Handover has the head hand over to its successor.
+// Handover makes the head hand over to its successor.
 func (s *Service) Handover(_ internalapi.HandoverArgs, reply *internalapi.HandoverReply) error {
 	doubt := internalapi.HandoverReply{Verdict: internalapi.InDoubt, Text: "no answer in time: look at the view"}
 	*reply = runOnLoop(s.node, handoverTimeout, doubt, s.node.startHandover)
 	return nil
 }
 
-// startHandover runs on the loop.
+// startHandover starts a requested transfer. It runs on the loop.
 func (n *Node) startHandover(answer func(internalapi.HandoverReply)) {
 	if refusal := n.handoverRefusal(); refusal != nil {
 		answer(*refusal)
 		return
 	}
-	n.logger.Info("handover asked for", "epoch", n.engine.view().Epoch)
+	n.logger.Info("handover requested", "epoch", n.engine.view().Epoch)
 	asked := &pendingHandover{engine: n.engine, answer: answer}
 	n.handover = asked
 	time.AfterFunc(leaveTimeout, func() { n.loop.post(func() { n.handoverExpired(asked) }) })
 	n.engine.step(replica.Leave{})
 }
 
-// handoverRefusal tells why a handover would do harm or can't be; nil: nothing speaks against it.
+// handoverRefusal returns the reason why a handover is impossible or would do harm, or nil.
 func (n *Node) handoverRefusal() *internalapi.HandoverReply {
 	newest := n.engine.view()
 	least := n.settings.FaultTolerance.Machines + 2
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// finishHandover answers for a transfer that is decided, and has the replica come back as a learner.
+// finishHandover answers the operator after the transfer is decided and makes the replica rejoin as a learner.
 func (n *Node) finishHandover() {
 	asked := n.handover
 	if asked == nil {
@@ -66,20 +66,21 @@
 	n.rejoin()
 }
 
-// handoverExpired ends a transfer that came to nothing: a replica that has said it leaves can only come back by a restart of its core.
+// handoverExpired ends a transfer that was not decided in time. A replica that has announced its departure can only come back by a restart
+// of its core.
 func (n *Node) handoverExpired(asked *pendingHandover) {
 	if n.handover != asked {
 		return
 	}
 	n.handover = nil
-	n.logger.Warn("handover came to nothing", "epoch", n.engine.view().Epoch)
+	n.logger.Warn("handover timed out", "epoch", n.engine.view().Epoch)
 	asked.answer(internalapi.HandoverReply{Verdict: internalapi.InDoubt, Text: "not decided in time: look at the view"})
 	if n.engine == asked.engine {
 		n.rejoin()
 	}
 }
 
-// rejoin starts the replica's core again from its disk.
+// rejoin restarts the replica's core from its disk.
 func (n *Node) rejoin() {
 	if n.engine.closed || n.leaving {
 		return
--- a/internal/system/control/headship.go
+++ b/internal/system/control/headship.go
@@ -7,14 +7,14 @@
 	"gaugeslip/internal/system/scheduler"
 )
 
-// handleEvent takes in what the replica core tells.
+// handleEvent handles an event of the replica core.
 func (n *Node) handleEvent(event replica.Event) {
 	switch event := event.(type) {
 	case replica.BecameHead:
 		n.becameHead(event)
 	case replica.LostHead:
 		n.schedulerActive = false
-		n.logger.Info("head's lease lost", append([]any{"epoch", event.Epoch}, causeFields(event.Cause)...)...)
+		n.logger.Info("head lease lost", append([]any{"epoch", event.Epoch}, causeFields(event.Cause)...)...)
 	case replica.ViewChanged:
 		n.viewChanged(event.View, event.Cause)
 	case replica.Left:
@@ -22,7 +22,8 @@
 	}
 }
 
-// leftChain ends the wait of Leave; a replica that only its disk has taken out of the chain comes back.
+// leftChain ends the wait of Leave. Without one it completes a handover, if an operator has requested one, after which the replica comes
+// back.
 func (n *Node) leftChain() {
 	if n.leaving {
 		n.leaving = false
@@ -45,10 +46,10 @@
 		n.scheduler.Configured(n.now(), n.config)
 	}
 	n.useEarlyList()
-	n.gossipConfig() // others that have just started may know an old one only, and spread none
+	n.gossipConfig() // other replicas that have just started may know only an outdated configuration and do not gossip it
 }
 
-// dropScheduler ends the scheduler role here; what its calls come to concerns nobody any more.
+// dropScheduler ends the scheduler role of this replica. Results of its outstanding calls are ignored.
 func (n *Node) dropScheduler() {
 	n.scheduler, n.schedulerActive = nil, false
 }
@@ -64,7 +65,7 @@
 	}
 	data, err := internalapi.EncodeView(newest)
 	if err != nil {
-		n.logger.Error("view not spread", "error", err)
+		n.logger.Error("cannot encode view for gossip", "error", err)
 		return
 	}
 	n.gossip(internalapi.KeyView, internalapi.ViewVersion(newest), data)
--- a/internal/system/control/invariants.go
+++ b/internal/system/control/invariants.go
@@ -14,54 +14,55 @@
 
 // The invariants of a replica.
 const (
-	// appliedInOrder: entries of the chain are applied one after the other, without a gap.
+	// appliedInOrder: entries of the chain are applied in order, without a gap.
 	appliedInOrder invariant.Name = "applied_in_order"
-	// configRises: the version in force never falls within one life of a replica, whatever its state comes from.
+	// configRises: the version in force never decreases while a replica runs, whatever its state comes from.
 	configRises invariant.Name = "config_rises"
-	// readIsCurrent: a read shows no version older than one that this replica has acknowledged or shown.
+	// readIsCurrent: a read returns no version older than one that this replica has acknowledged or returned.
 	readIsCurrent invariant.Name = "read_is_current"
-	// stateConsistent: a job that is over stays so, and no count in the replicated state falls below zero.
+	// stateConsistent: a finished job stays finished, and no count in the replicated state falls below zero.
 	stateConsistent invariant.Name = "state_consistent"
-	// startIsCommitted: a start is sent only for a run that the replicated state holds, by the head with its lease.
+	// startIsCommitted: a start is sent only for a run in the replicated state, and only by the head with its lease.
 	startIsCommitted invariant.Name = "start_is_committed"
-	// startIsAlone: it is sent only while no other run of its task may exist, unless copies may run, and for no task that is done.
+	// startIsAlone: a start is sent only while no other run of its task may exist, unless the step is speculative, and not for a task that
+	// is done.
 	startIsAlone invariant.Name = "start_is_alone"
-	// tokenRises: fencing tokens of one replica never fall, and none is above the epoch that it leads.
+	// tokenRises: the fencing tokens that a replica sends never decrease, and none is above the epoch that it leads.
 	tokenRises invariant.Name = "token_rises"
-	// endsAreCommitted: a worker is told that an end is taken note of only once that is committed.
+	// endsAreCommitted: the end of a run is acknowledged to its worker only once it is committed.
 	endsAreCommitted invariant.Name = "ends_are_committed"
-	// schedulerConsistent: the scheduler's accounts of room, tasks and runs agree with each other and with the replicated state.
+	// schedulerConsistent: the scheduler's accounts of capacity, tasks and runs agree with each other and with the replicated state.
 	schedulerConsistent invariant.Name = "scheduler_consistent"
 )
 
-// invariantNames are all invariants of a replica.
+// invariantNames lists all invariants of a replica.
 var invariantNames = []invariant.Name{appliedInOrder, configRises, readIsCurrent, stateConsistent, startIsCommitted, startIsAlone, tokenRises,
 	endsAreCommitted, schedulerConsistent}
 
-// NewInvariants makes the set of a replica's process; violations go to the log as errors.
+// NewInvariants creates the invariant set of a replica's process. Violations are logged as errors.
 func NewInvariants(logger *log.Logger) *invariant.Set {
 	return invariant.NewSet(func(name invariant.Name, detail string) {
 		logger.Error(invariant.LogMessage, "name", name, "detail", detail)
 	}, invariantNames...)
 }
 
-// invariantState is what the invariants remember.
+// invariantState is what the checks remember between calls.
 type invariantState struct {
-	configVersion uint64 // the highest version that was in force here
-	shownVersion  uint64 // the highest version that was acknowledged or shown
-	highestToken  uint64 // the highest that was sent
-	// nextSchedulerCheck is when the scheduler's accounts are looked at next.
+	configVersion uint64 // highest version that was in force here
+	shownVersion  uint64 // highest version acknowledged or returned
+	highestToken  uint64 // highest fencing token sent
+	// nextSchedulerCheck is when the scheduler's accounts are checked next.
 	nextSchedulerCheck time.Duration
 }
 
-// checkEntry holds that an entry is the next one.
+// checkEntry checks that an entry directly follows the last applied one.
 func (e *engine) checkEntry(entry chain.Entry) {
 	if entry.Index != e.appliedIndex+1 {
 		e.options.invariants.Violated(appliedInOrder, "entry %d after %d", entry.Index, e.appliedIndex)
 	}
 }
 
-// checkConfig holds that the version in force doesn't fall.
+// checkConfig checks that the version in force does not decrease.
 func (n *Node) checkConfig(version uint64) {
 	if version < n.invariantState.configVersion {
 		n.invariants.Violated(configRises, "version %d after %d", version, n.invariantState.configVersion)
@@ -69,12 +70,12 @@
 	n.invariantState.configVersion = max(n.invariantState.configVersion, version)
 }
 
-// recordShownVersion takes note that the version in force here is acknowledged.
+// recordShownVersion records that the version in force here is acknowledged.
 func (n *Node) recordShownVersion() {
 	n.invariantState.shownVersion = max(n.invariantState.shownVersion, n.engine.machine.Config().Version)
 }
 
-// checkShownVersion holds that what is acknowledged or shown is no older than what was before.
+// checkShownVersion checks that a version returned to a client is no older than any version acknowledged or returned before.
 func (n *Node) checkShownVersion(version uint64) {
 	if version < n.invariantState.shownVersion {
 		n.invariants.Violated(readIsCurrent, "version %d is shown after %d", version, n.invariantState.shownVersion)
@@ -82,21 +83,21 @@
 	n.invariantState.shownVersion = max(n.invariantState.shownVersion, version)
 }
 
-// checkResult holds that a command has broken nothing in the state.
+// checkResult checks that a command has violated nothing in the state.
 func (n *Node) checkResult(result *state.Result) {
 	if result.Broken != "" {
 		n.invariants.Violated(stateConsistent, "command of kind %d: %s", result.Command.Kind, result.Broken)
 	}
 }
 
-// checkCalls holds what orders to workers need, at the moment at which they are sent.
+// checkCalls checks the preconditions of calls to workers at the moment when they are sent.
 func (n *Node) checkCalls(calls []scheduler.Call, sender senderState) {
 	for i := range calls {
 		n.checkCall(&calls[i], sender)
 	}
 }
 
-// senderState is what this replica is while it sends orders.
+// senderState is the epoch and role of this replica while it sends calls.
 type senderState struct {
 	epoch uint64
 	head  bool
@@ -138,7 +139,7 @@
 	n.checkAlone(job, run)
 }
 
-// checkAlone holds that no other run of the task may exist, and that it isn't done.
+// checkAlone checks that no other run of the task may exist, and that the task is not done.
 func (n *Node) checkAlone(job *state.Job, run state.Run) {
 	task := job.Task(run.Task)
 	if job.Spec == nil || task == nil {
@@ -151,7 +152,8 @@
 	}
 }
 
-// checkLastSeen holds that the ends up to the number that a worker is told are committed. The record of a life may be gone for good.
+// checkLastSeen checks that all ends up to the number acknowledged to a worker are committed. The check is skipped for a worker instance
+// whose record was removed.
 func (n *Node) checkLastSeen(call *scheduler.Call) {
 	worker := n.engine.machine.Worker(call.Worker.Instance)
 	if worker != nil && call.Hold.LastSeen > worker.LastSeen {
@@ -159,10 +161,10 @@
 	}
 }
 
-// schedulerCheckInterval is the time between two looks at a part of the scheduler's accounts.
+// schedulerCheckInterval is the time between two checks of a part of the scheduler's accounts.
 const schedulerCheckInterval = time.Second
 
-// checkScheduler looks at a part of the scheduler's accounts, now and then. All that it was told has to be drained from it before.
+// checkScheduler checks a part of the scheduler's accounts once per schedulerCheckInterval. The scheduler's output must be drained before.
 func (n *Node) checkScheduler(now time.Duration) {
 	if now < n.invariantState.nextSchedulerCheck {
 		return
--- a/internal/system/control/jobdetail.go
+++ b/internal/system/control/jobdetail.go
@@ -11,10 +11,9 @@
 	"gaugeslip/internal/system/state"
 )
 
-// maxTasksPerReply bounds the tasks of one reply.
 const maxTasksPerReply = 2000
 
-// JobDetail shows one job with its tasks and what they wait for; only the head can.
+// JobDetail returns one job with its tasks and what they wait for. Only the head can answer.
 func (s *Service) JobDetail(args internalapi.JobDetailArgs, reply *internalapi.JobDetailReply) (err error) {
 	*reply, err = queryOnLoop(s.node, func() internalapi.JobDetailReply { return s.node.jobDetail(state.JobID(args.ID)) })
 	return err
@@ -37,7 +36,7 @@
 	return detail.reply
 }
 
-// jobDetail joins what is replicated of a job with what the scheduler tells of its open tasks.
+// jobDetail combines the replicated record of a job with the scheduler's view of its open tasks.
 type jobDetail struct {
 	job       *state.Job
 	openTasks map[state.TaskName]scheduler.TaskView
@@ -47,7 +46,7 @@
 
 func (d *jobDetail) collect() {
 	if d.job.Spec == nil {
-		return // it is over, and nothing of it runs: its tasks aren't kept
+		return // the job is finished and has no runs: its tasks are no longer kept
 	}
 	for _, time := range d.occurrences() {
 		for step := range d.job.Spec.Stages {
@@ -56,16 +55,16 @@
 	}
 }
 
-// occurrences are the due times that have come: those of which something was started or is waiting.
+// occurrences returns the occurrences of the job of which a task was started or is waiting, in order.
 func (d *jobDetail) occurrences() []uint32 {
-	come := map[uint32]struct{}{}
+	begun := map[uint32]struct{}{}
 	for time := range d.job.Times {
-		come[time] = struct{}{}
+		begun[time] = struct{}{}
 	}
 	for name := range d.openTasks {
-		come[name.Time] = struct{}{}
+		begun[name.Time] = struct{}{}
 	}
-	return slices.Sorted(maps.Keys(come))
+	return slices.Sorted(maps.Keys(begun))
 }
 
 func (d *jobDetail) collectStep(time, step uint32) {
@@ -80,7 +79,7 @@
 	}
 }
 
-// blockedReason names the earlier steps that a step waits for; empty when its turn has come.
+// blockedReason names the earlier steps that a step waits for. It is empty if the step may run.
 func (d *jobDetail) blockedReason(time, step uint32) string {
 	var open []string
 	for _, earlier := range d.job.Spec.Stages[step].DependsOn {
--- a/internal/system/control/late.go
+++ b/internal/system/control/late.go
@@ -7,21 +7,21 @@
 	"gaugeslip/internal/system/scheduler"
 )
 
-// lateLogInterval is how often the log is told of late jobs, if there were any.
+// lateLogInterval is the time between two log lines about late jobs.
 const lateLogInterval = 10 * time.Second
 
-// lateCounts sum up the jobs that missed their objective, by what their time was spent on.
+// lateCounts counts the jobs that missed their objective, and the time they spent on each part.
 type lateCounts struct {
 	jobs uint64
-	// parts are the times that late jobs have spent on each part, where they spent any.
+	// parts are the durations that late jobs spent on each part, without zero ones.
 	parts [scheduler.PartCount]figures.Histogram
-	// unloggedSpent is what the log hasn't been told yet.
+	// unloggedSpent and unloggedJobs cover the jobs that have not been logged yet.
 	unloggedSpent scheduler.Spent
 	unloggedJobs  uint64
 	loggedAt      time.Duration
 }
 
-// record takes in jobs that have ended late.
+// record counts jobs that ended late.
 func (c *lateCounts) record(late []scheduler.LateJob) {
 	for i := range late {
 		c.jobs++
@@ -35,7 +35,7 @@
 	}
 }
 
-// logLateJobsIfDue logs the late jobs since the last time, now and then.
+// logLateJobsIfDue logs the late jobs since the last line, at most once per lateLogInterval.
 func (n *Node) logLateJobsIfDue(now time.Duration) {
 	if now-n.counts.lateJobs.loggedAt >= lateLogInterval {
 		n.counts.lateJobs.loggedAt = now
@@ -43,7 +43,6 @@
 	}
 }
 
-// logUnloggedLateJobs logs the late jobs that haven't been told yet.
 func (n *Node) logUnloggedLateJobs() {
 	c := &n.counts.lateJobs
 	if c.unloggedJobs == 0 {
--- a/internal/system/control/looks.go
+++ b/internal/system/control/looks.go
@@ -9,10 +9,9 @@
 	"gaugeslip/internal/system/state"
 )
 
-// maxJobsPerReply bounds the jobs of one reply.
 const maxJobsPerReply = 10_000
 
-// Workers shows the workers as the scheduler sees them; only the head can.
+// Workers returns the workers as the scheduler sees them. Only the head can answer.
 func (s *Service) Workers(_ internalapi.WorkersArgs, reply *internalapi.WorkersReply) (err error) {
 	*reply, err = queryOnLoop(s.node, s.node.workers)
 	return err
@@ -40,7 +39,7 @@
 	}
 }
 
-// Jobs shows accepted jobs; the tail and the head can.
+// Jobs returns accepted jobs. Only the tail and the head can answer.
 func (s *Service) Jobs(args internalapi.JobsArgs, reply *internalapi.JobsReply) error {
 	answer := runOnLoop(s.node, operatorQueryTimeout, (*internalapi.JobsReply)(nil), func(answer func(*internalapi.JobsReply)) {
 		s.node.engine.read(func(current bool) {
--- a/internal/system/control/loop.go
+++ b/internal/system/control/loop.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// loop runs functions one after the other on one goroutine: the owner of all cores of a replica. What comes in while it is busy
-// is taken as one batch, and the end of each batch is where the cores' output is collected. What the replica core waits for, its
-// peers' messages and word of its disk, goes before all else, also in the midst of a batch: heartbeats don't queue behind work.
+// loop runs functions one after the other on one goroutine, which owns all cores of a replica. Functions that arrive while it is busy are
+// taken as one batch, and the output of the cores is collected after each batch. Urgent functions, which carry messages of peers and
+// completions of disk writes for the replica core, run before all others, also within a batch, so that heartbeats do not queue behind other
+// work.
 type loop struct {
 	mutex   sync.Mutex
 	urgent  []func()
 	queue   []func()
 	wake    chan struct{}
 	stopped chan struct{}
-	ended   chan struct{} // closed at the end of run
+	ended   chan struct{} // closed when run returns
 	once    sync.Once
-	// between, if set, runs before each function of a batch and after it, once nothing urgent waits.
+	// afterUrgent, if set, runs after the pending urgent functions, each time these are run.
 	afterUrgent func()
 	spareBatch  []func()
-	// urgentCheckInterval is how long other work may go on before what is urgent is looked for in its midst.
+	// urgentInterval is how long other work may go on within a batch before urgent work is looked for.
 	urgentInterval time.Duration
 	urgentRunAt    time.Time
 }
 
-// urgentCheckInterval is far below a heartbeat's interval, and long enough that work in batches stays in batches.
+// urgentCheckInterval is far below the heartbeat interval, and long enough for work to stay in batches.
 const urgentCheckInterval = 5 * time.Millisecond
 
 func newLoop() *loop {
 	return &loop{wake: make(chan struct{}, 1), stopped: make(chan struct{}), ended: make(chan struct{}), urgentInterval: urgentCheckInterval}
 }
 
-// post hands in a function; it never blocks. What is posted after stop isn't run.
+// post queues a function. It never blocks. Functions posted after stop may not run.
 func (l *loop) post(work func()) {
 	l.mutex.Lock()
 	l.queue = append(l.queue, work)
@@ -39,7 +40,7 @@
 	l.signal()
 }
 
-// postUrgent hands in a function that goes before those of post. Urgent ones run in the order in which they came.
+// postUrgent queues a function that runs before those of post. Urgent functions run in the order in which they were queued.
 func (l *loop) postUrgent(work func()) {
 	l.mutex.Lock()
 	l.urgent = append(l.urgent, work)
@@ -47,11 +48,11 @@
 	l.signal()
 }
 
-// yieldDelay is how long the loop rests before work that goes on for long: enough for goroutines that wait for the processor, the disk's and the
-// senders' among them, to get it. On a machine of one core they would have to wait until the system takes the processor away from the loop.
+// yieldDelay is the pause before each part of long work. It lets goroutines that wait for a processor run, such as those of the disk and
+// the senders. On a machine with one core they would otherwise wait until the operating system preempts the loop.
 const yieldDelay = 50 * time.Microsecond
 
-// postDeferred is postUrgent for work that is one of many pieces.
+// postDeferred is postUrgent after yieldDelay, for work that is one of many parts.
 func (l *loop) postDeferred(work func()) {
 	time.AfterFunc(yieldDelay, func() { l.postUrgent(work) })
 }
@@ -63,7 +64,7 @@
 	}
 }
 
-// takeQueue gives all that waits and isn't urgent.
+// takeQueue returns the queued functions that are not urgent and reuses the given slice for new ones.
 func (l *loop) takeQueue(reuse []func()) []func() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -72,7 +73,7 @@
 	return batch
 }
 
-// takeUrgent gives all urgent ones that wait.
+// takeUrgent returns the queued urgent functions and reuses the given slice for new ones.
 func (l *loop) takeUrgent(reuse []func()) []func() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -81,7 +82,7 @@
 	return batch
 }
 
-// runUrgent runs what is urgent and had come in before, and then between.
+// runUrgent runs the urgent functions queued so far, and then afterUrgent.
 func (l *loop) runUrgent() {
 	batch := l.takeUrgent(l.spareBatch)
 	for i, work := range batch {
@@ -95,15 +96,15 @@
 	}
 }
 
-// runUrgentIfDue attends if other work has gone on for a while.
+// runUrgentIfDue runs urgent functions if urgentInterval has passed since the last time.
 func (l *loop) runUrgentIfDue() {
 	if time.Since(l.urgentRunAt) >= l.urgentInterval {
 		l.runUrgent()
 	}
 }
 
-// run works until stop; after each batch flush collects output and gives the moment at which the loop has to wake by itself, as a
-// duration from now.
+// run executes queued functions until stop. After each batch it calls flush, which collects the output and returns the time until the loop
+// must wake by itself.
 func (l *loop) run(flush func() time.Duration) {
 	defer close(l.ended)
 	timer := time.NewTimer(time.Hour)
@@ -127,5 +128,5 @@
 	}
 }
 
-// stop ends run after the batch in hand.
+// stop makes run return after the present batch.
 func (l *loop) stop() { l.once.Do(func() { close(l.stopped) }) }
--- a/internal/system/control/node.go
+++ b/internal/system/control/node.go
@@ -1,5 +1,6 @@
-// Package control is the control plane's program: one replica of the chain with its log on disk, the operator's API, the calls of the
-// dispatchers and, while it is the head, the scheduler. One loop goroutine owns all state; sockets, disk and timers post to it.
+// Package control implements the control plane's program: one replica of the chain with its log on disk, the operators' API, the calls of
+// the dispatchers and, while the replica is the head, the scheduler. One loop goroutine owns all state; sockets, disk and timers post
+// functions to it.
 package control
 
 import (
@@ -25,8 +26,8 @@
 )
 
 const (
-	// A head that is gone is replaced after about a grant; work that has to start within a second can't wait for long. Pauses of a
-	// replica, for collection or want of processor, stay well below.
+	// A failed head is replaced after about one grant. Jobs that must start within a second cannot wait much longer. Pauses of a replica,
+	// for garbage collection or lack of processor time, stay well below these durations.
 	grantDuration     = 450 * time.Millisecond
 	heartbeatInterval = 90 * time.Millisecond
 	dropAfter         = 400 * time.Millisecond
@@ -34,27 +35,27 @@
 
 	logName      = "replica"
 	chainService = "Chain"
-	// restartDelay is how long a replica whose disk refused waits before it tries again with what the disk holds.
+	// restartDelay is how long a replica whose disk failed waits before it restarts from what the disk holds.
 	restartDelay = time.Second
 	// leaveTimeout bounds a planned transfer.
 	leaveTimeout = 1500 * time.Millisecond
-	// shutdownReserve is what is left of the grace for the end itself.
+	// shutdownReserve is the part of the grace period reserved for the shutdown itself.
 	shutdownReserve = 2 * time.Second
-	// RoleName is how replicas call themselves among the peers.
+	// RoleName is the role of replicas in the membership protocol.
 	RoleName = "replica"
 )
 
-// Options are what a node is made of.
+// Options configure a node.
 type Options struct {
 	Settings *nodesettings.Settings
 	Logger   *log.Logger
-	// Network is where connections come from; nil stands for the operating system's sockets.
+	// Network opens connections and listeners. nil stands for the operating system's sockets.
 	Network network.Network
-	// Disk is where the log lies; nil stands for the folder that the settings name.
+	// Disk holds the log. nil stands for the directory named in the settings.
 	Disk wal.Disk
-	// Clock is the time of day with a steady reading; nil stands for time.Now.
+	// Clock returns the time of day with a monotonic reading. nil stands for time.Now.
 	Clock func() time.Time
-	// Invariants counts violations of what must always hold; nil has each of them panic.
+	// Invariants counts violations of invariants. If it is nil, each violation panics.
 	Invariants *invariant.Set
 }
 
@@ -65,7 +66,7 @@
 	invariants     *invariant.Set
 	invariantState invariantState
 	network        network.Network
-	disk           wal.Disk // nil: the folder that the settings name
+	disk           wal.Disk // nil: the directory named in the settings
 	clock          func() time.Time
 	started        time.Time
 	loop           *loop
@@ -79,7 +80,7 @@
 	workerCalls    *workerCalls
 	listClient     *workerapi.ListClient
 	wallClock      *wallClock
-	// scheduler is set while this replica is the head, schedulerActive while it holds the lease besides.
+	// scheduler is set while this replica is the head. schedulerActive is true while the replica also holds the lease.
 	scheduler       *scheduler.Scheduler
 	schedulerActive bool
 	schedulerEpoch  uint64
@@ -87,22 +88,22 @@
 	platform        platformList
 	nextClockRead   time.Duration
 	lastTick        time.Duration
-	// finishedSince is when this replica, as the head, first saw each job over; nextForgetAt is when it looks next.
+	// finishedSince is when this replica, as the head, first saw each job finished. nextForgetAt is when it checks next.
 	finishedSince    map[state.JobID]time.Duration
 	nextForgetAt     time.Duration
 	nextHousekeeping time.Duration
 	config           *clusterconfig.Config
-	configPending    bool // a newer one was committed since
+	configPending    bool // a newer one was committed and is not yet in force
 	leaving          bool
-	handover         *pendingHandover // a transfer that an operator has asked for
+	handover         *pendingHandover // the transfer that an operator has requested
 	counts           counts
-	loggedView       view.View // the newest that the log was told of
+	loggedView       view.View // the newest view that was logged
 	commitPauses     commitPauses
 	left             chan struct{}
 	failures         chan error
 }
 
-// Start brings a replica up: its log is read, its sockets listen.
+// Start starts a replica: it opens the sockets, reads the log and runs the loop.
 func Start(options Options) (*Node, error) {
 	n := &Node{settings: options.Settings, logger: options.Logger, invariants: options.Invariants, network: options.Network, disk: options.Disk, clock: options.Clock,
 		loop: newLoop(), wallClock: newWallClock(), left: make(chan struct{}), failures: make(chan error, 1)}
@@ -130,17 +131,17 @@
 	return n, nil
 }
 
-// Failed gives the fault after which the process has to end.
+// Failed returns a channel that receives the fault after which the process must exit.
 func (n *Node) Failed() <-chan error { return n.failures }
 
-// now is the replica's steady clock.
+// now returns the time since the start of the replica, on the monotonic clock.
 func (n *Node) now() time.Duration { return n.clock().Sub(n.started) }
 
 func (n *Node) self() view.Member {
 	return view.Member{Address: n.settings.InternalAddress(), Control: n.settings.Bind.ControlPlane}
 }
 
-// Reload takes in settings that were read again; what can't change in a running process counts from the next start on.
+// Reload applies settings that were read again. Changes to settings that cannot change in a running process take effect at the next start.
 func (n *Node) Reload(settings *nodesettings.Settings) {
 	n.loop.post(func() {
 		for _, change := range nodesettings.Changed(n.settings, settings) {
@@ -153,7 +154,8 @@
 	})
 }
 
-// Leave hands over what this replica holds and ends it. While too few others have everything it stays, as long as its grace allows.
+// Leave hands over the replica's place in the chain and stops the replica. While too few other members have all entries the replica stays,
+// as long as its grace period allows.
 func (n *Node) Leave() {
 	n.logger.Info("leaving")
 	n.loop.post(func() {
@@ -175,14 +177,14 @@
 	n.stop()
 }
 
-// Close ends the replica at once and hands nothing over, as a kill would; nothing of it runs any more when it returns.
+// Close stops the replica at once without a handover, as a kill would. Nothing of it runs any more when Close returns.
 func (n *Node) Close() {
 	_ = n.operator.Close()
 	n.stop()
 	<-n.engine.disk.ended
 }
 
-// stop ends the loop, then all that it owns, then the sockets.
+// stop stops the loop, then everything that it owns, then the sockets.
 func (n *Node) stop() {
 	n.loop.stop()
 	<-n.loop.ended
@@ -196,7 +198,7 @@
 	_ = n.server.Close()
 }
 
-// fail ends the process for a fault that it must not go on with.
+// fail reports a fault after which the process must not go on.
 func (n *Node) fail(err error) {
 	n.logger.Error("an invariant is broken, the replica ends", "error", err)
 	n.dropScheduler()
--- a/internal/system/control/operator.go
+++ b/internal/system/control/operator.go
@@ -14,18 +14,18 @@
 
 const (
 	baseVersionHeader = "X-Gaugeslip-Base-Version"
-	// operatorTimeout is how long an order may take before it is left without a clear answer: less than the second after which an
-	// operator goes on to another machine.
+	// operatorTimeout is how long a request may take before it is answered as undecided: less than the second after which an operator goes
+	// on to another machine.
 	operatorTimeout = 900 * time.Millisecond
 	maxConfigBytes  = 8 << 20
-	// configMemoryDivisor is the part of the machine's memory that all orders which arrive may take together, minConfigMemory what they may take at
-	// least: two of the largest. In the process an order is held several times over.
+	// All request bodies in transit together may take 1/configMemoryDivisor of the machine's memory, but at least minConfigMemory, which is
+	// two bodies of the largest size. The process holds several copies of each body.
 	configMemoryDivisor = 8
 	minConfigMemory     = 2 * maxConfigBytes
 	megabyte            = 1 << 20
 )
 
-// operatorAPI is the operator's API over HTTP. It knows how to reach whoever may answer.
+// operatorAPI is the operators' API over HTTP. Its functions reach the replica that may answer.
 type operatorAPI struct {
 	replace func(internalapi.ReplaceArgs, time.Duration) internalapi.ReplaceReply
 	read    func(time.Duration) internalapi.ReadReply
@@ -33,7 +33,7 @@
 	bodies  *memorybudget.Budget
 }
 
-// newOperatorAPI is one for a machine with so much memory, in megabytes; 0: not known.
+// newOperatorAPI creates the API for a machine with the given memory in megabytes. 0 means not known.
 func newOperatorAPI(memoryMb float64) *operatorAPI {
 	return &operatorAPI{bodies: memorybudget.NewBudget(max(minConfigMemory, int64(memoryMb*megabyte)/configMemoryDivisor))}
 }
@@ -61,7 +61,7 @@
 		return
 	}
 	if err != nil {
-		// An answer without a status would be a 200, which a caller that has only closed its own direction still reads.
+		// Without an explicit status net/http would answer 200, which a caller that has only closed its sending direction still reads.
 		writer.Header().Set("Connection", "close")
 		http.Error(writer, "the body can't be read in full: "+err.Error(), bodyErrorStatus(err))
 		return
@@ -74,8 +74,8 @@
 	http.Error(writer, reply.Text, reply.Status)
 }
 
-// bodyErrorStatus is the answer to an order whose body can't be read in full. One that broke off on its way, or that there is no memory for, may
-// be whole at the caller, and taken before: it isn't refused.
+// bodyErrorStatus returns the status for a request whose body cannot be read in full. A body that was truncated on its way, or that there
+// is no memory for, may be complete at the caller and may have been accepted before: the status must not be a definite refusal.
 func bodyErrorStatus(err error) int {
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, requestbody.ErrNoMemory) {
 		return http.StatusServiceUnavailable
@@ -83,7 +83,7 @@
 	return http.StatusBadRequest
 }
 
-// parseBase reads the version on which a configuration builds; absent means the first.
+// parseBase parses the version that a configuration is based on. An absent version means that there is none yet.
 func parseBase(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
--- a/internal/system/control/orders.go
+++ b/internal/system/control/orders.go
@@ -8,25 +8,25 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// maxWorkerCalls bounds the calls on workers that are out at once.
+// maxWorkerCalls bounds the concurrent calls to workers.
 const maxWorkerCalls = 4096
 
-// reservedDescriptors are the descriptors left for the platform, the log, other processes and the operator; minWorkerConnections are allowed
-// to workers whatever the limit.
+// reservedDescriptors are the file descriptors reserved for the platform, the log, other processes and the operators. minWorkerConnections
+// are allowed to workers whatever the limit.
 const (
 	reservedDescriptors  = 700
 	minWorkerConnections = 256
 )
 
-// workerConnections is how many connections to workers there may be.
+// workerConnections returns the maximum number of connections to workers.
 func (n *Node) workerConnections() int {
 	return max(n.settings.Limits.MaxOpenFiles-reservedDescriptors, minWorkerConnections)
 }
 
-// connectionsPerWorker bounds the connections to one worker: two holds, and orders beside them of which some get no answer.
+// connectionsPerWorker bounds the connections to one worker: two holds, and other calls in parallel, some of which may get no answer.
 const connectionsPerWorker = 8
 
-// workerCalls carries out the scheduler's calls on workers, each on a goroutine of its own.
+// workerCalls makes the scheduler's calls to workers, each on a goroutine of its own.
 type workerCalls struct {
 	client *workerapi.Client
 	slots  chan struct{}
@@ -43,7 +43,7 @@
 	return o
 }
 
-// start runs one call; with no slot free it answers false, and nothing was sent.
+// start runs one call. If no slot is free it returns false and nothing is sent.
 func (o *workerCalls) start(timeout time.Duration, call func(ctx context.Context, client *workerapi.Client)) bool {
 	select {
 	case o.slots <- struct{}{}:
@@ -60,14 +60,14 @@
 	return true
 }
 
-// callContext is the context of the calls that begin now.
+// callContext returns the parent context for new calls.
 func (o *workerCalls) callContext() context.Context {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.ctx
 }
 
-// cancelAll ends all calls that are out, those among them that still wait for a connection; calls may be made again.
+// cancelAll cancels all outstanding calls, including those that still wait for a connection. New calls may be made afterwards.
 func (o *workerCalls) cancelAll() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -75,7 +75,7 @@
 	o.ctx, o.cancel = context.WithCancel(context.Background())
 }
 
-// close breaks off all calls for good.
+// close cancels all calls for good.
 func (o *workerCalls) close() {
 	o.mutex.Lock()
 	o.cancel()
--- a/internal/system/control/overview.go
+++ b/internal/system/control/overview.go
@@ -9,15 +9,15 @@
 	"gaugeslip/internal/system/state"
 )
 
-// LogName is the name of a replica's log in its data folder.
+// LogName is the name of a replica's log in its data directory.
 const LogName = logName
 
-// operatorQueryTimeout bounds how long an operator's question waits for the loop.
+// operatorQueryTimeout bounds how long an operator's query waits for the loop.
 const operatorQueryTimeout = 2 * time.Second
 
 var errBusy = errors.New("the replica is too busy to answer; ask again")
 
-// queryOnLoop runs an operator's question on the loop.
+// queryOnLoop runs an operator's query on the loop and returns its result, or errBusy after operatorQueryTimeout.
 func queryOnLoop[T any](n *Node, question func() T) (T, error) {
 	var none T
 	answer := runOnLoop(n, operatorQueryTimeout, (*T)(nil), func(answer func(*T)) {
@@ -30,13 +30,13 @@
 	return *answer, nil
 }
 
-// Overview tells what the replica knows of itself and of the chain.
+// Overview returns the status of the replica and its knowledge of the chain.
 func (s *Service) Overview(_ internalapi.OverviewArgs, reply *internalapi.OverviewReply) (err error) {
 	*reply, err = queryOnLoop(s.node, s.node.overview)
 	return err
 }
 
-// overview runs on the loop.
+// overview builds the reply to Overview. It runs on the loop.
 func (n *Node) overview() internalapi.OverviewReply {
 	status := n.engine.replica.Status(n.now())
 	jobs, runs := countJobs(n.engine.machine)
@@ -98,7 +98,7 @@
 	return internalapi.RoleMember
 }
 
-// countJobs counts the jobs by state, and the runs that may exist.
+// countJobs counts the jobs by state, and the runs that may exist on workers.
 func countJobs(machine *state.Machine) (jobs map[string]int, runs int) {
 	counts := [state.Cancelled + 1]int{}
 	for _, job := range machine.Jobs() {
--- a/internal/system/control/platformlist.go
+++ b/internal/system/control/platformlist.go
@@ -15,30 +15,31 @@
 	listRetryMax = 2 * time.Second
 )
 
-// platformList is what the head keeps of its readings of the platform's list of workers.
+// platformList is the state of the head's requests for the platform's list of workers.
 type platformList struct {
-	request    *listRequest  // the one that is out; nil: none is
-	nextReadAt time.Duration // when it is read next
-	failures   int           // in a row
-	// early was read at earlyAt, before this replica acted as the head; nil: none was.
+	request    *listRequest  // the request in flight; nil: none
+	nextReadAt time.Duration // when the list is requested next
+	failures   int           // consecutive failed requests
+	// early was received at earlyAt, before this replica acted as the head. nil: none was.
 	early   []workerapi.Instance
 	earlyAt time.Duration
 }
 
-// listRequest is one reading: for a scheduler that acts, or for the one that will, where it is nil.
+// listRequest is one request for the list, made for the given scheduler. scheduler is nil for a request made before the scheduler exists.
 type listRequest struct{ scheduler *scheduler.Scheduler }
 
-// due tells whether the list is to be read now.
+// due reports whether the list should be requested now.
 func (p *platformList) due(now time.Duration) bool { return p.request == nil && now >= p.nextReadAt }
 
-// dropStale gives a reading up that was made for a scheduler which is gone: it may last for seconds yet, and doesn't count any more.
+// dropStale abandons a request made for a scheduler that was dropped. It may take seconds to end, and its result must not count.
 func (p *platformList) dropStale(acting *scheduler.Scheduler) {
 	if p.request != nil && p.request.scheduler != nil && p.request.scheduler != acting {
 		p.request = nil
 	}
 }
 
-// readList reads the platform's list for the scheduler that acts, or for the one that will: only the head does, or who is about to be.
+// readList requests the platform's list for the acting scheduler, or for the next one if there is none. Only the head, or a replica about
+// to act as the head, may call it.
 func (n *Node) readList() {
 	reading := &listRequest{scheduler: n.scheduler}
 	n.platform.request = reading
@@ -51,7 +52,7 @@
 	}()
 }
 
-// readListEarly reads the list while a new head still waits for its lease or applies what was committed.
+// readListEarly requests the list while a new head still waits for its lease or applies committed entries.
 func (n *Node) readListEarly() {
 	n.platform.early = nil
 	n.platform.dropStale(n.scheduler)
@@ -60,7 +61,7 @@
 	}
 }
 
-// listReceived takes in a reading; one that was made for a scheduler that is gone doesn't count.
+// listReceived handles the result of a request. It ignores the result of a request made for a dropped scheduler.
 func (n *Node) listReceived(reading *listRequest, instances []workerapi.Instance, err error) {
 	if n.platform.dropStale(n.scheduler); n.platform.request != reading {
 		return
@@ -80,7 +81,7 @@
 	n.deliverList(instances, n.now())
 }
 
-// useEarlyList gives a new scheduler what was read before it was made, if that is no older than a reading may be.
+// useEarlyList passes a list received before the scheduler was created to it, unless the list is older than listInterval.
 func (n *Node) useEarlyList() {
 	n.platform.dropStale(n.scheduler)
 	early := n.platform.early
@@ -90,7 +91,7 @@
 	}
 }
 
-// deliverList gives the scheduler a reading.
+// deliverList passes a list to the scheduler and schedules the next request.
 func (n *Node) deliverList(instances []workerapi.Instance, at time.Duration) {
 	n.platform.nextReadAt = at + listInterval
 	n.scheduler.Listed(n.now(), instances)
--- a/internal/system/control/proposals.go
+++ b/internal/system/control/proposals.go
@@ -10,8 +10,8 @@
 // maxProposalBatch bounds the commands that are appended at once.
 const maxProposalBatch = 512
 
-// proposal is a command on its way through the chain. Its done is called once, with its fate and, where it is committed, the command's
-// result.
+// proposal is a command on its way through the chain. Its done function is called once, with the commit status and, if the command is
+// committed, with its result.
 type proposal struct {
 	data       []byte
 	epoch      uint64
@@ -19,16 +19,16 @@
 	done       func(result state.Result, status commitStatus)
 }
 
-// fate tells what became of a proposal.
+// commitStatus is the outcome of a proposal.
 type commitStatus byte
 
 const (
 	statusCommitted commitStatus = iota
 	statusInDoubt                // it may be committed or not
-	statusRejected               // it surely isn't committed and never will be
+	statusRejected               // it is not committed and never will be
 )
 
-// resolveProposal tells a proposal what became of it.
+// resolveProposal reports the commit status to the proposal at the entry's index, if there is one.
 func (e *engine) resolveProposal(entry chain.Entry, result state.Result) {
 	waiting := e.inFlight[entry.Index]
 	if waiting == nil {
@@ -43,12 +43,12 @@
 	waiting.done(result, statusCommitted)
 }
 
-// propose queues a command; it is appended as soon as this replica may.
+// propose queues a command, which is appended as soon as this replica may propose.
 func (e *engine) propose(command state.Command, done func(state.Result, commitStatus)) {
 	e.queue = append(e.queue, &proposal{data: command.Encode(), done: done})
 }
 
-// flush appends what waits and tells whether anything was.
+// flush appends a batch of queued commands and reports whether any was appended.
 func (e *engine) flush() bool {
 	if len(e.queue) == 0 || e.closed || e.replica.CanPropose(e.options.now()) != nil {
 		return false
@@ -71,8 +71,8 @@
 	return err == nil
 }
 
-// trackInFlight notes where a proposal was appended. One of an earlier epoch at that index was dropped from the log here; another replica may
-// still have it, and commit it if this head's epoch ends before that replica has heard of it.
+// trackInFlight records the index at which a proposal was appended. A proposal of an earlier epoch at that index was dropped from the log
+// here and becomes in doubt: another replica may still have it, and commit it if this head's epoch ends before that replica learns of it.
 func (e *engine) trackInFlight(index uint64, appended *proposal) {
 	dropped := e.inFlight[index]
 	e.inFlight[index] = appended
@@ -81,7 +81,7 @@
 	}
 }
 
-// rejectQueued ends all that was never appended.
+// rejectQueued rejects all proposals that were never appended.
 func (e *engine) rejectQueued() {
 	queued := e.queue
 	e.queue = nil
--- a/internal/system/control/reads.go
+++ b/internal/system/control/reads.go
@@ -2,25 +2,24 @@
 
 import "gaugeslip/internal/system/state"
 
-// maxPendingReads bounds the reads that wait for their state; more are refused at once.
+// maxPendingReads bounds the reads that wait for their index. Further ones are refused at once.
 const maxPendingReads = 4096
 
-// pendingRead is a read that may be answered once the state here has come to an index.
+// pendingRead is a read that may be answered once the given index is applied.
 type pendingRead struct {
 	index  uint64
 	answer func(current bool)
 }
 
-// read calls answer once: with true as soon as the state here shows all that had been acknowledged when it was asked, or with false
-// where this replica can't know that. What is said then was so at one moment between question and answer, however late the answer
-// goes out.
+// read calls answer once: with true as soon as the state contains everything that was acknowledged before the call, or with false if this
+// replica cannot determine that. The state is then current as of some moment between call and answer, however late the answer is sent.
 func (e *engine) read(answer func(current bool)) {
 	index, ok := e.readIndex()
 	e.awaitIndex(index, ok, answer)
 }
 
-// readJob is read for one job: it waits only for what may change that job. Nothing is said of the order of changes to different jobs. A
-// backlog is waited for as a whole: to look through it takes about as long as to apply it.
+// readJob is read for one job: it waits only for entries that may change that job. It gives no guarantee about the order of changes to
+// different jobs. It waits for a backlog as a whole: scanning a backlog takes about as long as applying it.
 func (e *engine) readJob(id state.JobID, answer func(current bool)) {
 	index, ok := e.readIndex()
 	if ok && index > e.appliedIndex && !e.catchingUp() {
@@ -30,7 +29,8 @@
 	e.awaitIndex(index, ok, answer)
 }
 
-// readIndex is what has to be applied for the state here to show all that has been acknowledged; ok is false where that isn't known here.
+// readIndex returns the index that must be applied for the state to contain everything acknowledged so far. ok is false if this replica
+// cannot determine it.
 func (e *engine) readIndex() (index uint64, ok bool) {
 	if e.closed {
 		return 0, false
@@ -38,7 +38,7 @@
 	return e.replica.ReadIndex(e.options.now())
 }
 
-// awaitIndex answers once the state here has come to an index.
+// awaitIndex answers once the given index is applied. It refuses the read if ok is false or too many reads wait.
 func (e *engine) awaitIndex(index uint64, ok bool, answer func(current bool)) {
 	switch {
 	case !ok || len(e.pendingReads) >= maxPendingReads:
@@ -50,7 +50,7 @@
 	}
 }
 
-// answerReadyReads answers the reads whose state is reached.
+// answerReadyReads answers the reads whose index is applied.
 func (e *engine) answerReadyReads() {
 	kept := e.pendingReads[:0]
 	for _, waiting := range e.pendingReads {
@@ -64,7 +64,7 @@
 	e.pendingReads = kept
 }
 
-// rejectReads ends all reads that wait: in another view their indexes may never come, and others may stand there.
+// rejectReads refuses all waiting reads: in another view their indexes may never be reached, or hold other entries.
 func (e *engine) rejectReads() {
 	waiting := e.pendingReads
 	e.pendingReads, e.unapplied = nil, unapplied{}
--- a/internal/system/control/restart.go
+++ b/internal/system/control/restart.go
@@ -12,7 +12,7 @@
 	"gaugeslip/coord/wal"
 )
 
-// startEngine opens the log and makes the replica from what it holds.
+// startEngine opens the log and creates the engine from its records.
 func (n *Node) startEngine() error {
 	disk, err := n.openDataDisk()
 	if err != nil {
@@ -32,7 +32,7 @@
 		return fmt.Errorf("read log: %w", err)
 	}
 	n.engine = engine
-	n.invariantState.configVersion = 0 // what the disk holds may be older, and isn't shown before it is current
+	n.invariantState.configVersion = 0 // the configuration on disk may be older; it is not returned to clients before it is current
 	n.logRestoredLog(len(records), file.Size())
 	n.applyConfig()
 	n.engine.start()
@@ -47,7 +47,8 @@
 	return wal.OSDisk(n.settings.DataDir)
 }
 
-// replicaConfig names this replica; at the very first start a seed's identity is its address, so that all know the first view.
+// replicaConfig returns the configuration of the core. At the very first start the identity of a seed is its address, so that all seeds
+// derive the same first view.
 func (n *Node) replicaConfig() replica.Config {
 	self := n.self()
 	seeds := n.settings.SeedInternalAddresses()
@@ -73,7 +74,7 @@
 	return &first
 }
 
-// diskFailed takes the replica out; it comes back after a pause with what the disk holds.
+// diskFailed stops the core after a disk error. The core restarts after restartDelay from what the disk holds.
 func (n *Node) diskFailed(err error) {
 	if n.engine == nil || n.engine.closed {
 		return
@@ -94,7 +95,7 @@
 		return
 	}
 	if err := n.startEngine(); err != nil {
-		n.logger.Error("replica doesn't start", "error", err)
+		n.logger.Error("replica failed to restart", "error", err)
 		time.AfterFunc(restartDelay, func() { n.loop.post(n.restartEngine) })
 		return
 	}
@@ -102,5 +103,5 @@
 }
 
 func (n *Node) logRewritten(bytes int64, took time.Duration) {
-	n.logger.Info("log rewritten", "bytes", bytes, "took", took.Round(time.Millisecond))
+	n.logger.Info("log compacted", "bytes", bytes, "took", took.Round(time.Millisecond))
 }
--- a/internal/system/control/roles.go
+++ b/internal/system/control/roles.go
@@ -17,11 +17,13 @@
 	housekeepingInterval = time.Second
 	maxForgottenJobs     = 8192
 	forgetInterval       = 10 * time.Second
-	// maxTickInterval is how often the core is told to judge at least, while there is anything to do: each of its steps may put its wake off.
+	// maxTickInterval is the longest time between two ticks of the core while there is other work. Without it, every step of the core could
+	// postpone its wake-up time.
 	maxTickInterval = 20 * time.Millisecond
 )
 
-// flush collects what the cores want done after a batch of inputs, until nothing more comes up, and gives the time to the next wake.
+// flush collects and carries out the output of the cores after a batch of inputs, until there is no more or the limit of rounds is reached.
+// It returns the time until the next wake-up.
 func (n *Node) flush() time.Duration {
 	n.loop.runUrgent()
 	n.applyPendingConfig()
@@ -36,8 +38,8 @@
 	return n.nextWake()
 }
 
-// tickCore lets the replica core judge, beat and stand for election as soon as that is due, also in the midst of a batch: just then
-// all that had come in for it has been handed to it.
+// tickCore ticks the replica core when its timers are due, also within a batch, so that heartbeats and elections are on time. The loop
+// calls it right after all messages received so far were passed to the core.
 func (n *Node) tickCore() {
 	if now := n.now(); !n.engine.closed && (now >= n.engine.wakeAt || now-n.lastTick >= maxTickInterval) {
 		n.lastTick = now
@@ -62,7 +64,7 @@
 	return max(wake-now, time.Millisecond)
 }
 
-// periodic does what falls due by itself.
+// periodic runs the tasks that are due at regular intervals.
 func (n *Node) periodic(now time.Duration) {
 	if now >= n.nextClockRead {
 		n.nextClockRead = now + clockReadInterval
@@ -78,7 +80,7 @@
 	}
 }
 
-// runScheduler lets the scheduler work and tells whether it wanted anything.
+// runScheduler carries out the scheduler's output and reports whether there were commands or calls.
 func (n *Node) runScheduler() bool {
 	if n.scheduler == nil || !n.schedulerActive || !n.engine.isHead() {
 		return false
@@ -91,9 +93,9 @@
 	n.checkScheduler(now)
 	n.schedulerWakeAt = output.Wake
 	if output.Superseded {
-		n.logger.Warn("a worker has seen a higher token", "epoch", n.schedulerEpoch)
+		n.logger.Warn("a worker has seen a higher fencing token", "epoch", n.schedulerEpoch)
 		n.schedulerActive = false
-		n.workerCalls.cancelAll() // nothing more goes out with this token
+		n.workerCalls.cancelAll() // no further call is sent with this token
 		return false
 	}
 	n.logWaitingTasks(output.Findings)
@@ -105,8 +107,8 @@
 	return len(output.Commands)+len(output.Calls) > 0
 }
 
-// sendCalls makes the scheduler's calls if this replica is still the head: with a large fleet the decisions before may have outlasted its
-// lease. Otherwise none is sent, and the scheduler is told so.
+// sendCalls makes the scheduler's calls if this replica is still the head: with a large fleet, the decisions may have taken longer than its
+// lease. Otherwise it sends nothing and reports the calls as not sent to the scheduler.
 func (n *Node) sendCalls(calls []scheduler.Call) {
 	if len(calls) == 0 {
 		return
@@ -124,7 +126,7 @@
 	}
 }
 
-// callEnded hands the end of a call to the scheduler that made it; for another one it doesn't count.
+// callEnded passes the result of a call to the scheduler that made it. It drops the result if another scheduler acts by then.
 func (n *Node) callEnded(from *scheduler.Scheduler, id uint64, reply workerapi.HoldReply) {
 	n.loop.post(func() {
 		if n.scheduler == from {
@@ -145,7 +147,7 @@
 	}
 }
 
-// perform makes a call and gives what is certain about it.
+// performCall makes a call and returns its definite outcome, or that it is unknown.
 func performCall(ctx context.Context, client *workerapi.Client, call *scheduler.Call) workerapi.HoldReply {
 	switch call.Kind {
 	case scheduler.CallStart:
@@ -160,7 +162,7 @@
 	}
 }
 
-// readClocks asks the other replicas for their time of day.
+// readClocks reads the clocks of the other replicas.
 func (n *Node) readClocks() {
 	if n.engine.closed {
 		return
@@ -189,12 +191,12 @@
 	}
 }
 
-// unixMs is the trusted time of day in milliseconds since 1970.
+// unixMs returns the time of day in milliseconds since 1970, corrected by the median of the replicas' clocks.
 func (n *Node) unixMs(now time.Duration) int64 {
 	return n.clock().Add(n.wallClock.offset(now)).UnixMilli()
 }
 
-// housekeep tells the core of replicas that were heard of, and forgets jobs that were over for long enough.
+// housekeep logs late jobs, passes the known replica addresses to the core, and forgets jobs that were finished long enough ago.
 func (n *Node) housekeep() {
 	n.logLateJobsIfDue(n.now())
 	if n.engine.closed {
@@ -207,11 +209,11 @@
 	}
 }
 
-// forgetJobs drops jobs that have been over for twice the time for which their state has to be told, as far as this head has seen.
+// forgetJobs forgets jobs that this head has seen finished for longer than twice the time for which their state must be available.
 func (n *Node) forgetJobs() {
 	now := n.now()
 	keep := 2 * n.settings.Bounds.Status()
-	over := make(map[state.JobID]time.Duration, len(n.finishedSince))
+	finished := make(map[state.JobID]time.Duration, len(n.finishedSince))
 	var old []state.JobID
 	for id, job := range n.engine.machine.Jobs() {
 		if !job.State.Finished() || job.Runs > 0 {
@@ -221,12 +223,12 @@
 		if !seen {
 			since = now
 		}
-		over[id] = since
+		finished[id] = since
 		if now-since > keep && len(old) < maxForgottenJobs {
 			old = append(old, id)
 		}
 	}
-	n.finishedSince = over
+	n.finishedSince = finished
 	if len(old) > 0 {
 		n.engine.propose(state.Command{Kind: state.KindJobsForgotten, JobsForgotten: old}, func(state.Result, commitStatus) {})
 	}
--- a/internal/system/control/service.go
+++ b/internal/system/control/service.go
@@ -7,13 +7,13 @@
 	"gaugeslip/internal/system/state"
 )
 
-// commitTimeout bounds how long a call waits for its commit; after that its outcome is in doubt.
+// commitTimeout bounds how long a call waits for its commit. After that its outcome is in doubt.
 const commitTimeout = 5 * time.Second
 
-// Service is what dispatchers and other replicas call over net/rpc.
+// Service is the net/rpc service for dispatchers, operators and other replicas.
 type Service struct{ node *Node }
 
-// runOnLoop runs a question on the loop and waits for its answer, for the timeout at most.
+// runOnLoop runs a question on the loop and waits for its answer. It returns expired if the loop stops or the timeout passes first.
 func runOnLoop[T any](n *Node, timeout time.Duration, expired T, question func(answer func(T))) T {
 	answers := make(chan T, 1)
 	n.loop.post(func() {
@@ -36,7 +36,7 @@
 	}
 }
 
-// Digest tells what is newest here.
+// Digest returns the newest epoch and configuration version known here.
 func (s *Service) Digest(_ internalapi.DigestArgs, reply *internalapi.DigestReply) error {
 	*reply = runOnLoop(s.node, time.Second, internalapi.DigestReply{}, func(answer func(internalapi.DigestReply)) {
 		e := s.node.engine
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// Fetch gives what is newer here than at the caller, but no configuration that may be an old one.
+// Fetch returns the view known here unless it is older than the caller's, and the configuration if it is newer than the caller's and not
+// possibly outdated.
 func (s *Service) Fetch(args internalapi.FetchArgs, reply *internalapi.FetchReply) error {
 	*reply = runOnLoop(s.node, time.Second, internalapi.FetchReply{}, func(answer func(internalapi.FetchReply)) {
 		e := s.node.engine
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// Submit takes a job into custody.
+// Submit accepts a job.
 func (s *Service) Submit(args internalapi.SubmitArgs, reply *internalapi.JobReply) error {
 	doubt := internalapi.JobReply{Verdict: internalapi.InDoubt}
 	*reply = runOnLoop(s.node, commitTimeout, doubt, func(answer func(internalapi.JobReply)) { s.node.submit(&args, answer) })
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// submit runs on the loop.
+// submit decides a submission. It runs on the loop.
 func (n *Node) submit(args *internalapi.SubmitArgs, answer func(internalapi.JobReply)) {
 	if !n.acting() {
 		answer(n.notHead())
@@ -100,7 +101,7 @@
 	})
 }
 
-// acceptedCommand joins a job with what its queue says now; nil if there is no such queue.
+// acceptedCommand combines a submitted job with the present settings of its route. It returns nil if there is no such route.
 func (n *Node) acceptedCommand(args *internalapi.SubmitArgs) *state.JobAccepted {
 	for i := range n.config.Routes {
 		route := &n.config.Routes[i]
@@ -128,14 +129,13 @@
 	return internalapi.JobReply{Verdict: internalapi.Done}
 }
 
-// acting tells whether this replica may take orders now.
+// acting reports whether this replica is the head with its lease and may decide requests now.
 func (n *Node) acting() bool { return n.schedulerActive && n.engine.isHead() }
 
 func (n *Node) notHead() internalapi.JobReply {
 	return internalapi.JobReply{Verdict: internalapi.NotHead, View: n.engine.view()}
 }
 
-// Cancel cancels a job.
 func (s *Service) Cancel(args internalapi.CancelArgs, reply *internalapi.JobReply) error {
 	doubt := internalapi.JobReply{Verdict: internalapi.InDoubt}
 	*reply = runOnLoop(s.node, commitTimeout, doubt, func(answer func(internalapi.JobReply)) { s.node.cancel(args, answer) })
@@ -153,7 +153,7 @@
 	})
 }
 
-// Status tells a job's state.
+// Status returns a job's state.
 func (s *Service) Status(args internalapi.StatusArgs, reply *internalapi.JobReply) error {
 	id := state.JobID(args.ID)
 	refused := internalapi.JobReply{Verdict: internalapi.NotHead}
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// statusOf tells a job's state as it is here, if that is current.
+// statusOf returns a job's state, if the local state is current.
 func (n *Node) statusOf(id state.JobID, current bool) internalapi.JobReply {
 	if !current {
 		return n.notHead()
@@ -175,8 +175,8 @@
 	return internalapi.JobReply{Verdict: internalapi.Done, State: job.State.String()}
 }
 
-// Count tells how many jobs of a queue have begun nothing. Only the head knows: the replicated state holds a run from its intent on, and
-// whether it has begun is between the head and the worker until it ends.
+// Count returns how many jobs of a route have no task that has begun. Only the head can answer: the replicated state contains a run from
+// its intent on, and only the head and the worker know whether it has begun, until it ends.
 func (s *Service) Count(args internalapi.CountArgs, reply *internalapi.JobReply) error {
 	refused := internalapi.JobReply{Verdict: internalapi.NotHead}
 	*reply = runOnLoop(s.node, time.Second, refused, func(answer func(internalapi.JobReply)) {
--- a/internal/system/control/sockets.go
+++ b/internal/system/control/sockets.go
@@ -49,15 +49,15 @@
 	return nil
 }
 
-// The bounds of the operator's API on its callers.
+// Limits on the callers of the operators' API.
 const (
 	operatorHeaderTimeout = 5 * time.Second
 	operatorIdleTimeout   = 30 * time.Second
-	// operatorReadTimeout is how long a whole order may take to arrive: the largest at 4 Mbit/s.
+	// operatorReadTimeout is how long a whole request may take to arrive. The largest one needs it at 4 Mbit/s.
 	operatorReadTimeout = 20 * time.Second
-	// operatorWriteTimeout bounds the work and the answer, from the end of the header on.
+	// operatorWriteTimeout bounds the handling and the answer, from the end of the header on.
 	operatorWriteTimeout = 45 * time.Second
-	// maxOperatorConnections bounds the connections to the operator's API: they come out of the descriptors that are kept from the workers' connections.
+	// maxOperatorConnections bounds the connections to the operators' API. They use descriptors that are reserved, see reservedDescriptors.
 	maxOperatorConnections = 256
 )
 
@@ -68,7 +68,7 @@
 
 func (n *Node) receiveMessages(messages []*replica.Message) {
 	if len(messages) > 0 {
-		n.client.Reachable(messages[0].From.Address) // all of them are of one sender
+		n.client.Reachable(messages[0].From.Address) // all messages of a batch come from one sender
 	}
 	n.loop.postUrgent(func() {
 		for _, message := range messages {
@@ -77,7 +77,7 @@
 	})
 }
 
-// contacts are the replicas that this one knows of: the seeds and, among the peers, those that call themselves replicas.
+// contacts returns the addresses of the known replicas: the seeds and the members with the role RoleName, without this replica.
 func (n *Node) contacts() []string {
 	addresses := n.settings.SeedInternalAddresses()
 	for _, peer := range n.members.Peers() {
@@ -88,12 +88,12 @@
 	return slices.DeleteFunc(addresses, func(address string) bool { return address == n.self().Address })
 }
 
-// gossip gives a value to the epidemic.
+// gossip publishes a value by gossip.
 func (n *Node) gossip(key gossip.Key, version uint64, data []byte) {
 	members := n.members
 	go func() {
 		if err := members.Set(gossip.Value{Key: key, Version: gossip.Version{Major: version}, Data: data}); err != nil {
-			n.logger.Error("value not spread", "key", key, "error", err)
+			n.logger.Error("gossip of a value failed", "key", key, "error", err)
 		}
 	}()
 }
--- a/internal/system/control/tenants.go
+++ b/internal/system/control/tenants.go
@@ -9,13 +9,13 @@
 	"gaugeslip/internal/system/quota"
 )
 
-// Tenants shows the tenants' shares of accelerators and what waits for them; only the head can.
+// Tenants returns the tenants' shares of accelerators and the tasks that wait for them. Only the head can answer.
 func (s *Service) Tenants(_ internalapi.TenantsArgs, reply *internalapi.TenantsReply) (err error) {
 	*reply, err = queryOnLoop(s.node, s.node.tenants)
 	return err
 }
 
-// tenants runs on the loop.
+// tenants builds the reply to Tenants. It runs on the loop.
 func (n *Node) tenants() internalapi.TenantsReply {
 	if !n.acting() || n.scheduler == nil {
 		return internalapi.TenantsReply{Verdict: internalapi.NotHead, View: n.engine.view()}
@@ -46,7 +46,7 @@
 	return shown
 }
 
-// writeTenants writes nothing while no tenant is named.
+// writeTenants writes the metrics of tenants, and none while no tenant is configured.
 func writeTenants(w *figures.Writer, ledger *quota.Ledger) {
 	if !ledger.InForce() {
 		return
--- a/internal/system/control/unapplied.go
+++ b/internal/system/control/unapplied.go
@@ -5,18 +5,18 @@
 	"gaugeslip/internal/system/state"
 )
 
-// maxUnappliedJobs is how many jobs are kept until those that are applied are forgotten, or all.
+// maxUnappliedJobs is the number of jobs above which the recorded jobs are dropped and replaced by the conservative anyJob.
 const maxUnappliedJobs = 4096
 
-// unapplied tells which entries of one view, held here and maybe not applied yet, may change a job. What is applied meanwhile may stand
-// among them: its index is reached already.
+// unapplied records which entries of one view, held here and possibly not applied yet, may change a job. It may also contain entries that
+// are applied by now, for which reads do not wait.
 type unapplied struct {
-	scannedTo uint64                 // the last index that was looked at
-	lastByJob map[state.JobID]uint64 // the last index that may change each
-	anyJob    uint64                 // the last index that may change any job
+	scannedTo uint64                 // last scanned index
+	lastByJob map[state.JobID]uint64 // last index that may change each job
+	anyJob    uint64                 // last index that may change any job
 }
 
-// scan takes in the entries that follow those seen.
+// scan records the entries that follow those already scanned.
 func (u *unapplied) scan(entries []chain.Entry) {
 	if u.lastByJob == nil || len(u.lastByJob) > maxUnappliedJobs {
 		u.lastByJob, u.anyJob = map[state.JobID]uint64{}, max(u.anyJob, u.scannedTo)
@@ -25,7 +25,7 @@
 		u.scannedTo = entry.Index
 		command, err := state.Decode(entry.Data)
 		if err != nil {
-			continue // it changes nothing
+			continue // an invalid command changes nothing
 		}
 		if command.AffectedJobs(func(id state.JobID) { u.lastByJob[id] = entry.Index }) {
 			u.anyJob = entry.Index
@@ -33,5 +33,5 @@
 	}
 }
 
-// lastChange is the last index seen that may change a job, 0 if none may.
+// lastChange returns the last scanned index that may change a job, 0 if none may.
 func (u *unapplied) lastChange(id state.JobID) uint64 { return max(u.anyJob, u.lastByJob[id]) }
--- a/internal/system/control/unfit.go
+++ b/internal/system/control/unfit.go
@@ -10,11 +10,12 @@
 	"gaugeslip/coord/wal"
 )
 
-// UnfitLogName is the name of the log that keeps what a replica held whose state was found to be wrong, for whoever looks into it.
+// UnfitLogName is the name of the log that keeps the records of a replica whose state had diverged, for later analysis.
 const UnfitLogName = "unfit"
 
-// replaceUnfitRecords gives what a replica may start from. A disk that was marked as unfit, as its state differs from the chain's, is given up: its
-// records are kept under another name and a new identity takes their place, so that the replica comes back as one that knows nothing.
+// replaceUnfitRecords returns the records that a replica may start from. A disk marked as unfit, because its state differs from the
+// chain's, is not used: its records are saved under another name and a new identity replaces them, so that the replica comes back as a new
+// one without entries.
 func (n *Node) replaceUnfitRecords(disk wal.Disk, file *wal.Log, records []wal.Record) ([]wal.Record, error) {
 	reason, unfit := unfitReason(records)
 	if !unfit {
@@ -30,7 +31,7 @@
 	return blank, nil
 }
 
-// unfitReason tells why a disk must not be used again, if it mustn't.
+// unfitReason returns why a disk must not be used again, and whether that is so.
 func unfitReason(records []wal.Record) (string, bool) {
 	if len(records) == 0 || records[len(records)-1].Kind != replica.KindUnfit {
 		return "", false
@@ -38,8 +39,8 @@
 	return string(records[len(records)-1].Data), true
 }
 
-// saveUnfitRecords writes the records to a log of another name, in the place of what it held. Where there is no room the replica comes back all
-// the same.
+// saveUnfitRecords writes the records to the log UnfitLogName, replacing its content. If that fails, for example on a full disk, the
+// partial log is removed and the replica still comes back.
 func saveUnfitRecords(disk wal.Disk, records []wal.Record) error {
 	kept, _, err := wal.Open(disk, UnfitLogName)
 	if err != nil {
--- a/internal/system/internalapi/api.go
+++ b/internal/system/internalapi/api.go
@@ -1,10 +1,10 @@
-// Package internalapi holds the arguments and replies of the net/rpc calls between the system's processes. The service's name is
-// Service; its methods are served by every replica of the control plane. All types are plain structs that gob can carry.
+// Package internalapi defines the arguments and replies of the net/rpc calls between the system's processes. Every replica of the control
+// plane serves the methods under the name Service. All types are plain structs that gob can encode.
 package internalapi
 
 import "gaugeslip/coord/view"
 
-// Service is the name under which a replica registers its calls.
+// Service is the net/rpc service name of a replica.
 const Service = "Control"
 
 // The methods of the service.
@@ -20,48 +20,49 @@
 	MethodOverview = Service + ".Overview"
 )
 
-// Verdict tells what a replica made of a call. Only Done was carried out; all others surely weren't, except InDoubt.
+// Verdict is a replica's decision about a call. Done means that the call was carried out, InDoubt that it may have been, all others that it
+// certainly was not.
 type Verdict byte
 
 // The verdicts.
 const (
 	Done       Verdict = iota + 1
-	NotHead            // this replica may not answer; View tells who may
-	NoRoute            // the queue isn't in the configuration in force
-	Invalid            // the body can't be taken; Text tells why
-	Overloaded         // not taken, for want of room
+	NotHead            // this replica may not answer; View names the head
+	NoRoute            // the route is not in the configuration in force
+	Invalid            // the body is invalid; Text says why
+	Overloaded         // not accepted, for lack of capacity
 	NotKnown           // there is no such job
-	InDoubt            // it may be carried out or not
+	InDoubt            // the call may have been carried out or not
 )
 
-// DigestArgs asks a replica what is newest there.
+// DigestArgs are the arguments of Digest, which returns the newest versions known to a replica.
 type DigestArgs struct{}
 
-// DigestReply is what is newest at a replica; it may lag behind the head unless the replica is Serving.
+// DigestReply holds the newest versions known to a replica. They may lag behind the head unless Serving is set.
 type DigestReply struct {
 	Epoch         uint64
 	ConfigVersion uint64
-	// Serving tells that the reply shows all that had been acknowledged when the call came in.
+	// Serving reports that the reply covers everything acknowledged before the call.
 	Serving bool
 	// UnixMs is the replica's time of day, in milliseconds since 1970.
 	UnixMs int64
 }
 
-// FetchArgs asks for what is newer than the caller's own.
+// FetchArgs asks for a view and configuration newer than the given ones.
 type FetchArgs struct {
 	Epoch, ConfigVersion uint64
-	// HasView tells a caller that knows the view of epoch 0 from one that knows none.
+	// HasView is set if the caller knows a view. Epoch 0 alone does not tell, as it is also the epoch of the first view.
 	HasView bool
 }
 
-// FetchReply holds what is newer; View isn't known (view.View.Known) and Config is empty where nothing is.
+// FetchReply holds what is newer. If nothing is, View is unknown (view.View.Known) and Config is empty.
 type FetchReply struct {
 	View          view.View
 	ConfigVersion uint64
 	Config        []byte
 }
 
-// SubmitArgs hands a job in.
+// SubmitArgs submits a job.
 type SubmitArgs struct {
 	ID    uint64
 	Route string // the route's name
@@ -74,27 +75,27 @@
 // StatusArgs asks for a job's state.
 type StatusArgs struct{ ID uint64 }
 
-// CountArgs asks how many jobs of a queue aren't over.
+// CountArgs asks how many jobs of a route have no task that has begun.
 type CountArgs struct{ Route string }
 
 // JobReply answers Submit, Cancel, Status and Count.
 type JobReply struct {
 	Verdict Verdict
-	State   string // Status: as clients are answered
+	State   string // for Status: the state as shown to clients
 	Pending int    // Count
 	Text    string
-	View    view.View // with NotHead: the newest view known there
-	// ConfigVersion is the configuration by which the call was judged; 0 when it isn't told.
+	View    view.View // with NotHead: the newest view known to the replica
+	// ConfigVersion is the version of the configuration that the decision is based on, 0 if it is not given.
 	ConfigVersion uint64
 }
 
-// ReplaceArgs is an operator's order to replace the configuration.
+// ReplaceArgs is an operator's request to replace the configuration of version Base.
 type ReplaceArgs struct {
 	Base uint64
 	Body []byte
 }
 
-// ReplaceReply answers Replace; Status is the HTTP status for the operator, 0 with NotHead.
+// ReplaceReply answers Replace. Status is the HTTP status for the operator, 0 with NotHead.
 type ReplaceReply struct {
 	Verdict Verdict
 	Status  int
--- a/internal/system/internalapi/gossip.go
+++ b/internal/system/internalapi/gossip.go
@@ -8,18 +8,18 @@
 	"gaugeslip/coord/view"
 )
 
-// The keys of the values that go out by gossip.
+// The keys of the gossiped values.
 const (
-	// KeyConfig is the operator's newest committed configuration: the body as it came; its version is the major version.
+	// KeyConfig is the newest committed configuration, as the operator sent it. Its version is the major version of the value.
 	KeyConfig = "config"
-	// KeyView is the newest view that is known, as by EncodeView; the major version is that of ViewVersion.
+	// KeyView is the newest known view, encoded by EncodeView. Its major version is ViewVersion.
 	KeyView = "view"
 )
 
-// ViewVersion is the major version under which a view goes out by gossip. It is never 0, which is older than any value.
+// ViewVersion returns the major version of a gossiped view. It is never 0, which would be older than any value.
 func ViewVersion(newest view.View) uint64 { return newest.Epoch + 1 }
 
-// EncodeView writes a view as it goes out by gossip.
+// EncodeView encodes a view for gossip.
 func EncodeView(newest view.View) ([]byte, error) {
 	var data bytes.Buffer
 	if err := gob.NewEncoder(&data).Encode(newest); err != nil {
@@ -28,7 +28,7 @@
 	return data.Bytes(), nil
 }
 
-// DecodeView reads what EncodeView wrote.
+// DecodeView decodes a view that EncodeView has encoded.
 func DecodeView(data []byte) (view.View, error) {
 	var newest view.View
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&newest); err != nil {
--- a/internal/system/internalapi/tenants.go
+++ b/internal/system/internalapi/tenants.go
@@ -2,28 +2,28 @@
 
 import "gaugeslip/coord/view"
 
-// MethodTenants asks the head for the tenants.
+// MethodTenants returns the tenants' shares of accelerators. Only the head answers.
 const MethodTenants = Service + ".Tenants"
 
-// TenantsArgs asks the head for the tenants' shares of accelerators.
+// TenantsArgs are the arguments of MethodTenants.
 type TenantsArgs struct{}
 
-// TenantsReply holds, with Done, all tenants that the configuration names, that use accelerators or of which something waits, by name.
+// TenantsReply holds, with verdict Done, all tenants that are configured, use accelerators or have waiting tasks, sorted by name.
 type TenantsReply struct {
 	Verdict Verdict
 	View    view.View // with NotHead
 	Tenants []TenantOverview
 }
 
-// TenantOverview is one tenant.
+// TenantOverview is the share of one tenant and its use.
 type TenantOverview struct {
-	// Name is empty for those without one.
+	// Name is empty for jobs without a tenant.
 	Name string
-	// Named tells whether the configuration names it; if not, Limit is what all those have in common that it doesn't name.
+	// Named reports whether the configuration names the tenant. If not, Limit is the share that all unnamed tenants have in common.
 	Named bool
-	// Limit and Used are in accelerators; Limit counts only where Bounded.
+	// Limit and Used are in accelerators. Limit is valid only if Bounded is set.
 	Bounded     bool
 	Limit, Used int64
-	// Held is how many tasks wait that take accelerators, KeptBack how many of those wait for the share.
+	// Held is how many tasks with accelerators wait, KeptBack how many of those wait for their tenant's share.
 	Held, KeptBack int
 }
