--- a/internal/system/control/backlog_test.go
+++ b/internal/system/control/backlog_test.go
@@ -13,12 +13,12 @@
 	"gaugeslip/internal/system/state"
 )
 
-// backlogHarness is an engine without a core, whose turns of the loop are played one by one.
+// backlogHarness is an engine without a core. The test runs the turns of the loop one by one.
 type backlogHarness struct {
 	*engine
 	turns    []func()
 	events   []replica.Event
-	finished []int // lengths of the backlogs that are over
+	finished []int // lengths of the finished backlogs
 }
 
 func newBacklogHarness() *backlogHarness {
@@ -33,7 +33,7 @@
 	return s
 }
 
-// entries gives the next ones after so many that are on their way.
+// entries returns count entries, of which the first follows the last applied one at a distance of after entries.
 func (s *backlogHarness) entries(after, count int) (made []chain.Entry) {
 	for i := range count {
 		made = append(made, chain.Entry{Index: s.appliedIndex + uint64(after+i) + 1, Epoch: 1})
@@ -41,7 +41,7 @@
 	return made
 }
 
-// runTurn plays what waits for a turn of the loop.
+// runTurn runs the work posted for the next turn of the loop.
 func (s *backlogHarness) runTurn() {
 	turns := s.turns
 	s.turns = nil
@@ -56,19 +56,20 @@
 	}
 }
 
-// A replica that takes thousands of entries at once, as after a restart, has no time for their digests; it sums up again from there on.
+// A replica that receives thousands of entries at once, as after a restart, takes no digests of them, so that it catches up sooner. It
+// takes digests again from the end of the backlog on.
 func TestBacklogEntriesTakeNoDigests(t *testing.T) {
 	s := newBacklogHarness()
 	s.applyCommitted(s.entries(0, state.AuditInterval))
 	assert.Len(t, s.digests, 1)
 	s.applyCommitted(s.entries(0, maxDigestBatch+1))
 	s.runAllTurns()
-	assert.Len(t, s.digests, 1, "the backlog's")
+	assert.Len(t, s.digests, 1, "a backlog adds no digest")
 	s.applyCommitted(s.entries(0, 2*state.AuditInterval))
-	assert.Len(t, s.digests, 2, "of the part that was seen from its start")
+	assert.Len(t, s.digests, 2, "an interval is digested only if it was audited from its start")
 }
 
-// No turn of the loop applies more of a backlog than a slice, and what comes meanwhile is applied after it, in order.
+// No turn of the loop applies more than one batch of a backlog. Entries that arrive meanwhile are applied afterwards, in order.
 func TestBacklogIsAppliedInBatches(t *testing.T) {
 	s := newBacklogHarness()
 	s.applyCommitted(s.entries(0, 3*applyBatchSize+1))
@@ -76,7 +77,7 @@
 	s.runTurn()
 	assert.Equal(t, uint64(2*applyBatchSize), s.appliedIndex)
 	s.applyCommitted(s.entries(applyBatchSize+1, 1))
-	assert.Equal(t, uint64(2*applyBatchSize), s.appliedIndex, "what comes later waits for what came before")
+	assert.Equal(t, uint64(2*applyBatchSize), s.appliedIndex, "later entries wait for the backlog")
 	s.runTurn()
 	require.True(t, s.catchingUp())
 	assert.Empty(t, s.finished)
@@ -87,7 +88,7 @@
 	assert.Empty(t, s.turns)
 }
 
-// A read of what the backlog holds is answered in the turn that applies it.
+// A read whose index lies within the backlog is answered in the turn that applies that index.
 func TestReadIsAnsweredOnceItsBacklogEntriesAreApplied(t *testing.T) {
 	s := newBacklogHarness()
 	s.applyCommitted(s.entries(0, 3*applyBatchSize))
@@ -98,7 +99,7 @@
 	assert.Equal(t, []bool{true}, answers)
 }
 
-// A replica acts as the head only on a state that has all that was committed before.
+// A replica acts as the head only once its state contains everything committed before.
 func TestBecameHeadIsDeferredUntilBacklogIsApplied(t *testing.T) {
 	s := newBacklogHarness()
 	s.applyCommitted(s.entries(0, 2*applyBatchSize))
@@ -107,12 +108,12 @@
 	s.forwardEvent(replica.BecameHead{Epoch: 5, Continued: true})
 	assert.Empty(t, s.events)
 	s.runAllTurns()
-	assert.Equal(t, []replica.Event{replica.BecameHead{Epoch: 5}}, s.events, "the first was never told, so nothing goes on")
+	assert.Equal(t, []replica.Event{replica.BecameHead{Epoch: 5}}, s.events, "the first event was never delivered, so the headship is not continued")
 	s.forwardEvent(replica.BecameHead{Epoch: 6, Continued: true})
-	assert.Equal(t, replica.BecameHead{Epoch: 6, Continued: true}, s.events[1], "without a backlog it is told at once")
+	assert.Equal(t, replica.BecameHead{Epoch: 6, Continued: true}, s.events[1], "without a backlog the event is delivered at once")
 }
 
-// One that has lost the lease meanwhile doesn't begin to act when its backlog is over.
+// A replica that has lost the lease meanwhile does not act as the head when its backlog is applied.
 func TestLostHeadCancelsDeferredBecameHead(t *testing.T) {
 	s := newBacklogHarness()
 	s.applyCommitted(s.entries(0, 2*applyBatchSize))
@@ -122,7 +123,7 @@
 	assert.Equal(t, []replica.Event{replica.LostHead{Epoch: 4}}, s.events)
 }
 
-// A view is told at once, and reads that wait are refused with it, whatever waits to be applied.
+// A view change is delivered at once and refuses the waiting reads, even during a backlog.
 func TestViewChangeIsNotDeferredByBacklog(t *testing.T) {
 	s := newBacklogHarness()
 	s.applyCommitted(s.entries(0, 2*applyBatchSize))
@@ -133,7 +134,7 @@
 	assert.Equal(t, []bool{false}, answers)
 }
 
-// What waits of a dropped backlog is never applied on top of another state.
+// Pending entries of a dropped backlog are never applied to another state.
 func TestADroppedBacklogIsNotContinued(t *testing.T) {
 	s := newBacklogHarness()
 	s.applyCommitted(s.entries(0, 2*applyBatchSize))
@@ -142,7 +143,7 @@
 	s.applyCommitted(s.entries(0, 2*applyBatchSize))
 	require.Len(t, s.turns, 2)
 	s.turns[0]()
-	assert.Equal(t, uint64(10*applyBatchSize), s.appliedIndex, "the turn of the one that was dropped")
+	assert.Equal(t, uint64(10*applyBatchSize), s.appliedIndex, "the turn of the dropped backlog applies nothing")
 	s.turns[1]()
 	assert.Equal(t, uint64(11*applyBatchSize), s.appliedIndex)
 	assert.Equal(t, []int{2 * applyBatchSize}, s.finished)
--- a/internal/system/control/callsowner_test.go
+++ b/internal/system/control/callsowner_test.go
@@ -25,7 +25,7 @@
 	testCallTimeout   = 10 * time.Second
 )
 
-// newSchedulerWithCall is a scheduler with one worker, and its first call: of the same number in each scheduler.
+// newSchedulerWithCall returns a scheduler with one worker and its first call, which has the same ID in each such scheduler.
 func newSchedulerWithCall(t *testing.T, token uint64) (*scheduler.Scheduler, scheduler.Call) {
 	s := scheduler.New(scheduler.Options{Token: token, Machine: state.New(), Bounds: nodesettings.DefaultBounds()}, 0)
 	s.Listed(0, []workerapi.Instance{{ID: "i-1", Address: testWorkerAddress, State: workerapi.StateReady}})
@@ -36,8 +36,8 @@
 	return s, call
 }
 
-// An answer to a call that a scheduler made before this replica lost its office and took it again isn't that to the call with the same
-// number of the one that acts now.
+// A replica loses the headship and gains it again. The result of a call of its first scheduler must not be taken for the call with the same
+// ID of the second one.
 func TestCallResultGoesOnlyToTheSchedulerThatMadeIt(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -76,7 +76,8 @@
 	}
 }
 
-// Decisions for a large fleet may outlast the lease by which they were begun: then nothing is sent, and the scheduler is told so.
+// Decisions for a large fleet may take longer than the lease under which they began. Then nothing is sent, and the scheduler learns that
+// the calls were not sent.
 func TestCallsAreNotSentOnceTheLeaseIsOver(t *testing.T) {
 	core := replica.New(replica.Config{Self: view.Member{ID: "a", Address: headHost}, Seed: 1}, replica.Persisted{}, 0)
 	n := &Node{loop: newLoop(), clock: time.Now, started: time.Now(), engine: &engine{replica: core, options: engineOptions{
@@ -84,12 +85,12 @@
 	require.False(t, n.engine.isHead())
 	acting, call := newSchedulerWithCall(t, 1)
 	n.scheduler = acting
-	n.sendCalls([]scheduler.Call{call}) // without a client: to send would fail
+	n.sendCalls([]scheduler.Call{call}) // there is no client: sending would fail
 	for _, work := range n.loop.takeQueue(nil) {
 		work()
 	}
 	acting.Tick(3 * time.Second)
 	again := acting.Drain().Calls
-	require.NotEmpty(t, again, "it looks again")
+	require.NotEmpty(t, again, "the scheduler calls the worker again")
 	require.NotEqual(t, call.ID, again[0].ID)
 }
--- a/internal/system/control/cluster_test.go
+++ b/internal/system/control/cluster_test.go
@@ -20,14 +20,14 @@
 // testTimeout bounds every wait of these tests.
 const testTimeout = time.Minute
 
-// testCluster is a few replicas on loopback addresses, alike but for their address and folder.
+// testCluster is a set of replicas on loopback addresses that differ only in address and data directory.
 type testCluster struct {
 	t      *testing.T
 	nodes  []*Node
 	caller *transport.Client
 }
 
-// startCluster starts replicas that tolerate the loss of some, and waits for their head.
+// startCluster starts replicas with the given fault tolerance. It does not wait for a head.
 func startCluster(t *testing.T, replicas, tolerance int) *testCluster {
 	cluster := &testCluster{t: t, caller: transport.NewClient(transport.Options{})}
 	t.Cleanup(func() { _ = cluster.caller.Close() })
@@ -62,17 +62,17 @@
 
 func loopback(number int) string { return "127.0.0." + strconv.Itoa(number+1) }
 
-// until asks again and again, as on a busy machine any single call may come too late and any lease may run out for a moment.
+// until polls a condition. On a busy machine any single call may time out and any lease may expire for a moment.
 func (c *testCluster) until(condition func() bool) {
 	require.Eventually(c.t, condition, testTimeout, 20*time.Millisecond)
 }
 
-// call calls a replica over its internal protocol and tells whether it answered.
+// call calls a replica over its internal protocol and reports whether it answered.
 func (c *testCluster) call(node *Node, method string, args, reply any) bool {
 	return c.caller.Call(node.self().Address, method, args, reply, 5*time.Second) == nil
 }
 
-// overview asks a replica until it answers.
+// overview requests the overview of a replica until it answers.
 func (c *testCluster) overview(node *Node) internalapi.OverviewReply {
 	var reply internalapi.OverviewReply
 	c.until(func() bool {
@@ -82,7 +82,7 @@
 	return reply
 }
 
-// head waits until one replica acts as the head of a chain of that length.
+// head waits until one replica acts as the head of a chain of the given length.
 func (c *testCluster) head(chain int) *Node {
 	var found *Node
 	c.until(func() bool {
@@ -99,7 +99,7 @@
 	return found
 }
 
-// replace puts the first configuration in force, at whoever is the head.
+// replace puts the first configuration in force, at whichever replica is the head.
 func (c *testCluster) replace(chain int, body string) {
 	c.until(func() bool {
 		var reply internalapi.ReplaceReply
@@ -108,7 +108,7 @@
 	})
 }
 
-// submit hands a job in until its verdict is the one that is expected.
+// submit submits a job until its verdict is the expected one.
 func (c *testCluster) submit(chain int, id uint64, route, body string, want internalapi.Verdict) {
 	c.until(func() bool {
 		var reply internalapi.JobReply
--- a/internal/system/control/engine_test.go
+++ b/internal/system/control/engine_test.go
@@ -21,7 +21,8 @@
 	"gaugeslip/internal/system/state"
 )
 
-// engineHarness is an engine on a simulated disk whose callbacks only take notes. Its disk works only when told to.
+// engineHarness is an engine on a simulated disk whose callbacks only record their arguments. The disk performs its jobs only in drain or
+// runJobs.
 type engineHarness struct {
 	*engine
 	t         *testing.T
@@ -39,7 +40,7 @@
 
 var engineSelf = view.Member{ID: "one", Address: "10.0.0.1:9001"}
 
-// newEngineHarness starts an engine that is the only replica of its system.
+// newEngineHarness creates an engine that is the only replica of its system.
 func newEngineHarness(t *testing.T, disk *simdisk.Disk) *engineHarness {
 	r := &engineHarness{t: t, simDisk: disk, now: time.Hour}
 	file, records, err := wal.Open(disk.Process(), logName)
@@ -59,7 +60,7 @@
 	return r
 }
 
-// drain lets the disk do what it was given and the loop take in what comes of that, until there is nothing more.
+// drain runs the disk's jobs and the functions posted to the loop until there are none left.
 func (r *engineHarness) drain() {
 	for jobs := r.disk.takeJobs(); len(jobs) > 0 || len(r.posted) > 0; jobs = r.disk.takeJobs() {
 		r.disk.runJobs(jobs)
@@ -71,7 +72,7 @@
 	}
 }
 
-// becomeHead plays until this replica is the head.
+// becomeHead advances the time until this replica is the head.
 func (r *engineHarness) becomeHead() {
 	for range 1000 {
 		if r.isHead() {
@@ -81,10 +82,10 @@
 		r.step(replica.Tick{})
 		r.drain()
 	}
-	r.t.Fatal("it doesn't become the head")
+	r.t.Fatal("the replica does not become the head")
 }
 
-// onDisk is what the disk holds, read as after a loss of power.
+// onDisk returns what the disk holds after a loss of power.
 func (r *engineHarness) onDisk() replica.Persisted {
 	r.simDisk.PowerLoss()
 	_, records, err := wal.Open(r.simDisk.Process(), logName)
@@ -98,7 +99,7 @@
 	return replica.Record{Kind: replica.KindSnapshot, Data: append([]byte{byte(snapshot.Index), byte(snapshot.Epoch)}, snapshot.Data...)}
 }
 
-// A snapshot that can't be read must not get to the disk: the replica would never start again.
+// A snapshot that cannot be decoded must not reach the disk: the replica would never start again.
 func TestASnapshotThatCantBeReadIsNotStored(t *testing.T) {
 	r := newEngineHarness(t, simdisk.New(1))
 	r.becomeHead()
@@ -114,7 +115,7 @@
 	newEngineHarness(t, r.simDisk).becomeHead()
 }
 
-// What a core asks for along with a fault comes from a state that contradicts itself.
+// Output that comes with a fault derives from an inconsistent state and must not be carried out.
 func TestAfterAFaultNothingIsSentStoredOrApplied(t *testing.T) {
 	r := newEngineHarness(t, simdisk.New(1))
 	r.becomeHead()
@@ -157,7 +158,7 @@
 	assert.Equal(t, at, r.appliedIndex)
 }
 
-// Another head's entry may stand where a proposal was put: then the proposal never will be.
+// An entry of another head may take the index of a proposal. The proposal will then never be committed.
 func TestProposalIsRejectedWhenAnotherEntryTakesItsIndex(t *testing.T) {
 	r := newEngineHarness(t, simdisk.New(1))
 	r.becomeHead()
@@ -168,7 +169,7 @@
 	assert.Equal(t, []commitStatus{statusRejected}, *statuses)
 }
 
-// Whether a proposal is in a snapshot that takes the place of the state isn't known.
+// It is unknown whether a snapshot that replaces the state contains a proposal.
 func TestASnapshotLeavesProposalsInDoubt(t *testing.T) {
 	r := newEngineHarness(t, simdisk.New(1))
 	r.becomeHead()
@@ -182,7 +183,7 @@
 	assert.Equal(t, []commitStatus{statusInDoubt}, *second)
 }
 
-// What is told as committed outlasts a loss of power, whatever the disk loses.
+// A command reported as committed survives a loss of power, whatever unsynced writes the disk loses.
 func TestCommitIsReportedOnlyAfterSync(t *testing.T) {
 	for seed := range uint64(20) {
 		r := newEngineHarness(t, simdisk.New(seed))
@@ -216,7 +217,7 @@
 	}
 }
 
-// A closed engine takes no word any more, not even from its own disk.
+// A closed engine ignores all input, including completions of its own disk.
 func TestClosedEngineReportsNothing(t *testing.T) {
 	r := newEngineHarness(t, simdisk.New(1))
 	r.becomeHead()
@@ -235,7 +236,7 @@
 	assert.False(t, r.isHead())
 }
 
-// A rewritten log holds the state and all that came after it, and a restart goes on from there.
+// A compacted log holds the state and all later entries, and a restart continues from there.
 func TestRestartUsesCompactedLog(t *testing.T) {
 	for seed := range uint64(10) {
 		r := newEngineHarness(t, simdisk.New(seed))
@@ -254,7 +255,7 @@
 		want, at := r.machine.Snapshot(), r.appliedIndex
 		r.simDisk.PowerLoss()
 		r = newEngineHarness(t, r.simDisk)
-		assert.Positive(t, r.appliedIndex, "it starts from the snapshot")
+		assert.Positive(t, r.appliedIndex, "the engine starts from the snapshot")
 		r.becomeHead()
 		assert.Equal(t, want, r.machine.Snapshot(), "seed %d", seed)
 		assert.GreaterOrEqual(t, r.appliedIndex, at)
@@ -297,7 +298,7 @@
 	assert.Equal(t, []string{"c", "d", "e"}, found)
 }
 
-// A disk that was marked as unfit comes back with another identity and nothing else, and what it held is kept beside.
+// A disk marked as unfit comes back with a new identity and nothing else. Its records are kept in another log.
 func TestAnUnfitDiskIsGivenUp(t *testing.T) {
 	for seed := range uint64(10) {
 		disk := simdisk.New(seed)
@@ -322,11 +323,11 @@
 		assert.Equal(t, held, kept.Records)
 		same, err := node.replaceUnfitRecords(disk.Process(), file, again)
 		require.NoError(t, err)
-		assert.Equal(t, again, same, "a disk that is fit stays")
+		assert.Equal(t, again, same, "a fit disk is left as it is")
 	}
 }
 
-// A full disk has no room for what is kept; the replica comes back all the same.
+// On a full disk the records cannot be kept. The replica comes back all the same.
 func TestAnUnfitDiskThatIsFullIsGivenUp(t *testing.T) {
 	disk := simdisk.New(1)
 	file, _, err := wal.Open(disk.Process(), logName)
@@ -345,7 +346,7 @@
 	return &Node{settings: settings, logger: log.New(io.Discard)}
 }
 
-// A state that takes the place of the one before ends the snapshot that is being made of that.
+// A snapshot that replaces the state cancels the capture of the old state.
 func TestInstalledSnapshotCancelsPendingCapture(t *testing.T) {
 	r := newEngineHarness(t, simdisk.New(1))
 	r.becomeHead()
@@ -357,11 +358,11 @@
 	require.Len(t, r.machine.Jobs(), 4)
 	r.compactAt = 0
 	r.compactIfDue()
-	require.NotNil(t, r.pendingCapture.capture, "it takes several turns")
+	require.NotNil(t, r.pendingCapture.capture, "the capture takes several turns")
 	r.handleOutput(replica.Output{Install: &chain.Snapshot{Index: r.appliedIndex, Epoch: 9, Data: state.New().Snapshot()}})
 	r.compactAt = math.MaxInt64
 	r.drain()
 	assert.Zero(t, r.rewritten)
-	assert.False(t, r.rewriting, "the next one may begin")
+	assert.False(t, r.rewriting, "the next compaction may begin")
 	assert.Nil(t, r.pendingCapture.capture)
 }
--- a/internal/system/control/events_test.go
+++ b/internal/system/control/events_test.go
@@ -115,7 +115,7 @@
 	node := &Node{logger: log.New(&out)}
 	task := state.TaskName{Job: 7}
 	node.logWaitingTasks([]scheduler.Finding{{Task: task, Waited: 3 * time.Second, Reason: "no room"}})
-	assert.Empty(t, out.String(), "a wait for room is no news")
+	assert.Empty(t, out.String(), "waiting for capacity is not logged at this level")
 	node.logWaitingTasks([]scheduler.Finding{{Task: task, Waited: 3 * time.Second, Reason: "its run is doubtful", Worker: "w-1"}})
 	assert.Contains(t, out.String(), `INFO task waits task=0000000000000007.0.0.0 waited=3s reason="its run is doubtful" worker=w-1`)
 	out.Reset()
--- a/internal/system/control/invariants_test.go
+++ b/internal/system/control/invariants_test.go
@@ -20,7 +20,7 @@
 	checkedEpoch              = 4
 )
 
-// newCheckedNode is a node that has one job with one run, and counts what it breaks.
+// newCheckedNode returns a node that has one job with one run, and counts violations.
 func newCheckedNode(t *testing.T) *Node {
 	n := &Node{invariants: invariant.NewSet(func(invariant.Name, string) {}, invariantNames...)}
 	n.engine = &engine{machine: state.New(), options: engineOptions{invariants: n.invariants}}
@@ -46,7 +46,7 @@
 		Start: workerapi.StartOrder{Task: run.Task.String(), Attempt: int(run.Attempt), FenceToken: checkedEpoch}}
 }
 
-// violations are the invariants that were violated.
+// violations returns the names of the violated invariants.
 func (n *Node) violations() (names []invariant.Name) {
 	for _, count := range n.invariants.Counts() {
 		if count.Violations > 0 {
--- a/internal/system/control/jobreply_test.go
+++ b/internal/system/control/jobreply_test.go
@@ -10,7 +10,7 @@
 	"gaugeslip/internal/system/state"
 )
 
-// What became of a job's command is told as it is: only what is committed has an outcome, and what may be committed is in doubt.
+// Only a committed command has an outcome. A command that may be committed gives a reply in doubt.
 func TestJobReplyForEachCommitStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newShareSim(t, 1, nil)
--- a/internal/system/control/looks_test.go
+++ b/internal/system/control/looks_test.go
@@ -78,7 +78,7 @@
 	})
 }
 
-// jobs asks until it is answered.
+// jobs requests the jobs until the replica answers.
 func (c *testCluster) jobs(node *Node, args internalapi.JobsArgs) internalapi.JobsReply {
 	var reply internalapi.JobsReply
 	c.until(func() bool {
@@ -88,7 +88,7 @@
 	return reply
 }
 
-// jobDetail asks until the verdict is the one that is expected.
+// jobDetail requests a job until the verdict is the expected one.
 func (c *testCluster) jobDetail(node *Node, id uint64, want internalapi.Verdict) internalapi.JobDetailReply {
 	var reply internalapi.JobDetailReply
 	c.until(func() bool {
@@ -109,7 +109,7 @@
 	cluster.jobDetail(head, 99, internalapi.NotKnown)
 }
 
-// scrape reads the figures with the published parser; nil when there was no answer.
+// scrape reads the metrics with the Prometheus parser. It returns nil if there was no answer.
 func scrape(t *testing.T, address string) map[string]*dto.MetricFamily {
 	client := &http.Client{Timeout: 5 * time.Second}
 	defer client.CloseIdleConnections()
@@ -154,7 +154,7 @@
 	var before *Node
 	var epoch uint64
 	var reply internalapi.HandoverReply
-	cluster.until(func() bool { // it is refused while the chain is short, and may come to nothing on a busy machine
+	cluster.until(func() bool { // the handover is refused while the chain is short, and may time out on a busy machine
 		before = cluster.head(3)
 		epoch = cluster.overview(before).View.Epoch
 		reply = internalapi.HandoverReply{}
--- a/internal/system/control/loop_test.go
+++ b/internal/system/control/loop_test.go
@@ -24,7 +24,7 @@
 	l.post(func() { l.post(l.stop) })
 	l.run(func() time.Duration { return 0 })
 	require.GreaterOrEqual(t, len(order), 10)
-	// After "third" the end may wait for another round.
+	// After "third" the function that stops the loop may wait for another batch.
 	assert.Equal(t, []string{"before", "tick", "first", "message", "tick", "second", "tick", "tick", "tick", "third"}, order[:10])
 }
 
--- a/internal/system/control/manyoperators_test.go
+++ b/internal/system/control/manyoperators_test.go
@@ -24,7 +24,7 @@
 	return h.net.Dial(ctx, operatorHost, address)
 }
 
-// Callers that connect and say nothing take some of the descriptors, and not those of workers, peers and the log.
+// Idle callers of the operators' API use a bounded number of descriptors and leave those of workers, peers and the log free.
 func TestIdleOperatorsTakeFewDescriptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const callers = reservedDescriptors
@@ -33,22 +33,22 @@
 		host := simulatedHost{simnet.New(1)}
 		node := &Node{settings: settings, network: host}
 		require.NoError(t, node.listenForOperator())
-		var given atomic.Int64 // up, as their header didn't come
+		var timedOut atomic.Int64 // connections closed because no header arrived
 		for range callers {
 			conn, err := host.Dial(t.Context(), "tcp", operatorAddress)
 			require.NoError(t, err)
 			defer conn.Close()
 			go func() {
 				_, _ = conn.Read(make([]byte, 1))
-				given.Add(1)
+				timedOut.Add(1)
 			}()
 		}
 		time.Sleep(operatorHeaderTimeout + time.Second)
-		first := given.Load()
+		first := timedOut.Load()
 		assert.Positive(t, first)
-		assert.Less(t, first, int64(callers/2), "so many were accepted at once")
+		assert.Less(t, first, int64(callers/2), "too many connections were accepted at once")
 		time.Sleep(callers / 100 * operatorHeaderTimeout)
-		assert.EqualValues(t, callers, given.Load(), "all have their turn")
+		assert.EqualValues(t, callers, timedOut.Load(), "all connections are accepted eventually")
 		assert.NoError(t, node.operator.Close())
 	})
 }
--- a/internal/system/control/operator_test.go
+++ b/internal/system/control/operator_test.go
@@ -16,7 +16,7 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// sendReplace sends an order through the operator's API, which hands it to replace, and gives the answer.
+// sendReplace sends a Replace request through the operators' API with the given replace function and returns the status.
 func sendReplace(body io.Reader, base string, replace func(internalapi.ReplaceArgs, time.Duration) internalapi.ReplaceReply) int {
 	api := newOperatorAPI(0)
 	api.replace, api.metrics = replace, http.NotFound
@@ -27,24 +27,24 @@
 	return recorder.Code
 }
 
-// What can't be read in full reaches no register, and its answer says so.
+// A request that cannot be read in full is not passed on, and its status says so.
 func TestOrdersThatCantBeReadAreNotTaken(t *testing.T) {
 	never := func(internalapi.ReplaceArgs, time.Duration) internalapi.ReplaceReply {
-		t.Error("the order is passed on")
+		t.Error("the request is passed on")
 		return internalapi.ReplaceReply{Status: http.StatusOK}
 	}
 	begun := strings.NewReader(`{"version":1`)
 	brokenOff := io.MultiReader(begun, iotest.ErrReader(fmt.Errorf("read: %w", io.ErrUnexpectedEOF)))
-	assert.Equal(t, http.StatusServiceUnavailable, sendReplace(brokenOff, "0", never), "broken off on its way, it isn't refused")
+	assert.Equal(t, http.StatusServiceUnavailable, sendReplace(brokenOff, "0", never), "a truncated request is not definitely refused")
 	malformed := io.MultiReader(begun, iotest.ErrReader(errors.New("malformed chunk")))
 	assert.Equal(t, http.StatusBadRequest, sendReplace(malformed, "0", never), "malformed")
-	assert.Equal(t, http.StatusBadRequest, sendReplace(strings.NewReader("{}"), "one", never), "base without a number")
+	assert.Equal(t, http.StatusBadRequest, sendReplace(strings.NewReader("{}"), "one", never), "base that is not a number")
 	assert.Equal(t, http.StatusBadRequest, sendReplace(strings.NewReader("{}"), "-1", never), "base below 0")
 	tooLong := strings.NewReader(strings.Repeat(" ", maxConfigBytes+1))
 	assert.Equal(t, http.StatusRequestEntityTooLarge, sendReplace(tooLong, "0", never), "too long")
 }
 
-// The answer is the reply's status; an order without a base builds on none.
+// The HTTP status is the status of the reply. A request without a base version has base 0.
 func TestOrdersAreAnsweredWithTheRepliesStatus(t *testing.T) {
 	for _, status := range []int{http.StatusOK, http.StatusBadRequest, http.StatusPreconditionFailed, http.StatusServiceUnavailable,
 		http.StatusGatewayTimeout} {
--- a/internal/system/control/operatorbytes_test.go
+++ b/internal/system/control/operatorbytes_test.go
@@ -24,7 +24,7 @@
 	completeRequest = "POST /Config.Replace HTTP/1.1\r\nHost: a\r\n" + baseVersionHeader + ": 6\r\nContent-Length: 25\r\n\r\n" + orderBody
 )
 
-// listeningAPI is the operator's API on a simulated network, with the orders that it was given.
+// listeningAPI is the operators' API on a simulated network. It records the requests that it passes on.
 type listeningAPI struct {
 	network *simnet.Network
 	orders  []internalapi.ReplaceArgs
@@ -53,7 +53,7 @@
 	return dialed.(*simnet.Conn)
 }
 
-// answerOn reads one answer; its status is 0 if none comes.
+// answerOn reads one response and returns its status, 0 if there is none.
 func answerOn(conn io.Reader) (status int) {
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
--- a/internal/system/control/operators_test.go
+++ b/internal/system/control/operators_test.go
@@ -12,24 +12,24 @@
 	"gaugeslip/internal/system/state"
 )
 
-// longTimeout is that of a caller who waits for whatever the program says.
+// longTimeout is the timeout of a caller that waits for any answer of the program.
 const longTimeout = time.Minute
 
-// runOperators plays a story with a few replicas, the first configuration in force.
-func runOperators(t *testing.T, replicas int, story func(w *operatorsSim, head *operatorsMachine)) {
+// runOperators runs a scenario with the given number of replicas after the first configuration is in force.
+func runOperators(t *testing.T, replicas int, scenario func(w *operatorsSim, head *operatorsMachine)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newOperatorsSim(t, 1, replicas)
 		head := w.head()
 		w.expectStatus(head, newOrder(0, 1, 1), http.StatusOK)
-		story(w, head)
+		scenario(w, head)
 		w.stop()
 	})
 }
 
-// takeOverTimeout bounds how long an order is sent again while it has no clear answer: a head that ends is replaced within that.
+// takeOverTimeout bounds how long a request is repeated while it has no clear answer. A failed head is replaced within that time.
 const takeOverTimeout = 3 * time.Second
 
-// expectStatus sends an order, unchanged again while it has no clear answer as operators do, and holds the answer.
+// expectStatus sends a request, repeats it unchanged while it has no clear answer, as operators do, and checks the status.
 func (w *operatorsSim) expectStatus(m *operatorsMachine, call operatorsCall, status int) {
 	if test, ok := w.t.(*testing.T); ok {
 		test.Helper()
@@ -42,7 +42,7 @@
 	assert.Equal(w.t, status, answer.status, "machine %d, base %d, version %d", m.number, call.base, call.version)
 }
 
-// sendConcurrently sends one order to each machine at once and gives the answers.
+// sendConcurrently sends one request to each machine at the same time and returns the statuses.
 func (w *operatorsSim) sendConcurrently(calls map[*operatorsMachine]operatorsCall) map[*operatorsMachine]int {
 	var mutex sync.Mutex
 	var all sync.WaitGroup
@@ -59,7 +59,8 @@
 	return statuses
 }
 
-// Two operators give one number to different changes on the same version, at whatever machines: one is confirmed, one refused.
+// Two operators use one version number for different changes based on the same version, at any two machines. One is confirmed and one
+// rejected.
 func TestOneNumberIsConfirmedOnce(t *testing.T) {
 	runOperators(t, 3, func(w *operatorsSim, _ *operatorsMachine) {
 		version := uint64(1)
@@ -77,7 +78,7 @@
 	})
 }
 
-// One order, sent to all machines again and again at once, is confirmed to everybody.
+// One request, sent repeatedly and concurrently to all machines, is confirmed each time.
 func TestCopiesOfAnOrderAreAllConfirmed(t *testing.T) {
 	runOperators(t, 3, func(w *operatorsSim, _ *operatorsMachine) {
 		const copies = 8
@@ -92,7 +93,8 @@
 	})
 }
 
-// An order's answer is lost; meanwhile the head, then all machines end, and some come back by a snapshot. It is confirmed anew.
+// The answer to a request is lost. Then the head fails, later all machines do, and some restore the state from a snapshot. The repeated
+// request is still confirmed.
 func TestARepeatedOrderIsConfirmedWhateverHappenedBetween(t *testing.T) {
 	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
 		order, later := newOrder(1, 4, 10), newOrder(4, 9, 20)
@@ -111,7 +113,7 @@
 			m.kill(true)
 		}
 		w.heal()
-		for _, last := range w.machines { // each is the only one that was there all along, and then answers by itself
+		for _, last := range w.machines { // each machine answers before it restarts; the last one has then run without a restart the longest
 			w.head()
 			w.expectStatus(last, order, http.StatusOK)
 			w.expectStatus(last, later, http.StatusOK)
@@ -124,7 +126,7 @@
 	})
 }
 
-// What is older than all that is remembered may have been taken: it is neither confirmed nor refused.
+// A request older than the remembered history may have been accepted. It is neither confirmed nor rejected.
 func TestAnOrderOlderThanTheHistoryIsLeftUnclear(t *testing.T) {
 	runOperators(t, 1, func(w *operatorsSim, head *operatorsMachine) {
 		p := head.running()
@@ -150,7 +152,8 @@
 	})
 }
 
-// A head is cut off with an order in its log; the others take another one in its place. When it learns so, it refuses its own.
+// A head is cut off with a request in its log, and the others accept another one at the same index. When the head learns of it, it rejects
+// its own.
 func TestOrderWhoseIndexWasTakenIsNotConfirmed(t *testing.T) {
 	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
 		w.isolate(head, true, true, true)
@@ -166,20 +169,20 @@
 	})
 }
 
-// A head stands still, out of touch, while the others take a change. Right when it wakes an order on top of that change waits there.
+// A head is paused and cut off while the others accept a change. A request based on that change is waiting at the head when it resumes.
 func TestResumedHeadRejectsNothingByStaleState(t *testing.T) {
 	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
 		w.isolate(head, true, true, true)
-		const standsStill = 2 * time.Second
-		wakes := time.Now().Add(standsStill)
-		head.freeze(standsStill)
+		const pauseLength = 2 * time.Second
+		resumesAt := time.Now().Add(pauseLength)
+		head.freeze(pauseLength)
 		other := w.others(head)[0]
 		assert.Eventually(t, func() bool { return w.send(other, newOrder(1, 3, 10), longTimeout).status == http.StatusOK }, time.Minute,
 			time.Millisecond)
-		time.Sleep(time.Until(wakes) - operatorTimeout/2)
+		time.Sleep(time.Until(resumesAt) - operatorTimeout/2)
 		next := w.send(head, newOrder(3, 4, 10), longTimeout)
 		assert.Equal(t, unclear, next.status)
-		assert.False(t, time.Now().Before(wakes), "it has waited for the head to wake")
+		assert.False(t, time.Now().Before(resumesAt), "the request has waited for the head to resume")
 		stale := w.send(head, operatorsCall{read: true}, longTimeout)
 		assert.Equal(t, unclear, stale.status)
 		w.isolate(head, false, true, true)
@@ -187,7 +190,7 @@
 	})
 }
 
-// A change that is confirmed is seen by the next read at any machine, at once.
+// A confirmed change is visible at once to the next read at any machine.
 func TestAConfirmedChangeIsReadAtOnce(t *testing.T) {
 	runOperators(t, 3, func(w *operatorsSim, _ *operatorsMachine) {
 		for version := uint64(1); version < 30; version++ {
@@ -199,8 +202,8 @@
 	})
 }
 
-// A head is cut off with an order in its log and comes back into a system where nothing is written, until it is the head again. The
-// order it has lost holds no other up.
+// A head is cut off with a request in its log, rejoins while nothing is written, and later becomes the head again. The lost request must
+// not block others.
 func TestLostOrderDoesNotBlockOthers(t *testing.T) {
 	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
 		w.isolate(head, true, true, true)
@@ -217,8 +220,8 @@
 	})
 }
 
-// A head ends right after it has confirmed a change, before the others can know that. None of them acts on less: an order on that change
-// isn't refused, and neither is the change itself when it comes again.
+// A head fails right after it has confirmed a change, before the others can know of the commit. The next head must have the change: it
+// rejects neither a request based on it nor the repeated change.
 func TestANewHeadActsOnAllThatWasConfirmed(t *testing.T) {
 	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
 		const changes = 8
--- a/internal/system/control/operatorscheck_test.go
+++ b/internal/system/control/operatorscheck_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// uncertainHistory is that of operators whose first sends of each order got no answer and whose last did; readers see each configuration.
-// The clock of a history counts up by one for each beginning and end.
+// uncertainHistory returns a history in which the first sends of each request got no answer and the last one did. Readers see each
+// configuration. The history's clock advances by one with each start and end of a call.
 func uncertainHistory(orders, sends int, stale bool) *operatorsHistory {
 	h := &operatorsHistory{}
 	add := func(call operatorsCall, answer operatorsAnswer) {
@@ -37,7 +37,7 @@
 	return h
 }
 
-// The checker decides histories with many orders that got no answer, whether they are those of one register or not.
+// The checker decides histories with many requests without an answer, linearizable or not.
 func TestHistoriesOfManyUnclearOrdersAreDecided(t *testing.T) {
 	everything := func(operatorsCall) bool { return true }
 	for _, test := range []struct {
@@ -50,7 +50,7 @@
 	}
 }
 
-// What is left out for the checker changes none of its verdicts: small histories, drawn, are judged alike with everything in.
+// The reductions in forChecker do not change a verdict: small random histories get the same verdict with and without them.
 func TestHistoryReductionKeepsCheckerVerdicts(t *testing.T) {
 	verdicts := map[bool]int{}
 	for seed := range uint64(3000) {
@@ -64,8 +64,8 @@
 	assert.Greater(t, verdicts[false], 300)
 }
 
-// drawnHistory is a small history whose orders are taken one on top of the other, at one moment of one of their sends; some answers are then
-// drawn anew.
+// drawnHistory returns a small random history. Its requests build on each other and each takes effect at one moment of one of its sends.
+// Some answers are then replaced by random ones.
 func drawnHistory(random *rand.Rand) (*operatorsHistory, func(operatorsCall) bool) {
 	h := &operatorsHistory{}
 	orders := make([]operatorsCall, 1+random.IntN(3))
@@ -95,7 +95,7 @@
 		h.calls = append(h.calls, porcupine.Operation{Input: refused, Call: from, Return: from + 1 + random.Int64N(30),
 			Output: operatorsAnswer{status: http.StatusPreconditionFailed}})
 	}
-	const apart = 64 // more than there are calls: as at the clock of a history, no two moments are the same
+	const apart = 64 // more than there are calls, so that no two moments are equal, as with the clock of a real history
 	for i := range h.calls {
 		call := &h.calls[i]
 		call.Call, call.Return = call.Call*apart+int64(2*i), call.Return*apart+int64(2*i)+1
--- a/internal/system/control/operatorsdoubt_test.go
+++ b/internal/system/control/operatorsdoubt_test.go
@@ -16,7 +16,8 @@
 	"gaugeslip/internal/system/state"
 )
 
-// replaceAtFollower passes an order on from a replica that isn't the head, to one that answers as told.
+// replaceAtFollower sends a request to a replica that is not the head. The calls that it forwards get the given answers in order, the last
+// one repeatedly.
 func replaceAtFollower(t *testing.T, answers ...func(*internalapi.ReplaceReply) error) (reply internalapi.ReplaceReply) {
 	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
 		p := w.others(head)[0].running()
@@ -43,7 +44,7 @@
 	return func(*internalapi.ReplaceReply) error { return err }
 }
 
-// A refusal counts only if no earlier copy of the order may still be carried out: one on a version that is yet to come may be.
+// A rejection is definite only if no earlier copy of the request may still be carried out. A copy based on a future version may be.
 func TestRefusalAfterAnUnknownOutcomeIsInDoubt(t *testing.T) {
 	refused := replyWith(internalapi.Invalid, http.StatusPreconditionFailed)
 	assert.Equal(t, http.StatusGatewayTimeout, replaceAtFollower(t, failWith(transport.ErrUnknown), refused).Status)
@@ -51,7 +52,7 @@
 	assert.Equal(t, http.StatusPreconditionFailed, replaceAtFollower(t, replyWith(internalapi.NotHead, 0), refused).Status)
 }
 
-// Whoever doesn't know of a head says so; where an order may be on its way, that it isn't decided.
+// A replica that knows no head answers 503. If a copy of the request may have been sent, it answers 504.
 func TestAnOrderWithoutAHeadIsLeftUnclear(t *testing.T) {
 	assert.Equal(t, http.StatusServiceUnavailable, replaceAtFollower(t, failWith(transport.ErrNotSent)).Status)
 	assert.Equal(t, http.StatusGatewayTimeout, replaceAtFollower(t, failWith(transport.ErrUnknown)).Status)
@@ -59,7 +60,7 @@
 	assert.Equal(t, http.StatusOK, replaceAtFollower(t, failWith(transport.ErrUnknown), replyWith(internalapi.Done, http.StatusOK)).Status)
 }
 
-// A call whose reply came with an error has none.
+// The reply of a call that failed is ignored.
 func TestAFailedCallGivesNoAnswer(t *testing.T) {
 	half := func(reply *internalapi.ReplaceReply) error {
 		*reply = internalapi.ReplaceReply{Verdict: internalapi.Done, Status: http.StatusOK}
@@ -68,7 +69,7 @@
 	assert.Equal(t, http.StatusGatewayTimeout, replaceAtFollower(t, half).Status)
 }
 
-// proposalStatuses proposes a command at a head whose peers don't answer any more, lets something happen, and gives what the proposal came to.
+// proposalStatuses proposes a command at a head that is cut off from its peers, runs happens, and returns the reported commit statuses.
 func proposalStatuses(t *testing.T, happens func(e *engine)) (came []commitStatus) {
 	var all []commitStatus
 	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
@@ -82,17 +83,17 @@
 			happens(p.engine)
 		})
 		time.Sleep(100 * time.Millisecond)
-		came = runOnLoop(p.Node, time.Second, nil, func(answer func([]commitStatus)) { answer(slices.Clone(all)) }) // without what the end of the world adds
+		came = runOnLoop(p.Node, time.Second, nil, func(answer func([]commitStatus)) { answer(slices.Clone(all)) }) // without the statuses reported when the simulation stops
 	})
 	return came
 }
 
-// What was appended and is not settled when the replica's core ends may be committed by the others; what never was appended can't be.
+// When the core closes, a command that was appended may still be committed by other replicas. A command that was never appended cannot be.
 func TestTheEndOfACoreLeavesWhatItAppendedInDoubt(t *testing.T) {
 	assert.Equal(t, []commitStatus{statusRejected, statusInDoubt}, proposalStatuses(t, (*engine).close))
 }
 
-// A snapshot tells nothing of the index at which an order was appended: it may be in there.
+// A snapshot that covers the index of a proposal may contain the command.
 func TestASnapshotLeavesWhatItCoversInDoubt(t *testing.T) {
 	came := proposalStatuses(t, func(e *engine) {
 		e.installSnapshot(&chain.Snapshot{Index: e.replica.LastIndex(), Data: e.machine.Snapshot()})
@@ -100,7 +101,7 @@
 	assert.Equal(t, []commitStatus{statusInDoubt}, came)
 }
 
-// What an earlier epoch left at an index may still be held by a replica that could become the head before it hears of this epoch.
+// A command appended in an earlier epoch may still be held by a replica that becomes the head before it learns of the present epoch.
 func TestWhatIsDroppedFromTheLogIsInDoubt(t *testing.T) {
 	came := proposalStatuses(t, func(e *engine) {
 		earlier := e.inFlight[e.replica.LastIndex()]
@@ -111,7 +112,7 @@
 	assert.Equal(t, []commitStatus{statusInDoubt}, came)
 }
 
-// replaceAtCutOffHead orders at a head that is cut off, lets something happen there, and gives the head's answer.
+// replaceAtCutOffHead sends a request to a head that is cut off, runs happens there, and returns the head's answer.
 func replaceAtCutOffHead(t *testing.T, happens func(head *operatorsMachine)) (reply internalapi.ReplaceReply) {
 	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
 		w.isolate(head, true, true, true)
@@ -122,7 +123,7 @@
 	return reply
 }
 
-// An order that was appended and isn't settled is in doubt: when time is up, and when the core ends.
+// A request that was appended and not decided is in doubt, both after a timeout and when the core closes.
 func TestAnAppendedOrderIsInDoubt(t *testing.T) {
 	expected := internalapi.ReplaceReply{Verdict: internalapi.InDoubt, Status: http.StatusGatewayTimeout, Text: "not decided in time"}
 	assert.Equal(t, expected, replaceAtCutOffHead(t, func(*operatorsMachine) {}))
@@ -132,16 +133,16 @@
 	}))
 }
 
-// A core that has ended neither answers nor stands for the head's place: its disk takes nothing any more.
+// A closed core sends nothing, neither answers nor election messages, because its disk no longer stores anything.
 func TestClosedCoreSendsNothing(t *testing.T) {
 	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
 		p := w.others(head)[0].running()
-		said := 0
+		sent := 0
 		p.loop.post(func() {
 			p.engine.close()
-			p.engine.options.send = func(string, *replica.Message) { said++ }
+			p.engine.options.send = func(string, *replica.Message) { sent++ }
 		})
 		time.Sleep(2 * time.Second)
-		assert.Zero(t, said)
+		assert.Zero(t, sent)
 	})
 }
--- a/internal/system/control/operatorsfaults_test.go
+++ b/internal/system/control/operatorsfaults_test.go
@@ -12,7 +12,7 @@
 	"gaugeslip/internal/system/state"
 )
 
-// faults hits machines at random, and more of them at once than are borne.
+// faults injects random faults on the machines, at times more of them at once than the fault tolerance.
 func (r *operatorsRun) faults(random *rand.Rand) {
 	for time.Now().Before(r.over) {
 		time.Sleep(time.Duration(50+random.IntN(900)) * time.Millisecond)
@@ -47,7 +47,7 @@
 	}
 }
 
-// wipe takes a machine's disk while all are there with everything; it comes back with an empty one.
+// wipe erases a machine's disk if all machines are in the chain. The machine comes back with an empty disk.
 func (r *operatorsRun) wipe(m *operatorsMachine, length time.Duration) {
 	if len(r.machines) == 1 || !r.isComplete() {
 		return
@@ -58,7 +58,7 @@
 	time.AfterFunc(length/2, m.start)
 }
 
-// isComplete tells whether a head has all machines in its chain, each with the disk that it has now.
+// isComplete reports whether a head has all machines in its chain, each with the identity of its present disk.
 func (r *operatorsRun) isComplete() bool {
 	head := r.completeHead()
 	if head == nil || head.running() == nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// fill puts more configurations in force than are remembered, one after the other, as one operator sees them.
+// fill puts more configurations in force than are remembered, one after the other, recorded as calls of one operator.
 func (r *operatorsRun) fill() {
 	m := r.head()
 	p := m.running()
--- a/internal/system/control/operatorshistory_test.go
+++ b/internal/system/control/operatorshistory_test.go
@@ -21,28 +21,28 @@
 	historySeeds     = 60
 	historySessions  = 4
 	historyFaultTime = 12 * time.Second
-	historyTimeout   = time.Second // after which an operator sends an order again
+	historyTimeout   = time.Second // after which an operator repeats a request
 	historyRepeats   = 5
 	historyCopies    = 8
-	// historyRecoveryTime is how long after all faults an order may take to be confirmed.
+	// historyRecoveryTime is how long a request may take to be confirmed after all faults.
 	historyRecoveryTime = 5 * time.Second
-	// historyCheckTimeout bounds the checker, which takes long only for histories of more than one register; others take up to some seconds beside
-	// much other work.
+	// historyCheckTimeout bounds the checker. It takes long only for histories that are not linearizable. Others take up to some seconds on
+	// a busy machine.
 	historyCheckTimeout = 30 * time.Second
 )
 
-// operatorsRun is a few operators at their machines, whose faults are drawn.
+// operatorsRun is a run of several operators under random faults.
 type operatorsRun struct {
 	*operatorsSim
 	history operatorsHistory
 	over    time.Time
 
 	ordersMutex sync.Mutex
-	orders      []operatorsCall // that were confirmed
+	orders      []operatorsCall // confirmed requests
 	marks       int
 }
 
-// session is one operator; what it does is drawn from its own source.
+// session is one operator. Its actions come from a random source of its own.
 type session struct {
 	run    *operatorsRun
 	number int
@@ -50,7 +50,7 @@
 	known  uint64 // the newest version it has seen
 }
 
-// mark gives a number that no other body has.
+// mark returns a number that distinguishes a body from all others.
 func (r *operatorsRun) mark() int {
 	r.ordersMutex.Lock()
 	defer r.ordersMutex.Unlock()
@@ -64,7 +64,7 @@
 	r.orders = append(r.orders, call)
 }
 
-// confirmedOrder draws an order that was confirmed to anybody, and whether there is one.
+// confirmedOrder returns a random request that was confirmed to any operator, and whether there is one.
 func (s *session) confirmedOrder() (operatorsCall, bool) {
 	s.run.ordersMutex.Lock()
 	defer s.run.ordersMutex.Unlock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// randomOrder draws an order: mostly on the newest version known, at times on another one, with a lower number, or invalid.
+// randomOrder returns a random request. Most are based on the newest version known, some on another one, with a lower version, or invalid.
 func (s *session) randomOrder() operatorsCall {
 	base, step, mark := s.known, uint64(1+s.random.IntN(2)), s.run.mark()
 	switch s.random.IntN(20) {
@@ -113,7 +113,7 @@
 	return s.run.machines[s.random.IntN(len(s.run.machines))]
 }
 
-// callOnce makes a call once, of any machine.
+// callOnce makes a call once, at a random machine.
 func (s *session) callOnce(call operatorsCall) operatorsAnswer {
 	m := s.machine()
 	answer := s.run.history.record(s.number, call, func() operatorsAnswer { return s.run.send(m, call, historyTimeout) })
@@ -128,7 +128,7 @@
 
 func (s *session) read() { s.callOnce(operatorsCall{read: true}) }
 
-// sendUntilClear sends an order until its answer is clear.
+// sendUntilClear repeats a request until its answer is clear, at most historyRepeats times.
 func (s *session) sendUntilClear(call operatorsCall) {
 	for range historyRepeats {
 		if answer := s.callOnce(call); answer.status != unclear {
@@ -141,7 +141,7 @@
 	}
 }
 
-// sendCopies sends an order to several machines at once.
+// sendCopies sends copies of a request concurrently to random machines.
 func (s *session) sendCopies(call operatorsCall) {
 	var all sync.WaitGroup
 	for range historyCopies {
@@ -154,7 +154,7 @@
 	s.read()
 }
 
-// runHistory plays one seed and gives what the operators saw, for the checker.
+// runHistory runs one seed and returns the operators' history for the checker.
 func runHistory(t *testing.T, seed uint64, trace func(string, ...any)) (judged []porcupine.Operation) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := []int{3, 5, 3, 1}[seed%4]
@@ -175,7 +175,7 @@
 		}
 		all.Go(func() { r.faults(rand.New(rand.NewPCG(seed, historySessions))) })
 		all.Wait()
-		time.Sleep(3 * time.Second) // the last of the faults is over
+		time.Sleep(3 * time.Second) // until the last fault is over
 		r.heal()
 		r.finish()
 		judged = r.history.forChecker(r.everTaken())
@@ -184,7 +184,7 @@
 	return judged
 }
 
-// finish holds that the register goes on, and has all machines read it.
+// finish checks that a request is confirmed after the faults and that all machines answer a read.
 func (r *operatorsRun) finish() {
 	s := &session{run: r, number: historySessions, random: rand.New(rand.NewPCG(0, 0))}
 	began := time.Now()
@@ -200,7 +200,7 @@
 	}
 }
 
-// everTaken tells by the state of the head which configurations were in force.
+// everTaken returns a function that reports whether a configuration was ever in force, by the state of the head.
 func (r *operatorsRun) everTaken() func(operatorsCall) bool {
 	machine := state.New()
 	require.NoError(r.t, machine.Restore(onProcess(r.head().running(), func(n *Node) []byte { return n.engine.machine.Snapshot() })))
@@ -210,7 +210,7 @@
 	}
 }
 
-// checkHistory plays one seed and holds that what the operators saw is that of one register.
+// checkHistory runs one seed and checks that the operators' history is that of one register.
 func checkHistory(t *testing.T, seed uint64, trace func(string, ...any)) {
 	const replay = "replay with GAUGESLIP_OPERATORS=%d go test -v -run TestOperatorsSeeOneRegister ./internal/system/control"
 	judged := runHistory(t, seed, trace)
@@ -238,8 +238,8 @@
 		": " + strconv.Itoa(answer.status)
 }
 
-// TestOperatorsSeeOneRegister plays operators under random faults. GAUGESLIP_OPERATORS_SEEDS gives the number of seeds,
-// GAUGESLIP_OPERATORS one seed, with a trace.
+// TestOperatorsSeeOneRegister runs operators under random faults. GAUGESLIP_OPERATORS_SEEDS sets the number of seeds, GAUGESLIP_OPERATORS
+// one seed, with a trace.
 func TestOperatorsSeeOneRegister(t *testing.T) {
 	if seed, alone := seeds.Alone(t, "GAUGESLIP_OPERATORS"); alone {
 		checkHistory(t, seed, t.Logf)
--- a/internal/system/control/operatorsnetwork_test.go
+++ b/internal/system/control/operatorsnetwork_test.go
@@ -8,19 +8,19 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// lost tells whether what goes from one machine to another now gets lost.
+// lost reports whether a message sent now from one machine to another is lost.
 func (w *operatorsSim) lost(from, to int) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.cut[[2]int{from, to}] || w.random.Float64() < w.lossy
 }
 
-// latency is how long something is on its way.
+// latency returns a random network latency.
 func (w *operatorsSim) latency() time.Duration {
 	return w.randomDuration(time.Millisecond, 3*time.Millisecond)
 }
 
-// isolate cuts a machine off or joins it again; in and out say which ways.
+// isolate cuts a machine off or reconnects it. in and out select the directions.
 func (w *operatorsSim) isolate(m *operatorsMachine, cut, in, out bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -61,8 +61,8 @@
 	})
 }
 
-// callPeer is a call of another replica's service: refused where nothing runs, else its outcome isn't known if the call or its answer
-// gets lost.
+// callPeer calls another replica's service. It returns ErrNotSent if no process runs there, and ErrUnknown if the call or its answer is
+// lost.
 func (p *operatorsProcess) callPeer(address, method string, args, reply any, timeout time.Duration) error {
 	w, target := p.host.sim, p.host.sim.machineAt(address)
 	expired := time.After(timeout)
@@ -91,7 +91,7 @@
 	}
 }
 
-// serve carries a call out as the replica's server does.
+// serve executes a call as the replica's server does.
 func serve(service *Service, method string, args any) any {
 	if method == internalapi.MethodReplace {
 		var reply internalapi.ReplaceReply
--- a/internal/system/control/operatorsregister_test.go
+++ b/internal/system/control/operatorsregister_test.go
@@ -17,25 +17,25 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// unclear stands for a call without a clear answer.
+// unclear is the status of a call without a clear answer.
 const unclear = 0
 
-// operatorsCall is what an operator sent: an order to put a body in force on top of a base, or a read.
+// operatorsCall is an operator's call: a request to put a body in force based on a version, or a read.
 type operatorsCall struct {
 	read          bool
 	base, version uint64
 	body          string
-	invalid       bool // the body can't be taken
+	invalid       bool // the body is invalid
 }
 
-// operatorsAnswer is what came back; version and body are those of a read.
+// operatorsAnswer is the answer to a call. version and body are set for reads.
 type operatorsAnswer struct {
 	status  int
 	version uint64
 	body    string
 }
 
-// registerState is all that was in force, newest first. sum stands for all of it.
+// registerState is the list of all configurations ever in force, newest first. sum is a hash of the whole list.
 type registerState struct {
 	version uint64
 	body    string
@@ -58,7 +58,8 @@
 	return &registerState{version: call.version, body: call.body, sum: hash.Sum64(), before: s}
 }
 
-// registerModel is the operator's API as one register with conditional writes that knows all that was ever in force.
+// registerModel is a linearizability model of the operators' API: one register with conditional writes that remembers every configuration
+// ever in force.
 func registerModel() porcupine.Model {
 	return porcupine.Model{
 		Init:  func() any { return &registerState{} },
@@ -77,7 +78,7 @@
 	}
 	fits := call.base == now.version && call.version > now.version && !call.invalid
 	switch answer.status {
-	case http.StatusOK, unclear: // an unclear one that was never in force isn't part of the history
+	case http.StatusOK, unclear: // an unclear request that was never in force is not part of the history
 		if now.has(call) {
 			return true, now
 		}
@@ -90,14 +91,14 @@
 	return false, now
 }
 
-// operatorsHistory collects calls with their order in time.
+// operatorsHistory collects calls with logical start and end times.
 type operatorsHistory struct {
 	clock atomic.Int64
 	mutex sync.Mutex
 	calls []porcupine.Operation
 }
 
-// record makes a call and notes it, with an end only if its answer is clear. A read without an answer says nothing.
+// record makes a call and records it. A read without an answer gives no information and is left out.
 func (h *operatorsHistory) record(session int, call operatorsCall, make func() operatorsAnswer) operatorsAnswer {
 	began := h.clock.Add(1)
 	answer := make()
@@ -111,9 +112,9 @@
 	return answer
 }
 
-// forChecker is the history for the checker, without what changes no verdict but has it try far more. Several unclear sends of one order are
-// one, from the first of them on: one of them took effect at most. It may have taken effect until somebody was shown so, and not later: where
-// it comes after that, it changes nothing.
+// forChecker returns the history without the calls that cannot change the verdict but make the checker search far longer. Several unclear
+// sends of one request become one that starts with the first, because at most one of them took effect. It may have taken effect until an
+// answer showed it and no later: after that it changes nothing.
 func (h *operatorsHistory) forChecker(everTaken func(operatorsCall) bool) []porcupine.Operation {
 	shown := h.firstShown()
 	unclearSends := make(map[operatorsCall]int) // where in judged
@@ -142,8 +143,8 @@
 	})
 }
 
-// implied tells whether a call that changes nothing fits wherever a read fits that lies within its time: a read of the same, or for the refusal
-// of an order that was never in force a read of another version than its base.
+// implied reports whether a call without effect fits wherever a read within its time fits: for a read, a read with the same result; for the
+// rejection of a request that was never in force, a read of a version other than its base.
 func implied(operation porcupine.Operation, judged []porcupine.Operation, everTaken func(operatorsCall) bool) bool {
 	call, answer := operation.Input.(operatorsCall), operation.Output.(operatorsAnswer)
 	if !call.read && (answer.status != http.StatusPreconditionFailed || everTaken(call)) {
@@ -161,8 +162,8 @@
 	})
 }
 
-// firstShown is for each version that was in force when the first call ended that shows it: a read of it, its confirmation, or that of
-// an order on top of it.
+// firstShown returns, for each version, when the first call ended that shows that it was in force: a read of it, its confirmation, or the
+// confirmation of a request based on it.
 func (h *operatorsHistory) firstShown() map[uint64]int64 {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -186,7 +187,7 @@
 	return shown
 }
 
-// complete is the whole history: unclear orders last to its end, and those that were never in force are left out.
+// complete returns the whole history. Unclear requests last to its end; those that were never in force are left out.
 func (h *operatorsHistory) complete(everTaken func(operatorsCall) bool) []porcupine.Operation {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -206,18 +207,19 @@
 	return judged
 }
 
-// operatorsBody is a whole configuration under a number, told from others by a time-out.
+// operatorsBody returns a complete configuration with the given version. The mark, used as a timeout, distinguishes it from others of the
+// same version.
 func operatorsBody(version uint64, mark int) string {
 	body := strings.Replace(testConfig, `"version":1`, fmt.Sprintf(`"version":%d`, version), 1)
 	return strings.Replace(body, `"timeoutMs":2000`, fmt.Sprintf(`"timeoutMs":%d`, mark), 1)
 }
 
-// newOrder is an order for a new body; a mark of 0 makes it invalid.
+// newOrder returns a request with a new body. A mark of 0 makes it invalid.
 func newOrder(base, version uint64, mark int) operatorsCall {
 	return operatorsCall{base: base, version: version, body: operatorsBody(version, mark), invalid: mark == 0}
 }
 
-// send makes an operator's call of a machine and waits for its answer for the timeout at most. Answers of 5xx aren't clear.
+// send makes an operator's call at a machine and waits for its answer, at most for the timeout. Answers of 5xx are unclear.
 func (w *operatorsSim) send(m *operatorsMachine, call operatorsCall, timeout time.Duration) operatorsAnswer {
 	p := m.running()
 	if p == nil {
@@ -271,7 +273,7 @@
 	return operatorsAnswer{status: answer.Code, version: config.Version, body: answer.Body.String()}
 }
 
-// mark tells a body from others with the same number.
+// mark returns the mark of a body.
 func mark(body string) string {
 	_, after, _ := strings.Cut(body, `"timeoutMs":`)
 	before, _, _ := strings.Cut(after, ",")
--- a/internal/system/control/operatorsworld_test.go
+++ b/internal/system/control/operatorsworld_test.go
@@ -26,14 +26,14 @@
 )
 
 const (
-	// operatorsKeepEntries is how many entries replicas keep for those that come back: few, so that these get snapshots.
+	// operatorsKeepEntries is how many entries replicas keep for members that come back. It is low, so that these need snapshots.
 	operatorsKeepEntries = 6
-	// operatorsCompaction is the length at which a log is rewritten for the first time in a life.
+	// operatorsCompaction is the log length that triggers the first compaction of a process.
 	operatorsCompaction = 8 << 10
 )
 
-// operatorsSim is a few machines with replicas whose disks are in memory and whose peers and operators are reached without sockets,
-// inside a synctest bubble. All of a replica but its sockets is the program's own.
+// operatorsSim simulates a few machines with replicas, inside a synctest bubble. Disks are in memory, and peers and operators are reached
+// without sockets. Apart from the sockets the replicas are the real program.
 type operatorsSim struct {
 	t        testing.TB
 	machines []*operatorsMachine
@@ -42,12 +42,12 @@
 	mutex  sync.Mutex
 	random *rand.Rand
 	cut    map[[2]int]bool // from, to
-	lossy  float64         // part of the messages and calls that get lost, and of the answers
-	// confirmed is the highest version that an operator had a 200 for.
+	lossy  float64         // probability that a message, call or answer is lost
+	// confirmed is the highest version that was answered with 200.
 	confirmed uint64
 }
 
-// operatorsMachine is a machine; its process may be down.
+// operatorsMachine is a machine. Its process may be down.
 type operatorsMachine struct {
 	sim      *operatorsSim
 	number   int
@@ -57,11 +57,11 @@
 	process  *operatorsProcess
 }
 
-// operatorsProcess is one life of a replica.
+// operatorsProcess is one run of a replica.
 type operatorsProcess struct {
 	*Node
 	host   *operatorsMachine
-	frozen time.Duration // for how long it stands still next
+	frozen time.Duration // length of the next pause
 }
 
 func newOperatorsSim(t testing.TB, seed uint64, replicas int) *operatorsSim {
@@ -83,12 +83,12 @@
 	return w
 }
 
-// noPlatform reads a list that can't be reached.
+// noPlatform returns a list client whose platform cannot be reached.
 func noPlatform() *workerapi.ListClient {
 	return workerapi.NewListClient(func(context.Context, string, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED })
 }
 
-// start brings the machine's process up, if it is down.
+// start starts the machine's process if it is down.
 func (m *operatorsMachine) start() {
 	if m.running() != nil {
 		return
@@ -127,7 +127,7 @@
 	m.process = p
 }
 
-// kill ends the machine's process at once; with its power, writes that no sync has covered are lost or torn.
+// kill ends the machine's process at once. With power set it simulates a loss of power, which loses or tears unsynced writes.
 func (m *operatorsMachine) kill(power bool) {
 	p := m.running()
 	if p == nil {
@@ -145,15 +145,14 @@
 	})
 }
 
-// freeze lets the process stand still for a while, after it has looked at its clock and before it takes what has come in. Its clock
-// goes on.
+// freeze pauses the process for a while, between reading its clock and taking new input. Its clock goes on.
 func (m *operatorsMachine) freeze(length time.Duration) {
 	if p := m.running(); p != nil {
 		p.loop.post(func() { p.frozen = length })
 	}
 }
 
-// leave has the process hand over its place, as upon SIGTERM.
+// leave makes the process hand over its place, as on SIGTERM.
 func (m *operatorsMachine) leave() {
 	if p := m.running(); p != nil {
 		p.loop.post(func() {
@@ -163,7 +162,7 @@
 	}
 }
 
-// alive tells whether this is still the machine's process.
+// alive reports whether this is still the machine's process.
 func (p *operatorsProcess) alive() bool { return p.host.running() == p }
 
 func (p *operatorsProcess) diskFailed(err error) {
@@ -181,7 +180,7 @@
 	p.snapshotInstalled()
 }
 
-// flush is what the program does after each batch, but for the scheduler and the calls that need sockets.
+// flush does what the program does after each batch, except for the scheduler and the calls that need sockets.
 func (p *operatorsProcess) flush() time.Duration {
 	if p.engine.closed {
 		return time.Hour
@@ -199,7 +198,7 @@
 	return wake
 }
 
-// checkState holds that whoever may decide and show the configuration has all that was confirmed to anybody.
+// checkState checks that a replica acting as the head has every configuration that was confirmed to an operator.
 func (p *operatorsProcess) checkState() {
 	if !p.alive() || !p.acting() {
 		return
@@ -230,7 +229,7 @@
 	return low + time.Duration(w.randomUint64()%uint64(high-low+1))
 }
 
-// heal ends all faults and starts what is down.
+// heal ends all network faults and starts the machines that are down.
 func (w *operatorsSim) heal() {
 	w.mutex.Lock()
 	clear(w.cut)
@@ -245,7 +244,7 @@
 	for _, m := range w.machines {
 		m.kill(false)
 	}
-	time.Sleep(2 * operatorTimeout) // of the bubble: all calls have ended
+	time.Sleep(2 * operatorTimeout) // of the bubble's time, until all calls have ended
 }
 
 func put(reply, answer any) {
@@ -263,7 +262,7 @@
 	return runOnLoop(p.Node, time.Second, none, func(answer func(T)) { answer(question(p.Node)) })
 }
 
-// completeHead is the machine that acts as the head of a chain of all machines, nil if there is none now.
+// completeHead returns the machine that acts as the head of a chain of all machines, or nil.
 func (w *operatorsSim) completeHead() *operatorsMachine {
 	for _, m := range w.machines {
 		p := m.running()
@@ -277,7 +276,7 @@
 	return nil
 }
 
-// head waits until a machine acts as the head and the chain has all machines, or gives up.
+// head waits until completeHead returns a machine, and fails the test after 20 s.
 func (w *operatorsSim) head() *operatorsMachine {
 	for range 400 {
 		if m := w.completeHead(); m != nil {
@@ -290,12 +289,12 @@
 			w.t.Logf("machine %d: %+v", m.number, onProcess(p, func(n *Node) replica.Status { return n.engine.replica.Status(n.now()) }))
 		}
 	}
-	w.stop() // what is left of a bubble would hide why
-	w.t.Fatal("no head with a whole chain")
+	w.stop() // goroutines left in the bubble would hide the failure
+	w.t.Fatal("no head with a complete chain")
 	return nil
 }
 
-// others are the machines but one.
+// others returns all machines but one.
 func (w *operatorsSim) others(but *operatorsMachine) []*operatorsMachine {
 	var others []*operatorsMachine
 	for _, m := range w.machines {
--- a/internal/system/control/ordermemory_test.go
+++ b/internal/system/control/ordermemory_test.go
@@ -19,11 +19,11 @@
 
 const (
 	stalledOrders = 40
-	// maxOrderMemory is what all that they have begun to send may take: a machine of the operators' has 280 MB for the whole process.
+	// maxOrderMemory is what all partly sent requests together may take. The process of a control plane machine has 280 MB in all.
 	maxOrderMemory = 80 << 20
 )
 
-// Operators that begin a large configuration and stall take a bounded part of the memory all together.
+// Operators that begin to send a large configuration and stall take a bounded part of the memory together.
 func TestStalledOrdersTakeBoundedMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simnet.New(1)
@@ -42,7 +42,7 @@
 			require.NoError(t, err)
 			conns = append(conns, conn)
 			go func() {
-				_, _ = io.WriteString(conn, head) // one that is refused is closed on its way
+				_, _ = io.WriteString(conn, head) // a refused connection is closed while it sends
 				_, _ = io.WriteString(conn, half)
 			}()
 			go func() { _, _ = io.Copy(io.Discard, conn) }()
--- a/internal/system/control/orders_test.go
+++ b/internal/system/control/orders_test.go
@@ -12,7 +12,7 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// Calls that still wait for a connection when they are broken off never go out; later ones are made.
+// Calls that still wait for a connection when they are cancelled are never sent. Later calls are made.
 func TestCancelledCallsAreNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
--- a/internal/system/control/platformlist_test.go
+++ b/internal/system/control/platformlist_test.go
@@ -16,7 +16,7 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// newUnresponsiveListNode is a node whose platform says nothing until the reading's time is over.
+// newUnresponsiveListNode returns a node whose platform does not answer until the request times out.
 func newUnresponsiveListNode() *Node {
 	silent := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
@@ -26,7 +26,8 @@
 		listClient: workerapi.NewListClient(silent)}
 }
 
-// A reading that is out when its scheduler goes keeps neither that replica's next scheduler from reading, nor one that comes after its end.
+// A request in flight when its scheduler is dropped must not block the request of the next scheduler, whether it ends before or after that
+// one starts.
 func TestListRequestOfADroppedSchedulerBlocksNoOther(t *testing.T) {
 	for _, endsFirst := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -44,20 +45,20 @@
 			}
 			n.scheduler, _ = newSchedulerWithCall(t, 2)
 			n.useEarlyList()
-			require.True(t, n.platform.due(n.now()), "the reading had ended first: %v", endsFirst)
+			require.True(t, n.platform.due(n.now()), "the first request had ended before: %v", endsFirst)
 			n.readList()
 			time.Sleep(2 * listTimeout)
 			synctest.Wait()
 			for _, work := range n.loop.takeQueue(nil) {
 				work()
 			}
-			require.True(t, n.platform.due(n.now()+listRetryMax), "it is read again")
-			require.Equal(t, 1, n.platform.failures, "the reading of the one that is gone doesn't count")
+			require.True(t, n.platform.due(n.now()+listRetryMax), "the list is requested again")
+			require.Equal(t, 1, n.platform.failures, "the request of the dropped scheduler does not count")
 		})
 	}
 }
 
-// An early reading serves the scheduler that is made while it is out, or after it.
+// A list requested early is delivered to the next scheduler, whether that is created before or after the answer.
 func TestEarlyListIsDeliveredToTheNextScheduler(t *testing.T) {
 	for _, endsFirst := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -76,7 +77,7 @@
 				n.listReceived(early, list, nil)
 			}
 			calls := n.scheduler.Drain().Calls
-			require.NotEmpty(t, calls, "the worker of the list is looked at")
+			require.NotEmpty(t, calls, "the scheduler calls the worker of the list")
 			require.Equal(t, "i-9", calls[0].Worker.Instance)
 			require.False(t, n.platform.due(n.now()))
 			n.listReceived(early, nil, errors.New("twice"))
--- a/internal/system/control/reads_test.go
+++ b/internal/system/control/reads_test.go
@@ -14,7 +14,7 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// readSim is a deployment with one configuration after the other, of which the newest acknowledged is known.
+// readSim is a shareSim in which one configuration after the other is put in force. It records the newest acknowledged version.
 type readSim struct {
 	*shareSim
 	acknowledged uint64
@@ -22,13 +22,13 @@
 
 func startReadSim(t *testing.T, seed uint64) *readSim {
 	w := &readSim{shareSim: newShareSim(t, seed, nil)}
-	time.Sleep(2 * time.Second) // of the bubble, as all pauses here
+	time.Sleep(2 * time.Second) // of the bubble's time, as all pauses here
 	require.NotNil(t, w.head())
 	w.replace()
 	return w
 }
 
-// replace puts the next configuration in force, wherever there is a head, and notes it once it is acknowledged.
+// replace puts the next configuration in force at any replica that accepts it, and records it once it is acknowledged.
 func (w *readSim) replace() { w.replaceAt(w.replicas) }
 
 func (w *readSim) replaceAt(replicas []*shareReplica) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// tail is the replica at the chain's end, as the head knows it.
+// tail returns the replica at the end of the chain, as the head knows it.
 func (w *readSim) tail() *shareReplica {
 	head := w.head()
 	address := onReplica(head, func() string { return head.engine.view().Tail().Address })
@@ -57,8 +57,7 @@
 	return nil
 }
 
-// Whoever asks after an acknowledgement is shown at least what was acknowledged, at the tail too, which learns last that it is
-// committed.
+// A read after an acknowledgement returns at least what was acknowledged, also at the tail, which is the last to learn of the commit.
 func TestReadsShowWhatIsAcknowledged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startReadSim(t, 1)
@@ -73,7 +72,7 @@
 	})
 }
 
-// checkReads asks every replica in every way; none may show less than what is acknowledged.
+// checkReads reads from every replica in every way. No read may return less than what is acknowledged.
 func (w *readSim) checkReads() {
 	for i, r := range w.replicas {
 		if reply := r.readLocally(); reply.Verdict == internalapi.Done {
@@ -88,8 +87,8 @@
 	}
 }
 
-// A replica that is cut off says after a moment that it can't answer, whatever place it has in the chain; the others go on, and
-// nothing that it says contradicts them, then or at its return.
+// After a moment a replica that is cut off refuses calls at once, whatever its position in the chain. The others go on, and no answer of
+// the replica contradicts them, neither then nor after it is reconnected.
 func TestCutOffReplicaDoesNotAnswer(t *testing.T) {
 	for place := range shareReplicas {
 		t.Run(fmt.Sprint(place), func(t *testing.T) {
@@ -108,7 +107,7 @@
 	}
 }
 
-// cutOff cuts a replica off for a while, asks and orders there, and goes on with the others.
+// cutOff cuts a replica off for a while, sends it reads and requests, and continues with the others.
 func (w *readSim) cutOff(r *shareReplica, length time.Duration) {
 	w.setCut(r.number, true)
 	began := time.Now()
@@ -121,7 +120,7 @@
 		var job internalapi.JobReply
 		require.NoError(w.t, (&Service{node: r.Node}).Cancel(internalapi.CancelArgs{ID: 1}, &job))
 		assert.Equal(w.t, internalapi.NotHead, job.Verdict)
-		assert.Less(w.t, time.Since(asked), 10*time.Millisecond, "it answers at once")
+		assert.Less(w.t, time.Since(asked), 10*time.Millisecond, "the replica answers at once")
 		w.replace()
 		w.checkReads()
 	}
@@ -135,7 +134,7 @@
 	w.checkReads()
 }
 
-// A read that waits for a state ends with the view: its index may never be committed.
+// A read that waits for an index ends with the view, because the index may never be committed.
 func TestWaitingReadEndsWithTheView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startReadSim(t, 2)
@@ -146,7 +145,7 @@
 			tail.engine.pendingReads = append(tail.engine.pendingReads, pendingRead{index: 1 << 40, answer: func(current bool) { answers <- current }})
 		})
 		w.replace()
-		assert.Empty(t, answers, "it waits for its index")
+		assert.Empty(t, answers, "the read waits for its index")
 		w.setCut(head.number, true)
 		time.Sleep(3 * time.Second)
 		require.Len(t, answers, 1)
@@ -155,7 +154,7 @@
 	})
 }
 
-// At most so many reads wait, and a closed engine answers all.
+// The number of waiting reads is bounded, and a closed engine answers all of them.
 func TestWaitingReadsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startReadSim(t, 3)
@@ -181,8 +180,8 @@
 	})
 }
 
-// A head that stood still while another took its place neither takes nor refuses nor answers what had come meanwhile: by what it
-// knows, an order on top of the newest version would be refused.
+// A head was paused while another one took over. It must not accept, reject or answer calls that arrived meanwhile: by its outdated state
+// it would reject a request based on the newest version.
 func TestFrozenHeadDecidesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := startReadSim(t, 4)
@@ -211,7 +210,7 @@
 	})
 }
 
-// An operator at a replica that is cut off is sent away at once, and not only when its patience is over.
+// A replica that is cut off refuses operators at once, not only after the timeout.
 func TestCutOffReplicaSendsOperatorsAway(t *testing.T) {
 	for place := range shareReplicas {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/system/control/restart_test.go
+++ b/internal/system/control/restart_test.go
@@ -15,7 +15,7 @@
 	"gaugeslip/internal/system/state"
 )
 
-// restartRecoveryTime is how long it may take until all machines are back after the last fault.
+// restartRecoveryTime bounds the time until all machines are back after the last fault.
 const restartRecoveryTime = 10 * time.Second
 
 // restartWriter writes configurations and jobs at the head, one after the other.
@@ -25,7 +25,7 @@
 	jobs    uint64
 }
 
-// write hands one command to the head, if there is one, and tells whether it is committed.
+// write proposes one command at the head, if there is one, and reports whether it was committed.
 func (r *restartWriter) write(command state.Command) bool {
 	head := r.sim.head()
 	if head == nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// change puts the next configuration in force; until it is known to be, the same one is tried again.
+// change puts the next configuration in force. It repeats the same one until that is confirmed.
 func (r *restartWriter) change() {
 	for try := 0; try < 200; try++ {
 		body := fmt.Appendf(nil, `{"version":%d}`, r.changes+1)
@@ -60,10 +60,10 @@
 			return
 		}
 	}
-	r.sim.t.Errorf("change %d is never confirmed", r.changes+1)
+	r.sim.t.Errorf("change %d is not confirmed", r.changes+1)
 }
 
-// writeJobs brings some jobs on their way: accepted, started, ended, forgotten.
+// writeJobs writes commands that accept, start, end, cancel and forget jobs.
 func (r *restartWriter) writeJobs() {
 	r.jobs++
 	id := state.JobID(r.jobs)
@@ -87,7 +87,7 @@
 	}
 }
 
-// injectFault is one fault of one machine, or a loss of power of all, and its end.
+// injectFault causes one fault of one machine, or a loss of power of all machines, and ends it.
 func (w *restartSim) injectFault() {
 	m := w.machines[w.intn(len(w.machines))]
 	if head := w.head(); head != nil && w.intn(3) == 0 {
@@ -95,7 +95,7 @@
 	}
 	length := w.randomDuration(50*time.Millisecond, 4*time.Second)
 	kind := w.intn(9)
-	w.trace("trouble %d at %d for %v, committed %d", kind, m.number, length, w.maxApplied())
+	w.trace("fault %d at %d for %v, committed %d", kind, m.number, length, w.maxApplied())
 	switch kind {
 	case 0:
 		m.kill((*simdisk.Disk).Restart)
@@ -128,7 +128,7 @@
 	for _, one := range w.machines {
 		one.start()
 	}
-	if w.intn(2) == 0 { // cut off in the midst of coming back, at times for so long that the head forgets it
+	if w.intn(2) == 0 { // cut off while it rejoins, at times for so long that the head forgets it
 		time.Sleep(w.randomDuration(time.Millisecond, 400*time.Millisecond))
 		w.isolate(m, true)
 		time.Sleep(w.randomDuration(time.Millisecond, 4*time.Second) * time.Duration(1+w.intn(4)))
@@ -136,7 +136,7 @@
 	}
 }
 
-// waitComplete waits until all machines are back and tells whether they came in time.
+// waitComplete waits until all machines are back and reports whether they were in time.
 func (w *restartSim) waitComplete() bool {
 	for range int(restartRecoveryTime / (50 * time.Millisecond)) {
 		if w.isComplete() {
@@ -147,7 +147,7 @@
 	return false
 }
 
-// runRestarts makes so many changes, with jobs between, while faults come one after the other.
+// runRestarts makes the given number of changes, with jobs in between, while faults follow each other.
 func runRestarts(t *testing.T, seed uint64, changes int, trace func(string, ...any)) {
 	w := newRestartSim(t, seed)
 	if trace != nil {
@@ -195,8 +195,8 @@
 	w.stop()
 }
 
-// TestRestartsAmongChanges plays random faults. GAUGESLIP_RESTARTS gives the number of seeds, GAUGESLIP_RESTART one seed, with a trace, and
-// GAUGESLIP_CHANGES the number of changes of each.
+// TestRestartsAmongChanges runs random faults. GAUGESLIP_RESTARTS sets the number of seeds, GAUGESLIP_RESTART one seed, with a trace, and
+// GAUGESLIP_CHANGES the number of changes of each seed.
 func TestRestartsAmongChanges(t *testing.T) {
 	changes := seeds.Count(t, "GAUGESLIP_CHANGES", 60)
 	if seed, alone := seeds.Alone(t, "GAUGESLIP_RESTART"); alone {
@@ -210,7 +210,7 @@
 	}
 }
 
-// A bit turns in a replica's state: it stops by itself, wherever it stands, and comes back with the right state.
+// A bit flips in a replica's state. The replica stops by itself, at any position in the chain, and comes back with the right state.
 func TestReplicaWithDivergedStateStops(t *testing.T) {
 	for place := range restartReplicas {
 		t.Run(strconv.Itoa(place), func(t *testing.T) {
@@ -249,7 +249,7 @@
 	}
 }
 
-// machineAtPosition is the machine at a place of the chain.
+// machineAtPosition returns the machine at a position of the chain.
 func (w *restartSim) machineAtPosition(at int) *restartMachine {
 	head := w.head().running()
 	id := onLoop(head, func() string { return string(head.engine.view().Chain[at].ID) })
--- a/internal/system/control/restartworld_test.go
+++ b/internal/system/control/restartworld_test.go
@@ -24,19 +24,19 @@
 
 const (
 	restartReplicas = 3
-	// restartKeepEntries is how many entries replicas keep for those that come back: few, so that these get snapshots.
+	// restartKeepEntries is how many entries replicas keep for members that come back. It is low, so that these need snapshots.
 	restartKeepEntries = 20
 	restartCompaction  = 64 << 10
-	// restartNoteBytes is how many bytes a job has in worlds of a large state, so that a snapshot takes several chunks.
+	// restartNoteBytes is the size that is added to each job in simulations with a large state, so that a snapshot takes several chunks.
 	restartNoteBytes = 6000
-	// restartCompareInterval is after how many entries the whole states are compared.
+	// restartCompareInterval is the number of entries between two comparisons of the whole states.
 	restartCompareInterval = 16
 )
 
 var restartSums = crc64.MakeTable(crc64.ECMA)
 
-// restartSim is a few machines whose replicas are the program's own but for sockets and scheduler, inside a synctest bubble. Writes go
-// on whatever happens; an oracle compares the states of all replicas with each other and with a reference.
+// restartSim simulates a few machines, inside a synctest bubble. Their replicas are the real program apart from sockets and scheduler.
+// Writes go on during faults. All replicas' states are compared with each other and with a reference.
 type restartSim struct {
 	t        testing.TB
 	machines []*restartMachine
@@ -45,17 +45,17 @@
 	mutex           sync.Mutex
 	random          *rand.Rand
 	cut             map[[2]int]bool // from, to
-	maxAppliedIndex uint64          // the highest index that any replica has applied
+	maxAppliedIndex uint64          // highest index that any replica has applied
 	commands        map[uint64][]byte
-	sums            map[uint64]uint64 // of the whole state, at some indexes
+	sums            map[uint64]uint64 // checksums of the whole state, at some indexes
 	snapshots       int
 	unfit           int
 	heads           int
-	diskFailures    int // of disks
-	noteBytes       int // bytes besides of each job
+	diskFailures    int // number of disk errors
+	noteBytes       int // additional bytes of each job
 }
 
-// restartMachine is a machine; its process may be down.
+// restartMachine is a machine. Its process may be down.
 type restartMachine struct {
 	sim            *restartSim
 	number         int
@@ -63,11 +63,11 @@
 	disk           *simdisk.Disk
 	mutex          sync.Mutex
 	process        *restartProcess
-	stateCorrupted bool // its state has been made wrong: it may differ until it has stopped
-	diskMayFail    bool // its disk may refuse
+	stateCorrupted bool // the test has corrupted its state, which may differ until the process stops
+	diskMayFail    bool // its disk may return errors
 }
 
-// restartProcess is one life of a replica.
+// restartProcess is one run of a replica.
 type restartProcess struct {
 	*Node
 	machine *restartMachine
@@ -97,7 +97,7 @@
 	return w
 }
 
-// start brings the machine's process up, if it is down.
+// start starts the machine's process if it is down.
 func (m *restartMachine) start() {
 	if m.running() != nil {
 		return
@@ -137,7 +137,7 @@
 	m.process = p
 }
 
-// kill ends the machine's process at once; end says what becomes of its disk.
+// kill ends the machine's process at once. end is applied to its disk.
 func (m *restartMachine) kill(end func(*simdisk.Disk)) {
 	p := m.running()
 	if p == nil {
@@ -151,7 +151,7 @@
 	})
 }
 
-// alive tells whether this is still the machine's process.
+// alive reports whether this is still the machine's process.
 func (p *restartProcess) alive() bool { return p.machine.running() == p }
 
 func (p *restartProcess) diskFailed(err error) {
@@ -170,7 +170,7 @@
 	m.kill((*simdisk.Disk).Restart)
 }
 
-// failDisk lets the machine's disk refuse from some moment on: it is full, or its syncs fail.
+// failDisk makes the machine's disk fail from some moment on: it is full, or its operations fail at random.
 func (m *restartMachine) failDisk() {
 	m.diskMayFail = true
 	if m.sim.intn(2) == 0 {
@@ -180,18 +180,18 @@
 	m.disk.SetFaults(simdisk.Faults{Write: 0.02, Sync: 0.1, Folder: 0.1})
 }
 
-// repairDisk ends that.
+// repairDisk ends the disk's faults and restarts the process.
 func (m *restartMachine) repairDisk() {
 	m.disk.SetCapacity(-1)
 	m.disk.SetFaults(simdisk.Faults{})
-	if m.running() != nil { // what it has refused may not have come up yet
+	if m.running() != nil { // an error may not have been reported yet
 		m.kill((*simdisk.Disk).PowerLoss)
 	}
 	m.diskMayFail = false
 	m.start()
 }
 
-// fatal ends the process as the program does; only a state that was made wrong may be the reason.
+// fatal ends the process as the program does. Only a state corrupted by the test may be the reason.
 func (p *restartProcess) fatal(err error) {
 	m, w := p.machine, p.machine.sim
 	if !p.alive() {
@@ -219,7 +219,7 @@
 	p.compare()
 }
 
-// event holds that a head has all that any replica has applied.
+// event checks that a head has applied everything that any replica has applied.
 func (p *restartProcess) event(event replica.Event) {
 	became, ok := event.(replica.BecameHead)
 	if !ok || !p.alive() {
@@ -236,7 +236,7 @@
 	}
 }
 
-// applied holds that all replicas apply the same commands, and that they come to the same.
+// applied checks that all replicas apply the same commands and reach the same state.
 func (p *restartProcess) applied(result state.Result) {
 	w, index, data := p.machine.sim, p.engine.appliedIndex, result.Command.Encode()
 	w.mutex.Lock()
@@ -252,7 +252,7 @@
 	}
 }
 
-// compare compares the whole state with that of whoever came to the index first.
+// compare compares the whole state with that of the replica that reached the index first.
 func (p *restartProcess) compare() {
 	w, index := p.machine.sim, p.engine.appliedIndex
 	if p.machine.stateCorrupted {
@@ -325,7 +325,7 @@
 	}
 }
 
-// onLoop asks a process on its loop; without an answer in time it gives the zero value.
+// onLoop runs a question on a process's loop. Without an answer within a second it returns the zero value.
 func onLoop[T any](p *restartProcess, question func() T) T {
 	answers := make(chan T, 1)
 	p.loop.post(func() { answers <- question() })
@@ -338,7 +338,7 @@
 	}
 }
 
-// head is the machine that acts as the head, if any.
+// head returns the machine that acts as the head, or nil.
 func (w *restartSim) head() *restartMachine {
 	for _, m := range w.machines {
 		if p := m.running(); p != nil && onLoop(p, p.engine.isHead) {
@@ -348,7 +348,7 @@
 	return nil
 }
 
-// isComplete tells whether all machines are in the chain and at the same index, that of all commits.
+// isComplete reports whether all machines are in the chain and have applied everything that any replica has applied.
 func (w *restartSim) isComplete() bool {
 	head := w.head()
 	if head == nil {
@@ -376,7 +376,7 @@
 	return w.maxAppliedIndex
 }
 
-// reference is the state that all commands come to, one after the other.
+// reference returns the state that results from all commands in order.
 func (w *restartSim) reference() []byte {
 	machine := state.New()
 	w.mutex.Lock()
@@ -391,5 +391,5 @@
 	for _, m := range w.machines {
 		m.kill((*simdisk.Disk).Restart)
 	}
-	time.Sleep(2 * time.Second) // of the bubble: all loops have gone round
+	time.Sleep(2 * time.Second) // of the bubble's time, until all loops have stopped
 }
--- a/internal/system/control/restore_test.go
+++ b/internal/system/control/restore_test.go
@@ -11,7 +11,7 @@
 	"gaugeslip/internal/system/logfile"
 )
 
-// All disks but one are lost, more than is borne: the one that is left, restored, takes the others in as learners.
+// All disks but one are lost, more than the fault tolerance. The remaining one, restored, admits the others as learners.
 func TestSystemRecoversFromOneDisk(t *testing.T) {
 	cluster := startCluster(t, 3, 1)
 	cluster.replace(3, testConfig)
@@ -42,7 +42,7 @@
 		reply := cluster.overview(cluster.head(3))
 		return reply.ConfigVersion == 1 && reply.Jobs["pending"] == 1 && reply.View.Epoch > restored.Epoch
 	})
-	cluster.replace(3, testConfig) // sent again, it is confirmed again
+	cluster.replace(3, testConfig) // a repeated request is confirmed again
 	cluster.submit(3, 8, "barn", testJob, internalapi.Done)
 	cluster.until(func() bool { return cluster.jobs(cluster.head(3), internalapi.JobsArgs{}).Total == 2 })
 }
--- a/internal/system/control/shares_test.go
+++ b/internal/system/control/shares_test.go
@@ -21,21 +21,21 @@
 	shareTenants  = 160
 	jobsPerTenant = 6
 	pollInterval  = 250 * time.Millisecond
-	// maxIdleTime is how long a task may be held beside room that it could have: reservations of room and pauses end within that.
+	// maxIdleTime is how long a task may wait although capacity that it could use is free. Reservations and back-offs end within that time.
 	maxIdleTime = 5 * time.Second
 	cutLength   = 1500 * time.Millisecond
 	cutEvery    = 4 * time.Second
 	cuts        = 5
 )
 
-// shareServices are the services of every tenant; its share is one for both.
+// shareServices are the services of every tenant, which share the tenant's one quota.
 var shareServices = []string{"farm", "mill"}
 
 func tenantName(number int) string { return fmt.Sprintf("tenant-%03d", number) }
 
 func routeName(number int, service string) string { return tenantName(number) + "-" + service }
 
-// shareConfig promises each tenant a few accelerators; together that is more than there are, so that room is scarce at times too.
+// shareConfig gives each tenant a share of a few accelerators. The sum exceeds the capacity, so that capacity is scarce at times too.
 func shareConfig(random *rand.Rand) (body []byte, limits map[string]int64) {
 	limits = map[string]int64{}
 	tenants, routes := "", ""
@@ -51,7 +51,7 @@
 		routes[1:]), limits
 }
 
-// randomJob draws a job that its tenant's share can hold, and tells the workers of its tasks.
+// randomJob returns a random job that fits into its tenant's share, and registers its tasks for the workers.
 func (w *shareSim) randomJob(id uint64, tenant string) []byte {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -75,10 +75,10 @@
 	w.mutex.Lock()
 	pause := time.Duration(w.random.Int64N(int64(most)))
 	w.mutex.Unlock()
-	time.Sleep(pause) // of the bubble
+	time.Sleep(pause) // of the bubble's time
 }
 
-// submitJobs hands all jobs of a tenant in, each until it is taken.
+// submitJobs submits all jobs of a tenant, each until it is accepted.
 func (w *shareSim) submitJobs(number int) {
 	w.pause(15 * time.Second)
 	for i := range jobsPerTenant {
@@ -104,7 +104,7 @@
 	return <-answers
 }
 
-// head is the replica that acts as the head; nil while none does.
+// head returns the replica that acts as the head, or nil.
 func (w *shareSim) head() *shareReplica {
 	for _, r := range w.replicas {
 		if onReplica(r, func() bool { return r.acting() && r.scheduler != nil }) {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// cutHeadRepeatedly cuts the head off again and again, so that others take over while it still believes itself the head for a moment.
+// cutHeadRepeatedly cuts the head off several times, so that another replica takes over while the old head still acts for a moment.
 func (w *shareSim) cutHeadRepeatedly() {
 	for range cuts {
 		time.Sleep(cutEvery)
@@ -126,7 +126,7 @@
 	}
 }
 
-// watchIdle looks again and again for tasks that are held beside room on workers and in their tenant's share, until all jobs are over.
+// watchIdle polls for tasks that wait although workers and their tenant's share have free capacity, until all jobs are finished.
 func (w *shareSim) watchIdle(deadline time.Duration) {
 	var since map[state.TaskName]time.Time
 	epoch := uint64(0)
@@ -146,10 +146,10 @@
 		}
 		since = w.updateIdleSince(since, view.idle)
 	}
-	w.t.Error("not all jobs are over in time")
+	w.t.Error("not all jobs are finished in time")
 }
 
-// updateIdleSince keeps since when each task has been idle, and tells of those that are it for too long.
+// updateIdleSince records since when each task has been idle, and reports tasks that have been idle for too long.
 func (w *shareSim) updateIdleSince(since map[state.TaskName]time.Time, idle []state.TaskName) map[state.TaskName]time.Time {
 	next := make(map[state.TaskName]time.Time, len(idle))
 	for _, name := range idle {
@@ -158,25 +158,25 @@
 			next[name] = from
 		}
 		if time.Since(next[name]) > maxIdleTime {
-			w.t.Errorf("%v is held since %v though its share stands unused and room is free", name, next[name])
+			w.t.Errorf("%v has waited since %v although its share and capacity are free", name, next[name])
 		}
 	}
 	return next
 }
 
-// idleView is what a look at the head finds.
+// idleView is the result of one poll of the head.
 type idleView struct {
 	epoch uint64
 	over  int
 	idle  []state.TaskName
 }
 
-// idleTasks finds tasks, and first members of gangs, that wait though share and workers have room. What its tenant keeps back for more at
-// once isn't idle.
+// idleTasks returns tasks, and first members of gangs, that wait although share and workers have capacity. Tasks that wait because their
+// tenant's share is reserved for a larger step are not idle.
 func (r *shareReplica) idleTasks() idleView {
 	view := idleView{epoch: r.schedulerEpoch}
 	free := r.freeAccelerators()
-	wanted := map[string]int64{} // the most that waits at once, by tenant
+	wanted := map[string]int64{} // the largest request for accelerators at once, by tenant
 	waiting := map[state.TaskName]*state.Job{}
 	for _, job := range r.engine.machine.Jobs() {
 		if job.State.Finished() {
@@ -197,7 +197,7 @@
 	return view
 }
 
-// freeAccelerators is what is free on each worker, by service.
+// freeAccelerators returns the free accelerators of each worker, by service.
 func (r *shareReplica) freeAccelerators() map[string][]int64 {
 	free := map[string][]int64{}
 	for _, worker := range r.sim.workers {
@@ -212,7 +212,7 @@
 	return free
 }
 
-// waitingTasks are the tasks of a job's one step that aren't done and don't run; of a gang its first member while none runs.
+// waitingTasks returns the tasks of a job's only step that are neither done nor running; for a gang its first member, if none runs.
 func waitingTasks(job *state.Job) []state.TaskName {
 	var names []state.TaskName
 	stage := &job.Spec.Stages[0]
@@ -252,8 +252,8 @@
 	return fits > 0
 }
 
-// TestSharesHoldWhileReplicasTakeOver has 160 tenants hand jobs in at the same time, at all replicas, while the head is cut off again and
-// again. No tenant has more than its share at any commit of any replica nor on the workers, and nothing is held for long beside room.
+// TestSharesHoldWhileReplicasTakeOver has 160 tenants submit jobs at the same time, at all replicas, while the head is cut off repeatedly.
+// No tenant exceeds its share, neither at any commit of any replica nor on the workers, and no task waits for long beside free capacity.
 func TestSharesHoldWhileReplicasTakeOver(t *testing.T) {
 	for seed := range uint64(shareSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { runShares(t, seed) }) })
@@ -280,7 +280,7 @@
 	w.checkEnd()
 }
 
-// checkEnd looks at what there is when all is over.
+// checkEnd checks the states after all jobs are finished.
 func (w *shareSim) checkEnd() {
 	for _, r := range w.replicas {
 		onReplica(r, func() bool { return assert.NoError(w.t, r.engine.machine.Check()) })
@@ -302,6 +302,6 @@
 	w.t.Logf("%d jobs completed, %d starts, %d tenants had their whole share, epoch %d, %v", completed, w.starts, len(w.atLimit), epoch,
 		time.Since(w.started))
 	assert.Equal(w.t, shareTenants*jobsPerTenant, completed)
-	assert.GreaterOrEqual(w.t, epoch, uint64(3), "hardly anybody took over")
-	assert.Greater(w.t, len(w.atLimit), shareTenants/2, "the shares hardly bound anybody")
+	assert.GreaterOrEqual(w.t, epoch, uint64(3), "too few changes of head for a meaningful run")
+	assert.Greater(w.t, len(w.atLimit), shareTenants/2, "too few tenants reached their share")
 }
--- a/internal/system/control/sharesworker_test.go
+++ b/internal/system/control/sharesworker_test.go
@@ -7,12 +7,13 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// shareWorker is a worker that keeps its contract: one highest token, due times, cumulative ends, and room that it guards.
+// shareWorker is a worker that keeps its contract: the highest token seen, due times, cumulative ends, and a capacity that it does not
+// exceed.
 type shareWorker struct {
 	sim      *shareSim
 	instance string
 	service  string
-	// All that follows is under the world's mutex.
+	// The fields below are guarded by the simulation's mutex.
 	token      uint64
 	running    map[string]workerapi.RunningTask
 	attempts   map[string]int
@@ -91,7 +92,7 @@
 	return sum
 }
 
-// checkRunning counts what really runs of a tenant.
+// checkRunning checks what runs on the workers against the tenant's share.
 func (w *shareSim) checkRunning(tenant string) {
 	sum := int64(0)
 	for _, worker := range w.workers {
@@ -113,7 +114,7 @@
 	s.answerHold()
 }
 
-// hold answers at once if there is an end to tell, else with the next one or when the wait is over.
+// hold answers at once if there are ends to report, otherwise with the next end or when the wait is over.
 func (s *shareWorker) hold(order *workerapi.HoldOrder, answer func(workerapi.HoldReply)) (workerapi.HoldReply, bool) {
 	s.answerHold()
 	for len(s.finished) > 0 && s.finished[0].N <= order.LastSeen {
--- a/internal/system/control/sharesworld_test.go
+++ b/internal/system/control/sharesworld_test.go
@@ -31,7 +31,7 @@
 	maxLatency            = 3 * time.Millisecond
 )
 
-// shareSim is a few replicas with their disks in memory, their peers and workers reached without sockets, inside a synctest bubble.
+// shareSim simulates a few replicas inside a synctest bubble. Disks are in memory, and peers and workers are reached without sockets.
 type shareSim struct {
 	t        *testing.T
 	replicas []*shareReplica
@@ -43,18 +43,18 @@
 	random  *rand.Rand
 	cut     [shareReplicas]bool
 	tasks   map[string]shareTask
-	atLimit map[string]bool // tenants that have had their whole share
+	atLimit map[string]bool // tenants that have used their whole share
 	starts  int
 }
 
-// shareTask is what a worker has to know of a task.
+// shareTask is what a worker must know about a task.
 type shareTask struct {
 	tenant       string
 	accelerators int64
 	length       time.Duration
 }
 
-// shareReplica is a replica of which all but the sockets is the program's own.
+// shareReplica is a replica that is the real program apart from the sockets.
 type shareReplica struct {
 	*Node
 	sim    *shareSim
@@ -107,13 +107,13 @@
 	for _, r := range w.replicas {
 		r.loop.post(r.engine.close)
 	}
-	time.Sleep(time.Second) // of the bubble: all loops have gone round
+	time.Sleep(time.Second) // of the bubble's time, until all loops have run the posted close
 	for _, r := range w.replicas {
 		r.loop.stop()
 	}
 }
 
-// latency is how long something is on its way.
+// latency returns a random network latency.
 func (w *shareSim) latency() time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -143,7 +143,7 @@
 	}
 }
 
-// applyAndCheckShares takes in a commit as the program does, and looks at all shares.
+// applyAndCheckShares handles a commit as the program does, and checks all shares.
 func (r *shareReplica) applyAndCheckShares(result state.Result) {
 	r.commandApplied(result)
 	if len(result.Started) > 0 {
@@ -151,7 +151,7 @@
 	}
 }
 
-// checkShares counts from the tasks alone what each tenant uses.
+// checkShares computes what each tenant uses from the tasks alone and checks it against the limits.
 func (r *shareReplica) checkShares() {
 	used := map[string]int64{}
 	for _, job := range r.engine.machine.Jobs() {
@@ -178,7 +178,7 @@
 	}
 }
 
-// flush is what the program does after each batch, but for the calls that need sockets.
+// flush does what the program does after each batch, except for the calls that need sockets.
 func (r *shareReplica) flush() time.Duration {
 	if r.engine.closed {
 		return time.Hour
@@ -201,7 +201,7 @@
 	return max(wake-r.now(), time.Millisecond)
 }
 
-// updateScheduler shows a scheduler the list and the time.
+// updateScheduler passes the list of workers and the time of day to the scheduler.
 func (r *shareReplica) updateScheduler() {
 	now := r.now()
 	if r.scheduler == nil || r.scheduler == r.listed && now < r.nextAt {
@@ -217,7 +217,7 @@
 	r.scheduler.Listed(now, instances)
 }
 
-// runSchedulerStep carries out what the scheduler wants and tells whether there was anything.
+// runSchedulerStep carries out the scheduler's output and reports whether there were commands or calls.
 func (r *shareReplica) runSchedulerStep() bool {
 	if r.scheduler == nil || !r.acting() {
 		return false
--- a/internal/system/control/tenants_test.go
+++ b/internal/system/control/tenants_test.go
@@ -17,7 +17,7 @@
 	`"type":"idempotent","timeoutMs":2000,"targetLatencyMs":500,"backend":"farm","maxRetries":2,"extension":2}],` +
 	`"services":[{"name":"farm"}]}`
 
-// tenants asks the head until it answers.
+// tenants requests the tenants from the head until it answers.
 func (c *testCluster) tenants(chain int) internalapi.TenantsReply {
 	var reply internalapi.TenantsReply
 	c.until(func() bool {
--- a/internal/system/control/unapplied_test.go
+++ b/internal/system/control/unapplied_test.go
@@ -23,10 +23,10 @@
 	assert.EqualValues(t, 7, u.scannedTo)
 	assert.EqualValues(t, 5, u.lastChange(1))
 	assert.EqualValues(t, 6, u.lastChange(2))
-	assert.Zero(t, u.lastChange(3), "nothing concerns it")
+	assert.Zero(t, u.lastChange(3), "no entry may change job 3")
 	u.scan([]chain.Entry{entryOf(8, state.Command{Kind: state.KindWorkerLost, WorkerLost: "w"}), entryOf(9, cancelOf(1))})
 	assert.EqualValues(t, 9, u.lastChange(1))
-	assert.EqualValues(t, 8, u.lastChange(3), "a worker's end may concern any")
+	assert.EqualValues(t, 8, u.lastChange(3), "the loss of a worker may change any job")
 }
 
 func TestUnappliedJobsAreBounded(t *testing.T) {
@@ -39,10 +39,10 @@
 	u.scan([]chain.Entry{entryOf(maxUnappliedJobs+2, cancelOf(1))})
 	assert.Len(t, u.lastByJob, 1)
 	assert.EqualValues(t, maxUnappliedJobs+2, u.lastChange(1))
-	assert.EqualValues(t, maxUnappliedJobs+1, u.lastChange(2), "forgotten ones wait for all that was seen")
+	assert.EqualValues(t, maxUnappliedJobs+1, u.lastChange(2), "a dropped job waits for all scanned entries")
 }
 
-// Other entries may stand at the same indexes in the next view.
+// The same indexes may hold other entries in the next view.
 func TestScannedEntriesAreDroppedWithTheView(t *testing.T) {
 	e := &engine{}
 	e.unapplied.scan([]chain.Entry{entryOf(5, cancelOf(1))})
--- a/internal/system/control/unruly_test.go
+++ b/internal/system/control/unruly_test.go
@@ -15,7 +15,7 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// An operator who sends half of an order and says no more holds its connection, and the memory of what it has sent, for a bounded time.
+// An operator who stalls in the middle of a request holds the connection and the memory of the received part for a bounded time.
 func TestStalledOrderTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simnet.New(1)
@@ -35,6 +35,6 @@
 		began := time.Now()
 		require.NoError(t, conn.SetReadDeadline(began.Add(time.Minute)))
 		_, err = io.Copy(io.Discard, conn)
-		assert.NoError(t, err, "an answer or none, and then the end")
+		assert.NoError(t, err, "with or without an answer, the connection is closed")
 	})
 }
