--- a/internal/system/control/engine.go
+++ b/internal/system/control/engine.go
@@ -169,10 +169,10 @@
 	e.backlog.drop()
 	e.dropCapture()
 	e.audit = state.NewAudit(e.appliedIndex)
-	for index, waiting := range e.inFlight {
+	for index, pending := range e.inFlight {
 		if index <= snapshot.Index {
 			delete(e.inFlight, index)
-			waiting.done(state.Result{}, statusInDoubt)
+			pending.done(state.Result{}, statusInDoubt)
 		}
 	}
 	e.options.snapshotInstalled()
@@ -195,8 +195,8 @@
 	e.disk.stop()
 	e.rejectQueued()
 	e.rejectReads()
-	for index, waiting := range e.inFlight {
+	for index, pending := range e.inFlight {
 		delete(e.inFlight, index)
-		waiting.done(state.Result{}, statusInDoubt)
+		pending.done(state.Result{}, statusInDoubt)
 	}
 }
--- a/internal/system/control/engine_test.go
+++ b/internal/system/control/engine_test.go
@@ -100,7 +100,7 @@
 }
 
 // A snapshot that cannot be decoded must not reach the disk: the replica would never start again.
-func TestASnapshotThatCantBeReadIsNotStored(t *testing.T) {
+func TestCorruptSnapshotIsNotStored(t *testing.T) {
 	r := newEngineHarness(t, simdisk.New(1))
 	r.becomeHead()
 	before := r.machine.Snapshot()
@@ -299,7 +299,7 @@
 }
 
 // A disk marked as unfit comes back with a new identity and nothing else. Its records are kept in another log.
-func TestAnUnfitDiskIsGivenUp(t *testing.T) {
+func TestUnfitDiskIsReplaced(t *testing.T) {
 	for seed := range uint64(10) {
 		disk := simdisk.New(seed)
 		file, _, err := wal.Open(disk.Process(), logName)
@@ -328,7 +328,7 @@
 }
 
 // On a full disk the records cannot be kept. The replica comes back all the same.
-func TestAnUnfitDiskThatIsFullIsGivenUp(t *testing.T) {
+func TestFullUnfitDiskIsReplaced(t *testing.T) {
 	disk := simdisk.New(1)
 	file, _, err := wal.Open(disk.Process(), logName)
 	require.NoError(t, err)
--- a/internal/system/control/handover.go
+++ b/internal/system/control/handover.go
@@ -31,9 +31,9 @@
 		return
 	}
 	n.logger.Info("handover requested", "epoch", n.engine.view().Epoch)
-	asked := &pendingHandover{engine: n.engine, answer: answer}
-	n.handover = asked
-	time.AfterFunc(leaveTimeout, func() { n.loop.post(func() { n.handoverExpired(asked) }) })
+	request := &pendingHandover{engine: n.engine, answer: answer}
+	n.handover = request
+	time.AfterFunc(leaveTimeout, func() { n.loop.post(func() { n.handoverExpired(request) }) })
 	n.engine.step(replica.Leave{})
 }
 
@@ -56,26 +56,26 @@
 
 // finishHandover answers the operator after the transfer is decided and makes the replica rejoin as a learner.
 func (n *Node) finishHandover() {
-	asked := n.handover
-	if asked == nil {
+	request := n.handover
+	if request == nil {
 		return
 	}
 	n.handover = nil
 	n.logger.Info("handed over", "epoch", n.engine.view().Epoch)
-	asked.answer(internalapi.HandoverReply{Verdict: internalapi.Done, View: n.engine.view()})
+	request.answer(internalapi.HandoverReply{Verdict: internalapi.Done, View: n.engine.view()})
 	n.rejoin()
 }
 
 // handoverExpired ends a transfer that was not decided in time. A replica that has announced its departure can only come back by a restart
 // of its core.
-func (n *Node) handoverExpired(asked *pendingHandover) {
-	if n.handover != asked {
+func (n *Node) handoverExpired(request *pendingHandover) {
+	if n.handover != request {
 		return
 	}
 	n.handover = nil
 	n.logger.Warn("handover timed out", "epoch", n.engine.view().Epoch)
-	asked.answer(internalapi.HandoverReply{Verdict: internalapi.InDoubt, Text: "not decided in time: look at the view"})
-	if n.engine == asked.engine {
+	request.answer(internalapi.HandoverReply{Verdict: internalapi.InDoubt, Text: "not decided in time: look at the view"})
+	if n.engine == request.engine {
 		n.rejoin()
 	}
 }
--- a/internal/system/control/invariants_test.go
+++ b/internal/system/control/invariants_test.go
@@ -58,7 +58,7 @@
 
 var actingSender = senderState{epoch: checkedEpoch, head: true}
 
-func TestAStartIsSentForACommittedRunOnly(t *testing.T) {
+func TestStartRequiresCommittedRun(t *testing.T) {
 	n := newCheckedNode(t)
 	n.checkCall(startOf(checkedRun(0), checkedWorker), actingSender)
 	require.Empty(t, n.violations())
@@ -75,7 +75,7 @@
 	assert.Equal(t, []invariant.Name{startIsCommitted}, n.violations(), "no lease")
 }
 
-func TestAStartIsAlone(t *testing.T) {
+func TestStartRequiresNoOtherRun(t *testing.T) {
 	n := newCheckedNode(t)
 	task := n.engine.machine.Job(checkedJob).Task(checkedRun(0).Task)
 	task.Done = true
@@ -88,7 +88,7 @@
 	assert.Equal(t, []invariant.Name{startIsAlone}, n.violations())
 }
 
-func TestTokensRise(t *testing.T) {
+func TestTokensNeverDecrease(t *testing.T) {
 	n := newCheckedNode(t)
 	for _, token := range []uint64{2, 2, 4} {
 		n.checkCall(&scheduler.Call{Kind: scheduler.CallStop, Stop: workerapi.StopOrder{FenceToken: token}}, actingSender)
@@ -111,7 +111,7 @@
 	assert.Equal(t, []invariant.Name{endsAreCommitted}, n.violations())
 }
 
-func TestVersionsDoNotFall(t *testing.T) {
+func TestVersionsNeverDecrease(t *testing.T) {
 	n := newCheckedNode(t)
 	n.checkConfig(3)
 	n.checkShownVersion(3)
--- a/internal/system/control/looks_test.go
+++ b/internal/system/control/looks_test.go
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestAHandoverMovesTheHeadAndTheOldOneComesBack(t *testing.T) {
+func TestHandoverMovesHeadAndOldHeadRejoins(t *testing.T) {
 	cluster := startCluster(t, 3, 1)
 	cluster.replace(3, testConfig)
 	var before *Node
--- a/internal/system/control/operator_test.go
+++ b/internal/system/control/operator_test.go
@@ -28,7 +28,7 @@
 }
 
 // A request that cannot be read in full is not passed on, and its status says so.
-func TestOrdersThatCantBeReadAreNotTaken(t *testing.T) {
+func TestUnreadableOrdersAreNotPassedOn(t *testing.T) {
 	never := func(internalapi.ReplaceArgs, time.Duration) internalapi.ReplaceReply {
 		t.Error("the request is passed on")
 		return internalapi.ReplaceReply{Status: http.StatusOK}
--- a/internal/system/control/operatorbytes_test.go
+++ b/internal/system/control/operatorbytes_test.go
@@ -62,7 +62,7 @@
 	return response.StatusCode
 }
 
-func TestAnOrderThatEndsEarlyIsNeverAcknowledged(t *testing.T) {
+func TestTruncatedOrderIsNeverAcknowledged(t *testing.T) {
 	for length := range len(completeRequest) {
 		synctest.Test(t, func(t *testing.T) {
 			l := newListeningAPI(t)
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestAnOrderInChunksThatCanNotBeReadIsRefused(t *testing.T) {
+func TestMalformedChunkedOrderIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newListeningAPI(t)
 		conn := l.dial(t)
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestAResetAtAnyByteOfAnOrderTakesItWholeOrNotAtAll(t *testing.T) {
+func TestResetDuringOrderAppliesItFullyOrNotAtAll(t *testing.T) {
 	for length := range int64(len(completeRequest) + 1) {
 		synctest.Test(t, func(t *testing.T) {
 			l := newListeningAPI(t)
--- a/internal/system/control/operators_test.go
+++ b/internal/system/control/operators_test.go
@@ -95,7 +95,7 @@
 
 // The answer to a request is lost. Then the head fails, later all machines do, and some restore the state from a snapshot. The repeated
 // request is still confirmed.
-func TestARepeatedOrderIsConfirmedWhateverHappenedBetween(t *testing.T) {
+func TestRepeatedOrderIsConfirmedAfterFaults(t *testing.T) {
 	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
 		order, later := newOrder(1, 4, 10), newOrder(4, 9, 20)
 		w.send(head, order, time.Millisecond) // the answer is lost
@@ -127,7 +127,7 @@
 }
 
 // A request older than the remembered history may have been accepted. It is neither confirmed nor rejected.
-func TestAnOrderOlderThanTheHistoryIsLeftUnclear(t *testing.T) {
+func TestOrderOlderThanHistoryIsInDoubt(t *testing.T) {
 	runOperators(t, 1, func(w *operatorsSim, head *operatorsMachine) {
 		p := head.running()
 		const many = 1100
@@ -222,7 +222,7 @@
 
 // A head fails right after it has confirmed a change, before the others can know of the commit. The next head must have the change: it
 // rejects neither a request based on it nor the repeated change.
-func TestANewHeadActsOnAllThatWasConfirmed(t *testing.T) {
+func TestNewHeadHasAllConfirmedChanges(t *testing.T) {
 	runOperators(t, 3, func(w *operatorsSim, head *operatorsMachine) {
 		const changes = 8
 		for version := uint64(1); version <= 2*changes; version += 2 {
--- a/internal/system/control/operatorsdoubt_test.go
+++ b/internal/system/control/operatorsdoubt_test.go
@@ -53,7 +53,7 @@
 }
 
 // A replica that knows no head answers 503. If a copy of the request may have been sent, it answers 504.
-func TestAnOrderWithoutAHeadIsLeftUnclear(t *testing.T) {
+func TestOrderWithoutAHeadHasNoDefiniteAnswer(t *testing.T) {
 	assert.Equal(t, http.StatusServiceUnavailable, replaceAtFollower(t, failWith(transport.ErrNotSent)).Status)
 	assert.Equal(t, http.StatusGatewayTimeout, replaceAtFollower(t, failWith(transport.ErrUnknown)).Status)
 	assert.Equal(t, http.StatusServiceUnavailable, replaceAtFollower(t, replyWith(internalapi.NotHead, 0)).Status)
@@ -89,12 +89,12 @@
 }
 
 // When the core closes, a command that was appended may still be committed by other replicas. A command that was never appended cannot be.
-func TestTheEndOfACoreLeavesWhatItAppendedInDoubt(t *testing.T) {
+func TestClosedCoreLeavesAppendedProposalsInDoubt(t *testing.T) {
 	assert.Equal(t, []commitStatus{statusRejected, statusInDoubt}, proposalStatuses(t, (*engine).close))
 }
 
 // A snapshot that covers the index of a proposal may contain the command.
-func TestASnapshotLeavesWhatItCoversInDoubt(t *testing.T) {
+func TestSnapshotMakesCoveredProposalsInDoubt(t *testing.T) {
 	came := proposalStatuses(t, func(e *engine) {
 		e.installSnapshot(&chain.Snapshot{Index: e.replica.LastIndex(), Data: e.machine.Snapshot()})
 	})
@@ -102,7 +102,7 @@
 }
 
 // A command appended in an earlier epoch may still be held by a replica that becomes the head before it learns of the present epoch.
-func TestWhatIsDroppedFromTheLogIsInDoubt(t *testing.T) {
+func TestProposalDroppedFromTheLogIsInDoubt(t *testing.T) {
 	came := proposalStatuses(t, func(e *engine) {
 		earlier := e.inFlight[e.replica.LastIndex()]
 		delete(e.inFlight, e.replica.LastIndex())
--- a/internal/system/control/proposals.go
+++ b/internal/system/control/proposals.go
@@ -30,17 +30,17 @@
 
 // resolveProposal reports the commit status to the proposal at the entry's index, if there is one.
 func (e *engine) resolveProposal(entry chain.Entry, result state.Result) {
-	waiting := e.inFlight[entry.Index]
-	if waiting == nil {
+	pending := e.inFlight[entry.Index]
+	if pending == nil {
 		return
 	}
 	delete(e.inFlight, entry.Index)
-	if waiting.epoch != entry.Epoch {
-		waiting.done(state.Result{}, statusRejected)
+	if pending.epoch != entry.Epoch {
+		pending.done(state.Result{}, statusRejected)
 		return
 	}
-	e.options.committed(e.options.now() - waiting.appendedAt)
-	waiting.done(result, statusCommitted)
+	e.options.committed(e.options.now() - pending.appendedAt)
+	pending.done(result, statusCommitted)
 }
 
 // propose queues a command, which is appended as soon as this replica may propose.
@@ -55,15 +55,15 @@
 	}
 	batch := e.queue[:min(len(e.queue), maxProposalBatch)]
 	data := make([][]byte, len(batch))
-	for i, waiting := range batch {
-		data[i] = waiting.data
+	for i, pending := range batch {
+		data[i] = pending.data
 	}
 	epoch, now := e.replica.View().Epoch, e.options.now()
 	first, output, err := e.replica.Propose(now, data)
 	if err == nil {
-		for i, waiting := range batch {
-			waiting.epoch, waiting.appendedAt, waiting.data = epoch, now, nil
-			e.trackInFlight(first+uint64(i), waiting)
+		for i, pending := range batch {
+			pending.epoch, pending.appendedAt, pending.data = epoch, now, nil
+			e.trackInFlight(first+uint64(i), pending)
 		}
 		e.queue = append([]*proposal(nil), e.queue[len(batch):]...)
 	}
@@ -85,7 +85,7 @@
 func (e *engine) rejectQueued() {
 	queued := e.queue
 	e.queue = nil
-	for _, waiting := range queued {
-		waiting.done(state.Result{}, statusRejected)
+	for _, pending := range queued {
+		pending.done(state.Result{}, statusRejected)
 	}
 }
--- a/internal/system/control/reads.go
+++ b/internal/system/control/reads.go
@@ -53,12 +53,12 @@
 // answerReadyReads answers the reads whose index is applied.
 func (e *engine) answerReadyReads() {
 	kept := e.pendingReads[:0]
-	for _, waiting := range e.pendingReads {
-		if waiting.index > e.appliedIndex {
-			kept = append(kept, waiting)
+	for _, pending := range e.pendingReads {
+		if pending.index > e.appliedIndex {
+			kept = append(kept, pending)
 			continue
 		}
-		waiting.answer(true)
+		pending.answer(true)
 	}
 	clear(e.pendingReads[len(kept):])
 	e.pendingReads = kept
@@ -66,9 +66,9 @@
 
 // rejectReads refuses all waiting reads: in another view their indexes may never be reached, or hold other entries.
 func (e *engine) rejectReads() {
-	waiting := e.pendingReads
+	pending := e.pendingReads
 	e.pendingReads, e.unapplied = nil, unapplied{}
-	for _, read := range waiting {
+	for _, read := range pending {
 		read.answer(false)
 	}
 }
--- a/internal/system/control/tenants_test.go
+++ b/internal/system/control/tenants_test.go
@@ -27,7 +27,7 @@
 	return reply
 }
 
-func TestOperatorsLookAtTenants(t *testing.T) {
+func TestTenantsQuery(t *testing.T) {
 	cluster := startCluster(t, 1, 0)
 	cluster.replace(1, tenantConfig)
 	cluster.submit(1, 7, "barn", `{"stages":[{"count":3,"cpu":500,"memMb":100,"gpus":1,"estimatedMs":200}]}`, internalapi.Done)
