--- a/internal/system/control/node.go
+++ b/internal/system/control/node.go
@@ -105,8 +105,9 @@
 
 // Start starts a replica: it opens the sockets, reads the log and runs the loop.
 func Start(options Options) (*Node, error) {
-	n := &Node{settings: options.Settings, logger: options.Logger, invariants: options.Invariants, network: options.Network, disk: options.Disk, clock: options.Clock,
-		loop: newLoop(), wallClock: newWallClock(), left: make(chan struct{}), failures: make(chan error, 1)}
+	n := &Node{settings: options.Settings, logger: options.Logger, invariants: options.Invariants, network: options.Network,
+		disk: options.Disk, clock: options.Clock, loop: newLoop(), wallClock: newWallClock(), left: make(chan struct{}),
+		failures: make(chan error, 1)}
 	if n.clock == nil {
 		n.clock = time.Now
 	}
--- a/internal/system/control/restart.go
+++ b/internal/system/control/restart.go
@@ -25,8 +25,9 @@
 	if records, err = n.replaceUnfitRecords(disk, file, records); err != nil {
 		return fmt.Errorf("give up an unfit disk: %w", err)
 	}
-	engine, err := newEngine(engineOptions{config: n.replicaConfig(), log: file, records: records, now: n.now, post: n.loop.postUrgent, postDeferred: n.loop.postDeferred,
-		send: n.sender.Send, applied: n.commandApplied, caughtUp: n.logBacklogApplied, committed: n.counts.latency.Observe, snapshotInstalled: n.snapshotInstalled, event: n.handleEvent,
+	engine, err := newEngine(engineOptions{config: n.replicaConfig(), log: file, records: records, now: n.now, post: n.loop.postUrgent,
+		postDeferred: n.loop.postDeferred, send: n.sender.Send, applied: n.commandApplied, caughtUp: n.logBacklogApplied,
+		committed: n.counts.latency.Observe, snapshotInstalled: n.snapshotInstalled, event: n.handleEvent,
 		diskFailed: n.diskFailed, fatal: n.fail, logRewritten: n.logRewritten, invariants: n.invariants})
 	if err != nil {
 		return fmt.Errorf("read log: %w", err)
--- a/internal/system/control/sharesworld_test.go
+++ b/internal/system/control/sharesworld_test.go
@@ -95,7 +95,8 @@
 	file, records, err := wal.Open(simdisk.New(uint64(number)).Process(), logName)
 	require.NoError(w.t, err)
 	r.engine, err = newEngine(engineOptions{config: r.replicaConfig(), log: file, records: records, now: r.now, post: r.loop.post,
-		send: r.send, applied: r.applyAndCheckShares, caughtUp: func(int, time.Duration) {}, postDeferred: r.loop.post, committed: r.counts.latency.Observe, snapshotInstalled: r.snapshotInstalled, event: r.handleEvent,
+		send: r.send, applied: r.applyAndCheckShares, caughtUp: func(int, time.Duration) {}, postDeferred: r.loop.post, committed: r.counts.latency.Observe,
+		snapshotInstalled: r.snapshotInstalled, event: r.handleEvent,
 		diskFailed: r.fault, fatal: r.fault})
 	require.NoError(w.t, err)
 	return r
