--- a/internal/system/control/handover.go
+++ b/internal/system/control/handover.go
@@ -8,36 +8,36 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// handoverPatience is how long an operator's call waits: for the transfer, and for the loop besides.
-const handoverPatience = leavePatience + lookPatience
+// handoverTimeout is how long an operator's call waits: for the transfer, and in addition for the loop.
+const handoverTimeout = leaveTimeout + operatorQueryTimeout
 
-// handover is a transfer that an operator has asked for; the replica comes back as a learner.
-type handover struct {
+// pendingHandover is a transfer that an operator has requested. Afterwards the replica rejoins the chain as a learner.
+type pendingHandover struct {
 	engine *engine
 	answer func(internalapi.HandoverReply)
 }
 
-// Handover has the head hand over to its successor.
+// Handover makes the head hand over to its successor.
 func (s *Service) Handover(_ internalapi.HandoverArgs, reply *internalapi.HandoverReply) error {
 	doubt := internalapi.HandoverReply{Verdict: internalapi.InDoubt, Text: "no answer in time: look at the view"}
-	*reply = ask(s.node, handoverPatience, doubt, s.node.handOver)
+	*reply = runOnLoop(s.node, handoverTimeout, doubt, s.node.startHandover)
 	return nil
 }
 
-// handOver runs on the loop.
-func (n *Node) handOver(answer func(internalapi.HandoverReply)) {
+// startHandover starts a requested transfer. It runs on the loop.
+func (n *Node) startHandover(answer func(internalapi.HandoverReply)) {
 	if refusal := n.handoverRefusal(); refusal != nil {
 		answer(*refusal)
 		return
 	}
-	n.logger.Info("handover asked for", "epoch", n.engine.view().Epoch)
-	asked := &handover{engine: n.engine, answer: answer}
-	n.handover = asked
-	time.AfterFunc(leavePatience, func() { n.loop.post(func() { n.handoverExpired(asked) }) })
+	n.logger.Info("handover requested", "epoch", n.engine.view().Epoch)
+	request := &pendingHandover{engine: n.engine, answer: answer}
+	n.handover = request
+	time.AfterFunc(leaveTimeout, func() { n.loop.post(func() { n.handoverExpired(request) }) })
 	n.engine.step(replica.Leave{})
 }
 
-// handoverRefusal tells why a handover would do harm or can't be; nil: nothing speaks against it.
+// handoverRefusal returns the reason why a handover is impossible or would do harm, or nil.
 func (n *Node) handoverRefusal() *internalapi.HandoverReply {
 	newest := n.engine.view()
 	least := n.settings.FaultTolerance.Machines + 2
@@ -54,37 +54,38 @@
 	return nil
 }
 
-// handoverDone answers for a transfer that is decided, and has the replica come back as a learner.
-func (n *Node) handoverDone() {
-	asked := n.handover
-	if asked == nil {
+// finishHandover answers the operator after the transfer is decided and makes the replica rejoin as a learner.
+func (n *Node) finishHandover() {
+	request := n.handover
+	if request == nil {
 		return
 	}
 	n.handover = nil
 	n.logger.Info("handed over", "epoch", n.engine.view().Epoch)
-	asked.answer(internalapi.HandoverReply{Verdict: internalapi.Done, View: n.engine.view()})
+	request.answer(internalapi.HandoverReply{Verdict: internalapi.Done, View: n.engine.view()})
 	n.rejoin()
 }
 
-// handoverExpired ends a transfer that came to nothing: a replica that has said it leaves can only come back by a restart of its core.
-func (n *Node) handoverExpired(asked *handover) {
-	if n.handover != asked {
+// handoverExpired ends a transfer that was not decided in time. A replica that has announced its departure can only come back by a restart
+// of its core.
+func (n *Node) handoverExpired(request *pendingHandover) {
+	if n.handover != request {
 		return
 	}
 	n.handover = nil
-	n.logger.Warn("handover came to nothing", "epoch", n.engine.view().Epoch)
-	asked.answer(internalapi.HandoverReply{Verdict: internalapi.InDoubt, Text: "not decided in time: look at the view"})
-	if n.engine == asked.engine {
+	n.logger.Warn("handover timed out", "epoch", n.engine.view().Epoch)
+	request.answer(internalapi.HandoverReply{Verdict: internalapi.InDoubt, Text: "not decided in time: look at the view"})
+	if n.engine == request.engine {
 		n.rejoin()
 	}
 }
 
-// rejoin starts the replica's core again from its disk.
+// rejoin restarts the replica's core from its disk.
 func (n *Node) rejoin() {
 	if n.engine.closed || n.leaving {
 		return
 	}
 	n.dropScheduler()
 	n.engine.close()
-	time.AfterFunc(restartPause, func() { n.loop.post(n.restartEngine) })
+	time.AfterFunc(restartDelay, func() { n.loop.post(n.restartEngine) })
 }
--- a/internal/system/control/headship.go
+++ b/internal/system/control/headship.go
@@ -7,33 +7,34 @@
 	"gaugeslip/internal/system/scheduler"
 )
 
-// event takes in what the replica core tells.
-func (n *Node) event(event replica.Event) {
+// handleEvent handles an event of the replica core.
+func (n *Node) handleEvent(event replica.Event) {
 	switch event := event.(type) {
 	case replica.BecameHead:
 		n.becameHead(event)
 	case replica.LostHead:
 		n.schedulerActive = false
-		n.logger.Info("head's lease lost", append([]any{"epoch", event.Epoch}, figuresOf(event.Cause)...)...)
+		n.logger.Info("head lease lost", append([]any{"epoch", event.Epoch}, causeFields(event.Cause)...)...)
 	case replica.ViewChanged:
 		n.viewChanged(event.View, event.Cause)
 	case replica.Left:
-		n.handedOver()
+		n.leftChain()
 	}
 }
 
-// handedOver ends the wait of Leave; a replica that only its disk has taken out of the chain comes back.
-func (n *Node) handedOver() {
+// leftChain ends the wait of Leave. Without one it completes a handover, if an operator has requested one, after which the replica comes
+// back.
+func (n *Node) leftChain() {
 	if n.leaving {
 		n.leaving = false
 		close(n.left)
 		return
 	}
-	n.handoverDone()
+	n.finishHandover()
 }
 
 func (n *Node) becameHead(event replica.BecameHead) {
-	n.logger.Info("head", "epoch", event.Epoch, "continued", event.Continued, "quiet", n.commits.quiet(n.now()))
+	n.logger.Info("head", "epoch", event.Epoch, "continued", event.Continued, "quiet", n.commitPauses.pauseLength(n.now()))
 	n.schedulerActive = true
 	if event.Continued && n.scheduler != nil {
 		return
@@ -44,30 +45,30 @@
 	if n.config != nil {
 		n.scheduler.Configured(n.now(), n.config)
 	}
-	n.takeEarlyList()
-	n.spreadConfig() // others that have just started may know an old one only, and spread none
+	n.useEarlyList()
+	n.gossipConfig() // other replicas that have just started may know only an outdated configuration and do not gossip it
 }
 
-// dropScheduler ends the scheduler role here; what its calls come to concerns nobody any more.
+// dropScheduler ends the scheduler role of this replica. Results of its outstanding calls are ignored.
 func (n *Node) dropScheduler() {
 	n.scheduler, n.schedulerActive = nil, false
 }
 
 func (n *Node) viewChanged(newest view.View, cause replica.Cause) {
 	n.counts.views++
-	n.tellOfView(newest, cause)
+	n.logView(newest, cause)
 	if newest.Head().ID != n.engine.replica.Self().ID {
 		n.dropScheduler()
-		n.engine.refuseQueued()
+		n.engine.rejectQueued()
 	} else {
 		n.readListEarly()
 	}
 	data, err := internalapi.EncodeView(newest)
 	if err != nil {
-		n.logger.Error("view not spread", "error", err)
+		n.logger.Error("cannot encode view for gossip", "error", err)
 		return
 	}
-	n.spread(internalapi.KeyView, internalapi.ViewVersion(newest), data)
+	n.gossip(internalapi.KeyView, internalapi.ViewVersion(newest), data)
 }
 
 func addresses(members []view.Member) []string {
--- a/internal/system/control/operator.go
+++ b/internal/system/control/operator.go
@@ -14,35 +14,35 @@
 
 const (
 	baseVersionHeader = "X-Gaugeslip-Base-Version"
-	// operatorPatience is how long an order may take before it is left without a clear answer: less than the second after which an
-	// operator goes on to another machine.
-	operatorPatience = 900 * time.Millisecond
-	mostConfigBytes  = 8 << 20
-	// orderPart is the part of the machine's memory that all orders which arrive may take together, leastOrderMemory what they may take at
-	// least: two of the largest. In the process an order is held several times over.
-	orderPart        = 8
-	leastOrderMemory = 2 * mostConfigBytes
-	megabyte         = 1 << 20
+	// operatorTimeout is how long a request may take before it is answered as undecided: less than the second after which an operator goes
+	// on to another machine.
+	operatorTimeout = 900 * time.Millisecond
+	maxConfigBytes  = 8 << 20
+	// All request bodies in transit together may take 1/configMemoryDivisor of the machine's memory, but at least minConfigMemory, which is
+	// two bodies of the largest size. The process holds several copies of each body.
+	configMemoryDivisor = 8
+	minConfigMemory     = 2 * maxConfigBytes
+	megabyte            = 1 << 20
 )
 
-// operatorAPI is the operator's API over HTTP. It knows how to reach whoever may answer.
+// operatorAPI is the operators' API over HTTP. Its functions reach the replica that may answer.
 type operatorAPI struct {
 	replace func(internalapi.ReplaceArgs, time.Duration) internalapi.ReplaceReply
 	read    func(time.Duration) internalapi.ReadReply
-	figures http.HandlerFunc
+	metrics http.HandlerFunc
 	bodies  *memorybudget.Budget
 }
 
-// newOperatorAPI is one for a machine with so much memory, in megabytes; 0: not known.
+// newOperatorAPI creates the API for a machine with the given memory in megabytes. 0 means not known.
 func newOperatorAPI(memoryMb float64) *operatorAPI {
-	return &operatorAPI{bodies: memorybudget.NewBudget(max(leastOrderMemory, int64(memoryMb*megabyte)/orderPart))}
+	return &operatorAPI{bodies: memorybudget.NewBudget(max(minConfigMemory, int64(memoryMb*megabyte)/configMemoryDivisor))}
 }
 
 func (o *operatorAPI) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /Config.Replace", o.serveReplace)
 	mux.HandleFunc("GET /Config.Read", o.serveRead)
-	mux.HandleFunc("GET /metrics", o.figures)
+	mux.HandleFunc("GET /metrics", o.metrics)
 	return mux
 }
 
@@ -54,19 +54,19 @@
 	}
 	lease := o.bodies.Lease()
 	defer lease.Release()
-	body, err := requestbody.Read(request, mostConfigBytes, lease)
+	body, err := requestbody.Read(request, maxConfigBytes, lease)
 	if errors.Is(err, requestbody.ErrTooLarge) {
 		writer.Header().Set("Connection", "close")
 		http.Error(writer, err.Error(), http.StatusRequestEntityTooLarge)
 		return
 	}
 	if err != nil {
-		// An answer without a status would be a 200, which a caller that has only closed its own direction still reads.
+		// Without an explicit status net/http would answer 200, which a caller that has only closed its sending direction still reads.
 		writer.Header().Set("Connection", "close")
-		http.Error(writer, "the body can't be read in full: "+err.Error(), unreadStatus(err))
+		http.Error(writer, "the body can't be read in full: "+err.Error(), bodyErrorStatus(err))
 		return
 	}
-	reply := o.replace(internalapi.ReplaceArgs{Base: base, Body: body}, operatorPatience)
+	reply := o.replace(internalapi.ReplaceArgs{Base: base, Body: body}, operatorTimeout)
 	if reply.Status == http.StatusOK {
 		writer.WriteHeader(http.StatusOK)
 		return
@@ -74,16 +74,16 @@
 	http.Error(writer, reply.Text, reply.Status)
 }
 
-// unreadStatus is the answer to an order whose body can't be read in full. One that broke off on its way, or that there is no memory for, may
-// be whole at the caller, and taken before: it isn't refused.
-func unreadStatus(err error) int {
+// bodyErrorStatus returns the status for a request whose body cannot be read in full. A body that was truncated on its way, or that there
+// is no memory for, may be complete at the caller and may have been accepted before: the status must not be a definite refusal.
+func bodyErrorStatus(err error) int {
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, requestbody.ErrNoMemory) {
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusBadRequest
 }
 
-// parseBase reads the version on which a configuration builds; absent means the first.
+// parseBase parses the version that a configuration is based on. An absent version means that there is none yet.
 func parseBase(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
@@ -92,7 +92,7 @@
 }
 
 func (o *operatorAPI) serveRead(writer http.ResponseWriter, _ *http.Request) {
-	reply := o.read(operatorPatience)
+	reply := o.read(operatorTimeout)
 	if reply.Verdict != internalapi.Done {
 		writer.Header().Set("Retry-After", "1")
 		http.Error(writer, reply.Text, http.StatusServiceUnavailable)
--- a/internal/system/control/operator_test.go
+++ b/internal/system/control/operator_test.go
@@ -16,10 +16,10 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// orderOver sends an order through the operator's API, which hands it to replace, and gives the answer.
-func orderOver(body io.Reader, base string, replace func(internalapi.ReplaceArgs, time.Duration) internalapi.ReplaceReply) int {
+// sendReplace sends a Replace request through the operators' API with the given replace function and returns the status.
+func sendReplace(body io.Reader, base string, replace func(internalapi.ReplaceArgs, time.Duration) internalapi.ReplaceReply) int {
 	api := newOperatorAPI(0)
-	api.replace, api.figures = replace, http.NotFound
+	api.replace, api.metrics = replace, http.NotFound
 	request := httptest.NewRequest(http.MethodPost, "/Config.Replace", body)
 	request.Header.Set(baseVersionHeader, base)
 	recorder := httptest.NewRecorder()
@@ -27,28 +27,28 @@
 	return recorder.Code
 }
 
-// What can't be read in full reaches no register, and its answer says so.
-func TestOrdersThatCantBeReadAreNotTaken(t *testing.T) {
+// A request that cannot be read in full is not passed on, and its status says so.
+func TestUnreadableOrdersAreNotPassedOn(t *testing.T) {
 	never := func(internalapi.ReplaceArgs, time.Duration) internalapi.ReplaceReply {
-		t.Error("the order is passed on")
+		t.Error("the request is passed on")
 		return internalapi.ReplaceReply{Status: http.StatusOK}
 	}
 	begun := strings.NewReader(`{"version":1`)
 	brokenOff := io.MultiReader(begun, iotest.ErrReader(fmt.Errorf("read: %w", io.ErrUnexpectedEOF)))
-	assert.Equal(t, http.StatusServiceUnavailable, orderOver(brokenOff, "0", never), "broken off on its way, it isn't refused")
+	assert.Equal(t, http.StatusServiceUnavailable, sendReplace(brokenOff, "0", never), "a truncated request is not definitely refused")
 	malformed := io.MultiReader(begun, iotest.ErrReader(errors.New("malformed chunk")))
-	assert.Equal(t, http.StatusBadRequest, orderOver(malformed, "0", never), "malformed")
-	assert.Equal(t, http.StatusBadRequest, orderOver(strings.NewReader("{}"), "one", never), "base without a number")
-	assert.Equal(t, http.StatusBadRequest, orderOver(strings.NewReader("{}"), "-1", never), "base below 0")
-	tooLong := strings.NewReader(strings.Repeat(" ", mostConfigBytes+1))
-	assert.Equal(t, http.StatusRequestEntityTooLarge, orderOver(tooLong, "0", never), "too long")
+	assert.Equal(t, http.StatusBadRequest, sendReplace(malformed, "0", never), "malformed")
+	assert.Equal(t, http.StatusBadRequest, sendReplace(strings.NewReader("{}"), "one", never), "base that is not a number")
+	assert.Equal(t, http.StatusBadRequest, sendReplace(strings.NewReader("{}"), "-1", never), "base below 0")
+	tooLong := strings.NewReader(strings.Repeat(" ", maxConfigBytes+1))
+	assert.Equal(t, http.StatusRequestEntityTooLarge, sendReplace(tooLong, "0", never), "too long")
 }
 
-// The answer is the reply's status; an order without a base builds on none.
+// The HTTP status is the status of the reply. A request without a base version has base 0.
 func TestOrdersAreAnsweredWithTheRepliesStatus(t *testing.T) {
 	for _, status := range []int{http.StatusOK, http.StatusBadRequest, http.StatusPreconditionFailed, http.StatusServiceUnavailable,
 		http.StatusGatewayTimeout} {
-		code := orderOver(strings.NewReader("body"), "", func(args internalapi.ReplaceArgs, _ time.Duration) internalapi.ReplaceReply {
+		code := sendReplace(strings.NewReader("body"), "", func(args internalapi.ReplaceArgs, _ time.Duration) internalapi.ReplaceReply {
 			assert.Equal(t, internalapi.ReplaceArgs{Base: 0, Body: []byte("body")}, args)
 			return internalapi.ReplaceReply{Status: status}
 		})
--- a/internal/system/control/overview.go
+++ b/internal/system/control/overview.go
@@ -9,18 +9,18 @@
 	"gaugeslip/internal/system/state"
 )
 
-// LogName is the name of a replica's log in its data folder.
+// LogName is the name of a replica's log in its data directory.
 const LogName = logName
 
-// lookPatience bounds how long an operator's question waits for the loop.
-const lookPatience = 2 * time.Second
+// operatorQueryTimeout bounds how long an operator's query waits for the loop.
+const operatorQueryTimeout = 2 * time.Second
 
 var errBusy = errors.New("the replica is too busy to answer; ask again")
 
-// look runs an operator's question on the loop.
-func look[T any](n *Node, question func() T) (T, error) {
+// queryOnLoop runs an operator's query on the loop and returns its result, or errBusy after operatorQueryTimeout.
+func queryOnLoop[T any](n *Node, question func() T) (T, error) {
 	var none T
-	answer := ask(n, lookPatience, (*T)(nil), func(answer func(*T)) {
+	answer := runOnLoop(n, operatorQueryTimeout, (*T)(nil), func(answer func(*T)) {
 		found := question()
 		answer(&found)
 	})
@@ -30,13 +30,13 @@
 	return *answer, nil
 }
 
-// Overview tells what the replica knows of itself and of the chain.
+// Overview returns the status of the replica and its knowledge of the chain.
 func (s *Service) Overview(_ internalapi.OverviewArgs, reply *internalapi.OverviewReply) (err error) {
-	*reply, err = look(s.node, s.node.overview)
+	*reply, err = queryOnLoop(s.node, s.node.overview)
 	return err
 }
 
-// overview runs on the loop.
+// overview builds the reply to Overview. It runs on the loop.
 func (n *Node) overview() internalapi.OverviewReply {
 	status := n.engine.replica.Status(n.now())
 	jobs, runs := countJobs(n.engine.machine)
@@ -50,10 +50,10 @@
 		LeaseMs:       status.Lease.Milliseconds(),
 		Scheduling:    n.acting(),
 		Committed:     status.Committed,
-		Applied:       n.engine.appliedTo,
+		Applied:       n.engine.appliedIndex,
 		Last:          status.Last,
 		Synced:        status.Synced,
-		LogBytes:      n.engine.disk.bytes(),
+		LogBytes:      n.engine.disk.logSize(),
 		ConfigVersion: n.engine.machine.Config().Version,
 		Tolerance:     n.settings.FaultTolerance.Machines,
 		Leaving:       status.Leaving,
@@ -98,7 +98,7 @@
 	return internalapi.RoleMember
 }
 
-// countJobs counts the jobs by state, and the runs that may exist.
+// countJobs counts the jobs by state, and the runs that may exist on workers.
 func countJobs(machine *state.Machine) (jobs map[string]int, runs int) {
 	counts := [state.Cancelled + 1]int{}
 	for _, job := range machine.Jobs() {
--- a/internal/system/control/roles.go
+++ b/internal/system/control/roles.go
@@ -12,23 +12,25 @@
 )
 
 const (
-	clockEvery        = time.Second
-	clockCallTimeout  = 400 * time.Millisecond
-	housekeepingEvery = time.Second
-	forgetAtMost      = 8192
-	forgetEvery       = 10 * time.Second
-	// tickEvery is how often the core is told to judge at least, while there is anything to do: each of its steps may put its wake off.
-	tickEvery = 20 * time.Millisecond
+	clockReadInterval    = time.Second
+	clockCallTimeout     = 400 * time.Millisecond
+	housekeepingInterval = time.Second
+	maxForgottenJobs     = 8192
+	forgetInterval       = 10 * time.Second
+	// maxTickInterval is the longest time between two ticks of the core while there is other work. Without it, every step of the core could
+	// postpone its wake-up time.
+	maxTickInterval = 20 * time.Millisecond
 )
 
-// flush collects what the cores want done after a batch of inputs, until nothing more comes up, and gives the time to the next wake.
+// flush collects and carries out the output of the cores after a batch of inputs, until there is no more or the limit of rounds is reached.
+// It returns the time until the next wake-up.
 func (n *Node) flush() time.Duration {
-	n.loop.attend()
-	n.takeConfig()
+	n.loop.runUrgent()
+	n.applyPendingConfig()
 	n.periodic(n.now())
 	for range 8 {
 		ordered := n.runScheduler()
-		n.loop.attendWhenDue()
+		n.loop.runUrgentIfDue()
 		if !n.engine.flush() && !ordered {
 			break
 		}
@@ -36,82 +38,82 @@
 	return n.nextWake()
 }
 
-// tickCore lets the replica core judge, beat and stand for election as soon as that is due, also in the midst of a batch: just then
-// all that had come in for it has been handed to it.
+// tickCore ticks the replica core when its timers are due, also within a batch, so that heartbeats and elections are on time. The loop
+// calls it right after all messages received so far were passed to the core.
 func (n *Node) tickCore() {
-	if now := n.now(); !n.engine.closed && (now >= n.engine.wake || now-n.tickedAt >= tickEvery) {
-		n.tickedAt = now
+	if now := n.now(); !n.engine.closed && (now >= n.engine.wakeAt || now-n.lastTick >= maxTickInterval) {
+		n.lastTick = now
 		n.engine.step(replica.Tick{})
 	}
 }
 
 func (n *Node) nextWake() time.Duration {
 	now := n.now()
-	wake := min(n.clockAt, n.housekeepingAt)
+	wake := min(n.nextClockRead, n.nextHousekeeping)
 	if !n.engine.closed {
-		wake = min(wake, n.engine.wake)
+		wake = min(wake, n.engine.wakeAt)
 	}
 	if n.schedulerActive {
-		if n.schedulerWake > 0 {
-			wake = min(wake, n.schedulerWake)
+		if n.schedulerWakeAt > 0 {
+			wake = min(wake, n.schedulerWakeAt)
 		}
-		if n.platform.reading == nil {
-			wake = min(wake, n.platform.readAt)
+		if n.platform.request == nil {
+			wake = min(wake, n.platform.nextReadAt)
 		}
 	}
 	return max(wake-now, time.Millisecond)
 }
 
-// periodic does what falls due by itself.
+// periodic runs the tasks that are due at regular intervals.
 func (n *Node) periodic(now time.Duration) {
-	if now >= n.clockAt {
-		n.clockAt = now + clockEvery
+	if now >= n.nextClockRead {
+		n.nextClockRead = now + clockReadInterval
 		n.readClocks()
-		n.tellWallClock(now)
+		n.updateSchedulerClock(now)
 	}
-	if now >= n.housekeepingAt {
-		n.housekeepingAt = now + housekeepingEvery
-		n.keepHouse()
+	if now >= n.nextHousekeeping {
+		n.nextHousekeeping = now + housekeepingInterval
+		n.housekeep()
 	}
 	if n.schedulerActive && n.platform.due(now) {
 		n.readList()
 	}
 }
 
-// runScheduler lets the scheduler work and tells whether it wanted anything.
+// runScheduler carries out the scheduler's output and reports whether there were commands or calls.
 func (n *Node) runScheduler() bool {
 	if n.scheduler == nil || !n.schedulerActive || !n.engine.isHead() {
 		return false
 	}
 	now := n.now()
-	if n.schedulerWake > 0 && now >= n.schedulerWake {
+	if n.schedulerWakeAt > 0 && now >= n.schedulerWakeAt {
 		n.scheduler.Tick(now)
 	}
 	output := n.scheduler.Drain()
 	n.checkScheduler(now)
-	n.schedulerWake = output.Wake
+	n.schedulerWakeAt = output.Wake
 	if output.Superseded {
-		n.logger.Warn("a worker has seen a higher token", "epoch", n.schedulerEpoch)
+		n.logger.Warn("a worker has seen a higher fencing token", "epoch", n.schedulerEpoch)
 		n.schedulerActive = false
-		n.orders.breakOff() // nothing more goes out with this token
+		n.workerCalls.cancelAll() // no further call is sent with this token
 		return false
 	}
-	n.tellOfWaits(output.Findings)
-	n.counts.late.note(output.Late)
+	n.logWaitingTasks(output.Findings)
+	n.counts.lateJobs.record(output.Late)
 	for _, command := range output.Commands {
-		n.engine.propose(command, func(state.Result, fate) {})
+		n.engine.propose(command, func(state.Result, commitStatus) {})
 	}
-	n.makeCalls(output.Calls)
+	n.sendCalls(output.Calls)
 	return len(output.Commands)+len(output.Calls) > 0
 }
 
-// makeCalls makes the scheduler's calls if this replica is still the head: with a large fleet the decisions before may have outlasted its
-// lease. Otherwise none is sent, and the scheduler is told so.
-func (n *Node) makeCalls(calls []scheduler.Call) {
+// sendCalls makes the scheduler's calls if this replica is still the head: with a large fleet, the decisions may have taken longer than its
+// lease. Otherwise it sends nothing and reports the calls as not sent to the scheduler.
+func (n *Node) sendCalls(calls []scheduler.Call) {
 	if len(calls) == 0 {
 		return
 	}
-	sender := sending{epoch: n.engine.view().Epoch, head: n.engine.isHead()}
+	sender := senderState{epoch: n.engine.view().Epoch, head: n.engine.isHead()}
 	if !sender.head {
 		for i := range calls {
 			n.callEnded(n.scheduler, calls[i].ID, workerapi.HoldReply{Outcome: workerapi.NotSent})
@@ -120,11 +122,11 @@
 	}
 	n.checkCalls(calls, sender)
 	for _, call := range calls {
-		n.call(call)
+		n.callWorker(call)
 	}
 }
 
-// callEnded hands the end of a call to the scheduler that made it; for another one it doesn't count.
+// callEnded passes the result of a call to the scheduler that made it. It drops the result if another scheduler acts by then.
 func (n *Node) callEnded(from *scheduler.Scheduler, id uint64, reply workerapi.HoldReply) {
 	n.loop.post(func() {
 		if n.scheduler == from {
@@ -133,20 +135,20 @@
 	})
 }
 
-// call makes one of the scheduler's calls.
-func (n *Node) call(call scheduler.Call) {
+// callWorker makes one of the scheduler's calls.
+func (n *Node) callWorker(call scheduler.Call) {
 	from := n.scheduler
 	end := func(reply workerapi.HoldReply) { n.callEnded(from, call.ID, reply) }
-	started := n.orders.start(call.Timeout, func(ctx context.Context, client *workerapi.Client) {
-		end(carryOut(ctx, client, &call))
+	started := n.workerCalls.start(call.Timeout, func(ctx context.Context, client *workerapi.Client) {
+		end(performCall(ctx, client, &call))
 	})
 	if !started {
 		end(workerapi.HoldReply{Outcome: workerapi.NotSent})
 	}
 }
 
-// carryOut makes a call and gives what is certain about it.
-func carryOut(ctx context.Context, client *workerapi.Client, call *scheduler.Call) workerapi.HoldReply {
+// performCall makes a call and returns its definite outcome, or that it is unknown.
+func performCall(ctx context.Context, client *workerapi.Client, call *scheduler.Call) workerapi.HoldReply {
 	switch call.Kind {
 	case scheduler.CallStart:
 		reply, _ := client.Start(ctx, call.Worker, call.Start)
@@ -160,7 +162,7 @@
 	}
 }
 
-// readClocks asks the other replicas for their time of day.
+// readClocks reads the clocks of the other replicas.
 func (n *Node) readClocks() {
 	if n.engine.closed {
 		return
@@ -180,52 +182,54 @@
 	}
 	received := n.clock()
 	ours := sent.Add(received.Sub(sent) / 2)
-	n.loop.post(func() { n.wall.heard(address, time.UnixMilli(reply.UnixMs), ours, n.now()) })
+	n.loop.post(func() { n.wallClock.observe(address, time.UnixMilli(reply.UnixMs), ours, n.now()) })
 }
 
-func (n *Node) tellWallClock(now time.Duration) {
+func (n *Node) updateSchedulerClock(now time.Duration) {
 	if n.scheduler != nil {
 		n.scheduler.WallClock(now, n.unixMs(now))
 	}
 }
 
-// unixMs is the trusted time of day in milliseconds since 1970.
-func (n *Node) unixMs(now time.Duration) int64 { return n.clock().Add(n.wall.offset(now)).UnixMilli() }
+// unixMs returns the time of day in milliseconds since 1970, corrected by the median of the replicas' clocks.
+func (n *Node) unixMs(now time.Duration) int64 {
+	return n.clock().Add(n.wallClock.offset(now)).UnixMilli()
+}
 
-// keepHouse tells the core of replicas that were heard of, and forgets jobs that were over for long enough.
-func (n *Node) keepHouse() {
-	n.tellOfLateJobs(n.now())
+// housekeep logs late jobs, passes the known replica addresses to the core, and forgets jobs that were finished long enough ago.
+func (n *Node) housekeep() {
+	n.logLateJobsIfDue(n.now())
 	if n.engine.closed {
 		return
 	}
 	n.engine.step(replica.Contacts{Addresses: n.contacts()})
-	if n.schedulerActive && n.engine.isHead() && n.now() >= n.forgetAt {
-		n.forgetAt = n.now() + forgetEvery
+	if n.schedulerActive && n.engine.isHead() && n.now() >= n.nextForgetAt {
+		n.nextForgetAt = n.now() + forgetInterval
 		n.forgetJobs()
 	}
 }
 
-// forgetJobs drops jobs that have been over for twice the time for which their state has to be told, as far as this head has seen.
+// forgetJobs forgets jobs that this head has seen finished for longer than twice the time for which their state must be available.
 func (n *Node) forgetJobs() {
 	now := n.now()
 	keep := 2 * n.settings.Bounds.Status()
-	over := make(map[state.JobID]time.Duration, len(n.overSince))
+	finished := make(map[state.JobID]time.Duration, len(n.finishedSince))
 	var old []state.JobID
 	for id, job := range n.engine.machine.Jobs() {
 		if !job.State.Finished() || job.Runs > 0 {
 			continue
 		}
-		since, seen := n.overSince[id]
+		since, seen := n.finishedSince[id]
 		if !seen {
 			since = now
 		}
-		over[id] = since
-		if now-since > keep && len(old) < forgetAtMost {
+		finished[id] = since
+		if now-since > keep && len(old) < maxForgottenJobs {
 			old = append(old, id)
 		}
 	}
-	n.overSince = over
+	n.finishedSince = finished
 	if len(old) > 0 {
-		n.engine.propose(state.Command{Kind: state.KindJobsForgotten, JobsForgotten: old}, func(state.Result, fate) {})
+		n.engine.propose(state.Command{Kind: state.KindJobsForgotten, JobsForgotten: old}, func(state.Result, commitStatus) {})
 	}
 }
--- a/internal/system/control/service.go
+++ b/internal/system/control/service.go
@@ -7,14 +7,14 @@
 	"gaugeslip/internal/system/state"
 )
 
-// commitPatience bounds how long a call waits for its commit; after that its outcome is in doubt.
-const commitPatience = 5 * time.Second
+// commitTimeout bounds how long a call waits for its commit. After that its outcome is in doubt.
+const commitTimeout = 5 * time.Second
 
-// Service is what dispatchers and other replicas call over net/rpc.
+// Service is the net/rpc service for dispatchers, operators and other replicas.
 type Service struct{ node *Node }
 
-// ask runs a question on the loop and waits for its answer, for the patience at most.
-func ask[T any](n *Node, patience time.Duration, expired T, question func(answer func(T))) T {
+// runOnLoop runs a question on the loop and waits for its answer. It returns expired if the loop stops or the timeout passes first.
+func runOnLoop[T any](n *Node, timeout time.Duration, expired T, question func(answer func(T))) T {
 	answers := make(chan T, 1)
 	n.loop.post(func() {
 		question(func(answer T) {
@@ -24,7 +24,7 @@
 			}
 		})
 	})
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case answer := <-answers:
@@ -36,9 +36,9 @@
 	}
 }
 
-// Digest tells what is newest here.
+// Digest returns the newest epoch and configuration version known here.
 func (s *Service) Digest(_ internalapi.DigestArgs, reply *internalapi.DigestReply) error {
-	*reply = ask(s.node, time.Second, internalapi.DigestReply{}, func(answer func(internalapi.DigestReply)) {
+	*reply = runOnLoop(s.node, time.Second, internalapi.DigestReply{}, func(answer func(internalapi.DigestReply)) {
 		e := s.node.engine
 		e.read(func(current bool) {
 			answer(internalapi.DigestReply{Epoch: e.view().Epoch, ConfigVersion: e.machine.Config().Version, Serving: current,
@@ -48,9 +48,10 @@
 	return nil
 }
 
-// Fetch gives what is newer here than at the caller, but no configuration that may be an old one.
+// Fetch returns the view known here unless it is older than the caller's, and the configuration if it is newer than the caller's and not
+// possibly outdated.
 func (s *Service) Fetch(args internalapi.FetchArgs, reply *internalapi.FetchReply) error {
-	*reply = ask(s.node, time.Second, internalapi.FetchReply{}, func(answer func(internalapi.FetchReply)) {
+	*reply = runOnLoop(s.node, time.Second, internalapi.FetchReply{}, func(answer func(internalapi.FetchReply)) {
 		e := s.node.engine
 		var newer internalapi.FetchReply
 		if newest := e.view(); newest.Known() && newest.Epoch >= args.Epoch {
@@ -64,15 +65,15 @@
 	return nil
 }
 
-// Submit takes a job into custody.
+// Submit accepts a job.
 func (s *Service) Submit(args internalapi.SubmitArgs, reply *internalapi.JobReply) error {
 	doubt := internalapi.JobReply{Verdict: internalapi.InDoubt}
-	*reply = ask(s.node, commitPatience, doubt, func(answer func(internalapi.JobReply)) { s.node.submit(&args, answer) })
-	s.node.counts.answered(reply.Verdict)
+	*reply = runOnLoop(s.node, commitTimeout, doubt, func(answer func(internalapi.JobReply)) { s.node.submit(&args, answer) })
+	s.node.counts.countSubmitVerdict(reply.Verdict)
 	return nil
 }
 
-// submit runs on the loop.
+// submit decides a submission. It runs on the loop.
 func (n *Node) submit(args *internalapi.SubmitArgs, answer func(internalapi.JobReply)) {
 	if !n.acting() {
 		answer(n.notHead())
@@ -86,7 +87,7 @@
 		answer(internalapi.JobReply{Verdict: internalapi.Overloaded, Text: "no configuration yet"})
 		return
 	}
-	accepted := n.accepted(args)
+	accepted := n.acceptedCommand(args)
 	if accepted == nil {
 		answer(internalapi.JobReply{Verdict: internalapi.NoRoute, ConfigVersion: uint64(n.config.Version)})
 		return
@@ -95,13 +96,13 @@
 		answer(internalapi.JobReply{Verdict: internalapi.Invalid, Text: err.Error()})
 		return
 	}
-	n.engine.propose(state.Command{Kind: state.KindJobAccepted, JobAccepted: accepted}, func(result state.Result, fate fate) {
-		answer(n.jobReply(result, fate))
+	n.engine.propose(state.Command{Kind: state.KindJobAccepted, JobAccepted: accepted}, func(result state.Result, status commitStatus) {
+		answer(n.jobReply(result, status))
 	})
 }
 
-// accepted joins a job with what its queue says now; nil if there is no such queue.
-func (n *Node) accepted(args *internalapi.SubmitArgs) *state.JobAccepted {
+// acceptedCommand combines a submitted job with the present settings of its route. It returns nil if there is no such route.
+func (n *Node) acceptedCommand(args *internalapi.SubmitArgs) *state.JobAccepted {
 	for i := range n.config.Routes {
 		route := &n.config.Routes[i]
 		if route.Name != args.Route {
@@ -114,11 +115,11 @@
 	return nil
 }
 
-func (n *Node) jobReply(result state.Result, fate fate) internalapi.JobReply {
+func (n *Node) jobReply(result state.Result, status commitStatus) internalapi.JobReply {
 	switch {
-	case fate == fateInDoubt:
+	case status == statusInDoubt:
 		return internalapi.JobReply{Verdict: internalapi.InDoubt}
-	case fate == fateRefused:
+	case status == statusRejected:
 		return n.notHead()
 	case result.Outcome == state.Malformed:
 		return internalapi.JobReply{Verdict: internalapi.Invalid, Text: "the job can't be read"}
@@ -128,17 +129,16 @@
 	return internalapi.JobReply{Verdict: internalapi.Done}
 }
 
-// acting tells whether this replica may take orders now.
+// acting reports whether this replica is the head with its lease and may decide requests now.
 func (n *Node) acting() bool { return n.schedulerActive && n.engine.isHead() }
 
 func (n *Node) notHead() internalapi.JobReply {
 	return internalapi.JobReply{Verdict: internalapi.NotHead, View: n.engine.view()}
 }
 
-// Cancel cancels a job.
 func (s *Service) Cancel(args internalapi.CancelArgs, reply *internalapi.JobReply) error {
 	doubt := internalapi.JobReply{Verdict: internalapi.InDoubt}
-	*reply = ask(s.node, commitPatience, doubt, func(answer func(internalapi.JobReply)) { s.node.cancel(args, answer) })
+	*reply = runOnLoop(s.node, commitTimeout, doubt, func(answer func(internalapi.JobReply)) { s.node.cancel(args, answer) })
 	return nil
 }
 
@@ -148,22 +148,22 @@
 		return
 	}
 	cancelled := &state.JobCancelled{ID: state.JobID(args.ID), AtMs: n.unixMs(n.now())}
-	n.engine.propose(state.Command{Kind: state.KindJobCancelled, JobCancelled: cancelled}, func(result state.Result, fate fate) {
-		answer(n.jobReply(result, fate))
+	n.engine.propose(state.Command{Kind: state.KindJobCancelled, JobCancelled: cancelled}, func(result state.Result, status commitStatus) {
+		answer(n.jobReply(result, status))
 	})
 }
 
-// Status tells a job's state.
+// Status returns a job's state.
 func (s *Service) Status(args internalapi.StatusArgs, reply *internalapi.JobReply) error {
 	id := state.JobID(args.ID)
 	refused := internalapi.JobReply{Verdict: internalapi.NotHead}
-	*reply = ask(s.node, time.Second, refused, func(answer func(internalapi.JobReply)) {
+	*reply = runOnLoop(s.node, time.Second, refused, func(answer func(internalapi.JobReply)) {
 		s.node.engine.readJob(id, func(current bool) { answer(s.node.statusOf(id, current)) })
 	})
 	return nil
 }
 
-// statusOf tells a job's state as it is here, if that is current.
+// statusOf returns a job's state, if the local state is current.
 func (n *Node) statusOf(id state.JobID, current bool) internalapi.JobReply {
 	if !current {
 		return n.notHead()
@@ -175,11 +175,11 @@
 	return internalapi.JobReply{Verdict: internalapi.Done, State: job.State.String()}
 }
 
-// Count tells how many jobs of a queue have begun nothing. Only the head knows: the replicated state holds a run from its intent on, and
-// whether it has begun is between the head and the worker until it ends.
+// Count returns how many jobs of a route have no task that has begun. Only the head can answer: the replicated state contains a run from
+// its intent on, and only the head and the worker know whether it has begun, until it ends.
 func (s *Service) Count(args internalapi.CountArgs, reply *internalapi.JobReply) error {
 	refused := internalapi.JobReply{Verdict: internalapi.NotHead}
-	*reply = ask(s.node, time.Second, refused, func(answer func(internalapi.JobReply)) {
+	*reply = runOnLoop(s.node, time.Second, refused, func(answer func(internalapi.JobReply)) {
 		if !s.node.acting() {
 			answer(s.node.notHead())
 			return
--- a/internal/system/control/tenants_test.go
+++ b/internal/system/control/tenants_test.go
@@ -17,7 +17,7 @@
 	`"type":"idempotent","timeoutMs":2000,"targetLatencyMs":500,"backend":"farm","maxRetries":2,"extension":2}],` +
 	`"services":[{"name":"farm"}]}`
 
-// tenants asks the head until it answers.
+// tenants requests the tenants from the head until it answers.
 func (c *testCluster) tenants(chain int) internalapi.TenantsReply {
 	var reply internalapi.TenantsReply
 	c.until(func() bool {
@@ -27,7 +27,7 @@
 	return reply
 }
 
-func TestOperatorsLookAtTenants(t *testing.T) {
+func TestTenantsQuery(t *testing.T) {
 	cluster := startCluster(t, 1, 0)
 	cluster.replace(1, tenantConfig)
 	cluster.submit(1, 7, "barn", `{"stages":[{"count":3,"cpu":500,"memMb":100,"gpus":1,"estimatedMs":200}]}`, internalapi.Done)
@@ -59,7 +59,7 @@
 	})
 }
 
-func TestWithoutTenantsThereAreNoFiguresOfThem(t *testing.T) {
+func TestNoTenantMetricsWithoutTenants(t *testing.T) {
 	cluster := startCluster(t, 1, 0)
 	cluster.replace(1, testConfig)
 	cluster.submit(1, 7, "barn", `{"stages":[{"count":1,"cpu":500,"memMb":100,"gpus":4,"estimatedMs":200}]}`, internalapi.Done)
