--- a/internal/system/dataplane/answer.go
+++ b/internal/system/dataplane/answer.go
@@ -7,80 +7,80 @@
 	"gaugeslip/internal/system/findings"
 )
 
-// answer is what a client gets.
-type answer struct {
+// response is what a client gets.
+type response struct {
 	status int
 	body   []byte
-	// retry says that the client may come back in a second: the request surely wasn't carried out.
-	retry bool
-	allow []string
+	// retryable says that the client may come back in a second: the request surely wasn't carried out.
+	retryable bool
+	allow     []string
 	// close ends the connection: what is left of the request isn't waited for.
 	close bool
-	// course explains an answer without success.
-	course course
+	// summary explains an answer without success.
+	summary callSummary
 }
 
-// after is the answer with what became of the tries for it.
-func (a answer) after(went course) answer {
-	a.course = went
+// withSummary is the answer with what became of the tries for it.
+func (a response) withSummary(summary callSummary) response {
+	a.summary = summary
 	return a
 }
 
-// because is the answer with its reason.
-func (a answer) because(reason failureReason, went course) answer {
-	went.reason = reason
-	return a.after(went)
+// withReason is the answer with its reason.
+func (a response) withReason(reason failureReason, summary callSummary) response {
+	summary.reason = reason
+	return a.withSummary(summary)
 }
 
 // Header values are shared by all answers and never changed.
 var (
-	jsonType     = []string{"application/json"}
-	closeValue   = []string{"close"}
-	retryAfter   = []string{"1"}
-	routeMethods = []string{"GET"}
-	jobMethods   = []string{"GET, POST, DELETE"}
+	jsonType        = []string{"application/json"}
+	closeValue      = []string{"close"}
+	retryAfterValue = []string{"1"}
+	routeMethods    = []string{"GET"}
+	jobMethods      = []string{"GET, POST, DELETE"}
 )
 
 var (
-	accepted         = answer{status: http.StatusOK}
-	cancelled        = answer{status: http.StatusOK}
-	gone             = answer{status: http.StatusGone}
-	notFound         = answer{status: http.StatusNotFound}
-	unavailable      = answer{status: http.StatusServiceUnavailable, retry: true}
-	overloaded       = answer{status: http.StatusTooManyRequests, retry: true}
-	noMemory         = answer{status: http.StatusTooManyRequests, retry: true, close: true}
-	timedOut         = answer{status: http.StatusGatewayTimeout}
-	bodyTooLarge     = answer{status: http.StatusRequestEntityTooLarge}
-	bodyTimedOut     = answer{status: http.StatusRequestTimeout}
-	badID            = invalid(findings.Findings{{Place: "id", Text: "is not 16 hex digits"}})
-	unreadable       = invalid(findings.Findings{{Place: "body", Text: "can't be read in full"}})
-	wrongMethod      = answer{status: http.StatusMethodNotAllowed, allow: jobMethods}
-	wrongRouteMethod = answer{status: http.StatusMethodNotAllowed, allow: routeMethods}
+	accepted         = response{status: http.StatusOK}
+	cancelled        = response{status: http.StatusOK}
+	gone             = response{status: http.StatusGone}
+	notFound         = response{status: http.StatusNotFound}
+	unavailable      = response{status: http.StatusServiceUnavailable, retryable: true}
+	overloaded       = response{status: http.StatusTooManyRequests, retryable: true}
+	noMemory         = response{status: http.StatusTooManyRequests, retryable: true, close: true}
+	timedOut         = response{status: http.StatusGatewayTimeout}
+	bodyTooLarge     = response{status: http.StatusRequestEntityTooLarge}
+	bodyTimedOut     = response{status: http.StatusRequestTimeout}
+	invalidID        = invalidResponse(findings.Findings{{Place: "id", Text: "is not 16 hex digits"}})
+	bodyUnreadable   = invalidResponse(findings.Findings{{Place: "body", Text: "can't be read in full"}})
+	wrongMethod      = response{status: http.StatusMethodNotAllowed, allow: jobMethods}
+	wrongRouteMethod = response{status: http.StatusMethodNotAllowed, allow: routeMethods}
 )
 
-// states are the answers to the states that there are, made once.
-var states = map[string]answer{
-	"pending":   stateAnswer("pending"),
-	"running":   stateAnswer("running"),
-	"completed": stateAnswer("completed"),
-	"failed":    stateAnswer("failed"),
-	"cancelled": stateAnswer("cancelled"),
+// stateResponses are the answers to the states that there are, made once.
+var stateResponses = map[string]response{
+	"pending":   stateResponse("pending"),
+	"running":   stateResponse("running"),
+	"completed": stateResponse("completed"),
+	"failed":    stateResponse("failed"),
+	"cancelled": stateResponse("cancelled"),
 }
 
-func stateAnswer(state string) answer {
+func stateResponse(state string) response {
 	body := append([]byte(`{"state":`), strconv.Quote(state)...)
-	return answer{status: http.StatusOK, body: append(body, '}')}
+	return response{status: http.StatusOK, body: append(body, '}')}
 }
 
-func countAnswer(pending int) answer {
+func countResponse(pending int) response {
 	body := strconv.AppendInt([]byte(`{"pending":`), int64(pending), 10)
-	return answer{status: http.StatusOK, body: append(body, '}')}
+	return response{status: http.StatusOK, body: append(body, '}')}
 }
 
-func (a answer) write(w http.ResponseWriter) {
+func (a response) write(w http.ResponseWriter) {
 	header := w.Header()
-	if a.retry {
-		header["Retry-After"] = retryAfter
+	if a.retryable {
+		header["Retry-After"] = retryAfterValue
 	}
 	if a.close {
 		header["Connection"] = closeValue
--- a/internal/system/dataplane/bodymemory_test.go
+++ b/internal/system/dataplane/bodymemory_test.go
@@ -18,12 +18,12 @@
 
 const (
 	stalledClients = 600
-	// mostHeld is what all that they have begun to send may take: a machine of the operators' has 184 MB for the whole process.
-	mostHeld = 40 << 20
+	// maxHeldBytes is what all that they have begun to send may take: a machine of the operators' has 184 MB for the whole process.
+	maxHeldBytes = 40 << 20
 )
 
 // Clients that begin a large body and stall take a bounded part of the memory all together, whatever lengths they tell.
-func TestStalledBodiesTakeABoundedPartOfTheMemory(t *testing.T) {
+func TestStalledBodiesUseBoundedMemory(t *testing.T) {
 	for name, body := range map[string]struct {
 		framing string
 		sent    int
@@ -35,7 +35,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				server := newPipeServerOf(t, NewDispatcher(slowCore(time.Millisecond), knowingLimits(t, DefaultLimits()), noPoke, Options{}), stalledClients+1)
+				server := newPipeServerOf(t, NewDispatcher(slowCore(time.Millisecond), directoryWithLimits(t, DefaultLimits()), noPoll, Options{}), stalledClients+1)
 				before := heaptest.Held()
 				head := "POST " + testPrefix + testID + " HTTP/1.1\r\nHost: " + testHost + "\r\n" + body.framing
 				text := strings.Repeat("x", body.sent)
@@ -54,17 +54,17 @@
 				for _, conn := range conns {
 					conn.Close()
 				}
-				pass(time.Second) // the server lingers over those that it has refused
-				require.Less(t, held, int64(mostHeld))
+				sleepFor(time.Second) // the server lingers over those that it has refused
+				require.Less(t, held, int64(maxHeldBytes))
 			})
 		})
 	}
 }
 
 // A dispatcher whose memory for bodies was taken serves again once it is free.
-func TestBodiesAreReadAgainAfterStalledOnes(t *testing.T) {
+func TestBodiesAreReadAfterStalledOnesTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		server := newPipeServerOf(t, NewDispatcher(slowCore(time.Millisecond), knowingLimits(t, DefaultLimits()), noPoke, Options{}), stalledClients+2)
+		server := newPipeServerOf(t, NewDispatcher(slowCore(time.Millisecond), directoryWithLimits(t, DefaultLimits()), noPoll, Options{}), stalledClients+2)
 		head := fmt.Sprintf("POST %s%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", testPrefix, testID, testHost, DefaultLimits().MaxBodyBytes)
 		for range stalledClients {
 			conn := server.connect()
@@ -72,24 +72,24 @@
 			go func() { _, _ = io.WriteString(conn, head+strings.Repeat("x", 128<<10)) }()
 			go func() { _, _ = io.Copy(io.Discard, conn) }()
 		}
-		pass(bodyTime + time.Second)
-		answer := server.exchange(fmt.Sprintf("POST %s%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s", testPrefix, testID, testHost, len(testBody), testBody))
-		require.Contains(t, answer, http.StatusText(http.StatusOK))
+		sleepFor(bodyTimeout + time.Second)
+		response := server.exchange(fmt.Sprintf("POST %s%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s", testPrefix, testID, testHost, len(testBody), testBody))
+		require.Contains(t, response, http.StatusText(http.StatusOK))
 	})
 }
 
 // A job that there is no memory for is refused at once, while its client still sends, and can come again.
-func TestAJobWithoutMemoryIsRefusedAtOnce(t *testing.T) {
+func TestJobIsRefusedImmediatelyWithoutBodyMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dispatcher := NewDispatcher(slowCore(time.Millisecond), knowingLimits(t, DefaultLimits()), noPoke, Options{BodyMemory: 10 << 10})
+		dispatcher := NewDispatcher(slowCore(time.Millisecond), directoryWithLimits(t, DefaultLimits()), noPoll, Options{BodyMemory: 10 << 10})
 		server := newPipeServer(t, dispatcher)
 		began := time.Now()
-		answer := server.exchange(fmt.Sprintf("POST %s%s HTTP/1.1\r\nHost: %s\r\nContent-Length: 20000\r\n\r\nx", testPrefix, testID, testHost))
-		require.Contains(t, answer, "429 Too Many Requests")
-		require.Contains(t, answer, "Retry-After: 1")
-		require.Contains(t, answer, "Connection: close")
+		response := server.exchange(fmt.Sprintf("POST %s%s HTTP/1.1\r\nHost: %s\r\nContent-Length: 20000\r\n\r\nx", testPrefix, testID, testHost))
+		require.Contains(t, response, "429 Too Many Requests")
+		require.Contains(t, response, "Retry-After: 1")
+		require.Contains(t, response, "Connection: close")
 		require.Zero(t, time.Since(began))
-		require.Zero(t, dispatcher.bodies.Held())
+		require.Zero(t, dispatcher.bodyBudget.Held())
 		var w figures.Writer
 		dispatcher.failures.write(&w)
 		require.Contains(t, string(w.Bytes()), `requests_failed_total{reason="bodies-full"} 1`)
--- a/internal/system/dataplane/bytes_test.go
+++ b/internal/system/dataplane/bytes_test.go
@@ -26,21 +26,21 @@
 	dispatcherFront = dispatcherHost + ":80"
 )
 
-// wireClients is a front end on a simulated network, and clients.
-type wireClients struct {
+// networkClients is a front end on a simulated network, and clients.
+type networkClients struct {
 	network *simnet.Network
 	mutex   sync.Mutex
-	// taken counts the calls that handed a job in.
-	taken map[uint64]int
+	// submissions counts the calls that handed a job in.
+	submissions map[uint64]int
 }
 
-func inClientsWire(t *testing.T, body func(t *testing.T, w *wireClients)) {
+func withNetworkClients(t *testing.T, body func(t *testing.T, w *networkClients)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &wireClients{network: simnet.New(9), taken: map[uint64]int{}}
+		w := &networkClients{network: simnet.New(9), submissions: map[uint64]int{}}
 		listener, err := w.network.Listen(dispatcherFront)
 		require.NoError(t, err)
-		frontend := NewFrontend(listener, NewDispatcher(w.core(t), knowing(t, "a"), noPoke, Options{}), 10, nil)
+		frontend := NewFrontend(listener, NewDispatcher(w.core(t), testDirectory(t, "a"), noPoll, Options{}), 10, nil)
 		frontend.Serve(DefaultLimits())
 		t.Cleanup(func() { // also where the body fails
 			time.Sleep(time.Hour)
@@ -53,7 +53,7 @@
 }
 
 // core takes jobs in, and tells of each job a state that names it; the later the smaller the number is.
-func (w *wireClients) core(t *testing.T) callerFunc {
+func (w *networkClients) core(t *testing.T) callerFunc {
 	return func(_, _ string, args, reply any, _ time.Duration) error {
 		made := reply.(*internalapi.JobReply)
 		made.Verdict = internalapi.Done
@@ -61,7 +61,7 @@
 		case *internalapi.SubmitArgs:
 			assert.JSONEq(t, testBody, string(args.Body))
 			w.mutex.Lock()
-			w.taken[args.ID]++
+			w.submissions[args.ID]++
 			w.mutex.Unlock()
 		case *internalapi.StatusArgs:
 			time.Sleep(time.Duration(100/args.ID) * time.Millisecond)
@@ -71,23 +71,23 @@
 	}
 }
 
-func (w *wireClients) dial(t *testing.T) *simnet.Conn {
+func (w *networkClients) dial(t *testing.T) *simnet.Conn {
 	conn, err := w.network.Dial(context.Background(), clientHost, dispatcherFront)
 	require.NoError(t, err)
 	return conn.(*simnet.Conn)
 }
 
-func handingIn(number uint64) string {
+func postRequest(number uint64) string {
 	return fmt.Sprintf("POST %s%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s",
 		testPrefix, jobspec.ID(number), testHost, len(testBody), testBody)
 }
 
-func asking(number uint64) string {
+func getRequest(number uint64) string {
 	return fmt.Sprintf("GET %s%s HTTP/1.1\r\nHost: %s\r\n\r\n", testPrefix, jobspec.ID(number), testHost)
 }
 
-// answersOn reads answers until there are no more.
-func answersOn(from io.Reader) (statuses []int, bodies []string) {
+// readResponses reads answers until there are no more.
+func readResponses(from io.Reader) (statuses []int, bodies []string) {
 	reader := bufio.NewReader(from)
 	for {
 		response, err := http.ReadResponse(reader, nil)
@@ -102,45 +102,45 @@
 	}
 }
 
-func TestARequestThatEndsAtAnyByteIsTakenWholeOrNotAtAll(t *testing.T) {
-	two := handingIn(1) + handingIn(2)
-	whole := int64(len(handingIn(1)))
+func TestRequestCutAtAnyByteIsAcceptedWholeOrNotAtAll(t *testing.T) {
+	two := postRequest(1) + postRequest(2)
+	whole := int64(len(postRequest(1)))
 	for _, ending := range []simnet.Ending{simnet.Reset, simnet.Finish, simnet.Silence} {
 		for at := range int64(len(two)) + 1 {
-			inClientsWire(t, func(t *testing.T, w *wireClients) {
+			withNetworkClients(t, func(t *testing.T, w *networkClients) {
 				w.network.SetPlan(func(string, string, int) simnet.Fate {
 					return simnet.Fate{Out: simnet.Limit{Bytes: at, Then: ending}}
 				})
 				conn := w.dial(t)
 				_, _ = io.WriteString(conn, two)
 				require.NoError(t, conn.SetReadDeadline(time.Now().Add(time.Minute)))
-				statuses, _ := answersOn(conn)
+				statuses, _ := readResponses(conn)
 				w.mutex.Lock()
 				defer w.mutex.Unlock()
 				for index, status := range statuses {
-					require.Equal(t, status == http.StatusOK, w.taken[uint64(index+1)] == 1, "byte %d: %v, %v", at, statuses, w.taken)
+					require.Equal(t, status == http.StatusOK, w.submissions[uint64(index+1)] == 1, "byte %d: %v, %v", at, statuses, w.submissions)
 				}
-				require.LessOrEqual(t, w.taken[1], int(min(at/whole, 1)), "byte %d", at)
-				require.LessOrEqual(t, w.taken[2], int(at/(2*whole)), "byte %d", at)
+				require.LessOrEqual(t, w.submissions[1], int(min(at/whole, 1)), "byte %d", at)
+				require.LessOrEqual(t, w.submissions[2], int(at/(2*whole)), "byte %d", at)
 			})
 		}
 	}
 }
 
-func TestAnAnswerThatEndsAtAnyByteIsNotMadeAgain(t *testing.T) {
+func TestResponseCutAtAnyByteIsNotRepeated(t *testing.T) {
 	for _, ending := range []simnet.Ending{simnet.Reset, simnet.Finish, simnet.Silence} {
 		for at := range int64(100) {
-			inClientsWire(t, func(t *testing.T, w *wireClients) {
+			withNetworkClients(t, func(t *testing.T, w *networkClients) {
 				w.network.SetPlan(func(string, string, int) simnet.Fate {
 					return simnet.Fate{Back: simnet.Limit{Bytes: at, Then: ending}}
 				})
 				conn := w.dial(t)
-				_, _ = io.WriteString(conn, handingIn(1))
+				_, _ = io.WriteString(conn, postRequest(1))
 				require.NoError(t, conn.SetReadDeadline(time.Now().Add(time.Minute)))
-				statuses, _ := answersOn(conn)
+				statuses, _ := readResponses(conn)
 				w.mutex.Lock()
 				defer w.mutex.Unlock()
-				require.LessOrEqual(t, w.taken[1], 1)
+				require.LessOrEqual(t, w.submissions[1], 1)
 				require.LessOrEqual(t, len(statuses), 1)
 				if len(statuses) == 1 {
 					require.Equal(t, http.StatusOK, statuses[0])
@@ -150,17 +150,17 @@
 	}
 }
 
-func TestAnswersOnOneConnectionComeInTurn(t *testing.T) {
-	inClientsWire(t, func(t *testing.T, w *wireClients) {
+func TestPipelinedResponsesKeepRequestOrder(t *testing.T) {
+	withNetworkClients(t, func(t *testing.T, w *networkClients) {
 		conn := w.dial(t)
 		var requests strings.Builder
 		for number := range uint64(9) {
-			requests.WriteString(asking(number + 1))
+			requests.WriteString(getRequest(number + 1))
 		}
 		_, err := io.WriteString(conn, requests.String())
 		require.NoError(t, err)
 		require.NoError(t, conn.SetReadDeadline(time.Now().Add(time.Minute)))
-		_, bodies := answersOn(conn)
+		_, bodies := readResponses(conn)
 		require.Len(t, bodies, 9)
 		for index, body := range bodies {
 			require.Equal(t, fmt.Sprintf(`{"state":"state %d"}`, index+1), body)
@@ -168,20 +168,20 @@
 	})
 }
 
-func TestAClientThatLeavesGivesItsAnswerToNobody(t *testing.T) {
-	inClientsWire(t, func(t *testing.T, w *wireClients) {
+func TestResponseOfAbortedClientReachesNoOtherClient(t *testing.T) {
+	withNetworkClients(t, func(t *testing.T, w *networkClients) {
 		var group sync.WaitGroup
 		for number := range uint64(30) {
 			group.Go(func() {
 				conn := w.dial(t)
-				_, err := io.WriteString(conn, asking(number+1))
+				_, err := io.WriteString(conn, getRequest(number+1))
 				require.NoError(t, err)
 				if number%3 == 0 {
 					conn.Abort()
 					return
 				}
 				require.NoError(t, conn.SetReadDeadline(time.Now().Add(time.Minute)))
-				_, bodies := answersOn(conn)
+				_, bodies := readResponses(conn)
 				require.Equal(t, []string{fmt.Sprintf(`{"state":"state %d"}`, number+1)}, bodies)
 				require.NoError(t, conn.Close())
 			})
--- a/internal/system/dataplane/caller.go
+++ b/internal/system/dataplane/caller.go
@@ -15,31 +15,31 @@
 	Call(address, method string, args, reply any, timeout time.Duration) error
 }
 
-// outcome is what is certain about one call.
-type outcome byte
+// callOutcome is what is certain about one call.
+type callOutcome byte
 
 const (
 	// replied: the reply's verdict tells.
-	replied outcome = iota + 1
-	// neverCarriedOut: it surely wasn't and won't be.
-	neverCarriedOut
+	replied callOutcome = iota + 1
+	// notExecuted: it surely wasn't and won't be.
+	notExecuted
 	// unknown: it may have been carried out, and may still be.
-	unknown
+	outcomeUnknown
 )
 
-// missingService begins the errors by which net/rpc refuses a call that it has no method for.
-const missingService = "rpc: can't find "
+// missingServicePrefix begins the errors by which net/rpc refuses a call that it has no method for.
+const missingServicePrefix = "rpc: can't find "
 
-func outcomeOf(err error) outcome {
+func outcomeOf(err error) callOutcome {
 	if err == nil {
 		return replied
 	}
 	if errors.Is(err, transport.ErrNotSent) {
-		return neverCarriedOut
+		return notExecuted
 	}
 	var failure rpc.ServerError
-	if errors.As(err, &failure) && strings.HasPrefix(string(failure), missingService) {
-		return neverCarriedOut
+	if errors.As(err, &failure) && strings.HasPrefix(string(failure), missingServicePrefix) {
+		return notExecuted
 	}
-	return unknown
+	return outcomeUnknown
 }
--- a/internal/system/dataplane/certainty_test.go
+++ b/internal/system/dataplane/certainty_test.go
@@ -44,28 +44,28 @@
 
 func certaintyRun(t *testing.T, seed uint64, statuses map[int]int) {
 	core := newFaultyCore(seed)
-	directory := knowing(t, "a", "b", "c")
+	directory := testDirectory(t, "a", "b", "c")
 	poller := NewPoller(core, directory, []string{"a", "b", "c"}, func(error) {}, Options{})
-	dispatcher := NewDispatcher(core, directory, poller.Poke, Options{})
+	dispatcher := NewDispatcher(core, directory, poller.RequestPoll, Options{})
 	ctx, cancel := context.WithCancel(t.Context())
 	var background, clients sync.WaitGroup
 	background.Go(func() { poller.Run(ctx) })
-	background.Go(func() { turnOvers(ctx, core) })
+	background.Go(func() { changeViews(ctx, core) })
 
-	answers := make([]int, certaintyRequests+1)
+	results := make([]int, certaintyRequests+1)
 	for number := 1; number <= certaintyRequests; number++ {
-		start := time.Duration(core.draw(4000)) * time.Millisecond
-		wait := time.Duration(50+core.draw(4000)) * time.Millisecond
+		start := time.Duration(core.randomInt(4000)) * time.Millisecond
+		wait := time.Duration(50+core.randomInt(4000)) * time.Millisecond
 		clients.Go(func() {
-			pass(start)
-			begun := time.Now()
-			answers[number] = handIn(dispatcher, uint64(number), wait)
-			kept := time.Since(begun)
-			if answers[number] == http.StatusOK && !core.inCustody(uint64(number)) {
+			sleepFor(start)
+			began := time.Now()
+			results[number] = submitJob(dispatcher, uint64(number), wait)
+			elapsed := time.Since(began)
+			if results[number] == http.StatusOK && !core.isAccepted(uint64(number)) {
 				t.Errorf("seed %d: job %d was accepted and isn't in custody", seed, number)
 			}
-			if limit := wait*85/100 + callSlack; kept > limit {
-				t.Errorf("seed %d: job %d was kept for %v, more than %v", seed, number, kept, limit)
+			if limit := wait*85/100 + callSlack; elapsed > limit {
+				t.Errorf("seed %d: job %d was kept for %v, more than %v", seed, number, elapsed, limit)
 			}
 		})
 	}
@@ -73,12 +73,12 @@
 	cancel()
 	background.Wait()
 	dispatcher.Wait()
-	core.late.Wait()
-	for number, status := range answers[1:] {
+	core.delayed.Wait()
+	for number, status := range results[1:] {
 		id := uint64(number + 1)
 		switch status {
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-			require.False(t, core.inCustody(id), "seed %d: job %d was answered %d and is in custody", seed, id, status)
+			require.False(t, core.isAccepted(id), "seed %d: job %d was answered %d and is in custody", seed, id, status)
 		case http.StatusOK, http.StatusGatewayTimeout:
 		default:
 			t.Errorf("seed %d: job %d was answered %d", seed, id, status)
@@ -87,13 +87,13 @@
 	}
 }
 
-func handIn(dispatcher *Dispatcher, number uint64, wait time.Duration) int {
+func submitJob(dispatcher *Dispatcher, number uint64, wait time.Duration) int {
 	path := testPrefix + jobspec.ID(number).String()
-	return ask(dispatcher, http.MethodPost, path, testBody, deadlineHeader, fmt.Sprint(wait.Milliseconds())).Code
+	return serve(dispatcher, http.MethodPost, path, testBody, deadlineHeader, fmt.Sprint(wait.Milliseconds())).Code
 }
 
-func turnOvers(ctx context.Context, core *faultyCore) {
-	for pause.For(ctx, time.Duration(1+core.draw(1500))*time.Millisecond) == nil {
-		core.turnOver()
+func changeViews(ctx context.Context, core *faultyCore) {
+	for pause.For(ctx, time.Duration(1+core.randomInt(1500))*time.Millisecond) == nil {
+		core.changeView()
 	}
 }
--- a/internal/system/dataplane/directory.go
+++ b/internal/system/dataplane/directory.go
@@ -24,28 +24,28 @@
 type Directory struct {
 	mutex       sync.Mutex
 	viewChanged chan struct{}
-	// refused is the newest version whose body couldn't be used.
-	refused uint64
-	news    chan struct{}
+	// rejectedVersion is the newest version whose body couldn't be used.
+	rejectedVersion uint64
+	changes         chan struct{}
 	// configured is closed once there is a configuration.
 	configured chan struct{}
 
 	view   atomic.Pointer[view.View]
 	config atomic.Pointer[Configuration]
-	// seen is the last sign of a serving core, in nanoseconds after started and one more; 0 means none. headSeen is that of the
+	// seen is the last sign of a serving core, in nanoseconds after started and one more; 0 means none. lastHeadContact is that of the
 	// head itself, or the moment at which it was learnt who is.
-	started  time.Time
-	seen     atomic.Int64
-	headSeen atomic.Int64
-	// current is when a serving replica last knew of no configuration that isn't known here, like seen.
-	current atomic.Int64
+	started         time.Time
+	lastContact     atomic.Int64
+	lastHeadContact atomic.Int64
+	// lastCurrent is when a serving replica last knew of no configuration that isn't known here, like seen.
+	lastCurrent atomic.Int64
 }
 
 // NewDirectory is a directory that knows nothing.
 func NewDirectory() *Directory {
 	d := &Directory{
 		viewChanged: make(chan struct{}),
-		news:        make(chan struct{}, 1),
+		changes:     make(chan struct{}, 1),
 		configured:  make(chan struct{}),
 		started:     time.Now(),
 	}
@@ -53,8 +53,8 @@
 	return d
 }
 
-// News gets a value after each change, or after several, for one reader.
-func (d *Directory) News() <-chan struct{} { return d.news }
+// Changes gets a value after each change, or after several, for one reader.
+func (d *Directory) Changes() <-chan struct{} { return d.changes }
 
 // View is the newest view; without voters it is unknown. Nobody may change it.
 func (d *Directory) View() *view.View { return d.view.Load() }
@@ -87,10 +87,10 @@
 		return false
 	}
 	d.view.Store(&newest)
-	d.headSeen.Store(d.now())
+	d.lastHeadContact.Store(d.now())
 	close(d.viewChanged)
 	d.viewChanged = make(chan struct{})
-	d.tell()
+	d.notify()
 	return true
 }
 
@@ -99,7 +99,7 @@
 func (d *Directory) LearnConfig(version uint64, body []byte) (bool, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if version <= d.ConfigVersion() || version == d.refused {
+	if version <= d.ConfigVersion() || version == d.rejectedVersion {
 		return false, nil
 	}
 	parsed, err := clusterconfig.Parse(body)
@@ -107,29 +107,31 @@
 		err = fmt.Errorf("the body says %d", parsed.Version)
 	}
 	if err != nil {
-		d.refused = version
+		d.rejectedVersion = version
 		return false, fmt.Errorf("configuration %d: %w", version, err)
 	}
 	first := d.config.Swap(&Configuration{Version: version, Body: body, Router: clusterconfig.NewRouter(parsed)}) == nil
 	if first {
 		close(d.configured)
 	}
-	d.tell()
+	d.notify()
 	return true, nil
 }
 
-func (d *Directory) tell() {
+func (d *Directory) notify() {
 	select {
-	case d.news <- struct{}{}:
+	case d.changes <- struct{}{}:
 	default:
 	}
 }
 
-// Contact takes note that a replica which serves has just answered.
-func (d *Directory) Contact() { d.seen.Store(d.now()) }
+// RecordContact takes note that a replica which serves has just answered.
+func (d *Directory) RecordContact() { d.lastContact.Store(d.now()) }
 
 // Reachable tells whether a replica that serves was heard of within that time.
-func (d *Directory) Reachable(within time.Duration) bool { return d.since(d.seen.Load()) < within }
+func (d *Directory) Reachable(within time.Duration) bool {
+	return d.since(d.lastContact.Load()) < within
+}
 
 // MayBeReachable is Reachable for a process that has just started besides: it hasn't had that time to hear of one yet.
 func (d *Directory) MayBeReachable(within time.Duration) bool {
@@ -139,38 +141,40 @@
 // Configured is closed once there is a configuration.
 func (d *Directory) Configured() <-chan struct{} { return d.configured }
 
-// Current takes note that a replica which serves has just answered that it knows no configuration newer than this version.
-func (d *Directory) Current(version uint64) {
+// RecordCurrent takes note that a replica which serves has just answered that it knows no configuration newer than this version.
+func (d *Directory) RecordCurrent(version uint64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if version <= d.ConfigVersion() || version == d.refused {
-		d.current.Store(d.now())
+	if version <= d.ConfigVersion() || version == d.rejectedVersion {
+		d.lastCurrent.Store(d.now())
 	}
 }
 
 // UpToDate tells whether the configuration in force was the newest of a replica that serves, within that time.
-func (d *Directory) UpToDate(within time.Duration) bool { return d.since(d.current.Load()) < within }
+func (d *Directory) UpToDate(within time.Duration) bool {
+	return d.since(d.lastCurrent.Load()) < within
+}
 
 // everUpToDate tells whether it ever was in the life of this process.
-func (d *Directory) everUpToDate() bool { return d.current.Load() != 0 }
+func (d *Directory) everUpToDate() bool { return d.lastCurrent.Load() != 0 }
 
-// Answered takes note that the replica at the address has just answered.
-func (d *Directory) Answered(address string) {
+// RecordReply takes note that the replica at the address has just answered.
+func (d *Directory) RecordReply(address string) {
 	if address == d.View().Head().Address {
-		d.headSeen.Store(d.now())
+		d.lastHeadContact.Store(d.now())
 	}
 }
 
 // HeadReachable tells whether the head has answered within that time, or wasn't known before.
 func (d *Directory) HeadReachable(within time.Duration) bool {
-	return d.View().Head().Address != "" && d.since(d.headSeen.Load()) < within
+	return d.View().Head().Address != "" && d.since(d.lastHeadContact.Load()) < within
 }
 
 func (d *Directory) now() int64 { return int64(time.Since(d.started)) + 1 }
 
-func (d *Directory) since(moment int64) time.Duration {
-	if moment == 0 {
+func (d *Directory) since(timestamp int64) time.Duration {
+	if timestamp == 0 {
 		return math.MaxInt64
 	}
-	return time.Duration(d.now() - moment)
+	return time.Duration(d.now() - timestamp)
 }
--- a/internal/system/dataplane/directory_test.go
+++ b/internal/system/dataplane/directory_test.go
@@ -15,7 +15,7 @@
 	"gaugeslip/internal/system/findings"
 )
 
-func TestNothingGoesBack(t *testing.T) {
+func TestViewAndConfigurationNeverGoBack(t *testing.T) {
 	directory := NewDirectory()
 	var learners sync.WaitGroup
 	for learner := range uint64(8) {
@@ -35,7 +35,7 @@
 	learners.Wait()
 }
 
-func TestTheViewOfEpochZeroIsLearnt(t *testing.T) {
+func TestViewOfEpochZeroIsLearned(t *testing.T) {
 	directory := NewDirectory()
 	assert.False(t, directory.LearnView(view.View{Epoch: 4}), "a view without voters is none")
 	assert.True(t, directory.LearnView(chainOf(0, "a")))
@@ -43,8 +43,8 @@
 	assert.Equal(t, "a", directory.View().Head().Address)
 }
 
-func TestAnUnusableConfigurationChangesNothing(t *testing.T) {
-	directory := knowing(t, "a")
+func TestInvalidConfigurationChangesNothing(t *testing.T) {
+	directory := testDirectory(t, "a")
 	var found findings.Findings
 	_, err := directory.LearnConfig(2, []byte(`{"version":2,"routes":[{"backend":"none"}]}`))
 	assert.ErrorAs(t, err, &found)
@@ -53,13 +53,13 @@
 	_, err = directory.LearnConfig(3, configBody(4))
 	assert.Error(t, err)
 	assert.EqualValues(t, 1, directory.ConfigVersion())
-	learnt, err := directory.LearnConfig(5, configBody(5))
+	learned, err := directory.LearnConfig(5, configBody(5))
 	require.NoError(t, err)
-	assert.True(t, learnt)
+	assert.True(t, learned)
 }
 
-func TestWatchTellsOfANewerView(t *testing.T) {
-	directory := knowing(t, "a")
+func TestWatchReportsNewerView(t *testing.T) {
+	directory := testDirectory(t, "a")
 	_, changed := directory.Watch()
 	directory.LearnView(chainOf(1, "b"))
 	select {
@@ -76,29 +76,29 @@
 		var changes []bool
 		directory := NewDirectory()
 		readiness := NewReadiness(directory, func(ready bool, _ string) { changes = append(changes, ready) }, Options{})
-		look := func() int { return ask(readiness, "GET", "/readyz", "").Code }
-		assert.Equal(t, 503, look())
+		status := func() int { return serve(readiness, "GET", "/readyz", "").Code }
+		assert.Equal(t, 503, status())
 		_, err := directory.LearnConfig(1, configBody(1))
 		require.NoError(t, err)
-		assert.Equal(t, 503, look())
+		assert.Equal(t, 503, status())
 		directory.LearnView(chainOf(1, "a"))
-		assert.Equal(t, 503, look())
-		directory.Contact()
-		assert.Equal(t, 503, look())
-		directory.Current(2)
-		assert.Equal(t, 503, look(), "there is a newer configuration")
-		directory.Current(1)
-		assert.Equal(t, 200, look())
-		pass(defaultContactLife)
-		assert.Equal(t, 503, look())
-		directory.Contact()
-		assert.Equal(t, 200, look())
+		assert.Equal(t, 503, status())
+		directory.RecordContact()
+		assert.Equal(t, 503, status())
+		directory.RecordCurrent(2)
+		assert.Equal(t, 503, status(), "there is a newer configuration")
+		directory.RecordCurrent(1)
+		assert.Equal(t, 200, status())
+		sleepFor(defaultCoreContactTimeout)
+		assert.Equal(t, 503, status())
+		directory.RecordContact()
+		assert.Equal(t, 200, status())
 		directory.LearnView(chainOf(2))
-		assert.Equal(t, 503, look(), "there is no head")
+		assert.Equal(t, 503, status(), "there is no head")
 		directory.LearnView(chainOf(3, "a"))
-		assert.Equal(t, 200, look())
+		assert.Equal(t, 200, status())
 		readiness.Drain()
-		assert.Equal(t, 503, look())
+		assert.Equal(t, 503, status())
 		assert.Equal(t, []bool{true, false, true, false, true, false}, changes)
 	})
 }
@@ -109,11 +109,11 @@
 	assert.Equal(t, parsed.Limits, DefaultLimits())
 }
 
-func TestContactBeforeAnyTimeHasPassed(t *testing.T) {
+func TestContactAtStartCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
 		assert.False(t, directory.Reachable(time.Hour))
-		directory.Contact()
+		directory.RecordContact()
 		assert.True(t, directory.Reachable(time.Nanosecond))
 	})
 }
--- a/internal/system/dataplane/dispatcher.go
+++ b/internal/system/dataplane/dispatcher.go
@@ -15,16 +15,16 @@
 
 // Dispatcher answers clients. It is an http.Handler, safe for concurrent use.
 type Dispatcher struct {
-	caller    Caller
-	directory *Directory
-	options   Options
-	poke      func()
-	counts    *xsync.Map[queue, knownCount]
-	draining  atomic.Bool
-	endBy     atomic.Pointer[time.Time] // nil while no end is near
-	bodies    *memorybudget.Budget
-	answers   answerCounts
-	failures  failureLog
+	caller           Caller
+	directory        *Directory
+	options          Options
+	requestPoll      func()
+	counts           *xsync.Map[queueKey, cachedCount]
+	draining         atomic.Bool
+	responseDeadline atomic.Pointer[time.Time] // nil while no end is near
+	bodyBudget       *memorybudget.Budget
+	responseCounts   statusCounts
+	failures         failureLog
 	// calls are the calls under way, those among them that nobody waits for any more.
 	calls sync.WaitGroup
 }
@@ -33,25 +33,25 @@
 func NewDispatcher(caller Caller, directory *Directory, poke func(), options Options) *Dispatcher {
 	options = options.withDefaults()
 	return &Dispatcher{
-		caller:    caller,
-		directory: directory,
-		options:   options,
-		poke:      poke,
-		counts:    xsync.NewMap[queue, knownCount](),
-		bodies:    memorybudget.NewBudget(options.BodyMemory),
-		failures:  failureLog{logger: options.Logger, directory: directory},
+		caller:      caller,
+		directory:   directory,
+		options:     options,
+		requestPoll: poke,
+		counts:      xsync.NewMap[queueKey, cachedCount](),
+		bodyBudget:  memorybudget.NewBudget(options.BodyMemory),
+		failures:    failureLog{logger: options.Logger, directory: directory},
 	}
 }
 
 // Drain has every answer from now on end its connection.
 func (d *Dispatcher) Drain() { d.draining.Store(true) }
 
-// EndBy has everything answered by a moment, also what is under way: after that there may be nobody to answer it.
-func (d *Dispatcher) EndBy(end time.Time) { d.endBy.Store(&end) }
+// SetResponseDeadline has everything answered by a moment, also what is under way: after that there may be nobody to answer it.
+func (d *Dispatcher) SetResponseDeadline(end time.Time) { d.responseDeadline.Store(&end) }
 
-// beforeTheEnd is a moment, or the end where that comes first.
-func (d *Dispatcher) beforeTheEnd(moment time.Time) time.Time {
-	if end := d.endBy.Load(); end != nil && end.Before(moment) {
+// clampToDeadline is a moment, or the end where that comes first.
+func (d *Dispatcher) clampToDeadline(moment time.Time) time.Time {
+	if end := d.responseDeadline.Load(); end != nil && end.Before(moment) {
 		return *end
 	}
 	return moment
@@ -64,44 +64,44 @@
 func (d *Dispatcher) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	arrived := time.Now()
 	if request.ContentLength != 0 {
-		boundBody(w, arrived)
+		setBodyDeadline(w, arrived)
 	}
-	lease := d.bodies.Lease()
+	lease := d.bodyBudget.Lease()
 	defer lease.Release()
-	reply := d.answer(w, request, arrived, lease)
+	reply := d.respond(w, request, arrived, lease)
 	if d.draining.Load() {
 		w.Header()["Connection"] = closeValue
 	}
-	d.answers.count(reply.status)
-	d.account(request, &reply, time.Since(arrived))
-	boundAnswer(w)
+	d.responseCounts.count(reply.status)
+	d.recordResponse(request, &reply, time.Since(arrived))
+	setResponseDeadline(w)
 	reply.write(w)
 }
 
-// account takes note of an answer, and of why a request wasn't served.
-func (d *Dispatcher) account(request *http.Request, reply *answer, took time.Duration) {
-	d.failures.answered(took)
+// recordResponse takes note of an answer, and of why a request wasn't served.
+func (d *Dispatcher) recordResponse(request *http.Request, reply *response, took time.Duration) {
+	d.failures.observeLatency(took)
 	if notServed(reply.status) {
-		d.failures.note(&failure{method: request.Method, path: request.URL.Path, status: reply.status, took: took, course: reply.course})
+		d.failures.record(&failure{method: request.Method, path: request.URL.Path, status: reply.status, took: took, summary: reply.summary})
 	}
 }
 
-func (d *Dispatcher) answer(w http.ResponseWriter, request *http.Request, arrived time.Time, lease *memorybudget.Lease) answer {
+func (d *Dispatcher) respond(w http.ResponseWriter, request *http.Request, arrived time.Time, lease *memorybudget.Lease) response {
 	config := d.awaitConfiguration(request, arrived)
 	if config == nil {
-		return unavailable.because(reasonNoConfiguration, course{})
+		return unavailable.withReason(reasonNoConfiguration, callSummary{})
 	}
 	route, rest, ok := config.Router.Match(request.Host, request.URL.Path)
 	if !ok {
 		return d.noRoute()
 	}
-	wait := d.wait(request, route.Timeout, arrived)
+	wait := d.waitTime(request, route.Timeout, arrived)
 	if rest == "" {
-		return d.answerQueue(request.Method, route, arrived, wait)
+		return d.respondForQueue(request.Method, route, arrived, wait)
 	}
 	id, ok := jobspec.ParseID(rest)
 	if !ok {
-		return badID
+		return invalidID
 	}
 	switch request.Method {
 	case http.MethodPost:
@@ -109,11 +109,11 @@
 		if body == nil {
 			return refusal
 		}
-		return d.submit(id, route, body, newPatience(arrived, wait, shareOf(request.Method)))
+		return d.submit(id, route, body, newDeadlines(arrived, wait, certainShareOf(request.Method)))
 	case http.MethodGet, http.MethodHead:
-		return d.status(id, newPatience(arrived, wait, shareOf(request.Method)))
+		return d.status(id, newDeadlines(arrived, wait, certainShareOf(request.Method)))
 	case http.MethodDelete:
-		return d.cancel(id, newPatience(arrived, wait, shareOf(request.Method)))
+		return d.cancel(id, newDeadlines(arrived, wait, certainShareOf(request.Method)))
 	}
 	return wrongMethod
 }
@@ -121,11 +121,11 @@
 // awaitConfiguration gives the configuration in force. A dispatcher that has just started waits for its first one, for as long as the
 // request may be worked on and there is hope of the core.
 func (d *Dispatcher) awaitConfiguration(request *http.Request, arrived time.Time) *Configuration {
-	if config := d.directory.Config(); config != nil || d.hopeless() {
+	if config := d.directory.Config(); config != nil || d.coreUnreachable() {
 		return config
 	}
-	patience := newPatience(arrived, d.wait(request, 0, arrived), shareOf(request.Method))
-	until := d.beforeTheEnd(patience.sure)
+	limits := newDeadlines(arrived, d.waitTime(request, 0, arrived), certainShareOf(request.Method))
+	until := d.clampToDeadline(limits.certain)
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
@@ -136,33 +136,33 @@
 }
 
 // noRoute answers for a route that isn't in the configuration; it may be in one that we missed.
-func (d *Dispatcher) noRoute() answer {
-	if !d.directory.UpToDate(d.options.StaleContact) {
-		return unavailable.because(reasonRouteUnknown, course{})
+func (d *Dispatcher) noRoute() response {
+	if !d.directory.UpToDate(d.options.MaxConfigAge) {
+		return unavailable.withReason(reasonRouteUnknown, callSummary{})
 	}
 	return notFound
 }
 
-// answerQueue answers a request that names a queue and no job.
-func (d *Dispatcher) answerQueue(method string, route *clusterconfig.Route, arrived time.Time, wait time.Duration) answer {
+// respondForQueue answers a request that names a queue and no job.
+func (d *Dispatcher) respondForQueue(method string, route *clusterconfig.Route, arrived time.Time, wait time.Duration) response {
 	switch method {
 	case http.MethodGet, http.MethodHead:
-		wait = min(wait, d.options.CountPatience)
-		return d.count(route, newPatience(arrived, wait, doubtShare))
+		wait = min(wait, d.options.CountTimeout)
+		return d.count(route, newDeadlines(arrived, wait, inDoubtShare))
 	case http.MethodPost, http.MethodDelete:
-		return badID
+		return invalidID
 	}
 	return wrongRouteMethod
 }
 
 // readJob reads and checks the body of a POST. Without a body, refusal is the answer.
-func readJob(w http.ResponseWriter, request *http.Request, most int64, lease *memorybudget.Lease) (body []byte, refusal answer) {
-	body, refusal = readBody(w, request, most, lease)
+func readJob(w http.ResponseWriter, request *http.Request, maxBytes int64, lease *memorybudget.Lease) (body []byte, refusal response) {
+	body, refusal = readBody(w, request, maxBytes, lease)
 	if body == nil {
 		return nil, refusal
 	}
 	if _, err := jobspec.Parse(body); err != nil {
-		return nil, invalid(err)
+		return nil, invalidResponse(err)
 	}
-	return body, answer{}
+	return body, response{}
 }
--- a/internal/system/dataplane/dispatcher_test.go
+++ b/internal/system/dataplane/dispatcher_test.go
@@ -22,11 +22,11 @@
 	return internalapi.JobReply{Verdict: internalapi.Done, State: "running", Pending: 12}, nil
 }
 
-func TestAnswersWithoutTheCore(t *testing.T) {
-	untouched := replying(func(address, method string) (internalapi.JobReply, error) {
+func TestRequestsAnsweredWithoutCore(t *testing.T) {
+	unexpected := replyWith(func(address, method string) (internalapi.JobReply, error) {
 		return internalapi.JobReply{}, errors.New("not expected: " + method)
 	})
-	dispatcher := NewDispatcher(untouched, knowing(t, "a"), noPoke, Options{})
+	dispatcher := NewDispatcher(unexpected, testDirectory(t, "a"), noPoll, Options{})
 	large := `{"spec":"` + strings.Repeat("x", 1000) + `"}`
 	for _, each := range []struct {
 		method, path, body string
@@ -48,73 +48,73 @@
 		{"PATCH", testPrefix, testBody, 405},
 	} {
 		t.Run(each.method+" "+each.path, func(t *testing.T) {
-			assert.Equal(t, each.status, ask(dispatcher, each.method, each.path, each.body).Code)
+			assert.Equal(t, each.status, serve(dispatcher, each.method, each.path, each.body).Code)
 		})
 	}
 }
 
-func TestTooLargeABodyOfUntoldLength(t *testing.T) {
-	dispatcher := NewDispatcher(replying(allDone), knowing(t, "a"), noPoke, Options{})
+func TestChunkedBodyTooLarge(t *testing.T) {
+	dispatcher := NewDispatcher(replyWith(allDone), testDirectory(t, "a"), noPoll, Options{})
 	server := newPipeServer(t, dispatcher)
 	body := strings.Repeat("x", 1000)
-	answer := server.exchange("POST " + testPrefix + testID + " HTTP/1.1\r\nHost: " + testHost +
+	response := server.exchange("POST " + testPrefix + testID + " HTTP/1.1\r\nHost: " + testHost +
 		"\r\nTransfer-Encoding: chunked\r\n\r\n3e8\r\n" + body + "\r\n1\r\ny\r\n0\r\n\r\n")
-	assert.Contains(t, answer, "413")
+	assert.Contains(t, response, "413")
 }
 
-func TestAllFindingsAreTold(t *testing.T) {
-	dispatcher := NewDispatcher(replying(allDone), knowing(t, "a"), noPoke, Options{})
-	answer := ask(dispatcher, "POST", testPrefix+testID, `{"stages":[{"count":-1},{"cpu":-2}]}`)
-	assert.Equal(t, 400, answer.Code)
-	assert.Contains(t, answer.Body.String(), `stages[0].count`)
-	assert.Contains(t, answer.Body.String(), `stages[1].cpu`)
+func TestAllFindingsAreReported(t *testing.T) {
+	dispatcher := NewDispatcher(replyWith(allDone), testDirectory(t, "a"), noPoll, Options{})
+	response := serve(dispatcher, "POST", testPrefix+testID, `{"stages":[{"count":-1},{"cpu":-2}]}`)
+	assert.Equal(t, 400, response.Code)
+	assert.Contains(t, response.Body.String(), `stages[0].count`)
+	assert.Contains(t, response.Body.String(), `stages[1].cpu`)
 }
 
 func TestWithoutConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dispatcher := NewDispatcher(replying(allDone), NewDirectory(), noPoke, Options{})
-		answer := ask(dispatcher, "POST", testPrefix+testID, testBody)
-		assert.Equal(t, 503, answer.Code)
-		assert.Equal(t, "1", answer.Header().Get("Retry-After"))
+		dispatcher := NewDispatcher(replyWith(allDone), NewDirectory(), noPoll, Options{})
+		response := serve(dispatcher, "POST", testPrefix+testID, testBody)
+		assert.Equal(t, 503, response.Code)
+		assert.Equal(t, "1", response.Header().Get("Retry-After"))
 	})
 }
 
-func TestAnUnknownRouteOutOfReach(t *testing.T) {
+func TestUnknownRouteWhileCoreIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dispatcher := NewDispatcher(replying(allDone), knowing(t, "a"), noPoke, Options{})
-		assert.Equal(t, 404, ask(dispatcher, "GET", "/elsewhere/", "").Code)
-		pass(2 * defaultStaleContact)
-		assert.Equal(t, 503, ask(dispatcher, "GET", "/elsewhere/", "").Code)
+		dispatcher := NewDispatcher(replyWith(allDone), testDirectory(t, "a"), noPoll, Options{})
+		assert.Equal(t, 404, serve(dispatcher, "GET", "/elsewhere/", "").Code)
+		sleepFor(2 * defaultMaxConfigAge)
+		assert.Equal(t, 503, serve(dispatcher, "GET", "/elsewhere/", "").Code)
 	})
 }
 
 // What is said of a route that isn't known is younger than any configuration that has to be in force, however soon that is.
-func TestAnUnknownRouteIsDeniedByFreshKnowledgeOnly(t *testing.T) {
+func TestUnknownRouteNeedsUpToDateConfiguration(t *testing.T) {
 	for _, apply := range []time.Duration{400 * time.Millisecond, 1200 * time.Millisecond, 2 * time.Second, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
 			process := &Process{settings: nodesettings.Default()}
 			process.settings.Bounds.ConfigApplyMs = float64(apply / time.Millisecond)
-			dispatcher := NewDispatcher(replying(allDone), knowing(t, "a"), noPoke, process.bounded(Options{}))
-			assert.Equal(t, 404, ask(dispatcher, "GET", "/elsewhere/", "").Code)
-			pass(apply * 4 / 5)
-			assert.Equal(t, 503, ask(dispatcher, "GET", "/elsewhere/", "").Code, "%v", apply)
+			dispatcher := NewDispatcher(replyWith(allDone), testDirectory(t, "a"), noPoll, process.boundedOptions(Options{}))
+			assert.Equal(t, 404, serve(dispatcher, "GET", "/elsewhere/", "").Code)
+			sleepFor(apply * 4 / 5)
+			assert.Equal(t, 503, serve(dispatcher, "GET", "/elsewhere/", "").Code, "%v", apply)
 		})
 	}
 }
 
-func TestWhoIsAsked(t *testing.T) {
+func TestTargetOfEachRequest(t *testing.T) {
 	var asked []string
-	caller := replying(func(address, method string) (internalapi.JobReply, error) {
+	caller := replyWith(func(address, method string) (internalapi.JobReply, error) {
 		asked = append(asked, address+" "+method)
 		return allDone(address, method)
 	})
-	dispatcher := NewDispatcher(caller, knowing(t, "head", "middle", "tail"), noPoke, Options{})
-	assert.Equal(t, 200, ask(dispatcher, "POST", testPrefix+testID, testBody).Code)
-	status := ask(dispatcher, "GET", testPrefix+testID, "")
+	dispatcher := NewDispatcher(caller, testDirectory(t, "head", "middle", "tail"), noPoll, Options{})
+	assert.Equal(t, 200, serve(dispatcher, "POST", testPrefix+testID, testBody).Code)
+	status := serve(dispatcher, "GET", testPrefix+testID, "")
 	assert.JSONEq(t, `{"state":"running"}`, status.Body.String())
 	assert.Equal(t, "application/json", status.Header().Get("Content-Type"))
-	assert.Equal(t, 200, ask(dispatcher, "DELETE", testPrefix+testID, "").Code)
-	assert.JSONEq(t, `{"pending":12}`, ask(dispatcher, "GET", testPrefix, "").Body.String())
+	assert.Equal(t, 200, serve(dispatcher, "DELETE", testPrefix+testID, "").Code)
+	assert.JSONEq(t, `{"pending":12}`, serve(dispatcher, "GET", testPrefix, "").Body.String())
 	assert.Equal(t, []string{
 		"head " + internalapi.MethodSubmit,
 		"tail " + internalapi.MethodStatus,
@@ -126,15 +126,15 @@
 func TestReadsFallBackAlongTheChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var asked []string
-		caller := replying(func(address, method string) (internalapi.JobReply, error) {
+		caller := replyWith(func(address, method string) (internalapi.JobReply, error) {
 			asked = append(asked, address)
 			if address != "second" {
 				return internalapi.JobReply{}, transport.ErrNotSent
 			}
 			return internalapi.JobReply{Verdict: internalapi.NotKnown}, nil
 		})
-		dispatcher := NewDispatcher(caller, knowing(t, "head", "second", "third", "tail"), noPoke, Options{})
-		assert.Equal(t, 410, ask(dispatcher, "GET", testPrefix+testID, "").Code)
+		dispatcher := NewDispatcher(caller, testDirectory(t, "head", "second", "third", "tail"), noPoll, Options{})
+		assert.Equal(t, 410, serve(dispatcher, "GET", testPrefix+testID, "").Code)
 		assert.Equal(t, []string{"tail", "head", "third", "second"}, asked)
 	})
 }
@@ -149,145 +149,145 @@
 		internalapi.InDoubt:    504,
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			caller := replying(func(string, string) (internalapi.JobReply, error) {
+			caller := replyWith(func(string, string) (internalapi.JobReply, error) {
 				return internalapi.JobReply{Verdict: verdict}, nil
 			})
-			dispatcher := NewDispatcher(caller, knowing(t, "a"), noPoke, Options{})
-			assert.Equal(t, status, ask(dispatcher, "POST", testPrefix+testID, testBody).Code, "verdict %d", verdict)
+			dispatcher := NewDispatcher(caller, testDirectory(t, "a"), noPoll, Options{})
+			assert.Equal(t, status, serve(dispatcher, "POST", testPrefix+testID, testBody).Code, "verdict %d", verdict)
 		})
 	}
 }
 
 // Once one call is in doubt, a refusal of the next one proves nothing.
-func TestInDoubtNothingIsRefused(t *testing.T) {
+func TestNothingIsRefusedInDoubt(t *testing.T) {
 	for _, verdict := range []internalapi.Verdict{
 		internalapi.NoRoute, internalapi.Invalid, internalapi.Overloaded, internalapi.NotHead, internalapi.NotKnown,
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			calls := 0
-			caller := replying(func(string, string) (internalapi.JobReply, error) {
+			caller := replyWith(func(string, string) (internalapi.JobReply, error) {
 				if calls++; calls == 1 {
 					return internalapi.JobReply{}, transport.ErrUnknown
 				}
 				return internalapi.JobReply{Verdict: verdict}, nil
 			})
-			dispatcher := NewDispatcher(caller, knowing(t, "a"), noPoke, Options{})
-			assert.Equal(t, 504, ask(dispatcher, "POST", testPrefix+testID, testBody).Code, "verdict %d", verdict)
+			dispatcher := NewDispatcher(caller, testDirectory(t, "a"), noPoll, Options{})
+			assert.Equal(t, 504, serve(dispatcher, "POST", testPrefix+testID, testBody).Code, "verdict %d", verdict)
 			assert.Greater(t, calls, 2)
 		})
 	}
 }
 
-func TestARefusalIsEarly(t *testing.T) {
+func TestRefusalIsEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		caller := replying(func(string, string) (internalapi.JobReply, error) {
+		caller := replyWith(func(string, string) (internalapi.JobReply, error) {
 			return internalapi.JobReply{}, transport.ErrNotSent
 		})
-		dispatcher := NewDispatcher(caller, knowing(t, "a"), noPoke, Options{})
-		begun := time.Now()
-		assert.Equal(t, 503, ask(dispatcher, "POST", testPrefix+testID, testBody, deadlineHeader, "2000").Code)
-		assert.LessOrEqual(t, time.Since(begun), 900*time.Millisecond)
+		dispatcher := NewDispatcher(caller, testDirectory(t, "a"), noPoll, Options{})
+		began := time.Now()
+		assert.Equal(t, 503, serve(dispatcher, "POST", testPrefix+testID, testBody, deadlineHeader, "2000").Code)
+		assert.LessOrEqual(t, time.Since(began), 900*time.Millisecond)
 
-		pass(defaultContactLife)
-		begun = time.Now()
-		assert.Equal(t, 503, ask(dispatcher, "POST", testPrefix+testID, testBody).Code)
-		assert.Zero(t, time.Since(begun), "there was no hope left")
+		sleepFor(defaultCoreContactTimeout)
+		began = time.Now()
+		assert.Equal(t, 503, serve(dispatcher, "POST", testPrefix+testID, testBody).Code)
+		assert.Zero(t, time.Since(began), "there was no hope left")
 	})
 }
 
-func TestANewHeadIsCalledAtOnce(t *testing.T) {
+func TestNewHeadIsCalledImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		directory := knowing(t, "a", "b")
+		directory := testDirectory(t, "a", "b")
 		caller := callerFunc(func(address, _ string, _, reply any, timeout time.Duration) error {
 			if address == "a" {
-				pass(timeout)
+				sleepFor(timeout)
 				return transport.ErrUnknown
 			}
 			*reply.(*internalapi.JobReply) = internalapi.JobReply{Verdict: internalapi.Done}
 			return nil
 		})
-		dispatcher := NewDispatcher(caller, directory, noPoke, Options{})
+		dispatcher := NewDispatcher(caller, directory, noPoll, Options{})
 		time.AfterFunc(300*time.Millisecond, func() { directory.LearnView(chainOf(2, "b")) })
-		begun := time.Now()
-		assert.Equal(t, 200, ask(dispatcher, "POST", testPrefix+testID, testBody).Code)
-		assert.Equal(t, 300*time.Millisecond, time.Since(begun))
+		began := time.Now()
+		assert.Equal(t, 200, serve(dispatcher, "POST", testPrefix+testID, testBody).Code)
+		assert.Equal(t, 300*time.Millisecond, time.Since(began))
 		dispatcher.Wait()
 	})
 }
 
-func TestAReplyBringsTheNewHead(t *testing.T) {
+func TestReplyReportsNewHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		caller := replying(func(address, _ string) (internalapi.JobReply, error) {
+		caller := replyWith(func(address, _ string) (internalapi.JobReply, error) {
 			if address == "a" {
 				return internalapi.JobReply{Verdict: internalapi.NotHead, View: chainOf(7, "b", "a")}, nil
 			}
 			return internalapi.JobReply{Verdict: internalapi.Done}, nil
 		})
-		dispatcher := NewDispatcher(caller, knowing(t, "a", "b"), noPoke, Options{})
-		begun := time.Now()
-		assert.Equal(t, 200, ask(dispatcher, "POST", testPrefix+testID, testBody).Code)
-		assert.Zero(t, time.Since(begun))
+		dispatcher := NewDispatcher(caller, testDirectory(t, "a", "b"), noPoll, Options{})
+		began := time.Now()
+		assert.Equal(t, 200, serve(dispatcher, "POST", testPrefix+testID, testBody).Code)
+		assert.Zero(t, time.Since(began))
 	})
 }
 
 // A count may be two seconds old. One that is older, or was never known, isn't told: the queue may hold anything by now.
-func TestTheLastKnownCount(t *testing.T) {
+func TestCachedCountExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var down atomic.Bool
-		caller := replying(func(address, method string) (internalapi.JobReply, error) {
+		caller := replyWith(func(address, method string) (internalapi.JobReply, error) {
 			if down.Load() {
 				return internalapi.JobReply{}, transport.ErrUnknown
 			}
 			return allDone(address, method)
 		})
-		dispatcher := NewDispatcher(caller, knowing(t, "a"), noPoke, Options{})
+		dispatcher := NewDispatcher(caller, testDirectory(t, "a"), noPoll, Options{})
 		down.Store(true)
-		assert.Equal(t, http.StatusServiceUnavailable, ask(dispatcher, "GET", testPrefix, "").Code, "never known")
+		assert.Equal(t, http.StatusServiceUnavailable, serve(dispatcher, "GET", testPrefix, "").Code, "never known")
 		down.Store(false)
-		assert.JSONEq(t, `{"pending":12}`, ask(dispatcher, "GET", testPrefix, "").Body.String())
+		assert.JSONEq(t, `{"pending":12}`, serve(dispatcher, "GET", testPrefix, "").Body.String())
 		down.Store(true)
-		begun := time.Now()
-		assert.JSONEq(t, `{"pending":12}`, ask(dispatcher, "GET", testPrefix, "").Body.String())
-		assert.LessOrEqual(t, time.Since(begun), defaultCountPatience)
-		pass(2 * time.Second)
-		assert.Equal(t, http.StatusServiceUnavailable, ask(dispatcher, "GET", testPrefix, "").Code, "too old")
+		began := time.Now()
+		assert.JSONEq(t, `{"pending":12}`, serve(dispatcher, "GET", testPrefix, "").Body.String())
+		assert.LessOrEqual(t, time.Since(began), defaultCountTimeout)
+		sleepFor(2 * time.Second)
+		assert.Equal(t, http.StatusServiceUnavailable, serve(dispatcher, "GET", testPrefix, "").Code, "too old")
 	})
 }
 
 // A replica that hasn't heard of a route yet doesn't take it away.
-func TestARouteThatAReplicaHasYetToLearn(t *testing.T) {
+func TestRouteUnknownToOutdatedReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
-		caller := replying(func(string, string) (internalapi.JobReply, error) {
+		caller := replyWith(func(string, string) (internalapi.JobReply, error) {
 			if calls++; calls == 1 {
 				return internalapi.JobReply{Verdict: internalapi.NoRoute, ConfigVersion: 1}, nil
 			}
 			return internalapi.JobReply{Verdict: internalapi.Done, ConfigVersion: 2}, nil
 		})
-		directory := knowing(t, "a")
+		directory := testDirectory(t, "a")
 		_, err := directory.LearnConfig(2, configBody(2))
 		require.NoError(t, err)
-		dispatcher := NewDispatcher(caller, directory, noPoke, Options{})
-		assert.Equal(t, 200, ask(dispatcher, "POST", testPrefix+testID, testBody).Code)
+		dispatcher := NewDispatcher(caller, directory, noPoll, Options{})
+		assert.Equal(t, 200, serve(dispatcher, "POST", testPrefix+testID, testBody).Code)
 	})
 }
 
 func TestDeleteOfUnknownAndInDoubt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reply, failure := internalapi.JobReply{Verdict: internalapi.NotKnown}, error(nil)
-		caller := replying(func(string, string) (internalapi.JobReply, error) { return reply, failure })
-		dispatcher := NewDispatcher(caller, knowing(t, "a"), noPoke, Options{})
-		assert.Equal(t, http.StatusGone, ask(dispatcher, "DELETE", testPrefix+testID, "").Code)
+		caller := replyWith(func(string, string) (internalapi.JobReply, error) { return reply, failure })
+		dispatcher := NewDispatcher(caller, testDirectory(t, "a"), noPoll, Options{})
+		assert.Equal(t, http.StatusGone, serve(dispatcher, "DELETE", testPrefix+testID, "").Code)
 		failure = fmt.Errorf("%w: cut", transport.ErrUnknown)
-		assert.Equal(t, http.StatusGatewayTimeout, ask(dispatcher, "DELETE", testPrefix+testID, "").Code)
+		assert.Equal(t, http.StatusGatewayTimeout, serve(dispatcher, "DELETE", testPrefix+testID, "").Code)
 		failure = fmt.Errorf("%w: refused", transport.ErrNotSent)
-		assert.Equal(t, http.StatusServiceUnavailable, ask(dispatcher, "DELETE", testPrefix+testID, "").Code)
+		assert.Equal(t, http.StatusServiceUnavailable, serve(dispatcher, "DELETE", testPrefix+testID, "").Code)
 	})
 }
 
-func TestDrainingAnswersEndTheirConnections(t *testing.T) {
-	dispatcher := NewDispatcher(replying(allDone), knowing(t, "a"), noPoke, Options{})
-	assert.Empty(t, ask(dispatcher, "GET", testPrefix, "").Header().Get("Connection"))
+func TestDrainingResponsesCloseConnections(t *testing.T) {
+	dispatcher := NewDispatcher(replyWith(allDone), testDirectory(t, "a"), noPoll, Options{})
+	assert.Empty(t, serve(dispatcher, "GET", testPrefix, "").Header().Get("Connection"))
 	dispatcher.Drain()
-	assert.Equal(t, "close", ask(dispatcher, "GET", testPrefix, "").Header().Get("Connection"))
+	assert.Equal(t, "close", serve(dispatcher, "GET", testPrefix, "").Header().Get("Connection"))
 }
--- a/internal/system/dataplane/ending_test.go
+++ b/internal/system/dataplane/ending_test.go
@@ -13,30 +13,30 @@
 )
 
 // Whatever is out when the platform wants a dispatcher to end may go on till the last sixth of the grace.
-func TestTheEndIsInTheLastSixthOfTheGrace(t *testing.T) {
+func TestExitIsInLastSixthOfGracePeriod(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 6 * time.Second, 10 * time.Second, time.Minute} {
-		end := endAfter(grace)
+		end := exitTimeout(grace)
 		assert.Greater(t, end, grace*5/6, "%v", grace)
 		assert.Less(t, end, grace, "%v", grace)
 	}
-	assert.Zero(t, endAfter(0))
+	assert.Zero(t, exitTimeout(0))
 }
 
 // A request that is still worked for when the dispatcher has to end is answered before that, however long its client would wait.
-func TestAnAnswerComesBeforeTheEnd(t *testing.T) {
+func TestResponseIsSentBeforeExit(t *testing.T) {
 	for verdict, status := range map[internalapi.Verdict]int{
 		internalapi.NotHead: http.StatusServiceUnavailable, internalapi.InDoubt: http.StatusGatewayTimeout,
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			directory := knowing(t, "a")
-			caller := replying(func(string, string) (internalapi.JobReply, error) {
-				directory.Contact()
+			directory := testDirectory(t, "a")
+			caller := replyWith(func(string, string) (internalapi.JobReply, error) {
+				directory.RecordContact()
 				return internalapi.JobReply{Verdict: verdict}, nil
 			})
-			dispatcher := NewDispatcher(caller, directory, noPoke, Options{})
+			dispatcher := NewDispatcher(caller, directory, noPoll, Options{})
 			end := time.Now().Add(5 * time.Second)
-			time.AfterFunc(time.Second, func() { dispatcher.EndBy(end) })
-			got := ask(dispatcher, http.MethodPost, testPrefix+testID, testBody, deadlineHeader, "600000").Code
+			time.AfterFunc(time.Second, func() { dispatcher.SetResponseDeadline(end) })
+			got := serve(dispatcher, http.MethodPost, testPrefix+testID, testBody, deadlineHeader, "600000").Code
 			require.Equal(t, status, got)
 			assert.True(t, time.Now().Before(end))
 			assert.Greater(t, time.Until(end), -time.Millisecond)
--- a/internal/system/dataplane/errands.go
+++ b/internal/system/dataplane/errands.go
@@ -12,151 +12,151 @@
 )
 
 // submit hands a job to the head.
-func (d *Dispatcher) submit(id jobspec.ID, route *clusterconfig.Route, body []byte, limits patience) answer {
-	end := d.handOver(id, route, body, limits)
-	reply := submitted(&end)
-	d.checkSubmitted(id, &reply, &end)
+func (d *Dispatcher) submit(id jobspec.ID, route *clusterconfig.Route, body []byte, limits deadlines) response {
+	result := d.callSubmit(id, route, body, limits)
+	reply := submitResponse(&result)
+	d.checkSubmitted(id, &reply, &result)
 	return reply
 }
 
-func (d *Dispatcher) handOver(id jobspec.ID, route *clusterconfig.Route, body []byte, limits patience) conclusion {
-	return d.carryOut(&errand{
-		method:   internalapi.MethodSubmit,
-		args:     &internalapi.SubmitArgs{ID: uint64(id), Route: route.Name, Body: body},
-		writes:   true,
-		target:   headOnly,
-		stays:    isHead,
-		patience: limits,
+func (d *Dispatcher) callSubmit(id jobspec.ID, route *clusterconfig.Route, body []byte, limits deadlines) coreResult {
+	return d.execute(&coreRequest{
+		method:     internalapi.MethodSubmit,
+		args:       &internalapi.SubmitArgs{ID: uint64(id), Route: route.Name, Body: body},
+		writes:     true,
+		target:     targetHead,
+		stillValid: isHead,
+		deadlines:  limits,
 	})
 }
 
-// submitted is the answer to a job that was handed in.
-func submitted(end *conclusion) answer {
-	if end.reply == nil {
-		return givenUp(end)
+// submitResponse is the answer to a job that was handed in.
+func submitResponse(result *coreResult) response {
+	if result.reply == nil {
+		return noReplyResponse(result)
 	}
-	switch end.reply.Verdict {
+	switch result.reply.Verdict {
 	case internalapi.Done:
 		return accepted
 	case internalapi.NoRoute:
 		return notFound
 	case internalapi.Invalid:
-		return invalid(findings.Findings{{Text: end.reply.Text}})
+		return invalidResponse(findings.Findings{{Text: result.reply.Text}})
 	}
-	return overloaded.because(reasonOverloaded, end.course)
+	return overloaded.withReason(reasonOverloaded, result.summary)
 }
 
 // cancel ends a job at the head.
-func (d *Dispatcher) cancel(id jobspec.ID, limits patience) answer {
-	end := d.carryOut(&errand{
+func (d *Dispatcher) cancel(id jobspec.ID, limits deadlines) response {
+	result := d.execute(&coreRequest{
 		method:          internalapi.MethodCancel,
 		args:            &internalapi.CancelArgs{ID: uint64(id)},
 		writes:          true,
-		target:          headOnly,
-		stays:           isHead,
-		notKnownSettles: true,
-		patience:        limits,
+		target:          targetHead,
+		stillValid:      isHead,
+		notKnownIsFinal: true,
+		deadlines:       limits,
 	})
-	if end.reply == nil {
-		return givenUp(&end)
+	if result.reply == nil {
+		return noReplyResponse(&result)
 	}
-	switch end.reply.Verdict {
+	switch result.reply.Verdict {
 	case internalapi.Done:
 		return cancelled
 	case internalapi.NotKnown, internalapi.NoRoute:
 		return gone
 	}
-	return overloaded.because(reasonOverloaded, end.course)
+	return overloaded.withReason(reasonOverloaded, result.summary)
 }
 
 // status reads a job's state at the tail.
-func (d *Dispatcher) status(id jobspec.ID, limits patience) answer {
-	end := d.carryOut(&errand{
+func (d *Dispatcher) status(id jobspec.ID, limits deadlines) response {
+	result := d.execute(&coreRequest{
 		method:          internalapi.MethodStatus,
 		args:            &internalapi.StatusArgs{ID: uint64(id)},
-		target:          tailFirst,
-		stays:           inChain,
-		notKnownSettles: true,
-		patience:        limits,
+		target:          targetTailFirst,
+		stillValid:      inChain,
+		notKnownIsFinal: true,
+		deadlines:       limits,
 	})
-	if end.reply == nil {
-		return unavailable.after(end.course)
+	if result.reply == nil {
+		return unavailable.withSummary(result.summary)
 	}
-	switch end.reply.Verdict {
+	switch result.reply.Verdict {
 	case internalapi.Done:
-		if known, ok := states[end.reply.State]; ok {
+		if known, ok := stateResponses[result.reply.State]; ok {
 			return known
 		}
-		return stateAnswer(end.reply.State)
+		return stateResponse(result.reply.State)
 	case internalapi.NotKnown:
 		return gone
 	}
-	return unavailable.because(reasonOverloaded, end.course)
+	return unavailable.withReason(reasonOverloaded, result.summary)
 }
 
 // count asks the head how many jobs of a queue have begun nothing; failing that, it tells the last known count while that is young enough.
-func (d *Dispatcher) count(route *clusterconfig.Route, limits patience) answer {
-	end := d.carryOut(&errand{
-		method:   internalapi.MethodCount,
-		args:     &internalapi.CountArgs{Route: route.Name},
-		target:   headOnly,
-		stays:    isHead,
-		patience: limits,
+func (d *Dispatcher) count(route *clusterconfig.Route, limits deadlines) response {
+	result := d.execute(&coreRequest{
+		method:     internalapi.MethodCount,
+		args:       &internalapi.CountArgs{Route: route.Name},
+		target:     targetHead,
+		stillValid: isHead,
+		deadlines:  limits,
 	})
-	queue := queueOf(route)
-	if end.reply != nil && end.reply.Verdict == internalapi.Done {
-		d.counts.Store(queue, knownCount{pending: end.reply.Pending, at: time.Now()})
-		return countAnswer(end.reply.Pending)
+	queue := queueKeyOf(route)
+	if result.reply != nil && result.reply.Verdict == internalapi.Done {
+		d.counts.Store(queue, cachedCount{pending: result.reply.Pending, at: time.Now()})
+		return countResponse(result.reply.Pending)
 	}
-	if end.reply != nil && end.reply.Verdict == internalapi.NoRoute {
+	if result.reply != nil && result.reply.Verdict == internalapi.NoRoute {
 		return notFound
 	}
-	if known, ok := d.counts.Load(queue); ok && time.Since(known.at) < countLife {
-		return countAnswer(known.pending)
+	if known, ok := d.counts.Load(queue); ok && time.Since(known.at) < countMaxAge {
+		return countResponse(known.pending)
 	}
-	return unavailable.because(reasonCountOld, end.course)
+	return unavailable.withReason(reasonCountOld, result.summary)
 }
 
-// knownCount is a count that the head has told.
-type knownCount struct {
+// cachedCount is a count that the head has told.
+type cachedCount struct {
 	pending int
 	at      time.Time // when it came
 }
 
-// countLife is how long a count may be told after it came: it may be 2 s old when it arrives, and was under way before.
-const countLife = 1800 * time.Millisecond
+// countMaxAge is how long a count may be told after it came: it may be 2 s old when it arrives, and was under way before.
+const countMaxAge = 1800 * time.Millisecond
 
-func givenUp(end *conclusion) answer {
-	if end.inDoubt {
-		return timedOut.after(end.course)
+func noReplyResponse(result *coreResult) response {
+	if result.inDoubt {
+		return timedOut.withSummary(result.summary)
 	}
-	return unavailable.after(end.course)
+	return unavailable.withSummary(result.summary)
 }
 
-// queue names a route by what it takes; its name may be empty.
-type queue struct{ host, prefix string }
+// queueKey names a route by what it takes; its name may be empty.
+type queueKey struct{ host, prefix string }
 
-func queueOf(route *clusterconfig.Route) queue {
-	return queue{host: route.Host, prefix: route.PathPrefix}
+func queueKeyOf(route *clusterconfig.Route) queueKey {
+	return queueKey{host: route.Host, prefix: route.PathPrefix}
 }
 
-func headOnly(current *view.View, _ int) string { return current.Head().Address }
+func targetHead(current *view.View, _ int) string { return current.Head().Address }
 
 func isHead(current *view.View, address string) bool { return current.Head().Address == address }
 
-// tailFirst goes to the tail, then to the head, then up the chain from the tail's predecessor.
-func tailFirst(current *view.View, try int) string {
+// targetTailFirst goes to the tail, then to the head, then up the chain from the tail's predecessor.
+func targetTailFirst(current *view.View, attempt int) string {
 	length := len(current.Chain)
 	if length == 0 {
 		return ""
 	}
-	switch try %= length; try {
+	switch attempt %= length; attempt {
 	case 0:
 		return current.Tail().Address
 	case 1:
 		return current.Head().Address
 	}
-	return current.Chain[length-try].Address
+	return current.Chain[length-attempt].Address
 }
 
 func inChain(current *view.View, address string) bool {
@@ -168,13 +168,13 @@
 	return false
 }
 
-// wait is how long a client waits for its answer: what it says, or else its route's timeout; 0 stands for none.
-func (d *Dispatcher) wait(request *http.Request, timeout time.Duration, now time.Time) time.Duration {
+// waitTime is how long a client waits for its answer: what it says, or else its route's timeout; 0 stands for none.
+func (d *Dispatcher) waitTime(request *http.Request, timeout time.Duration, now time.Time) time.Duration {
 	if wait, ok := clientWait(request.Header.Get(deadlineHeader), now); ok {
 		return wait
 	}
 	if timeout > 0 {
 		return timeout
 	}
-	return d.options.DefaultWait
+	return d.options.DefaultWaitTime
 }
--- a/internal/system/dataplane/failures.go
+++ b/internal/system/dataplane/failures.go
@@ -18,28 +18,28 @@
 	reasonNoConfiguration failureReason = "no-configuration"
 	// reasonRouteUnknown: no route takes the request, and there may be a newer configuration that this dispatcher has missed.
 	reasonRouteUnknown failureReason = "route-unknown"
-	// reasonNoCore: no replica that serves was heard of for ContactLife.
+	// reasonNoCore: no replica that serves was heard of for CoreContactTimeout.
 	reasonNoCore failureReason = "no-core"
 	// reasonTimeUp: the part of the client's time for which tries are made is over.
 	reasonTimeUp failureReason = "time-up"
 	// reasonOverloaded: the head has refused the job.
 	reasonOverloaded failureReason = "overloaded"
-	// reasonBodies: the bodies of other requests take the memory for all.
-	reasonBodies failureReason = "bodies-full"
+	// reasonBodiesFull: the bodies of other requests take the memory for all.
+	reasonBodiesFull failureReason = "bodies-full"
 	// reasonCountOld: the last known count of a queue is too old to be told.
 	reasonCountOld failureReason = "count-old"
 )
 
 // failureReasons are all reasons in the order in which figures show them.
-var failureReasons = [...]failureReason{reasonNoConfiguration, reasonRouteUnknown, reasonNoCore, reasonTimeUp, reasonOverloaded, reasonBodies,
+var failureReasons = [...]failureReason{reasonNoConfiguration, reasonRouteUnknown, reasonNoCore, reasonTimeUp, reasonOverloaded, reasonBodiesFull,
 	reasonCountOld}
 
-// course is how an errand went: what an answer without success is explained with.
-type course struct {
-	reason  failureReason
-	tries   int
-	address string // of the last try, empty where nobody was known
-	last    string // how it ended
+// callSummary is how an errand went: what an answer without success is explained with.
+type callSummary struct {
+	reason      failureReason
+	attempts    int
+	address     string // of the last try, empty where nobody was known
+	lastOutcome string // how it ended
 }
 
 // failure is a request that wasn't served.
@@ -47,7 +47,7 @@
 	method, path string
 	status       int
 	took         time.Duration
-	course       course
+	summary      callSummary
 }
 
 // failureLog counts failures by reason and tells a logger of the first few in each second. It is safe for concurrent use.
@@ -55,63 +55,63 @@
 	logger    Logger // nil: nothing is told
 	directory *Directory
 
-	mutex   sync.Mutex
-	counts  [len(failureReasons)]uint64
-	second  time.Time // in which told were told
-	told    int
-	untold  int // since the last that was told
-	answers figures.Histogram
+	mutex       sync.Mutex
+	counts      [len(failureReasons)]uint64
+	windowStart time.Time // in which told were told
+	logged      int
+	suppressed  int // since the last that was told
+	latency     figures.Histogram
 }
 
-// failuresASecond is how many failures are told in a second: enough to explain an outage, and little work during one.
-const failuresASecond = 4
+// maxLoggedPerSecond is how many failures are told in a second: enough to explain an outage, and little work during one.
+const maxLoggedPerSecond = 4
 
-// note takes a failure in.
-func (f *failureLog) note(failed *failure) {
+// record takes a failure in.
+func (f *failureLog) record(failed *failure) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for i, reason := range failureReasons {
-		if reason == failed.course.reason {
+		if reason == failed.summary.reason {
 			f.counts[i]++
 		}
 	}
-	if f.logger != nil && f.mayTell() {
-		f.tell(failed)
+	if f.logger != nil && f.allowLog() {
+		f.log(failed)
 	}
 }
 
-func (f *failureLog) mayTell() bool {
+func (f *failureLog) allowLog() bool {
 	now := time.Now()
-	if now.Sub(f.second) >= time.Second {
-		f.second, f.told = now, 0
+	if now.Sub(f.windowStart) >= time.Second {
+		f.windowStart, f.logged = now, 0
 	}
-	if f.told >= failuresASecond {
-		f.untold++
+	if f.logged >= maxLoggedPerSecond {
+		f.suppressed++
 		return false
 	}
-	f.told++
+	f.logged++
 	return true
 }
 
-func (f *failureLog) tell(failed *failure) {
-	line := []any{"method", failed.method, "path", failed.path, "status", failed.status, "reason", string(failed.course.reason),
-		"took", failed.took.Round(time.Millisecond), "tries", failed.course.tries}
-	if failed.course.tries > 0 {
-		line = append(line, "address", failed.course.address, "last", failed.course.last)
+func (f *failureLog) log(failed *failure) {
+	line := []any{"method", failed.method, "path", failed.path, "status", failed.status, "reason", string(failed.summary.reason),
+		"took", failed.took.Round(time.Millisecond), "tries", failed.summary.attempts}
+	if failed.summary.attempts > 0 {
+		line = append(line, "address", failed.summary.address, "last", failed.summary.lastOutcome)
 	}
 	line = append(line, "epoch", f.directory.View().Epoch, "version", f.directory.ConfigVersion())
-	if f.untold > 0 {
-		line = append(line, "untold", f.untold)
-		f.untold = 0
+	if f.suppressed > 0 {
+		line = append(line, "untold", f.suppressed)
+		f.suppressed = 0
 	}
 	f.logger.Warn("request not served", line...)
 }
 
-// answered takes in how long an answer took.
-func (f *failureLog) answered(took time.Duration) {
+// observeLatency takes in how long an answer took.
+func (f *failureLog) observeLatency(took time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.answers.Observe(took)
+	f.latency.Observe(took)
 }
 
 func (f *failureLog) write(w *figures.Writer) {
@@ -122,7 +122,7 @@
 		labelled[i] = figures.Labelled{Label: string(reason), Value: float64(f.counts[i])}
 	}
 	w.Counters("requests_failed_total", "Requests that weren't served, by why; 4xx for what clients have sent aren't among them.", "reason", labelled)
-	w.Histogram("answer_seconds", "Time from the end of a request's header to its answer.", &f.answers)
+	w.Histogram("answer_seconds", "Time from the end of a request's header to its answer.", &f.latency)
 }
 
 // notServed tells whether a status says that a sound request wasn't served.
@@ -130,15 +130,15 @@
 	return status == http.StatusTooManyRequests || status >= http.StatusInternalServerError
 }
 
-var verdictWords = map[internalapi.Verdict]string{
+var verdictNames = map[internalapi.Verdict]string{
 	internalapi.Done: "done", internalapi.NotHead: "not-head", internalapi.NotKnown: "not-known", internalapi.NoRoute: "no-route",
 	internalapi.Invalid: "invalid", internalapi.Overloaded: "overloaded", internalapi.InDoubt: "in-doubt",
 }
 
-// wordOf says how a try ended.
-func wordOf(reply *internalapi.JobReply, err error) string {
+// outcomeText says how a try ended.
+func outcomeText(reply *internalapi.JobReply, err error) string {
 	if err != nil {
 		return err.Error()
 	}
-	return verdictWords[reply.Verdict]
+	return verdictNames[reply.Verdict]
 }
--- a/internal/system/dataplane/fake_test.go
+++ b/internal/system/dataplane/fake_test.go
@@ -52,10 +52,10 @@
 	return f(address, method, args, reply, timeout)
 }
 
-// replying answers each call on a job with what the function says.
-func replying(answer func(address, method string) (internalapi.JobReply, error)) callerFunc {
+// replyWith answers each call on a job with what the function says.
+func replyWith(respond func(address, method string) (internalapi.JobReply, error)) callerFunc {
 	return func(address, method string, _, reply any, _ time.Duration) error {
-		made, err := answer(address, method)
+		made, err := respond(address, method)
 		if err == nil {
 			*reply.(*internalapi.JobReply) = made
 		}
@@ -63,31 +63,31 @@
 	}
 }
 
-// knowing is a directory with a configuration and a view, whose core has just been heard of.
-func knowing(t testing.TB, chain ...string) *Directory {
-	return knowingConfig(t, configBody(1), chain...)
+// testDirectory is a directory with a configuration and a view, whose core has just been heard of.
+func testDirectory(t testing.TB, chain ...string) *Directory {
+	return directoryWithConfig(t, configBody(1), chain...)
 }
 
-// knowingLimits is one whose configuration sets these limits of bodies.
-func knowingLimits(t testing.TB, limits clusterconfig.Limits) *Directory {
+// directoryWithLimits is one whose configuration sets these limits of bodies.
+func directoryWithLimits(t testing.TB, limits clusterconfig.Limits) *Directory {
 	body := strings.Replace(string(configBody(1)), `"maxBodyBytes":1000`, fmt.Sprintf(`"maxBodyBytes":%d`, limits.MaxBodyBytes), 1)
-	return knowingConfig(t, []byte(body), "a")
+	return directoryWithConfig(t, []byte(body), "a")
 }
 
-func knowingConfig(t testing.TB, body []byte, chain ...string) *Directory {
+func directoryWithConfig(t testing.TB, body []byte, chain ...string) *Directory {
 	directory := NewDirectory()
 	_, err := directory.LearnConfig(1, body)
 	require.NoError(t, err)
 	require.True(t, directory.LearnView(chainOf(1, chain...)))
-	directory.Contact()
-	directory.Current(1)
+	directory.RecordContact()
+	directory.RecordCurrent(1)
 	return directory
 }
 
-func noPoke() {}
+func noPoll() {}
 
-// ask sends one request to a dispatcher, and gives its answer.
-func ask(handler http.Handler, method, path, body string, header ...string) *httptest.ResponseRecorder {
+// serve sends one request to a dispatcher, and gives its answer.
+func serve(handler http.Handler, method, path, body string, header ...string) *httptest.ResponseRecorder {
 	var reader io.Reader
 	if body != "" {
 		reader = strings.NewReader(body)
@@ -102,30 +102,30 @@
 	return recorder
 }
 
-// pass lets time of the bubble pass.
-func pass(duration time.Duration) { <-time.After(duration) }
+// sleepFor lets time of the bubble pass.
+func sleepFor(duration time.Duration) { <-time.After(duration) }
 
 // faultyCore is a chain of replicas whose calls go wrong at random. The head takes jobs into custody; whatever it replies, and
 // whenever it does.
 type faultyCore struct {
-	mutex   sync.Mutex
-	random  *rand.Rand
-	current view.View
-	custody map[uint64]bool
-	// calm has every call go well.
-	calm bool
-	late sync.WaitGroup
+	mutex    sync.Mutex
+	random   *rand.Rand
+	current  view.View
+	accepted map[uint64]bool
+	// faultless has every call go well.
+	faultless bool
+	delayed   sync.WaitGroup
 }
 
 func newFaultyCore(seed uint64) *faultyCore {
 	return &faultyCore{
-		random:  rand.New(rand.NewPCG(seed, 1)),
-		current: chainOf(1, "a", "b", "c"),
-		custody: map[uint64]bool{},
+		random:   rand.New(rand.NewPCG(seed, 1)),
+		current:  chainOf(1, "a", "b", "c"),
+		accepted: map[uint64]bool{},
 	}
 }
 
-func (c *faultyCore) draw(n int) int {
+func (c *faultyCore) randomInt(n int) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.random.IntN(n)
@@ -137,8 +137,8 @@
 	return c.current
 }
 
-// turnOver makes a new view, with another order of the chain.
-func (c *faultyCore) turnOver() {
+// changeView makes a new view, with another order of the chain.
+func (c *faultyCore) changeView() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	addresses := []string{"a", "b", "c"}
@@ -146,82 +146,82 @@
 	c.current = chainOf(c.current.Epoch+1, addresses[:1+c.random.IntN(3)]...)
 }
 
-func (c *faultyCore) inCustody(id uint64) bool {
+func (c *faultyCore) isAccepted(id uint64) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.custody[id]
+	return c.accepted[id]
 }
 
-func (c *faultyCore) take(id uint64) {
+func (c *faultyCore) accept(id uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.custody[id] = true
+	c.accepted[id] = true
 }
 
 // Call is a call on a replica; jobs are handed in by Submit only.
 func (c *faultyCore) Call(address, method string, args, reply any, timeout time.Duration) error {
 	if method != internalapi.MethodSubmit {
-		return c.look(method, reply)
+		return c.readState(method, reply)
 	}
 	id := args.(*internalapi.SubmitArgs).ID
-	answer := reply.(*internalapi.JobReply)
+	jobReply := reply.(*internalapi.JobReply)
 	newest := c.view()
-	fault := c.draw(14)
-	if c.calm {
+	fault := c.randomInt(14)
+	if c.faultless {
 		fault = 13
 	}
-	delay := time.Duration(c.draw(300)) * time.Millisecond
+	delay := time.Duration(c.randomInt(300)) * time.Millisecond
 	switch fault {
 	case 0: // refused
 		return fmt.Errorf("%w: refused", transport.ErrNotSent)
 	case 1: // nobody there
-		pass(min(timeout, 400*time.Millisecond))
+		sleepFor(min(timeout, 400*time.Millisecond))
 		return fmt.Errorf("%w: no answer", transport.ErrNotSent)
 	case 2: // lost on its way
-		pass(timeout)
+		sleepFor(timeout)
 		return fmt.Errorf("%w: no answer", transport.ErrUnknown)
 	case 3: // carried out, answer lost
-		c.take(id)
-		pass(timeout)
+		c.accept(id)
+		sleepFor(timeout)
 		return fmt.Errorf("%w: no answer", transport.ErrUnknown)
 	case 4: // carried out long after
-		c.late.Go(func() {
-			pass(timeout + 5*delay)
-			c.take(id)
+		c.delayed.Go(func() {
+			sleepFor(timeout + 5*delay)
+			c.accept(id)
 		})
-		pass(min(timeout, delay))
+		sleepFor(min(timeout, delay))
 		return fmt.Errorf("%w: connection lost", transport.ErrUnknown)
 	case 5:
-		*answer = internalapi.JobReply{Verdict: internalapi.Overloaded}
+		*jobReply = internalapi.JobReply{Verdict: internalapi.Overloaded}
 		return nil
 	case 6:
-		c.take(id)
-		*answer = internalapi.JobReply{Verdict: internalapi.InDoubt}
+		c.accept(id)
+		*jobReply = internalapi.JobReply{Verdict: internalapi.InDoubt}
 		return nil
 	case 7:
-		*answer = internalapi.JobReply{Verdict: internalapi.NotHead, View: newest}
+		*jobReply = internalapi.JobReply{Verdict: internalapi.NotHead, View: newest}
 		return nil
 	case 8:
 		return rpc.ServerError("rpc: can't find service Control.Submit")
 	case 9: // it failed on the way, having taken it
-		c.take(id)
+		c.accept(id)
 		return rpc.ServerError("shutting down")
 	case 10: // never answers, not even when the time is over
-		c.take(id)
-		pass(timeout + time.Second)
+		c.accept(id)
+		sleepFor(timeout + time.Second)
 		return fmt.Errorf("%w: no answer", transport.ErrUnknown)
 	}
 	if newest.Head().Address != address {
-		*answer = internalapi.JobReply{Verdict: internalapi.NotHead, View: newest}
+		*jobReply = internalapi.JobReply{Verdict: internalapi.NotHead, View: newest}
 		return nil
 	}
-	pass(min(delay, timeout-1))
-	c.take(id)
-	*answer = internalapi.JobReply{Verdict: internalapi.Done}
+	sleepFor(min(delay, timeout-1))
+	c.accept(id)
+	*jobReply = internalapi.JobReply{Verdict: internalapi.Done}
 	return nil
 }
 
-func (c *faultyCore) look(method string, reply any) error {
+func (c *faultyCore) readState(method string, reply any) error {
 	newest := c.view()
 	switch method {
 	case internalapi.MethodDigest:
--- a/internal/system/dataplane/figures.go
+++ b/internal/system/dataplane/figures.go
@@ -19,13 +19,13 @@
 // otherStatus is how a status is shown that isn't among them.
 const otherStatus = "other"
 
-// answerCounts counts answers by status. It is safe for concurrent use.
-type answerCounts [len(countedStatuses) + 1]atomic.Uint64
+// statusCounts counts answers by status. It is safe for concurrent use.
+type statusCounts [len(countedStatuses) + 1]atomic.Uint64
 
-func (c *answerCounts) count(status int) {
-	for at, counted := range countedStatuses {
+func (c *statusCounts) count(status int) {
+	for index, counted := range countedStatuses {
 		if counted == status {
-			c[at].Add(1)
+			c[index].Add(1)
 			return
 		}
 	}
@@ -33,14 +33,14 @@
 }
 
 // labelled gives all counts with their names.
-func (c *answerCounts) labelled() []figures.Labelled {
+func (c *statusCounts) labelled() []figures.Labelled {
 	counts := make([]figures.Labelled, 0, len(c))
-	for at := range c {
+	for index := range c {
 		name := otherStatus
-		if at < len(countedStatuses) {
-			name = strconv.Itoa(countedStatuses[at])
+		if index < len(countedStatuses) {
+			name = strconv.Itoa(countedStatuses[index])
 		}
-		counts = append(counts, figures.Labelled{Label: name, Value: float64(c[at].Load())})
+		counts = append(counts, figures.Labelled{Label: name, Value: float64(c[index].Load())})
 	}
 	return counts
 }
@@ -51,31 +51,31 @@
 // serveReadiness answers figures and readiness.
 func (p *Process) serveReadiness(w http.ResponseWriter, request *http.Request) {
 	if request.URL.Path == metricsPath {
-		figures.Serve(w, p.writeFigures)
+		figures.Serve(w, p.writeMetrics)
 		return
 	}
 	p.readiness.ServeHTTP(w, request)
 }
 
-func (p *Process) writeFigures(w *figures.Writer) {
+func (p *Process) writeMetrics(w *figures.Writer) {
 	directory := p.directory
 	w.Flag("ready", "Whether the platform is answered that this dispatcher wants connections.", p.readiness.Ready())
 	w.Flag("draining", "Whether this dispatcher is about to end.", p.readiness.draining.Load())
 	w.Gauge("config_version", "Version of the configuration in force; 0: none yet.", float64(directory.ConfigVersion()))
 	w.Gauge("view_epoch", "Epoch of the newest view known here.", float64(directory.View().Epoch))
-	w.Gauge("core_contact_age_seconds", "Time since a serving replica was heard of; -1: never.", ageSeconds(directory.seen.Load(), directory))
-	w.Gauge("head_contact_age_seconds", "Time since the head answered, or was learnt; -1: never.", ageSeconds(directory.headSeen.Load(), directory))
+	w.Gauge("core_contact_age_seconds", "Time since a serving replica was heard of; -1: never.", ageSeconds(directory.lastContact.Load(), directory))
+	w.Gauge("head_contact_age_seconds", "Time since the head answered, or was learnt; -1: never.", ageSeconds(directory.lastHeadContact.Load(), directory))
 	w.Gauge("uptime_seconds", "Time since the start of the process.", time.Since(directory.started).Seconds())
-	w.Counters("answers_total", "Answers to clients since the start, by status.", "status", p.dispatcher.answers.labelled())
+	w.Counters("answers_total", "Answers to clients since the start, by status.", "status", p.dispatcher.responseCounts.labelled())
 	p.dispatcher.failures.write(w)
-	w.Gauge("body_bytes", "Memory that the bodies of requests take.", float64(p.dispatcher.bodies.Held()))
+	w.Gauge("body_bytes", "Memory that the bodies of requests take.", float64(p.dispatcher.bodyBudget.Held()))
 	p.options.Invariants.Write(w)
 }
 
 // ageSeconds is how long ago a moment of the directory was; -1 for one that never came.
-func ageSeconds(moment int64, directory *Directory) float64 {
-	if moment == 0 {
+func ageSeconds(timestamp int64, directory *Directory) float64 {
+	if timestamp == 0 {
 		return -1
 	}
-	return directory.since(moment).Seconds()
+	return directory.since(timestamp).Seconds()
 }
--- a/internal/system/dataplane/figures_test.go
+++ b/internal/system/dataplane/figures_test.go
@@ -20,7 +20,7 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-func TestFiguresAndOverviewOfADispatcher(t *testing.T) {
+func TestMetricsAndOverview(t *testing.T) {
 	_, server := serveControl(t)
 	defer server.Close()
 	process := startProcess(t, server)
@@ -49,13 +49,13 @@
 }
 
 func scrape(t *testing.T, address string) map[string]*dto.MetricFamily {
-	answer, err := http.Get("http://" + address + metricsPath)
+	response, err := http.Get("http://" + address + metricsPath)
 	require.NoError(t, err)
 	defer http.DefaultClient.CloseIdleConnections()
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
-	assert.Equal(t, figures.ContentType, answer.Header.Get("Content-Type"))
+	assert.Equal(t, figures.ContentType, response.Header.Get("Content-Type"))
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(strings.NewReader(string(text)))
 	require.NoError(t, err)
@@ -78,28 +78,28 @@
 	assert.EqualValues(t, 1, reply.Answers["410"])
 }
 
-func TestWhyADispatcherIsNotReady(t *testing.T) {
+func TestNotReadyReasons(t *testing.T) {
 	directory := NewDirectory()
 	var reasons []string
 	readiness := NewReadiness(directory, func(_ bool, reason string) { reasons = append(reasons, reason) }, Options{})
-	assert.Contains(t, readiness.notReadyFor(), "configuration")
+	assert.Contains(t, readiness.notReadyReason(), "configuration")
 	_, err := directory.LearnConfig(1, configBody(1))
 	require.NoError(t, err)
-	assert.Contains(t, readiness.notReadyFor(), "no replica")
-	directory.Contact()
-	assert.Contains(t, readiness.notReadyFor(), "head")
+	assert.Contains(t, readiness.notReadyReason(), "no replica")
+	directory.RecordContact()
+	assert.Contains(t, readiness.notReadyReason(), "head")
 	directory.LearnView(chainOf(0, "127.0.0.1:1"))
-	assert.Contains(t, readiness.notReadyFor(), "newest")
-	directory.Current(1)
-	assert.Empty(t, readiness.notReadyFor())
-	ask(readiness, "GET", "/readyz", "")
+	assert.Contains(t, readiness.notReadyReason(), "newest")
+	directory.RecordCurrent(1)
+	assert.Empty(t, readiness.notReadyReason())
+	serve(readiness, "GET", "/readyz", "")
 	readiness.Drain()
-	ask(readiness, "GET", "/readyz", "")
+	serve(readiness, "GET", "/readyz", "")
 	assert.Equal(t, []string{"", "it is ending"}, reasons)
 }
 
-func TestEveryAnswerIsCounted(t *testing.T) {
-	var counts answerCounts
+func TestEveryResponseIsCounted(t *testing.T) {
+	var counts statusCounts
 	for _, status := range countedStatuses {
 		counts.count(status)
 	}
--- a/internal/system/dataplane/follow.go
+++ b/internal/system/dataplane/follow.go
@@ -7,18 +7,18 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// follow acts on what the directory learns, until the context ends.
-func (p *Process) follow(ctx context.Context) {
+// followDirectory acts on what the directory learns, until the context ends.
+func (p *Process) followDirectory(ctx context.Context) {
 	head, version, epoch := "", uint64(0), uint64(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.directory.News():
+		case <-p.directory.Changes():
 		}
 		if config := p.directory.Config(); config != nil && config.Version != version {
 			version = config.Version
-			p.configured(config)
+			p.applyConfiguration(config)
 		}
 		current := p.directory.View()
 		if !current.Known() || (head != "" && current.Epoch == epoch) {
@@ -29,32 +29,32 @@
 			p.logger.Info("head changed", "head", address, "epoch", epoch)
 			head = address
 		}
-		p.spreadView()
+		p.publishView()
 	}
 }
 
-// configured puts a configuration's limits in force and passes it on.
-func (p *Process) configured(config *Configuration) {
+// applyConfiguration puts a configuration's limits in force and passes it on.
+func (p *Process) applyConfiguration(config *Configuration) {
 	p.checkConfiguration(config)
 	parsed := config.Router.Config()
 	p.logger.Info("configuration taken", "version", config.Version, "routes", len(parsed.Routes))
 	p.frontend.Serve(parsed.Limits)
-	p.spread(internalapi.KeyConfig, config.Version, config.Body)
+	p.publish(internalapi.KeyConfig, config.Version, config.Body)
 }
 
-func (p *Process) spreadView() {
+func (p *Process) publishView() {
 	current := p.directory.View()
 	data, err := internalapi.EncodeView(*current)
 	if err != nil {
-		p.unusable(err)
+		p.logUnusable(err)
 		return
 	}
-	p.spread(internalapi.KeyView, internalapi.ViewVersion(*current), data)
+	p.publish(internalapi.KeyView, internalapi.ViewVersion(*current), data)
 }
 
-func (p *Process) spread(key gossip.Key, major uint64, data []byte) {
+func (p *Process) publish(key gossip.Key, major uint64, data []byte) {
 	err := p.node.Set(gossip.Value{Key: key, Version: gossip.Version{Major: major}, Data: data})
 	if err != nil {
-		p.unusable(err)
+		p.logUnusable(err)
 	}
 }
--- a/internal/system/dataplane/frontend.go
+++ b/internal/system/dataplane/frontend.go
@@ -16,9 +16,9 @@
 const (
 	// clientKeepAlive is how soon a client that says nothing is probed, and how often.
 	clientKeepAlive = 15 * time.Second
-	// sparedDescriptors are those that aren't for connections of clients.
-	sparedDescriptors = 200
-	leastConnections  = 64
+	// reservedDescriptors are those that aren't for connections of clients.
+	reservedDescriptors = 200
+	minConnections      = 64
 )
 
 // DefaultLimits are the limits while there is no configuration.
@@ -33,7 +33,7 @@
 
 // MaxConnections is how many connections of clients a process may hold that may open so many files.
 func MaxConnections(maxOpenFiles int) int {
-	return max(leastConnections, (maxOpenFiles-sparedDescriptors)/2)
+	return max(minConnections, (maxOpenFiles-reservedDescriptors)/2)
 }
 
 // Frontend is where clients connect. A change of limits holds for connections from then on: those that are open keep the
@@ -42,12 +42,12 @@
 	handler  http.Handler
 	listener net.Listener
 	slots    network.Slots
-	quiet    *log.Logger
+	errorLog *log.Logger
 
 	mutex     sync.Mutex
 	closed    bool
 	limits    clusterconfig.Limits
-	current   *gate
+	current   *stoppableListener
 	servers   []*http.Server
 	accepting sync.WaitGroup
 }
@@ -63,12 +63,12 @@
 }
 
 // NewFrontend serves a listener; nothing is accepted before Serve. At most so many connections are held, further ones wait.
-func NewFrontend(listener net.Listener, handler http.Handler, connections int, quiet *log.Logger) *Frontend {
+func NewFrontend(listener net.Listener, handler http.Handler, connections int, errorLog *log.Logger) *Frontend {
 	return &Frontend{
 		handler:  handler,
 		listener: listener,
 		slots:    network.NewSlots(connections),
-		quiet:    quiet,
+		errorLog: errorLog,
 	}
 }
 
@@ -83,15 +83,15 @@
 		return
 	}
 	if f.current != nil {
-		f.current.shut()
+		f.current.stop()
 		f.accepting.Wait()
 	}
 	f.limits = limits
-	f.current = newGate(f.listener, f.slots)
+	f.current = newStoppableListener(f.listener, f.slots)
 	server := f.newServer(limits)
 	f.servers = append(f.servers, server)
-	opened := f.current
-	f.accepting.Go(func() { _ = server.Serve(opened) }) // it ends when the gate is shut
+	active := f.current
+	f.accepting.Go(func() { _ = server.Serve(active) }) // it ends when the gate is shut
 }
 
 func (f *Frontend) newServer(limits clusterconfig.Limits) *http.Server {
@@ -100,7 +100,7 @@
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		IdleTimeout:       limits.IdleTimeout,
 		MaxHeaderBytes:    int(limits.MaxHeaderBytes),
-		ErrorLog:          f.quiet,
+		ErrorLog:          f.errorLog,
 	}
 }
 
@@ -111,13 +111,13 @@
 	var group sync.WaitGroup
 	failures := make([]error, len(servers))
 	for index, server := range servers {
-		group.Go(func() { failures[index] = end(ctx, server) })
+		group.Go(func() { failures[index] = shutdownServer(ctx, server) })
 	}
 	group.Wait()
 	return errors.Join(failures...)
 }
 
-func end(ctx context.Context, server *http.Server) error {
+func shutdownServer(ctx context.Context, server *http.Server) error {
 	err := server.Shutdown(ctx)
 	if err != nil {
 		_ = server.Close()
@@ -131,7 +131,7 @@
 	defer f.mutex.Unlock()
 	f.closed = true
 	if f.current != nil {
-		f.current.shut()
+		f.current.stop()
 	}
 	_ = f.listener.Close()
 	f.accepting.Wait()
--- a/internal/system/dataplane/frontend_test.go
+++ b/internal/system/dataplane/frontend_test.go
@@ -33,21 +33,21 @@
 
 func (c client) exchange(t *testing.T, request string) string {
 	go func() { _, _ = io.WriteString(c, request) }()
-	return readAnswer(t, c.reader)
+	return readResponse(t, c.reader)
 }
 
 // slowCore answers each call after a time.
 func slowCore(delay time.Duration) callerFunc {
 	return func(_, _ string, _, reply any, _ time.Duration) error {
-		pass(delay)
+		sleepFor(delay)
 		*reply.(*internalapi.JobReply) = internalapi.JobReply{Verdict: internalapi.Done, Pending: 3}
 		return nil
 	}
 }
 
-func TestNothingIsLostAtADrain(t *testing.T) {
+func TestDrainLosesNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dispatcher := NewDispatcher(slowCore(500*time.Millisecond), knowing(t, "a"), noPoke, Options{})
+		dispatcher := NewDispatcher(slowCore(500*time.Millisecond), testDirectory(t, "a"), noPoll, Options{})
 		server := newPipeServer(t, dispatcher)
 		kept, idle, busy := server.keep(), server.keep(), server.keep()
 		defer kept.Close()
@@ -57,9 +57,9 @@
 		assert.NotContains(t, idle.exchange(t, countRequest), "Connection: close")
 
 		dispatcher.Drain()
-		answer := kept.exchange(t, countRequest)
-		assert.Contains(t, answer, `{"pending":3}`)
-		assert.Contains(t, answer, "Connection: close")
+		response := kept.exchange(t, countRequest)
+		assert.Contains(t, response, `{"pending":3}`)
+		assert.Contains(t, response, "Connection: close")
 		assertClosed(t, kept)
 		assert.Contains(t, server.exchange(countRequest), "Connection: close", "new connections are still answered")
 
@@ -79,7 +79,7 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-func TestAShutdownThatRunsOutOfTimeCuts(t *testing.T) {
+func TestShutdownClosesConnectionsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
 		server := newPipeServer(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
@@ -95,9 +95,9 @@
 	})
 }
 
-func TestNewLimitsHoldForNewConnections(t *testing.T) {
+func TestNewLimitsApplyToNewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dispatcher := NewDispatcher(slowCore(time.Millisecond), knowing(t, "a"), noPoke, Options{})
+		dispatcher := NewDispatcher(slowCore(time.Millisecond), testDirectory(t, "a"), noPoll, Options{})
 		server := newPipeServer(t, dispatcher)
 		old := server.keep()
 		defer old.Close()
@@ -117,39 +117,39 @@
 
 func TestHeadersAndIdleConnectionsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dispatcher := NewDispatcher(slowCore(time.Millisecond), knowing(t, "a"), noPoke, Options{})
+		dispatcher := NewDispatcher(slowCore(time.Millisecond), testDirectory(t, "a"), noPoll, Options{})
 		server := newPipeServer(t, dispatcher)
-		begun := time.Now()
+		began := time.Now()
 		silent := server.keep()
 		defer silent.Close()
 		_, err := silent.reader.ReadByte()
 		assert.Error(t, err)
-		assert.Equal(t, DefaultLimits().HeaderTimeout, time.Since(begun))
+		assert.Equal(t, DefaultLimits().HeaderTimeout, time.Since(began))
 
 		idle := server.keep()
 		defer idle.Close()
 		idle.exchange(t, countRequest)
-		begun = time.Now()
+		began = time.Now()
 		assertClosed(t, idle)
-		assert.Equal(t, DefaultLimits().IdleTimeout, time.Since(begun))
+		assert.Equal(t, DefaultLimits().IdleTimeout, time.Since(began))
 	})
 }
 
-func TestABodyThatStallsIsGivenUp(t *testing.T) {
+func TestStalledBodyTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dispatcher := NewDispatcher(slowCore(time.Millisecond), knowing(t, "a"), noPoke, Options{})
+		dispatcher := NewDispatcher(slowCore(time.Millisecond), testDirectory(t, "a"), noPoll, Options{})
 		server := newPipeServer(t, dispatcher)
 		head := "POST " + testPrefix + testID + " HTTP/1.1\r\nHost: " + testHost + "\r\nContent-Length: 100\r\n\r\n{"
-		begun := time.Now()
+		began := time.Now()
 		assert.Contains(t, server.exchange(head), "408")
-		assert.Equal(t, bodyTime, time.Since(begun))
+		assert.Equal(t, bodyTimeout, time.Since(began))
 	})
 }
 
 // A body's deadline must not end the answer's work, nor the connection.
-func TestABodysDeadlineEndsWithTheBody(t *testing.T) {
+func TestBodyDeadlineIsClearedAfterBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dispatcher := NewDispatcher(slowCore(2*bodyTime), knowing(t, "a"), noPoke, Options{FirstTry: time.Minute})
+		dispatcher := NewDispatcher(slowCore(2*bodyTimeout), testDirectory(t, "a"), noPoll, Options{FirstCallTimeout: time.Minute})
 		server := newPipeServer(t, dispatcher)
 		conn := server.keep()
 		defer conn.Close()
@@ -162,7 +162,7 @@
 
 func TestConnectionsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dispatcher := NewDispatcher(slowCore(time.Millisecond), knowing(t, "a"), noPoke, Options{})
+		dispatcher := NewDispatcher(slowCore(time.Millisecond), testDirectory(t, "a"), noPoll, Options{})
 		listener := newPipeListener()
 		frontend := NewFrontend(listener, dispatcher, 1, nil)
 		frontend.Serve(DefaultLimits())
@@ -178,9 +178,9 @@
 	})
 }
 
-func TestAFullFrontendCanBeShutAndChanged(t *testing.T) {
+func TestFullFrontendAcceptsNewLimitsAndShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dispatcher := NewDispatcher(slowCore(time.Millisecond), knowing(t, "a"), noPoke, Options{})
+		dispatcher := NewDispatcher(slowCore(time.Millisecond), testDirectory(t, "a"), noPoll, Options{})
 		listener := newPipeListener()
 		frontend := NewFrontend(listener, dispatcher, 1, nil)
 		frontend.Serve(DefaultLimits())
@@ -199,5 +199,5 @@
 
 func TestMaxConnections(t *testing.T) {
 	assert.Equal(t, 1950, MaxConnections(4100))
-	assert.Equal(t, leastConnections, MaxConnections(100))
+	assert.Equal(t, minConnections, MaxConnections(100))
 }
--- a/internal/system/dataplane/gate.go
+++ b/internal/system/dataplane/gate.go
@@ -9,32 +9,32 @@
 	"gaugeslip/internal/system/network"
 )
 
-var errGateShut = errors.New("gate shut")
+var errListenerStopped = errors.New("gate shut")
 
-// deadlined is a listener whose Accept can be ended without closing it.
-type deadlined interface{ SetDeadline(time.Time) error }
+// deadlineListener is a listener whose Accept can be ended without closing it.
+type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// gate accepts from a listener that outlasts it, while it is open and a slot is free. Each connection holds a slot until it is
+// stoppableListener accepts from a listener that outlasts it, while it is open and a slot is free. Each connection holds a slot until it is
 // closed.
-type gate struct {
+type stoppableListener struct {
 	net.Listener
-	slots  network.Slots
-	closed chan struct{}
-	once   sync.Once
+	slots   network.Slots
+	stopped chan struct{}
+	once    sync.Once
 }
 
-func newGate(listener net.Listener, slots network.Slots) *gate {
-	if timed, ok := listener.(deadlined); ok {
+func newStoppableListener(listener net.Listener, slots network.Slots) *stoppableListener {
+	if timed, ok := listener.(deadlineListener); ok {
 		_ = timed.SetDeadline(time.Time{})
 	}
-	return &gate{Listener: listener, slots: slots, closed: make(chan struct{})}
+	return &stoppableListener{Listener: listener, slots: slots, stopped: make(chan struct{})}
 }
 
 // Accept waits for a slot and a connection, until the gate is shut.
-func (g *gate) Accept() (net.Conn, error) {
+func (g *stoppableListener) Accept() (net.Conn, error) {
 	select {
-	case <-g.closed:
-		return nil, errGateShut
+	case <-g.stopped:
+		return nil, errListenerStopped
 	case g.slots <- struct{}{}:
 	}
 	conn, err := g.Listener.Accept()
@@ -43,21 +43,21 @@
 	}
 	<-g.slots
 	select {
-	case <-g.closed:
-		return nil, errGateShut
+	case <-g.stopped:
+		return nil, errListenerStopped
 	default:
 		return nil, err
 	}
 }
 
 // Close leaves the listener open: it belongs to the frontend.
-func (g *gate) Close() error { return nil }
+func (g *stoppableListener) Close() error { return nil }
 
-// shut ends Accept for good.
-func (g *gate) shut() {
+// stop ends Accept for good.
+func (g *stoppableListener) stop() {
 	g.once.Do(func() {
-		close(g.closed)
-		if timed, ok := g.Listener.(deadlined); ok {
+		close(g.stopped)
+		if timed, ok := g.Listener.(deadlineListener); ok {
 			_ = timed.SetDeadline(time.Unix(1, 0))
 		}
 	})
--- a/internal/system/dataplane/invalid.go
+++ b/internal/system/dataplane/invalid.go
@@ -8,29 +8,29 @@
 	"gaugeslip/internal/system/findings"
 )
 
-// rejection is the body of a 400: everything that is wrong, with its place.
-type rejection struct {
-	Findings []rejected `json:"findings"`
+// invalidBody is the body of a 400: everything that is wrong, with its place.
+type invalidBody struct {
+	Findings []invalidFinding `json:"findings"`
 }
 
-type rejected struct {
+type invalidFinding struct {
 	Place string `json:"place,omitempty"`
 	Text  string `json:"text"`
 }
 
-// invalid answers a request that can't be taken, whatever is done.
-func invalid(err error) answer {
+// invalidResponse answers a request that can't be taken, whatever is done.
+func invalidResponse(err error) response {
 	var found findings.Findings
 	if !errors.As(err, &found) {
 		found = findings.Findings{{Text: err.Error()}}
 	}
-	listed := rejection{Findings: make([]rejected, len(found))}
+	listed := invalidBody{Findings: make([]invalidFinding, len(found))}
 	for index, finding := range found {
-		listed.Findings[index] = rejected{Place: finding.Place, Text: finding.Text}
+		listed.Findings[index] = invalidFinding{Place: finding.Place, Text: finding.Text}
 	}
 	body, err := json.Marshal(listed)
 	if err != nil {
 		body = []byte("{}")
 	}
-	return answer{status: http.StatusBadRequest, body: body}
+	return response{status: http.StatusBadRequest, body: body}
 }
--- a/internal/system/dataplane/overview.go
+++ b/internal/system/dataplane/overview.go
@@ -17,7 +17,7 @@
 
 func (p *Process) overview() internalapi.DispatcherOverviewReply {
 	directory, newest := p.directory, p.directory.View()
-	reason := p.readiness.notReadyFor()
+	reason := p.readiness.notReadyReason()
 	reply := internalapi.DispatcherOverviewReply{
 		Node:          p.name,
 		Zone:          p.zone,
@@ -29,8 +29,8 @@
 		Draining:      p.readiness.draining.Load(),
 		Epoch:         newest.Epoch,
 		ConfigVersion: directory.ConfigVersion(),
-		CoreMs:        ageMs(directory.seen.Load(), directory),
-		HeadMs:        ageMs(directory.headSeen.Load(), directory),
+		CoreMs:        ageMs(directory.lastContact.Load(), directory),
+		HeadMs:        ageMs(directory.lastHeadContact.Load(), directory),
 		Answers:       map[string]uint64{},
 	}
 	for _, member := range newest.Chain {
@@ -39,7 +39,7 @@
 	if config := directory.Config(); config != nil {
 		reply.Routes = len(config.Router.Config().Routes)
 	}
-	for _, count := range p.dispatcher.answers.labelled() {
+	for _, count := range p.dispatcher.responseCounts.labelled() {
 		reply.Answers[count.Label] = uint64(count.Value)
 	}
 	for _, peer := range p.node.Peers() {
@@ -49,23 +49,23 @@
 }
 
 // ageMs is how long ago a moment of the directory was; -1 for one that never came.
-func ageMs(moment int64, directory *Directory) int64 {
-	if moment == 0 {
+func ageMs(timestamp int64, directory *Directory) int64 {
+	if timestamp == 0 {
 		return -1
 	}
-	return directory.since(moment).Milliseconds()
+	return directory.since(timestamp).Milliseconds()
 }
 
-// notReadyFor says in words what Ready tells; empty when it is ready.
-func (r *Readiness) notReadyFor() string {
+// notReadyReason says in words what Ready tells; empty when it is ready.
+func (r *Readiness) notReadyReason() string {
 	switch {
 	case r.draining.Load():
 		return "it is ending"
 	case r.directory.Config() == nil:
 		return "it has no configuration yet"
-	case !r.directory.Reachable(r.options.ContactLife):
+	case !r.directory.Reachable(r.options.CoreContactTimeout):
 		return "it hears of no replica that serves"
-	case !r.directory.HeadReachable(r.options.HeadLife):
+	case !r.directory.HeadReachable(r.options.HeadContactTimeout):
 		return "it can't reach the head"
 	case !r.directory.everUpToDate():
 		return "it hasn't heard yet which configuration is the newest"
--- a/internal/system/dataplane/patience.go
+++ b/internal/system/dataplane/patience.go
@@ -10,43 +10,43 @@
 const deadlineHeader = "X-Gaugeslip-Deadline"
 
 const (
-	// sureShare is the part of the client's time after which a request that surely wasn't taken is refused.
-	sureShare = 0.45
-	// doubtShare is the part after which a request whose outcome is unknown is given up.
-	doubtShare = 0.85
-	// mostWait bounds what a client may ask for.
-	mostWait = 10 * time.Minute
-	// leastAbsolute is the figure above which a deadline is a time of day in milliseconds since 1970.
-	leastAbsolute = 1e11
+	// certainShare is the part of the client's time after which a request that surely wasn't taken is refused.
+	certainShare = 0.45
+	// inDoubtShare is the part after which a request whose outcome is unknown is given up.
+	inDoubtShare = 0.85
+	// maxWait bounds what a client may ask for.
+	maxWait = 10 * time.Minute
+	// minAbsoluteMs is the figure above which a deadline is a time of day in milliseconds since 1970.
+	minAbsoluteMs = 1e11
 )
 
-// shareOf is the part of the client's time for which a request is worked on while it surely wasn't carried out: a job that isn't taken is
+// certainShareOf is the part of the client's time for which a request is worked on while it surely wasn't carried out: a job that isn't taken is
 // refused while there is time to hand it in elsewhere.
-func shareOf(method string) float64 {
+func certainShareOf(method string) float64 {
 	if method == http.MethodPost {
-		return sureShare
+		return certainShare
 	}
-	return doubtShare
+	return inDoubtShare
 }
 
-// patience is until when an answer is worked for.
-type patience struct {
-	// sure holds while it is certain that nothing was carried out, doubt once it isn't.
-	sure, doubt time.Time
+// deadlines is until when an answer is worked for.
+type deadlines struct {
+	// certain holds while it is certain that nothing was carried out, doubt once it isn't.
+	certain, inDoubt time.Time
 }
 
-func newPatience(arrived time.Time, wait time.Duration, share float64) patience {
-	return patience{
-		sure:  arrived.Add(time.Duration(float64(wait) * share)),
-		doubt: arrived.Add(time.Duration(float64(wait) * doubtShare)),
+func newDeadlines(arrived time.Time, wait time.Duration, share float64) deadlines {
+	return deadlines{
+		certain: arrived.Add(time.Duration(float64(wait) * share)),
+		inDoubt: arrived.Add(time.Duration(float64(wait) * inDoubtShare)),
 	}
 }
 
-func (p patience) until(inDoubt bool) time.Time {
+func (p deadlines) until(inDoubt bool) time.Time {
 	if inDoubt {
-		return p.doubt
+		return p.inDoubt
 	}
-	return p.sure
+	return p.certain
 }
 
 // clientWait reads the deadline header: milliseconds, a duration with its unit, or a time of day in milliseconds. ok is false
@@ -58,19 +58,19 @@
 	if duration, err := time.ParseDuration(text); err == nil {
 		return clampWait(duration)
 	}
-	figure, err := strconv.ParseFloat(text, 64)
-	if err != nil || figure != figure {
+	number, err := strconv.ParseFloat(text, 64)
+	if err != nil || number != number {
 		return 0, false
 	}
-	if figure >= leastAbsolute {
-		figure -= float64(now.UnixMilli())
+	if number >= minAbsoluteMs {
+		number -= float64(now.UnixMilli())
 	}
-	if figure > float64(mostWait/time.Millisecond) {
-		return mostWait, true
+	if number > float64(maxWait/time.Millisecond) {
+		return maxWait, true
 	}
-	return clampWait(time.Duration(figure * float64(time.Millisecond)))
+	return clampWait(time.Duration(number * float64(time.Millisecond)))
 }
 
 func clampWait(wait time.Duration) (time.Duration, bool) {
-	return min(wait, mostWait), wait > 0
+	return min(wait, maxWait), wait > 0
 }
--- a/internal/system/dataplane/pipe_test.go
+++ b/internal/system/dataplane/pipe_test.go
@@ -107,10 +107,10 @@
 	conn := s.connect()
 	defer conn.Close()
 	go func() { _, _ = io.WriteString(conn, request) }()
-	return readAnswer(s.t, bufio.NewReader(conn))
+	return readResponse(s.t, bufio.NewReader(conn))
 }
 
-func readAnswer(t *testing.T, reader *bufio.Reader) string {
+func readResponse(t *testing.T, reader *bufio.Reader) string {
 	response, err := http.ReadResponse(reader, nil)
 	require.NoError(t, err)
 	defer response.Body.Close()
--- a/internal/system/dataplane/poller.go
+++ b/internal/system/dataplane/poller.go
@@ -11,18 +11,18 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// turns is how many looks make a round: one begins with the seeds, two with the head and one with another of the chain.
-const turns = 4
+// pollsPerRound is how many looks make a round: one begins with the seeds, two with the head and one with another of the chain.
+const pollsPerRound = 4
 
 // Poller looks at the core, at intervals and when poked, for newer views and configurations. That is also how a dispatcher
 // knows that the core is within reach.
 type Poller struct {
-	caller    Caller
-	directory *Directory
-	options   Options
-	seeds     atomic.Pointer[[]string]
-	poked     chan struct{}
-	looks     int
+	caller       Caller
+	directory    *Directory
+	options      Options
+	seeds        atomic.Pointer[[]string]
+	pollRequests chan struct{}
+	polls        int
 	// onError is told what could not be used.
 	onError func(error)
 }
@@ -30,12 +30,12 @@
 // NewPoller makes a poller; seeds are internal addresses of a few replicas. onError must not block.
 func NewPoller(caller Caller, directory *Directory, seeds []string, onError func(error), options Options) *Poller {
 	p := &Poller{
-		caller:    caller,
-		directory: directory,
-		options:   options.withDefaults(),
-		poked:     make(chan struct{}, 1),
-		looks:     rand.IntN(1 << 16),
-		onError:   onError,
+		caller:       caller,
+		directory:    directory,
+		options:      options.withDefaults(),
+		pollRequests: make(chan struct{}, 1),
+		polls:        rand.IntN(1 << 16),
+		onError:      onError,
 	}
 	p.SetSeeds(seeds)
 	return p
@@ -47,10 +47,10 @@
 	p.seeds.Store(&kept)
 }
 
-// Poke asks for a look soon. It never blocks.
-func (p *Poller) Poke() {
+// RequestPoll asks for a look soon. It never blocks.
+func (p *Poller) RequestPoll() {
 	select {
-	case p.poked <- struct{}{}:
+	case p.pollRequests <- struct{}{}:
 	default:
 	}
 }
@@ -64,10 +64,10 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-p.poked:
+		case <-p.pollRequests:
 		}
-		p.Look()
-		if pause.For(ctx, p.options.PokeGap) != nil {
+		p.Poll()
+		if pause.For(ctx, p.options.MinPollGap) != nil {
 			return
 		}
 		timer.Reset(p.interval())
@@ -76,15 +76,15 @@
 
 // interval is the time to the next look, spread so that dispatchers don't look all at once.
 func (p *Poller) interval() time.Duration {
-	return p.options.PollInterval*3/4 + rand.N(p.options.PollInterval/2) - p.options.PokeGap
+	return p.options.PollInterval*3/4 + rand.N(p.options.PollInterval/2) - p.options.MinPollGap
 }
 
-// Look asks replicas, one after the other, until one that serves has answered.
-func (p *Poller) Look() {
-	p.looks++
+// Poll asks replicas, one after the other, until one that serves has answered.
+func (p *Poller) Poll() {
+	p.polls++
 	candidates, first := p.candidates()
 	for offset := range candidates {
-		if p.ask(candidates[(first+offset)%len(candidates)]) {
+		if p.pollReplica(candidates[(first+offset)%len(candidates)]) {
 			return
 		}
 	}
@@ -92,7 +92,7 @@
 
 // candidates are whom this look may ask, and which of them comes first.
 func (p *Poller) candidates() (addresses []string, first int) {
-	round, turn := p.looks/turns, p.looks%turns
+	round, turn := p.polls/pollsPerRound, p.polls%pollsPerRound
 	chain := p.directory.View().Chain
 	switch {
 	case turn == 0 || len(chain) == 0:
@@ -107,27 +107,27 @@
 	return addresses, first
 }
 
-// ask looks at one replica, and fetches from it what is newer there; it tells whether that one serves.
-func (p *Poller) ask(address string) bool {
+// pollReplica looks at one replica, and fetches from it what is newer there; it tells whether that one serves.
+func (p *Poller) pollReplica(address string) bool {
 	var digest internalapi.DigestReply
 	err := p.caller.Call(address, internalapi.MethodDigest, &internalapi.DigestArgs{}, &digest, p.options.PollTimeout)
 	if err != nil {
 		return false
 	}
-	p.directory.Answered(address)
+	p.directory.RecordReply(address)
 	if digest.Serving {
-		p.directory.Contact()
+		p.directory.RecordContact()
 	}
-	if p.newer(&digest) {
+	if p.isNewer(&digest) {
 		p.fetch(address)
 	}
 	if digest.Serving {
-		p.directory.Current(digest.ConfigVersion)
+		p.directory.RecordCurrent(digest.ConfigVersion)
 	}
 	return digest.Serving
 }
 
-func (p *Poller) newer(digest *internalapi.DigestReply) bool {
+func (p *Poller) isNewer(digest *internalapi.DigestReply) bool {
 	known := p.directory.View()
 	if !known.Known() || digest.Epoch > known.Epoch {
 		return true
--- a/internal/system/dataplane/poller_test.go
+++ b/internal/system/dataplane/poller_test.go
@@ -25,16 +25,16 @@
 
 // replicas are looked at by a poller.
 type replicas struct {
-	mutex   sync.Mutex
-	each    map[string]*replica
-	digests []string
-	fetches []string
+	mutex     sync.Mutex
+	byAddress map[string]*replica
+	digests   []string
+	fetches   []string
 }
 
 func (r *replicas) Call(address, method string, args, reply any, _ time.Duration) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	found := r.each[address]
+	found := r.byAddress[address]
 	if found == nil || found.down {
 		return transport.ErrNotSent
 	}
@@ -68,83 +68,83 @@
 func (r *replicas) set(address string, change func(*replica)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	change(r.each[address])
+	change(r.byAddress[address])
 }
 
 func threeReplicas(serving bool) *replicas {
-	r := &replicas{each: map[string]*replica{}}
+	r := &replicas{byAddress: map[string]*replica{}}
 	for _, address := range []string{"a", "b", "c"} {
-		r.each[address] = &replica{view: chainOf(0, "a", "b", "c"), version: 1, serving: serving}
+		r.byAddress[address] = &replica{view: chainOf(0, "a", "b", "c"), version: 1, serving: serving}
 	}
 	return r
 }
 
-func failOn(t *testing.T) func(error) { return func(err error) { t.Error(err) } }
+func failOnError(t *testing.T) func(error) { return func(err error) { t.Error(err) } }
 
-func TestALookLearnsWhatIsNewer(t *testing.T) {
+func TestPollLearnsNewerState(t *testing.T) {
 	core := threeReplicas(true)
 	directory := NewDirectory()
-	poller := NewPoller(core, directory, []string{"b"}, failOn(t), Options{})
-	poller.Look()
+	poller := NewPoller(core, directory, []string{"b"}, failOnError(t), Options{})
+	poller.Poll()
 	assert.Equal(t, "a", directory.View().Head().Address)
 	assert.EqualValues(t, 1, directory.ConfigVersion())
 	assert.True(t, directory.Reachable(time.Minute))
 	assert.Equal(t, []string{"b"}, core.fetches)
 	for range 12 {
-		poller.Look()
+		poller.Poll()
 	}
 	assert.Equal(t, []string{"b"}, core.fetches, "what is known isn't fetched again")
 	assert.Subset(t, core.digests, []string{"a", "b", "c"}, "all are looked at in turn")
 }
 
-func TestALookGoesOnUntilSomebodyServes(t *testing.T) {
+func TestPollContinuesUntilReplicaServes(t *testing.T) {
 	core := threeReplicas(false)
-	core.each["a"].down = true
-	directory := knowing(t, "a", "b", "c")
-	poller := NewPoller(core, directory, []string{"a", "b", "c"}, failOn(t), Options{})
+	core.byAddress["a"].down = true
+	directory := testDirectory(t, "a", "b", "c")
+	poller := NewPoller(core, directory, []string{"a", "b", "c"}, failOnError(t), Options{})
 	synctest.Test(t, func(t *testing.T) {
-		poller.Look()
+		poller.Poll()
 		assert.ElementsMatch(t, []string{"b", "c"}, core.digests)
 		core.set("c", func(r *replica) { r.serving = true })
 		directory := NewDirectory()
-		poller := NewPoller(core, directory, []string{"a", "b", "c"}, failOn(t), Options{})
-		poller.Look()
+		poller := NewPoller(core, directory, []string{"a", "b", "c"}, failOnError(t), Options{})
+		poller.Poll()
 		assert.True(t, directory.Reachable(time.Minute))
 	})
 }
 
-func TestSeedsAreAskedWhenTheChainIsGone(t *testing.T) {
+func TestSeedsArePolledWhenChainIsGone(t *testing.T) {
 	core := threeReplicas(true)
-	core.each["new"] = &replica{view: chainOf(9, "new"), version: 4, serving: true}
-	core.each["a"].down, core.each["b"].down, core.each["c"].down = true, true, true
-	directory := knowing(t, "a", "b", "c")
-	poller := NewPoller(core, directory, []string{"a"}, failOn(t), Options{})
+	core.byAddress["new"] = &replica{view: chainOf(9, "new"), version: 4, serving: true}
+	core.byAddress["a"].down, core.byAddress["b"].down, core.byAddress["c"].down = true, true, true
+	directory := testDirectory(t, "a", "b", "c")
+	poller := NewPoller(core, directory, []string{"a"}, failOnError(t), Options{})
 	poller.SetSeeds([]string{"new"})
-	for range turns {
-		poller.Look()
+	for range pollsPerRound {
+		poller.Poll()
 	}
 	assert.Equal(t, "new", directory.View().Head().Address)
 	assert.EqualValues(t, 4, directory.ConfigVersion())
 }
 
-func TestNewsArriveWithinAnIntervalAndAtOnceWhenPoked(t *testing.T) {
+func TestUpdatesArriveWithinIntervalOrOnRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := threeReplicas(true)
 		directory := NewDirectory()
-		poller := NewPoller(core, directory, []string{"a", "b", "c"}, failOn(t), Options{})
+		poller := NewPoller(core, directory, []string{"a", "b", "c"}, failOnError(t), Options{})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { poller.Run(ctx) })
-		pass(defaultPollInterval)
+		sleepFor(defaultPollInterval)
 		for version := 2; version < 20; version++ {
 			for _, address := range []string{"a", "b", "c"} {
 				core.set(address, func(r *replica) { r.version = version })
 			}
 			if version%2 == 0 {
-				pass(defaultPollInterval * 5 / 4)
+				sleepFor(defaultPollInterval * 5 / 4)
 			} else {
-				poller.Poke()
-				pass(defaultPokeGap)
+				poller.RequestPoll()
+				sleepFor(defaultMinPollGap)
 			}
 			synctest.Wait()
 			assert.EqualValues(t, version, directory.ConfigVersion())
@@ -154,44 +154,44 @@
 	})
 }
 
-func TestPokesDontMakeItBusy(t *testing.T) {
+func TestPollRequestsAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := threeReplicas(true)
-		poller := NewPoller(core, NewDirectory(), []string{"a"}, failOn(t), Options{})
+		poller := NewPoller(core, NewDirectory(), []string{"a"}, failOnError(t), Options{})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { poller.Run(ctx) })
 		for range 1000 {
-			poller.Poke()
-			pass(time.Millisecond)
+			poller.RequestPoll()
+			sleepFor(time.Millisecond)
 		}
 		cancel()
 		running.Wait()
-		assert.LessOrEqual(t, len(core.digests), int(time.Second/defaultPokeGap)+2)
+		assert.LessOrEqual(t, len(core.digests), int(time.Second/defaultMinPollGap)+2)
 	})
 }
 
-func TestADispatcherCutOffFromTheHeadIsNotReady(t *testing.T) {
+func TestNotReadyWhileHeadIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := threeReplicas(true)
-		directory := knowing(t, "a", "b", "c")
-		poller := NewPoller(core, directory, []string{"a", "b", "c"}, failOn(t), Options{})
+		directory := testDirectory(t, "a", "b", "c")
+		poller := NewPoller(core, directory, []string{"a", "b", "c"}, failOnError(t), Options{})
 		readiness := NewReadiness(directory, func(bool, string) {}, Options{})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { poller.Run(ctx) })
 		for range 20 {
-			pass(time.Second)
+			sleepFor(time.Second)
 			assert.True(t, readiness.Ready())
 		}
 		core.set("a", func(r *replica) { r.down = true })
-		pass(defaultHeadLife)
+		sleepFor(defaultHeadContactTimeout)
 		assert.False(t, readiness.Ready())
-		assert.True(t, directory.Reachable(defaultContactLife))
+		assert.True(t, directory.Reachable(defaultCoreContactTimeout))
 		for _, address := range []string{"b", "c"} {
 			core.set(address, func(r *replica) { r.view = chainOf(2, "b", "c") })
 		}
-		pass(defaultPollInterval * 3)
+		sleepFor(defaultPollInterval * 3)
 		assert.True(t, readiness.Ready())
 		cancel()
 		running.Wait()
@@ -200,10 +200,10 @@
 
 // A look that learns of a newer configuration and doesn't get it leaves what is known as not up to date: nothing is said to be
 // missing by it.
-func TestALookThatDoesNotGetTheNewest(t *testing.T) {
+func TestPollThatMissesNewestConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := threeReplicas(true)
-		core.each["a"].version = 2
+		core.byAddress["a"].version = 2
 		directory := NewDirectory()
 		_, err := directory.LearnConfig(1, configBody(1))
 		assert.NoError(t, err)
@@ -214,31 +214,31 @@
 			}
 			return core.Call(address, method, args, reply, timeout)
 		})
-		dispatcher := NewDispatcher(core, directory, noPoke, Options{})
-		NewPoller(losing, directory, []string{"a"}, failOn(t), Options{}).ask("a")
+		dispatcher := NewDispatcher(core, directory, noPoll, Options{})
+		NewPoller(losing, directory, []string{"a"}, failOnError(t), Options{}).pollReplica("a")
 		assert.True(t, directory.Reachable(time.Second))
 		assert.False(t, directory.UpToDate(time.Second))
-		assert.Equal(t, 503, ask(dispatcher, "GET", "/elsewhere/", "").Code)
-		NewPoller(core, directory, []string{"a"}, failOn(t), Options{}).ask("a")
+		assert.Equal(t, 503, serve(dispatcher, "GET", "/elsewhere/", "").Code)
+		NewPoller(core, directory, []string{"a"}, failOnError(t), Options{}).pollReplica("a")
 		assert.EqualValues(t, 2, directory.ConfigVersion())
 		assert.True(t, directory.UpToDate(time.Second))
-		assert.Equal(t, 404, ask(dispatcher, "GET", "/elsewhere/", "").Code)
+		assert.Equal(t, 404, serve(dispatcher, "GET", "/elsewhere/", "").Code)
 	})
 }
 
 // A configuration that can't be used is as new as it gets; a replica that doesn't serve can't tell.
-func TestWhoTellsWhatIsNewest(t *testing.T) {
+func TestOnlyServingReplicaConfirmsNewestConfiguration(t *testing.T) {
 	directory := NewDirectory()
 	_, err := directory.LearnConfig(1, configBody(1))
 	assert.NoError(t, err)
 	_, err = directory.LearnConfig(2, []byte("{"))
 	assert.Error(t, err)
 	core := threeReplicas(false)
-	NewPoller(core, directory, []string{"a"}, failOn(t), Options{}).ask("a")
+	NewPoller(core, directory, []string{"a"}, failOnError(t), Options{}).pollReplica("a")
 	assert.False(t, directory.Reachable(time.Minute), "it is no sign of the core")
 	assert.False(t, directory.UpToDate(time.Minute))
-	directory.Current(3)
+	directory.RecordCurrent(3)
 	assert.False(t, directory.UpToDate(time.Minute))
-	directory.Current(2)
+	directory.RecordCurrent(2)
 	assert.True(t, directory.UpToDate(time.Minute))
 }
--- a/internal/system/dataplane/process.go
+++ b/internal/system/dataplane/process.go
@@ -28,34 +28,34 @@
 	gossipInterval = 500 * time.Millisecond
 	// settingsInterval is the time between two looks at the settings file.
 	settingsInterval = 2 * time.Second
-	// exitMargin is how long before the platform's SIGKILL it ends at the latest, exitPart the part of the grace that this is at most: till
+	// exitMargin is how long before the platform's SIGKILL it ends at the latest, exitMarginDivisor the part of the grace that this is at most: till
 	// the last sixth whatever is out goes on.
-	exitMargin = 500 * time.Millisecond
-	exitPart   = 12
-	// answerMargin is how long before its end it gives up what it still works for, so that this is answered.
-	answerMargin     = 250 * time.Millisecond
+	exitMargin        = 500 * time.Millisecond
+	exitMarginDivisor = 12
+	// responseMargin is how long before its end it gives up what it still works for, so that this is answered.
+	responseMargin   = 250 * time.Millisecond
 	readinessTimeout = 2 * time.Second
 	readinessIdle    = 10 * time.Second
-	// mostReadinessCallers bounds the connections to the readiness port: the platform has one or two, operators a few.
-	mostReadinessCallers = 64
+	// maxReadinessConnections bounds the connections to the readiness port: the platform has one or two, operators a few.
+	maxReadinessConnections = 64
 )
 
 // Process is one running dispatcher, with all that it listens on.
 type Process struct {
-	logger     Logger
-	file       *settingsFile
-	settings   *nodesettings.Settings
-	name, zone string // as at the start
-	directory  *Directory
-	client     *transport.Client
-	server     *transport.Server
-	node       *membership.Node
-	poller     *Poller
-	dispatcher *Dispatcher
-	readiness  *Readiness
-	frontend   *Frontend
-	ready      *http.Server
-	options    Options
+	logger          Logger
+	file            *settingsFile
+	settings        *nodesettings.Settings
+	name, zone      string // as at the start
+	directory       *Directory
+	client          *transport.Client
+	server          *transport.Server
+	node            *membership.Node
+	poller          *Poller
+	dispatcher      *Dispatcher
+	readiness       *Readiness
+	frontend        *Frontend
+	readinessServer *http.Server
+	options         Options
 
 	cancel context.CancelFunc
 	group  sync.WaitGroup
@@ -64,7 +64,7 @@
 // Start runs a dispatcher by the settings file at the path, until Stop.
 func Start(path string, logger Logger, options Options) (*Process, error) {
 	file := &settingsFile{path: path}
-	settings, _, err := file.look()
+	settings, _, err := file.read()
 	if !usable(settings) {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 		directory: NewDirectory(),
 		client:    transport.NewClient(transport.Options{Dial: network.DialOf(options.Network)}),
 	}
-	p.options = p.bounded(options)
+	p.options = p.boundedOptions(options)
 	p.options.Logger = logger
 	p.assemble()
 	if err := p.listen(); err != nil {
@@ -95,8 +95,8 @@
 func (p *Process) assemble() {
 	options := p.options
 	seeds := p.settings.SeedInternalAddresses()
-	p.poller = NewPoller(p.client, p.directory, seeds, p.unusable, options)
-	p.dispatcher = NewDispatcher(p.client, p.directory, p.poller.Poke, options)
+	p.poller = NewPoller(p.client, p.directory, seeds, p.logUnusable, options)
+	p.dispatcher = NewDispatcher(p.client, p.directory, p.poller.RequestPoll, options)
 	p.readiness = NewReadiness(p.directory, p.readinessChanged, options)
 	p.node = membership.New(p.client, membership.Options{
 		Self: peersampling.Peer{
@@ -109,23 +109,23 @@
 		RandomSeed: rand.Uint64(),
 		Interval:   gossipInterval,
 	})
-	p.node.Subscribe(p.heard)
+	p.node.Subscribe(p.receiveGossip)
 }
 
-// bounded are the options with what the settings bound.
-func (p *Process) bounded(options Options) Options {
+// boundedOptions are the options with what the settings bound.
+func (p *Process) boundedOptions(options Options) Options {
 	options = options.withDefaults()
-	options.StaleContact = min(options.StaleContact, staleContactWithin(p.settings.Bounds.ConfigApply()))
+	options.MaxConfigAge = min(options.MaxConfigAge, maxConfigAge(p.settings.Bounds.ConfigApply()))
 	if memory := int64(p.settings.Limits.MemoryMb * megabyte); memory > 0 {
-		options.BodyMemory = memory / bodyPart
+		options.BodyMemory = memory / bodyMemoryDivisor
 	}
 	return options
 }
 
-// staleContactWithin is how old the knowledge that a route isn't there may be: younger than any configuration that has to be in force.
-func staleContactWithin(configApply time.Duration) time.Duration {
+// maxConfigAge is how old the knowledge that a route isn't there may be: younger than any configuration that has to be in force.
+func maxConfigAge(configApply time.Duration) time.Duration {
 	if configApply <= 0 {
-		return defaultStaleContact
+		return defaultMaxConfigAge
 	}
 	return configApply * 3 / 4
 }
@@ -142,31 +142,31 @@
 	if err := p.server.Register(internalapi.DispatcherService, &Service{process: p}); err != nil {
 		return fmt.Errorf("internal address: %w", err)
 	}
-	quiet := stdlog.New(io.Discard, "", 0)
+	errorLog := stdlog.New(io.Discard, "", 0)
 	connections := MaxConnections(p.settings.Limits.MaxOpenFiles)
 	listener, err := network.Listen(p.options.Network, p.settings.Bind.Frontend, frontendSocket)
 	if err != nil {
 		return fmt.Errorf("frontend: %w", err)
 	}
-	p.frontend = NewFrontend(listener, p.dispatcher, connections, quiet)
-	return p.listenReadiness(quiet)
+	p.frontend = NewFrontend(listener, p.dispatcher, connections, errorLog)
+	return p.listenReadiness(errorLog)
 }
 
-func (p *Process) listenReadiness(quiet *stdlog.Logger) error {
+func (p *Process) listenReadiness(errorLog *stdlog.Logger) error {
 	listener, err := network.Listen(p.options.Network, p.settings.Bind.Readiness, network.Sockets)
 	if err != nil {
 		return fmt.Errorf("readiness: %w", err)
 	}
-	p.ready = &http.Server{
+	p.readinessServer = &http.Server{
 		Handler:           http.HandlerFunc(p.serveReadiness),
 		ReadHeaderTimeout: readinessTimeout,
 		ReadTimeout:       readinessTimeout, // a body, which nobody asks for, too
 		WriteTimeout:      readinessIdle,
 		IdleTimeout:       readinessIdle,
-		ErrorLog:          quiet,
+		ErrorLog:          errorLog,
 	}
-	bounded := network.Bound(listener, mostReadinessCallers)
-	p.group.Go(func() { _ = p.ready.Serve(bounded) }) // it ends at Close
+	bounded := network.Bound(listener, maxReadinessConnections)
+	p.group.Go(func() { _ = p.readinessServer.Serve(bounded) }) // it ends at Close
 	return nil
 }
 
@@ -176,28 +176,28 @@
 	p.frontend.Serve(DefaultLimits())
 	p.group.Go(func() { _ = p.server.Serve() }) // it ends at Close
 	p.group.Go(func() { p.poller.Run(ctx) })
-	p.group.Go(func() { p.follow(ctx) })
+	p.group.Go(func() { p.followDirectory(ctx) })
 	p.node.Start()
 }
 
-// heard takes in a value that came by gossip.
-func (p *Process) heard(value gossip.Value) {
+// receiveGossip takes in a value that came by gossip.
+func (p *Process) receiveGossip(value gossip.Value) {
 	switch value.Key {
 	case internalapi.KeyConfig:
 		if _, err := p.directory.LearnConfig(value.Version.Major, value.Data); err != nil {
-			p.unusable(err)
+			p.logUnusable(err)
 		}
 	case internalapi.KeyView:
 		newest, err := internalapi.DecodeView(value.Data)
 		if err != nil {
-			p.unusable(err)
+			p.logUnusable(err)
 			return
 		}
 		p.directory.LearnView(newest)
 	}
 }
 
-func (p *Process) unusable(err error) { p.logger.Warn("news not used", "error", err) }
+func (p *Process) logUnusable(err error) { p.logger.Warn("news not used", "error", err) }
 
 func (p *Process) readinessChanged(ready bool, reason string) {
 	if ready {
@@ -209,7 +209,7 @@
 
 // Reload reads the settings file again if it has changed. Faulty settings change nothing. Calls must not overlap.
 func (p *Process) Reload() {
-	settings, changed, err := p.file.look()
+	settings, changed, err := p.file.read()
 	if err != nil {
 		p.logger.Error("settings not taken", "error", err)
 		return
@@ -242,13 +242,13 @@
 // Stop ends the dispatcher without losing a request: it declares itself unready, goes on for as long as clients may still be
 // sent to it, then stops accepting and ends once everything is answered. Watch must have returned.
 func (p *Process) Stop() error {
-	limit := time.Now().Add(endAfter(p.settings.Bounds.GracePeriod()))
+	deadline := time.Now().Add(exitTimeout(p.settings.Bounds.GracePeriod()))
 	p.logger.Info("ending")
 	p.readiness.Drain()
 	p.dispatcher.Drain()
-	p.dispatcher.EndBy(limit.Add(-answerMargin))
-	time.Sleep(min(p.options.Announce, time.Until(limit)/2))
-	ctx, cancel := context.WithDeadline(context.Background(), limit)
+	p.dispatcher.SetResponseDeadline(deadline.Add(-responseMargin))
+	time.Sleep(min(p.options.Announce, time.Until(deadline)/2))
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	err := p.frontend.Shutdown(ctx)
 	p.cancel()
@@ -257,9 +257,9 @@
 	return err
 }
 
-// endAfter is how long after the platform's wish it ends at the latest.
-func endAfter(grace time.Duration) time.Duration {
-	return grace - min(exitMargin, grace/exitPart)
+// exitTimeout is how long after the platform's wish it ends at the latest.
+func exitTimeout(grace time.Duration) time.Duration {
+	return grace - min(exitMargin, grace/exitMarginDivisor)
 }
 
 // closeNetwork closes whatever is open.
@@ -273,8 +273,8 @@
 	if p.frontend != nil {
 		_ = p.frontend.Shutdown(context.Background())
 	}
-	if p.ready != nil {
-		_ = p.ready.Close()
+	if p.readinessServer != nil {
+		_ = p.readinessServer.Close()
 	}
 	p.group.Wait()
 }
--- a/internal/system/dataplane/process_test.go
+++ b/internal/system/dataplane/process_test.go
@@ -28,7 +28,7 @@
 	mutex   sync.Mutex
 	view    view.View
 	version int
-	custody map[uint64]string
+	states  map[uint64]string
 }
 
 func (c *testControl) Digest(_ internalapi.DigestArgs, reply *internalapi.DigestReply) error {
@@ -53,7 +53,7 @@
 func (c *testControl) Submit(args internalapi.SubmitArgs, reply *internalapi.JobReply) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.custody[args.ID] = "pending"
+	c.states[args.ID] = "pending"
 	reply.Verdict = internalapi.Done
 	return nil
 }
@@ -62,8 +62,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	reply.Verdict = internalapi.NotKnown
-	if c.custody[args.ID] != "" {
-		c.custody[args.ID] = "cancelled"
+	if c.states[args.ID] != "" {
+		c.states[args.ID] = "cancelled"
 		reply.Verdict = internalapi.Done
 	}
 	return nil
@@ -72,7 +72,7 @@
 func (c *testControl) Status(args internalapi.StatusArgs, reply *internalapi.JobReply) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	reply.Verdict, reply.State = internalapi.Done, c.custody[args.ID]
+	reply.Verdict, reply.State = internalapi.Done, c.states[args.ID]
 	if reply.State == "" {
 		reply.Verdict = internalapi.NotKnown
 	}
@@ -83,7 +83,7 @@
 func serveControl(t *testing.T) (*testControl, *transport.Server) {
 	server, err := transport.Listen("127.0.0.1:0")
 	require.NoError(t, err)
-	control := &testControl{version: 1, custody: map[uint64]string{}, view: chainOf(0, server.Addr())}
+	control := &testControl{version: 1, states: map[uint64]string{}, view: chainOf(0, server.Addr())}
 	require.NoError(t, server.Register(internalapi.Service, control))
 	go func() { _ = server.Serve() }()
 	return control, server
@@ -171,7 +171,7 @@
 	return running{Process: process, path: path, text: text, ready: ready, logger: logger}
 }
 
-func TestAProcessFromStartToEnd(t *testing.T) {
+func TestProcessLifecycle(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	control, server := serveControl(t)
 	process := startProcess(t, server)
@@ -189,10 +189,10 @@
 }
 
 func (r running) checkReady(t *testing.T) {
-	answer, err := http.Get("http://" + r.ready + "/readyz")
+	response, err := http.Get("http://" + r.ready + "/readyz")
 	require.NoError(t, err)
-	require.NoError(t, answer.Body.Close())
-	assert.Equal(t, 200, answer.StatusCode)
+	require.NoError(t, response.Body.Close())
+	assert.Equal(t, 200, response.StatusCode)
 	http.DefaultClient.CloseIdleConnections()
 }
 
@@ -232,7 +232,7 @@
 	r.checkReady(t)
 }
 
-func TestAProcessThatCantListenLeavesNothingBehind(t *testing.T) {
+func TestFailedListenReleasesEverything(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -251,7 +251,7 @@
 	assert.ErrorContains(t, err, "readiness")
 }
 
-func TestSettingsThatCantBeUsed(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	logger := newTestLogger()
 	_, err := Start(path, logger, Options{})
--- a/internal/system/dataplane/readiness.go
+++ b/internal/system/dataplane/readiness.go
@@ -11,7 +11,7 @@
 	directory *Directory
 	options   Options
 	draining  atomic.Bool
-	last      atomic.Bool
+	lastReady atomic.Bool
 	// onChange is told when the answer differs from the one before, and why it is no.
 	onChange func(ready bool, reason string)
 }
@@ -26,14 +26,14 @@
 
 // Ready is what the platform is answered.
 func (r *Readiness) Ready() bool {
-	return r.notReadyFor() == ""
+	return r.notReadyReason() == ""
 }
 
 // ServeHTTP answers 200 or 503.
 func (r *Readiness) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	reason := r.notReadyFor()
+	reason := r.notReadyReason()
 	ready := reason == ""
-	if r.last.Swap(ready) != ready {
+	if r.lastReady.Swap(ready) != ready {
 		r.onChange(ready, reason)
 	}
 	if !ready {
--- a/internal/system/dataplane/settings.go
+++ b/internal/system/dataplane/settings.go
@@ -19,13 +19,13 @@
 // OpenSettings reads and checks the settings file of a dispatcher. The error holds findings.Findings, all of them, where the
 // file has faults.
 func OpenSettings(path string) (*nodesettings.Settings, error) {
-	settings, _, err := (&settingsFile{path: path}).look()
+	settings, _, err := (&settingsFile{path: path}).read()
 	return settings, err
 }
 
-// look reads the file; without a change since the last look there are neither settings nor an error. With faults in single
+// read reads the file; without a change since the last look there are neither settings nor an error. With faults in single
 // values, the settings come along with the error.
-func (f *settingsFile) look() (settings *nodesettings.Settings, changed bool, err error) {
+func (f *settingsFile) read() (settings *nodesettings.Settings, changed bool, err error) {
 	content, err := os.ReadFile(f.path)
 	if err != nil {
 		return nil, false, fmt.Errorf("settings: %w", err)
--- a/internal/system/dataplane/start_test.go
+++ b/internal/system/dataplane/start_test.go
@@ -15,59 +15,59 @@
 
 // A dispatcher that has just started has no configuration yet, and has heard of nobody who serves.
 
-func TestARequestWaitsForTheFirstConfiguration(t *testing.T) {
+func TestRequestWaitsForFirstConfiguration(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodDelete} {
 		synctest.Test(t, func(t *testing.T) {
 			directory := NewDirectory()
-			dispatcher := NewDispatcher(replying(allDone), directory, noPoke, Options{})
+			dispatcher := NewDispatcher(replyWith(allDone), directory, noPoll, Options{})
 			const later = 400 * time.Millisecond
 			go func() {
-				pass(later)
+				sleepFor(later)
 				_, err := directory.LearnConfig(1, configBody(1))
 				assert.NoError(t, err)
 				directory.LearnView(chainOf(1, "a"))
 			}()
 			began := time.Now()
-			answer := ask(dispatcher, method, testPrefix+testID, testBody)
-			assert.Equal(t, 200, answer.Code, method)
+			response := serve(dispatcher, method, testPrefix+testID, testBody)
+			assert.Equal(t, 200, response.Code, method)
 			assert.Equal(t, later, time.Since(began), method)
 		})
 	}
 }
 
-func TestWithoutAConfigurationItIsRefusedInTime(t *testing.T) {
+func TestRefusalInTimeWithoutConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dispatcher := NewDispatcher(replying(allDone), NewDirectory(), noPoke, Options{DefaultWait: time.Second})
+		dispatcher := NewDispatcher(replyWith(allDone), NewDirectory(), noPoll, Options{DefaultWaitTime: time.Second})
 		began := time.Now()
-		answer := ask(dispatcher, http.MethodPost, testPrefix+testID, testBody)
-		require.Equal(t, 503, answer.Code)
+		response := serve(dispatcher, http.MethodPost, testPrefix+testID, testBody)
+		require.Equal(t, 503, response.Code)
 		assert.Equal(t, 450*time.Millisecond, time.Since(began), "while there is time to hand it in elsewhere")
 	})
 }
 
-func TestWithoutHopeOfTheCoreItIsRefusedAtOnce(t *testing.T) {
+func TestImmediateRefusalWhenCoreIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dispatcher := NewDispatcher(replying(allDone), NewDirectory(), noPoke, Options{})
-		pass(defaultContactLife)
+		dispatcher := NewDispatcher(replyWith(allDone), NewDirectory(), noPoll, Options{})
+		sleepFor(defaultCoreContactTimeout)
 		began := time.Now()
-		answer := ask(dispatcher, http.MethodPost, testPrefix+testID, testBody)
-		require.Equal(t, 503, answer.Code)
+		response := serve(dispatcher, http.MethodPost, testPrefix+testID, testBody)
+		require.Equal(t, 503, response.Code)
 		assert.Zero(t, time.Since(began))
 	})
 }
 
-func TestACallIsRepeatedWhileTheCoreStarts(t *testing.T) {
+func TestCallIsRetriedWhileCoreStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		directory := knowing(t, "a")
-		directory.seen.Store(0) // configuration and view came by gossip
+		directory := testDirectory(t, "a")
+		directory.lastContact.Store(0) // configuration and view came by gossip
 		serving := time.Now().Add(300 * time.Millisecond)
-		core := replying(func(string, string) (internalapi.JobReply, error) {
+		core := replyWith(func(string, string) (internalapi.JobReply, error) {
 			if time.Now().Before(serving) {
 				return internalapi.JobReply{}, transport.ErrNotSent
 			}
 			return internalapi.JobReply{Verdict: internalapi.Done}, nil
 		})
-		answer := ask(NewDispatcher(core, directory, noPoke, Options{}), http.MethodPost, testPrefix+testID, testBody)
-		assert.Equal(t, 200, answer.Code)
+		response := serve(NewDispatcher(core, directory, noPoll, Options{}), http.MethodPost, testPrefix+testID, testBody)
+		assert.Equal(t, 200, response.Code)
 	})
 }
--- a/internal/system/dataplane/unruly_test.go
+++ b/internal/system/dataplane/unruly_test.go
@@ -12,14 +12,14 @@
 )
 
 // A client that asks and reads no answer holds its connection, and the slot that this takes, for a bounded time.
-func TestAClientThatReadsNothingLosesItsConnection(t *testing.T) {
+func TestClientThatDoesNotReadIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		server := newPipeServer(t, NewDispatcher(slowCore(time.Millisecond), knowing(t, "a"), noPoke, Options{}))
+		server := newPipeServer(t, NewDispatcher(slowCore(time.Millisecond), testDirectory(t, "a"), noPoll, Options{}))
 		conn := server.connect()
 		defer conn.Close()
 		_, err := io.WriteString(conn, countRequest)
 		require.NoError(t, err)
-		pass(time.Minute)
+		sleepFor(time.Minute)
 		_, err = conn.Read(make([]byte, 1))
 		assert.ErrorIs(t, err, io.EOF)
 		assert.Len(t, server.frontend.slots, 1, "that of the connection which is accepted next")
@@ -28,13 +28,13 @@
 
 // The bound of one answer is over with it: on a connection that was idle for longer, what the server itself writes still gets through, the
 // 100 for a client that waits for it before it sends its body, and the refusal of what can't be read.
-func TestTheBoundOfAnAnswerEndsWithIt(t *testing.T) {
+func TestResponseDeadlineIsClearedAfterResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		server := newPipeServer(t, NewDispatcher(slowCore(time.Millisecond), knowing(t, "a"), noPoke, Options{}))
+		server := newPipeServer(t, NewDispatcher(slowCore(time.Millisecond), testDirectory(t, "a"), noPoll, Options{}))
 		conn := server.keep()
 		defer conn.Close()
 		assert.Contains(t, conn.exchange(t, countRequest), "200 OK")
-		pass(answerTime + time.Second)
+		sleepFor(responseTimeout + time.Second)
 		head := "POST " + testPrefix + testID + " HTTP/1.1\r\nHost: " + testHost + "\r\nContent-Type: application/json\r\n" +
 			"Content-Length: 48\r\nExpect: 100-continue\r\n\r\n"
 		require.Len(t, testBody, 48)
@@ -43,7 +43,7 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusContinue, interim.StatusCode)
 		assert.Contains(t, conn.exchange(t, testBody), "200 OK")
-		pass(answerTime + time.Second)
+		sleepFor(responseTimeout + time.Second)
 		assert.Contains(t, conn.exchange(t, "this is no request\r\n\r\n"), "400 Bad Request")
 	})
 }
--- a/internal/system/dataplane/wire_test.go
+++ b/internal/system/dataplane/wire_test.go
@@ -23,16 +23,16 @@
 
 // Control is a replica that takes jobs in, as dispatchers call it.
 type Control struct {
-	mutex sync.Mutex
-	taken map[uint64]int
-	late  time.Duration
+	mutex       sync.Mutex
+	submissions map[uint64]int
+	replyDelay  time.Duration
 }
 
 // Submit takes a job in.
 func (c *Control) Submit(args internalapi.SubmitArgs, reply *internalapi.JobReply) error {
 	c.mutex.Lock()
-	c.taken[args.ID]++
-	late := c.late
+	c.submissions[args.ID]++
+	late := c.replyDelay
 	c.mutex.Unlock()
 	time.Sleep(late)
 	reply.Verdict = internalapi.Done
@@ -42,30 +42,30 @@
 func (c *Control) has(number uint64) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.taken[number] > 0
+	return c.submissions[number] > 0
 }
 
-// wireCore is a dispatcher that calls a replica over a simulated network.
-type wireCore struct {
+// networkCore is a dispatcher that calls a replica over a simulated network.
+type networkCore struct {
 	network    *simnet.Network
 	control    *Control
 	dispatcher *Dispatcher
 	directory  *Directory
 }
 
-func inCoreWire(t *testing.T, seed uint64, body func(t *testing.T, w *wireCore)) {
+func withNetworkCore(t *testing.T, seed uint64, body func(t *testing.T, w *networkCore)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &wireCore{network: simnet.New(seed), control: &Control{taken: map[uint64]int{}}, directory: knowing(t, replicaAddress)}
+		w := &networkCore{network: simnet.New(seed), control: &Control{submissions: map[uint64]int{}}, directory: testDirectory(t, replicaAddress)}
 		listener, err := w.network.Listen(replicaAddress)
 		require.NoError(t, err)
 		server := transport.NewServer(listener)
 		require.NoError(t, server.Register(internalapi.Service, w.control))
 		go func() { _ = server.Serve() }()
 		client := transport.NewClient(transport.Options{Dial: w.network.Dialer(dispatcherHost)})
-		w.dispatcher = NewDispatcher(client, w.directory, w.directory.Contact, Options{})
+		w.dispatcher = NewDispatcher(client, w.directory, w.directory.RecordContact, Options{})
 		t.Cleanup(func() { // also where the body fails
-			w.mend()
+			w.healNetwork()
 			time.Sleep(time.Hour)
 			w.dispatcher.Wait()
 			require.NoError(t, client.Close())
@@ -76,14 +76,14 @@
 	})
 }
 
-func (w *wireCore) mend() {
+func (w *networkCore) healNetwork() {
 	w.network.HealAll()
 	w.network.Thaw(replicaHost)
 	w.network.Resume(replicaHost)
 }
 
-// requireTrue requires that a client's answer is true, now that nothing is under way any more.
-func (w *wireCore) requireTrue(t *testing.T, number uint64, status int) {
+// requireTruthful requires that a client's answer is true, now that nothing is under way any more.
+func (w *networkCore) requireTruthful(t *testing.T, number uint64, status int) {
 	switch status {
 	case http.StatusOK:
 		require.True(t, w.control.has(number), "job %d was accepted and isn't there", number)
@@ -97,13 +97,13 @@
 
 // The connection to the replica ends at any byte of a handing in or of its answer; then the replica is out of reach, so that the
 // dispatcher has to say what it knows.
-func TestARefusalIsTrueWhereverTheCallWasCut(t *testing.T) {
+func TestRefusalIsTrueWhereverCallIsCut(t *testing.T) {
 	const wait = 2 * time.Second
 	statuses := map[int]int{}
 	for _, ending := range []simnet.Ending{simnet.Reset, simnet.Finish, simnet.Silence} {
 		for at := range int64(400) {
 			for _, back := range []bool{false, true} {
-				inCoreWire(t, 1, func(t *testing.T, w *wireCore) {
+				withNetworkCore(t, 1, func(t *testing.T, w *networkCore) {
 					limit := simnet.Limit{Bytes: at, Then: ending}
 					w.network.SetPlan(func(_, _ string, nth int) simnet.Fate {
 						switch {
@@ -114,10 +114,10 @@
 						}
 						return simnet.Fate{Out: limit}
 					})
-					status := handIn(w.dispatcher, 1, wait)
+					status := submitJob(w.dispatcher, 1, wait)
 					time.Sleep(time.Hour)
 					synctest.Wait()
-					w.requireTrue(t, 1, status)
+					w.requireTruthful(t, 1, status)
 					statuses[status]++
 				})
 			}
@@ -141,7 +141,7 @@
 	played := seeds.Played(t, wireSeedVariable, "", 1, wireSeeds)
 	statuses := map[int]int{}
 	for _, seed := range played {
-		inCoreWire(t, seed, func(t *testing.T, w *wireCore) {
+		withNetworkCore(t, seed, func(t *testing.T, w *networkCore) {
 			defer func() {
 				if t.Failed() {
 					t.Logf("replay: %s=%d go test ./internal/system/dataplane -run OverTheWire", wireSeedVariable, seed)
@@ -158,7 +158,7 @@
 	}
 }
 
-func (w *wireCore) randomRun(t *testing.T, random *rand.Rand, statuses map[int]int) {
+func (w *networkCore) randomRun(t *testing.T, random *rand.Rand, statuses map[int]int) {
 	faults := []func(){
 		func() { w.network.Cut(dispatcherHost, replicaHost) },
 		func() { w.network.Cut(replicaHost, dispatcherHost) },
@@ -167,29 +167,29 @@
 		func() { w.network.Freeze(replicaHost) },
 		func() { w.network.Stop(replicaHost) },
 	}
-	answers := make([]int, wireRequests+1)
+	results := make([]int, wireRequests+1)
 	var clients sync.WaitGroup
 	for number := 1; number <= wireRequests; number++ {
 		wait := time.Duration(100+random.IntN(2500)) * time.Millisecond
-		clients.Go(func() { answers[number] = handIn(w.dispatcher, uint64(number), wait) })
+		clients.Go(func() { results[number] = submitJob(w.dispatcher, uint64(number), wait) })
 		time.Sleep(time.Duration(random.IntN(300)) * time.Millisecond)
 		switch random.IntN(6) {
 		case 0:
 			faults[random.IntN(len(faults))]()
 		case 1:
-			w.mend()
+			w.healNetwork()
 		case 2:
 			w.control.mutex.Lock()
-			w.control.late = time.Duration(random.IntN(400)) * time.Millisecond
+			w.control.replyDelay = time.Duration(random.IntN(400)) * time.Millisecond
 			w.control.mutex.Unlock()
 		}
 	}
 	clients.Wait()
-	w.mend()
+	w.healNetwork()
 	time.Sleep(time.Hour)
 	synctest.Wait()
-	for number, status := range answers[1:] {
-		w.requireTrue(t, uint64(number+1), status)
+	for number, status := range results[1:] {
+		w.requireTruthful(t, uint64(number+1), status)
 		statuses[status]++
 	}
 }
--- a/internal/system/nodesettings/changed.go
+++ b/internal/system/nodesettings/changed.go
@@ -11,21 +11,21 @@
 func changed(path string, before, after reflect.Value) []string {
 	var keys []string
 	for index := range before.NumField() {
-		key := join(path, before.Type().Field(index).Tag.Get(keyTag))
+		key := joinKey(path, before.Type().Field(index).Tag.Get(keyTag))
 		old, current := before.Field(index), after.Field(index)
 		if old.Kind() == reflect.Struct {
 			keys = append(keys, changed(key, old, current)...)
 			continue
 		}
-		if !same(old, current) {
+		if !equalValues(old, current) {
 			keys = append(keys, key)
 		}
 	}
 	return keys
 }
 
-// same takes a list that is missing for an empty one.
-func same(old, current reflect.Value) bool {
+// equalValues takes a list that is missing for an empty one.
+func equalValues(old, current reflect.Value) bool {
 	switch old.Kind() {
 	case reflect.Slice, reflect.Map:
 		if old.Len() == 0 && current.Len() == 0 {
--- a/internal/system/nodesettings/check.go
+++ b/internal/system/nodesettings/check.go
@@ -15,13 +15,13 @@
 	RoleControlPlane Role = "controlplane"
 )
 
-// mostPort is the last port that there is.
-const mostPort = 1<<16 - 1
+// maxPort is the last port that there is.
+const maxPort = 1<<16 - 1
 
 // Check takes note of everything that the role needs and the settings don't name. The error holds findings.Findings.
 func (s *Settings) Check(role Role) error {
 	var found findings.Findings
-	need(&found, "ip", s.IP)
+	requireValue(&found, "ip", s.IP)
 	if len(s.EphemeralPorts) == 0 {
 		found.Add("ephemeralPorts", "are needed")
 	}
@@ -30,18 +30,18 @@
 	}
 	switch role {
 	case RoleDataPlane:
-		need(&found, "bindAddresses.frontend", s.Bind.Frontend)
-		need(&found, "bindAddresses.readiness", s.Bind.Readiness)
+		requireValue(&found, "bindAddresses.frontend", s.Bind.Frontend)
+		requireValue(&found, "bindAddresses.readiness", s.Bind.Readiness)
 	case RoleControlPlane:
-		need(&found, "bindAddresses.controlPlane", s.Bind.ControlPlane)
-		need(&found, "dataDir", s.DataDir)
+		requireValue(&found, "bindAddresses.controlPlane", s.Bind.ControlPlane)
+		requireValue(&found, "dataDir", s.DataDir)
 	default:
 		found.Add("", "unknown role %q", role)
 	}
 	return found.Err()
 }
 
-func need(found *findings.Findings, key, value string) {
+func requireValue(found *findings.Findings, key, value string) {
 	if value == "" {
 		found.Add(key, "is needed")
 	}
@@ -94,7 +94,7 @@
 	if len(ports) == 0 {
 		return
 	}
-	if len(ports) != 2 || ports[0] < 1 || ports[1] < ports[0] || ports[1] > mostPort {
+	if len(ports) != 2 || ports[0] < 1 || ports[1] < ports[0] || ports[1] > maxPort {
 		found.Add("ephemeralPorts", "%v are not a first and a last port", ports)
 		settings.EphemeralPorts = nil
 	}
--- a/internal/system/nodesettings/check_test.go
+++ b/internal/system/nodesettings/check_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRolesNeedTheirSettings(t *testing.T) {
-	settings, err := Parse([]byte(full))
+func TestRequiredSettingsOfEachRole(t *testing.T) {
+	settings, err := Parse([]byte(fullFile))
 	require.NoError(t, err)
 	assert.NoError(t, settings.Check(RoleDataPlane))
 	assert.NoError(t, settings.Check(RoleControlPlane))
@@ -22,7 +22,7 @@
 }
 
 func TestInternalAddresses(t *testing.T) {
-	settings, err := Parse([]byte(full))
+	settings, err := Parse([]byte(fullFile))
 	require.NoError(t, err)
 	assert.Equal(t, "10.7.0.15:7000", settings.InternalAddress())
 	assert.Equal(t, []string{"10.7.0.15:7000", "10.8.0.25:7000"}, settings.SeedInternalAddresses())
@@ -31,10 +31,10 @@
 	assert.Empty(t, (&Settings{IP: "10.7.0.15"}).InternalAddress())
 }
 
-func TestChangedNamesWhatDiffers(t *testing.T) {
-	before, err := Parse([]byte(full))
+func TestChangedListsDifferingKeys(t *testing.T) {
+	before, err := Parse([]byte(fullFile))
 	require.NoError(t, err)
-	after, err := Parse([]byte(full))
+	after, err := Parse([]byte(fullFile))
 	require.NoError(t, err)
 	assert.Empty(t, Changed(before, after))
 	after.Zone = "south"
@@ -45,7 +45,7 @@
 	assert.Equal(t, []string{"zone", "seedNodes", "zones", "bounds.stop_ms", "cloudProvider.duties"}, Changed(before, after))
 }
 
-func TestAMissingListIsAnEmptyOne(t *testing.T) {
+func TestMissingListEqualsEmptyList(t *testing.T) {
 	before, err := Parse([]byte("serves = []"))
 	require.NoError(t, err)
 	assert.Empty(t, Changed(before, Default()))
--- a/internal/system/nodesettings/fill.go
+++ b/internal/system/nodesettings/fill.go
@@ -14,42 +14,42 @@
 // the field as it is.
 func fill(settings *Settings, document map[string]any, found *findings.Findings) {
 	filler := filler{found: found}
-	filler.table("", reflect.ValueOf(settings).Elem(), document)
+	filler.setTable("", reflect.ValueOf(settings).Elem(), document)
 }
 
 type filler struct {
 	found *findings.Findings
 }
 
-func (f *filler) table(path string, target reflect.Value, table map[string]any) {
+func (f *filler) setTable(path string, target reflect.Value, table map[string]any) {
 	for index := range target.NumField() {
 		key := target.Type().Field(index).Tag.Get(keyTag)
 		value, given := table[key]
 		if !given || value == "" {
 			continue
 		}
-		f.value(join(path, key), target.Field(index), value)
+		f.setValue(joinKey(path, key), target.Field(index), value)
 	}
 }
 
-func (f *filler) value(path string, target reflect.Value, value any) {
+func (f *filler) setValue(path string, target reflect.Value, value any) {
 	switch target.Kind() {
 	case reflect.Struct:
 		if table, ok := value.(map[string]any); ok {
-			f.table(path, target, table)
+			f.setTable(path, target, table)
 			return
 		}
 		f.found.Add(path, "%v is not a table", value)
 	case reflect.Map:
-		f.texts(path, target, value)
+		f.setStringMap(path, target, value)
 	case reflect.Slice:
-		f.list(path, target, value)
+		f.setList(path, target, value)
 	default:
-		f.scalar(path, target, value)
+		f.setScalar(path, target, value)
 	}
 }
 
-func (f *filler) texts(path string, target reflect.Value, value any) {
+func (f *filler) setStringMap(path string, target reflect.Value, value any) {
 	table, ok := value.(map[string]any)
 	if !ok {
 		f.found.Add(path, "%v is not a table", value)
@@ -59,7 +59,7 @@
 	for key, item := range table {
 		text, isText := item.(string)
 		if !isText {
-			f.found.Add(join(path, key), "%v is not a text", item)
+			f.found.Add(joinKey(path, key), "%v is not a text", item)
 			continue
 		}
 		texts[key] = text
@@ -67,7 +67,7 @@
 	target.Set(reflect.ValueOf(texts))
 }
 
-func (f *filler) list(path string, target reflect.Value, value any) {
+func (f *filler) setList(path string, target reflect.Value, value any) {
 	items, ok := value.([]any)
 	if !ok {
 		f.found.Add(path, "%v is not a list", value)
@@ -75,25 +75,25 @@
 	}
 	list := reflect.MakeSlice(target.Type(), len(items), len(items))
 	for index, item := range items {
-		f.scalar(findings.Item(path, index, ""), list.Index(index), item)
+		f.setScalar(findings.Item(path, index, ""), list.Index(index), item)
 	}
 	target.Set(list)
 }
 
-func (f *filler) scalar(path string, target reflect.Value, value any) {
+func (f *filler) setScalar(path string, target reflect.Value, value any) {
 	switch target.Kind() {
 	case reflect.String:
-		f.text(path, target, value)
+		f.setString(path, target, value)
 	case reflect.Bool:
-		f.truth(path, target, value)
+		f.setBool(path, target, value)
 	case reflect.Float64:
-		f.figure(path, target, value)
+		f.setFloat(path, target, value)
 	case reflect.Int:
-		f.whole(path, target, value)
+		f.setInt(path, target, value)
 	}
 }
 
-func (f *filler) text(path string, target reflect.Value, value any) {
+func (f *filler) setString(path string, target reflect.Value, value any) {
 	text, ok := value.(string)
 	if !ok {
 		f.found.Add(path, "%v is not a text", value)
@@ -102,52 +102,52 @@
 	target.SetString(text)
 }
 
-func (f *filler) truth(path string, target reflect.Value, value any) {
-	truth, ok := value.(bool)
+func (f *filler) setBool(path string, target reflect.Value, value any) {
+	boolean, ok := value.(bool)
 	if !ok {
 		f.found.Add(path, "%v is neither true nor false", value)
 		return
 	}
-	target.SetBool(truth)
+	target.SetBool(boolean)
 }
 
-func (f *filler) figure(path string, target reflect.Value, value any) {
-	if figure, ok := f.number(path, value); ok {
-		target.SetFloat(figure)
+func (f *filler) setFloat(path string, target reflect.Value, value any) {
+	if parsed, ok := f.parseNumber(path, value); ok {
+		target.SetFloat(parsed)
 	}
 }
 
-func (f *filler) whole(path string, target reflect.Value, value any) {
-	figure, ok := f.number(path, value)
+func (f *filler) setInt(path string, target reflect.Value, value any) {
+	parsed, ok := f.parseNumber(path, value)
 	if !ok {
 		return
 	}
-	whole, ok := quantity.Integer(figure)
+	integer, ok := quantity.Integer(parsed)
 	if !ok {
 		f.found.Add(path, "%v is not a whole number", value)
 		return
 	}
-	target.SetInt(whole)
+	target.SetInt(integer)
 }
 
-func (f *filler) number(path string, value any) (figure float64, ok bool) {
+func (f *filler) parseNumber(path string, value any) (parsed float64, ok bool) {
 	switch number := value.(type) {
 	case int64:
-		figure = float64(number)
+		parsed = float64(number)
 	case float64:
-		figure = number
+		parsed = number
 	default:
 		f.found.Add(path, "%v is not a number", value)
 		return 0, false
 	}
-	if !(figure >= 0) {
+	if !(parsed >= 0) {
 		f.found.Add(path, "%v is negative or no number", value)
 		return 0, false
 	}
-	return figure, true
+	return parsed, true
 }
 
-func join(path, key string) string {
+func joinKey(path, key string) string {
 	if path == "" {
 		return key
 	}
--- a/internal/system/nodesettings/read.go
+++ b/internal/system/nodesettings/read.go
@@ -38,7 +38,7 @@
 	var found findings.Findings
 	document := map[string]any{}
 	if err := toml.Unmarshal(data, &document); err != nil {
-		found.Add(linePlace(err), "%v", err)
+		found.Add(errorPosition(err), "%v", err)
 		return nil, found
 	}
 	settings := Default()
@@ -47,7 +47,7 @@
 	return settings, found.Err()
 }
 
-func linePlace(err error) string {
+func errorPosition(err error) string {
 	var failure *toml.DecodeError
 	if !errors.As(err, &failure) {
 		return ""
--- a/internal/system/nodesettings/settings_test.go
+++ b/internal/system/nodesettings/settings_test.go
@@ -17,7 +17,7 @@
 	"gaugeslip/internal/system/findings"
 )
 
-const full = `
+const fullFile = `
 nodeName = "core-north-2"
 role = "replica"
 machineClass = "core"
@@ -87,7 +87,7 @@
 `
 
 func TestEverySettingIsRead(t *testing.T) {
-	settings, err := Parse([]byte(full))
+	settings, err := Parse([]byte(fullFile))
 	require.NoError(t, err)
 	assert.Equal(t, "core-north-2", settings.NodeName)
 	assert.Equal(t, "replica", settings.Role)
@@ -116,8 +116,8 @@
 	assert.Equal(t, 900*time.Millisecond, settings.CloudProvider.MaxLag())
 }
 
-func TestEveryBoundIsADuration(t *testing.T) {
-	settings, err := Parse([]byte(full))
+func TestEveryBoundAsDuration(t *testing.T) {
+	settings, err := Parse([]byte(fullFile))
 	require.NoError(t, err)
 	bounds := &settings.Bounds
 	assert.Equal(t, []time.Duration{
@@ -133,7 +133,7 @@
 	assert.Equal(t, 1.0, (&Bounds{FarX: 0.5}).Far())
 }
 
-func TestWhatIsMissingOrEmptyHasDefaults(t *testing.T) {
+func TestMissingOrEmptyValuesUseDefaults(t *testing.T) {
 	for _, data := range []string{
 		"",
 		"discovery = ''\nheartbeatIntervalMs = ''\nephemeralPorts = ''\nzones = ''\nlimits = ''\n[bounds]\nmaxHoldMs = ''\n[cloudProvider]\nratePerS = ''",
@@ -144,14 +144,14 @@
 	}
 }
 
-func TestNoBoundDefaultsToNothing(t *testing.T) {
+func TestEveryBoundHasPositiveDefault(t *testing.T) {
 	bounds := reflect.ValueOf(DefaultBounds())
 	for index := range bounds.NumField() {
 		assert.Positive(t, bounds.Field(index).Float(), bounds.Type().Field(index).Name)
 	}
 }
 
-func TestEveryFieldHasAKeyOfItsOwn(t *testing.T) {
+func TestEveryFieldHasUniqueKey(t *testing.T) {
 	var visit func(kind reflect.Type)
 	visit = func(kind reflect.Type) {
 		seen := map[string]bool{}
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestSettingsComeBesideFindings(t *testing.T) {
+func TestSettingsAreReturnedWithFindings(t *testing.T) {
 	settings, err := Parse([]byte("zone = 'north'\nip = 'x'\nseedNodes = ['x', '10.0.0.1:1']\n[bounds]\nmaxHoldMs = false"))
 	var found findings.Findings
 	require.True(t, errors.As(err, &found))
@@ -215,7 +215,7 @@
 	assert.Equal(t, DefaultBounds().MaxHoldMs, settings.Bounds.MaxHoldMs)
 }
 
-func TestWhatIsNoTOMLIsFoundWithItsLine(t *testing.T) {
+func TestInvalidTOMLIsReportedWithLine(t *testing.T) {
 	settings, err := Parse([]byte("zone = 'a'\nregion ='b\n"))
 	assert.Nil(t, settings)
 	var found findings.Findings
@@ -224,9 +224,9 @@
 	assert.Contains(t, found[0].Place, "line 2")
 }
 
-func TestAFileIsLoaded(t *testing.T) {
+func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
-	require.NoError(t, os.WriteFile(path, []byte(full), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(fullFile), 0o600))
 	settings, err := Load(path)
 	require.NoError(t, err)
 	assert.Equal(t, "north", settings.Zone)
@@ -237,12 +237,12 @@
 	assert.Equal(t, settings, same)
 }
 
-func TestAFileThatCannotBeLoaded(t *testing.T) {
-	folder := t.TempDir()
-	_, err := Load(filepath.Join(folder, "none.toml"))
+func TestLoadFails(t *testing.T) {
+	dir := t.TempDir()
+	_, err := Load(filepath.Join(dir, "none.toml"))
 	assert.ErrorIs(t, err, os.ErrNotExist)
 
-	path := filepath.Join(folder, "node.toml")
+	path := filepath.Join(dir, "node.toml")
 	require.NoError(t, os.WriteFile(path, []byte("zone = 7"), 0o600))
 	_, err = Load(path)
 	var found findings.Findings
@@ -263,7 +263,7 @@
 func TestDamagedFilesNeverPanic(t *testing.T) {
 	const rounds = 3000
 	random := rand.New(rand.NewPCG(7, 8))
-	lines := strings.Split(full, "\n")
+	lines := strings.Split(fullFile, "\n")
 	values := []string{"1", "-2.5", "true", "''", "'x'", "[]", "[1, 'a']", "{a = 1}", "inf", "nan", "1979-05-27", "="}
 	for range rounds {
 		damaged := append([]string(nil), lines...)
