--- a/internal/system/dataplane/answer.go
+++ b/internal/system/dataplane/answer.go
@@ -7,32 +7,32 @@
 	"gaugeslip/internal/system/findings"
 )
 
-// response is what a client gets.
+// response is the HTTP response to a client's request.
 type response struct {
 	status int
 	body   []byte
-	// retryable says that the client may come back in a second: the request surely wasn't carried out.
+	// retryable adds a Retry-After of one second. It is set only if the request certainly wasn't executed.
 	retryable bool
 	allow     []string
-	// close ends the connection: what is left of the request isn't waited for.
+	// close closes the connection after the response instead of waiting for the rest of the request.
 	close bool
-	// summary explains an answer without success.
+	// summary describes the calls behind an unsuccessful response, for the log.
 	summary callSummary
 }
 
-// withSummary is the answer with what became of the tries for it.
+// withSummary returns the response with a summary of the calls made for it.
 func (a response) withSummary(summary callSummary) response {
 	a.summary = summary
 	return a
 }
 
-// withReason is the answer with its reason.
+// withReason returns the response with the summary and the reason for the failure.
 func (a response) withReason(reason failureReason, summary callSummary) response {
 	summary.reason = reason
 	return a.withSummary(summary)
 }
 
-// Header values are shared by all answers and never changed.
+// Header values are shared by all responses and must not be modified.
 var (
 	jsonType        = []string{"application/json"}
 	closeValue      = []string{"close"}
@@ -58,7 +58,7 @@
 	wrongRouteMethod = response{status: http.StatusMethodNotAllowed, allow: routeMethods}
 )
 
-// stateResponses are the answers to the states that there are, made once.
+// stateResponses holds the prepared responses for all known job states.
 var stateResponses = map[string]response{
 	"pending":   stateResponse("pending"),
 	"running":   stateResponse("running"),
@@ -94,5 +94,5 @@
 	}
 	header["Content-Type"] = jsonType
 	w.WriteHeader(a.status)
-	_, _ = w.Write(a.body) // a client that has gone needs no answer
+	_, _ = w.Write(a.body) // the client may have disconnected
 }
--- a/internal/system/dataplane/body.go
+++ b/internal/system/dataplane/body.go
@@ -11,30 +11,31 @@
 )
 
 const (
-	// bodyMemoryDivisor is the part of the machine's memory that all bodies may take together.
+	// bodyMemoryDivisor: all request bodies together may use one part in bodyMemoryDivisor of the machine's memory.
 	bodyMemoryDivisor = 8
-	// bodyTimeout is how long a body may take to arrive, after its header.
+	// bodyTimeout bounds the arrival of a request body, counted from the end of the header.
 	bodyTimeout = 5 * time.Second
 )
 
-// setBodyDeadline bounds the time that what is left of a request may take to arrive, whether it is read here or thrown away.
+// setBodyDeadline bounds the arrival of the rest of the request, whether the body is read or discarded.
 func setBodyDeadline(w http.ResponseWriter, now time.Time) {
-	_ = http.NewResponseController(w).SetReadDeadline(now.Add(bodyTimeout)) // what has no deadlines doesn't stall either
+	_ = http.NewResponseController(w).SetReadDeadline(now.Add(bodyTimeout)) // a connection without deadlines can't stall
 }
 
-// responseTimeout is how long a client may take to read its answer, all that it has asked for before on the connection included.
+// responseTimeout bounds how long a client may take to read its response, including all responses still unread on the connection.
 const responseTimeout = 10 * time.Second
 
-// setResponseDeadline bounds the time that an answer may take to be written.
+// setResponseDeadline bounds the time for writing a response.
 func setResponseDeadline(w http.ResponseWriter) {
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseTimeout)) // what has no deadlines doesn't stall either
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseTimeout)) // a connection without deadlines can't stall
 }
 
 func clearBodyDeadline(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 }
 
-// readBody reads a request's body of at most so many bytes, which the lease holds. Without a body, refusal is the answer.
+// readBody reads a request body of at most maxBytes bytes and reserves its memory in the lease. If body is nil, refusal is the
+// response to send.
 func readBody(w http.ResponseWriter, request *http.Request, maxBytes int64, lease *memorybudget.Lease) (body []byte, refusal response) {
 	body, err := requestbody.Read(request, maxBytes, lease)
 	switch {
--- a/internal/system/dataplane/caller.go
+++ b/internal/system/dataplane/caller.go
@@ -9,25 +9,25 @@
 	"gaugeslip/coord/transport"
 )
 
-// Caller calls other machines, as transport.Client does: an error is transport.ErrNotSent if the call surely never reached
-// the peer. It returns within the timeout.
+// Caller calls other machines, as transport.Client does. It returns within the timeout. The error is transport.ErrNotSent if the
+// call certainly never reached the peer.
 type Caller interface {
 	Call(address, method string, args, reply any, timeout time.Duration) error
 }
 
-// callOutcome is what is certain about one call.
+// callOutcome says what is known for certain about the execution of one call.
 type callOutcome byte
 
 const (
-	// replied: the reply's verdict tells.
+	// replied: the peer replied; the verdict of the reply decides.
 	replied callOutcome = iota + 1
-	// notExecuted: it surely wasn't and won't be.
+	// notExecuted: the call certainly wasn't executed and won't be.
 	notExecuted
-	// unknown: it may have been carried out, and may still be.
+	// outcomeUnknown: the call may have been executed, or may still be.
 	outcomeUnknown
 )
 
-// missingServicePrefix begins the errors by which net/rpc refuses a call that it has no method for.
+// missingServicePrefix starts the error text with which net/rpc rejects a call to a service or method that isn't registered.
 const missingServicePrefix = "rpc: can't find "
 
 func outcomeOf(err error) callOutcome {
--- a/internal/system/dataplane/directory.go
+++ b/internal/system/dataplane/directory.go
@@ -11,37 +11,38 @@
 	"gaugeslip/internal/system/clusterconfig"
 )
 
-// Configuration is one configuration in use: as it came, and as routes are found in it.
+// Configuration is a cluster configuration in use, with its source text and its router.
 type Configuration struct {
 	Version uint64
-	// Body is never changed.
+	// Body is the configuration as received. It must not be modified.
 	Body   []byte
 	Router *clusterconfig.Router
 }
 
-// Directory is what a dispatcher has learnt: the newest view of the chain, the newest configuration, and when the core was last
-// seen to serve. View and configuration never go back. It is safe for concurrent use.
+// Directory holds what a dispatcher knows about the cluster: the newest view of the chain, the newest configuration and the last
+// contact with a serving replica. View and configuration never go back to older ones. It is safe for concurrent use.
 type Directory struct {
 	mutex       sync.Mutex
 	viewChanged chan struct{}
-	// rejectedVersion is the newest version whose body couldn't be used.
+	// rejectedVersion is the newest version whose body was invalid.
 	rejectedVersion uint64
 	changes         chan struct{}
-	// configured is closed once there is a configuration.
+	// configured is closed when the first configuration is known.
 	configured chan struct{}
 
 	view   atomic.Pointer[view.View]
 	config atomic.Pointer[Configuration]
-	// seen is the last sign of a serving core, in nanoseconds after started and one more; 0 means none. lastHeadContact is that of the
-	// head itself, or the moment at which it was learnt who is.
+	// lastContact is the time of the last reply from a serving replica, in nanoseconds after started, plus one; 0 means never.
+	// lastHeadContact is the same for the head; it is also set when a new view names the head.
 	started         time.Time
 	lastContact     atomic.Int64
 	lastHeadContact atomic.Int64
-	// lastCurrent is when a serving replica last knew of no configuration that isn't known here, like seen.
+	// lastCurrent is when a serving replica last reported no configuration newer than the one known here, in the format of
+	// lastContact.
 	lastCurrent atomic.Int64
 }
 
-// NewDirectory is a directory that knows nothing.
+// NewDirectory returns an empty directory.
 func NewDirectory() *Directory {
 	d := &Directory{
 		viewChanged: make(chan struct{}),
@@ -53,23 +54,23 @@
 	return d
 }
 
-// Changes gets a value after each change, or after several, for one reader.
+// Changes receives a value after one or more changes. It supports a single reader.
 func (d *Directory) Changes() <-chan struct{} { return d.changes }
 
-// View is the newest view; without voters it is unknown. Nobody may change it.
+// View returns the newest view, which has no voters while it is unknown. The caller must not modify it.
 func (d *Directory) View() *view.View { return d.view.Load() }
 
-// Watch gives the newest view, and a channel that is closed once there is a newer one.
+// Watch returns the newest view and a channel that is closed when a newer view is known.
 func (d *Directory) Watch() (*view.View, <-chan struct{}) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.view.Load(), d.viewChanged
 }
 
-// Config is the newest configuration; nil while there is none. Nobody may change it.
+// Config returns the newest configuration, or nil if there is none yet. The caller must not modify it.
 func (d *Directory) Config() *Configuration { return d.config.Load() }
 
-// ConfigVersion is the newest configuration's version, 0 while there is none.
+// ConfigVersion returns the version of the newest configuration, or 0 if there is none yet.
 func (d *Directory) ConfigVersion() uint64 {
 	config := d.config.Load()
 	if config == nil {
@@ -78,7 +79,7 @@
 	return config.Version
 }
 
-// LearnView takes a view in if it is newer than the one known, and tells whether it was.
+// LearnView stores a view if it is newer than the known one, and reports whether it was.
 func (d *Directory) LearnView(newest view.View) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -94,8 +95,8 @@
 	return true
 }
 
-// LearnConfig takes a configuration in if it is newer than the one in force, and tells whether it was. A body that can't be
-// used is an error once; it changes nothing.
+// LearnConfig stores a configuration if it is newer than the one in use, and reports whether it was. An invalid body changes
+// nothing; it returns an error the first time and is ignored afterwards.
 func (d *Directory) LearnConfig(version uint64, body []byte) (bool, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -104,7 +105,7 @@
 	}
 	parsed, err := clusterconfig.Parse(body)
 	if err == nil && uint64(parsed.Version) != version {
-		err = fmt.Errorf("the body says %d", parsed.Version)
+		err = fmt.Errorf("the body states version %d", parsed.Version)
 	}
 	if err != nil {
 		d.rejectedVersion = version
@@ -125,23 +126,25 @@
 	}
 }
 
-// RecordContact takes note that a replica which serves has just answered.
+// RecordContact records that a serving replica has just replied.
 func (d *Directory) RecordContact() { d.lastContact.Store(d.now()) }
 
-// Reachable tells whether a replica that serves was heard of within that time.
+// Reachable reports whether a serving replica has replied within the given time.
 func (d *Directory) Reachable(within time.Duration) bool {
 	return d.since(d.lastContact.Load()) < within
 }
 
-// MayBeReachable is Reachable for a process that has just started besides: it hasn't had that time to hear of one yet.
+// MayBeReachable is like Reachable, but also returns true while the process has been running for less than the given time,
+// because it may not have contacted a replica yet.
 func (d *Directory) MayBeReachable(within time.Duration) bool {
 	return d.Reachable(within) || time.Since(d.started) < within
 }
 
-// Configured is closed once there is a configuration.
+// Configured returns a channel that is closed when the first configuration is known.
 func (d *Directory) Configured() <-chan struct{} { return d.configured }
 
-// RecordCurrent takes note that a replica which serves has just answered that it knows no configuration newer than this version.
+// RecordCurrent records that a serving replica has just reported the given version as its newest configuration. It has no effect
+// if that version is newer than the known one, unless its body was rejected as invalid.
 func (d *Directory) RecordCurrent(version uint64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -150,22 +153,22 @@
 	}
 }
 
-// UpToDate tells whether the configuration in force was the newest of a replica that serves, within that time.
+// UpToDate reports whether a serving replica has confirmed within the given time that the configuration in use is the newest.
 func (d *Directory) UpToDate(within time.Duration) bool {
 	return d.since(d.lastCurrent.Load()) < within
 }
 
-// everUpToDate tells whether it ever was in the life of this process.
+// everUpToDate reports whether the configuration has been confirmed as the newest since the process started.
 func (d *Directory) everUpToDate() bool { return d.lastCurrent.Load() != 0 }
 
-// RecordReply takes note that the replica at the address has just answered.
+// RecordReply records that the replica at the address has just replied.
 func (d *Directory) RecordReply(address string) {
 	if address == d.View().Head().Address {
 		d.lastHeadContact.Store(d.now())
 	}
 }
 
-// HeadReachable tells whether the head has answered within that time, or wasn't known before.
+// HeadReachable reports whether the head has replied, or has become known, within the given time.
 func (d *Directory) HeadReachable(within time.Duration) bool {
 	return d.View().Head().Address != "" && d.since(d.lastHeadContact.Load()) < within
 }
--- a/internal/system/dataplane/dispatcher.go
+++ b/internal/system/dataplane/dispatcher.go
@@ -13,7 +13,7 @@
 	"gaugeslip/internal/system/memorybudget"
 )
 
-// Dispatcher answers clients. It is an http.Handler, safe for concurrent use.
+// Dispatcher serves clients' requests. It is an http.Handler and is safe for concurrent use.
 type Dispatcher struct {
 	caller           Caller
 	directory        *Directory
@@ -21,15 +21,16 @@
 	requestPoll      func()
 	counts           *xsync.Map[queueKey, cachedCount]
 	draining         atomic.Bool
-	responseDeadline atomic.Pointer[time.Time] // nil while no end is near
+	responseDeadline atomic.Pointer[time.Time] // nil until a shutdown is due
 	bodyBudget       *memorybudget.Budget
 	responseCounts   statusCounts
 	failures         failureLog
-	// calls are the calls under way, those among them that nobody waits for any more.
+	// calls counts the calls in progress, including those whose results nobody waits for any more.
 	calls sync.WaitGroup
 }
 
-// NewDispatcher makes a dispatcher. poke is called, often and from any goroutine, when there may be news at the core.
+// NewDispatcher returns a dispatcher. It calls requestPoll, often and from any goroutine, when the core may have a newer view or
+// configuration.
 func NewDispatcher(caller Caller, directory *Directory, poke func(), options Options) *Dispatcher {
 	options = options.withDefaults()
 	return &Dispatcher{
@@ -43,13 +44,14 @@
 	}
 }
 
-// Drain has every answer from now on end its connection.
+// Drain makes every response from now on close its connection.
 func (d *Dispatcher) Drain() { d.draining.Store(true) }
 
-// SetResponseDeadline has everything answered by a moment, also what is under way: after that there may be nobody to answer it.
+// SetResponseDeadline limits work on all requests, including those in progress, to the given time, after which the process may no
+// longer be able to respond.
 func (d *Dispatcher) SetResponseDeadline(end time.Time) { d.responseDeadline.Store(&end) }
 
-// clampToDeadline is a moment, or the end where that comes first.
+// clampToDeadline returns the given time or the response deadline, whichever is earlier.
 func (d *Dispatcher) clampToDeadline(moment time.Time) time.Time {
 	if end := d.responseDeadline.Load(); end != nil && end.Before(moment) {
 		return *end
@@ -57,10 +59,11 @@
 	return moment
 }
 
-// Wait returns once no call is under way any more; no request may come after it was called.
+// Wait blocks until no call is in progress. No request may arrive after Wait was called.
 func (d *Dispatcher) Wait() { d.calls.Wait() }
 
-// ServeHTTP answers one request of a client. It doesn't end early when the client is gone: it may have closed one way only.
+// ServeHTTP serves one client request. It doesn't stop early if the client seems to have disconnected, because the client may
+// have closed only its sending side.
 func (d *Dispatcher) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	arrived := time.Now()
 	if request.ContentLength != 0 {
@@ -78,7 +81,7 @@
 	reply.write(w)
 }
 
-// recordResponse takes note of an answer, and of why a request wasn't served.
+// recordResponse records the latency of a response and, for a request that wasn't served, the reason.
 func (d *Dispatcher) recordResponse(request *http.Request, reply *response, took time.Duration) {
 	d.failures.observeLatency(took)
 	if notServed(reply.status) {
@@ -118,8 +121,8 @@
 	return wrongMethod
 }
 
-// awaitConfiguration gives the configuration in force. A dispatcher that has just started waits for its first one, for as long as the
-// request may be worked on and there is hope of the core.
+// awaitConfiguration returns the configuration in use. A dispatcher that has just started waits for its first configuration until
+// the request's deadline, unless the core is unreachable.
 func (d *Dispatcher) awaitConfiguration(request *http.Request, arrived time.Time) *Configuration {
 	if config := d.directory.Config(); config != nil || d.coreUnreachable() {
 		return config
@@ -135,7 +138,8 @@
 	return d.directory.Config()
 }
 
-// noRoute answers for a route that isn't in the configuration; it may be in one that we missed.
+// noRoute returns the response for a route that the known configuration doesn't contain. A newer configuration that hasn't
+// arrived here may contain it.
 func (d *Dispatcher) noRoute() response {
 	if !d.directory.UpToDate(d.options.MaxConfigAge) {
 		return unavailable.withReason(reasonRouteUnknown, callSummary{})
@@ -143,7 +147,7 @@
 	return notFound
 }
 
-// respondForQueue answers a request that names a queue and no job.
+// respondForQueue serves a request that names a queue but no job.
 func (d *Dispatcher) respondForQueue(method string, route *clusterconfig.Route, arrived time.Time, wait time.Duration) response {
 	switch method {
 	case http.MethodGet, http.MethodHead:
@@ -155,7 +159,7 @@
 	return wrongRouteMethod
 }
 
-// readJob reads and checks the body of a POST. Without a body, refusal is the answer.
+// readJob reads and validates the body of a POST. If body is nil, refusal is the response to send.
 func readJob(w http.ResponseWriter, request *http.Request, maxBytes int64, lease *memorybudget.Lease) (body []byte, refusal response) {
 	body, refusal = readBody(w, request, maxBytes, lease)
 	if body == nil {
--- a/internal/system/dataplane/errand.go
+++ b/internal/system/dataplane/errand.go
@@ -8,35 +8,36 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// callSlack is how much longer than its timeout a call is waited for, should it not keep to it.
+// callSlack is how long a call may overrun its timeout before it is abandoned.
 const callSlack = 20 * time.Millisecond
 
-// errAbandoned says that a call is no longer waited for; its outcome is unknown.
+// errAbandoned reports that the dispatcher no longer waits for a call. The outcome of the call is unknown.
 var errAbandoned = errors.New("call abandoned")
 
-// coreRequest is what one client's request needs of the core. It may be repeated: all calls are idempotent.
+// coreRequest describes the call to the core that one client request needs. The call may be repeated because all calls are
+// idempotent.
 type coreRequest struct {
 	method string
 	args   any
-	// writes says that a call of unknown outcome leaves the request in doubt.
+	// writes marks a call that changes state: an unknown outcome leaves the request in doubt.
 	writes bool
-	// target names whom the numbered try goes to, empty for nobody; after a change of the view, stays tells whether a call that
-	// is out there may still be answered.
+	// target returns the address for the given attempt, or "" if no replica is known. stillValid reports whether, after a view
+	// change, a call in progress to the address may still get a reply.
 	target     func(current *view.View, attempt int) (address string)
 	stillValid func(current *view.View, address string) bool
-	// notKnownIsFinal says that NotKnown is an answer.
+	// notKnownIsFinal makes the verdict NotKnown a final reply.
 	notKnownIsFinal bool
 	deadlines       deadlines
 }
 
-// coreResult is how an errand ended. Without a reply it was given up.
+// coreResult is the result of a coreRequest. If reply is nil, the dispatcher gave up.
 type coreResult struct {
 	reply   *internalapi.JobReply
 	inDoubt bool
 	summary callSummary
 }
 
-// execute repeats calls until one settles the errand, its time is over, or there is no hope left.
+// execute repeats the call until a reply is final, the deadline passes or the core is unreachable.
 func (d *Dispatcher) execute(r *coreRequest) coreResult {
 	result := coreResult{}
 	pause := d.options.FirstPause
@@ -58,7 +59,7 @@
 	}
 }
 
-// pauseOrGiveUp pauses before the next try, or says why there is none.
+// pauseOrGiveUp pauses before the next attempt and returns "", or returns the reason for giving up.
 func (d *Dispatcher) pauseOrGiveUp(pause time.Duration, until time.Time, changed <-chan struct{}) failureReason {
 	switch {
 	case d.coreUnreachable():
@@ -76,7 +77,8 @@
 	return outcome == outcomeUnknown
 }
 
-// isFinal tells whether a reply ends the errand. In doubt, only Done does.
+// isFinal reports whether a reply ends the request. If an earlier call is in doubt, only Done and, where it is an answer,
+// NotKnown are final.
 func (d *Dispatcher) isFinal(r *coreRequest, reply *internalapi.JobReply, inDoubt bool) bool {
 	switch reply.Verdict {
 	case internalapi.Done:
@@ -91,18 +93,18 @@
 	return false
 }
 
-// fromOlderConfig tells whether a reply was made by an older configuration than ours.
+// fromOlderConfig reports whether the replica used an older configuration than the one known here.
 func (d *Dispatcher) fromOlderConfig(reply *internalapi.JobReply) bool {
 	return reply.ConfigVersion != 0 && reply.ConfigVersion < d.directory.ConfigVersion()
 }
 
-// coreUnreachable tells whether nobody who serves was heard of for so long that waiting is no use. A dispatcher that has just started, as after
-// a loss of power of all machines, waits for the core as one does that has just lost it.
+// coreUnreachable reports whether no serving replica has replied for so long that waiting is useless. A dispatcher that has just
+// started, for example after a power loss of all machines, waits as long as one that has just lost contact.
 func (d *Dispatcher) coreUnreachable() bool {
 	return !d.directory.MayBeReachable(d.options.CoreContactTimeout)
 }
 
-// attempt makes one call and takes in what its reply tells of the core.
+// attempt makes one call and records what its reply says about the core.
 func (d *Dispatcher) attempt(r *coreRequest, current *view.View, attempt int, summary *callSummary) (*internalapi.JobReply, callOutcome) {
 	address := r.target(current, attempt)
 	timeout := min(d.attemptTimeout(attempt), time.Until(d.clampToDeadline(r.deadlines.inDoubt)))
@@ -138,13 +140,13 @@
 	}
 }
 
-// callResult is how a call ended.
+// callResult is the result of one call.
 type callResult struct {
 	reply *internalapi.JobReply
 	err   error
 }
 
-// callReplica makes one call. It stops waiting, with errAbandoned, once a newer view says that no answer can be expected any more.
+// callReplica makes one call. It returns errAbandoned as soon as a newer view rules out a reply.
 func (d *Dispatcher) callReplica(r *coreRequest, address string, timeout time.Duration) (*internalapi.JobReply, error) {
 	done := make(chan callResult, 1)
 	d.calls.Go(func() {
@@ -178,7 +180,8 @@
 	}
 }
 
-// waitForChange pauses, or less if the channel is closed before; false at once when there is no time for the pause.
+// waitForChange waits for the pause or until changed is closed. It returns false immediately if the pause doesn't end before the
+// given time.
 func waitForChange(pause time.Duration, until time.Time, changed <-chan struct{}) bool {
 	if time.Until(until) <= pause {
 		return false
--- a/internal/system/dataplane/errands.go
+++ b/internal/system/dataplane/errands.go
@@ -11,7 +11,7 @@
 	"gaugeslip/internal/system/jobspec"
 )
 
-// submit hands a job to the head.
+// submit submits a job to the head.
 func (d *Dispatcher) submit(id jobspec.ID, route *clusterconfig.Route, body []byte, limits deadlines) response {
 	result := d.callSubmit(id, route, body, limits)
 	reply := submitResponse(&result)
@@ -30,7 +30,7 @@
 	})
 }
 
-// submitResponse is the answer to a job that was handed in.
+// submitResponse returns the response to a job submission.
 func submitResponse(result *coreResult) response {
 	if result.reply == nil {
 		return noReplyResponse(result)
@@ -46,7 +46,7 @@
 	return overloaded.withReason(reasonOverloaded, result.summary)
 }
 
-// cancel ends a job at the head.
+// cancel cancels a job at the head.
 func (d *Dispatcher) cancel(id jobspec.ID, limits deadlines) response {
 	result := d.execute(&coreRequest{
 		method:          internalapi.MethodCancel,
@@ -94,7 +94,8 @@
 	return unavailable.withReason(reasonOverloaded, result.summary)
 }
 
-// count asks the head how many jobs of a queue have begun nothing; failing that, it tells the last known count while that is young enough.
+// count asks the head how many jobs of a queue are pending. If the head doesn't reply, it uses the last known count while that is
+// recent enough.
 func (d *Dispatcher) count(route *clusterconfig.Route, limits deadlines) response {
 	result := d.execute(&coreRequest{
 		method:     internalapi.MethodCount,
@@ -117,13 +118,14 @@
 	return unavailable.withReason(reasonCountOld, result.summary)
 }
 
-// cachedCount is a count that the head has told.
+// cachedCount is a count reported by the head.
 type cachedCount struct {
 	pending int
-	at      time.Time // when it came
+	at      time.Time // time of receipt
 }
 
-// countMaxAge is how long a count may be told after it came: it may be 2 s old when it arrives, and was under way before.
+// countMaxAge bounds the age of a cached count. A count may be 2 s old when it reaches the client, and part of that time has
+// passed before it is received here.
 const countMaxAge = 1800 * time.Millisecond
 
 func noReplyResponse(result *coreResult) response {
@@ -133,7 +135,7 @@
 	return unavailable.withSummary(result.summary)
 }
 
-// queueKey names a route by what it takes; its name may be empty.
+// queueKey identifies a route by its host and path prefix, because its name may be empty.
 type queueKey struct{ host, prefix string }
 
 func queueKeyOf(route *clusterconfig.Route) queueKey {
@@ -144,7 +146,7 @@
 
 func isHead(current *view.View, address string) bool { return current.Head().Address == address }
 
-// targetTailFirst goes to the tail, then to the head, then up the chain from the tail's predecessor.
+// targetTailFirst selects the tail, then the head, then the other replicas from the tail's predecessor towards the head.
 func targetTailFirst(current *view.View, attempt int) string {
 	length := len(current.Chain)
 	if length == 0 {
@@ -168,7 +170,8 @@
 	return false
 }
 
-// waitTime is how long a client waits for its answer: what it says, or else its route's timeout; 0 stands for none.
+// waitTime returns how long a client waits for its response: the time in its header, else its route's timeout if that isn't 0,
+// else the default.
 func (d *Dispatcher) waitTime(request *http.Request, timeout time.Duration, now time.Time) time.Duration {
 	if wait, ok := clientWait(request.Header.Get(deadlineHeader), now); ok {
 		return wait
--- a/internal/system/dataplane/failures.go
+++ b/internal/system/dataplane/failures.go
@@ -9,40 +9,40 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// failureReason tells why a request wasn't served, in a word for logs and figures.
+// failureReason names the reason why a request wasn't served, as a label for logs and metrics.
 type failureReason string
 
-// The reasons for which a request isn't served.
+// Reasons why a request wasn't served.
 const (
 	// reasonNoConfiguration: this dispatcher has never had a configuration.
 	reasonNoConfiguration failureReason = "no-configuration"
-	// reasonRouteUnknown: no route takes the request, and there may be a newer configuration that this dispatcher has missed.
+	// reasonRouteUnknown: no route matches the request, but there may be a newer configuration that hasn't arrived here.
 	reasonRouteUnknown failureReason = "route-unknown"
-	// reasonNoCore: no replica that serves was heard of for CoreContactTimeout.
+	// reasonNoCore: no serving replica has replied for CoreContactTimeout.
 	reasonNoCore failureReason = "no-core"
-	// reasonTimeUp: the part of the client's time for which tries are made is over.
+	// reasonTimeUp: the share of the client's wait time that is meant for attempts has passed.
 	reasonTimeUp failureReason = "time-up"
-	// reasonOverloaded: the head has refused the job.
+	// reasonOverloaded: the head refused the job.
 	reasonOverloaded failureReason = "overloaded"
-	// reasonBodiesFull: the bodies of other requests take the memory for all.
+	// reasonBodiesFull: the bodies of other requests use all memory reserved for bodies.
 	reasonBodiesFull failureReason = "bodies-full"
-	// reasonCountOld: the last known count of a queue is too old to be told.
+	// reasonCountOld: the last known count of a queue is too old to be returned.
 	reasonCountOld failureReason = "count-old"
 )
 
-// failureReasons are all reasons in the order in which figures show them.
+// failureReasons lists all reasons in the order in which the metrics show them.
 var failureReasons = [...]failureReason{reasonNoConfiguration, reasonRouteUnknown, reasonNoCore, reasonTimeUp, reasonOverloaded, reasonBodiesFull,
 	reasonCountOld}
 
-// callSummary is how an errand went: what an answer without success is explained with.
+// callSummary summarizes the calls made for a request, to explain an unsuccessful response.
 type callSummary struct {
 	reason      failureReason
 	attempts    int
-	address     string // of the last try, empty where nobody was known
-	lastOutcome string // how it ended
+	address     string // of the last attempt, empty if no replica was known
+	lastOutcome string // verdict or error of the last attempt
 }
 
-// failure is a request that wasn't served.
+// failure describes a request that wasn't served.
 type failure struct {
 	method, path string
 	status       int
@@ -50,23 +50,23 @@
 	summary      callSummary
 }
 
-// failureLog counts failures by reason and tells a logger of the first few in each second. It is safe for concurrent use.
+// failureLog counts failures by reason and logs the first few of each second. It is safe for concurrent use.
 type failureLog struct {
-	logger    Logger // nil: nothing is told
+	logger    Logger // nil disables logging
 	directory *Directory
 
 	mutex       sync.Mutex
 	counts      [len(failureReasons)]uint64
-	windowStart time.Time // in which told were told
+	windowStart time.Time // start of the second that logged counts
 	logged      int
-	suppressed  int // since the last that was told
+	suppressed  int // failures not logged since the last logged one
 	latency     figures.Histogram
 }
 
-// maxLoggedPerSecond is how many failures are told in a second: enough to explain an outage, and little work during one.
+// maxLoggedPerSecond bounds the failures logged per second. This is enough to explain an outage and costs little during one.
 const maxLoggedPerSecond = 4
 
-// record takes a failure in.
+// record counts a failure and logs it unless the limit is reached.
 func (f *failureLog) record(failed *failure) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -107,7 +107,7 @@
 	f.logger.Warn("request not served", line...)
 }
 
-// observeLatency takes in how long an answer took.
+// observeLatency records the time that a response took.
 func (f *failureLog) observeLatency(took time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -125,7 +125,7 @@
 	w.Histogram("answer_seconds", "Time from the end of a request's header to its answer.", &f.latency)
 }
 
-// notServed tells whether a status says that a sound request wasn't served.
+// notServed reports whether a status means that a valid request wasn't served.
 func notServed(status int) bool {
 	return status == http.StatusTooManyRequests || status >= http.StatusInternalServerError
 }
@@ -135,7 +135,7 @@
 	internalapi.Invalid: "invalid", internalapi.Overloaded: "overloaded", internalapi.InDoubt: "in-doubt",
 }
 
-// outcomeText says how a try ended.
+// outcomeText returns the verdict or the error with which a call ended.
 func outcomeText(reply *internalapi.JobReply, err error) string {
 	if err != nil {
 		return err.Error()
--- a/internal/system/dataplane/figures.go
+++ b/internal/system/dataplane/figures.go
@@ -9,17 +9,17 @@
 	"gaugeslip/internal/system/figures"
 )
 
-// countedStatuses are the statuses that clients are answered, in the order in which figures show them.
+// countedStatuses lists the statuses that are sent to clients, in the order in which the metrics show them.
 var countedStatuses = [...]int{
 	http.StatusOK, http.StatusBadRequest, http.StatusNotFound, http.StatusMethodNotAllowed, http.StatusRequestTimeout,
 	http.StatusGone, http.StatusRequestEntityTooLarge, http.StatusTooManyRequests, http.StatusServiceUnavailable,
 	http.StatusGatewayTimeout,
 }
 
-// otherStatus is how a status is shown that isn't among them.
+// otherStatus is the label for all other statuses.
 const otherStatus = "other"
 
-// statusCounts counts answers by status. It is safe for concurrent use.
+// statusCounts counts responses by status. It is safe for concurrent use.
 type statusCounts [len(countedStatuses) + 1]atomic.Uint64
 
 func (c *statusCounts) count(status int) {
@@ -32,7 +32,7 @@
 	c[len(countedStatuses)].Add(1)
 }
 
-// labelled gives all counts with their names.
+// labelled returns all counts with their labels.
 func (c *statusCounts) labelled() []figures.Labelled {
 	counts := make([]figures.Labelled, 0, len(c))
 	for index := range c {
@@ -45,10 +45,10 @@
 	return counts
 }
 
-// metricsPath is where figures are asked for, at the readiness address; every other path tells readiness.
+// metricsPath is the path of the metrics at the readiness address. All other paths report readiness.
 const metricsPath = "/metrics"
 
-// serveReadiness answers figures and readiness.
+// serveReadiness serves metrics and readiness.
 func (p *Process) serveReadiness(w http.ResponseWriter, request *http.Request) {
 	if request.URL.Path == metricsPath {
 		figures.Serve(w, p.writeMetrics)
@@ -72,7 +72,7 @@
 	p.options.Invariants.Write(w)
 }
 
-// ageSeconds is how long ago a moment of the directory was; -1 for one that never came.
+// ageSeconds returns the age of a directory timestamp, or -1 if it was never set.
 func ageSeconds(timestamp int64, directory *Directory) float64 {
 	if timestamp == 0 {
 		return -1
--- a/internal/system/dataplane/follow.go
+++ b/internal/system/dataplane/follow.go
@@ -7,7 +7,7 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// followDirectory acts on what the directory learns, until the context ends.
+// followDirectory applies and publishes changes of the directory until the context ends.
 func (p *Process) followDirectory(ctx context.Context) {
 	head, version, epoch := "", uint64(0), uint64(0)
 	for {
@@ -33,7 +33,7 @@
 	}
 }
 
-// applyConfiguration puts a configuration's limits in force and passes it on.
+// applyConfiguration applies a configuration's limits and publishes it by gossip.
 func (p *Process) applyConfiguration(config *Configuration) {
 	p.checkConfiguration(config)
 	parsed := config.Router.Config()
--- a/internal/system/dataplane/frontend.go
+++ b/internal/system/dataplane/frontend.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// clientKeepAlive is how soon a client that says nothing is probed, and how often.
+	// clientKeepAlive is the idle time before the first TCP keep-alive probe to a client, and the interval between probes.
 	clientKeepAlive = 15 * time.Second
-	// reservedDescriptors are those that aren't for connections of clients.
+	// reservedDescriptors is the number of file descriptors kept for other uses than client connections.
 	reservedDescriptors = 200
 	minConnections      = 64
 )
 
-// DefaultLimits are the limits while there is no configuration.
+// DefaultLimits returns the limits that apply until there is a configuration.
 func DefaultLimits() clusterconfig.Limits {
 	return clusterconfig.Limits{
 		MaxHeaderBytes: clusterconfig.DefaultMaxHeaderBytes,
@@ -31,13 +31,13 @@
 	}
 }
 
-// MaxConnections is how many connections of clients a process may hold that may open so many files.
+// MaxConnections returns how many client connections a process with the given limit of open files may hold.
 func MaxConnections(maxOpenFiles int) int {
 	return max(minConnections, (maxOpenFiles-reservedDescriptors)/2)
 }
 
-// Frontend is where clients connect. A change of limits holds for connections from then on: those that are open keep the
-// server, and so the limits, that they have begun with.
+// Frontend accepts client connections. Changed limits apply to new connections; open connections stay with the server, and so the
+// limits, with which they were accepted.
 type Frontend struct {
 	handler  http.Handler
 	listener net.Listener
@@ -52,7 +52,7 @@
 	accepting sync.WaitGroup
 }
 
-// frontendSocket takes the address with the operating system's sockets.
+// frontendSocket listens on the address with the operating system's sockets.
 func frontendSocket(address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{
 		Enable:   true,
@@ -62,7 +62,8 @@
 	return config.Listen(context.Background(), "tcp", address)
 }
 
-// NewFrontend serves a listener; nothing is accepted before Serve. At most so many connections are held, further ones wait.
+// NewFrontend returns a frontend for a listener. It accepts nothing before Serve is called. It holds at most the given number of
+// connections; further ones wait.
 func NewFrontend(listener net.Listener, handler http.Handler, connections int, errorLog *log.Logger) *Frontend {
 	return &Frontend{
 		handler:  handler,
@@ -72,10 +73,10 @@
 	}
 }
 
-// Address is where it listens.
+// Address returns the address that the frontend listens on.
 func (f *Frontend) Address() string { return f.listener.Addr().String() }
 
-// Serve accepts connections under these limits from now on, instead of those before.
+// Serve accepts connections under the given limits from now on, in place of the previous limits.
 func (f *Frontend) Serve(limits clusterconfig.Limits) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -91,7 +92,7 @@
 	server := f.newServer(limits)
 	f.servers = append(f.servers, server)
 	active := f.current
-	f.accepting.Go(func() { _ = server.Serve(active) }) // it ends when the gate is shut
+	f.accepting.Go(func() { _ = server.Serve(active) }) // returns when the listener is stopped
 }
 
 func (f *Frontend) newServer(limits clusterconfig.Limits) *http.Server {
@@ -104,8 +105,8 @@
 	}
 }
 
-// Shutdown stops accepting, lets every request be answered, and closes all connections; when the context ends before that,
-// those that are left are cut.
+// Shutdown stops accepting, waits until every request is answered, and closes all connections. If the context ends first, it cuts
+// the remaining connections.
 func (f *Frontend) Shutdown(ctx context.Context) error {
 	servers := f.close()
 	var group sync.WaitGroup
@@ -125,7 +126,7 @@
 	return err
 }
 
-// close is the change to closed: nothing is accepted any more.
+// close stops accepting connections and returns all servers.
 func (f *Frontend) close() []*http.Server {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/system/dataplane/gate.go
+++ b/internal/system/dataplane/gate.go
@@ -9,13 +9,13 @@
 	"gaugeslip/internal/system/network"
 )
 
-var errListenerStopped = errors.New("gate shut")
+var errListenerStopped = errors.New("listener stopped")
 
-// deadlineListener is a listener whose Accept can be ended without closing it.
+// deadlineListener is a listener whose Accept can be interrupted without closing it.
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// stoppableListener accepts from a listener that outlasts it, while it is open and a slot is free. Each connection holds a slot until it is
-// closed.
+// stoppableListener accepts connections from an underlying listener, which it doesn't close, until it is stopped. Each connection
+// holds a slot until it is closed.
 type stoppableListener struct {
 	net.Listener
 	slots   network.Slots
@@ -30,7 +30,7 @@
 	return &stoppableListener{Listener: listener, slots: slots, stopped: make(chan struct{})}
 }
 
-// Accept waits for a slot and a connection, until the gate is shut.
+// Accept waits for a free slot and a connection. It fails once the listener is stopped.
 func (g *stoppableListener) Accept() (net.Conn, error) {
 	select {
 	case <-g.stopped:
@@ -50,10 +50,10 @@
 	}
 }
 
-// Close leaves the listener open: it belongs to the frontend.
+// Close doesn't close the underlying listener, which belongs to the frontend.
 func (g *stoppableListener) Close() error { return nil }
 
-// stop ends Accept for good.
+// stop ends the current and all future calls of Accept.
 func (g *stoppableListener) stop() {
 	g.once.Do(func() {
 		close(g.stopped)
--- a/internal/system/dataplane/invalid.go
+++ b/internal/system/dataplane/invalid.go
@@ -8,7 +8,7 @@
 	"gaugeslip/internal/system/findings"
 )
 
-// invalidBody is the body of a 400: everything that is wrong, with its place.
+// invalidBody is the body of a 400: all findings with their places.
 type invalidBody struct {
 	Findings []invalidFinding `json:"findings"`
 }
@@ -18,7 +18,7 @@
 	Text  string `json:"text"`
 }
 
-// invalidResponse answers a request that can't be taken, whatever is done.
+// invalidResponse returns the 400 for a request that can never be accepted.
 func invalidResponse(err error) response {
 	var found findings.Findings
 	if !errors.As(err, &found) {
--- a/internal/system/dataplane/invariants.go
+++ b/internal/system/dataplane/invariants.go
@@ -7,40 +7,40 @@
 	"gaugeslip/internal/system/jobspec"
 )
 
-// The invariants of a dispatcher.
+// Invariants of a dispatcher.
 const (
-	// refusalIsCertain: a job is refused only where no try to hand it in may have been, or may yet be, carried out.
+	// refusalIsCertain: a job is refused only if no attempt to submit it may have been, or may yet be, executed.
 	refusalIsCertain invariant.Name = "refusal_is_certain"
-	// acceptanceIsConfirmed: a job is answered as accepted only on the head's word.
+	// acceptanceIsConfirmed: a job is reported as accepted only after the head confirmed it.
 	acceptanceIsConfirmed invariant.Name = "acceptance_is_confirmed"
-	// configMatchesVersion: the configuration in force is the one that its version names.
+	// configMatchesVersion: the body of the configuration in use states the version under which it is known.
 	configMatchesVersion invariant.Name = "config_is_whole"
 )
 
-// invariantNames are all invariants of a dispatcher.
+// invariantNames lists all invariants of a dispatcher.
 var invariantNames = []invariant.Name{refusalIsCertain, acceptanceIsConfirmed, configMatchesVersion}
 
-// NewInvariants makes the set of a dispatcher's process; violations go to the log as errors.
+// NewInvariants returns the invariants of a dispatcher process. Violations are logged as errors.
 func NewInvariants(logger Logger) *invariant.Set {
 	return invariant.NewSet(func(name invariant.Name, detail string) {
 		logger.Error(invariant.LogMessage, "name", name, "detail", detail)
 	}, invariantNames...)
 }
 
-// checkSubmitted holds what an answer to a job that was handed in says against what became of the tries.
+// checkSubmitted checks the response to a job submission against the outcomes of the calls.
 func (d *Dispatcher) checkSubmitted(id jobspec.ID, reply *response, result *coreResult) {
 	refuses := reply.status != http.StatusOK && reply.status != http.StatusGatewayTimeout
 	if refuses && result.inDoubt {
-		d.options.Invariants.Violated(refusalIsCertain, "job %s is answered %d after a try that may be carried out", id, reply.status)
+		d.options.Invariants.Violated(refusalIsCertain, "job %s was answered %d although a call may still be executed", id, reply.status)
 	}
 	if reply.status == http.StatusOK && result.reply == nil {
-		d.options.Invariants.Violated(acceptanceIsConfirmed, "job %s is answered %d without the head's word", id, reply.status)
+		d.options.Invariants.Violated(acceptanceIsConfirmed, "job %s was answered %d without a reply of the head", id, reply.status)
 	}
 }
 
-// checkConfiguration holds that the configuration in force is the one that its version names.
+// checkConfiguration checks that the body of the configuration in use states its version.
 func (p *Process) checkConfiguration(config *Configuration) {
 	if parsed := config.Router.Config(); uint64(parsed.Version) != config.Version {
-		p.options.Invariants.Violated(configMatchesVersion, "version %d has the body of %d", config.Version, parsed.Version)
+		p.options.Invariants.Violated(configMatchesVersion, "configuration %d has the body of version %d", config.Version, parsed.Version)
 	}
 }
--- a/internal/system/dataplane/logger.go
+++ b/internal/system/dataplane/logger.go
@@ -1,6 +1,6 @@
 package dataplane
 
-// Logger takes the few lines that a dispatcher writes, each with keys and values; a log.Logger of charmbracelet is one.
+// Logger receives the dispatcher's log messages with keys and values. A log.Logger of charmbracelet implements it.
 type Logger interface {
 	Info(message any, keyvals ...any)
 	Warn(message any, keyvals ...any)
--- a/internal/system/dataplane/options.go
+++ b/internal/system/dataplane/options.go
@@ -7,39 +7,41 @@
 	"gaugeslip/internal/system/network"
 )
 
-// Options are the dispatcher's figures. The zero value of each field stands for its default.
+// Options configures a dispatcher. The zero value of each field stands for its default.
 type Options struct {
-	// FirstCallTimeout bounds the first call to a replica on behalf of a client.
+	// FirstCallTimeout bounds the first call to a replica for a client request.
 	FirstCallTimeout time.Duration
-	// LaterCallTimeout bounds each call after that.
+	// LaterCallTimeout bounds each later call for that request.
 	LaterCallTimeout time.Duration
-	// CountTimeout bounds how long a count of jobs is asked for before the last known one is told.
+	// CountTimeout bounds how long the head is asked for a count of jobs before the last known one is used.
 	CountTimeout time.Duration
-	// FirstPause is the pause after a call that came to nothing; it doubles up to MaxPause.
+	// FirstPause is the pause after the first call without a final reply. It doubles after each further call, up to MaxPause.
 	FirstPause, MaxPause time.Duration
-	// PollInterval is the time between two looks at the core, give or take a quarter.
+	// PollInterval is the time between two polls of the core, varied at random by up to a quarter.
 	PollInterval time.Duration
-	// PollTimeout bounds each call of such a look.
+	// PollTimeout bounds each call of a poll.
 	PollTimeout time.Duration
-	// MinPollGap is the least time between two looks that failed calls ask for.
+	// MinPollGap is the shortest time between two polls, however often they are requested.
 	MinPollGap time.Duration
-	// CoreContactTimeout is how long after the last sign of a serving core it counts as within reach.
+	// CoreContactTimeout is how long after the last reply of a serving replica the core counts as reachable.
 	CoreContactTimeout time.Duration
-	// HeadContactTimeout is the same for the head, which is looked at less often.
+	// HeadContactTimeout is the same for the head, which is polled less often.
 	HeadContactTimeout time.Duration
-	// MaxConfigAge is how long after the configuration was last known to be the newest an unknown route may be due to one that was missed.
+	// MaxConfigAge bounds the time since the configuration was last confirmed as the newest. Past it, an unknown route may belong
+	// to a newer configuration that hasn't arrived here.
 	MaxConfigAge time.Duration
-	// DefaultWaitTime is how long a client waits when neither it nor its route says.
+	// DefaultWaitTime is how long a client waits if neither the client nor its route says.
 	DefaultWaitTime time.Duration
-	// Announce is how long a dispatcher that is to end goes on accepting: the platform has to miss two looks, a second apart.
+	// Announce is how long a draining dispatcher goes on accepting connections: the platform has to see two failed readiness
+	// probes, a second apart.
 	Announce time.Duration
-	// BodyMemory is how many bytes the bodies of all requests may take together.
+	// BodyMemory bounds the bytes used by the bodies of all requests together.
 	BodyMemory int64
-	// Logger is told of requests that weren't served, a few in a second; nil: nobody is.
+	// Logger receives requests that weren't served, a few per second. Nil disables this.
 	Logger Logger
-	// Invariants counts violations of what must always hold; nil has each of them panic.
+	// Invariants counts violated invariants. If it is nil, each violation panics.
 	Invariants *invariant.Set
-	// Network is where connections come from; nil stands for the operating system's sockets.
+	// Network provides connections. Nil stands for the operating system's sockets.
 	Network network.Network
 }
 
--- a/internal/system/dataplane/overview.go
+++ b/internal/system/dataplane/overview.go
@@ -6,10 +6,10 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// Service is what operators' commands call over net/rpc.
+// Service serves operators' commands over net/rpc.
 type Service struct{ process *Process }
 
-// Overview tells what the dispatcher knows.
+// Overview reports the dispatcher's status.
 func (s *Service) Overview(_ internalapi.DispatcherOverviewArgs, reply *internalapi.DispatcherOverviewReply) error {
 	*reply = s.process.overview()
 	return nil
@@ -48,7 +48,7 @@
 	return reply
 }
 
-// ageMs is how long ago a moment of the directory was; -1 for one that never came.
+// ageMs returns the age of a directory timestamp in milliseconds, or -1 if it was never set.
 func ageMs(timestamp int64, directory *Directory) int64 {
 	if timestamp == 0 {
 		return -1
@@ -56,7 +56,7 @@
 	return directory.since(timestamp).Milliseconds()
 }
 
-// notReadyReason says in words what Ready tells; empty when it is ready.
+// notReadyReason returns why the dispatcher isn't ready, or "" if it is.
 func (r *Readiness) notReadyReason() string {
 	switch {
 	case r.draining.Load():
--- a/internal/system/dataplane/patience.go
+++ b/internal/system/dataplane/patience.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// deadlineHeader tells how long the client waits for its answer, in milliseconds.
+// deadlineHeader names the request header with the time that the client waits for its response, in milliseconds.
 const deadlineHeader = "X-Gaugeslip-Deadline"
 
 const (
-	// certainShare is the part of the client's time after which a request that surely wasn't taken is refused.
+	// certainShare is the share of the client's wait time after which a job that certainly wasn't accepted is refused.
 	certainShare = 0.45
-	// inDoubtShare is the part after which a request whose outcome is unknown is given up.
+	// inDoubtShare is the share after which the dispatcher gives up on a request whose outcome is unknown.
 	inDoubtShare = 0.85
-	// maxWait bounds what a client may ask for.
+	// maxWait bounds the wait time that a client may ask for.
 	maxWait = 10 * time.Minute
-	// minAbsoluteMs is the figure above which a deadline is a time of day in milliseconds since 1970.
+	// minAbsoluteMs is the value from which on a deadline counts as a time of day in milliseconds since 1970.
 	minAbsoluteMs = 1e11
 )
 
-// certainShareOf is the part of the client's time for which a request is worked on while it surely wasn't carried out: a job that isn't taken is
-// refused while there is time to hand it in elsewhere.
+// certainShareOf returns the share of the client's wait time during which attempts are made as long as none may have been
+// executed. A job is refused early so that the client has time to submit it elsewhere.
 func certainShareOf(method string) float64 {
 	if method == http.MethodPost {
 		return certainShare
@@ -29,9 +29,9 @@
 	return inDoubtShare
 }
 
-// deadlines is until when an answer is worked for.
+// deadlines holds until when attempts are made for a request.
 type deadlines struct {
-	// certain holds while it is certain that nothing was carried out, doubt once it isn't.
+	// certain applies while no call can have been executed, inDoubt as soon as one may have been.
 	certain, inDoubt time.Time
 }
 
@@ -49,8 +49,8 @@
 	return p.certain
 }
 
-// clientWait reads the deadline header: milliseconds, a duration with its unit, or a time of day in milliseconds. ok is false
-// when it says nothing of use.
+// clientWait parses the deadline header: milliseconds, a duration with its unit, or a time of day in milliseconds. ok is false if
+// the value is unusable.
 func clientWait(text string, now time.Time) (wait time.Duration, ok bool) {
 	if text == "" {
 		return 0, false
--- a/internal/system/dataplane/poller.go
+++ b/internal/system/dataplane/poller.go
@@ -11,11 +11,12 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// pollsPerRound is how many looks make a round: one begins with the seeds, two with the head and one with another of the chain.
+// pollsPerRound is the number of polls in a round: one starts with the seeds, two with the head and one with another replica of
+// the chain.
 const pollsPerRound = 4
 
-// Poller looks at the core, at intervals and when poked, for newer views and configurations. That is also how a dispatcher
-// knows that the core is within reach.
+// Poller polls the core for newer views and configurations, at intervals and on request. The polls also show whether the core is
+// reachable.
 type Poller struct {
 	caller       Caller
 	directory    *Directory
@@ -23,11 +24,11 @@
 	seeds        atomic.Pointer[[]string]
 	pollRequests chan struct{}
 	polls        int
-	// onError is told what could not be used.
+	// onError receives errors about data that could not be used.
 	onError func(error)
 }
 
-// NewPoller makes a poller; seeds are internal addresses of a few replicas. onError must not block.
+// NewPoller returns a poller. The seeds are internal addresses of a few replicas. onError must not block.
 func NewPoller(caller Caller, directory *Directory, seeds []string, onError func(error), options Options) *Poller {
 	p := &Poller{
 		caller:       caller,
@@ -41,13 +42,13 @@
 	return p
 }
 
-// SetSeeds takes other seeds in place of those before.
+// SetSeeds replaces the seeds.
 func (p *Poller) SetSeeds(seeds []string) {
 	kept := slices.Clone(seeds)
 	p.seeds.Store(&kept)
 }
 
-// RequestPoll asks for a look soon. It never blocks.
+// RequestPoll asks for a poll soon. It never blocks.
 func (p *Poller) RequestPoll() {
 	select {
 	case p.pollRequests <- struct{}{}:
@@ -55,7 +56,7 @@
 	}
 }
 
-// Run looks until the context ends.
+// Run polls until the context ends.
 func (p *Poller) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -74,12 +75,12 @@
 	}
 }
 
-// interval is the time to the next look, spread so that dispatchers don't look all at once.
+// interval returns the time until the next poll, varied at random so that the dispatchers' polls don't coincide.
 func (p *Poller) interval() time.Duration {
 	return p.options.PollInterval*3/4 + rand.N(p.options.PollInterval/2) - p.options.MinPollGap
 }
 
-// Poll asks replicas, one after the other, until one that serves has answered.
+// Poll asks replicas one after the other until a serving one has replied.
 func (p *Poller) Poll() {
 	p.polls++
 	candidates, first := p.candidates()
@@ -90,7 +91,7 @@
 	}
 }
 
-// candidates are whom this look may ask, and which of them comes first.
+// candidates returns the addresses that this poll may ask, and the index of the first one.
 func (p *Poller) candidates() (addresses []string, first int) {
 	round, turn := p.polls/pollsPerRound, p.polls%pollsPerRound
 	chain := p.directory.View().Chain
@@ -107,7 +108,7 @@
 	return addresses, first
 }
 
-// pollReplica looks at one replica, and fetches from it what is newer there; it tells whether that one serves.
+// pollReplica polls one replica and fetches newer data from it. It reports whether the replica is serving.
 func (p *Poller) pollReplica(address string) bool {
 	var digest internalapi.DigestReply
 	err := p.caller.Call(address, internalapi.MethodDigest, &internalapi.DigestArgs{}, &digest, p.options.PollTimeout)
--- a/internal/system/dataplane/process.go
+++ b/internal/system/dataplane/process.go
@@ -19,33 +19,34 @@
 	"gaugeslip/internal/system/nodesettings"
 )
 
-// peerRole is what the other machines know a dispatcher as.
+// peerRole is the role under which other machines know a dispatcher.
 const peerRole = "dispatcher"
 
 const (
 	megabyte = 1 << 20
-	// gossipInterval is the mean time between two exchanges; what is new is pushed on at once, and the core is looked at besides.
+	// gossipInterval is the mean time between two exchanges. It may be long because new values are pushed immediately and the
+	// core is polled as well.
 	gossipInterval = 500 * time.Millisecond
-	// settingsInterval is the time between two looks at the settings file.
+	// settingsInterval is the time between two checks of the settings file.
 	settingsInterval = 2 * time.Second
-	// exitMargin is how long before the platform's SIGKILL it ends at the latest, exitMarginDivisor the part of the grace that this is at most: till
-	// the last sixth whatever is out goes on.
+	// exitMargin is how long before the platform's SIGKILL the process exits at the latest, but at most the grace period divided
+	// by exitMarginDivisor. Requests in progress may continue into the last sixth of the grace period.
 	exitMargin        = 500 * time.Millisecond
 	exitMarginDivisor = 12
-	// responseMargin is how long before its end it gives up what it still works for, so that this is answered.
+	// responseMargin is how long before the exit the dispatcher gives up on pending requests, so that they still get a response.
 	responseMargin   = 250 * time.Millisecond
 	readinessTimeout = 2 * time.Second
 	readinessIdle    = 10 * time.Second
-	// maxReadinessConnections bounds the connections to the readiness port: the platform has one or two, operators a few.
+	// maxReadinessConnections bounds the connections to the readiness port. The platform has one or two, operators a few.
 	maxReadinessConnections = 64
 )
 
-// Process is one running dispatcher, with all that it listens on.
+// Process is a running dispatcher with all its listeners.
 type Process struct {
 	logger          Logger
 	file            *settingsFile
 	settings        *nodesettings.Settings
-	name, zone      string // as at the start
+	name, zone      string // as read at the start
 	directory       *Directory
 	client          *transport.Client
 	server          *transport.Server
@@ -61,7 +62,7 @@
 	group  sync.WaitGroup
 }
 
-// Start runs a dispatcher by the settings file at the path, until Stop.
+// Start runs a dispatcher with the settings file at the path until Stop.
 func Start(path string, logger Logger, options Options) (*Process, error) {
 	file := &settingsFile{path: path}
 	settings, _, err := file.read()
@@ -69,7 +70,7 @@
 		return nil, err
 	}
 	if err != nil {
-		logger.Warn("settings taken in part", "error", err)
+		logger.Warn("settings partly invalid; defaults used for invalid values", "error", err)
 	}
 	p := &Process{
 		logger:    logger,
@@ -112,7 +113,7 @@
 	p.node.Subscribe(p.receiveGossip)
 }
 
-// boundedOptions are the options with what the settings bound.
+// boundedOptions returns the options with defaults and the limits from the settings.
 func (p *Process) boundedOptions(options Options) Options {
 	options = options.withDefaults()
 	options.MaxConfigAge = min(options.MaxConfigAge, maxConfigAge(p.settings.Bounds.ConfigApply()))
@@ -122,7 +123,8 @@
 	return options
 }
 
-// maxConfigAge is how old the knowledge that a route isn't there may be: younger than any configuration that has to be in force.
+// maxConfigAge returns the maximum age of the knowledge that a route doesn't exist. It is less than the time within which a new
+// configuration has to be in use.
 func maxConfigAge(configApply time.Duration) time.Duration {
 	if configApply <= 0 {
 		return defaultMaxConfigAge
@@ -130,7 +132,7 @@
 	return configApply * 3 / 4
 }
 
-// listen takes the three addresses.
+// listen opens the internal, the client and the readiness listeners.
 func (p *Process) listen() error {
 	var err error
 	if p.server, err = network.ListenForPeers(p.options.Network, p.settings.InternalAddress()); err != nil {
@@ -160,13 +162,13 @@
 	p.readinessServer = &http.Server{
 		Handler:           http.HandlerFunc(p.serveReadiness),
 		ReadHeaderTimeout: readinessTimeout,
-		ReadTimeout:       readinessTimeout, // a body, which nobody asks for, too
+		ReadTimeout:       readinessTimeout, // also bounds a body, which no caller needs to send
 		WriteTimeout:      readinessIdle,
 		IdleTimeout:       readinessIdle,
 		ErrorLog:          errorLog,
 	}
 	bounded := network.Bound(listener, maxReadinessConnections)
-	p.group.Go(func() { _ = p.readinessServer.Serve(bounded) }) // it ends at Close
+	p.group.Go(func() { _ = p.readinessServer.Serve(bounded) }) // returns at Close
 	return nil
 }
 
@@ -174,13 +176,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	p.frontend.Serve(DefaultLimits())
-	p.group.Go(func() { _ = p.server.Serve() }) // it ends at Close
+	p.group.Go(func() { _ = p.server.Serve() }) // returns at Close
 	p.group.Go(func() { p.poller.Run(ctx) })
 	p.group.Go(func() { p.followDirectory(ctx) })
 	p.node.Start()
 }
 
-// receiveGossip takes in a value that came by gossip.
+// receiveGossip handles a value received by gossip.
 func (p *Process) receiveGossip(value gossip.Value) {
 	switch value.Key {
 	case internalapi.KeyConfig:
@@ -197,7 +199,9 @@
 	}
 }
 
-func (p *Process) logUnusable(err error) { p.logger.Warn("news not used", "error", err) }
+func (p *Process) logUnusable(err error) {
+	p.logger.Warn("received view or configuration not used", "error", err)
+}
 
 func (p *Process) readinessChanged(ready bool, reason string) {
 	if ready {
@@ -207,24 +211,24 @@
 	p.logger.Warn("not ready", "reason", reason)
 }
 
-// Reload reads the settings file again if it has changed. Faulty settings change nothing. Calls must not overlap.
+// Reload reads the settings file again if it has changed. Invalid settings change nothing. Calls must not overlap.
 func (p *Process) Reload() {
 	settings, changed, err := p.file.read()
 	if err != nil {
-		p.logger.Error("settings not taken", "error", err)
+		p.logger.Error("settings rejected", "error", err)
 		return
 	}
 	if !changed {
 		return
 	}
-	p.logger.Info("settings taken", "changed", nodesettings.Changed(p.settings, settings))
+	p.logger.Info("settings applied", "changed", nodesettings.Changed(p.settings, settings))
 	p.settings = settings
 	seeds := settings.SeedInternalAddresses()
 	p.poller.SetSeeds(seeds)
 	p.node.SetSeeds(seeds)
 }
 
-// Watch reloads now and then, and whenever it is told to, until the context ends.
+// Watch reloads the settings at intervals and on each value from reload, until the context ends.
 func (p *Process) Watch(ctx context.Context, reload <-chan struct{}) {
 	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
@@ -239,11 +243,11 @@
 	}
 }
 
-// Stop ends the dispatcher without losing a request: it declares itself unready, goes on for as long as clients may still be
-// sent to it, then stops accepting and ends once everything is answered. Watch must have returned.
+// Stop shuts the dispatcher down without losing a request: it reports itself as not ready, goes on accepting while clients may
+// still be sent to it, then stops accepting and returns when every request is answered. Watch must have returned.
 func (p *Process) Stop() error {
 	deadline := time.Now().Add(exitTimeout(p.settings.Bounds.GracePeriod()))
-	p.logger.Info("ending")
+	p.logger.Info("shutting down")
 	p.readiness.Drain()
 	p.dispatcher.Drain()
 	p.dispatcher.SetResponseDeadline(deadline.Add(-responseMargin))
@@ -253,16 +257,16 @@
 	err := p.frontend.Shutdown(ctx)
 	p.cancel()
 	p.closeNetwork()
-	p.logger.Info("ended")
+	p.logger.Info("stopped")
 	return err
 }
 
-// exitTimeout is how long after the platform's wish it ends at the latest.
+// exitTimeout returns how long after the platform's SIGTERM the process exits at the latest.
 func exitTimeout(grace time.Duration) time.Duration {
 	return grace - min(exitMargin, grace/exitMarginDivisor)
 }
 
-// closeNetwork closes whatever is open.
+// closeNetwork closes everything that is open.
 func (p *Process) closeNetwork() {
 	_ = p.client.Close()
 	p.dispatcher.Wait()
@@ -279,5 +283,5 @@
 	p.group.Wait()
 }
 
-// MemoryMb is what the machine gives the process, in megabytes.
+// MemoryMb returns the memory limit of the process in megabytes.
 func (p *Process) MemoryMb() float64 { return p.settings.Limits.MemoryMb }
--- a/internal/system/dataplane/process_test.go
+++ b/internal/system/dataplane/process_test.go
@@ -182,7 +182,7 @@
 	process.checkReload(t)
 
 	require.NoError(t, process.Stop())
-	process.logger.await(t, "ended")
+	process.logger.await(t, "stopped")
 	_, err := net.DialTimeout("tcp", process.frontend.Address(), time.Second)
 	assert.Error(t, err)
 	require.NoError(t, server.Close())
@@ -223,11 +223,11 @@
 func (r running) checkReload(t *testing.T) {
 	require.NoError(t, os.WriteFile(r.path, []byte("nodeName ="), 0o600))
 	r.Reload()
-	r.logger.await(t, "settings not taken")
+	r.logger.await(t, "settings rejected")
 	changed := strings.Replace(r.text, "127.0.0.2:80", "127.0.0.4:80", 1)
 	require.NoError(t, os.WriteFile(r.path, []byte(changed), 0o600))
 	r.Reload()
-	assert.Contains(t, r.logger.await(t, "settings taken"), "seedNodes")
+	assert.Contains(t, r.logger.await(t, "settings applied"), "seedNodes")
 	assert.Contains(t, *r.poller.seeds.Load(), r.settings.SeedInternalAddresses()[0])
 	r.checkReady(t)
 }
--- a/internal/system/dataplane/readiness.go
+++ b/internal/system/dataplane/readiness.go
@@ -5,31 +5,31 @@
 	"sync/atomic"
 )
 
-// Readiness tells the platform whether the dispatcher wants new connections: it has a configuration that was the newest
-// at its time, hears of a core that serves, reaches its head, and isn't being shut down. It is an http.Handler.
+// Readiness reports to the platform whether the dispatcher accepts new connections. It does if its configuration has once been
+// confirmed as the newest, a serving replica and the head are reachable, and it isn't shutting down. It is an http.Handler.
 type Readiness struct {
 	directory *Directory
 	options   Options
 	draining  atomic.Bool
 	lastReady atomic.Bool
-	// onChange is told when the answer differs from the one before, and why it is no.
+	// onChange is called when the readiness differs from the previous probe, with the reason if it isn't ready.
 	onChange func(ready bool, reason string)
 }
 
-// NewReadiness makes a readiness that answers from what the directory knows. onChange must not block.
+// NewReadiness returns a readiness handler that uses the directory. onChange must not block.
 func NewReadiness(directory *Directory, onChange func(ready bool, reason string), options Options) *Readiness {
 	return &Readiness{directory: directory, options: options.withDefaults(), onChange: onChange}
 }
 
-// Drain makes it unready for good.
+// Drain makes the dispatcher unready permanently.
 func (r *Readiness) Drain() { r.draining.Store(true) }
 
-// Ready is what the platform is answered.
+// Ready reports whether the dispatcher is ready.
 func (r *Readiness) Ready() bool {
 	return r.notReadyReason() == ""
 }
 
-// ServeHTTP answers 200 or 503.
+// ServeHTTP responds with 200 or 503.
 func (r *Readiness) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	reason := r.notReadyReason()
 	ready := reason == ""
--- a/internal/system/dataplane/settings.go
+++ b/internal/system/dataplane/settings.go
@@ -10,21 +10,21 @@
 	"gaugeslip/internal/system/nodesettings"
 )
 
-// settingsFile is the settings file as it was last looked at.
+// settingsFile is a settings file with the content that was last read.
 type settingsFile struct {
 	path    string
 	content []byte
 }
 
-// OpenSettings reads and checks the settings file of a dispatcher. The error holds findings.Findings, all of them, where the
-// file has faults.
+// OpenSettings reads and checks a dispatcher's settings file. If the file is invalid, the error wraps findings.Findings with all
+// faults.
 func OpenSettings(path string) (*nodesettings.Settings, error) {
 	settings, _, err := (&settingsFile{path: path}).read()
 	return settings, err
 }
 
-// read reads the file; without a change since the last look there are neither settings nor an error. With faults in single
-// values, the settings come along with the error.
+// read reads the file. If it is unchanged since the last read, settings and err are nil. If only single values are invalid, both
+// settings and err are returned.
 func (f *settingsFile) read() (settings *nodesettings.Settings, changed bool, err error) {
 	content, err := os.ReadFile(f.path)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return found
 }
 
-// usable tells whether a dispatcher can run by these settings, whatever else is wrong with them.
+// usable reports whether a dispatcher can run with these settings, whatever other faults they have.
 func usable(settings *nodesettings.Settings) bool {
 	return settings != nil && settings.Check(nodesettings.RoleDataPlane) == nil
 }
--- a/internal/system/nodesettings/changed.go
+++ b/internal/system/nodesettings/changed.go
@@ -2,8 +2,8 @@
 
 import "reflect"
 
-// Changed names the keys whose values differ between two settings, in the order of the fields; keys of tables as
-// `table.key`. Nil when there are none.
+// Changed returns the keys whose values differ between two settings, in the order of the fields, with keys inside tables as
+// `table.key`. It returns nil if there are none.
 func Changed(before, after *Settings) []string {
 	return changed("", reflect.ValueOf(before).Elem(), reflect.ValueOf(after).Elem())
 }
@@ -24,7 +24,7 @@
 	return keys
 }
 
-// equalValues takes a list that is missing for an empty one.
+// equalValues treats a missing list or map as an empty one.
 func equalValues(old, current reflect.Value) bool {
 	switch old.Kind() {
 	case reflect.Slice, reflect.Map:
--- a/internal/system/nodesettings/check.go
+++ b/internal/system/nodesettings/check.go
@@ -9,16 +9,16 @@
 // Role is one of the system's programs.
 type Role string
 
-// The programs.
+// Programs of the system.
 const (
 	RoleDataPlane    Role = "dataplane"
 	RoleControlPlane Role = "controlplane"
 )
 
-// maxPort is the last port that there is.
+// maxPort is the highest port number.
 const maxPort = 1<<16 - 1
 
-// Check takes note of everything that the role needs and the settings don't name. The error holds findings.Findings.
+// Check reports everything that the role needs and the settings don't contain. The error holds findings.Findings.
 func (s *Settings) Check(role Role) error {
 	var found findings.Findings
 	requireValue(&found, "ip", s.IP)
@@ -47,7 +47,7 @@
 	}
 }
 
-// checkValues takes note of the values that are no addresses or ports, and empties them.
+// checkValues reports values that aren't valid addresses or ports, and clears them.
 func checkValues(settings *Settings, found *findings.Findings) {
 	checkIP(&settings.IP, found)
 	checkAddress("bindAddresses.frontend", &settings.Bind.Frontend, found)
--- a/internal/system/nodesettings/fill.go
+++ b/internal/system/nodesettings/fill.go
@@ -7,11 +7,11 @@
 	"gaugeslip/internal/system/findings/quantity"
 )
 
-// keyTag is the tag that gives a field its key.
+// keyTag is the struct tag that holds a field's key.
 const keyTag = "key"
 
-// fill puts the document's values into the fields that are tagged with their keys. What can't be used is a finding and leaves
-// the field as it is.
+// fill copies the document's values into the fields that are tagged with their keys. An invalid value is a finding and leaves its
+// field unchanged.
 func fill(settings *Settings, document map[string]any, found *findings.Findings) {
 	filler := filler{found: found}
 	filler.setTable("", reflect.ValueOf(settings).Elem(), document)
--- a/internal/system/nodesettings/read.go
+++ b/internal/system/nodesettings/read.go
@@ -10,7 +10,7 @@
 	"gaugeslip/internal/system/findings"
 )
 
-// LoadFromEnvironment loads the file that FileVariable names.
+// LoadFromEnvironment loads the file named by FileVariable.
 func LoadFromEnvironment() (*Settings, error) {
 	path := os.Getenv(FileVariable)
 	if path == "" {
@@ -32,8 +32,8 @@
 	return settings, nil
 }
 
-// Parse reads a settings file. An error holds findings.Findings. When the file is no TOML there are no settings; when single
-// values can't be used, the settings come along with the findings, with defaults in the place of those values.
+// Parse parses a settings file. An error holds findings.Findings. If the file isn't valid TOML, settings are nil. If only single
+// values are invalid, Parse returns both the settings, with defaults for those values, and the findings.
 func Parse(data []byte) (*Settings, error) {
 	var found findings.Findings
 	document := map[string]any{}
--- a/internal/system/nodesettings/settings.go
+++ b/internal/system/nodesettings/settings.go
@@ -1,5 +1,5 @@
-// Package nodesettings reads and checks the settings file of a process: who and where it is, what it listens on, and the
-// bounds within which it has to act.
+// Package nodesettings reads and checks the settings file of a process: its identity and location, its listen addresses, and the
+// bounds that it has to keep.
 package nodesettings
 
 import (
@@ -9,17 +9,17 @@
 	"gaugeslip/internal/system/findings/quantity"
 )
 
-// FileVariable is the environment variable that names the settings file by path.
+// FileVariable is the environment variable with the path of the settings file.
 const FileVariable = "GAUGESLIP_NODE_FILE"
 
-// How a worker is told what to do.
+// Ways in which workers receive commands.
 const (
 	CommandsInvocation = "invocation"
 	CommandsHeartbeat  = "heartbeat"
 )
 
-// Settings is what one settings file says. Keys that it doesn't name are ignored; a key that is missing, or whose value is an
-// empty text, leaves the default. The tag of a field is its key.
+// Settings holds the values of one settings file. Unknown keys are ignored. A missing key, or one with an empty string as value,
+// leaves the default. A field's tag is its key.
 type Settings struct {
 	NodeName     string `key:"nodeName"`
 	Role         string `key:"role"`
@@ -29,22 +29,22 @@
 	IP     string   `key:"ip"`
 	Zone   string   `key:"zone"`
 	Region string   `key:"region"`
-	// EphemeralPorts holds the first and the last port that are free for what the machines say to each other.
+	// EphemeralPorts holds the first and the last port available for communication between the machines.
 	EphemeralPorts []int `key:"ephemeralPorts"`
-	// SeedNodes are the control addresses of a few core machines.
+	// SeedNodes holds the control addresses of a few core machines.
 	SeedNodes []string `key:"seedNodes"`
 	// Bootstrap is true only on the first start of the whole system.
 	Bootstrap       bool `key:"bootstrap"`
 	CountsForQuorum bool `key:"countsForQuorum"`
-	// DataDir is the folder on the disk; empty where there is no disk.
+	// DataDir is the directory on the disk; empty if there is no disk.
 	DataDir             string   `key:"dataDir"`
 	Discovery           string   `key:"discovery"`
 	Entrypoint          string   `key:"entrypoint"`
 	HeartbeatIntervalMs float64  `key:"heartbeatIntervalMs"`
 	Invariants          []string `key:"invariants"`
-	// Commands says how a worker is told what to do.
+	// Commands selects how workers receive commands.
 	Commands string `key:"commands"`
-	// Zones gives the region of each zone.
+	// Zones maps each zone to its region.
 	Zones          map[string]string `key:"zones"`
 	Bind           Bind              `key:"bindAddresses"`
 	Limits         Limits            `key:"limits"`
@@ -53,14 +53,14 @@
 	CloudProvider  CloudProvider     `key:"cloudProvider"`
 }
 
-// Bind holds the addresses to listen on, each IP:PORT; empty where the role doesn't serve it.
+// Bind holds the listen addresses, each as IP:PORT; empty if the role doesn't serve that address.
 type Bind struct {
 	Frontend     string `key:"frontend"`
 	Readiness    string `key:"readiness"`
 	ControlPlane string `key:"controlPlane"`
 }
 
-// Limits is what the machine gives the process.
+// Limits holds the resources that the machine grants the process.
 type Limits struct {
 	// CPUQuota is a share of a core.
 	CPUQuota      float64 `key:"cpuQuota"`
@@ -71,24 +71,24 @@
 	DiskMb        float64 `key:"diskMb"`
 }
 
-// FaultTolerance is what may be lost at once while everything holds.
+// FaultTolerance holds how many machines, zones and regions may be lost at once without violating a guarantee.
 type FaultTolerance struct {
 	Machines int `key:"machines"`
 	Zones    int `key:"zones"`
 	Regions  int `key:"regions"`
 }
 
-// CloudProvider is the platform's list of workers.
+// CloudProvider describes the platform's list of workers.
 type CloudProvider struct {
-	// Address is IP:PORT.
+	// Address has the form IP:PORT.
 	Address string `key:"address"`
-	// RatePerS is how many calls a second it takes from all callers together.
+	// RatePerS is the number of calls per second that the provider accepts from all callers together.
 	RatePerS float64  `key:"ratePerS"`
 	Duties   []string `key:"duties"`
 	MaxLagMs float64  `key:"maxLagMs"`
 }
 
-// What holds when a settings file doesn't say otherwise.
+// Defaults for values that a settings file doesn't contain.
 const (
 	defaultHeartbeatIntervalMs = 1000
 	defaultRatePerS            = 10
@@ -99,7 +99,7 @@
 	defaultBandwidthMbps       = 1000
 )
 
-// Default is what an empty settings file says.
+// Default returns the settings of an empty file.
 func Default() *Settings {
 	return &Settings{
 		HeartbeatIntervalMs: defaultHeartbeatIntervalMs,
@@ -117,16 +117,16 @@
 	}
 }
 
-// HeartbeatInterval is the time between two signs of life.
+// HeartbeatInterval returns the time between two heartbeats.
 func (s *Settings) HeartbeatInterval() time.Duration {
 	return quantity.Milliseconds(s.HeartbeatIntervalMs)
 }
 
-// MaxLag is how far the platform's list trails.
+// MaxLag returns how far the platform's list may lag behind.
 func (c *CloudProvider) MaxLag() time.Duration { return quantity.Milliseconds(c.MaxLagMs) }
 
-// InternalAddress is where this process takes calls of the other machines: IP:PORT with the first of the free ports. It is
-// empty when the settings don't say where.
+// InternalAddress returns the address on which this process receives calls from other machines: IP:PORT with the first of the
+// ephemeral ports. It is empty if the settings don't determine it.
 func (s *Settings) InternalAddress() string {
 	ip, err := netip.ParseAddr(s.IP)
 	if err != nil {
@@ -135,8 +135,8 @@
 	return s.internalAddress(ip)
 }
 
-// SeedInternalAddresses is where the seeds take calls of the other machines, in the order of SeedNodes; ports are alike on
-// all machines. A seed whose address can't be read is left out.
+// SeedInternalAddresses returns the addresses on which the seeds receive calls from other machines, in the order of SeedNodes.
+// All machines use the same port. Seeds with an invalid address are omitted.
 func (s *Settings) SeedInternalAddresses() []string {
 	addresses := make([]string, 0, len(s.SeedNodes))
 	for _, seed := range s.SeedNodes {
