--- a/internal/system/dataplane/bodymemory_test.go
+++ b/internal/system/dataplane/bodymemory_test.go
@@ -18,18 +18,19 @@
 
 const (
 	stalledClients = 600
-	// maxHeldBytes is what all that they have begun to send may take: a machine of the operators' has 184 MB for the whole process.
+	// maxHeldBytes bounds the memory for everything that the stalled clients have sent. An operator's machine has 184 MB for the
+	// whole process.
 	maxHeldBytes = 40 << 20
 )
 
-// Clients that begin a large body and stall take a bounded part of the memory all together, whatever lengths they tell.
+// Clients that start a large body and stall must together use only a bounded part of the memory, whatever length they declare.
 func TestStalledBodiesUseBoundedMemory(t *testing.T) {
 	for name, body := range map[string]struct {
 		framing string
 		sent    int
 	}{
-		"told and not sent": {fmt.Sprintf("Content-Length: %d\r\n\r\n", DefaultLimits().MaxBodyBytes), 0},
-		"told and half sent": {fmt.Sprintf("Content-Length: %d\r\n\r\n", DefaultLimits().MaxBodyBytes),
+		"declared, nothing sent": {fmt.Sprintf("Content-Length: %d\r\n\r\n", DefaultLimits().MaxBodyBytes), 0},
+		"declared, half sent": {fmt.Sprintf("Content-Length: %d\r\n\r\n", DefaultLimits().MaxBodyBytes),
 			int(DefaultLimits().MaxBodyBytes / 2)},
 		"in a chunk, half sent": {"Transfer-Encoding: chunked\r\n\r\n40000\r\n", int(DefaultLimits().MaxBodyBytes / 2)},
 	} {
@@ -44,7 +45,7 @@
 					conn := server.connect()
 					conns = append(conns, conn)
 					go func() {
-						_, _ = io.WriteString(conn, head) // one that is refused is closed on its way
+						_, _ = io.WriteString(conn, head) // the server closes connections that it refuses
 						_, _ = io.WriteString(conn, text)
 					}()
 					go func() { _, _ = io.Copy(io.Discard, conn) }()
@@ -54,14 +55,14 @@
 				for _, conn := range conns {
 					conn.Close()
 				}
-				sleepFor(time.Second) // the server lingers over those that it has refused
+				sleepFor(time.Second) // the server lingers on connections that it refused
 				require.Less(t, held, int64(maxHeldBytes))
 			})
 		})
 	}
 }
 
-// A dispatcher whose memory for bodies was taken serves again once it is free.
+// When stalled bodies have used up the memory for bodies, the dispatcher must serve again once they have timed out.
 func TestBodiesAreReadAfterStalledOnesTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newPipeServerOf(t, NewDispatcher(slowCore(time.Millisecond), directoryWithLimits(t, DefaultLimits()), noPoll, Options{}), stalledClients+2)
@@ -78,7 +79,7 @@
 	})
 }
 
-// A job that there is no memory for is refused at once, while its client still sends, and can come again.
+// A job for which there is no body memory is refused immediately, while its client is still sending, and may be submitted again.
 func TestJobIsRefusedImmediatelyWithoutBodyMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dispatcher := NewDispatcher(slowCore(time.Millisecond), directoryWithLimits(t, DefaultLimits()), noPoll, Options{BodyMemory: 10 << 10})
--- a/internal/system/dataplane/bytes_test.go
+++ b/internal/system/dataplane/bytes_test.go
@@ -26,11 +26,11 @@
 	dispatcherFront = dispatcherHost + ":80"
 )
 
-// networkClients is a front end on a simulated network, and clients.
+// networkClients is a frontend on a simulated network with clients.
 type networkClients struct {
 	network *simnet.Network
 	mutex   sync.Mutex
-	// submissions counts the calls that handed a job in.
+	// submissions counts the submit calls by job ID.
 	submissions map[uint64]int
 }
 
@@ -42,17 +42,18 @@
 		require.NoError(t, err)
 		frontend := NewFrontend(listener, NewDispatcher(w.core(t), testDirectory(t, "a"), noPoll, Options{}), 10, nil)
 		frontend.Serve(DefaultLimits())
-		t.Cleanup(func() { // also where the body fails
+		t.Cleanup(func() { // also runs if the body fails
 			time.Sleep(time.Hour)
 			bounded, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
-			require.NoError(t, frontend.Shutdown(bounded), "a request is still out")
+			require.NoError(t, frontend.Shutdown(bounded), "a request is still in progress")
 		})
 		body(t, w)
 	})
 }
 
-// core takes jobs in, and tells of each job a state that names it; the later the smaller the number is.
+// core accepts every job and replies to status calls with a state that names the job. The smaller the job's number, the longer
+// the delay.
 func (w *networkClients) core(t *testing.T) callerFunc {
 	return func(_, _ string, args, reply any, _ time.Duration) error {
 		made := reply.(*internalapi.JobReply)
@@ -86,7 +87,7 @@
 	return fmt.Sprintf("GET %s%s HTTP/1.1\r\nHost: %s\r\n\r\n", testPrefix, jobspec.ID(number), testHost)
 }
 
-// readResponses reads answers until there are no more.
+// readResponses reads responses until the connection ends or fails.
 func readResponses(from io.Reader) (statuses []int, bodies []string) {
 	reader := bufio.NewReader(from)
 	for {
--- a/internal/system/dataplane/certainty_test.go
+++ b/internal/system/dataplane/certainty_test.go
@@ -16,15 +16,15 @@
 	"gaugeslip/internal/system/jobspec"
 )
 
-var certaintySeed = flag.Uint64("certainty-seed", 0, "replay one seed of TestAnswersAreCertain")
+var certaintySeed = flag.Uint64("certainty-seed", 0, "run only one seed of TestAnswersAreCertain")
 
 const (
 	certaintySeeds    = 300
 	certaintyRequests = 40
 )
 
-// Whatever goes wrong between the dispatcher and the core: a job whose handing in was answered 2xx is in custody, one that was
-// answered 429 or 503 never gets there, and nobody is kept for longer than it waits.
+// Whatever faults occur between the dispatcher and the core: a job answered with 2xx has been accepted by the core, a job
+// answered with 429 or 503 is never accepted, and no client waits longer than it asked for.
 func TestAnswersAreCertain(t *testing.T) {
 	first, last := uint64(1), uint64(certaintySeeds)
 	if *certaintySeed != 0 {
@@ -34,10 +34,10 @@
 	for seed := first; seed <= last; seed++ {
 		synctest.Test(t, func(t *testing.T) { certaintyRun(t, seed, statuses) })
 	}
-	t.Logf("answers: %v", statuses)
+	t.Logf("responses by status: %v", statuses)
 	if *certaintySeed == 0 {
 		for _, status := range []int{200, 429, 503, 504} {
-			require.NotZero(t, statuses[status], "no answer was %d: the faults are too few", status)
+			require.NotZero(t, statuses[status], "no response had status %d: too few faults", status)
 		}
 	}
 }
@@ -62,10 +62,10 @@
 			results[number] = submitJob(dispatcher, uint64(number), wait)
 			elapsed := time.Since(began)
 			if results[number] == http.StatusOK && !core.isAccepted(uint64(number)) {
-				t.Errorf("seed %d: job %d was accepted and isn't in custody", seed, number)
+				t.Errorf("seed %d: job %d was answered 200 but the core hasn't accepted it", seed, number)
 			}
 			if limit := wait*85/100 + callSlack; elapsed > limit {
-				t.Errorf("seed %d: job %d was kept for %v, more than %v", seed, number, elapsed, limit)
+				t.Errorf("seed %d: job %d waited for %v, more than %v", seed, number, elapsed, limit)
 			}
 		})
 	}
@@ -78,7 +78,7 @@
 		id := uint64(number + 1)
 		switch status {
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-			require.False(t, core.isAccepted(id), "seed %d: job %d was answered %d and is in custody", seed, id, status)
+			require.False(t, core.isAccepted(id), "seed %d: job %d was answered %d but the core accepted it", seed, id, status)
 		case http.StatusOK, http.StatusGatewayTimeout:
 		default:
 			t.Errorf("seed %d: job %d was answered %d", seed, id, status)
--- a/internal/system/dataplane/directory_test.go
+++ b/internal/system/dataplane/directory_test.go
@@ -37,7 +37,7 @@
 
 func TestViewOfEpochZeroIsLearned(t *testing.T) {
 	directory := NewDirectory()
-	assert.False(t, directory.LearnView(view.View{Epoch: 4}), "a view without voters is none")
+	assert.False(t, directory.LearnView(view.View{Epoch: 4}), "a view without voters is unknown")
 	assert.True(t, directory.LearnView(chainOf(0, "a")))
 	assert.False(t, directory.LearnView(chainOf(0, "b")))
 	assert.Equal(t, "a", directory.View().Head().Address)
@@ -49,7 +49,7 @@
 	_, err := directory.LearnConfig(2, []byte(`{"version":2,"routes":[{"backend":"none"}]}`))
 	assert.ErrorAs(t, err, &found)
 	_, err = directory.LearnConfig(2, []byte(`{"version":2,"routes":[{"backend":"none"}]}`))
-	assert.NoError(t, err, "it is told once")
+	assert.NoError(t, err, "the error is reported once")
 	_, err = directory.LearnConfig(3, configBody(4))
 	assert.Error(t, err)
 	assert.EqualValues(t, 1, directory.ConfigVersion())
@@ -64,7 +64,7 @@
 	directory.LearnView(chainOf(1, "b"))
 	select {
 	case <-changed:
-		t.Fatal("nothing has changed")
+		t.Fatal("change reported without a newer view")
 	default:
 	}
 	directory.LearnView(chainOf(2, "b"))
@@ -86,7 +86,7 @@
 		directory.RecordContact()
 		assert.Equal(t, 503, status())
 		directory.RecordCurrent(2)
-		assert.Equal(t, 503, status(), "there is a newer configuration")
+		assert.Equal(t, 503, status(), "a newer configuration exists")
 		directory.RecordCurrent(1)
 		assert.Equal(t, 200, status())
 		sleepFor(defaultCoreContactTimeout)
@@ -94,7 +94,7 @@
 		directory.RecordContact()
 		assert.Equal(t, 200, status())
 		directory.LearnView(chainOf(2))
-		assert.Equal(t, 503, status(), "there is no head")
+		assert.Equal(t, 503, status(), "the view has no head")
 		directory.LearnView(chainOf(3, "a"))
 		assert.Equal(t, 200, status())
 		readiness.Drain()
--- a/internal/system/dataplane/dispatcher.go
+++ b/internal/system/dataplane/dispatcher.go
@@ -19,7 +19,7 @@
 	directory        *Directory
 	options          Options
 	requestPoll      func()
-	counts           *xsync.Map[queueKey, cachedCount]
+	lastCounts       *xsync.Map[queueKey, cachedCount]
 	draining         atomic.Bool
 	responseDeadline atomic.Pointer[time.Time] // nil until a shutdown is due
 	bodyBudget       *memorybudget.Budget
@@ -31,14 +31,14 @@
 
 // NewDispatcher returns a dispatcher. It calls requestPoll, often and from any goroutine, when the core may have a newer view or
 // configuration.
-func NewDispatcher(caller Caller, directory *Directory, poke func(), options Options) *Dispatcher {
+func NewDispatcher(caller Caller, directory *Directory, requestPoll func(), options Options) *Dispatcher {
 	options = options.withDefaults()
 	return &Dispatcher{
 		caller:      caller,
 		directory:   directory,
 		options:     options,
-		requestPoll: poke,
-		counts:      xsync.NewMap[queueKey, cachedCount](),
+		requestPoll: requestPoll,
+		lastCounts:  xsync.NewMap[queueKey, cachedCount](),
 		bodyBudget:  memorybudget.NewBudget(options.BodyMemory),
 		failures:    failureLog{logger: options.Logger, directory: directory},
 	}
--- a/internal/system/dataplane/dispatcher_test.go
+++ b/internal/system/dataplane/dispatcher_test.go
@@ -24,7 +24,7 @@
 
 func TestRequestsAnsweredWithoutCore(t *testing.T) {
 	unexpected := replyWith(func(address, method string) (internalapi.JobReply, error) {
-		return internalapi.JobReply{}, errors.New("not expected: " + method)
+		return internalapi.JobReply{}, errors.New("unexpected call: " + method)
 	})
 	dispatcher := NewDispatcher(unexpected, testDirectory(t, "a"), noPoll, Options{})
 	large := `{"spec":"` + strings.Repeat("x", 1000) + `"}`
@@ -88,7 +88,8 @@
 	})
 }
 
-// What is said of a route that isn't known is younger than any configuration that has to be in force, however soon that is.
+// A 404 for an unknown route must rest on a configuration that is younger than the time within which a new one has to be in
+// force, however short that time is.
 func TestUnknownRouteNeedsUpToDateConfiguration(t *testing.T) {
 	for _, apply := range []time.Duration{400 * time.Millisecond, 1200 * time.Millisecond, 2 * time.Second, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
@@ -158,7 +159,7 @@
 	}
 }
 
-// Once one call is in doubt, a refusal of the next one proves nothing.
+// Once one call is in doubt, a refusal of the next call proves nothing.
 func TestNothingIsRefusedInDoubt(t *testing.T) {
 	for _, verdict := range []internalapi.Verdict{
 		internalapi.NoRoute, internalapi.Invalid, internalapi.Overloaded, internalapi.NotHead, internalapi.NotKnown,
@@ -191,7 +192,7 @@
 		sleepFor(defaultCoreContactTimeout)
 		began = time.Now()
 		assert.Equal(t, 503, serve(dispatcher, "POST", testPrefix+testID, testBody).Code)
-		assert.Zero(t, time.Since(began), "there was no hope left")
+		assert.Zero(t, time.Since(began), "the core is unreachable")
 	})
 }
 
@@ -230,7 +231,7 @@
 	})
 }
 
-// A count may be two seconds old. One that is older, or was never known, isn't told: the queue may hold anything by now.
+// A count may be two seconds old. An older one, or one that was never known, isn't returned, because the queue may have changed.
 func TestCachedCountExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var down atomic.Bool
@@ -242,7 +243,7 @@
 		})
 		dispatcher := NewDispatcher(caller, testDirectory(t, "a"), noPoll, Options{})
 		down.Store(true)
-		assert.Equal(t, http.StatusServiceUnavailable, serve(dispatcher, "GET", testPrefix, "").Code, "never known")
+		assert.Equal(t, http.StatusServiceUnavailable, serve(dispatcher, "GET", testPrefix, "").Code, "the count was never known")
 		down.Store(false)
 		assert.JSONEq(t, `{"pending":12}`, serve(dispatcher, "GET", testPrefix, "").Body.String())
 		down.Store(true)
@@ -250,11 +251,11 @@
 		assert.JSONEq(t, `{"pending":12}`, serve(dispatcher, "GET", testPrefix, "").Body.String())
 		assert.LessOrEqual(t, time.Since(began), defaultCountTimeout)
 		sleepFor(2 * time.Second)
-		assert.Equal(t, http.StatusServiceUnavailable, serve(dispatcher, "GET", testPrefix, "").Code, "too old")
+		assert.Equal(t, http.StatusServiceUnavailable, serve(dispatcher, "GET", testPrefix, "").Code, "the cached count is too old")
 	})
 }
 
-// A replica that hasn't heard of a route yet doesn't take it away.
+// A replica that doesn't know a new route yet must not cause a 404.
 func TestRouteUnknownToOutdatedReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
--- a/internal/system/dataplane/ending_test.go
+++ b/internal/system/dataplane/ending_test.go
@@ -12,7 +12,7 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// Whatever is out when the platform wants a dispatcher to end may go on till the last sixth of the grace.
+// Requests in progress at the SIGTERM may continue into the last sixth of the grace period.
 func TestExitIsInLastSixthOfGracePeriod(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 6 * time.Second, 10 * time.Second, time.Minute} {
 		end := exitTimeout(grace)
@@ -22,7 +22,7 @@
 	assert.Zero(t, exitTimeout(0))
 }
 
-// A request that is still worked for when the dispatcher has to end is answered before that, however long its client would wait.
+// A request still in progress when the dispatcher has to exit is answered before that, however long its client would wait.
 func TestResponseIsSentBeforeExit(t *testing.T) {
 	for verdict, status := range map[internalapi.Verdict]int{
 		internalapi.NotHead: http.StatusServiceUnavailable, internalapi.InDoubt: http.StatusGatewayTimeout,
@@ -40,7 +40,7 @@
 			require.Equal(t, status, got)
 			assert.True(t, time.Now().Before(end))
 			assert.Greater(t, time.Until(end), -time.Millisecond)
-			assert.Less(t, time.Until(end), 2*time.Second, "it is worked for as long as there is time")
+			assert.Less(t, time.Until(end), 2*time.Second, "attempts continue as long as there is time")
 		})
 	}
 }
--- a/internal/system/dataplane/errands.go
+++ b/internal/system/dataplane/errands.go
@@ -106,13 +106,13 @@
 	})
 	queue := queueKeyOf(route)
 	if result.reply != nil && result.reply.Verdict == internalapi.Done {
-		d.counts.Store(queue, cachedCount{pending: result.reply.Pending, at: time.Now()})
+		d.lastCounts.Store(queue, cachedCount{pending: result.reply.Pending, at: time.Now()})
 		return countResponse(result.reply.Pending)
 	}
 	if result.reply != nil && result.reply.Verdict == internalapi.NoRoute {
 		return notFound
 	}
-	if known, ok := d.counts.Load(queue); ok && time.Since(known.at) < countMaxAge {
+	if known, ok := d.lastCounts.Load(queue); ok && time.Since(known.at) < countMaxAge {
 		return countResponse(known.pending)
 	}
 	return unavailable.withReason(reasonCountOld, result.summary)
@@ -136,10 +136,10 @@
 }
 
 // queueKey identifies a route by its host and path prefix, because its name may be empty.
-type queueKey struct{ host, prefix string }
+type queueKey struct{ host, pathPrefix string }
 
 func queueKeyOf(route *clusterconfig.Route) queueKey {
-	return queueKey{host: route.Host, prefix: route.PathPrefix}
+	return queueKey{host: route.Host, pathPrefix: route.PathPrefix}
 }
 
 func targetHead(current *view.View, _ int) string { return current.Head().Address }
--- a/internal/system/dataplane/failures_test.go
+++ b/internal/system/dataplane/failures_test.go
@@ -14,7 +14,7 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// recordingLogger is a Logger that keeps what it is told.
+// recordingLogger is a Logger that records warnings.
 type recordingLogger struct{ lines []string }
 
 func (k *recordingLogger) Info(any, ...any)  {}
@@ -23,7 +23,7 @@
 	k.lines = append(k.lines, fmt.Sprint(message)+" "+fmt.Sprint(keyvals...))
 }
 
-// Every request that isn't served is explained in the log by its path, with the reason and the last try, and counted by reason.
+// Every request that isn't served is logged with its path, the reason and the last attempt, and counted by reason.
 func TestUnservedRequestIsLoggedAndCounted(t *testing.T) {
 	cases := map[string]struct {
 		respond func(address, method string) (internalapi.JobReply, error)
@@ -58,7 +58,7 @@
 	}
 }
 
-// An outage fills neither the log nor the processor: a few lines a second, the rest are counted.
+// An outage must fill neither the log nor the CPU: a few failures per second are logged, the rest are only counted.
 func TestFailureLogIsRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var logger recordingLogger
--- a/internal/system/dataplane/fake_test.go
+++ b/internal/system/dataplane/fake_test.go
@@ -27,7 +27,7 @@
 	testBody   = `{"spec":"text","stages":[{"count":1,"cpu":500}]}`
 )
 
-// configBody is a configuration with one queue.
+// configBody returns a configuration with one queue.
 func configBody(version int) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"routes":[{"name":"route","host":"%s","pathPrefix":"%s","timeoutMs":3000,`+
 		`"backend":"service"}],"services":[{"name":"service"}],"limits":{"maxBodyBytes":1000}}`, version, testHost, testPrefix)
@@ -45,14 +45,14 @@
 	return view.View{Epoch: epoch, Voters: members("a", "b", "c"), Chain: members(addresses...)}
 }
 
-// callerFunc is a Caller that is told all it does.
+// callerFunc is a Caller that calls the function.
 type callerFunc func(address, method string, args, reply any, timeout time.Duration) error
 
 func (f callerFunc) Call(address, method string, args, reply any, timeout time.Duration) error {
 	return f(address, method, args, reply, timeout)
 }
 
-// replyWith answers each call on a job with what the function says.
+// replyWith answers each call about a job with the result of the function.
 func replyWith(respond func(address, method string) (internalapi.JobReply, error)) callerFunc {
 	return func(address, method string, _, reply any, _ time.Duration) error {
 		made, err := respond(address, method)
@@ -63,12 +63,12 @@
 	}
 }
 
-// testDirectory is a directory with a configuration and a view, whose core has just been heard of.
+// testDirectory returns a directory with a configuration and a view, and a core that has just replied.
 func testDirectory(t testing.TB, chain ...string) *Directory {
 	return directoryWithConfig(t, configBody(1), chain...)
 }
 
-// directoryWithLimits is one whose configuration sets these limits of bodies.
+// directoryWithLimits is like testDirectory, with the given limit of body sizes in the configuration.
 func directoryWithLimits(t testing.TB, limits clusterconfig.Limits) *Directory {
 	body := strings.Replace(string(configBody(1)), `"maxBodyBytes":1000`, fmt.Sprintf(`"maxBodyBytes":%d`, limits.MaxBodyBytes), 1)
 	return directoryWithConfig(t, []byte(body), "a")
@@ -86,7 +86,7 @@
 
 func noPoll() {}
 
-// serve sends one request to a dispatcher, and gives its answer.
+// serve sends one request to the handler and returns its response.
 func serve(handler http.Handler, method, path, body string, header ...string) *httptest.ResponseRecorder {
 	var reader io.Reader
 	if body != "" {
@@ -102,17 +102,16 @@
 	return recorder
 }
 
-// sleepFor lets time of the bubble pass.
+// sleepFor sleeps on the clock of the synctest bubble.
 func sleepFor(duration time.Duration) { <-time.After(duration) }
 
-// faultyCore is a chain of replicas whose calls go wrong at random. The head takes jobs into custody; whatever it replies, and
-// whenever it does.
+// faultyCore is a chain of replicas whose calls fail at random. It may accept a job whatever it replies, and whenever.
 type faultyCore struct {
 	mutex    sync.Mutex
 	random   *rand.Rand
 	current  view.View
 	accepted map[uint64]bool
-	// faultless has every call go well.
+	// faultless makes every call succeed.
 	faultless bool
 	delayed   sync.WaitGroup
 }
@@ -137,7 +136,7 @@
 	return c.current
 }
 
-// changeView makes a new view, with another order of the chain.
+// changeView creates a new view with another order of the chain.
 func (c *faultyCore) changeView() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -158,7 +157,7 @@
 	c.accepted[id] = true
 }
 
-// Call is a call on a replica; jobs are handed in by Submit only.
+// Call simulates a call to a replica. Only Submit accepts jobs.
 func (c *faultyCore) Call(address, method string, args, reply any, timeout time.Duration) error {
 	if method != internalapi.MethodSubmit {
 		return c.readState(method, reply)
@@ -172,19 +171,19 @@
 	}
 	delay := time.Duration(c.randomInt(300)) * time.Millisecond
 	switch fault {
-	case 0: // refused
+	case 0: // connection refused
 		return fmt.Errorf("%w: refused", transport.ErrNotSent)
-	case 1: // nobody there
+	case 1: // nobody listens
 		sleepFor(min(timeout, 400*time.Millisecond))
 		return fmt.Errorf("%w: no answer", transport.ErrNotSent)
-	case 2: // lost on its way
+	case 2: // request lost
 		sleepFor(timeout)
 		return fmt.Errorf("%w: no answer", transport.ErrUnknown)
-	case 3: // carried out, answer lost
+	case 3: // executed, reply lost
 		c.accept(id)
 		sleepFor(timeout)
 		return fmt.Errorf("%w: no answer", transport.ErrUnknown)
-	case 4: // carried out long after
+	case 4: // executed long afterwards
 		c.delayed.Go(func() {
 			sleepFor(timeout + 5*delay)
 			c.accept(id)
@@ -203,10 +202,10 @@
 		return nil
 	case 8:
 		return rpc.ServerError("rpc: can't find service Control.Submit")
-	case 9: // it failed on the way, having taken it
+	case 9: // executed, but the reply is an error
 		c.accept(id)
 		return rpc.ServerError("shutting down")
-	case 10: // never answers, not even when the time is over
+	case 10: // executed, no reply even after the timeout
 		c.accept(id)
 		sleepFor(timeout + time.Second)
 		return fmt.Errorf("%w: no answer", transport.ErrUnknown)
--- a/internal/system/dataplane/frontend.go
+++ b/internal/system/dataplane/frontend.go
@@ -44,12 +44,12 @@
 	slots    network.Slots
 	errorLog *log.Logger
 
-	mutex     sync.Mutex
-	closed    bool
-	limits    clusterconfig.Limits
-	current   *stoppableListener
-	servers   []*http.Server
-	accepting sync.WaitGroup
+	mutex   sync.Mutex
+	closed  bool
+	limits  clusterconfig.Limits
+	current *stoppableListener
+	servers []*http.Server
+	serving sync.WaitGroup
 }
 
 // frontendSocket listens on the address with the operating system's sockets.
@@ -85,14 +85,14 @@
 	}
 	if f.current != nil {
 		f.current.stop()
-		f.accepting.Wait()
+		f.serving.Wait()
 	}
 	f.limits = limits
 	f.current = newStoppableListener(f.listener, f.slots)
 	server := f.newServer(limits)
 	f.servers = append(f.servers, server)
 	active := f.current
-	f.accepting.Go(func() { _ = server.Serve(active) }) // returns when the listener is stopped
+	f.serving.Go(func() { _ = server.Serve(active) }) // returns when the listener is stopped
 }
 
 func (f *Frontend) newServer(limits clusterconfig.Limits) *http.Server {
@@ -135,6 +135,6 @@
 		f.current.stop()
 	}
 	_ = f.listener.Close()
-	f.accepting.Wait()
+	f.serving.Wait()
 	return f.servers
 }
--- a/internal/system/dataplane/frontend_test.go
+++ b/internal/system/dataplane/frontend_test.go
@@ -20,7 +20,7 @@
 
 const countRequest = "GET " + testPrefix + " HTTP/1.1\r\nHost: " + testHost + "\r\n\r\n"
 
-// client is one kept connection.
+// client is one kept-alive connection.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
@@ -36,7 +36,7 @@
 	return readResponse(t, c.reader)
 }
 
-// slowCore answers each call after a time.
+// slowCore replies to each call after the delay.
 func slowCore(delay time.Duration) callerFunc {
 	return func(_, _ string, _, reply any, _ time.Duration) error {
 		sleepFor(delay)
@@ -67,7 +67,7 @@
 		go func() { late <- busy.exchange(t, countRequest) }()
 		synctest.Wait()
 		require.NoError(t, server.frontend.Shutdown(t.Context()))
-		assert.Contains(t, <-late, `{"pending":3}`, "what was under way is answered")
+		assert.Contains(t, <-late, `{"pending":3}`, "requests in progress are answered")
 		assertClosed(t, idle)
 		_, accepted := server.listener.dial(time.Second)
 		assert.False(t, accepted)
@@ -146,7 +146,7 @@
 	})
 }
 
-// A body's deadline must not end the answer's work, nor the connection.
+// The deadline of a body must end neither the work on the response nor the connection.
 func TestBodyDeadlineIsClearedAfterBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dispatcher := NewDispatcher(slowCore(2*bodyTimeout), testDirectory(t, "a"), noPoll, Options{FirstCallTimeout: time.Minute})
--- a/internal/system/dataplane/pipe_test.go
+++ b/internal/system/dataplane/pipe_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pipeListener is a listener in memory, whose Accept can be ended by a deadline as that of TCP.
+// pipeListener is an in-memory listener whose Accept can be interrupted by a deadline, as with TCP.
 type pipeListener struct {
 	connections chan net.Conn
 	mutex       sync.Mutex
@@ -63,7 +63,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// dial connects; false when nobody accepts within the time.
+// dial connects. It returns false if nobody accepts within the given time.
 func (l *pipeListener) dial(within time.Duration) (net.Conn, bool) {
 	client, server := net.Pipe()
 	timer := time.NewTimer(within)
@@ -76,7 +76,7 @@
 	}
 }
 
-// pipeServer is a frontend in memory.
+// pipeServer is an in-memory frontend.
 type pipeServer struct {
 	t        *testing.T
 	listener *pipeListener
@@ -87,7 +87,7 @@
 	return newPipeServerOf(t, handler, 10)
 }
 
-// newPipeServerOf is one that holds so many connections.
+// newPipeServerOf returns a pipeServer that holds at most the given number of connections.
 func newPipeServerOf(t *testing.T, handler http.Handler, connections int) *pipeServer {
 	listener := newPipeListener()
 	frontend := NewFrontend(listener, handler, connections, nil)
@@ -98,11 +98,11 @@
 
 func (s *pipeServer) connect() net.Conn {
 	conn, ok := s.listener.dial(time.Second)
-	require.True(s.t, ok, "nobody accepts")
+	require.True(s.t, ok, "connection not accepted within 1 s")
 	return conn
 }
 
-// exchange sends one request on a connection of its own, and gives the whole answer.
+// exchange sends one request on a new connection and returns the whole response.
 func (s *pipeServer) exchange(request string) string {
 	conn := s.connect()
 	defer conn.Close()
--- a/internal/system/dataplane/poller_test.go
+++ b/internal/system/dataplane/poller_test.go
@@ -15,7 +15,7 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// replica is what one replica tells those that look.
+// replica is the state that one replica reports to pollers.
 type replica struct {
 	view    view.View
 	version int
@@ -23,7 +23,7 @@
 	down    bool
 }
 
-// replicas are looked at by a poller.
+// replicas is a Caller for a set of replicas that a poller polls.
 type replicas struct {
 	mutex     sync.Mutex
 	byAddress map[string]*replica
@@ -93,8 +93,8 @@
 	for range 12 {
 		poller.Poll()
 	}
-	assert.Equal(t, []string{"b"}, core.fetches, "what is known isn't fetched again")
-	assert.Subset(t, core.digests, []string{"a", "b", "c"}, "all are looked at in turn")
+	assert.Equal(t, []string{"b"}, core.fetches, "known data isn't fetched again")
+	assert.Subset(t, core.digests, []string{"a", "b", "c"}, "all replicas are polled in turn")
 }
 
 func TestPollContinuesUntilReplicaServes(t *testing.T) {
@@ -198,8 +198,8 @@
 	})
 }
 
-// A look that learns of a newer configuration and doesn't get it leaves what is known as not up to date: nothing is said to be
-// missing by it.
+// A poll that learns of a newer configuration but fails to fetch it must leave the directory not up to date, so that no route is
+// reported as missing.
 func TestPollThatMissesNewestConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := threeReplicas(true)
@@ -226,7 +226,8 @@
 	})
 }
 
-// A configuration that can't be used is as new as it gets; a replica that doesn't serve can't tell.
+// A rejected configuration counts as known, so the directory is up to date with it. A replica that isn't serving confirms
+// nothing.
 func TestOnlyServingReplicaConfirmsNewestConfiguration(t *testing.T) {
 	directory := NewDirectory()
 	_, err := directory.LearnConfig(1, configBody(1))
@@ -235,7 +236,7 @@
 	assert.Error(t, err)
 	core := threeReplicas(false)
 	NewPoller(core, directory, []string{"a"}, failOnError(t), Options{}).pollReplica("a")
-	assert.False(t, directory.Reachable(time.Minute), "it is no sign of the core")
+	assert.False(t, directory.Reachable(time.Minute), "a replica that isn't serving is no contact")
 	assert.False(t, directory.UpToDate(time.Minute))
 	directory.RecordCurrent(3)
 	assert.False(t, directory.UpToDate(time.Minute))
--- a/internal/system/dataplane/process_test.go
+++ b/internal/system/dataplane/process_test.go
@@ -23,12 +23,12 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// testControl is a replica's service, as far as a dispatcher calls it.
+// testControl implements those methods of a replica's service that a dispatcher calls.
 type testControl struct {
-	mutex   sync.Mutex
-	view    view.View
-	version int
-	states  map[uint64]string
+	mutex     sync.Mutex
+	view      view.View
+	version   int
+	jobStates map[uint64]string
 }
 
 func (c *testControl) Digest(_ internalapi.DigestArgs, reply *internalapi.DigestReply) error {
@@ -53,7 +53,7 @@
 func (c *testControl) Submit(args internalapi.SubmitArgs, reply *internalapi.JobReply) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.states[args.ID] = "pending"
+	c.jobStates[args.ID] = "pending"
 	reply.Verdict = internalapi.Done
 	return nil
 }
@@ -62,8 +62,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	reply.Verdict = internalapi.NotKnown
-	if c.states[args.ID] != "" {
-		c.states[args.ID] = "cancelled"
+	if c.jobStates[args.ID] != "" {
+		c.jobStates[args.ID] = "cancelled"
 		reply.Verdict = internalapi.Done
 	}
 	return nil
@@ -72,24 +72,24 @@
 func (c *testControl) Status(args internalapi.StatusArgs, reply *internalapi.JobReply) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	reply.Verdict, reply.State = internalapi.Done, c.states[args.ID]
+	reply.Verdict, reply.State = internalapi.Done, c.jobStates[args.ID]
 	if reply.State == "" {
 		reply.Verdict = internalapi.NotKnown
 	}
 	return nil
 }
 
-// serveControl runs a replica on a port of its own.
+// serveControl runs a replica on a free port.
 func serveControl(t *testing.T) (*testControl, *transport.Server) {
 	server, err := transport.Listen("127.0.0.1:0")
 	require.NoError(t, err)
-	control := &testControl{version: 1, states: map[uint64]string{}, view: chainOf(0, server.Addr())}
+	control := &testControl{version: 1, jobStates: map[uint64]string{}, view: chainOf(0, server.Addr())}
 	require.NoError(t, server.Register(internalapi.Service, control))
 	go func() { _ = server.Serve() }()
 	return control, server
 }
 
-// testLogger keeps what is logged.
+// testLogger records all log messages.
 type testLogger struct {
 	mutex sync.Mutex
 	lines []string
@@ -112,7 +112,7 @@
 func (l *testLogger) Warn(message any, keyvals ...any)  { l.log(message, keyvals...) }
 func (l *testLogger) Error(message any, keyvals ...any) { l.log(message, keyvals...) }
 
-// take removes the first line that holds the text.
+// take removes the first line that contains the text.
 func (l *testLogger) take(text string) (line string, found bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -125,7 +125,7 @@
 	return "", false
 }
 
-// await waits for a line that holds the text, and takes it.
+// await waits for a line that contains the text, and removes it.
 func (l *testLogger) await(t *testing.T, text string) string {
 	timeout := time.After(10 * time.Second)
 	for {
@@ -135,7 +135,7 @@
 		select {
 		case <-l.more:
 		case <-timeout:
-			t.Fatalf("no line %q", text)
+			t.Fatalf("no log line contains %q within 10 s", text)
 		}
 	}
 }
@@ -146,8 +146,8 @@
 	logger            *testLogger
 }
 
-// startProcess runs a dispatcher whose seeds are replicas at 127.0.0.2, which nobody is, and at the control's address: ports
-// are alike on all machines, so that the dispatcher has to be at another one.
+// startProcess runs a dispatcher with two seeds: 127.0.0.2, where nothing listens, and the address of the test control. All
+// machines use the same internal port, so the dispatcher needs an IP address of its own.
 func startProcess(t *testing.T, server *transport.Server) running {
 	_, port, err := net.SplitHostPort(server.Addr())
 	require.NoError(t, err)
--- a/internal/system/dataplane/start_test.go
+++ b/internal/system/dataplane/start_test.go
@@ -13,7 +13,7 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// A dispatcher that has just started has no configuration yet, and has heard of nobody who serves.
+// These tests cover a dispatcher that has just started: it has no configuration yet and no contact with a serving replica.
 
 func TestRequestWaitsForFirstConfiguration(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodDelete} {
@@ -41,7 +41,7 @@
 		began := time.Now()
 		response := serve(dispatcher, http.MethodPost, testPrefix+testID, testBody)
 		require.Equal(t, 503, response.Code)
-		assert.Equal(t, 450*time.Millisecond, time.Since(began), "while there is time to hand it in elsewhere")
+		assert.Equal(t, 450*time.Millisecond, time.Since(began), "refused while there is time to submit it elsewhere")
 	})
 }
 
@@ -59,7 +59,7 @@
 func TestCallIsRetriedWhileCoreStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := testDirectory(t, "a")
-		directory.lastContact.Store(0) // configuration and view came by gossip
+		directory.lastContact.Store(0) // configuration and view were received by gossip
 		serving := time.Now().Add(300 * time.Millisecond)
 		core := replyWith(func(string, string) (internalapi.JobReply, error) {
 			if time.Now().Before(serving) {
--- a/internal/system/dataplane/unruly_test.go
+++ b/internal/system/dataplane/unruly_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A client that asks and reads no answer holds its connection, and the slot that this takes, for a bounded time.
+// A client that sends a request but doesn't read the response may hold its connection, and the connection's slot, only for a
+// bounded time.
 func TestClientThatDoesNotReadIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newPipeServer(t, NewDispatcher(slowCore(time.Millisecond), testDirectory(t, "a"), noPoll, Options{}))
@@ -22,12 +23,12 @@
 		sleepFor(time.Minute)
 		_, err = conn.Read(make([]byte, 1))
 		assert.ErrorIs(t, err, io.EOF)
-		assert.Len(t, server.frontend.slots, 1, "that of the connection which is accepted next")
+		assert.Len(t, server.frontend.slots, 1, "only the slot of the connection to be accepted next")
 	})
 }
 
-// The bound of one answer is over with it: on a connection that was idle for longer, what the server itself writes still gets through, the
-// 100 for a client that waits for it before it sends its body, and the refusal of what can't be read.
+// The write deadline of a response must not outlast it. On a connection that was idle for longer, the server's own writes still
+// succeed: the 100 for a client that waits for it before it sends its body, and the refusal of a malformed request.
 func TestResponseDeadlineIsClearedAfterResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newPipeServer(t, NewDispatcher(slowCore(time.Millisecond), testDirectory(t, "a"), noPoll, Options{}))
--- a/internal/system/dataplane/wire_test.go
+++ b/internal/system/dataplane/wire_test.go
@@ -21,14 +21,14 @@
 	replicaAddress = replicaHost + ":9000"
 )
 
-// Control is a replica that takes jobs in, as dispatchers call it.
+// Control is a replica that accepts jobs from dispatchers.
 type Control struct {
 	mutex       sync.Mutex
 	submissions map[uint64]int
 	replyDelay  time.Duration
 }
 
-// Submit takes a job in.
+// Submit accepts a job.
 func (c *Control) Submit(args internalapi.SubmitArgs, reply *internalapi.JobReply) error {
 	c.mutex.Lock()
 	c.submissions[args.ID]++
@@ -64,7 +64,7 @@
 		go func() { _ = server.Serve() }()
 		client := transport.NewClient(transport.Options{Dial: w.network.Dialer(dispatcherHost)})
 		w.dispatcher = NewDispatcher(client, w.directory, w.directory.RecordContact, Options{})
-		t.Cleanup(func() { // also where the body fails
+		t.Cleanup(func() { // also runs if the body fails
 			w.healNetwork()
 			time.Sleep(time.Hour)
 			w.dispatcher.Wait()
@@ -82,21 +82,21 @@
 	w.network.Resume(replicaHost)
 }
 
-// requireTruthful requires that a client's answer is true, now that nothing is under way any more.
+// requireTruthful checks a response against the replica's state after all calls have ended.
 func (w *networkCore) requireTruthful(t *testing.T, number uint64, status int) {
 	switch status {
 	case http.StatusOK:
-		require.True(t, w.control.has(number), "job %d was accepted and isn't there", number)
+		require.True(t, w.control.has(number), "job %d was answered 200 but the replica hasn't accepted it", number)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		require.False(t, w.control.has(number), "job %d was refused by %d and is there", number, status)
+		require.False(t, w.control.has(number), "job %d was answered %d but the replica accepted it", number, status)
 	case http.StatusGatewayTimeout:
 	default:
-		t.Fatalf("job %d: %d", number, status)
+		t.Fatalf("job %d: unexpected status %d", number, status)
 	}
 }
 
-// The connection to the replica ends at any byte of a handing in or of its answer; then the replica is out of reach, so that the
-// dispatcher has to say what it knows.
+// The connection to the replica is cut after any number of bytes of a submission or of its reply, and the replica is unreachable
+// afterwards. The dispatcher must still report only what it knows.
 func TestRefusalIsTrueWhereverCallIsCut(t *testing.T) {
 	const wait = 2 * time.Second
 	statuses := map[int]int{}
@@ -132,11 +132,12 @@
 const (
 	wireSeeds    = 60
 	wireRequests = 30
-	// wireSeedVariable names one seed of TestAnswersAreCertainOverTheWire to be played alone.
+	// wireSeedVariable selects a single seed of TestAnswersAreCertainOverTheWire.
 	wireSeedVariable = "DATAPLANE_SEED"
 )
 
-// Whatever goes wrong on the way to the replica: a job that was answered 200 is there, one that was answered 503 never is.
+// Whatever faults occur on the network to the replica: a job answered with 200 has been accepted, a job answered with 503 never
+// is.
 func TestAnswersAreCertainOverTheWire(t *testing.T) {
 	played := seeds.Played(t, wireSeedVariable, "", 1, wireSeeds)
 	statuses := map[int]int{}
@@ -153,7 +154,7 @@
 	t.Log(statuses)
 	if len(played) > 1 {
 		for _, status := range []int{http.StatusOK, http.StatusServiceUnavailable, http.StatusGatewayTimeout} {
-			require.Greater(t, statuses[status], wireSeeds, "the faults are too few")
+			require.Greater(t, statuses[status], wireSeeds, "too few faults")
 		}
 	}
 }
--- a/internal/system/nodesettings/settings_test.go
+++ b/internal/system/nodesettings/settings_test.go
@@ -278,7 +278,7 @@
 	}
 }
 
-// checkParse checks what holds for every file: settings or findings, and settings that can be used.
+// checkParse checks what must hold for every file: Parse returns an error or usable settings.
 func checkParse(t require.TestingT, data []byte) {
 	settings, err := Parse(data)
 	if settings == nil {
