--- a/internal/system/dataplane/options.go
+++ b/internal/system/dataplane/options.go
@@ -32,7 +32,7 @@
 	MaxConfigAge time.Duration
 	// DefaultWaitTime is how long a client waits if neither the client nor its route says.
 	DefaultWaitTime time.Duration
-	// Announce is how long a draining dispatcher goes on accepting connections: the platform has to see two failed readiness
+	// DrainDelay is how long a draining dispatcher goes on accepting connections: the platform has to see two failed readiness
 	// probes, a second apart.
 	Announce time.Duration
 	// BodyMemory bounds the bytes used by the bodies of all requests together.
