--- a/internal/system/dataplane/failures.go
+++ b/internal/system/dataplane/failures.go
@@ -31,8 +31,8 @@
 )
 
 // failureReasons lists all reasons in the order in which the metrics show them.
-var failureReasons = [...]failureReason{reasonNoConfiguration, reasonRouteUnknown, reasonNoCore, reasonTimeUp, reasonOverloaded, reasonBodiesFull,
-	reasonCountOld}
+var failureReasons = [...]failureReason{reasonNoConfiguration, reasonRouteUnknown, reasonNoCore, reasonTimeUp, reasonOverloaded,
+	reasonBodiesFull, reasonCountOld}
 
 // callSummary summarizes the calls made for a request, to explain an unsuccessful response.
 type callSummary struct {
--- a/internal/system/dataplane/gate.go
+++ b/internal/system/dataplane/gate.go
@@ -31,19 +31,19 @@
 }
 
 // Accept waits for a free slot and a connection. It fails once the listener is stopped.
-func (g *stoppableListener) Accept() (net.Conn, error) {
+func (l *stoppableListener) Accept() (net.Conn, error) {
 	select {
-	case <-g.stopped:
+	case <-l.stopped:
 		return nil, errListenerStopped
-	case g.slots <- struct{}{}:
+	case l.slots <- struct{}{}:
 	}
-	conn, err := g.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err == nil {
-		return g.slots.Hold(conn), nil
+		return l.slots.Hold(conn), nil
 	}
-	<-g.slots
+	<-l.slots
 	select {
-	case <-g.stopped:
+	case <-l.stopped:
 		return nil, errListenerStopped
 	default:
 		return nil, err
@@ -51,13 +51,13 @@
 }
 
 // Close doesn't close the underlying listener, which belongs to the frontend.
-func (g *stoppableListener) Close() error { return nil }
+func (l *stoppableListener) Close() error { return nil }
 
 // stop ends the current and all future calls of Accept.
-func (g *stoppableListener) stop() {
-	g.once.Do(func() {
-		close(g.stopped)
-		if timed, ok := g.Listener.(deadlineListener); ok {
+func (l *stoppableListener) stop() {
+	l.once.Do(func() {
+		close(l.stopped)
+		if timed, ok := l.Listener.(deadlineListener); ok {
 			_ = timed.SetDeadline(time.Unix(1, 0))
 		}
 	})
