--- a/internal/system/dataplane/directory.go
+++ b/internal/system/dataplane/directory.go
@@ -32,14 +32,14 @@
 
 	view   atomic.Pointer[view.View]
 	config atomic.Pointer[Configuration]
-	// lastContact is the time of the last reply from a serving replica, in nanoseconds after started, plus one; 0 means never.
-	// lastHeadContact is the same for the head; it is also set when a new view names the head.
-	started         time.Time
-	lastContact     atomic.Int64
-	lastHeadContact atomic.Int64
-	// lastCurrent is when a serving replica last reported no configuration newer than the one known here, in the format of
-	// lastContact.
-	lastCurrent atomic.Int64
+	// contactAt is the time of the last reply from a serving replica, in nanoseconds after started, plus one; 0 means never.
+	// headContactAt is the same for the head; it is also set when a new view names the head.
+	started       time.Time
+	contactAt     atomic.Int64
+	headContactAt atomic.Int64
+	// currentAt is when a serving replica last reported no configuration newer than the one known here, in the format of
+	// contactAt.
+	currentAt atomic.Int64
 }
 
 // NewDirectory returns an empty directory.
@@ -88,7 +88,7 @@
 		return false
 	}
 	d.view.Store(&newest)
-	d.lastHeadContact.Store(d.now())
+	d.headContactAt.Store(d.now())
 	close(d.viewChanged)
 	d.viewChanged = make(chan struct{})
 	d.notify()
@@ -127,12 +127,10 @@
 }
 
 // RecordContact records that a serving replica has just replied.
-func (d *Directory) RecordContact() { d.lastContact.Store(d.now()) }
+func (d *Directory) RecordContact() { d.contactAt.Store(d.now()) }
 
 // Reachable reports whether a serving replica has replied within the given time.
-func (d *Directory) Reachable(within time.Duration) bool {
-	return d.since(d.lastContact.Load()) < within
-}
+func (d *Directory) Reachable(within time.Duration) bool { return d.since(d.contactAt.Load()) < within }
 
 // MayBeReachable is like Reachable, but also returns true while the process has been running for less than the given time,
 // because it may not have contacted a replica yet.
@@ -149,28 +147,26 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if version <= d.ConfigVersion() || version == d.rejectedVersion {
-		d.lastCurrent.Store(d.now())
+		d.currentAt.Store(d.now())
 	}
 }
 
 // UpToDate reports whether a serving replica has confirmed within the given time that the configuration in use is the newest.
-func (d *Directory) UpToDate(within time.Duration) bool {
-	return d.since(d.lastCurrent.Load()) < within
-}
+func (d *Directory) UpToDate(within time.Duration) bool { return d.since(d.currentAt.Load()) < within }
 
 // everUpToDate reports whether the configuration has been confirmed as the newest since the process started.
-func (d *Directory) everUpToDate() bool { return d.lastCurrent.Load() != 0 }
+func (d *Directory) everUpToDate() bool { return d.currentAt.Load() != 0 }
 
 // RecordReply records that the replica at the address has just replied.
 func (d *Directory) RecordReply(address string) {
 	if address == d.View().Head().Address {
-		d.lastHeadContact.Store(d.now())
+		d.headContactAt.Store(d.now())
 	}
 }
 
 // HeadReachable reports whether the head has replied, or has become known, within the given time.
 func (d *Directory) HeadReachable(within time.Duration) bool {
-	return d.View().Head().Address != "" && d.since(d.lastHeadContact.Load()) < within
+	return d.View().Head().Address != "" && d.since(d.headContactAt.Load()) < within
 }
 
 func (d *Directory) now() int64 { return int64(time.Since(d.started)) + 1 }
--- a/internal/system/dataplane/figures.go
+++ b/internal/system/dataplane/figures.go
@@ -64,9 +64,9 @@
 	w.Gauge("config_version", "Version of the configuration in force; 0: none yet.", float64(directory.ConfigVersion()))
 	w.Gauge("view_epoch", "Epoch of the newest view known here.", float64(directory.View().Epoch))
 	w.Gauge("core_contact_age_seconds", "Time since a serving replica was heard of; -1: never.",
-		ageSeconds(directory.lastContact.Load(), directory))
+		ageSeconds(directory.contactAt.Load(), directory))
 	w.Gauge("head_contact_age_seconds", "Time since the head answered, or was learnt; -1: never.",
-		ageSeconds(directory.lastHeadContact.Load(), directory))
+		ageSeconds(directory.headContactAt.Load(), directory))
 	w.Gauge("uptime_seconds", "Time since the start of the process.", time.Since(directory.started).Seconds())
 	w.Counters("answers_total", "Answers to clients since the start, by status.", "status", p.dispatcher.responseCounts.labelled())
 	p.dispatcher.failures.write(w)
--- a/internal/system/dataplane/overview.go
+++ b/internal/system/dataplane/overview.go
@@ -29,8 +29,8 @@
 		Draining:      p.readiness.draining.Load(),
 		Epoch:         newest.Epoch,
 		ConfigVersion: directory.ConfigVersion(),
-		CoreMs:        ageMs(directory.lastContact.Load(), directory),
-		HeadMs:        ageMs(directory.lastHeadContact.Load(), directory),
+		CoreMs:        ageMs(directory.contactAt.Load(), directory),
+		HeadMs:        ageMs(directory.headContactAt.Load(), directory),
 		Answers:       map[string]uint64{},
 	}
 	for _, member := range newest.Chain {
--- a/internal/system/dataplane/process.go
+++ b/internal/system/dataplane/process.go
@@ -199,9 +199,7 @@
 	}
 }
 
-func (p *Process) logUnusable(err error) {
-	p.logger.Warn("received view or configuration not used", "error", err)
-}
+func (p *Process) logUnusable(err error) { p.logger.Warn("received data not used", "error", err) }
 
 func (p *Process) readinessChanged(ready bool, reason string) {
 	if ready {
--- a/internal/system/dataplane/start_test.go
+++ b/internal/system/dataplane/start_test.go
@@ -59,7 +59,7 @@
 func TestCallIsRetriedWhileCoreStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := testDirectory(t, "a")
-		directory.lastContact.Store(0) // configuration and view were received by gossip
+		directory.contactAt.Store(0) // configuration and view were received by gossip
 		serving := time.Now().Add(300 * time.Millisecond)
 		core := replyWith(func(string, string) (internalapi.JobReply, error) {
 			if time.Now().Before(serving) {
