--- a/internal/heaptest/heaptest.go
+++ b/internal/heaptest/heaptest.go
@@ -3,8 +3,8 @@
 
 import "runtime"
 
-// Held is how many bytes are reachable.
-func Held() int64 {
+// LiveBytes is how many bytes are reachable.
+func LiveBytes() int64 {
 	var figures runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&figures)
--- a/internal/net/cluster/cluster.go
+++ b/internal/net/cluster/cluster.go
@@ -19,9 +19,9 @@
 	"gaugeslip/policy"
 )
 
-// StallAfter is how long a watch may stay silent: it sends a line every 2 s, a call may wait 3 s for its turn,
+// StallTimeout is how long a watch may stay silent: it sends a line every 2 s, a call may wait 3 s for its turn,
 // and what there is to tell counts as told 6 s later though it never arrives, 4 s after a move of the service.
-const StallAfter = 3500 * time.Millisecond
+const StallTimeout = 3500 * time.Millisecond
 
 const (
 	maxLine     = 1 << 20
@@ -31,7 +31,7 @@
 // Source is where the list of upstream hosts comes from.
 type Source interface {
 	// Watch passes on all changes after a version until the watch breaks or ctx ends; it never returns nil.
-	Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error
+	Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error
 }
 
 // entry is one host of the list.
@@ -57,26 +57,26 @@
 
 // Decode reads one list, whole or of changes. An entry that makes no sense is an error: to skip it could
 // be to miss a drain.
-func Decode(text []byte, s *settings.Settings) (dispatch.Listed, error) {
+func Decode(text []byte, s *settings.Settings) (dispatch.HostList, error) {
 	var l list
 	if err := json.Unmarshal(text, &l); err != nil {
-		return dispatch.Listed{}, fmt.Errorf("cluster: %w", err)
+		return dispatch.HostList{}, fmt.Errorf("cluster: %w", err)
 	}
-	out := dispatch.Listed{Version: l.Seq, Whole: l.Whole, Hosts: make([]dispatch.Host, 0, len(l.Hosts))}
+	out := dispatch.HostList{Version: l.Seq, Whole: l.Whole, Hosts: make([]dispatch.Host, 0, len(l.Hosts))}
 	for _, e := range l.Hosts {
 		state, ok := states[e.Health]
 		if !ok || e.Host == "" {
-			return dispatch.Listed{}, fmt.Errorf("cluster: host %q: health: unknown %q", e.Host, e.Health)
+			return dispatch.HostList{}, fmt.Errorf("cluster: host %q: health: unknown %q", e.Host, e.Health)
 		}
 		out.Hosts = append(out.Hosts, dispatch.Host{Name: e.Host, Addr: e.Dial,
-			Zone: settings.Find(s.Zones, e.Site), Kind: settings.Find(s.Kinds, e.Class), Cell: e.Block,
-			State: state, Scale: e.Share, Born: settings.Millis(e.BornMS)})
+			Zone: settings.IndexOf(s.Zones, e.Site), Kind: settings.IndexOf(s.Kinds, e.Class), Cell: e.Block,
+			State: state, Scale: e.Share, StartedAt: settings.Millis(e.BornMS)})
 	}
 	return out, nil
 }
 
-// Known reads the list that the configuration holds, which may be old; with none there the cluster is empty.
-func Known(text []byte, s *settings.Settings) (dispatch.Listed, error) {
+// DecodeKnown reads the list that the configuration holds, which may be old; with none there the cluster is empty.
+func DecodeKnown(text []byte, s *settings.Settings) (dispatch.HostList, error) {
 	if len(text) == 0 {
 		text = []byte("{}")
 	}
@@ -87,14 +87,14 @@
 
 // Discovery is the Source that speaks HTTP.
 type Discovery struct {
-	Addr     string
-	Stall    time.Duration // how long it may stay silent, see StallAfter
-	Settings *settings.Settings
+	Addr         string
+	StallTimeout time.Duration // how long it may stay silent, see StallTimeout
+	Settings     *settings.Settings
 }
 
 // Watch opens the stream of changes and follows it.
-func (d *Discovery) Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error {
-	dialer := net.Dialer{Timeout: min(d.Stall, dialTimeout), KeepAlive: -1}
+func (d *Discovery) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
+	dialer := net.Dialer{Timeout: min(d.StallTimeout, dialTimeout), KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", d.Addr)
 	if err != nil {
 		return fmt.Errorf("cluster: %w", err)
@@ -103,7 +103,7 @@
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	// Each line has its own limit: a machine that vanishes leaves the connection open and silent, and one that trickles
 	// tells nothing either.
-	alive := func() { conn.SetDeadline(time.Now().Add(d.Stall)) }
+	alive := func() { conn.SetDeadline(time.Now().Add(d.StallTimeout)) }
 	alive()
 	req := "GET /discovery/hosts?stream=1&index=" + strconv.FormatUint(after, 10) +
 		" HTTP/1.1\r\nHost: " + d.Addr + "\r\n\r\n"
--- a/internal/net/cluster/pace.go
+++ b/internal/net/cluster/pace.go
@@ -52,7 +52,7 @@
 		within := time.Duration(sparely * float64(askWithin))
 		p.first, p.most = min(window, within), min(p.most, afterFailure*within)
 	}
-	p.silent = min(p.first, max(0, toldAfter+grace-StallAfter-reopenIn))
+	p.silent = min(p.first, max(0, toldAfter+grace-StallTimeout-reopenIn))
 	return p
 }
 
@@ -86,12 +86,12 @@
 }
 
 // Watch waits its turn, then watches.
-func (s *Paced) Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error {
+func (s *Paced) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
 	if err := pause.For(ctx, s.Pace.Next()); err != nil {
 		return err
 	}
 	told := false
-	err := s.Source.Watch(ctx, after, func(l dispatch.Listed) {
+	err := s.Source.Watch(ctx, after, func(l dispatch.HostList) {
 		told = true
 		each(l)
 	})
--- a/internal/net/cluster/pace_test.go
+++ b/internal/net/cluster/pace_test.go
@@ -94,7 +94,7 @@
 // lost is a source whose every call fails.
 type lost struct{ calls int }
 
-func (l *lost) Watch(context.Context, uint64, func(dispatch.Listed)) error {
+func (l *lost) Watch(context.Context, uint64, func(dispatch.HostList)) error {
 	l.calls++
 	return errors.New("status 503")
 }
--- a/internal/net/cluster/pushed.go
+++ b/internal/net/cluster/pushed.go
@@ -28,14 +28,14 @@
 }
 
 // Watch follows the source until ctx ends.
-func (s *Pushed) Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error {
+func (s *Pushed) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
 	most := retryMost
 	if s.Grace > 0 {
 		most = min(most, max(retryFirst, s.Grace/retryPart))
 	}
 	for wait := time.Duration(0); ; {
 		told := false
-		err := s.Source.Watch(ctx, after, func(l dispatch.Listed) {
+		err := s.Source.Watch(ctx, after, func(l dispatch.HostList) {
 			told, after = true, l.Version
 			each(l)
 		})
--- a/internal/net/nettest/nettest.go
+++ b/internal/net/nettest/nettest.go
@@ -18,8 +18,8 @@
 	"gaugeslip/internal/settings"
 )
 
-// Patience is how long a test waits for an event that has to come.
-const Patience = 20 * time.Second
+// Timeout is how long a test waits for an event that has to come.
+const Timeout = 20 * time.Second
 
 // SettingsJSON is the settings of a small deployment: a class that is safe to repeat and one that is not.
 const SettingsJSON = `{"family-info":{"class-stretch":[2.0,2.0],"report-x0":"free slots","tells-start":true},
@@ -42,18 +42,18 @@
 // Call is one request that a Peer has read whole.
 type Call struct {
 	*http.Request
-	Text string // its body
-	Conn net.Conn
-	Nth  int // its number on its connection, from 0
+	Text  string // its body
+	Conn  net.Conn
+	Index int // its number on its connection, from 0
 }
 
 // Serve answers a job with its own body as the result.
 func Serve(c *Call) {
-	c.Say(Chunked(`{"id":"` + c.Header.Get("X-Trace-Id") + `","state":"done","result":"` + c.Text + `"}`))
+	c.WriteText(Chunked(`{"id":"` + c.Header.Get("X-Trace-Id") + `","state":"done","result":"` + c.Text + `"}`))
 }
 
-// Say writes raw text back.
-func (c *Call) Say(text string) { io.WriteString(c.Conn, text) }
+// WriteText writes raw text back.
+func (c *Call) WriteText(text string) { io.WriteString(c.Conn, text) }
 
 // Reset ends the connection with a RST.
 func (c *Call) Reset() {
@@ -128,7 +128,7 @@
 		if err != nil {
 			return
 		}
-		call := &Call{Request: req, Text: string(body), Conn: c, Nth: n}
+		call := &Call{Request: req, Text: string(body), Conn: c, Index: n}
 		p.Calls <- call
 		script(call)
 	}
@@ -140,7 +140,7 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(Patience):
+	case <-time.After(Timeout):
 		require.FailNow(t, "waited in vain")
 		panic("unreachable")
 	}
@@ -194,7 +194,7 @@
 // Answer reads one answer.
 func (c *Client) Answer() (*http.Response, string) {
 	c.t.Helper()
-	c.SetReadDeadline(time.Now().Add(Patience))
+	c.SetReadDeadline(time.Now().Add(Timeout))
 	resp, err := http.ReadResponse(c.r, nil)
 	require.NoError(c.t, err)
 	body, err := io.ReadAll(resp.Body)
@@ -205,7 +205,7 @@
 // Closed waits for the other side to close.
 func (c *Client) Closed() {
 	c.t.Helper()
-	c.SetReadDeadline(time.Now().Add(Patience))
+	c.SetReadDeadline(time.Now().Add(Timeout))
 	_, err := c.r.ReadByte()
 	require.ErrorIs(c.t, err, io.EOF)
 }
--- a/internal/net/operators/figures.go
+++ b/internal/net/operators/figures.go
@@ -1,7 +1,7 @@
 // Package operators is the operators' door of a dispatcher: a small HTTP/1.1 server of its own beside the clients' one,
 // which tells whether the process can serve, shows its figures in the Prometheus text format, and takes game workers
 // out by hand and puts them back. It also keeps what was done by hand in a file, so that a successor of the process
-// holds to it. What any of it means for the choice of hosts is the module's: see dispatch.Hand.
+// holds to it. What any of it means for the choice of hosts is the module's: see dispatch.SetCordon.
 package operators
 
 import (
@@ -18,18 +18,18 @@
 	Workers  func() (known, excluded float64) // game workers listed; of them, those kept away from
 }
 
-// Figures counts what a dispatcher does where it happens. Its methods are safe for concurrent use and never wait
+// Metrics counts what a dispatcher does where it happens. Its methods are safe for concurrent use and never wait
 // for the core.
-type Figures struct {
+type Metrics struct {
 	registry                 *prometheus.Registry
 	served, refused, failed  []prometheus.Counter // by class
 	servedV, refusedV, failV *prometheus.CounterVec
 	attempts                 prometheus.Counter
 }
 
-// NewFigures makes the figures of a dispatcher with these classes, by their numbers in the settings.
-func NewFigures(classes []string, g Gauges) *Figures {
-	f := &Figures{registry: prometheus.NewRegistry()}
+// NewMetrics makes the figures of a dispatcher with these classes, by their numbers in the settings.
+func NewMetrics(classes []string, g Gauges) *Metrics {
+	f := &Metrics{registry: prometheus.NewRegistry()}
 	f.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	vec := func(name, help string) *prometheus.CounterVec {
 		v := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "edge_node", Name: name, Help: help},
@@ -61,14 +61,14 @@
 }
 
 // Gauge adds a figure that is read each time the figures are shown, from any goroutine. A name is added once.
-func (f *Figures) Gauge(name, help string, read func() float64) {
+func (f *Metrics) Gauge(name, help string, read func() float64) {
 	f.registry.MustRegister(prometheus.NewGaugeFunc(
 		prometheus.GaugeOpts{Namespace: "edge_node", Name: name, Help: help}, read))
 }
 
-// Labelled adds a figure as Gauge does, one of several of a name, each with its own value of a label. A name that ends in _total
+// LabelledFunc adds a figure as Gauge does, one of several of a name, each with its own value of a label. A name that ends in _total
 // is a counter's.
-func (f *Figures) Labelled(name, help, label, value string, read func() float64) {
+func (f *Metrics) LabelledFunc(name, help, label, value string, read func() float64) {
 	l := prometheus.Labels{label: value}
 	if strings.HasSuffix(name, "_total") {
 		f.registry.MustRegister(prometheus.NewCounterFunc(
@@ -81,7 +81,7 @@
 
 // Answered counts the final answer to a job of a class, by its status as the client sees it: 200 is served, 429 and
 // 503 are refused, any other has failed. A class that the settings do not have is not counted.
-func (f *Figures) Answered(class, status int) {
+func (f *Metrics) Answered(class, status int) {
 	if f == nil || class < 0 || class >= len(f.served) {
 		return
 	}
@@ -96,11 +96,11 @@
 }
 
 // Attempt counts an upstream request whose last byte has been written.
-func (f *Figures) Attempt() {
+func (f *Metrics) Attempt() {
 	if f != nil {
 		f.attempts.Inc()
 	}
 }
 
 // Gatherer is what /stats shows.
-func (f *Figures) Gatherer() prometheus.Gatherer { return f.registry }
+func (f *Metrics) Gatherer() prometheus.Gatherer { return f.registry }
--- a/internal/net/operators/server.go
+++ b/internal/net/operators/server.go
@@ -38,7 +38,7 @@
 	Addr     string
 	MaxConns int         // connections at once; at the limit the oldest that has not sent a whole call is closed
 	Ready    func() bool // the process can serve
-	Figures  *Figures
+	Metrics  *Metrics
 	Core     Core
 	Store    *Store // nil: what is done by hand is not kept beyond the process
 	// Views are further things to look at, by path below /: GET answers with what each gives, as JSON. They must not wait.
@@ -58,7 +58,7 @@
 	s := &Server{cfg: cfg}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthcheck", s.health)
-	mux.Handle("GET /stats", promhttp.HandlerFor(cfg.Figures.Gatherer(), promhttp.HandlerOpts{
+	mux.Handle("GET /stats", promhttp.HandlerFor(cfg.Metrics.Gatherer(), promhttp.HandlerOpts{
 		ErrorHandling: promhttp.ContinueOnError, MaxRequestsInFlight: 4, Timeout: time.Second}))
 	mux.HandleFunc("POST /game-workers/{id}/maint", func(w http.ResponseWriter, r *http.Request) { s.hand(w, r, true) })
 	mux.HandleFunc("POST /game-workers/{id}/ready", func(w http.ResponseWriter, r *http.Request) { s.hand(w, r, false) })
--- a/internal/net/operators/store.go
+++ b/internal/net/operators/store.go
@@ -85,12 +85,12 @@
 
 // NewStore keeps the file of a dispatcher in dir.
 func NewStore(dir, node string) *Store {
-	return &Store{node: node, path: FileOf(dir, node, "out-by-hand")}
+	return &Store{node: node, path: StateFilePath(dir, node, "out-by-hand")}
 }
 
-// FileOf is the file of $TMPDIR that the processes of one dispatcher share for a purpose. Of the dispatcher's name it keeps
+// StateFilePath is the file of $TMPDIR that the processes of one dispatcher share for a purpose. Of the dispatcher's name it keeps
 // letters, digits, - and _.
-func FileOf(dir, node, purpose string) string {
+func StateFilePath(dir, node, purpose string) string {
 	safe := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' {
 			return r
@@ -100,9 +100,9 @@
 	return filepath.Join(dir, "gaugeslip-"+safe+"-"+purpose+".json")
 }
 
-// WriteWhole writes a file whole, by a rename, so that a reader sees the old file or the new one and never a part. With sync it
+// WriteFileAtomically writes a file whole, by a rename, so that a reader sees the old file or the new one and never a part. With sync it
 // is on the disk when the call returns.
-func WriteWhole(path string, text []byte, sync bool) error {
+func WriteFileAtomically(path string, text []byte, sync bool) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+"-*")
 	if err != nil {
 		return err
@@ -160,7 +160,7 @@
 
 // Save writes the set, whole.
 func (s *Store) Save(out []string) error {
-	if err := WriteWhole(s.path, Encode(s.node, out), true); err != nil {
+	if err := WriteFileAtomically(s.path, Encode(s.node, out), true); err != nil {
 		return fmt.Errorf("out by hand: %s: %w", s.path, err)
 	}
 	if info, err := os.Stat(s.path); err == nil {
--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -74,7 +74,7 @@
 
 func (p *Peers) disown() {
 	for b := range p.cfg.Ledger.Accounts() {
-		p.cfg.Ledger.Own(p.cfg.Now(), b, budget.Share{})
+		p.cfg.Ledger.SetShare(p.cfg.Now(), b, budget.Share{})
 	}
 	p.set(func() { p.bound = false })
 }
--- a/internal/seeds/seeds.go
+++ b/internal/seeds/seeds.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Alone gives the one seed that an environment variable asks for; ok is false where it is unset. Text that is no seed ends the test.
-func Alone(t testing.TB, variable string) (seed uint64, ok bool) {
+// Single gives the one seed that an environment variable asks for; ok is false where it is unset. Text that is no seed ends the test.
+func Single(t testing.TB, variable string) (seed uint64, ok bool) {
 	t.Helper()
 	text := os.Getenv(variable)
 	if text == "" {
@@ -24,18 +24,18 @@
 // Count gives how many seeds an environment variable asks for, or the preset where it is unset. Text that is no number ends the test.
 func Count(t testing.TB, variable string, preset int) int {
 	t.Helper()
-	count, ok := Alone(t, variable)
+	count, ok := Single(t, variable)
 	if !ok {
 		return preset
 	}
 	return int(count)
 }
 
-// Played gives the seeds to play: the one that alone asks for, or else those from first on, as many as many asks for or the preset.
+// List gives the seeds to play: the one that alone asks for, or else those from first on, as many as many asks for or the preset.
 // An empty name asks for nothing.
-func Played(t testing.TB, alone, many string, first uint64, preset int) []uint64 {
+func List(t testing.TB, alone, many string, first uint64, preset int) []uint64 {
 	t.Helper()
-	if seed, ok := Alone(t, alone); ok {
+	if seed, ok := Single(t, alone); ok {
 		return []uint64{seed}
 	}
 	var played []uint64
--- a/internal/system/dataplane/bodymemory_test.go
+++ b/internal/system/dataplane/bodymemory_test.go
@@ -37,7 +37,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				server := newPipeServerOf(t, NewDispatcher(slowCore(time.Millisecond), directoryWithLimits(t, DefaultLimits()), noPoll, Options{}), stalledClients+1)
-				before := heaptest.Held()
+				before := heaptest.LiveBytes()
 				head := "POST " + testPrefix + testID + " HTTP/1.1\r\nHost: " + testHost + "\r\n" + body.framing
 				text := strings.Repeat("x", body.sent)
 				var conns []net.Conn
@@ -51,7 +51,7 @@
 					go func() { _, _ = io.Copy(io.Discard, conn) }()
 				}
 				synctest.Wait()
-				held := heaptest.Held() - before
+				held := heaptest.LiveBytes() - before
 				for _, conn := range conns {
 					conn.Close()
 				}
--- a/internal/system/dataplane/wire_test.go
+++ b/internal/system/dataplane/wire_test.go
@@ -139,7 +139,7 @@
 // Whatever faults occur on the network to the replica: a job answered with 200 has been accepted, a job answered with 503 never
 // is.
 func TestAnswersAreCertainOverTheWire(t *testing.T) {
-	played := seeds.Played(t, wireSeedVariable, "", 1, wireSeeds)
+	played := seeds.List(t, wireSeedVariable, "", 1, wireSeeds)
 	statuses := map[int]int{}
 	for _, seed := range played {
 		withNetworkCore(t, seed, func(t *testing.T, w *networkCore) {
--- a/internal/waiting/accept.go
+++ b/internal/waiting/accept.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Fresh adds a job that does not wait. If it returns false, the job has been answered and must not be passed on.
-func (r *Room) Fresh(now time.Duration, j *Job) bool {
+// AddFresh adds a job that does not wait. If it returns false, the job has been answered and must not be passed on.
+func (r *Queue) AddFresh(now time.Duration, j *Job) bool {
 	if r.names[j.Name] != 0 {
 		r.refuse(j, StatusConflict, "the id is already used", 0)
 		return false
@@ -18,7 +18,7 @@
 	e := r.all.at(i)
 	e.state, e.entered, e.ready = Released, now, now
 	e.flags |= unsent
-	if r.lim.Fresh {
+	if r.lim.RememberFresh {
 		e.flags |= indexed
 		r.names[e.name] = i
 	}
@@ -26,7 +26,7 @@
 	return true
 }
 
-func (r *Room) add(j *Job, flags uint16) uint32 {
+func (r *Queue) add(j *Job, flags uint16) uint32 {
 	i := r.take()
 	e := r.all.at(i)
 	*e = entry{name: j.Name, number: j.Number, arrived: j.Arrived, deadline: j.Deadline, size: j.Size,
@@ -35,8 +35,8 @@
 	return i
 }
 
-func (r *Room) refuse(j *Job, status int, why string, after time.Duration) {
-	r.do(Action{Kind: Answer, Job: Job{Number: j.Number}, Status: status, Why: why, After: after})
+func (r *Queue) refuse(j *Job, status int, why string, after time.Duration) {
+	r.do(Action{Kind: Answer, Job: Job{Number: j.Number}, Status: status, Reason: why, RetryAfter: after})
 }
 
 // Submit adds a job that asks to wait. The job is either answered at once or held; a detached job that is held is also
@@ -44,7 +44,7 @@
 //
 // A job can wait only for jobs that are known when it arrives, and becomes known itself only afterwards. Predecessors
 // are always older, so there can be no cycle.
-func (r *Room) Submit(now time.Duration, j *Job) {
+func (r *Queue) Submit(now time.Duration, j *Job) {
 	r.stats.Submitted++
 	if r.names[j.Name] != 0 {
 		r.refuse(j, StatusConflict, "the id is already used", 0)
@@ -139,7 +139,7 @@
 }
 
 // countForClient adds a job to the count of its client.
-func (r *Room) count(e *entry, client string) {
+func (r *Queue) count(e *entry, client string) {
 	s := r.shares[client]
 	if s == nil {
 		s = &share{name: client}
@@ -150,7 +150,7 @@
 }
 
 // addEdge creates an edge and returns its index.
-func (r *Room) link(of uint32, number uint64, next uint32) uint32 {
+func (r *Queue) link(of uint32, number uint64, next uint32) uint32 {
 	x := edge{of, number, next}
 	if i := r.spare; i != 0 {
 		r.spare = r.edges.at(i).next
@@ -161,7 +161,7 @@
 }
 
 // exceededLimit names the limit that a job would exceed; "": none.
-func (r *Room) full(j *Job) string {
+func (r *Queue) full(j *Job) string {
 	switch {
 	case r.held >= r.lim.MaxJobs:
 		return "as many jobs wait as may"
@@ -176,7 +176,7 @@
 // retryAfter estimates when a rejected client can find free space: after the earliest possible end of a held job, plus
 // the mean interval between freed places for each client that was already told to retry. Each client is thereby
 // directed to a place of its own.
-func (r *Room) advice(now time.Duration) time.Duration {
+func (r *Queue) advice(now time.Duration) time.Duration {
 	gap := max(r.freeGap, time.Millisecond)
 	first := gap
 	if at, ok := r.timers.next(); ok && r.pace.in+r.ready.len()+r.again.len() == 0 {
--- a/internal/waiting/asks.go
+++ b/internal/waiting/asks.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Asked answers a query: at once, when the job ends, or when the query times out.
-func (r *Room) Asked(now time.Duration, q *Ask) {
+// AddQuery answers a query: at once, when the job ends, or when the query times out.
+func (r *Queue) AddQuery(now time.Duration, q *Query) {
 	if q.Name == "" {
 		r.list(now, q)
 		return
 	}
 	i := r.names[q.Name]
 	if i == 0 {
-		r.do(Action{Kind: Tell, Ask: q.Number, Status: StatusUnknown})
+		r.do(Action{Kind: Reply, Query: q.Number, Status: StatusUnknown})
 		return
 	}
 	e := r.all.at(i)
@@ -28,25 +28,25 @@
 			r.do(Action{Kind: Withdraw, Job: Job{Number: e.number}})
 		}
 		r.finish(now, i, Cancelled, StatusCancelled, "cancelled", true)
-	case !e.state.Final() && q.Until > now && len(r.asks) < maxAsks && !r.closing:
-		r.asks[q.Number] = &waiter{i, q.Until}
+	case !e.state.Final() && q.Deadline > now && len(r.asks) < maxAsks && !r.closing:
+		r.asks[q.Number] = &waiter{i, q.Deadline}
 		r.askers[i] = append(r.askers[i], q.Number)
-		if len(r.asks) == 1 || q.Until < r.asksAt {
-			r.asksAt = q.Until
+		if len(r.asks) == 1 || q.Deadline < r.asksAt {
+			r.asksAt = q.Deadline
 		}
 		return
 	}
-	r.do(Action{Kind: Tell, Ask: q.Number, Status: status, Info: r.info(now, i)})
+	r.do(Action{Kind: Reply, Query: q.Number, Status: status, Info: r.info(now, i)})
 }
 
-// Unasked removes a query whose caller has left.
-func (r *Room) Unasked(number uint64) {
+// RemoveQuery removes a query whose caller has left.
+func (r *Queue) RemoveQuery(number uint64) {
 	if w := r.asks[number]; w != nil {
 		r.unask(number, w)
 	}
 }
 
-func (r *Room) unask(number uint64, w *waiter) {
+func (r *Queue) unask(number uint64, w *waiter) {
 	delete(r.asks, number)
 	list := r.askers[w.of]
 	for k, n := range list {
@@ -61,7 +61,7 @@
 }
 
 // answerOverdueQueries answers the queries that have timed out with the present state.
-func (r *Room) overdueAsks(now time.Duration) {
+func (r *Queue) overdueAsks(now time.Duration) {
 	if len(r.asks) == 0 || now < r.asksAt {
 		return
 	}
@@ -77,35 +77,35 @@
 	for _, n := range sorted(over) {
 		w := r.asks[n]
 		r.unask(n, w)
-		r.do(Action{Kind: Tell, Ask: n, Status: StatusServed, Info: r.info(now, w.of)})
+		r.do(Action{Kind: Reply, Query: n, Status: StatusServed, Info: r.info(now, w.of)})
 	}
 }
 
 // list replies with up to query.Most jobs that asked to wait, in the order of their entries.
-func (r *Room) list(now time.Duration, q *Ask) {
+func (r *Queue) list(now time.Duration, q *Query) {
 	i := uint32(0)
-	if q.From != "" {
-		if i = r.names[q.From]; i == 0 {
-			r.do(Action{Kind: Tell, Ask: q.Number, Status: StatusUnknown})
+	if q.StartAfter != "" {
+		if i = r.names[q.StartAfter]; i == 0 {
+			r.do(Action{Kind: Reply, Query: q.Number, Status: StatusUnknown})
 			return
 		}
 	}
 	var list []Info
-	for i++; int(i) < r.all.len() && len(list) < q.Most; i++ {
+	for i++; int(i) < r.all.len() && len(list) < q.MaxJobs; i++ {
 		if e := r.all.at(i); e.is(indexed) && !e.is(fresh) {
 			info := r.info(now, i)
 			info.Result = ""
 			list = append(list, *info)
 		}
 	}
-	r.do(Action{Kind: Tell, Ask: q.Number, Status: StatusServed, Board: &Board{list, r.Stats()}})
+	r.do(Action{Kind: Reply, Query: q.Number, Status: StatusServed, List: &JobList{list, r.Stats()}})
 }
 
 // info describes the present state of a job.
-func (r *Room) info(now time.Duration, i uint32) *Info {
+func (r *Queue) info(now time.Duration, i uint32) *Info {
 	e := r.all.at(i)
 	n := &Info{Name: e.name, State: e.state, Due: e.due(), Attempts: int(e.attempts), Status: int(e.status),
-		Result: e.result, Shed: e.is(shed)}
+		Result: e.result, ResultShed: e.is(shed)}
 	if int(e.class) < len(r.fleet.Classes) {
 		n.Class = r.fleet.Classes[e.class].Name
 	}
--- a/internal/waiting/closing.go
+++ b/internal/waiting/closing.go
@@ -8,7 +8,7 @@
 
 // Close begins the shutdown of the program, which answers clients until the time by. Attached jobs that cannot become
 // ready by then are refused now, other attached jobs by then. No further jobs are accepted.
-func (r *Room) Close(now, by time.Duration) {
+func (r *Queue) Close(now, by time.Duration) {
 	r.closing = true
 	for _, w := range r.asks {
 		w.until = now
@@ -34,9 +34,9 @@
 	}
 }
 
-// Crashed records that the decision module has lost all jobs it held. Jobs that were released may have run and end as
+// ModuleCrashed records that the decision module has lost all jobs it held. Jobs that were released may have run and end as
 // failed. The program sends their answers itself.
-func (r *Room) Crashed(now time.Duration) {
+func (r *Queue) ModuleCrashed(now time.Duration) {
 	for _, n := range slices.Sorted(maps.Keys(r.open)) {
 		if i := r.open[n]; r.all.at(i).state == Released {
 			r.finish(now, i, Failed, StatusFailed, "failed", false)
@@ -45,7 +45,7 @@
 }
 
 // Keeps reports whether a job is held and not released, so that a crash of the decision module does not affect it.
-func (r *Room) Keeps(number uint64) bool {
+func (r *Queue) Keeps(number uint64) bool {
 	i := r.open[number]
 	return i != 0 && r.all.at(i).state < Released
 }
--- a/internal/waiting/export_test.go
+++ b/internal/waiting/export_test.go
@@ -35,4 +35,4 @@
 var Rules = []string{"by need", "strict ageing", "reserved share", "virtual time"}
 
 // SetRule makes a Room pace by one of Rules.
-func (r *Room) SetRule(name string, share, lanes float64) { r.rule = rules[name](share, lanes) }
+func (r *Queue) SetRule(name string, share, lanes float64) { r.rule = rules[name](share, lanes) }
--- a/internal/waiting/finish.go
+++ b/internal/waiting/finish.go
@@ -6,7 +6,7 @@
 
 // finish puts a job into its final state. It emits an answer only if answer is set; otherwise the answer comes from
 // elsewhere.
-func (r *Room) finish(now time.Duration, i uint32, s State, status int, why string, answer bool) {
+func (r *Queue) finish(now time.Duration, i uint32, s State, status int, why string, answer bool) {
 	e := r.all.at(i)
 	if e.state.Final() {
 		return
@@ -42,11 +42,11 @@
 	e.state, e.status, e.client, e.bytes = s, uint16(status), nil, 0
 	e.sent = max(e.sent, e.ready)
 	if answer {
-		r.do(Action{Kind: Answer, Job: Job{Number: e.number}, Status: status, Why: why})
+		r.do(Action{Kind: Answer, Job: Job{Number: e.number}, Status: status, Reason: why})
 	}
 	for _, a := range r.askers[i] {
 		delete(r.asks, a)
-		r.do(Action{Kind: Tell, Ask: a, Status: StatusServed, Info: r.info(now, i)})
+		r.do(Action{Kind: Reply, Query: a, Status: StatusServed, Info: r.info(now, i)})
 	}
 	delete(r.askers, i)
 	if e.edges != 0 {
@@ -71,7 +71,7 @@
 }
 
 // storeResult stores the result of a job. shedResults may have to drop older ones for it.
-func (r *Room) keep(e *entry, result []byte) {
+func (r *Queue) keep(e *entry, result []byte) {
 	if e.is(fresh) {
 		return // its client has received it on its connection
 	}
@@ -80,7 +80,7 @@
 }
 
 // shedResults drops the oldest results while bodies and results exceed MaxBytes. Their jobs stay known.
-func (r *Room) shed() {
+func (r *Queue) shed() {
 	for r.bodies+r.results > r.lim.MaxBytes && r.shedAt != 0 {
 		e := r.all.at(r.shedAt)
 		if len(e.result) > 0 {
@@ -94,7 +94,7 @@
 }
 
 // evictKept forgets final jobs whose retention has ended, and the oldest ones if there are more than MaxKept.
-func (r *Room) forget(now time.Duration, work *int) {
+func (r *Queue) forget(now time.Duration, work *int) {
 	for ; *work > 0 && r.oldest != 0; *work-- {
 		i := r.oldest
 		e := r.all.at(i)
--- a/internal/waiting/records.go
+++ b/internal/waiting/records.go
@@ -43,11 +43,11 @@
 }
 
 // Record turns recording on. Without it, records cost nothing.
-func (r *Room) Record() { r.records = make([]Record, 0, 16) }
+func (r *Queue) Record() { r.records = make([]Record, 0, 16) }
 
 // Records returns the records to store since the last call, see Store. The slice is valid until the next call of any
 // method.
-func (r *Room) Records() []Record {
+func (r *Queue) Records() []Record {
 	out := r.records
 	if out != nil {
 		r.records = r.records[len(out):]
@@ -59,7 +59,7 @@
 }
 
 // record adds a record about an accepted job.
-func (r *Room) note(now time.Duration, e *entry, x Record) {
+func (r *Queue) note(now time.Duration, e *entry, x Record) {
 	if r.records == nil || !e.is(promised) {
 		return
 	}
@@ -81,7 +81,7 @@
 // is safe to repeat; otherwise it ends as failed and is never sent a second time. Final jobs stay final until their
 // retention ends. A predecessor that was not recorded, because it had a connection, which ended with the process,
 // counts as not served. Restore returns the jobs that are not final.
-func (r *Room) Restore(now time.Duration, next func() uint64, load func(each func(Record) error) error) ([]Job, error) {
+func (r *Queue) Restore(now time.Duration, next func() uint64, load func(each func(Record) error) error) ([]Job, error) {
 	if len(r.names) > 0 {
 		return nil, fmt.Errorf("waiting: cannot restore into a queue that knows %d jobs", len(r.names))
 	}
@@ -136,7 +136,7 @@
 }
 
 // restoreJob restores one job. Older jobs, which it may wait for, are already restored.
-func (r *Room) takeAgain(now time.Duration, p *past) {
+func (r *Queue) takeAgain(now time.Duration, p *past) {
 	j := &p.job
 	i := r.add(j, indexed|promised)
 	e := r.all.at(i)
--- a/internal/waiting/records_test.go
+++ b/internal/waiting/records_test.go
@@ -69,23 +69,23 @@
 			if b.r.open[n] == 0 {
 				continue
 			}
-			b.r.Sent(b.now, n)
+			b.r.JobSent(b.now, n)
 			look()
 			facts = append(facts, fact{kept: len(records), name: names[n], sent: classes[n] == 1})
 			switch rng.IntN(3) {
 			case 0:
-				b.r.Ended(b.now, n, OK, []byte("r"))
+				b.r.SendEnded(b.now, n, OK, []byte("r"))
 				look()
 				facts = append(facts, fact{kept: len(records), name: names[n], end: Served})
 			case 1:
-				b.r.Ended(b.now, n, NeverRan, nil)
+				b.r.SendEnded(b.now, n, NeverRan, nil)
 				look()
 				facts = append(facts, fact{kept: len(records), name: names[n], back: true})
-				b.r.Refused(b.now, n)
+				b.r.JobRefused(b.now, n)
 			case 2:
-				b.r.Ended(b.now, n, MayHave, nil)
+				b.r.SendEnded(b.now, n, MayHaveRun, nil)
 				if !b.r.repeatable(b.r.all.at(b.r.open[n])) {
-					b.r.Failed(b.now, n)
+					b.r.JobFailed(b.now, n)
 				}
 			}
 		}
@@ -141,8 +141,8 @@
 					if b.r.open[n] != 0 && unsafe[e.name] {
 						t.Fatalf("seed %d, record %d: %s may have run and has another turn", seed+1, k, e.name)
 					}
-					b.r.Sent(b.now, n)
-					b.r.Ended(b.now, n, OK, nil)
+					b.r.JobSent(b.now, n)
+					b.r.SendEnded(b.now, n, OK, nil)
 				}
 				b.turns = b.turns[:0]
 				b.tick(50 * ms)
--- a/internal/waiting/room.go
+++ b/internal/waiting/room.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Room holds the waiting jobs. Use New to create one.
-type Room struct {
+// Queue holds the waiting jobs. Use New to create one.
+type Queue struct {
 	lim    Limits
 	fleet  Fleet
 	all    slab[entry] // index 0 of each slab is unused
@@ -52,8 +52,8 @@
 }
 
 // New creates an empty queue. The limits must be valid, see Limits.Check.
-func New(lim Limits, fleet Fleet) *Room {
-	r := &Room{lim: lim, fleet: fleet, names: map[string]uint32{}, open: map[uint64]uint32{}, shares: map[string]*share{},
+func New(lim Limits, fleet Fleet) *Queue {
+	r := &Queue{lim: lim, fleet: fleet, names: map[string]uint32{}, open: map[uint64]uint32{}, shares: map[string]*share{},
 		askers: map[uint32][]uint64{}, asks: map[uint64]*waiter{}, pace: newPacer(), rule: byNeed,
 		patience: make([]time.Duration, len(fleet.Classes))}
 	r.all.push(entry{}) // so that 0 means none
@@ -66,7 +66,7 @@
 
 // Actions returns the actions that have become necessary since the last call. The slice is valid until the next call of
 // Actions.
-func (r *Room) Actions() []Action {
+func (r *Queue) Actions() []Action {
 	out := r.out
 	if r.out, r.before = r.before[:0], out; cap(out) > tickWork {
 		r.before = nil // do not retain the memory of a rare burst
@@ -74,17 +74,17 @@
 	return out
 }
 
-func (r *Room) do(a Action) { r.out = append(r.out, a) }
+func (r *Queue) do(a Action) { r.out = append(r.out, a) }
 
 // SetLimits changes the limits. Jobs already held stay even if they exceed the new limits; no more are accepted until
 // they fit.
-func (r *Room) SetLimits(lim Limits) { r.lim = lim }
+func (r *Queue) SetLimits(lim Limits) { r.lim = lim }
 
-// Hosts sets how many hosts are ready.
-func (r *Room) Hosts(n int) { r.hosts = n }
+// SetReadyHosts sets how many hosts are ready.
+func (r *Queue) SetReadyHosts(n int) { r.hosts = n }
 
 // Stats returns counts of what is held and what was done.
-func (r *Room) Stats() Stats {
+func (r *Queue) Stats() Stats {
 	s := r.stats
 	s.Ready, s.Released = r.ready.len()+r.again.len(), r.pace.in
 	s.Waiting = r.held - s.Ready - s.Released
@@ -93,10 +93,10 @@
 }
 
 // Held returns how many jobs are waiting, ready or released, not counting fresh jobs.
-func (r *Room) Held() int { return r.held }
+func (r *Queue) Held() int { return r.held }
 
-// Out returns how many detached jobs are released: with the decision module or at a host.
-func (r *Room) Out() (n int) {
+// DetachedOut returns how many detached jobs are released: with the decision module or at a host.
+func (r *Queue) DetachedOut() (n int) {
 	for _, i := range r.open {
 		if e := r.all.at(i); e.state == Released && !e.is(attached|fresh) {
 			n++
@@ -106,7 +106,7 @@
 }
 
 // allocEntry returns the index of an empty entry.
-func (r *Room) take() uint32 {
+func (r *Queue) take() uint32 {
 	if i := r.free; i != 0 {
 		r.free = r.all.at(i).next
 		*r.all.at(i) = entry{}
@@ -117,7 +117,7 @@
 	return r.all.push(entry{})
 }
 
-func (r *Room) drop(i uint32) {
+func (r *Queue) drop(i uint32) {
 	*r.all.at(i) = entry{next: r.free}
 	r.free = i
 }
--- a/internal/waiting/room_test.go
+++ b/internal/waiting/room_test.go
@@ -16,7 +16,7 @@
 // bench drives a Room by hand and keeps what it says.
 type bench struct {
 	*testing.T
-	r       *Room
+	r       *Queue
 	now     time.Duration
 	next    uint64
 	answers map[uint64]Action
@@ -37,7 +37,7 @@
 	b := &bench{T: t, now: epoch, answers: map[uint64]Action{}, told: map[uint64]Action{}, taken: map[uint64]int{},
 		r: New(lim, Fleet{Replicas: 1, MaxAttempts: 3, Classes: []Class{
 			{Name: "plot-load", Deadline: 5 * second, Repeatable: true}, {Name: "harvest-sale", Deadline: 20 * second}}})}
-	b.r.Hosts(100)
+	b.r.SetReadyHosts(100)
 	return b
 }
 
@@ -48,13 +48,13 @@
 		switch n := a.Job.Number; a.Kind {
 		case Answer:
 			if old, twice := b.answers[n]; twice {
-				b.Fatalf("job %d is answered twice: %d %s, %d %s", n, old.Status, old.Why, a.Status, a.Why)
+				b.Fatalf("job %d is answered twice: %d %s, %d %s", n, old.Status, old.Reason, a.Status, a.Reason)
 			}
 			b.answers[n] = a
 		case Release:
 			b.turns, b.budgets = append(b.turns, n), append(b.budgets, a.Budget)
-		case Tell:
-			b.told[a.Ask] = a
+		case Reply:
+			b.told[a.Query] = a
 		case Withdraw:
 			b.taken[n]++
 		}
@@ -99,7 +99,7 @@
 func (b *bench) fresh(name string) uint64 {
 	b.Helper()
 	b.next++
-	if !b.r.Fresh(b.now, &Job{Number: b.next, Name: name, Arrived: b.now, Deadline: b.now + second, Attached: true}) {
+	if !b.r.AddFresh(b.now, &Job{Number: b.next, Name: name, Arrived: b.now, Deadline: b.now + second, Attached: true}) {
 		b.Fatalf("%s does not go on", name)
 	}
 	return b.next
@@ -108,15 +108,15 @@
 // serve sends a job that has its turn, and ends it well.
 func (b *bench) serve(n uint64) {
 	b.Helper()
-	b.r.Sent(b.now, n)
-	b.r.Ended(b.now, n, OK, []byte("result"))
+	b.r.JobSent(b.now, n)
+	b.r.SendEnded(b.now, n, OK, []byte("result"))
 	b.read()
 }
 
 func (b *bench) look(name string) Info {
 	b.Helper()
 	b.next++
-	b.r.Asked(b.now, &Ask{Number: b.next, Name: name})
+	b.r.AddQuery(b.now, &Query{Number: b.next, Name: name})
 	b.read()
 	if a := b.told[b.next]; a.Info != nil {
 		return *a.Info
@@ -179,13 +179,13 @@
 // What becomes of a job whose predecessor ended otherwise than well, by the settings; it has its answer either way.
 func TestPredecessors(t *testing.T) {
 	ways := map[string]func(b *bench, n uint64){
-		"fails":   func(b *bench, n uint64) { b.r.Sent(b.now, n); b.r.Failed(b.now, n) },
-		"refused": func(b *bench, n uint64) { b.tick(2*30*second - ms); b.r.Refused(b.now, n) },
+		"fails":   func(b *bench, n uint64) { b.r.JobSent(b.now, n); b.r.JobFailed(b.now, n) },
+		"refused": func(b *bench, n uint64) { b.tick(2*30*second - ms); b.r.JobRefused(b.now, n) },
 		"cancelled": func(b *bench, n uint64) {
-			b.r.Asked(b.now, &Ask{Number: 999, Name: "a", Cancel: true})
+			b.r.AddQuery(b.now, &Query{Number: 999, Name: "a", Cancel: true})
 		},
 		"too late": func(b *bench, n uint64) { b.tick(2 * 30 * second) },
-		"left":     func(b *bench, n uint64) { b.r.Left(b.now, n) },
+		"left":     func(b *bench, n uint64) { b.r.ClientLeft(b.now, n) },
 	}
 	for way, end := range ways {
 		for _, run := range []bool{false, true} {
@@ -244,7 +244,7 @@
 		}
 		b.tick(0)
 		if !good {
-			b.r.Failed(b.now, jobs[0])
+			b.r.JobFailed(b.now, jobs[0])
 			b.tick(0)
 			b.want("j999", Failed, StatusDependency)
 			continue
@@ -267,7 +267,7 @@
 		b.submit(fmt.Sprint("b", i), after("a"))
 	}
 	b.tick(0)
-	b.r.Failed(b.now, n)
+	b.r.JobFailed(b.now, n)
 	b.r.Tick(b.now)
 	if got := len(b.r.Actions()); got > tickWork {
 		t.Errorf("%d answers in one Tick", got)
@@ -329,13 +329,13 @@
 
 // An unsafe job that may have run is never let in again; its state is failed. One that provably never ran is.
 func TestUnsafeRunsOnce(t *testing.T) {
-	for outcome, again := range map[Outcome]bool{MayHave: false, TurnedOff: false, NeverRan: true} {
+	for outcome, again := range map[Outcome]bool{MayHaveRun: false, Rejected: false, NeverRan: true} {
 		b := newBench(t, nil)
 		n := b.submit("a", sale)
 		b.tick(0)
-		b.r.Sent(b.now, n)
-		b.r.Ended(b.now, n, outcome, nil)
-		if got := b.r.Refused(b.now, n); got != again {
+		b.r.JobSent(b.now, n)
+		b.r.SendEnded(b.now, n, outcome, nil)
+		if got := b.r.JobRefused(b.now, n); got != again {
 			t.Errorf("outcome %d: taken back %v", outcome, got)
 		}
 		b.tick(3 * second)
@@ -344,9 +344,9 @@
 	b := newBench(t, nil)
 	n := b.submit("a", sale)
 	b.tick(0)
-	b.r.Sent(b.now, n)
-	b.r.Ended(b.now, n, MayHave, nil)
-	b.r.Failed(b.now, n)
+	b.r.JobSent(b.now, n)
+	b.r.SendEnded(b.now, n, MayHaveRun, nil)
+	b.r.JobFailed(b.now, n)
 	b.tick(time.Minute)
 	b.hasTurn(n, 1)
 	b.want("a", Failed, StatusFailed)
@@ -364,7 +364,7 @@
 		}
 		turns = len(b.turns)
 		first, last, before = max(first, b.now-before), b.now-before, b.now
-		if !b.r.Refused(b.now, n) {
+		if !b.r.JobRefused(b.now, n) {
 			break
 		}
 	}
@@ -380,9 +380,9 @@
 	n = b.submit("a", nil)
 	for range 4 {
 		b.tick(5 * second)
-		b.r.Sent(b.now, n)
-		b.r.Ended(b.now, n, NeverRan, nil)
-		b.r.Refused(b.now, n)
+		b.r.JobSent(b.now, n)
+		b.r.SendEnded(b.now, n, NeverRan, nil)
+		b.r.JobRefused(b.now, n)
 	}
 	b.hasTurn(n, 3)
 	b.want("a", Refused, StatusRefused)
@@ -393,7 +393,7 @@
 	b := newBench(t, nil)
 	cancel := func(name string) int {
 		b.next++
-		b.r.Asked(b.now, &Ask{Number: b.next, Name: name, Cancel: true})
+		b.r.AddQuery(b.now, &Query{Number: b.next, Name: name, Cancel: true})
 		b.read()
 		return b.told[b.next].Status
 	}
@@ -401,7 +401,7 @@
 	held := b.submit("held", nil)
 	out := b.submit("out", nil)
 	b.tick(0)
-	b.r.Sent(b.now, out)
+	b.r.JobSent(b.now, out)
 	for _, c := range []struct {
 		name string
 		want int
@@ -413,7 +413,7 @@
 	if b.taken[held] != 1 {
 		t.Error("the module still holds a job that was called off")
 	}
-	b.r.Ended(b.now, out, OK, nil)
+	b.r.SendEnded(b.now, out, OK, nil)
 	if got := cancel("out"); got != StatusConflict {
 		t.Errorf("a served one: %d", got)
 	}
@@ -430,7 +430,7 @@
 			t.Errorf("job %d: %+v", n, b.answers[n])
 		}
 	}
-	if b.r.Fresh(b.now, &Job{Number: 99, Name: "a"}) {
+	if b.r.AddFresh(b.now, &Job{Number: 99, Name: "a"}) {
 		t.Error("a fresh job with a waiting one's id goes on")
 	}
 	b.want("a", Waiting, 0)
@@ -443,15 +443,15 @@
 	waits := b.submit("waits", func(j *Job) { attach(j); j.NotBefore = b.now + second })
 	held, out, maybe := b.submit("held", attach), b.submit("out", attach), b.submit("maybe", attach)
 	b.tick(0)
-	b.r.Sent(b.now, out)
-	b.r.Sent(b.now, maybe)
+	b.r.JobSent(b.now, out)
+	b.r.JobSent(b.now, maybe)
 	for n, pass := range map[uint64]bool{waits: false, held: true, out: true, maybe: true, 12345: true} {
-		if b.r.Left(b.now, n) != pass {
+		if b.r.ClientLeft(b.now, n) != pass {
 			t.Errorf("job %d: passed on %v", n, !pass)
 		}
 	}
-	b.r.Ended(b.now, out, OK, nil)
-	b.r.Ended(b.now, maybe, MayHave, nil)
+	b.r.SendEnded(b.now, out, OK, nil)
+	b.r.SendEnded(b.now, maybe, MayHaveRun, nil)
 	b.want("waits", Cancelled, StatusCancelled)
 	b.want("held", Cancelled, StatusCancelled)
 	b.want("out", Served, StatusServed)
@@ -471,14 +471,14 @@
 	b.submit("a1", by("a", 1000))
 	b.submit("a2", by("a", 1000))
 	for name, n := range map[string]uint64{"share": b.submit("a3", by("a", 0)), "bytes": b.submit("b1", by("b", 64<<10))} {
-		if b.answers[n].Status != StatusFull || b.answers[n].After < second {
+		if b.answers[n].Status != StatusFull || b.answers[n].RetryAfter < second {
 			t.Errorf("%s: %+v", name, b.answers[n])
 		}
 	}
 	b.submit("b2", by("b", 0))
 	b.submit("c1", by("c", 0))
 	one, two := b.submit("d1", by("d", 0)), b.submit("d2", by("d", 0))
-	if x, y := b.answers[one], b.answers[two]; x.Status != StatusFull || x.After < 5*second || y.After <= x.After {
+	if x, y := b.answers[one], b.answers[two]; x.Status != StatusFull || x.RetryAfter < 5*second || y.RetryAfter <= x.RetryAfter {
 		t.Errorf("%+v, %+v", x, y)
 	}
 	b.tick(5 * second)
@@ -512,10 +512,10 @@
 func TestRetention(t *testing.T) {
 	b := newBench(t, func(l *Limits) { l.Retention = 10 * second })
 	n := b.submit("a", at(b.now+time.Minute))
-	b.r.Asked(b.now, &Ask{Number: 1000, Name: "a", Until: b.now + time.Hour})
-	b.r.Asked(b.now, &Ask{Number: 1001, Name: "a", Until: b.now + second})
-	b.r.Asked(b.now, &Ask{Number: 1002, Name: "a", Until: b.now + time.Hour})
-	b.r.Unasked(1002)
+	b.r.AddQuery(b.now, &Query{Number: 1000, Name: "a", Deadline: b.now + time.Hour})
+	b.r.AddQuery(b.now, &Query{Number: 1001, Name: "a", Deadline: b.now + second})
+	b.r.AddQuery(b.now, &Query{Number: 1002, Name: "a", Deadline: b.now + time.Hour})
+	b.r.RemoveQuery(1002)
 	b.tick(second)
 	if a, ok := b.told[1001]; !ok || a.Info.State != Waiting {
 		t.Errorf("%+v", a)
@@ -574,14 +574,14 @@
 	for i := range 3 {
 		n := b.submit(fmt.Sprint(i), nil)
 		b.tick(0)
-		b.r.Sent(b.now, n)
-		b.r.Ended(b.now, n, OK, make([]byte, 30<<10))
+		b.r.JobSent(b.now, n)
+		b.r.SendEnded(b.now, n, OK, make([]byte, 30<<10))
 	}
-	if i := b.look("0"); i.State != Served || !i.Shed || i.Result != "" {
-		t.Errorf("%v %v", i.State, i.Shed)
+	if i := b.look("0"); i.State != Served || !i.ResultShed || i.Result != "" {
+		t.Errorf("%v %v", i.State, i.ResultShed)
 	}
-	if i := b.look("2"); i.Shed || len(i.Result) != 30<<10 {
-		t.Errorf("%v", i.Shed)
+	if i := b.look("2"); i.ResultShed || len(i.Result) != 30<<10 {
+		t.Errorf("%v", i.ResultShed)
 	}
 	if s := b.r.Stats(); s.Bytes > 64<<10 || s.ResultsShed != 1 {
 		t.Errorf("%+v", s)
@@ -595,7 +595,7 @@
 		return func(j *Job) { j.Attached, j.Deadline, j.NotBefore = true, b.now+time.Minute, b.now+not }
 	}
 	far, near, free := b.submit("far", attach(10*second)), b.submit("near", attach(second)), b.submit("free", at(b.now+second))
-	b.r.Asked(b.now, &Ask{Number: 1000, Name: "free", Until: b.now + time.Hour})
+	b.r.AddQuery(b.now, &Query{Number: 1000, Name: "free", Deadline: b.now + time.Hour})
 	b.r.Close(b.now, b.now+3*second)
 	b.read()
 	if b.answers[far].Status != StatusFull || b.told[1000].Info == nil {
@@ -618,8 +618,8 @@
 	out, waits := b.submit("out", nil), b.submit("waits", at(b.now+second))
 	m := b.submit("after", after("out"))
 	b.tick(0)
-	b.r.Sent(b.now, out)
-	b.r.Crashed(b.now)
+	b.r.JobSent(b.now, out)
+	b.r.ModuleCrashed(b.now)
 	if b.r.Keeps(out) || !b.r.Keeps(waits) {
 		t.Error("keeps the wrong one")
 	}
@@ -649,7 +649,7 @@
 // The window grows while fresh jobs are served, halves when one is refused, and keeps its floor.
 func TestWindow(t *testing.T) {
 	b := newBench(t, func(l *Limits) { l.ClientShare = 1; l.DefaultDue = 10 * time.Minute; l.Share = 0.5 })
-	b.r.Hosts(10)
+	b.r.SetReadyHosts(10)
 	for i := range 2000 {
 		b.submit(fmt.Sprint(i), nil)
 	}
@@ -658,12 +658,12 @@
 	for range 4 {
 		sent := served
 		for ; sent < min(len(b.turns), served+40); b.tick(0) { // the fleet has so many lanes
-			b.r.Sent(b.now, b.turns[sent])
+			b.r.JobSent(b.now, b.turns[sent])
 			sent++
 		}
 		b.tick(100 * ms)
 		for ; served < sent; served++ {
-			b.r.Ended(b.now, b.turns[served], OK, nil)
+			b.r.SendEnded(b.now, b.turns[served], OK, nil)
 		}
 	}
 	grown := b.r.Stats().Window
@@ -671,7 +671,7 @@
 		t.Errorf("window %d", grown)
 	}
 	n := b.fresh("f")
-	if b.r.Refused(b.now, n) {
+	if b.r.JobRefused(b.now, n) {
 		t.Error("a fresh job's refusal is taken back")
 	}
 	b.tick(100 * ms)
@@ -679,7 +679,7 @@
 		t.Errorf("window %d after %d", w, grown)
 	}
 	for i := range 20 {
-		b.r.Refused(b.now, b.fresh(fmt.Sprint("f", i)))
+		b.r.JobRefused(b.now, b.fresh(fmt.Sprint("f", i)))
 		b.tick(300 * ms)
 	}
 	// 2000 jobs in 600 s at a stay of a moment need little: one at a time, and never none.
@@ -693,13 +693,13 @@
 	b := newBench(t, func(l *Limits) { l.Retention = second })
 	n := b.submit("a", at(b.now+time.Minute))
 	b.submit("b", after("a"))
-	b.r.Asked(b.now, &Ask{Number: 999, Name: "b", Cancel: true})
+	b.r.AddQuery(b.now, &Query{Number: 999, Name: "b", Cancel: true})
 	b.tick(second) // forgotten
 	m := b.submit("c", at(b.now+time.Hour))
 	if b.r.open[m] != 2 {
 		t.Fatalf("c has place %d", b.r.open[m])
 	}
-	b.r.Asked(b.now, &Ask{Number: 999, Name: "a", Cancel: true})
+	b.r.AddQuery(b.now, &Query{Number: 999, Name: "a", Cancel: true})
 	b.tick(0)
 	b.want("c", Waiting, 0)
 	if b.answers[n].Status != StatusCancelled || b.answers[m].Status != 0 {
--- a/internal/waiting/tick.go
+++ b/internal/waiting/tick.go
@@ -5,7 +5,7 @@
 )
 
 // makeReady makes a job ready, since all that it waited for has happened.
-func (r *Room) makeReady(now time.Duration, i uint32) {
+func (r *Queue) makeReady(now time.Duration, i uint32) {
 	e := r.all.at(i)
 	e.state, e.ready = Ready, now
 	r.note(now, e, Record{Kind: IsReady})
@@ -15,7 +15,7 @@
 }
 
 // armDeadline sets the time by which a job must be answered that is ready, or in its turn and not sent.
-func (r *Room) arm(i uint32) {
+func (r *Queue) arm(i uint32) {
 	e := r.all.at(i)
 	at := e.ready + longWait*e.due()
 	if e.deadline > 0 && e.is(attached) {
@@ -27,7 +27,7 @@
 
 // Tick advances the time: it handles what has become due and releases jobs. It handles a bounded number of entries;
 // Wake returns when to call it again.
-func (r *Room) Tick(now time.Duration) {
+func (r *Queue) Tick(now time.Duration) {
 	work := tickWork
 	r.forget(now, &work)
 	for ; work > 0; work-- {
@@ -62,7 +62,7 @@
 }
 
 // expire answers a job that has waited as long as it may.
-func (r *Room) tooLate(now time.Duration, i uint32) {
+func (r *Queue) tooLate(now time.Duration, i uint32) {
 	e := r.all.at(i)
 	if e.state == Released {
 		r.do(Action{Kind: Withdraw, Job: Job{Number: e.number}})
@@ -74,13 +74,13 @@
 	r.finish(now, i, Refused, StatusRefused, "no room came in the time that it could wait", true)
 }
 
-func (r *Room) repeatable(e *entry) bool {
+func (r *Queue) repeatable(e *entry) bool {
 	return int(e.class) < len(r.fleet.Classes) && r.fleet.Classes[e.class].Repeatable
 }
 
 // notifyDependants notifies the dependants of ended jobs. It works through a list instead of recursing, so that a chain
 // of any length uses no stack and a job with many dependants does not make a Tick long.
-func (r *Room) tell(now time.Duration, work *int) {
+func (r *Queue) tell(now time.Duration, work *int) {
 	for *work > 0 && len(r.ended) > 0 {
 		p := r.ended[len(r.ended)-1]
 		x := r.all.at(p).edges
@@ -106,7 +106,7 @@
 }
 
 // Wake returns when the next Tick is due if nothing else happens.
-func (r *Room) Wake(now time.Duration) (at time.Duration, ok bool) {
+func (r *Queue) Wake(now time.Duration) (at time.Duration, ok bool) {
 	if r.more || len(r.ended) > 0 {
 		return now, true
 	}
--- a/internal/waiting/turns.go
+++ b/internal/waiting/turns.go
@@ -51,7 +51,7 @@
 }
 
 // releaseReady starts the turns of ready jobs, the one with the earliest target time first.
-func (r *Room) release(now time.Duration) {
+func (r *Queue) release(now time.Duration) {
 	p := &r.pace
 	if r.ready.len() == 0 {
 		return
@@ -69,7 +69,7 @@
 		p.in++
 		p.unsent++
 		r.stats.Turns++
-		a := Action{Kind: Release, Tried: int(e.attempts), Job: Job{Number: e.number, Name: e.name, Class: int(e.class),
+		a := Action{Kind: Release, Attempts: int(e.attempts), Job: Job{Number: e.number, Name: e.name, Class: int(e.class),
 			Tenant: int(e.tenant), Size: e.size, Slots: int(e.slots), Arrived: now, Attached: e.is(attached)}}
 		if e.is(attached) { // its deadline is its client's, and it waited at its own request
 			a.Job.Arrived, a.Budget, a.Waited = e.arrived, e.deadline-e.arrived, now-e.arrived
@@ -82,7 +82,7 @@
 
 // turnBudget returns the time that a job without a client gets for one turn. It is the longest budget that a client has
 // set, because the decision module takes the longest budget it has seen as the full time that a client waits.
-func (r *Room) budget(class int) time.Duration {
+func (r *Queue) budget(class int) time.Duration {
 	if class < len(r.patience) && r.patience[class] > 0 {
 		return r.patience[class]
 	}
@@ -93,7 +93,7 @@
 }
 
 // mayRelease reports whether another job may begin its turn now.
-func (r *Room) mayTurn(now time.Duration) bool {
+func (r *Queue) mayTurn(now time.Duration) bool {
 	p := &r.pace
 	switch {
 	case r.ready.len() == 0 || now < p.pause || p.in >= p.window:
@@ -106,7 +106,7 @@
 
 // updateWindow computes the floor and the window. It examines single jobs only when it recomputes the demand, which
 // happens less often the longer the backlog is.
-func (r *Room) setWindow(now time.Duration) {
+func (r *Queue) setWindow(now time.Duration) {
 	p := &r.pace
 	wait := demandEvery + time.Duration(r.ready.len())*demandNode
 	if p.demandAt == 0 || now-p.demandAt >= wait || p.stale && now-p.demandAt >= wait/4 {
@@ -129,7 +129,7 @@
 // requiredRate returns the rate in jobs per second at which the ready jobs must be sent so that each is sent by its due
 // time: the slope of the steepest line from now to any point of their demand curve. Remaining times are sorted into
 // bins a quarter of an octave wide, and each counts as the lower edge of its bin.
-func (r *Room) need(now time.Duration) float64 {
+func (r *Queue) need(now time.Duration) float64 {
 	const least = 100 * time.Millisecond
 	var bins [256]int
 	count := func(target time.Duration, jobs int) {
@@ -157,7 +157,7 @@
 }
 
 // nextRelease returns when a ready job may begin its turn if nothing else happens.
-func (r *Room) nextTurn(now time.Duration) (time.Duration, bool) {
+func (r *Queue) nextTurn(now time.Duration) (time.Duration, bool) {
 	p := &r.pace
 	if r.ready.len() == 0 {
 		return 0, false
@@ -171,8 +171,8 @@
 	return max(p.demandAt+demandEvery+time.Duration(r.ready.len())*demandNode, now+time.Millisecond), true
 }
 
-// Sent records that a job was sent to a host.
-func (r *Room) Sent(now time.Duration, number uint64) {
+// JobSent records that a job was sent to a host.
+func (r *Queue) JobSent(now time.Duration, number uint64) {
 	i := r.open[number]
 	if i == 0 {
 		return
@@ -209,8 +209,8 @@
 	}
 }
 
-// Ended records the outcome of a send. The first OK ends the job.
-func (r *Room) Ended(now time.Duration, number uint64, o Outcome, result []byte) {
+// SendEnded records the outcome of a send. The first OK ends the job.
+func (r *Queue) SendEnded(now time.Duration, number uint64, o Outcome, result []byte) {
 	r.pace.pause = min(r.pace.pause, now) // a lane may be free
 	i := r.open[number]
 	if i == 0 {
@@ -226,9 +226,9 @@
 		r.keep(e, result)
 		r.finish(now, i, Served, StatusServed, "", false)
 		return
-	case MayHave:
+	case MayHaveRun:
 		e.flags |= maybe
-	case TurnedOff:
+	case Rejected:
 		e.flags |= maybe | turnedOff
 	}
 	if e.out > 0 {
@@ -243,7 +243,7 @@
 }
 
 // finishAbandoned ends a job whose client has left and of which no send is in progress.
-func (r *Room) gone(now time.Duration, i uint32) {
+func (r *Queue) gone(now time.Duration, i uint32) {
 	if r.all.at(i).is(maybe) {
 		r.finish(now, i, Failed, StatusFailed, "", false)
 		return
@@ -251,9 +251,9 @@
 	r.finish(now, i, Cancelled, StatusCancelled, "", false)
 }
 
-// Refused records that the decision module refused a job. If it returns true, the job is queued again for another turn
+// JobRefused records that the decision module refused a job. If it returns true, the job is queued again for another turn
 // and the refusal must not be passed on. This is safe if no send may have run or the class is safe to repeat.
-func (r *Room) Refused(now time.Duration, number uint64) bool {
+func (r *Queue) JobRefused(now time.Duration, number uint64) bool {
 	i := r.open[number]
 	if i == 0 {
 		return false
@@ -291,12 +291,12 @@
 }
 
 // backoffDelay returns how long a refused job is held back. The delay shrinks as the job approaches its latest time.
-func (r *Room) backoff(now time.Duration, e *entry) time.Duration {
+func (r *Queue) backoff(now time.Duration, e *entry) time.Duration {
 	return min(max((e.ready+longWait*e.due()-now)/32, backLeast), backMost)
 }
 
 // endTurn ends a job's turn, if it has one.
-func (r *Room) leave(now time.Duration, i uint32, to State) {
+func (r *Queue) leave(now time.Duration, i uint32, to State) {
 	e, p := r.all.at(i), &r.pace
 	if e.state != Released {
 		return
@@ -315,15 +315,15 @@
 	}
 }
 
-// Failed records that the decision module failed a job.
-func (r *Room) Failed(now time.Duration, number uint64) {
+// JobFailed records that the decision module failed a job.
+func (r *Queue) JobFailed(now time.Duration, number uint64) {
 	if i := r.open[number]; i != 0 {
 		r.finish(now, i, Failed, StatusFailed, "", false)
 	}
 }
 
-// Left records that the client of a job has left. If it returns true, the decision module must be notified.
-func (r *Room) Left(now time.Duration, number uint64) bool {
+// ClientLeft records that the client of a job has left. If it returns true, the decision module must be notified.
+func (r *Queue) ClientLeft(now time.Duration, number uint64) bool {
 	i := r.open[number]
 	if i == 0 {
 		return true
