--- a/internal/system/dataplane/caller.go
+++ b/internal/system/dataplane/caller.go
@@ -9,37 +9,37 @@
 	"gaugeslip/coord/transport"
 )
 
-// Caller calls other machines, as transport.Client does: an error is transport.ErrNotSent if the call surely never reached
-// the peer. It returns within the timeout.
+// Caller calls other machines, as transport.Client does. It returns within the timeout. The error is transport.ErrNotSent if the
+// call certainly never reached the peer.
 type Caller interface {
 	Call(address, method string, args, reply any, timeout time.Duration) error
 }
 
-// outcome is what is certain about one call.
-type outcome byte
+// callOutcome says what is known for certain about the execution of one call.
+type callOutcome byte
 
 const (
-	// replied: the reply's verdict tells.
-	replied outcome = iota + 1
-	// neverCarriedOut: it surely wasn't and won't be.
-	neverCarriedOut
-	// unknown: it may have been carried out, and may still be.
-	unknown
+	// replied: the peer replied; the verdict of the reply decides.
+	replied callOutcome = iota + 1
+	// notExecuted: the call certainly wasn't executed and won't be.
+	notExecuted
+	// outcomeUnknown: the call may have been executed, or may still be.
+	outcomeUnknown
 )
 
-// missingService begins the errors by which net/rpc refuses a call that it has no method for.
-const missingService = "rpc: can't find "
+// missingServicePrefix starts the error text with which net/rpc rejects a call to a service or method that isn't registered.
+const missingServicePrefix = "rpc: can't find "
 
-func outcomeOf(err error) outcome {
+func outcomeOf(err error) callOutcome {
 	if err == nil {
 		return replied
 	}
 	if errors.Is(err, transport.ErrNotSent) {
-		return neverCarriedOut
+		return notExecuted
 	}
 	var failure rpc.ServerError
-	if errors.As(err, &failure) && strings.HasPrefix(string(failure), missingService) {
-		return neverCarriedOut
+	if errors.As(err, &failure) && strings.HasPrefix(string(failure), missingServicePrefix) {
+		return notExecuted
 	}
-	return unknown
+	return outcomeUnknown
 }
--- a/internal/system/dataplane/frontend.go
+++ b/internal/system/dataplane/frontend.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// clientKeepAlive is how soon a client that says nothing is probed, and how often.
+	// clientKeepAlive is the idle time before the first TCP keep-alive probe to a client, and the interval between probes.
 	clientKeepAlive = 15 * time.Second
-	// sparedDescriptors are those that aren't for connections of clients.
-	sparedDescriptors = 200
-	leastConnections  = 64
+	// reservedDescriptors is the number of file descriptors kept for other uses than client connections.
+	reservedDescriptors = 200
+	minConnections      = 64
 )
 
-// DefaultLimits are the limits while there is no configuration.
+// DefaultLimits returns the limits that apply until there is a configuration.
 func DefaultLimits() clusterconfig.Limits {
 	return clusterconfig.Limits{
 		MaxHeaderBytes: clusterconfig.DefaultMaxHeaderBytes,
@@ -31,28 +31,28 @@
 	}
 }
 
-// MaxConnections is how many connections of clients a process may hold that may open so many files.
+// MaxConnections returns how many client connections a process with the given limit of open files may hold.
 func MaxConnections(maxOpenFiles int) int {
-	return max(leastConnections, (maxOpenFiles-sparedDescriptors)/2)
+	return max(minConnections, (maxOpenFiles-reservedDescriptors)/2)
 }
 
-// Frontend is where clients connect. A change of limits holds for connections from then on: those that are open keep the
-// server, and so the limits, that they have begun with.
+// Frontend accepts client connections. Changed limits apply to new connections; open connections stay with the server, and so the
+// limits, with which they were accepted.
 type Frontend struct {
 	handler  http.Handler
 	listener net.Listener
 	slots    network.Slots
-	quiet    *log.Logger
+	errorLog *log.Logger
 
-	mutex     sync.Mutex
-	closed    bool
-	limits    clusterconfig.Limits
-	current   *gate
-	servers   []*http.Server
-	accepting sync.WaitGroup
+	mutex   sync.Mutex
+	closed  bool
+	limits  clusterconfig.Limits
+	current *stoppableListener
+	servers []*http.Server
+	serving sync.WaitGroup
 }
 
-// frontendSocket takes the address with the operating system's sockets.
+// frontendSocket listens on the address with the operating system's sockets.
 func frontendSocket(address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{
 		Enable:   true,
@@ -62,20 +62,21 @@
 	return config.Listen(context.Background(), "tcp", address)
 }
 
-// NewFrontend serves a listener; nothing is accepted before Serve. At most so many connections are held, further ones wait.
-func NewFrontend(listener net.Listener, handler http.Handler, connections int, quiet *log.Logger) *Frontend {
+// NewFrontend returns a frontend for a listener. It accepts nothing before Serve is called. It holds at most the given number of
+// connections; further ones wait.
+func NewFrontend(listener net.Listener, handler http.Handler, connections int, errorLog *log.Logger) *Frontend {
 	return &Frontend{
 		handler:  handler,
 		listener: listener,
 		slots:    network.NewSlots(connections),
-		quiet:    quiet,
+		errorLog: errorLog,
 	}
 }
 
-// Address is where it listens.
+// Address returns the address that the frontend listens on.
 func (f *Frontend) Address() string { return f.listener.Addr().String() }
 
-// Serve accepts connections under these limits from now on, instead of those before.
+// Serve accepts connections under the given limits from now on, in place of the previous limits.
 func (f *Frontend) Serve(limits clusterconfig.Limits) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -83,15 +84,15 @@
 		return
 	}
 	if f.current != nil {
-		f.current.shut()
-		f.accepting.Wait()
+		f.current.stop()
+		f.serving.Wait()
 	}
 	f.limits = limits
-	f.current = newGate(f.listener, f.slots)
+	f.current = newStoppableListener(f.listener, f.slots)
 	server := f.newServer(limits)
 	f.servers = append(f.servers, server)
-	opened := f.current
-	f.accepting.Go(func() { _ = server.Serve(opened) }) // it ends when the gate is shut
+	active := f.current
+	f.serving.Go(func() { _ = server.Serve(active) }) // returns when the listener is stopped
 }
 
 func (f *Frontend) newServer(limits clusterconfig.Limits) *http.Server {
@@ -100,24 +101,24 @@
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		IdleTimeout:       limits.IdleTimeout,
 		MaxHeaderBytes:    int(limits.MaxHeaderBytes),
-		ErrorLog:          f.quiet,
+		ErrorLog:          f.errorLog,
 	}
 }
 
-// Shutdown stops accepting, lets every request be answered, and closes all connections; when the context ends before that,
-// those that are left are cut.
+// Shutdown stops accepting, waits until every request is answered, and closes all connections. If the context ends first, it cuts
+// the remaining connections.
 func (f *Frontend) Shutdown(ctx context.Context) error {
 	servers := f.close()
 	var group sync.WaitGroup
 	failures := make([]error, len(servers))
 	for index, server := range servers {
-		group.Go(func() { failures[index] = end(ctx, server) })
+		group.Go(func() { failures[index] = shutdownServer(ctx, server) })
 	}
 	group.Wait()
 	return errors.Join(failures...)
 }
 
-func end(ctx context.Context, server *http.Server) error {
+func shutdownServer(ctx context.Context, server *http.Server) error {
 	err := server.Shutdown(ctx)
 	if err != nil {
 		_ = server.Close()
@@ -125,15 +126,15 @@
 	return err
 }
 
-// close is the change to closed: nothing is accepted any more.
+// close stops accepting connections and returns all servers.
 func (f *Frontend) close() []*http.Server {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.closed = true
 	if f.current != nil {
-		f.current.shut()
+		f.current.stop()
 	}
 	_ = f.listener.Close()
-	f.accepting.Wait()
+	f.serving.Wait()
 	return f.servers
 }
--- a/internal/system/dataplane/gate.go
+++ b/internal/system/dataplane/gate.go
@@ -9,55 +9,55 @@
 	"gaugeslip/internal/system/network"
 )
 
-var errGateShut = errors.New("gate shut")
+var errListenerStopped = errors.New("listener stopped")
 
-// deadlined is a listener whose Accept can be ended without closing it.
-type deadlined interface{ SetDeadline(time.Time) error }
+// deadlineListener is a listener whose Accept can be interrupted without closing it.
+type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// gate accepts from a listener that outlasts it, while it is open and a slot is free. Each connection holds a slot until it is
-// closed.
-type gate struct {
+// stoppableListener accepts connections from an underlying listener, which it doesn't close, until it is stopped. Each connection
+// holds a slot until it is closed.
+type stoppableListener struct {
 	net.Listener
-	slots  network.Slots
-	closed chan struct{}
-	once   sync.Once
+	slots   network.Slots
+	stopped chan struct{}
+	once    sync.Once
 }
 
-func newGate(listener net.Listener, slots network.Slots) *gate {
-	if timed, ok := listener.(deadlined); ok {
+func newStoppableListener(listener net.Listener, slots network.Slots) *stoppableListener {
+	if timed, ok := listener.(deadlineListener); ok {
 		_ = timed.SetDeadline(time.Time{})
 	}
-	return &gate{Listener: listener, slots: slots, closed: make(chan struct{})}
+	return &stoppableListener{Listener: listener, slots: slots, stopped: make(chan struct{})}
 }
 
-// Accept waits for a slot and a connection, until the gate is shut.
-func (g *gate) Accept() (net.Conn, error) {
+// Accept waits for a free slot and a connection. It fails once the listener is stopped.
+func (l *stoppableListener) Accept() (net.Conn, error) {
 	select {
-	case <-g.closed:
-		return nil, errGateShut
-	case g.slots <- struct{}{}:
+	case <-l.stopped:
+		return nil, errListenerStopped
+	case l.slots <- struct{}{}:
 	}
-	conn, err := g.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err == nil {
-		return g.slots.Hold(conn), nil
+		return l.slots.Hold(conn), nil
 	}
-	<-g.slots
+	<-l.slots
 	select {
-	case <-g.closed:
-		return nil, errGateShut
+	case <-l.stopped:
+		return nil, errListenerStopped
 	default:
 		return nil, err
 	}
 }
 
-// Close leaves the listener open: it belongs to the frontend.
-func (g *gate) Close() error { return nil }
+// Close doesn't close the underlying listener, which belongs to the frontend.
+func (l *stoppableListener) Close() error { return nil }
 
-// shut ends Accept for good.
-func (g *gate) shut() {
-	g.once.Do(func() {
-		close(g.closed)
-		if timed, ok := g.Listener.(deadlined); ok {
+// stop ends the current and all future calls of Accept.
+func (l *stoppableListener) stop() {
+	l.once.Do(func() {
+		close(l.stopped)
+		if timed, ok := l.Listener.(deadlineListener); ok {
 			_ = timed.SetDeadline(time.Unix(1, 0))
 		}
 	})
--- a/internal/system/dataplane/poller.go
+++ b/internal/system/dataplane/poller.go
@@ -11,51 +11,52 @@
 	"gaugeslip/internal/system/internalapi"
 )
 
-// turns is how many looks make a round: one begins with the seeds, two with the head and one with another of the chain.
-const turns = 4
+// pollsPerRound is the number of polls in a round: one starts with the seeds, two with the head and one with another replica of
+// the chain.
+const pollsPerRound = 4
 
-// Poller looks at the core, at intervals and when poked, for newer views and configurations. That is also how a dispatcher
-// knows that the core is within reach.
+// Poller polls the core for newer views and configurations, at intervals and on request. The polls also show whether the core is
+// reachable.
 type Poller struct {
-	caller    Caller
-	directory *Directory
-	options   Options
-	seeds     atomic.Pointer[[]string]
-	poked     chan struct{}
-	looks     int
-	// onError is told what could not be used.
+	caller       Caller
+	directory    *Directory
+	options      Options
+	seeds        atomic.Pointer[[]string]
+	pollRequests chan struct{}
+	polls        int
+	// onError receives errors about data that could not be used.
 	onError func(error)
 }
 
-// NewPoller makes a poller; seeds are internal addresses of a few replicas. onError must not block.
+// NewPoller returns a poller. The seeds are internal addresses of a few replicas. onError must not block.
 func NewPoller(caller Caller, directory *Directory, seeds []string, onError func(error), options Options) *Poller {
 	p := &Poller{
-		caller:    caller,
-		directory: directory,
-		options:   options.withDefaults(),
-		poked:     make(chan struct{}, 1),
-		looks:     rand.IntN(1 << 16),
-		onError:   onError,
+		caller:       caller,
+		directory:    directory,
+		options:      options.withDefaults(),
+		pollRequests: make(chan struct{}, 1),
+		polls:        rand.IntN(1 << 16),
+		onError:      onError,
 	}
 	p.SetSeeds(seeds)
 	return p
 }
 
-// SetSeeds takes other seeds in place of those before.
+// SetSeeds replaces the seeds.
 func (p *Poller) SetSeeds(seeds []string) {
 	kept := slices.Clone(seeds)
 	p.seeds.Store(&kept)
 }
 
-// Poke asks for a look soon. It never blocks.
-func (p *Poller) Poke() {
+// RequestPoll asks for a poll soon. It never blocks.
+func (p *Poller) RequestPoll() {
 	select {
-	case p.poked <- struct{}{}:
+	case p.pollRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Run looks until the context ends.
+// Run polls until the context ends.
 func (p *Poller) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -64,35 +65,35 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-p.poked:
+		case <-p.pollRequests:
 		}
-		p.Look()
-		if pause.For(ctx, p.options.PokeGap) != nil {
+		p.Poll()
+		if pause.For(ctx, p.options.MinPollGap) != nil {
 			return
 		}
 		timer.Reset(p.interval())
 	}
 }
 
-// interval is the time to the next look, spread so that dispatchers don't look all at once.
+// interval returns the time until the next poll, varied at random so that the dispatchers' polls don't coincide.
 func (p *Poller) interval() time.Duration {
-	return p.options.PollInterval*3/4 + rand.N(p.options.PollInterval/2) - p.options.PokeGap
+	return p.options.PollInterval*3/4 + rand.N(p.options.PollInterval/2) - p.options.MinPollGap
 }
 
-// Look asks replicas, one after the other, until one that serves has answered.
-func (p *Poller) Look() {
-	p.looks++
+// Poll asks replicas one after the other until a serving one has replied.
+func (p *Poller) Poll() {
+	p.polls++
 	candidates, first := p.candidates()
 	for offset := range candidates {
-		if p.ask(candidates[(first+offset)%len(candidates)]) {
+		if p.pollReplica(candidates[(first+offset)%len(candidates)]) {
 			return
 		}
 	}
 }
 
-// candidates are whom this look may ask, and which of them comes first.
+// candidates returns the addresses that this poll may ask, and the index of the first one.
 func (p *Poller) candidates() (addresses []string, first int) {
-	round, turn := p.looks/turns, p.looks%turns
+	round, turn := p.polls/pollsPerRound, p.polls%pollsPerRound
 	chain := p.directory.View().Chain
 	switch {
 	case turn == 0 || len(chain) == 0:
@@ -107,27 +108,27 @@
 	return addresses, first
 }
 
-// ask looks at one replica, and fetches from it what is newer there; it tells whether that one serves.
-func (p *Poller) ask(address string) bool {
+// pollReplica polls one replica and fetches newer data from it. It reports whether the replica is serving.
+func (p *Poller) pollReplica(address string) bool {
 	var digest internalapi.DigestReply
 	err := p.caller.Call(address, internalapi.MethodDigest, &internalapi.DigestArgs{}, &digest, p.options.PollTimeout)
 	if err != nil {
 		return false
 	}
-	p.directory.Answered(address)
+	p.directory.RecordReply(address)
 	if digest.Serving {
-		p.directory.Contact()
+		p.directory.RecordContact()
 	}
-	if p.newer(&digest) {
+	if p.isNewer(&digest) {
 		p.fetch(address)
 	}
 	if digest.Serving {
-		p.directory.Current(digest.ConfigVersion)
+		p.directory.RecordCurrent(digest.ConfigVersion)
 	}
 	return digest.Serving
 }
 
-func (p *Poller) newer(digest *internalapi.DigestReply) bool {
+func (p *Poller) isNewer(digest *internalapi.DigestReply) bool {
 	known := p.directory.View()
 	if !known.Known() || digest.Epoch > known.Epoch {
 		return true
--- a/internal/system/nodesettings/check.go
+++ b/internal/system/nodesettings/check.go
@@ -9,19 +9,19 @@
 // Role is one of the system's programs.
 type Role string
 
-// The programs.
+// Programs of the system.
 const (
 	RoleDataPlane    Role = "dataplane"
 	RoleControlPlane Role = "controlplane"
 )
 
-// mostPort is the last port that there is.
-const mostPort = 1<<16 - 1
+// maxPort is the highest port number.
+const maxPort = 1<<16 - 1
 
-// Check takes note of everything that the role needs and the settings don't name. The error holds findings.Findings.
+// Check reports everything that the role needs and the settings don't contain. The error holds findings.Findings.
 func (s *Settings) Check(role Role) error {
 	var found findings.Findings
-	need(&found, "ip", s.IP)
+	requireValue(&found, "ip", s.IP)
 	if len(s.EphemeralPorts) == 0 {
 		found.Add("ephemeralPorts", "are needed")
 	}
@@ -30,24 +30,24 @@
 	}
 	switch role {
 	case RoleDataPlane:
-		need(&found, "bindAddresses.frontend", s.Bind.Frontend)
-		need(&found, "bindAddresses.readiness", s.Bind.Readiness)
+		requireValue(&found, "bindAddresses.frontend", s.Bind.Frontend)
+		requireValue(&found, "bindAddresses.readiness", s.Bind.Readiness)
 	case RoleControlPlane:
-		need(&found, "bindAddresses.controlPlane", s.Bind.ControlPlane)
-		need(&found, "dataDir", s.DataDir)
+		requireValue(&found, "bindAddresses.controlPlane", s.Bind.ControlPlane)
+		requireValue(&found, "dataDir", s.DataDir)
 	default:
 		found.Add("", "unknown role %q", role)
 	}
 	return found.Err()
 }
 
-func need(found *findings.Findings, key, value string) {
+func requireValue(found *findings.Findings, key, value string) {
 	if value == "" {
 		found.Add(key, "is needed")
 	}
 }
 
-// checkValues takes note of the values that are no addresses or ports, and empties them.
+// checkValues reports values that aren't valid addresses or ports, and clears them.
 func checkValues(settings *Settings, found *findings.Findings) {
 	checkIP(&settings.IP, found)
 	checkAddress("bindAddresses.frontend", &settings.Bind.Frontend, found)
@@ -94,7 +94,7 @@
 	if len(ports) == 0 {
 		return
 	}
-	if len(ports) != 2 || ports[0] < 1 || ports[1] < ports[0] || ports[1] > mostPort {
+	if len(ports) != 2 || ports[0] < 1 || ports[1] < ports[0] || ports[1] > maxPort {
 		found.Add("ephemeralPorts", "%v are not a first and a last port", ports)
 		settings.EphemeralPorts = nil
 	}
