--- a/internal/system/localcluster/child.go
+++ b/internal/system/localcluster/child.go
@@ -14,16 +14,16 @@
 // starter starts children from one thread that lives as long as it does: a child's death signal fires when the thread that started
 // it ends, and Go ends threads as it likes.
 type starter struct {
-	work chan func()
-	done chan struct{}
+	tasks chan func()
+	done  chan struct{}
 }
 
 func newStarter() *starter {
-	s := &starter{work: make(chan func()), done: make(chan struct{})}
+	s := &starter{tasks: make(chan func()), done: make(chan struct{})}
 	go func() {
 		defer close(s.done)
 		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
-		for do := range s.work {
+		for do := range s.tasks {
 			do()
 		}
 	}()
@@ -33,7 +33,7 @@
 func (s *starter) start(command *exec.Cmd) (err error) {
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	ran := make(chan struct{})
-	s.work <- func() {
+	s.tasks <- func() {
 		defer close(ran)
 		err = command.Start()
 	}
@@ -43,7 +43,7 @@
 
 // close ends the thread; all children have to be over.
 func (s *starter) close() {
-	close(s.work)
+	close(s.tasks)
 	<-s.done
 }
 
@@ -63,24 +63,24 @@
 	command func() *exec.Cmd
 	logPath string
 
-	mutex   sync.Mutex
-	state   childState
-	process *os.Process
-	exited  chan struct{}
-	asked   bool   // somebody ended this life
-	crashes int    // lives that ended with nobody asking
-	crash   string // how the last of them ended
-	ended   Usage  // of the lives before
+	mutex        sync.Mutex
+	state        childState
+	process      *os.Process
+	exited       chan struct{}
+	endRequested bool   // somebody ended this life
+	crashes      int    // lives that ended with nobody asking
+	lastCrash    string // how the last of them ended
+	earlierUsage Usage  // of the lives before
 }
 
-var errRunning = errors.New("it runs")
+var errAlreadyRunning = errors.New("it runs")
 
 // start begins a life.
 func (c *Child) start() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.state != childDown {
-		return fmt.Errorf("start %s: %w", c.Name, errRunning)
+		return fmt.Errorf("start %s: %w", c.Name, errAlreadyRunning)
 	}
 	output, err := os.OpenFile(c.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, settingsFileMode)
 	if err != nil {
@@ -92,7 +92,7 @@
 	if err := c.starter.start(command); err != nil {
 		return fmt.Errorf("start %s: %w", c.Name, err)
 	}
-	c.state, c.process, c.exited, c.asked = childRunning, command.Process, make(chan struct{}), false
+	c.state, c.process, c.exited, c.endRequested = childRunning, command.Process, make(chan struct{}), false
 	go c.reap(command, c.exited)
 	return nil
 }
@@ -102,9 +102,9 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.state = childDown
-	if !c.asked {
+	if !c.endRequested {
 		c.crashes++
-		c.crash = command.ProcessState.String()
+		c.lastCrash = command.ProcessState.String()
 	}
 	close(exited)
 }
@@ -119,9 +119,9 @@
 		return over
 	}
 	if ends {
-		c.asked = true
+		c.endRequested = true
 		if usage, err := readUsage(c.process.Pid); err == nil {
-			c.ended = c.ended.plus(usage)
+			c.earlierUsage = c.earlierUsage.plus(usage)
 		}
 	} else {
 		c.state = next
@@ -145,14 +145,14 @@
 	}
 }
 
-// forgiveEnd tells whether the present life has ended by itself, and takes that as asked for: by a trouble that it may end for.
-func (c *Child) forgiveEnd() bool {
+// excuseExit tells whether the present life has ended by itself, and takes that as asked for: by a trouble that it may end for.
+func (c *Child) excuseExit() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.state != childDown || c.asked {
+	if c.state != childDown || c.endRequested {
 		return false
 	}
-	c.asked = true
+	c.endRequested = true
 	c.crashes--
 	return true
 }
@@ -164,7 +164,7 @@
 func (c *Child) usage() Usage {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	total := c.ended
+	total := c.earlierUsage
 	total.Resident, total.Threads, total.Files = 0, 0, 0
 	if c.state == childDown {
 		return total
@@ -176,9 +176,9 @@
 	return total.plus(present)
 }
 
-// crashed tells how the last life that nobody ended has ended, and how many did.
-func (c *Child) crashed() (how string, count int) {
+// crashSummary tells how the last life that nobody ended has ended, and how many did.
+func (c *Child) crashSummary() (how string, count int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.crash, c.crashes
+	return c.lastCrash, c.crashes
 }
--- a/internal/system/localcluster/clients.go
+++ b/internal/system/localcluster/clients.go
@@ -16,51 +16,51 @@
 )
 
 const (
-	mostTries       = 8
-	clientTimeout   = 3500 * time.Millisecond
-	deadlineHeader  = "X-Gaugeslip-Deadline"
-	firstRetryPause = 100 * time.Millisecond
-	readyPause      = 100 * time.Millisecond
-	statusPause     = 150 * time.Millisecond
-	longestStatus   = time.Second
-	idlePerHost     = 64
+	maxTries              = 8
+	clientTimeout         = 3500 * time.Millisecond
+	deadlineHeader        = "X-Gaugeslip-Deadline"
+	firstRetryDelay       = 100 * time.Millisecond
+	readyPollInterval     = 100 * time.Millisecond
+	statusPollInterval    = 150 * time.Millisecond
+	maxStatusPollInterval = time.Second
+	maxIdlePerHost        = 64
 )
 
 // clients hand jobs in at dispatchers and ask for their state until they are over.
 type clients struct {
 	addresses []string // frontends
 	client    *http.Client
-	ledger    *ledger
+	tracker   *jobTracker
 	world     *hollow.World
 	group     sync.WaitGroup
 }
 
-func newClients(addresses []string, ledger *ledger, world *hollow.World) *clients {
-	return &clients{addresses: addresses, ledger: ledger, world: world,
-		client: &http.Client{Timeout: clientTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: idlePerHost}}}
+func newClients(addresses []string, tracker *jobTracker, world *hollow.World) *clients {
+	return &clients{addresses: addresses, tracker: tracker, world: world,
+		client: &http.Client{Timeout: clientTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxIdlePerHost}}}
 }
 
 // submit hands a job in on a goroutine of its own, which then follows it until it is over or the context ends.
-func (c *clients) submit(ctx context.Context, drawn *draft, kind jobKind) {
-	c.ledger.open(drawn.id, kind)
-	c.world.AddJob(drawn.job)
+func (c *clients) submit(ctx context.Context, draft *jobDraft, kind jobKind) {
+	c.tracker.add(draft.id, kind)
+	c.world.AddJob(draft.job)
 	c.group.Go(func() {
-		if c.handIn(ctx, drawn) && kind != kindResident {
-			c.follow(ctx, drawn)
+		if c.submitUntilAnswered(ctx, draft) && kind != kindResident {
+			c.pollUntilFinished(ctx, draft)
 		}
 	})
 }
 
-// handIn tries until there is a clear answer, and tells whether the job was taken.
-func (c *clients) handIn(ctx context.Context, drawn *draft) bool {
+// submit tries until there is a clear answer, and tells whether the job was taken.
+func (c *clients) submitUntilAnswered(ctx context.Context, draft *jobDraft) bool {
 	inDoubt := false
-	gap := firstRetryPause
-	for range mostTries {
-		c.ledger.tried(drawn.id)
-		status, _, err := c.call(ctx, http.MethodPost, drawn)
+	gap := firstRetryDelay
+	for range maxTries {
+		c.tracker.countTry(draft.id)
+		status, _, err := c.call(ctx, http.MethodPost, draft)
 		switch {
 		case err == nil && status == http.StatusOK:
-			c.ledger.settle(drawn.id, verdictAccepted)
+			c.tracker.setOutcome(draft.id, outcomeAccepted)
 			return true
 		case err != nil || status == http.StatusBadGateway || status == http.StatusGatewayTimeout:
 			inDoubt = true
@@ -71,85 +71,85 @@
 		gap *= 2
 	}
 	if !inDoubt {
-		c.ledger.settle(drawn.id, verdictRefused)
-		c.world.RefuseJob(drawn.id)
+		c.tracker.setOutcome(draft.id, outcomeRefused)
+		c.world.RefuseJob(draft.id)
 	}
 	return false
 }
 
-// follow asks for the job's state until it is over.
-func (c *clients) follow(ctx context.Context, drawn *draft) {
-	gap := max(statusPause, drawn.work)
+// pollUntilFinished asks for the job's state until it is over.
+func (c *clients) pollUntilFinished(ctx context.Context, draft *jobDraft) {
+	gap := max(statusPollInterval, draft.work)
 	for pause.For(ctx, gap) == nil {
-		gap = min(max(gap/4, statusPause)*2, longestStatus)
-		status, body, err := c.call(ctx, http.MethodGet, drawn)
+		gap = min(max(gap/4, statusPollInterval)*2, maxStatusPollInterval)
+		status, body, err := c.call(ctx, http.MethodGet, draft)
 		if err != nil {
 			continue
 		}
 		if status == http.StatusGone {
-			if c.ledger.gone(drawn.id) {
+			if c.tracker.markUnknown(draft.id) {
 				return
 			}
 			continue
 		}
-		if told := stateOf(body); told != verdictOpen {
-			c.ledger.settle(drawn.id, told)
+		if reported := parseOutcome(body); reported != outcomeUnknown {
+			c.tracker.setOutcome(draft.id, reported)
 			return
 		}
 	}
 }
 
-// stateOf reads the answer to a question for a job's state.
-func stateOf(body []byte) verdict {
+// parseOutcome reads the answer to a question for a job's state.
+func parseOutcome(body []byte) outcome {
 	var answer struct {
 		State string `json:"state"`
 	}
 	if json.Unmarshal(body, &answer) != nil {
-		return verdictOpen
+		return outcomeUnknown
 	}
 	switch answer.State {
 	case "completed":
-		return verdictDone
+		return outcomeDone
 	case "failed", "cancelled":
-		return verdictFailed
+		return outcomeFailed
 	}
-	return verdictOpen
+	return outcomeUnknown
 }
 
 // call asks a dispatcher that is drawn by lot.
-func (c *clients) call(ctx context.Context, method string, drawn *draft) (int, []byte, error) {
-	return callAbout(ctx, c.client, method, c.addresses, drawn)
+func (c *clients) call(ctx context.Context, method string, draft *jobDraft) (int, []byte, error) {
+	return callRandomDispatcher(ctx, c.client, method, c.addresses, draft)
 }
 
-// callAbout asks one of some dispatchers, drawn by lot, about a job, or hands the job in.
-func callAbout(ctx context.Context, client *http.Client, method string, addresses []string, drawn *draft) (int, []byte, error) {
+// callRandomDispatcher asks one of some dispatchers, drawn by lot, about a job, or hands the job in.
+func callRandomDispatcher(ctx context.Context, client *http.Client, method string, addresses []string, draft *jobDraft) (int, []byte, error) {
 	address := addresses[rand.IntN(len(addresses))]
 	var content io.Reader
 	if method == http.MethodPost {
-		content = bytes.NewReader(drawn.body)
+		content = bytes.NewReader(draft.body)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+drawn.route.PathPrefix+drawn.id, content)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+draft.route.PathPrefix+draft.id, content)
 	if err != nil {
 		return 0, nil, err
 	}
-	request.Host = drawn.route.Host
+	request.Host = draft.route.Host
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(deadlineHeader, strconv.FormatInt(clientTimeout.Milliseconds(), 10))
-	return exchange(client, request)
+	return doRequest(client, request)
 }
 
-// readyAll waits until every dispatcher answers for a queue, so that its configuration is in force there.
-func (c *clients) readyAll(ctx context.Context, host, prefix string) error {
+// awaitAllReady waits until every dispatcher answers for a queue, so that its configuration is in force there.
+func (c *clients) awaitAllReady(ctx context.Context, host, prefix string) error {
 	failures := make([]error, len(c.addresses))
 	var group sync.WaitGroup
 	for i, address := range c.addresses {
-		group.Go(func() { failures[i] = c.ready(ctx, address, host, prefix) })
+		group.Go(func() { failures[i] = c.awaitReady(ctx, address, host, prefix) })
 	}
 	group.Wait()
-	return firstOf(failures...)
+	return firstError(failures...)
 }
 
-func (c *clients) ready(ctx context.Context, address, host, prefix string) error {
+func (c *clients) awaitReady(ctx context.Context, address, host, prefix string) error {
 	for {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+prefix, nil)
 		if err != nil {
@@ -162,7 +162,7 @@
 				return nil
 			}
 		}
-		if pause.For(ctx, readyPause) != nil {
+		if pause.For(ctx, readyPollInterval) != nil {
 			return ctx.Err()
 		}
 	}
--- a/internal/system/localcluster/cluster.go
+++ b/internal/system/localcluster/cluster.go
@@ -23,21 +23,21 @@
 	options       Options
 	configuration configuration
 	plan          plan
-	removeFolder  bool
-	owner         io.Closer // of the addresses
+	removeDir     bool
+	reservation   io.Closer // of the addresses
 	fleet         *fleet
-	ledger        *ledger
+	tracker       *jobTracker
 	starter       *starter
 	replicas      []*Child
 	dispatchers   []*Child
 	hollow        *Child // of all hollow dispatchers; nil without
 	rpc           *transport.Client
-	stopping      sync.Once
+	stopOnce      sync.Once
 }
 
 const (
 	childEnvironment = "GOMAXPROCS=1" // as the machines have one core each
-	endLimit         = 8 * time.Second
+	terminateTimeout = 8 * time.Second
 	viewTimeout      = 400 * time.Millisecond
 	viewPause        = 100 * time.Millisecond
 )
@@ -45,86 +45,86 @@
 // Start brings a cluster up; its configuration isn't put yet. The caller has to Stop it.
 func Start(options Options) (*Cluster, error) {
 	options.withDefaults()
-	if err := options.check(); err != nil {
+	if err := options.validate(); err != nil {
 		return nil, err
 	}
-	c := &Cluster{options: options, ledger: newLedger(), starter: newStarter(), rpc: transport.NewClient(transport.Options{})}
-	if err := c.open(); err != nil {
+	c := &Cluster{options: options, tracker: newJobTracker(), starter: newStarter(), rpc: transport.NewClient(transport.Options{})}
+	if err := c.setUp(); err != nil {
 		c.Stop()
 		return nil, err
 	}
 	return c, nil
 }
 
-func (c *Cluster) open() error {
+func (c *Cluster) setUp() error {
 	var err error
 	if c.configuration, err = loadConfiguration(c.options.ConfigurationFile); err != nil {
 		return err
 	}
-	if err := c.openFolder(); err != nil {
+	if err := c.prepareDir(); err != nil {
 		return err
 	}
-	if c.plan.layout, c.owner, err = takeLayout(); err != nil {
+	if c.plan.layout, c.reservation, err = reserveLayout(); err != nil {
 		return err
 	}
 	c.plan.replicas, c.plan.tolerance = c.options.Replicas, c.options.tolerance()
 	c.plan.memoryMb = c.options.ReplicaMemoryMb
-	c.plan.files = c.options.ReplicaFiles
+	c.plan.maxOpenFiles = c.options.ReplicaFiles
 	c.plan.listRate = c.options.ListRate
-	c.plan.worldRules = hollow.DefaultSettings()
-	c.plan.worldRules.Seed = c.options.Seed
+	c.plan.worldSettings = hollow.DefaultSettings()
+	c.plan.worldSettings.Seed = c.options.Seed
 	c.fleet, err = newFleet(fleetOptions{
-		rules:    c.plan.worldRules,
-		workers:  c.options.Workers,
-		services: c.configuration.services(),
-		guarded:  c.configuration.guarded,
-		started:  c.ledger.started,
-		list:     hollow.PlatformSettings{Lag: platformLag, RatePerS: c.options.ListRate, PageSize: c.options.ListPage},
+		settings:         c.plan.worldSettings,
+		workers:          c.options.Workers,
+		services:         c.configuration.services(),
+		hasPreconditions: c.configuration.hasPreconditions,
+		onStart:          c.tracker.markStarted,
+		platform:         hollow.PlatformSettings{Lag: platformMaxLag, RatePerS: c.options.ListRate, PageSize: c.options.ListPage},
 	})
 	if err != nil {
 		return err
 	}
-	c.plan.platform = c.fleet.platform
+	c.plan.platformAddress = c.fleet.platformAddress
 	return c.startProcesses()
 }
 
-func (c *Cluster) openFolder() error {
-	c.plan.folder = c.options.Folder
-	if c.plan.folder == "" {
-		folder, err := os.MkdirTemp("", "gaugeslip-cluster-")
+func (c *Cluster) prepareDir() error {
+	c.plan.dir = c.options.Folder
+	if c.plan.dir == "" {
+		dir, err := os.MkdirTemp("", "gaugeslip-cluster-")
 		if err != nil {
 			return fmt.Errorf("folder: %w", err)
 		}
-		c.plan.folder, c.removeFolder = folder, true
+		c.plan.dir, c.removeDir = dir, true
 		return nil
 	}
-	if err := os.MkdirAll(c.plan.folder, folderMode); err != nil {
+	if err := os.MkdirAll(c.plan.dir, dirMode); err != nil {
 		return fmt.Errorf("folder: %w", err)
 	}
-	held, err := os.ReadDir(c.plan.folder)
+	existing, err := os.ReadDir(c.plan.dir)
 	if err != nil {
 		return fmt.Errorf("folder: %w", err)
 	}
-	if len(held) > 0 {
-		return fmt.Errorf("folder %s: %w", c.plan.folder, errFolderInUse)
+	if len(existing) > 0 {
+		return fmt.Errorf("folder %s: %w", c.plan.dir, errDirNotEmpty)
 	}
 	return nil
 }
 
 func (c *Cluster) startProcesses() error {
 	for i := range c.options.Replicas {
-		path, err := c.plan.write(c.plan.replica(i, true))
+		path, err := c.plan.writeSettings(c.plan.replicaSettings(i, true))
 		if err != nil {
 			return err
 		}
-		c.replicas = append(c.replicas, c.child(replicaName(i), path, c.replicaCommand(i, path)))
+		c.replicas = append(c.replicas, c.newChild(replicaName(i), path, c.replicaCommand(i, path)))
 	}
 	for i := range c.options.Dispatchers {
-		path, err := c.plan.write(c.plan.dispatcher(i))
+		path, err := c.plan.writeSettings(c.plan.dispatcherSettings(i))
 		if err != nil {
 			return err
 		}
-		c.dispatchers = append(c.dispatchers, c.child(dispatcherName(i), path, c.program(programDispatcher, path)))
+		c.dispatchers = append(c.dispatchers, c.newChild(dispatcherName(i), path, c.programCommand(programDispatcher, path)))
 	}
 	if err := c.addHollowDispatchers(); err != nil {
 		return err
@@ -143,25 +143,25 @@
 	}
 	arguments := []string{"system", "process", programDispatcher}
 	for i := range c.options.HollowDispatchers {
-		path, err := c.plan.write(c.plan.dispatcher(c.options.Dispatchers + i))
+		path, err := c.plan.writeSettings(c.plan.dispatcherSettings(c.options.Dispatchers + i))
 		if err != nil {
 			return err
 		}
 		arguments = append(arguments, path)
 	}
-	c.hollow = c.child("hollow-dispatchers", "", func() *exec.Cmd { return exec.Command(c.options.Self, arguments...) })
+	c.hollow = c.newChild("hollow-dispatchers", "", func() *exec.Cmd { return exec.Command(c.options.Self, arguments...) })
 	return nil
 }
 
-func (c *Cluster) child(name, settings string, command func() *exec.Cmd) *Child {
-	return &Child{Name: name, starter: c.starter, logPath: filepath.Join(c.plan.folder, name+".log"), command: func() *exec.Cmd {
-		made := command()
-		made.Env = append(os.Environ(), childEnvironment, nodesettings.FileVariable+"="+settings)
-		return made
+func (c *Cluster) newChild(name, settings string, command func() *exec.Cmd) *Child {
+	return &Child{Name: name, starter: c.starter, logPath: filepath.Join(c.plan.dir, name+".log"), command: func() *exec.Cmd {
+		prepared := command()
+		prepared.Env = append(os.Environ(), childEnvironment, nodesettings.FileVariable+"="+settings)
+		return prepared
 	}}
 }
 
-func (c *Cluster) program(name, settings string) func() *exec.Cmd {
+func (c *Cluster) programCommand(name, settings string) func() *exec.Cmd {
 	if c.options.Relay != "" {
 		path := filepath.Join(c.options.Programs, programRelayed)
 		return func() *exec.Cmd { return exec.Command(path, name, c.options.Relay) }
@@ -173,7 +173,7 @@
 // replicaCommand runs the replica's program, or this one in its role where a profile is wanted.
 func (c *Cluster) replicaCommand(index int, settings string) func() *exec.Cmd {
 	if c.options.Profiles == "" {
-		return c.program(programReplica, settings)
+		return c.programCommand(programReplica, settings)
 	}
 	prefix := filepath.Join(c.options.Profiles, replicaName(index))
 	return func() *exec.Cmd {
@@ -190,35 +190,35 @@
 	return all
 }
 
-// frontends are the addresses at which dispatchers take jobs, those of hollow ones too.
-func (c *Cluster) frontends() []string {
+// frontendAddresses are the addresses at which dispatchers take jobs, those of hollow ones too.
+func (c *Cluster) frontendAddresses() []string {
 	addresses := make([]string, c.options.Dispatchers+c.options.HollowDispatchers)
 	for i := range addresses {
-		addresses[i] = at(c.plan.layout.dispatcher(i), frontendPort)
+		addresses[i] = hostPort(c.plan.layout.dispatcher(i), frontendPort)
 	}
 	return addresses
 }
 
-// controls are the addresses of the operator's API.
-func (c *Cluster) controls() []string {
+// controlAddresses are the addresses of the operator's API.
+func (c *Cluster) controlAddresses() []string {
 	addresses := make([]string, c.options.Replicas)
 	for i := range addresses {
-		addresses[i] = at(c.plan.layout.replica(i), controlPort)
+		addresses[i] = hostPort(c.plan.layout.replica(i), controlPort)
 	}
 	return addresses
 }
 
-// errFolderInUse keeps a cluster from starting on the disks of another one.
-var errFolderInUse = errors.New("it isn't empty")
+// errDirNotEmpty keeps a cluster from starting on the disks of another one.
+var errDirNotEmpty = errors.New("it isn't empty")
 
 var errNoView = errors.New("no replica tells of a head")
 
-// view is the newest view that any replica tells.
-func (c *Cluster) view() (view.View, error) {
+// newestView is the newest view that any replica tells.
+func (c *Cluster) newestView() (view.View, error) {
 	var newest view.View
 	for i := range c.replicas {
 		var reply internalapi.FetchReply
-		address := at(c.plan.layout.replica(i), internalPort)
+		address := hostPort(c.plan.layout.replica(i), internalPort)
 		err := c.rpc.Call(address, internalapi.MethodFetch, internalapi.FetchArgs{}, &reply, viewTimeout)
 		if err == nil && reply.View.Known() && (!newest.Known() || reply.View.Epoch > newest.Epoch) {
 			newest = reply.View
@@ -230,34 +230,34 @@
 	return newest, nil
 }
 
-// replicaAt is the number of the replica with an internal address, -1 if it is none of ours.
-func (c *Cluster) replicaAt(address string) int {
+// replicaIndex is the number of the replica with an internal address, -1 if it is none of ours.
+func (c *Cluster) replicaIndex(address string) int {
 	for i := range c.replicas {
-		if at(c.plan.layout.replica(i), internalPort) == address {
+		if hostPort(c.plan.layout.replica(i), internalPort) == address {
 			return i
 		}
 	}
 	return -1
 }
 
-// head is the number of the replica at the head of the chain, -1 while it isn't known.
-func (c *Cluster) head() int {
-	newest, err := c.view()
+// headIndex is the number of the replica at the head of the chain, -1 while it isn't known.
+func (c *Cluster) headIndex() int {
+	newest, err := c.newestView()
 	if err != nil {
 		return -1
 	}
-	return c.replicaAt(newest.Head().Address)
+	return c.replicaIndex(newest.Head().Address)
 }
 
 // configure waits until the configuration is taken and in force at every dispatcher.
 func (c *Cluster) configure(ctx context.Context, clients *clients) error {
-	operator := newOperator(c.controls())
+	operator := newOperator(c.controlAddresses())
 	defer operator.close()
 	if err := operator.replace(ctx, 0, c.configuration.body); err != nil {
 		return err
 	}
 	route := &c.configuration.parsed.Routes[0]
-	if err := clients.readyAll(ctx, route.Host, route.PathPrefix); err != nil {
+	if err := clients.awaitAllReady(ctx, route.Host, route.PathPrefix); err != nil {
 		return fmt.Errorf("a dispatcher doesn't serve: %w", err)
 	}
 	return nil
@@ -265,26 +265,26 @@
 
 // Stop ends all processes that it started, closes all listeners and removes a temporary folder. It may be called again.
 func (c *Cluster) Stop() {
-	c.stopping.Do(c.stop)
+	c.stopOnce.Do(c.stop)
 }
 
 func (c *Cluster) stop() {
 	_ = c.rpc.Close()
-	c.end(c.children())
+	c.endProcesses(c.children())
 	c.starter.close()
 	if c.fleet != nil {
 		c.fleet.close()
 	}
-	if c.owner != nil {
-		_ = c.owner.Close()
+	if c.reservation != nil {
+		_ = c.reservation.Close()
 	}
-	if c.removeFolder {
-		_ = os.RemoveAll(c.plan.folder)
+	if c.removeDir {
+		_ = os.RemoveAll(c.plan.dir)
 	}
 }
 
-// end ends processes, all at once. Those that write a profile are asked; there is nothing that the others could still do.
-func (c *Cluster) end(children []*Child) {
+// endProcesses ends processes, all at once. Those that write a profile are asked; there is nothing that the others could still do.
+func (c *Cluster) endProcesses(children []*Child) {
 	var group sync.WaitGroup
 	for _, child := range children {
 		group.Go(func() {
@@ -293,7 +293,7 @@
 				child.kill()
 				return
 			}
-			child.terminate(endLimit)
+			child.terminate(terminateTimeout)
 		})
 	}
 	group.Wait()
--- a/internal/system/localcluster/configuration.go
+++ b/internal/system/localcluster/configuration.go
@@ -54,13 +54,13 @@
 	return names
 }
 
-func (c *configuration) guarded(name string) bool {
+func (c *configuration) hasPreconditions(name string) bool {
 	service, known := c.parsed.Service(name)
 	return known && service.Preconditions
 }
 
-// renumbered is the configuration under another version, as an operator changes it.
-func (c *configuration) renumbered(version int64) ([]byte, error) {
+// withVersion is the configuration under another version, as an operator changes it.
+func (c *configuration) withVersion(version int64) ([]byte, error) {
 	var document map[string]json.RawMessage
 	if err := json.Unmarshal(c.body, &document); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -75,8 +75,8 @@
 	probePrefix = "/probe/"
 )
 
-// withProbe is the configuration under another version and with one more queue, by which it is known to be in force.
-func (c *configuration) withProbe(version int64) ([]byte, error) {
+// withProbeRoute is the configuration under another version and with one more queue, by which it is known to be in force.
+func (c *configuration) withProbeRoute(version int64) ([]byte, error) {
 	var document map[string]any
 	if err := json.Unmarshal(c.body, &document); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -89,9 +89,9 @@
 }
 
 const (
-	baseVersionHeader = "X-Gaugeslip-Base-Version"
-	operatorPause     = 100 * time.Millisecond
-	operatorTimeout   = 4 * time.Second
+	baseVersionHeader     = "X-Gaugeslip-Base-Version"
+	operatorRetryInterval = 100 * time.Millisecond
+	operatorTimeout       = 4 * time.Second
 )
 
 // operator sends configurations to the replicas in turn.
@@ -118,7 +118,7 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("configuration not taken: %w", ctx.Err())
-		case <-time.After(operatorPause):
+		case <-time.After(operatorRetryInterval):
 		}
 	}
 }
--- a/internal/system/localcluster/disk.go
+++ b/internal/system/localcluster/disk.go
@@ -24,12 +24,12 @@
 const logName = "replica"
 
 // readDisk applies everything that a replica's log holds. The replica must not run.
-func readDisk(folder string) (DiskState, error) {
-	size, err := folderBytes(folder)
+func readDisk(dir string) (DiskState, error) {
+	size, err := dirBytes(dir)
 	if err != nil {
 		return DiskState{}, fmt.Errorf("disk: %w", err)
 	}
-	disk, err := wal.OSDisk(folder)
+	disk, err := wal.OSDisk(dir)
 	if err != nil {
 		return DiskState{}, fmt.Errorf("disk: %w", err)
 	}
@@ -42,16 +42,16 @@
 	if err != nil {
 		return DiskState{}, fmt.Errorf("disk: %w", err)
 	}
-	held := DiskState{LogBytes: size, Entries: entries, SnapshotBytes: len(machine.Snapshot()), Jobs: len(machine.Jobs()),
+	contents := DiskState{LogBytes: size, Entries: entries, SnapshotBytes: len(machine.Snapshot()), Jobs: len(machine.Jobs()),
 		Workers: len(machine.Workers())}
 	for _, worker := range machine.Workers() {
-		held.Runs += len(worker.Runs)
+		contents.Runs += len(worker.Runs)
 	}
-	return held, nil
+	return contents, nil
 }
 
-func folderBytes(folder string) (total int64, err error) {
-	err = filepath.WalkDir(folder, func(_ string, item fs.DirEntry, err error) error {
+func dirBytes(dir string) (total int64, err error) {
+	err = filepath.WalkDir(dir, func(_ string, item fs.DirEntry, err error) error {
 		if err != nil || item.IsDir() {
 			return err
 		}
--- a/internal/system/localcluster/drafts.go
+++ b/internal/system/localcluster/drafts.go
@@ -10,8 +10,8 @@
 	"gaugeslip/internal/system/jobspec"
 )
 
-// draft is a job that is about to be handed in.
-type draft struct {
+// jobDraft is a job that is about to be handed in.
+type jobDraft struct {
 	id    string
 	route *clusterconfig.Route
 	body  []byte
@@ -39,62 +39,62 @@
 	smallMemory   = 256
 )
 
-// drafter draws jobs. It isn't safe for concurrent use.
-type drafter struct {
+// jobGenerator draws jobs. It isn't safe for concurrent use.
+type jobGenerator struct {
 	random *rand.Rand
 }
 
 // The stream of the random numbers that jobs are drawn from.
-const draftStream = 1
+const generatorStream = 1
 
-func newDrafter(seed uint64) *drafter {
-	return &drafter{random: rand.New(rand.NewPCG(seed, draftStream))}
+func newJobGenerator(seed uint64) *jobGenerator {
+	return &jobGenerator{random: rand.New(rand.NewPCG(seed, generatorStream))}
 }
 
-// draw makes a job of the kind for the queue.
-func (d *drafter) draw(kind jobKind, route *clusterconfig.Route) (*draft, error) {
+// generate makes a job of the kind for the queue.
+func (d *jobGenerator) generate(kind jobKind, route *clusterconfig.Route) (*jobDraft, error) {
 	stages, works := d.stages(kind)
-	drawn := &draft{id: fmt.Sprintf("%016x", d.random.Uint64()), route: route, work: longestChain(stages, works)}
-	spec := jobspec.Spec{Text: "job " + drawn.id, Stages: stages}
+	draft := &jobDraft{id: fmt.Sprintf("%016x", d.random.Uint64()), route: route, work: criticalPath(stages, works)}
+	spec := jobspec.Spec{Text: "job " + draft.id, Stages: stages}
 	body, err := spec.Encode()
 	if err != nil {
-		return nil, fmt.Errorf("job %s: %w", drawn.id, err)
+		return nil, fmt.Errorf("job %s: %w", draft.id, err)
 	}
-	drawn.body = body
-	drawn.job = hollow.Job{ID: drawn.id, Spec: spec.Text, Backends: []string{route.Backend}, MaxRetries: route.MaxRetries,
+	draft.body = body
+	draft.job = hollow.Job{ID: draft.id, Spec: spec.Text, Backends: []string{route.Backend}, MaxRetries: route.MaxRetries,
 		Stages: hollowStages(stages, works)}
-	return drawn, nil
+	return draft, nil
 }
 
-func (d *drafter) stages(kind jobKind) ([]jobspec.Stage, []time.Duration) {
+func (d *jobGenerator) stages(kind jobKind) ([]jobspec.Stage, []time.Duration) {
 	switch kind {
 	case kindBatch:
-		return d.batch()
+		return d.batchStages()
 	case kindGang:
-		return d.gang()
+		return d.gangStages()
 	case kindSteady:
-		return d.one(steadyTasks, smallCPU, steadyWork)
+		return d.singleStage(steadyTasks, smallCPU, steadyWork)
 	case kindResident:
-		return d.one(residentTasks, smallCPU, residentWork)
+		return d.singleStage(residentTasks, smallCPU, residentWork)
 	}
-	return d.one(1+d.random.IntN(3), 1000, d.between(200, 800))
+	return d.singleStage(1+d.random.IntN(3), 1000, d.randomDuration(200, 800))
 }
 
-// between draws a length of time, in milliseconds.
-func (d *drafter) between(least, most int) time.Duration {
+// randomDuration draws a length of time, in milliseconds.
+func (d *jobGenerator) randomDuration(least, most int) time.Duration {
 	return time.Duration(least+d.random.IntN(most-least)) * time.Millisecond
 }
 
-func (d *drafter) one(count int, cpu int64, work time.Duration) ([]jobspec.Stage, []time.Duration) {
+func (d *jobGenerator) singleStage(count int, cpu int64, work time.Duration) ([]jobspec.Stage, []time.Duration) {
 	stage := jobspec.Stage{Count: count, CPU: cpu, MemoryMb: smallMemory, Estimated: work}
 	return []jobspec.Stage{stage}, []time.Duration{work}
 }
 
-func (d *drafter) batch() ([]jobspec.Stage, []time.Duration) {
+func (d *jobGenerator) batchStages() ([]jobspec.Stage, []time.Duration) {
 	var stages []jobspec.Stage
 	var works []time.Duration
 	for step := range 2 + d.random.IntN(3) {
-		work := d.between(300, 1500)
+		work := d.randomDuration(300, 1500)
 		stage := jobspec.Stage{Count: 2 + d.random.IntN(7), CPU: 2000, MemoryMb: 1024, Estimated: work, Checkpoints: true}
 		if step > 0 {
 			stage.DependsOn = []int{step - 1}
@@ -105,14 +105,14 @@
 	return stages, works
 }
 
-func (d *drafter) gang() ([]jobspec.Stage, []time.Duration) {
-	work := d.between(1000, 3000)
+func (d *jobGenerator) gangStages() ([]jobspec.Stage, []time.Duration) {
+	work := d.randomDuration(1000, 3000)
 	stage := jobspec.Stage{Count: 2 + d.random.IntN(7), CPU: 2000, MemoryMb: 2048, GPUs: 1, Estimated: work, Gang: true, Checkpoints: true}
 	return []jobspec.Stage{stage}, []time.Duration{work}
 }
 
-// longestChain is the work of the longest chain of steps that wait for each other.
-func longestChain(stages []jobspec.Stage, works []time.Duration) time.Duration {
+// criticalPath is the work of the longest chain of steps that wait for each other.
+func criticalPath(stages []jobspec.Stage, works []time.Duration) time.Duration {
 	ends := make([]time.Duration, len(stages))
 	longest := time.Duration(0)
 	for i := range stages {
--- a/internal/system/localcluster/exchange.go
+++ b/internal/system/localcluster/exchange.go
@@ -8,8 +8,8 @@
 	"strconv"
 )
 
-// exchange makes a call and reads its whole answer.
-func exchange(client *http.Client, request *http.Request) (status int, body []byte, err error) {
+// doRequest makes a call and reads its whole answer.
+func doRequest(client *http.Client, request *http.Request) (status int, body []byte, err error) {
 	response, err := client.Do(request)
 	if err != nil {
 		return 0, nil, err
@@ -25,7 +25,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	return exchange(client, request)
+	return doRequest(client, request)
 }
 
 // sendConfiguration sends a configuration that builds on a version to one replica.
@@ -35,5 +35,5 @@
 		return 0, nil, err
 	}
 	request.Header.Set(baseVersionHeader, strconv.FormatInt(base, 10))
-	return exchange(client, request)
+	return doRequest(client, request)
 }
--- a/internal/system/localcluster/faultydisk/faultydisk.go
+++ b/internal/system/localcluster/faultydisk/faultydisk.go
@@ -13,32 +13,32 @@
 	"gaugeslip/coord/wal"
 )
 
-// Trouble is what a disk suffers while its orders file says so.
-type Trouble string
+// Fault is what a disk suffers while its orders file says so.
+type Fault string
 
 // The troubles of a disk.
 const (
 	// None: all is well, as without a file.
-	None Trouble = ""
+	None Fault = ""
 	// Stalled: writes and syncs wait for the trouble's end.
-	Stalled Trouble = "stalled"
-	// Slow: each write and sync takes SlowTime more.
-	Slow Trouble = "slow"
+	Stalled Fault = "stalled"
+	// Slow: each write and sync takes SlowDelay more.
+	Slow Fault = "slow"
 	// Full: writes are refused, and nothing of them is there.
-	Full Trouble = "full"
+	Full Fault = "full"
 )
 
-// SlowTime is what a call on a slow disk takes more.
-const SlowTime = 120 * time.Millisecond
+// SlowDelay is what a call on a slow disk takes more.
+const SlowDelay = 120 * time.Millisecond
 
-// look is how often a stalled call looks for the end of the trouble.
-const look = 10 * time.Millisecond
+// pollInterval is how often a stalled call looks for the end of the trouble.
+const pollInterval = 10 * time.Millisecond
 
-// OrdersOf is the orders file of the disk in a folder.
-func OrdersOf(folder string) string { return filepath.Clean(folder) + ".orders" }
+// FaultFile is the orders file of the disk in a folder.
+func FaultFile(folder string) string { return filepath.Clean(folder) + ".orders" }
 
-// Order puts a trouble in force, for the disks that go by the file, from now on.
-func Order(file string, trouble Trouble) error {
+// SetFault puts a trouble in force, for the disks that go by the file, from now on.
+func SetFault(file string, trouble Fault) error {
 	const mode = 0o644
 	next := file + ".next"
 	if err := os.WriteFile(next, []byte(trouble), mode); err != nil {
@@ -50,7 +50,7 @@
 // Disk is a folder with troubles. It implements wal.Disk.
 type Disk struct {
 	wal.Disk
-	orders string
+	faultFile string
 }
 
 var _ wal.Disk = (*Disk)(nil)
@@ -58,26 +58,26 @@
 // New gives a folder the troubles that the orders file names; without such a file it has none. What is written reaches the folder with its
 // sync and is lost before that, should the process be killed.
 func New(folder wal.Disk, orders string) *Disk {
-	return &Disk{Disk: folder, orders: orders}
+	return &Disk{Disk: folder, faultFile: orders}
 }
 
-func (d *Disk) trouble() Trouble {
-	content, err := os.ReadFile(d.orders)
+func (d *Disk) currentFault() Fault {
+	content, err := os.ReadFile(d.faultFile)
 	if err != nil {
 		return None
 	}
-	return Trouble(strings.TrimSpace(string(content)))
+	return Fault(strings.TrimSpace(string(content)))
 }
 
-// suffer has a call wait as the trouble in force demands, or gives the error with which it is refused.
-func (d *Disk) suffer(writes bool) error {
-	switch d.trouble() {
+// applyFault has a call wait as the trouble in force demands, or gives the error with which it is refused.
+func (d *Disk) applyFault(writes bool) error {
+	switch d.currentFault() {
 	case Stalled:
-		for d.trouble() == Stalled {
-			time.Sleep(look)
+		for d.currentFault() == Stalled {
+			time.Sleep(pollInterval)
 		}
 	case Slow:
-		time.Sleep(SlowTime)
+		time.Sleep(SlowDelay)
 	case Full:
 		if writes {
 			return syscall.ENOSPC
@@ -88,7 +88,7 @@
 
 // Create implements wal.Disk.
 func (d *Disk) Create(name string) (wal.File, error) {
-	if err := d.suffer(true); err != nil {
+	if err := d.applyFault(true); err != nil {
 		return nil, err
 	}
 	return d.open(d.Disk.Create(name))
@@ -108,7 +108,7 @@
 
 // SyncDir implements wal.Disk.
 func (d *Disk) SyncDir() error {
-	if err := d.suffer(false); err != nil {
+	if err := d.applyFault(false); err != nil {
 		return err
 	}
 	return d.Disk.SyncDir()
@@ -125,7 +125,7 @@
 
 // Write implements wal.File.
 func (f *file) Write(data []byte) (int, error) {
-	if err := f.disk.suffer(true); err != nil {
+	if err := f.disk.applyFault(true); err != nil {
 		return 0, err
 	}
 	f.mutex.Lock()
@@ -136,7 +136,7 @@
 
 // Sync implements wal.File. Writes that come meanwhile wait for it.
 func (f *file) Sync() error {
-	if err := f.disk.suffer(false); err != nil {
+	if err := f.disk.applyFault(false); err != nil {
 		return err
 	}
 	f.mutex.Lock()
--- a/internal/system/localcluster/faultydisk/faultydisk_test.go
+++ b/internal/system/localcluster/faultydisk/faultydisk_test.go
@@ -14,57 +14,57 @@
 
 type testDisk struct {
 	*Disk
-	folder wal.Disk
-	orders string
+	inner     wal.Disk
+	faultFile string
 }
 
 func newTestDisk(t *testing.T) *testDisk {
 	folder, err := wal.OSDisk(filepath.Join(t.TempDir(), "data"))
 	require.NoError(t, err)
 	orders := filepath.Join(t.TempDir(), "orders")
-	return &testDisk{Disk: New(folder, orders), folder: folder, orders: orders}
+	return &testDisk{Disk: New(folder, orders), inner: folder, faultFile: orders}
 }
 
-func text(content string) wal.Record { return wal.Record{Kind: 1, Data: []byte(content)} }
+func record(content string) wal.Record { return wal.Record{Kind: 1, Data: []byte(content)} }
 
 // What a killed process hadn't synced is gone, whatever it has synced is there.
-func TestOnlyWhatIsSyncedOutlastsTheProcess(t *testing.T) {
+func TestOnlySyncedDataSurvivesKill(t *testing.T) {
 	disk := newTestDisk(t)
 	log, _, err := wal.Open(disk, "log")
 	require.NoError(t, err)
-	require.NoError(t, log.Append(text("synced")))
+	require.NoError(t, log.Append(record("synced")))
 	require.NoError(t, log.Sync())
-	require.NoError(t, log.Append(text("not synced")))
-	_, records, err := wal.Open(New(disk.folder, disk.orders), "log")
+	require.NoError(t, log.Append(record("not synced")))
+	_, records, err := wal.Open(New(disk.inner, disk.faultFile), "log")
 	require.NoError(t, err)
-	assert.Equal(t, []wal.Record{text("synced")}, records)
+	assert.Equal(t, []wal.Record{record("synced")}, records)
 }
 
-func TestAFullDiskRefusesWrites(t *testing.T) {
+func TestFullDiskRejectsWrites(t *testing.T) {
 	disk := newTestDisk(t)
 	log, _, err := wal.Open(disk, "log")
 	require.NoError(t, err)
-	require.NoError(t, Order(disk.orders, Full))
-	require.ErrorIs(t, log.Append(text("refused")), syscall.ENOSPC)
-	require.NoError(t, Order(disk.orders, None))
-	_, records, err := wal.Open(New(disk.folder, disk.orders), "log")
+	require.NoError(t, SetFault(disk.faultFile, Full))
+	require.ErrorIs(t, log.Append(record("refused")), syscall.ENOSPC)
+	require.NoError(t, SetFault(disk.faultFile, None))
+	_, records, err := wal.Open(New(disk.inner, disk.faultFile), "log")
 	require.NoError(t, err)
 	assert.Empty(t, records)
 }
 
 // A stalled call goes on once the trouble is over, and not before.
-func TestAStalledDiskAnswersAfterwards(t *testing.T) {
+func TestStalledCallsResumeAfterFault(t *testing.T) {
 	disk := newTestDisk(t)
 	log, _, err := wal.Open(disk, "log")
 	require.NoError(t, err)
-	require.NoError(t, Order(disk.orders, Stalled))
+	require.NoError(t, SetFault(disk.faultFile, Stalled))
 	over := make(chan error, 1)
-	go func() { over <- log.Append(text("late")) }()
+	go func() { over <- log.Append(record("late")) }()
 	select {
 	case <-over:
 		t.Fatal("it has written to a stalled disk")
-	case <-time.After(5 * look):
+	case <-time.After(5 * pollInterval):
 	}
-	require.NoError(t, Order(disk.orders, None))
+	require.NoError(t, SetFault(disk.faultFile, None))
 	require.NoError(t, <-over)
 }
--- a/internal/system/localcluster/fleet.go
+++ b/internal/system/localcluster/fleet.go
@@ -17,7 +17,7 @@
 	workerCPU      = 16_000
 	workerMemoryMB = 65_536
 	workerGPUs     = 8
-	workersARack   = 6
+	workersPerRack = 6
 	workerSlots    = 8
 )
 
@@ -75,27 +75,27 @@
 
 // fleet is the workers and the platform's list of them.
 type fleet struct {
-	world    *hollow.World
-	workers  []*hollow.Worker
-	servers  []*http.Server
-	platform string // its address
-	traffic  Traffic
-	listing  Traffic
+	world           *hollow.World
+	workers         []*hollow.Worker
+	servers         []*http.Server
+	platformAddress string // its address
+	traffic         Traffic
+	listTraffic     Traffic
 }
 
 // fleetOptions are what a fleet is made of.
 type fleetOptions struct {
-	rules    hollow.Settings
-	workers  int
-	services []string // for the workers in turn
-	guarded  func(service string) bool
-	started  func(job string) // is called for each start that a worker took
-	list     hollow.PlatformSettings
+	settings         hollow.Settings
+	workers          int
+	services         []string // for the workers in turn
+	hasPreconditions func(service string) bool
+	onStart          func(job string) // is called for each start that a worker took
+	platform         hollow.PlatformSettings
 }
 
 // newFleet opens workers for the services in turn, and the platform's list.
 func newFleet(options fleetOptions) (*fleet, error) {
-	f := &fleet{world: hollow.NewWorld(options.rules, hollow.NewSteadyClock())}
+	f := &fleet{world: hollow.NewWorld(options.settings, hollow.NewSteadyClock())}
 	for i := range options.workers {
 		service := options.services[i%len(options.services)]
 		worker := f.world.NewWorker(hollow.WorkerSettings{
@@ -104,11 +104,11 @@
 			Version:     "v1",
 			Capacity:    workerSlots,
 			Allocatable: hollow.Resources{CPU: workerCPU, MemoryMB: workerMemoryMB, GPUs: workerGPUs},
-			Guarded:     options.guarded(service),
+			Guarded:     options.hasPreconditions(service),
 			Kind:        "a",
-			Rack:        fmt.Sprintf("r%d", i/workersARack),
+			Rack:        fmt.Sprintf("r%d", i/workersPerRack),
 		})
-		address, err := f.serve(&observer{worker: worker, started: options.started}, &f.traffic)
+		address, err := f.serve(&startObserver{worker: worker, onStart: options.onStart}, &f.traffic)
 		if err != nil {
 			f.close()
 			return nil, fmt.Errorf("worker %d: %w", i, err)
@@ -116,12 +116,12 @@
 		worker.SetAddress(address)
 		f.workers = append(f.workers, worker)
 	}
-	address, err := f.serve(f.world.NewPlatform(options.list), &f.listing)
+	address, err := f.serve(f.world.NewPlatform(options.platform), &f.listTraffic)
 	if err != nil {
 		f.close()
 		return nil, fmt.Errorf("platform: %w", err)
 	}
-	f.platform = address
+	f.platformAddress = address
 	return f, nil
 }
 
@@ -147,15 +147,15 @@
 	}
 }
 
-// observer tells of the starts that a worker took.
-type observer struct {
+// startObserver tells of the starts that a worker took.
+type startObserver struct {
 	worker  *hollow.Worker
-	started func(job string)
+	onStart func(job string)
 }
 
 const startPath = "/run-start"
 
-func (o *observer) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (o *startObserver) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != startPath {
 		o.worker.ServeHTTP(writer, request)
 		return
@@ -168,7 +168,7 @@
 	status := &statusWriter{ResponseWriter: writer}
 	o.worker.ServeHTTP(status, request)
 	if status.status == http.StatusOK {
-		o.started(jobOfStart(body))
+		o.onStart(jobIDOfStart(body))
 	}
 }
 
@@ -182,8 +182,8 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// jobOfStart finds the job in the body of a start; empty where there is none.
-func jobOfStart(body []byte) string {
+// jobIDOfStart finds the job in the body of a start; empty where there is none.
+func jobIDOfStart(body []byte) string {
 	const key = `"task":"`
 	_, rest, found := bytes.Cut(body, []byte(key))
 	if !found {
--- a/internal/system/localcluster/layout.go
+++ b/internal/system/localcluster/layout.go
@@ -15,18 +15,18 @@
 	controlPort      = 8146
 	frontendPort     = 8144
 	readinessPort    = 8140
-	// ownerPort is held open at the first replica's address by whoever runs the cluster.
-	ownerPort = 7659
+	// lockPort is held open at the first replica's address by whoever runs the cluster.
+	lockPort = 7659
 )
 
 const (
-	firstNetwork   = 64  // of the second byte of addresses: networks below are left to others
-	lastNetwork    = 250 // likewise
-	replicaSubnet  = 1
-	machinesASub   = 250
-	firstSubnet    = 2 // of the dispatchers
-	mostMachines   = machinesASub * (255 - firstSubnet)
-	loopbackPrefix = 127
+	firstNetwork          = 64  // of the second byte of addresses: networks below are left to others
+	lastNetwork           = 250 // likewise
+	replicaSubnet         = 1
+	hostsPerSubnet        = 250
+	firstDispatcherSubnet = 2 // of the dispatchers
+	maxDispatchers        = hostsPerSubnet * (255 - firstDispatcherSubnet)
+	loopbackPrefix        = 127
 )
 
 // layout gives the machines of one cluster their addresses: 127.NETWORK.SUBNET.HOST.
@@ -39,19 +39,21 @@
 }
 
 func (l layout) dispatcher(index int) netip.Addr {
-	subnet, host := firstSubnet+index/machinesASub, 1+index%machinesASub
+	subnet, host := firstDispatcherSubnet+index/hostsPerSubnet, 1+index%hostsPerSubnet
 	return netip.AddrFrom4([4]byte{loopbackPrefix, l.network, byte(subnet), byte(host)})
 }
 
-func at(address netip.Addr, port uint16) string { return netip.AddrPortFrom(address, port).String() }
+func hostPort(address netip.Addr, port uint16) string {
+	return netip.AddrPortFrom(address, port).String()
+}
 
-// takeLayout takes a network of loopback that no other cluster has, until the owner is closed. Processes look from different ones on, so that
+// reserveLayout takes a network of loopback that no other cluster has, until the owner is closed. Processes look from different ones on, so that
 // they find one soon.
-func takeLayout() (taken layout, owner io.Closer, err error) {
+func reserveLayout() (taken layout, owner io.Closer, err error) {
 	const networks = lastNetwork - firstNetwork + 1
 	for i := range networks {
 		taken = layout{network: byte(firstNetwork + (os.Getpid()+i)%networks)}
-		listener, err := net.Listen("tcp", at(taken.replica(0), ownerPort))
+		listener, err := net.Listen("tcp", hostPort(taken.replica(0), lockPort))
 		if err == nil {
 			return taken, listener, nil
 		}
--- a/internal/system/localcluster/layout_test.go
+++ b/internal/system/localcluster/layout_test.go
@@ -8,11 +8,11 @@
 )
 
 // Two clusters that look for a network at the same moment, before any process of theirs listens, get two.
-func TestNoTwoClustersShareANetwork(t *testing.T) {
-	first, owner, err := takeLayout()
+func TestConcurrentClustersGetDistinctNetworks(t *testing.T) {
+	first, owner, err := reserveLayout()
 	require.NoError(t, err)
 	defer owner.Close()
-	second, other, err := takeLayout()
+	second, other, err := reserveLayout()
 	require.NoError(t, err)
 	defer other.Close()
 	assert.NotEqual(t, first, second)
--- a/internal/system/localcluster/ledger.go
+++ b/internal/system/localcluster/ledger.go
@@ -6,156 +6,158 @@
 	"time"
 )
 
-// verdict is what a client was told of a job.
-type verdict uint8
+// outcome is what a client was told of a job.
+type outcome uint8
 
 const (
-	verdictOpen     verdict = iota // no clear answer yet
-	verdictAccepted                // it is kept
-	verdictRefused                 // it surely never runs
-	verdictDone                    // shown as completed
-	verdictFailed                  // shown as failed or cancelled
-	verdictGone                    // once accepted, now unknown
+	outcomeUnknown  outcome = iota // no clear answer yet
+	outcomeAccepted                // it is kept
+	outcomeRefused                 // it surely never runs
+	outcomeDone                    // shown as completed
+	outcomeFailed                  // shown as failed or cancelled
+	outcomeLost                    // once accepted, now unknown
 )
 
-// entry is what a client knows of one job.
-type entry struct {
-	verdict   verdict
-	kind      jobKind
-	sent      time.Duration
-	accepted  time.Duration
-	started   time.Duration // its first start at a worker; 0: none yet
-	over      time.Duration
-	tries     int
-	wontCheck bool // tasks that outlast the run: nobody waits for its end
+// jobRecord is what a client knows of one job.
+type jobRecord struct {
+	outcome    outcome
+	kind       jobKind
+	sent       time.Duration
+	accepted   time.Duration
+	started    time.Duration // its first start at a worker; 0: none yet
+	finished   time.Duration
+	tries      int
+	notAwaited bool // tasks that outlast the run: nobody waits for its end
 }
 
-// ledger keeps the clients' jobs. It is safe for concurrent use.
-type ledger struct {
-	mutex   sync.Mutex
-	zero    time.Time
-	entries map[string]*entry
-	starts  int
-	unseen  int
+// jobTracker keeps the clients' jobs. It is safe for concurrent use.
+type jobTracker struct {
+	mutex         sync.Mutex
+	startTime     time.Time
+	records       map[string]*jobRecord
+	starts        int
+	notVisibleYet int
 }
 
-func newLedger() *ledger { return &ledger{zero: time.Now(), entries: make(map[string]*entry)} }
+func newJobTracker() *jobTracker {
+	return &jobTracker{startTime: time.Now(), records: make(map[string]*jobRecord)}
+}
 
-func (l *ledger) now() time.Duration { return time.Since(l.zero) }
+func (l *jobTracker) now() time.Duration { return time.Since(l.startTime) }
 
-func (l *ledger) open(id string, kind jobKind) {
+func (l *jobTracker) add(id string, kind jobKind) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.entries[id] = &entry{kind: kind, sent: l.now(), wontCheck: kind == kindResident}
+	l.records[id] = &jobRecord{kind: kind, sent: l.now(), notAwaited: kind == kindResident}
 }
 
-// tried counts one try to hand a job in.
-func (l *ledger) tried(id string) {
+// countTry counts one try to hand a job in.
+func (l *jobTracker) countTry(id string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.entries[id].tries++
+	l.records[id].tries++
 }
 
-// settle takes note of what a client was told. What is over stays as it is.
-func (l *ledger) settle(id string, told verdict) {
+// setOutcome takes note of what a client was told. What is over stays as it is.
+func (l *jobTracker) setOutcome(id string, reported outcome) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.entries[id]
-	if known == nil || known.verdict > verdictAccepted {
+	record := l.records[id]
+	if record == nil || record.outcome > outcomeAccepted {
 		return
 	}
-	known.verdict = told
-	if told == verdictAccepted {
-		known.accepted = l.now()
+	record.outcome = reported
+	if reported == outcomeAccepted {
+		record.accepted = l.now()
 		return
 	}
-	known.over = l.now()
+	record.finished = l.now()
 }
 
-// visibleSpan is how long after its acknowledgement a job may still be unknown somewhere.
-const visibleSpan = 3 * time.Second
+// visibilityDelay is how long after its acknowledgement a job may still be unknown somewhere.
+const visibilityDelay = 3 * time.Second
 
-// gone takes note that a job was told to be unknown, and tells whether that settles it: soon after its acknowledgement it only
+// markUnknown takes note that a job was told to be unknown, and tells whether that settles it: soon after its acknowledgement it only
 // isn't known there yet.
-func (l *ledger) gone(id string) bool {
+func (l *jobTracker) markUnknown(id string) bool {
 	l.mutex.Lock()
-	known := l.entries[id]
-	if l.now()-known.accepted <= visibleSpan {
-		l.unseen++
+	record := l.records[id]
+	if l.now()-record.accepted <= visibilityDelay {
+		l.notVisibleYet++
 		l.mutex.Unlock()
 		return false
 	}
 	l.mutex.Unlock()
-	l.settle(id, verdictGone)
+	l.setOutcome(id, outcomeLost)
 	return true
 }
 
-// started takes note of a start that a worker took.
-func (l *ledger) started(id string) {
+// markStarted takes note of a start that a worker took.
+func (l *jobTracker) markStarted(id string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.starts++
-	if known := l.entries[id]; known != nil && known.started == 0 {
-		known.started = l.now()
+	if record := l.records[id]; record != nil && record.started == 0 {
+		record.started = l.now()
 	}
 }
 
 // Jobs counts what became of the jobs that clients handed in.
 type Jobs struct {
-	Sent     int `json:"sent"`
-	Accepted int `json:"accepted"`
-	Refused  int `json:"refused"`
-	Open     int `json:"in_doubt"` // never clearly answered
-	Done     int `json:"done"`
-	Failed   int `json:"failed"`
-	Lost     int `json:"lost"`            // accepted, and unknown or not done at the end
-	Unseen   int `json:"not_visible_yet"` // answers that an accepted job is unknown, soon after its acknowledgement
-	Tries    int `json:"tries"`
-	Starts   int `json:"starts"` // that workers took
+	Sent          int `json:"sent"`
+	Accepted      int `json:"accepted"`
+	Refused       int `json:"refused"`
+	InDoubt       int `json:"in_doubt"` // never clearly answered
+	Done          int `json:"done"`
+	Failed        int `json:"failed"`
+	Lost          int `json:"lost"`            // accepted, and unknown or not done at the end
+	NotVisibleYet int `json:"not_visible_yet"` // answers that an accepted job is unknown, soon after its acknowledgement
+	Tries         int `json:"tries"`
+	Starts        int `json:"starts"` // that workers took
 }
 
 // count sums up; final tells that whatever isn't done now counts as lost.
-func (l *ledger) count(final bool) Jobs {
+func (l *jobTracker) count(final bool) Jobs {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	jobs := Jobs{Sent: len(l.entries), Starts: l.starts, Unseen: l.unseen}
-	for _, known := range l.entries {
-		jobs.Tries += known.tries
-		jobs.add(known, final)
+	jobs := Jobs{Sent: len(l.records), Starts: l.starts, NotVisibleYet: l.notVisibleYet}
+	for _, record := range l.records {
+		jobs.Tries += record.tries
+		jobs.add(record, final)
 	}
 	return jobs
 }
 
-func (j *Jobs) add(known *entry, final bool) {
-	switch known.verdict {
-	case verdictOpen:
-		j.Open++
-	case verdictRefused:
+func (j *Jobs) add(record *jobRecord, final bool) {
+	switch record.outcome {
+	case outcomeUnknown:
+		j.InDoubt++
+	case outcomeRefused:
 		j.Refused++
-	case verdictAccepted:
+	case outcomeAccepted:
 		j.Accepted++
-		if final && !known.wontCheck {
+		if final && !record.notAwaited {
 			j.Lost++
 		}
-	case verdictDone:
+	case outcomeDone:
 		j.Accepted++
 		j.Done++
-	case verdictFailed:
+	case outcomeFailed:
 		j.Accepted++
 		j.Failed++
-	case verdictGone:
+	case outcomeLost:
 		j.Accepted++
 		j.Lost++
 	}
 }
 
-// waiting is how many accepted jobs somebody still waits for.
-func (l *ledger) waiting() int {
+// unfinished is how many accepted jobs somebody still waits for.
+func (l *jobTracker) unfinished() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	count := 0
-	for _, known := range l.entries {
-		if known.verdict == verdictAccepted && !known.wontCheck {
+	for _, record := range l.records {
+		if record.outcome == outcomeAccepted && !record.notAwaited {
 			count++
 		}
 	}
@@ -168,7 +170,7 @@
 	P50   float64 `json:"p50_ms"`
 	P90   float64 `json:"p90_ms"`
 	P99   float64 `json:"p99_ms"`
-	Most  float64 `json:"max_ms"`
+	Max   float64 `json:"max_ms"`
 }
 
 func newLatency(spans []time.Duration) Latency {
@@ -179,33 +181,33 @@
 	quantile := func(share float64) float64 {
 		return milliseconds(spans[min(len(spans)-1, int(share*float64(len(spans))))])
 	}
-	return Latency{Count: len(spans), P50: quantile(0.5), P90: quantile(0.9), P99: quantile(0.99), Most: quantile(1)}
+	return Latency{Count: len(spans), P50: quantile(0.5), P90: quantile(0.9), P99: quantile(0.99), Max: quantile(1)}
 }
 
 // Latencies are the times that clients saw, from the first send of each job.
 type Latencies struct {
 	Accepted Latency `json:"accepted"`    // until it was acknowledged
 	Started  Latency `json:"first_start"` // until a worker took its first start
-	Over     Latency `json:"done"`        // until it was shown as completed
+	Done     Latency `json:"done"`        // until it was shown as completed
 }
 
 // latencies sums up the jobs sent from a moment on; residents don't count.
-func (l *ledger) latencies(from time.Duration) Latencies {
+func (l *jobTracker) latencies(from time.Duration) Latencies {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var accepted, started, over []time.Duration
-	for _, known := range l.entries {
-		if known.sent < from || known.kind == kindResident {
+	for _, record := range l.records {
+		if record.sent < from || record.kind == kindResident {
 			continue
 		}
-		if known.accepted > 0 {
-			accepted = append(accepted, known.accepted-known.sent)
+		if record.accepted > 0 {
+			accepted = append(accepted, record.accepted-record.sent)
 		}
-		if known.started > 0 {
-			started = append(started, known.started-known.sent)
+		if record.started > 0 {
+			started = append(started, record.started-record.sent)
 		}
-		if known.verdict == verdictDone {
-			over = append(over, known.over-known.sent)
+		if record.outcome == outcomeDone {
+			over = append(over, record.finished-record.sent)
 		}
 	}
 	return Latencies{newLatency(accepted), newLatency(started), newLatency(over)}
--- a/internal/system/localcluster/nodefile.go
+++ b/internal/system/localcluster/nodefile.go
@@ -52,22 +52,22 @@
 
 // The one region, and the limits of the machines.
 const (
-	regionName        = "loopback"
-	heartbeatMs       = 1000
-	replicaCPUQuota   = 0.8
-	dispatcherQuota   = 0.4
-	replicaMemoryMb   = 280
-	dispatcherMemory  = 284
-	descriptors       = 4096
-	bandwidthMbps     = 1000
-	platformRatePerS  = 30
-	platformLag       = 800 * time.Millisecond
-	platformPageSize  = 50
-	statusSeconds     = 20
-	graceSeconds      = 6
-	settingsFileMode  = 0o644
-	folderMode        = 0o755
-	settingsExtension = ".toml"
+	regionName         = "loopback"
+	heartbeatMs        = 1000
+	replicaCPUQuota    = 0.8
+	dispatcherCPUQuota = 0.4
+	replicaMemoryMb    = 280
+	dispatcherMemoryMb = 284
+	maxOpenFiles       = 4096
+	bandwidthMbps      = 1000
+	platformRatePerS   = 30
+	platformMaxLag     = 800 * time.Millisecond
+	platformPageSize   = 50
+	statusSeconds      = 20
+	gracePeriodSeconds = 6
+	settingsFileMode   = 0o644
+	dirMode            = 0o755
+	settingsExtension  = ".toml"
 )
 
 // zoneNames are the zones over which machines and workers are spread in turn.
@@ -77,29 +77,29 @@
 
 // plan is what all settings files of a cluster have in common.
 type plan struct {
-	layout     layout
-	folder     string
-	replicas   int
-	tolerance  int
-	platform   string
-	listRate   float64
-	worldRules hollow.Settings
+	layout          layout
+	dir             string
+	replicas        int
+	tolerance       int
+	platformAddress string
+	listRate        float64
+	worldSettings   hollow.Settings
 	// memoryMb of a replica; 0 stands for that of the core machines.
 	memoryMb float64
-	// files is the descriptors of a replica; 0 likewise.
-	files int
+	// maxOpenFiles is the descriptors of a replica; 0 likewise.
+	maxOpenFiles int
 }
 
 // seeds are the control addresses of the first replicas, three at the most.
 func (p *plan) seeds() []string {
 	seeds := make([]string, min(p.replicas, len(zoneNames)))
 	for i := range seeds {
-		seeds[i] = at(p.layout.replica(i), controlPort)
+		seeds[i] = hostPort(p.layout.replica(i), controlPort)
 	}
 	return seeds
 }
 
-func (p *plan) common(name, role, class string, address netip.Addr, index int) nodeFile {
+func (p *plan) commonSettings(name, role, class string, address netip.Addr, index int) nodeFile {
 	zones := make(map[string]string, len(zoneNames))
 	for _, zone := range zoneNames {
 		zones[zone] = regionName
@@ -118,12 +118,12 @@
 		Zones:               zones,
 		FaultTolerance:      map[string]int{"machines": p.tolerance},
 		Bounds:              p.bounds(),
-		CloudProvider:       nodePlatform{Address: p.platform, RatePerS: p.listRate, MaxLagMs: milliseconds(platformLag)},
+		CloudProvider:       nodePlatform{Address: p.platformAddress, RatePerS: p.listRate, MaxLagMs: milliseconds(platformMaxLag)},
 	}
 }
 
 func (p *plan) bounds() map[string]any {
-	rules := p.worldRules
+	rules := p.worldSettings
 	return map[string]any{
 		"maxHoldMs":    milliseconds(rules.MaxHold),
 		"stop_ms":      milliseconds(rules.Stop),
@@ -134,61 +134,61 @@
 		"save_s":       rules.Save.Seconds(),
 		"far_x":        rules.Far,
 		"status_s":     statusSeconds,
-		"gracePeriodS": graceSeconds,
+		"gracePeriodS": gracePeriodSeconds,
 	}
 }
 
 func milliseconds(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
 
-// replica is the settings of one replica; bootstrap is true only at the very first start.
-func (p *plan) replica(index int, bootstrap bool) nodeFile {
+// replicaSettings is the settings of one replica; bootstrap is true only at the very first start.
+func (p *plan) replicaSettings(index int, bootstrap bool) nodeFile {
 	address := p.layout.replica(index)
 	name := replicaName(index)
-	file := p.common(name, "replica", "core", address, index)
+	file := p.commonSettings(name, "replica", "core", address, index)
 	file.Serves = []string{"control"}
 	file.Bootstrap = bootstrap
 	file.CountsForQuorum = true
-	file.DataDir = p.dataFolder(index)
-	file.BindAddresses = map[string]string{"controlPlane": at(address, controlPort)}
+	file.DataDir = p.dataDir(index)
+	file.BindAddresses = map[string]string{"controlPlane": hostPort(address, controlPort)}
 	file.Limits = limits(replicaCPUQuota, replicaMemoryMb)
 	if p.memoryMb > 0 {
 		file.Limits.MemoryMb = p.memoryMb
 	}
-	if p.files > 0 {
-		file.Limits.MaxOpenFiles = p.files
+	if p.maxOpenFiles > 0 {
+		file.Limits.MaxOpenFiles = p.maxOpenFiles
 	}
 	return file
 }
 
-// dispatcher is the settings of one dispatcher.
-func (p *plan) dispatcher(index int) nodeFile {
+// dispatcherSettings is the settings of one dispatcher.
+func (p *plan) dispatcherSettings(index int) nodeFile {
 	address := p.layout.dispatcher(index)
-	file := p.common(dispatcherName(index), "dispatcher", "edge", address, index)
+	file := p.commonSettings(dispatcherName(index), "dispatcher", "edge", address, index)
 	file.Serves = []string{"edge"}
 	file.BindAddresses = map[string]string{
-		"frontend":  at(address, frontendPort),
-		"readiness": at(address, readinessPort),
+		"frontend":  hostPort(address, frontendPort),
+		"readiness": hostPort(address, readinessPort),
 	}
-	file.Limits = limits(dispatcherQuota, dispatcherMemory)
+	file.Limits = limits(dispatcherCPUQuota, dispatcherMemoryMb)
 	return file
 }
 
 func limits(quota, memoryMb float64) nodeLimits {
-	return nodeLimits{CPUQuota: quota, Cores: 1, MemoryMb: memoryMb, MaxOpenFiles: descriptors, BandwidthMbps: bandwidthMbps}
+	return nodeLimits{CPUQuota: quota, Cores: 1, MemoryMb: memoryMb, MaxOpenFiles: maxOpenFiles, BandwidthMbps: bandwidthMbps}
 }
 
 func replicaName(index int) string    { return fmt.Sprintf("replica-%d", index) }
 func dispatcherName(index int) string { return fmt.Sprintf("dispatcher-%d", index) }
 
-func (p *plan) dataFolder(index int) string { return filepath.Join(p.folder, replicaName(index)) }
+func (p *plan) dataDir(index int) string { return filepath.Join(p.dir, replicaName(index)) }
 
-// write puts a settings file into the cluster's folder and gives its path.
-func (p *plan) write(file nodeFile) (string, error) {
+// writeSettings puts a settings file into the cluster's folder and gives its path.
+func (p *plan) writeSettings(file nodeFile) (string, error) {
 	content, err := toml.Marshal(file)
 	if err != nil {
 		return "", fmt.Errorf("settings of %s: %w", file.NodeName, err)
 	}
-	path := filepath.Join(p.folder, file.NodeName+settingsExtension)
+	path := filepath.Join(p.dir, file.NodeName+settingsExtension)
 	if err := os.WriteFile(path, content, settingsFileMode); err != nil {
 		return "", fmt.Errorf("settings of %s: %w", file.NodeName, err)
 	}
--- a/internal/system/localcluster/options.go
+++ b/internal/system/localcluster/options.go
@@ -44,19 +44,19 @@
 }
 
 const (
-	defaultReplicas    = 3
-	defaultDispatchers = 3
-	defaultWorkers     = 12
-	defaultRate        = 5
-	defaultFor         = 15 * time.Second
-	defaultPatience    = 20 * time.Second
+	defaultReplicas     = 3
+	defaultDispatchers  = 3
+	defaultWorkers      = 12
+	defaultRate         = 5
+	defaultDuration     = 15 * time.Second
+	defaultDrainTimeout = 20 * time.Second
 
-	mostReplicas = 9
-	mostChildren = 200 // processes
-	mostWorkers  = 2500
-	mostRate     = 2000
-	mostFor      = time.Hour
-	mostPatience = 10 * time.Minute
+	maxReplicas     = 9
+	maxProcesses    = 200 // processes
+	maxWorkers      = 2500
+	maxRate         = 2000
+	maxDuration     = time.Hour
+	maxDrainTimeout = 10 * time.Minute
 )
 
 func (o *Options) withDefaults() {
@@ -64,31 +64,31 @@
 	orDefault(&o.Dispatchers, defaultDispatchers)
 	orDefault(&o.Workers, defaultWorkers)
 	orDefault(&o.Rate, defaultRate)
-	orDefault(&o.For, defaultFor)
-	orDefault(&o.Patience, defaultPatience)
+	orDefault(&o.For, defaultDuration)
+	orDefault(&o.Patience, defaultDrainTimeout)
 	orDefault(&o.ListRate, platformRatePerS)
 	orDefault(&o.ListPage, platformPageSize)
 }
 
-// check tells what this machine can't be asked for.
-func (o *Options) check() error {
+// validate tells what this machine can't be asked for.
+func (o *Options) validate() error {
 	switch {
-	case o.Replicas < 1 || o.Replicas > mostReplicas:
-		return fmt.Errorf("%d replicas: 1 to %d", o.Replicas, mostReplicas)
-	case o.Dispatchers < 1 || o.Dispatchers > mostChildren:
-		return fmt.Errorf("%d dispatchers: 1 to %d", o.Dispatchers, mostChildren)
-	case o.HollowDispatchers < 0 || o.Dispatchers+o.HollowDispatchers > mostMachines:
-		return fmt.Errorf("%d hollow dispatchers: %d at the most", o.HollowDispatchers, mostMachines-o.Dispatchers)
-	case o.Workers < 1 || o.Workers > mostWorkers:
-		return fmt.Errorf("%d workers: 1 to %d", o.Workers, mostWorkers)
-	case o.Rate < 0 || o.Rate > mostRate:
-		return fmt.Errorf("%v jobs a second: 0 to %d", o.Rate, mostRate)
-	case o.For < 0 || o.For > mostFor:
-		return fmt.Errorf("%v: 0s to %v", o.For, mostFor)
+	case o.Replicas < 1 || o.Replicas > maxReplicas:
+		return fmt.Errorf("%d replicas: 1 to %d", o.Replicas, maxReplicas)
+	case o.Dispatchers < 1 || o.Dispatchers > maxProcesses:
+		return fmt.Errorf("%d dispatchers: 1 to %d", o.Dispatchers, maxProcesses)
+	case o.HollowDispatchers < 0 || o.Dispatchers+o.HollowDispatchers > maxDispatchers:
+		return fmt.Errorf("%d hollow dispatchers: %d at the most", o.HollowDispatchers, maxDispatchers-o.Dispatchers)
+	case o.Workers < 1 || o.Workers > maxWorkers:
+		return fmt.Errorf("%d workers: 1 to %d", o.Workers, maxWorkers)
+	case o.Rate < 0 || o.Rate > maxRate:
+		return fmt.Errorf("%v jobs a second: 0 to %d", o.Rate, maxRate)
+	case o.For < 0 || o.For > maxDuration:
+		return fmt.Errorf("%v: 0s to %v", o.For, maxDuration)
 	case o.ListRate <= 0 || o.ListPage <= 0:
 		return fmt.Errorf("list of %v calls a second, pages of %d: more than 0", o.ListRate, o.ListPage)
-	case o.Patience < 0 || o.Patience > mostPatience:
-		return fmt.Errorf("patience of %v: 0s to %v", o.Patience, mostPatience)
+	case o.Patience < 0 || o.Patience > maxDrainTimeout:
+		return fmt.Errorf("patience of %v: 0s to %v", o.Patience, maxDrainTimeout)
 	}
 	return nil
 }
--- a/internal/system/localcluster/proc.go
+++ b/internal/system/localcluster/proc.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// ticksASecond is the unit of processor time in /proc, the same on all of Linux's usual machines.
-const ticksASecond = 100
+// ticksPerSecond is the unit of processor time in /proc, the same on all of Linux's usual machines.
+const ticksPerSecond = 100
 
 // Usage is what one process, or several, have used so far.
 type Usage struct {
@@ -57,13 +57,13 @@
 
 // readUsage looks at a process of this machine.
 func readUsage(pid int) (Usage, error) {
-	folder := filepath.Join("/proc", strconv.Itoa(pid))
+	dir := filepath.Join("/proc", strconv.Itoa(pid))
 	var usage Usage
 	for _, part := range []struct {
 		name  string
 		parse func(*Usage, []byte) error
 	}{{"stat", parseStat}, {"status", parseStatus}, {"io", parseIO}} {
-		content, err := os.ReadFile(filepath.Join(folder, part.name))
+		content, err := os.ReadFile(filepath.Join(dir, part.name))
 		if err != nil {
 			return Usage{}, fmt.Errorf("process %d: %w", pid, err)
 		}
@@ -71,8 +71,8 @@
 			return Usage{}, fmt.Errorf("process %d: %s: %w", pid, part.name, err)
 		}
 	}
-	usage.Waited = readWaits(filepath.Join(folder, "task"))
-	files, err := os.ReadDir(filepath.Join(folder, "fd"))
+	usage.Waited = readRunQueueWait(filepath.Join(dir, "task"))
+	files, err := os.ReadDir(filepath.Join(dir, "fd"))
 	if err != nil {
 		return Usage{}, fmt.Errorf("process %d: %w", pid, err)
 	}
@@ -80,14 +80,14 @@
 	return usage, nil
 }
 
-// readWaits sums up how long all threads have waited for a core; it leaves out threads that have just ended.
-func readWaits(folder string) (total time.Duration) {
-	threads, err := os.ReadDir(folder)
+// readRunQueueWait sums up how long all threads have waited for a core; it leaves out threads that have just ended.
+func readRunQueueWait(dir string) (total time.Duration) {
+	threads, err := os.ReadDir(dir)
 	if err != nil {
 		return 0
 	}
 	for _, thread := range threads {
-		content, err := os.ReadFile(filepath.Join(folder, thread.Name(), "schedstat"))
+		content, err := os.ReadFile(filepath.Join(dir, thread.Name(), "schedstat"))
 		if err == nil {
 			total += parseSchedstat(content)
 		}
@@ -120,15 +120,15 @@
 	if !found || len(fields) <= statSystem {
 		return errMalformed
 	}
-	user, err := strconv.ParseInt(string(fields[statUser]), 10, 64)
+	userTicks, err := strconv.ParseInt(string(fields[statUser]), 10, 64)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errMalformed, err)
 	}
-	system, err := strconv.ParseInt(string(fields[statSystem]), 10, 64)
+	systemTicks, err := strconv.ParseInt(string(fields[statSystem]), 10, 64)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errMalformed, err)
 	}
-	usage.Processor = time.Duration(user+system) * (time.Second / ticksASecond)
+	usage.Processor = time.Duration(userTicks+systemTicks) * (time.Second / ticksPerSecond)
 	return nil
 }
 
@@ -166,11 +166,11 @@
 		if target == nil || len(fields) == 0 {
 			continue
 		}
-		figure, err := strconv.ParseInt(string(fields[0]), 10, 64)
+		value, err := strconv.ParseInt(string(fields[0]), 10, 64)
 		if err != nil {
 			return fmt.Errorf("%w: %w", errMalformed, err)
 		}
-		*target = figure
+		*target = value
 		missing--
 	}
 	if missing > 0 {
--- a/internal/system/localcluster/proc_test.go
+++ b/internal/system/localcluster/proc_test.go
@@ -27,7 +27,7 @@
 	require.Zero(t, parseSchedstat([]byte("1 x 2")))
 }
 
-func TestParseProcRefusesOtherForms(t *testing.T) {
+func TestParseProcRejectsMalformedContent(t *testing.T) {
 	var usage Usage
 	for _, stat := range []string{"", "1 (x) S 1", "1 x S 1 2 3 4 5 6 7 8 9 10 11 12 13 14", "1 (x) S 1 4242 4242 0 -1 4194560 950 0 0 0 a 63 0"} {
 		require.ErrorIs(t, parseStat(&usage, []byte(stat)), errMalformed, "%q", stat)
@@ -36,7 +36,7 @@
 	require.ErrorIs(t, parseIO(&usage, []byte("rchar: x\n")), errMalformed)
 }
 
-func TestReadUsageOfThisProcess(t *testing.T) {
+func TestReadUsageOfOwnProcess(t *testing.T) {
 	usage, err := readUsage(os.Getpid())
 	require.NoError(t, err)
 	require.Positive(t, usage.Resident)
@@ -45,7 +45,7 @@
 	require.Positive(t, usage.Files)
 }
 
-func TestUsageAddsUp(t *testing.T) {
+func TestUsageSumsAndDifferences(t *testing.T) {
 	early := Usage{Processor: time.Second, Resident: 5, Peak: 9, Received: 10, Sent: 20, Reads: 1, Writes: 2}
 	late := Usage{Processor: 3 * time.Second, Resident: 4, Peak: 12, Received: 15, Sent: 26, Reads: 8, Writes: 10}
 	used := late.since(early)
@@ -53,7 +53,7 @@
 	sum := used.plus(used)
 	require.EqualValues(t, 8, sum.Resident)
 	require.EqualValues(t, 12, sum.Peak)
-	cost := newRoleCost(roleOther, 2, sum, 4*time.Second)
+	cost := newRoleCost(roleOtherReplica, 2, sum, 4*time.Second)
 	require.InDelta(t, 0.5, cost.Cores, 1e-9)
 	require.InDelta(t, 7.0/4, cost.ReadsPerS, 1e-9)
 }
--- a/internal/system/localcluster/programs.go
+++ b/internal/system/localcluster/programs.go
@@ -13,8 +13,8 @@
 	programDispatcher = "dataplane"
 )
 
-// modulePackages are the programs' packages in this module.
-const modulePackages = "gaugeslip/cmd/"
+// commandPackages are the programs' packages in this module.
+const commandPackages = "gaugeslip/cmd/"
 
 // programRelayed runs either role through a relay; relayedPackage is its package.
 const (
@@ -23,17 +23,17 @@
 )
 
 // Build builds both programs from this module into the folder. It needs the go command, and has to be called in the module.
-func Build(ctx context.Context, folder string) error {
-	return build(ctx, folder, modulePackages+programReplica, modulePackages+programDispatcher)
+func Build(ctx context.Context, dir string) error {
+	return build(ctx, dir, commandPackages+programReplica, commandPackages+programDispatcher)
 }
 
 // BuildRelayed builds the program that runs both roles through a relay.
-func BuildRelayed(ctx context.Context, folder string) error {
-	return build(ctx, folder, relayedPackage)
+func BuildRelayed(ctx context.Context, dir string) error {
+	return build(ctx, dir, relayedPackage)
 }
 
-func build(ctx context.Context, folder string, packages ...string) error {
-	arguments := append([]string{"build", "-o", folder + string(filepath.Separator)}, packages...)
+func build(ctx context.Context, dir string, packages ...string) error {
+	arguments := append([]string{"build", "-o", dir + string(filepath.Separator)}, packages...)
 	command := exec.CommandContext(ctx, "go", arguments...)
 	if output, err := command.CombinedOutput(); err != nil {
 		return fmt.Errorf("build the programs: %w: %s", err, output)
--- a/internal/system/localcluster/relay/connection.go
+++ b/internal/system/localcluster/relay/connection.go
@@ -10,30 +10,30 @@
 type connection struct {
 	relay             *Relay
 	requests, answers Link
-	dialler           net.Conn
-	ending            sync.Once
-	ended             chan struct{}
+	client            net.Conn
+	closeOnce         sync.Once
+	closed            chan struct{}
 
 	mutex  sync.Mutex
-	target net.Conn
+	server net.Conn
 }
 
 // close breaks both ends.
 func (c *connection) close() {
-	c.ending.Do(func() {
-		close(c.ended)
-		_ = c.dialler.Close()
+	c.closeOnce.Do(func() {
+		close(c.closed)
+		_ = c.client.Close()
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		if c.target != nil {
-			_ = c.target.Close()
+		if c.server != nil {
+			_ = c.server.Close()
 		}
 	})
 }
 
 // serve connects both ends and carries their bytes until either is over.
 func (c *connection) serve() {
-	host, address, ok := readGreeting(c.dialler)
+	host, address, ok := readHandshake(c.client)
 	if !ok {
 		return
 	}
@@ -42,36 +42,36 @@
 	c.relay.mutex.Lock()
 	c.requests, c.answers = requests, answers
 	c.relay.mutex.Unlock()
-	if !c.passes(requests) || !c.passes(answers) || !c.dial(address) {
+	if !c.waitWhileCut(requests) || !c.waitWhileCut(answers) || !c.dial(address) {
 		return
 	}
 	var group sync.WaitGroup
-	group.Go(func() { c.carry(requests, c.dialler, c.target) })
-	c.carry(answers, c.target, c.dialler)
+	group.Go(func() { c.forward(requests, c.client, c.server) })
+	c.forward(answers, c.server, c.client)
 	group.Wait()
 }
 
 func (c *connection) dial(address string) bool {
 	target, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
-		_, _ = c.dialler.Write([]byte{dialRefused})
+		_, _ = c.client.Write([]byte{statusRefused})
 		return false
 	}
 	c.mutex.Lock()
-	c.target = target
+	c.server = target
 	c.mutex.Unlock()
 	select {
-	case <-c.ended:
+	case <-c.closed:
 		_ = target.Close()
 		return false
 	default:
 	}
-	_, err = c.dialler.Write([]byte{dialConnected})
+	_, err = c.client.Write([]byte{statusConnected})
 	return err == nil
 }
 
-// passes waits while the link is cut; false once the connection is over.
-func (c *connection) passes(link Link) bool {
+// waitWhileCut waits while the link is cut; false once the connection is over.
+func (c *connection) waitWhileCut(link Link) bool {
 	for {
 		effect, changed := c.relay.effect(link)
 		if !effect.Cut {
@@ -79,29 +79,29 @@
 		}
 		select {
 		case <-changed:
-		case <-c.ended:
+		case <-c.closed:
 			return false
 		}
 	}
 }
 
-// piece is some bytes under way.
-type piece struct {
-	data []byte
-	at   time.Time // when they may arrive
+// chunk is some bytes under way.
+type chunk struct {
+	data      []byte
+	deliverAt time.Time // when they may arrive
 }
 
-// carry brings bytes from one end to the other; an end of the stream closes the other end's direction.
-func (c *connection) carry(link Link, from, to net.Conn) {
-	pieces := make(chan piece, backlog)
+// forward brings bytes from one end to the other; an end of the stream closes the other end's direction.
+func (c *connection) forward(link Link, from, to net.Conn) {
+	pieces := make(chan chunk, queueLength)
 	var group sync.WaitGroup
 	group.Go(func() { c.deliver(link, pieces, to) })
 	defer group.Wait()
 	defer close(pieces)
 	for {
-		buffer := make([]byte, pieceBytes)
+		buffer := make([]byte, chunkBytes)
 		count, err := from.Read(buffer)
-		if count > 0 && !c.take(link, buffer[:count], pieces) {
+		if count > 0 && !c.enqueue(link, buffer[:count], pieces) {
 			return
 		}
 		if err != nil {
@@ -110,32 +110,32 @@
 	}
 }
 
-// take sends a piece on its way; false once the connection is over.
-func (c *connection) take(link Link, data []byte, pieces chan<- piece) bool {
+// enqueue sends a piece on its way; false once the connection is over.
+func (c *connection) enqueue(link Link, data []byte, pieces chan<- chunk) bool {
 	effect, _ := c.relay.effect(link)
-	if link.Answers && c.relay.draws(effect.Loses) {
+	if link.Answers && c.relay.chance(effect.LossProbability) {
 		c.close()
 		return false
 	}
 	select {
-	case pieces <- piece{data: data, at: time.Now().Add(effect.Delay)}:
+	case pieces <- chunk{data: data, deliverAt: time.Now().Add(effect.Delay)}:
 		return true
-	case <-c.ended:
+	case <-c.closed:
 		return false
 	}
 }
 
 // deliver writes pieces in their order, each at its time, and none while the link is cut.
-func (c *connection) deliver(link Link, pieces <-chan piece, to net.Conn) {
+func (c *connection) deliver(link Link, pieces <-chan chunk, to net.Conn) {
 	for next := range pieces {
-		if !c.waitUntil(next.at) || !c.passes(link) {
+		if !c.sleepUntil(next.deliverAt) || !c.waitWhileCut(link) {
 			continue // over: the rest is thrown away
 		}
 		if _, err := to.Write(next.data); err != nil {
 			c.close()
 		}
 	}
-	if !c.passes(link) {
+	if !c.waitWhileCut(link) {
 		return
 	}
 	if half, ok := to.(*net.TCPConn); ok {
@@ -143,7 +143,7 @@
 	}
 }
 
-func (c *connection) waitUntil(at time.Time) bool {
+func (c *connection) sleepUntil(at time.Time) bool {
 	wait := time.Until(at)
 	if wait <= 0 {
 		return true
@@ -153,7 +153,7 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-c.ended:
+	case <-c.closed:
 		return false
 	}
 }
--- a/internal/system/localcluster/relay/dial.go
+++ b/internal/system/localcluster/relay/dial.go
@@ -10,8 +10,8 @@
 
 // The relay's word on a dial.
 const (
-	dialConnected byte = 1
-	dialRefused   byte = 2
+	statusConnected byte = 1
+	statusRefused   byte = 2
 )
 
 // errRefused is what a dial comes to whose target took no connection.
@@ -34,12 +34,12 @@
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
-	word, err := n.greet(connection, address)
+	status, err := n.handshake(connection, address)
 	if !stop() {
 		_ = connection.Close()
 		return nil, fmt.Errorf("dial %s: %w", address, ctx.Err())
 	}
-	if err == nil && word != dialConnected {
+	if err == nil && status != statusConnected {
 		err = errRefused
 	}
 	if err != nil {
@@ -49,11 +49,11 @@
 	return connection, nil
 }
 
-func (n Network) greet(connection net.Conn, address string) (byte, error) {
+func (n Network) handshake(connection net.Conn, address string) (byte, error) {
 	if _, err := fmt.Fprintf(connection, "%s %s\n", n.Host, address); err != nil {
 		return 0, err
 	}
-	var word [1]byte
-	_, err := io.ReadFull(connection, word[:])
-	return word[0], err
+	var status [1]byte
+	_, err := io.ReadFull(connection, status[:])
+	return status[0], err
 }
--- a/internal/system/localcluster/relay/relay.go
+++ b/internal/system/localcluster/relay/relay.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	pieceBytes   = 32 << 10
-	dialTimeout  = time.Second
-	greetTimeout = 5 * time.Second
-	backlog      = 64 // pieces that one direction holds
+	chunkBytes       = 32 << 10
+	dialTimeout      = time.Second
+	handshakeTimeout = 5 * time.Second
+	queueLength      = 64 // pieces that one direction holds
 )
 
 // Relay connects hosts. All its methods may be called from any goroutine.
@@ -53,16 +53,16 @@
 	number := r.nextRule
 	r.nextRule++
 	r.rules[number] = rule
-	r.tellChange()
+	r.notifyChange()
 	return func() {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
 		delete(r.rules, number)
-		r.tellChange()
+		r.notifyChange()
 	}
 }
 
-func (r *Relay) tellChange() {
+func (r *Relay) notifyChange() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -70,14 +70,14 @@
 // Reset breaks the connections of which one direction matches, a share of them.
 func (r *Relay) Reset(matches func(Link) bool, share float64) {
 	r.mutex.Lock()
-	var struck []*connection
+	var selected []*connection
 	for c := range r.connections {
 		if (matches(c.requests) || matches(c.answers)) && r.random.Float64() < share {
-			struck = append(struck, c)
+			selected = append(selected, c)
 		}
 	}
 	r.mutex.Unlock()
-	for _, c := range struck {
+	for _, c := range selected {
 		c.close()
 	}
 }
@@ -105,13 +105,13 @@
 	var sum Effect
 	for _, rule := range r.rules {
 		if rule.Matches(link) {
-			sum = sum.join(rule.Effect)
+			sum = sum.combine(rule.Effect)
 		}
 	}
 	return sum, r.changed
 }
 
-func (r *Relay) draws(probability float64) bool {
+func (r *Relay) chance(probability float64) bool {
 	if probability <= 0 {
 		return false
 	}
@@ -126,19 +126,19 @@
 		if err != nil {
 			return
 		}
-		c := &connection{relay: r, dialler: accepted, ended: make(chan struct{})}
-		if !r.keep(c) {
+		c := &connection{relay: r, client: accepted, closed: make(chan struct{})}
+		if !r.register(c) {
 			_ = accepted.Close()
 			return
 		}
 		r.group.Go(func() {
-			defer r.drop(c)
+			defer r.unregister(c)
 			c.serve()
 		})
 	}
 }
 
-func (r *Relay) keep(c *connection) bool {
+func (r *Relay) register(c *connection) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.closed {
@@ -148,16 +148,16 @@
 	return true
 }
 
-func (r *Relay) drop(c *connection) {
+func (r *Relay) unregister(c *connection) {
 	c.close()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.connections, c)
 }
 
-// readGreeting reads who dials whom. Nothing behind the greeting is read: the dialler waits for the relay's word first.
-func readGreeting(from net.Conn) (host, target string, ok bool) {
-	_ = from.SetReadDeadline(time.Now().Add(greetTimeout))
+// readHandshake reads who dials whom. Nothing behind the greeting is read: the dialler waits for the relay's word first.
+func readHandshake(from net.Conn) (host, target string, ok bool) {
+	_ = from.SetReadDeadline(time.Now().Add(handshakeTimeout))
 	line, err := bufio.NewReaderSize(from, 256).ReadString('\n')
 	if err != nil {
 		return "", "", false
--- a/internal/system/localcluster/relay/relay_test.go
+++ b/internal/system/localcluster/relay/relay_test.go
@@ -17,13 +17,13 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	patience = 5 * time.Second
-	soon     = 100 * time.Millisecond
-	someHost = "10.0.0.1"
+	timeout    = 5 * time.Second
+	shortWait  = 100 * time.Millisecond
+	clientHost = "10.0.0.1"
 )
 
-// echo answers each line with the same line.
-func echo(t *testing.T) string {
+// startEchoServer answers each line with the same line.
+func startEchoServer(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -42,106 +42,106 @@
 	return listener.Addr().String()
 }
 
-func started(t *testing.T) *Relay {
+func startRelay(t *testing.T) *Relay {
 	r, err := Start(1)
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
 	return r
 }
 
-func dialled(t *testing.T, r *Relay, address string) net.Conn {
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+func dial(t *testing.T, r *Relay, address string) net.Conn {
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
-	connection, err := Network{Relay: r.Address(), Host: someHost}.Dial(ctx, "tcp", address)
+	connection, err := Network{Relay: r.Address(), Host: clientHost}.Dial(ctx, "tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = connection.Close() })
 	return connection
 }
 
-func says(t *testing.T, connection net.Conn, line string) {
+func writeLine(t *testing.T, connection net.Conn, line string) {
 	_, err := connection.Write([]byte(line + "\n"))
 	require.NoError(t, err)
 }
 
-func hears(t *testing.T, connection net.Conn, line string) {
-	require.NoError(t, connection.SetReadDeadline(time.Now().Add(patience)))
-	heard, err := bufio.NewReader(connection).ReadString('\n')
+func requireLine(t *testing.T, connection net.Conn, line string) {
+	require.NoError(t, connection.SetReadDeadline(time.Now().Add(timeout)))
+	received, err := bufio.NewReader(connection).ReadString('\n')
 	require.NoError(t, err)
-	require.Equal(t, line+"\n", heard)
+	require.Equal(t, line+"\n", received)
 }
 
-func hearsNothing(t *testing.T, connection net.Conn) {
-	require.NoError(t, connection.SetReadDeadline(time.Now().Add(soon)))
+func requireNoData(t *testing.T, connection net.Conn) {
+	require.NoError(t, connection.SetReadDeadline(time.Now().Add(shortWait)))
 	_, err := connection.Read(make([]byte, 1))
 	var timeout net.Error
 	require.ErrorAs(t, err, &timeout)
 	require.True(t, timeout.Timeout())
 }
 
-func all(Link) bool { return true }
+func allLinks(Link) bool { return true }
 
-func TestBytesGoBothWays(t *testing.T) {
-	connection := dialled(t, started(t), echo(t))
-	says(t, connection, "one")
-	hears(t, connection, "one")
+func TestForwardsBothDirections(t *testing.T) {
+	connection := dial(t, startRelay(t), startEchoServer(t))
+	writeLine(t, connection, "one")
+	requireLine(t, connection, "one")
 }
 
-func TestACutHoldsBytesUpUntilItHeals(t *testing.T) {
-	r := started(t)
-	connection := dialled(t, r, echo(t))
-	heal := r.Add(Rule{Matches: func(link Link) bool { return link.From == someHost }, Effect: Effect{Cut: true}})
-	says(t, connection, "one")
-	hearsNothing(t, connection)
+func TestCutDelaysBytesUntilHealed(t *testing.T) {
+	r := startRelay(t)
+	connection := dial(t, r, startEchoServer(t))
+	heal := r.Add(Rule{Matches: func(link Link) bool { return link.From == clientHost }, Effect: Effect{Cut: true}})
+	writeLine(t, connection, "one")
+	requireNoData(t, connection)
 	heal()
-	hears(t, connection, "one")
+	requireLine(t, connection, "one")
 }
 
-func TestADialIntoACutHangs(t *testing.T) {
-	r := started(t)
-	r.Add(Rule{Matches: all, Effect: Effect{Cut: true}})
-	ctx, cancel := context.WithTimeout(t.Context(), soon)
+func TestDialOverCutLinkHangs(t *testing.T) {
+	r := startRelay(t)
+	r.Add(Rule{Matches: allLinks, Effect: Effect{Cut: true}})
+	ctx, cancel := context.WithTimeout(t.Context(), shortWait)
 	defer cancel()
-	_, err := Network{Relay: r.Address(), Host: someHost}.Dial(ctx, "tcp", echo(t))
+	_, err := Network{Relay: r.Address(), Host: clientHost}.Dial(ctx, "tcp", startEchoServer(t))
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 }
 
-func TestADialToNobodyIsRefused(t *testing.T) {
+func TestDialWithoutListenerIsRefused(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, listener.Close())
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
-	_, err = Network{Relay: started(t).Address(), Host: someHost}.Dial(ctx, "tcp", listener.Addr().String())
+	_, err = Network{Relay: startRelay(t).Address(), Host: clientHost}.Dial(ctx, "tcp", listener.Addr().String())
 	require.ErrorIs(t, err, errRefused)
 }
 
-func TestALostAnswerTakesItsConnection(t *testing.T) {
-	r := started(t)
-	connection := dialled(t, r, echo(t))
-	r.Add(Rule{Matches: all, Effect: Effect{Loses: 1}})
-	says(t, connection, "one")
-	require.NoError(t, connection.SetReadDeadline(time.Now().Add(patience)))
+func TestLostAnswerClosesConnection(t *testing.T) {
+	r := startRelay(t)
+	connection := dial(t, r, startEchoServer(t))
+	r.Add(Rule{Matches: allLinks, Effect: Effect{LossProbability: 1}})
+	writeLine(t, connection, "one")
+	require.NoError(t, connection.SetReadDeadline(time.Now().Add(timeout)))
 	_, err := connection.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 }
 
-func TestDelay(t *testing.T) {
-	r := started(t)
-	connection := dialled(t, r, echo(t))
-	r.Add(Rule{Matches: all, Effect: Effect{Delay: soon}})
-	began := time.Now()
-	says(t, connection, "one")
-	hears(t, connection, "one")
-	assert.GreaterOrEqual(t, time.Since(began), 2*soon)
+func TestDelayPostponesBytes(t *testing.T) {
+	r := startRelay(t)
+	connection := dial(t, r, startEchoServer(t))
+	r.Add(Rule{Matches: allLinks, Effect: Effect{Delay: shortWait}})
+	start := time.Now()
+	writeLine(t, connection, "one")
+	requireLine(t, connection, "one")
+	assert.GreaterOrEqual(t, time.Since(start), 2*shortWait)
 }
 
-func TestReset(t *testing.T) {
-	r := started(t)
-	connection := dialled(t, r, echo(t))
-	says(t, connection, "one")
-	hears(t, connection, "one")
-	r.Reset(func(link Link) bool { return link.To == someHost }, 1)
-	require.NoError(t, connection.SetReadDeadline(time.Now().Add(patience)))
+func TestResetClosesConnections(t *testing.T) {
+	r := startRelay(t)
+	connection := dial(t, r, startEchoServer(t))
+	writeLine(t, connection, "one")
+	requireLine(t, connection, "one")
+	r.Reset(func(link Link) bool { return link.To == clientHost }, 1)
+	require.NoError(t, connection.SetReadDeadline(time.Now().Add(timeout)))
 	_, err := connection.Read(make([]byte, 1))
 	require.Error(t, err)
 	var timeout net.Error
--- a/internal/system/localcluster/relay/rule.go
+++ b/internal/system/localcluster/relay/rule.go
@@ -18,8 +18,8 @@
 type Effect struct {
 	Cut   bool          // they are held up
 	Delay time.Duration // they come so much later
-	// Loses is the probability that a piece of an answer is lost, and its connection with it. The request has arrived by then.
-	Loses float64
+	// LossProbability is the probability that a piece of an answer is lost, and its connection with it. The request has arrived by then.
+	LossProbability float64
 }
 
 // Rule gives its effect to the links that it matches.
@@ -28,9 +28,9 @@
 	Effect  Effect
 }
 
-// join sums effects up.
-func (e Effect) join(other Effect) Effect {
-	return Effect{Cut: e.Cut || other.Cut, Delay: e.Delay + other.Delay, Loses: 1 - (1-e.Loses)*(1-other.Loses)}
+// combine sums effects up.
+func (e Effect) combine(other Effect) Effect {
+	return Effect{Cut: e.Cut || other.Cut, Delay: e.Delay + other.Delay, LossProbability: 1 - (1-e.LossProbability)*(1-other.LossProbability)}
 }
 
 // hostOf is the host of an address, or the address itself where it is none.
--- a/internal/system/localcluster/report.go
+++ b/internal/system/localcluster/report.go
@@ -46,18 +46,18 @@
 	FromPlatformKBs float64        `json:"from_platform_kb_s"`
 }
 
-// orderLook is a look at the counters that Orders comes from.
-type orderLook struct {
+// orderSample is a look at the counters that Orders comes from.
+type orderSample struct {
 	at               time.Duration
 	stats            hollow.Stats
 	traffic, listing TrafficCount
 }
 
-func (c *Cluster) lookAtOrders() orderLook {
-	return orderLook{c.ledger.now(), c.fleet.world.Stats(), c.fleet.traffic.count(), c.fleet.listing.count()}
+func (c *Cluster) sampleOrders() orderSample {
+	return orderSample{c.tracker.now(), c.fleet.world.Stats(), c.fleet.traffic.count(), c.fleet.listTraffic.count()}
 }
 
-func (o orderLook) until(later orderLook) Orders {
+func (o orderSample) until(later orderSample) Orders {
 	seconds := (later.at - o.at).Seconds()
 	traffic, listing := later.traffic.since(o.traffic), later.listing.since(o.listing)
 	return Orders{
@@ -103,14 +103,14 @@
 	return refused
 }
 
-const mostExamples = 10
+const maxExamples = 10
 
-// noteRules takes in what the workers' checker found.
-func (r *Report) noteRules(violations []hollow.Violation) {
+// addViolations takes in what the workers' checker found.
+func (r *Report) addViolations(violations []hollow.Violation) {
 	r.Broken = make(map[string]int)
 	for _, violation := range violations {
 		r.Broken[string(violation.Rule)]++
-		if len(r.Examples) < mostExamples {
+		if len(r.Examples) < maxExamples {
 			r.Examples = append(r.Examples, violation.String())
 		}
 	}
@@ -130,7 +130,7 @@
 func (r *Report) Print(out io.Writer) error {
 	fmt.Fprintf(out, "\nseed %d: %d replicas, %d dispatchers, %d workers, %.0f s of load\n", r.Seed, r.Replicas, r.Dispatchers, r.Workers, r.Seconds)
 	fmt.Fprintf(out, "jobs: %d sent, %d accepted, %d refused, %d in doubt; %d done, %d failed, lost %d, twice %d, not visible yet %d\n", r.Jobs.Sent,
-		r.Jobs.Accepted, r.Jobs.Refused, r.Jobs.Open, r.Jobs.Done, r.Jobs.Failed, r.Jobs.Lost, r.Broken[string(hollow.RuleTwice)], r.Jobs.Unseen)
+		r.Jobs.Accepted, r.Jobs.Refused, r.Jobs.InDoubt, r.Jobs.Done, r.Jobs.Failed, r.Jobs.Lost, r.Broken[string(hollow.RuleTwice)], r.Jobs.NotVisibleYet)
 	fmt.Fprintf(out, "broken rules: %s; processes that ended by themselves: %d; epoch %d\n", countsText(r.Broken), r.Crashes, r.Epoch)
 	for _, example := range r.Examples {
 		fmt.Fprintln(out, "  "+example)
@@ -139,7 +139,7 @@
 	fmt.Fprintln(table, "\nfrom submit, ms\tcount\tp50\tp90\tp99\tmax\t")
 	r.Latencies.Accepted.row(table, "accepted")
 	r.Latencies.Started.row(table, "first start")
-	r.Latencies.Over.row(table, "done")
+	r.Latencies.Done.row(table, "done")
 	fmt.Fprintln(table, "\nrole, each\tcount\tcores\twaited\tMB\tpeak MB\tKB/s in\tKB/s out\treads/s\twrites/s\tfiles\t")
 	for _, role := range r.Roles {
 		role.row(table)
@@ -160,7 +160,7 @@
 }
 
 func (l *Latency) row(out io.Writer, name string) {
-	fmt.Fprintf(out, "%s\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", name, l.Count, l.P50, l.P90, l.P99, l.Most)
+	fmt.Fprintf(out, "%s\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", name, l.Count, l.P50, l.P90, l.P99, l.Max)
 }
 
 func (r *RoleCost) row(out io.Writer) {
--- a/internal/system/localcluster/report_test.go
+++ b/internal/system/localcluster/report_test.go
@@ -12,58 +12,58 @@
 	"gaugeslip/internal/system/hollow"
 )
 
-func TestLedgerCountsWhatBecameOfJobs(t *testing.T) {
-	ledger := newLedger()
+func TestJobTrackerCountsOutcomes(t *testing.T) {
+	tracker := newJobTracker()
 	for _, id := range []string{"open", "kept", "refused", "done", "failed", "gone"} {
-		ledger.open(id, kindQuick)
-		ledger.tried(id)
+		tracker.add(id, kindQuick)
+		tracker.countTry(id)
 	}
-	ledger.open("resident", kindResident)
+	tracker.add("resident", kindResident)
 	for _, id := range []string{"kept", "done", "failed", "gone", "resident"} {
-		ledger.settle(id, verdictAccepted)
+		tracker.setOutcome(id, outcomeAccepted)
 	}
-	ledger.settle("refused", verdictRefused)
-	ledger.settle("done", verdictDone)
-	ledger.settle("done", verdictGone) // it was told once that it is done
-	ledger.settle("failed", verdictFailed)
-	ledger.settle("gone", verdictGone)
-	ledger.started("done")
-	ledger.started("done")
-	ledger.started("unknown")
-	require.Equal(t, Jobs{Sent: 7, Accepted: 5, Refused: 1, Open: 1, Done: 1, Failed: 1, Lost: 1, Tries: 6, Starts: 3}, ledger.count(false))
-	require.Equal(t, 2, ledger.count(true).Lost, "the one that was kept and isn't done; nobody waits for the resident")
-	require.Equal(t, 1, ledger.waiting())
+	tracker.setOutcome("refused", outcomeRefused)
+	tracker.setOutcome("done", outcomeDone)
+	tracker.setOutcome("done", outcomeLost) // it was told once that it is done
+	tracker.setOutcome("failed", outcomeFailed)
+	tracker.setOutcome("gone", outcomeLost)
+	tracker.markStarted("done")
+	tracker.markStarted("done")
+	tracker.markStarted("unknown")
+	require.Equal(t, Jobs{Sent: 7, Accepted: 5, Refused: 1, InDoubt: 1, Done: 1, Failed: 1, Lost: 1, Tries: 6, Starts: 3}, tracker.count(false))
+	require.Equal(t, 2, tracker.count(true).Lost, "the one that was kept and isn't done; nobody waits for the resident")
+	require.Equal(t, 1, tracker.unfinished())
 }
 
 // A job may be unknown somewhere for a while after its acknowledgement, and no longer.
-func TestLedgerTellsUnseenJobsFromLostOnes(t *testing.T) {
-	ledger := newLedger()
-	ledger.open("young", kindQuick)
-	ledger.settle("young", verdictAccepted)
-	require.False(t, ledger.gone("young"))
-	ledger.entries["old"] = &entry{verdict: verdictAccepted, accepted: ledger.now() - visibleSpan - time.Second}
-	require.True(t, ledger.gone("old"))
-	jobs := ledger.count(false)
-	require.Equal(t, 1, jobs.Unseen)
+func TestJobTrackerDistinguishesNotVisibleFromLost(t *testing.T) {
+	tracker := newJobTracker()
+	tracker.add("young", kindQuick)
+	tracker.setOutcome("young", outcomeAccepted)
+	require.False(t, tracker.markUnknown("young"))
+	tracker.records["old"] = &jobRecord{outcome: outcomeAccepted, accepted: tracker.now() - visibilityDelay - time.Second}
+	require.True(t, tracker.markUnknown("old"))
+	jobs := tracker.count(false)
+	require.Equal(t, 1, jobs.NotVisibleYet)
 	require.Equal(t, 1, jobs.Lost)
 }
 
 // Whatever clients are told, in any order, each job counts once.
-func TestLedgerCountsEachJobOnce(t *testing.T) {
+func TestJobTrackerCountsEachJobOnce(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		ledger := newLedger()
+		tracker := newJobTracker()
 		ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 		for _, id := range ids {
-			ledger.open(id, jobKind(random.IntN(int(kindResident)+1)))
+			tracker.add(id, jobKind(random.IntN(int(kindResident)+1)))
 		}
 		for range 40 {
-			ledger.settle(ids[random.IntN(len(ids))], verdict(1+random.IntN(int(verdictGone))))
-			jobs := ledger.count(false)
-			require.Equal(t, jobs.Sent, jobs.Accepted+jobs.Refused+jobs.Open, "seed %d", seed)
+			tracker.setOutcome(ids[random.IntN(len(ids))], outcome(1+random.IntN(int(outcomeLost))))
+			jobs := tracker.count(false)
+			require.Equal(t, jobs.Sent, jobs.Accepted+jobs.Refused+jobs.InDoubt, "seed %d", seed)
 			require.LessOrEqual(t, jobs.Done+jobs.Failed+jobs.Lost, jobs.Accepted, "seed %d", seed)
 		}
-		final := ledger.count(true)
+		final := tracker.count(true)
 		require.LessOrEqual(t, final.Done+final.Failed+final.Lost, final.Accepted, "seed %d", seed)
 	}
 }
@@ -75,26 +75,26 @@
 		spans = append(spans, time.Duration(i)*time.Millisecond)
 	}
 	latency := newLatency(spans)
-	require.Equal(t, Latency{Count: 100, P50: 51, P90: 91, P99: 100, Most: 100}, latency)
+	require.Equal(t, Latency{Count: 100, P50: 51, P90: 91, P99: 100, Max: 100}, latency)
 }
 
-func TestLatenciesLeaveOutWhatIsNotMeasured(t *testing.T) {
-	ledger := newLedger()
-	ledger.entries["early"] = &entry{sent: time.Second, accepted: 2 * time.Second}
-	ledger.entries["resident"] = &entry{kind: kindResident, sent: 5 * time.Second, accepted: 6 * time.Second}
-	ledger.entries["late"] = &entry{sent: 4 * time.Second, accepted: 5 * time.Second, started: 6 * time.Second, over: 9 * time.Second,
-		verdict: verdictDone}
-	latencies := ledger.latencies(3 * time.Second)
+func TestLatenciesExcludeUnmeasuredJobs(t *testing.T) {
+	tracker := newJobTracker()
+	tracker.records["early"] = &jobRecord{sent: time.Second, accepted: 2 * time.Second}
+	tracker.records["resident"] = &jobRecord{kind: kindResident, sent: 5 * time.Second, accepted: 6 * time.Second}
+	tracker.records["late"] = &jobRecord{sent: 4 * time.Second, accepted: 5 * time.Second, started: 6 * time.Second, finished: 9 * time.Second,
+		outcome: outcomeDone}
+	latencies := tracker.latencies(3 * time.Second)
 	require.Equal(t, 1, latencies.Accepted.Count)
 	require.InDelta(t, 2000, latencies.Started.P50, 0)
-	require.InDelta(t, 5000, latencies.Over.P99, 0)
+	require.InDelta(t, 5000, latencies.Done.P99, 0)
 }
 
-func TestReportTellsWhatIsUnsound(t *testing.T) {
+func TestReportFailsOnViolationsLossesAndCrashes(t *testing.T) {
 	report := &Report{Seed: 7, Orders: Orders{Ends: map[string]int{"done": 2}, Refused: map[string]int{"late": 1}}}
-	report.noteRules(nil)
+	report.addViolations(nil)
 	require.True(t, report.Sound())
-	report.noteRules([]hollow.Violation{{Rule: hollow.RuleTwice, Task: "x"}, {Rule: hollow.RuleTwice}, {Rule: hollow.RuleRoute}})
+	report.addViolations([]hollow.Violation{{Rule: hollow.RuleTwice, Task: "x"}, {Rule: hollow.RuleTwice}, {Rule: hollow.RuleRoute}})
 	require.False(t, report.Sound())
 	require.False(t, (&Report{Jobs: Jobs{Lost: 1}}).Sound())
 	require.False(t, (&Report{Crashes: 1}).Sound())
@@ -112,9 +112,9 @@
 	require.Equal(t, *report, read)
 }
 
-func TestOrdersAreASecond(t *testing.T) {
-	early := orderLook{at: time.Second, stats: hollow.Stats{Starts: 10, Holds: 5}, traffic: TrafficCount{Received: kilobyte}}
-	late := orderLook{at: 3 * time.Second, stats: hollow.Stats{Starts: 30, Holds: 6, ListRejected: 2, Ends: [len(endWords)]int{9, 0, 0, 3}, StartsRoom: 4},
+func TestOrdersAreRatesPerSecond(t *testing.T) {
+	early := orderSample{at: time.Second, stats: hollow.Stats{Starts: 10, Holds: 5}, traffic: TrafficCount{Received: kilobyte}}
+	late := orderSample{at: 3 * time.Second, stats: hollow.Stats{Starts: 30, Holds: 6, ListRejected: 2, Ends: [len(endWords)]int{9, 0, 0, 3}, StartsRoom: 4},
 		traffic: TrafficCount{Received: 5 * kilobyte, Connections: 4}, listing: TrafficCount{Calls: 3}}
 	orders := early.until(late)
 	require.InDelta(t, 10, orders.StartsPerS, 0)
@@ -127,7 +127,7 @@
 	require.Equal(t, map[string]int{"room": 4}, orders.Refused)
 }
 
-func TestSizesArePrintedOneALine(t *testing.T) {
+func TestPrintSizesWritesOneLinePerSize(t *testing.T) {
 	var text bytes.Buffer
 	sizes := []*SizeReport{{Report: Report{Workers: 30, Roles: []RoleCost{{Role: roleHead}}}}, {Report: Report{Workers: 2300}}}
 	require.NoError(t, PrintSizes(&text, sizes))
--- a/internal/system/localcluster/roles.go
+++ b/internal/system/localcluster/roles.go
@@ -6,10 +6,10 @@
 
 // The roles by which costs are told.
 const (
-	roleHead       = "head"
-	roleOther      = "other replica"
-	roleDispatcher = "dispatcher"
-	roleHollow     = "hollow dispatcher"
+	roleHead             = "head"
+	roleOtherReplica     = "other replica"
+	roleDispatcher       = "dispatcher"
+	roleHollowDispatcher = "hollow dispatcher"
 )
 
 // RoleCost is what one process of a role has cost over a span of time: the mean over the role's processes.
@@ -49,16 +49,16 @@
 	}
 }
 
-// usages is a look at all processes.
-type usages struct {
+// usageSample is a look at all processes.
+type usageSample struct {
 	at          time.Duration
 	replicas    []Usage
 	dispatchers []Usage
 	hollow      Usage
 }
 
-func (c *Cluster) look() usages {
-	seen := usages{at: c.ledger.now()}
+func (c *Cluster) sampleUsage() usageSample {
+	seen := usageSample{at: c.tracker.now()}
 	for _, child := range c.replicas {
 		seen.replicas = append(seen.replicas, child.usage())
 	}
@@ -71,8 +71,8 @@
 	return seen
 }
 
-// costs is what each role has cost between two looks; head is the number of the replica that was it, -1 if none was known.
-func (c *Cluster) costs(before, after usages, head int) []RoleCost {
+// roleCosts is what each role has cost between two looks; head is the number of the replica that was it, -1 if none was known.
+func (c *Cluster) roleCosts(before, after usageSample, head int) []RoleCost {
 	span := after.at - before.at
 	var costs []RoleCost
 	var others Usage
@@ -85,7 +85,7 @@
 		others = others.plus(used)
 	}
 	if count := len(after.replicas) - len(costs); count > 0 {
-		costs = append(costs, newRoleCost(roleOther, count, others, span))
+		costs = append(costs, newRoleCost(roleOtherReplica, count, others, span))
 	}
 	var dispatchers Usage
 	for i := range after.dispatchers {
@@ -93,7 +93,7 @@
 	}
 	costs = append(costs, newRoleCost(roleDispatcher, len(after.dispatchers), dispatchers, span))
 	if c.hollow != nil {
-		costs = append(costs, newRoleCost(roleHollow, c.options.HollowDispatchers, after.hollow.since(before.hollow), span))
+		costs = append(costs, newRoleCost(roleHollowDispatcher, c.options.HollowDispatchers, after.hollow.since(before.hollow), span))
 	}
 	return costs
 }
--- a/internal/system/localcluster/run.go
+++ b/internal/system/localcluster/run.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	readyLimit = 40 * time.Second
-	tableEvery = time.Second
-	waitEvery  = 200 * time.Millisecond
-	// lostSpan is how long a job may have nothing running though its turn has come, at the end of a run.
-	lostSpan = 3 * time.Second
+	readyTimeout  = 40 * time.Second
+	tableInterval = time.Second
+	pollInterval  = 200 * time.Millisecond
+	// lostAfter is how long a job may have nothing running though its turn has come, at the end of a run.
+	lostAfter = 3 * time.Second
 	// arrivalStream is the stream of random numbers of the jobs' times.
 	arrivalStream = 2
 )
 
 // session is one cluster with its clients.
 type session struct {
-	options Options
-	cluster *Cluster
-	clients *clients
-	drafter *drafter
-	random  *rand.Rand
-	from    time.Duration // of the load
-	jobs    int
-	telling sync.Mutex // of the table: troubles write to it too
+	options    Options
+	cluster    *Cluster
+	clients    *clients
+	generator  *jobGenerator
+	random     *rand.Rand
+	loadStart  time.Duration // of the load
+	submitted  int
+	tableMutex sync.Mutex // of the table: troubles write to it too
 }
 
 func newSession(options Options) (*session, error) {
@@ -40,20 +40,20 @@
 	}
 	options = cluster.options
 	return &session{
-		options: options,
-		cluster: cluster,
-		clients: newClients(cluster.frontends(), cluster.ledger, cluster.fleet.world),
-		drafter: newDrafter(options.Seed),
-		random:  rand.New(rand.NewPCG(options.Seed, arrivalStream)),
+		options:   options,
+		cluster:   cluster,
+		clients:   newClients(cluster.frontendAddresses(), cluster.tracker, cluster.fleet.world),
+		generator: newJobGenerator(options.Seed),
+		random:    rand.New(rand.NewPCG(options.Seed, arrivalStream)),
 	}, nil
 }
 
-// ready puts the configuration and waits until all dispatchers serve.
-func (s *session) ready(ctx context.Context) error {
-	limited, cancel := context.WithTimeout(ctx, readyLimit)
+// configure puts the configuration and waits until all dispatchers serve.
+func (s *session) configure(ctx context.Context) error {
+	limited, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := s.cluster.configure(limited, s.clients); err != nil {
-		return fmt.Errorf("the cluster isn't ready after %v: %w", readyLimit, err)
+		return fmt.Errorf("the cluster isn't ready after %v: %w", readyTimeout, err)
 	}
 	return nil
 }
@@ -73,44 +73,44 @@
 	}
 	following, cancel := context.WithCancel(ctx)
 	defer s.close(cancel)
-	if err := s.ready(ctx); err != nil {
+	if err := s.configure(ctx); err != nil {
 		return nil, err
 	}
-	return s.play(following, cancel)
+	return s.runLoad(following, cancel)
 }
 
-// play lets clients, troubles and the table run, waits for the jobs, and makes the report.
-func (s *session) play(ctx context.Context, cancel context.CancelFunc) (*Report, error) {
-	before, orders := s.cluster.look(), s.cluster.lookAtOrders()
-	s.from = s.cluster.ledger.now()
+// runLoad lets clients, troubles and the table run, waits for the jobs, and makes the report.
+func (s *session) runLoad(ctx context.Context, cancel context.CancelFunc) (*Report, error) {
+	before, orders := s.cluster.sampleUsage(), s.cluster.sampleOrders()
+	s.loadStart = s.cluster.tracker.now()
 	var group sync.WaitGroup
 	showing, stopTable := context.WithCancel(ctx)
 	group.Go(func() { s.table(showing) })
-	troubles := &troublemaker{cluster: s.cluster, tell: s.tell, version: s.cluster.configuration.parsed.Version}
+	troubles := &troubleInjector{cluster: s.cluster, logLine: s.logLine, configVersion: s.cluster.configuration.parsed.Version}
 	var fault error
-	troubled := make(chan struct{})
+	troublesDone := make(chan struct{})
 	go func() {
-		defer close(troubled)
+		defer close(troublesDone)
 		fault = troubles.run(ctx, s.options.Troubles)
 	}()
-	err := s.load(ctx, s.options.Rate, s.options.For, s.mixed)
-	<-troubled
+	err := s.load(ctx, s.options.Rate, s.options.For, s.mixedJob)
+	<-troublesDone
 	if err == nil {
 		err = fault
 	}
 	if err == nil {
 		s.awaitJobs(ctx)
 	}
-	after, orderEnd := s.cluster.look(), s.cluster.lookAtOrders()
+	after, orderEnd := s.cluster.sampleUsage(), s.cluster.sampleOrders()
 	stopTable()
 	group.Wait()
 	if err != nil || ctx.Err() != nil {
-		return nil, firstOf(err, ctx.Err())
+		return nil, firstError(err, ctx.Err())
 	}
 	return s.report(before, after, orders.until(orderEnd), cancel), nil
 }
 
-func firstOf(errs ...error) error {
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -121,37 +121,37 @@
 
 // load hands jobs in at random times for a while.
 func (s *session) load(ctx context.Context, rate float64, span time.Duration, next func() (jobKind, *clusterconfig.Route)) error {
-	end := s.cluster.ledger.now() + span
-	due := s.cluster.ledger.now()
+	end := s.cluster.tracker.now() + span
+	due := s.cluster.tracker.now()
 	for rate > 0 {
 		due += time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))
 		if due >= end {
 			break
 		}
-		if wait := due - s.cluster.ledger.now(); wait > 0 && pause.For(ctx, wait) != nil {
+		if wait := due - s.cluster.tracker.now(); wait > 0 && pause.For(ctx, wait) != nil {
 			return ctx.Err()
 		}
-		if err := s.hand(ctx, next); err != nil {
+		if err := s.submitNext(ctx, next); err != nil {
 			return err
 		}
 	}
-	_ = pause.For(ctx, end-s.cluster.ledger.now())
+	_ = pause.For(ctx, end-s.cluster.tracker.now())
 	return ctx.Err()
 }
 
-func (s *session) hand(ctx context.Context, next func() (jobKind, *clusterconfig.Route)) error {
+func (s *session) submitNext(ctx context.Context, next func() (jobKind, *clusterconfig.Route)) error {
 	kind, route := next()
-	drawn, err := s.drafter.draw(kind, route)
+	draft, err := s.generator.generate(kind, route)
 	if err != nil {
 		return err
 	}
-	s.jobs++
-	s.clients.submit(ctx, drawn, kind)
+	s.submitted++
+	s.clients.submit(ctx, draft, kind)
 	return nil
 }
 
-// mixed gives each queue a kind of job in turn.
-func (s *session) mixed() (jobKind, *clusterconfig.Route) {
+// mixedJob gives each queue a kind of job in turn.
+func (s *session) mixedJob() (jobKind, *clusterconfig.Route) {
 	routes := s.cluster.configuration.parsed.Routes
 	number := s.random.IntN(len(routes))
 	return jobKind(number % int(kindSteady)), &routes[number]
@@ -161,15 +161,15 @@
 func (s *session) awaitJobs(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, s.options.Patience)
 	defer cancel()
-	for s.cluster.ledger.waiting() > 0 && pause.For(limited, waitEvery) == nil {
+	for s.cluster.tracker.unfinished() > 0 && pause.For(limited, pollInterval) == nil {
 	}
 }
 
-func (s *session) tell(line string) {
-	s.telling.Lock()
-	defer s.telling.Unlock()
+func (s *session) logLine(line string) {
+	s.tableMutex.Lock()
+	defer s.tableMutex.Unlock()
 	if s.options.Table != nil {
-		fmt.Fprintf(s.options.Table, "%6.1f s  %s\n", (s.cluster.ledger.now() - s.from).Seconds(), line)
+		fmt.Fprintf(s.options.Table, "%6.1f s  %s\n", (s.cluster.tracker.now() - s.loadStart).Seconds(), line)
 	}
 }
 
@@ -178,24 +178,24 @@
 	if s.options.Table == nil {
 		return
 	}
-	for pause.For(ctx, tableEvery) == nil {
-		s.tell(s.cluster.line())
+	for pause.For(ctx, tableInterval) == nil {
+		s.logLine(s.cluster.statusLine())
 	}
 }
 
-// line tells how the cluster stands.
-func (c *Cluster) line() string {
-	jobs := c.ledger.count(false)
+// statusLine tells how the cluster stands.
+func (c *Cluster) statusLine() string {
+	jobs := c.tracker.count(false)
 	chain := "no head"
-	if newest, err := c.view(); err == nil {
-		chain = fmt.Sprintf("epoch %d, head %s, chain of %d", newest.Epoch, replicaName(c.replicaAt(newest.Head().Address)), len(newest.Chain))
+	if newest, err := c.newestView(); err == nil {
+		chain = fmt.Sprintf("epoch %d, head %s, chain of %d", newest.Epoch, replicaName(c.replicaIndex(newest.Head().Address)), len(newest.Chain))
 	}
 	return fmt.Sprintf("%-38s jobs: %d sent, %d accepted, %d done; %d starts, %d broken rules", chain, jobs.Sent, jobs.Accepted, jobs.Done,
 		jobs.Starts, len(c.fleet.world.Violations()))
 }
 
 // report sums up, ends the processes and reads a disk.
-func (s *session) report(before, after usages, orders Orders, cancel context.CancelFunc) *Report {
+func (s *session) report(before, after usageSample, orders Orders, cancel context.CancelFunc) *Report {
 	c := s.cluster
 	report := &Report{
 		Seed:        s.options.Seed,
@@ -203,35 +203,35 @@
 		Dispatchers: s.options.Dispatchers + s.options.HollowDispatchers,
 		Workers:     s.options.Workers,
 		Seconds:     s.options.For.Seconds(),
-		Jobs:        c.ledger.count(true),
-		Latencies:   c.ledger.latencies(s.from),
+		Jobs:        c.tracker.count(true),
+		Latencies:   c.tracker.latencies(s.loadStart),
 		Orders:      orders,
 	}
-	if newest, err := c.view(); err == nil {
+	if newest, err := c.newestView(); err == nil {
 		report.Epoch = newest.Epoch
 	}
-	report.Roles = c.costs(before, after, c.head())
+	report.Roles = c.roleCosts(before, after, c.headIndex())
 	violations := c.fleet.world.Violations()
 	if report.Jobs.Lost > 0 {
-		violations = append(violations, c.fleet.world.Lost(lostSpan)...)
+		violations = append(violations, c.fleet.world.Lost(lostAfter)...)
 	}
-	report.noteRules(violations)
+	report.addViolations(violations)
 	for _, child := range c.children() {
-		_, crashes := child.crashed()
+		_, crashes := child.crashSummary()
 		report.Crashes += crashes
 	}
 	cancel()
 	s.clients.wait()
-	c.end(c.children())
-	report.Disk = c.readAnyDisk()
+	c.endProcesses(c.children())
+	report.Disk = c.readFirstDisk()
 	return report
 }
 
-// readAnyDisk reads the disk of the first replica that has one to be read.
-func (c *Cluster) readAnyDisk() DiskState {
+// readFirstDisk reads the disk of the first replica that has one to be read.
+func (c *Cluster) readFirstDisk() DiskState {
 	for i := range c.replicas {
-		if held, err := readDisk(c.plan.dataFolder(i)); err == nil {
-			return held
+		if disk, err := readDisk(c.plan.dataDir(i)); err == nil {
+			return disk
 		}
 	}
 	return DiskState{}
--- a/internal/system/localcluster/run_test.go
+++ b/internal/system/localcluster/run_test.go
@@ -15,7 +15,7 @@
 
 // A whole cluster of real processes survives that its head is killed: every job is done, none is lost, nothing runs twice, and all
 // processes and the folder are gone afterwards.
-func TestClusterSurvivesTheHead(t *testing.T) {
+func TestClusterSurvivesKilledHead(t *testing.T) {
 	programs := t.TempDir()
 	require.NoError(t, Build(t.Context(), programs))
 	trouble, err := ParseTrouble("kill head 1s 500ms")
@@ -35,7 +35,7 @@
 	require.Positive(t, report.Latencies.Started.Count)
 }
 
-func TestStartCleansUpAfterAFault(t *testing.T) {
+func TestStartCleansUpAfterError(t *testing.T) {
 	temporary := t.TempDir()
 	t.Setenv("TMPDIR", temporary)
 	_, err := Start(Options{Programs: "/nowhere"})
@@ -45,9 +45,9 @@
 	require.Empty(t, left)
 }
 
-func TestStartLeavesTheFolderOfAnotherCluster(t *testing.T) {
-	folder := t.TempDir()
-	require.NoError(t, os.Mkdir(filepath.Join(folder, replicaName(0)), folderMode))
-	_, err := Start(Options{Programs: "/nowhere", Folder: folder})
-	require.ErrorIs(t, err, errFolderInUse)
+func TestStartRejectsNonEmptyDir(t *testing.T) {
+	dir := t.TempDir()
+	require.NoError(t, os.Mkdir(filepath.Join(dir, replicaName(0)), dirMode))
+	_, err := Start(Options{Programs: "/nowhere", Folder: dir})
+	require.ErrorIs(t, err, errDirNotEmpty)
 }
--- a/internal/system/localcluster/scale.go
+++ b/internal/system/localcluster/scale.go
@@ -13,15 +13,15 @@
 // The load of a scale run, each as a share of the workers: that of a deployment with 2,300 workers, 250 starts a second at its
 // peak and 20,000 tasks that run.
 const (
-	startsASecondPerWorker = 250.0 / 2300
-	runningPerWorker       = 20_000.0 / 2300
-	workersADispatcher     = 10
-	leastDispatchers       = 6
-	fillLimit              = time.Minute
-	settleSpan             = 3 * time.Second
-	contactLimit           = 30 * time.Second
-	fillJobsASecond        = 20
-	notInForce             = -1 // seconds: a configuration that wasn't in force everywhere when patience was over
+	startsPerSecondPerWorker = 250.0 / 2300
+	runningPerWorker         = 20_000.0 / 2300
+	workersPerDispatcher     = 10
+	minDispatchers           = 6
+	fillTimeout              = time.Minute
+	warmUpDuration           = 3 * time.Second
+	contactTimeout           = 30 * time.Second
+	fillJobsPerSecond        = 20
+	notInForce               = -1 // seconds: a configuration that wasn't in force everywhere when patience was over
 )
 
 // ScaleOptions say how a scale run plays each size.
@@ -49,9 +49,9 @@
 
 // RunSize plays a cluster of the options' number of workers: tasks that outlast the run, then a steady load that is measured.
 func RunSize(ctx context.Context, options ScaleOptions) (*SizeReport, error) {
-	options.Rate = startsASecondPerWorker * float64(options.Workers) / steadyTasks
+	options.Rate = startsPerSecondPerWorker * float64(options.Workers) / steadyTasks
 	options.For = options.Window
-	dispatchers := max(leastDispatchers, options.Workers/workersADispatcher)
+	dispatchers := max(minDispatchers, options.Workers/workersPerDispatcher)
 	options.withDefaults()
 	options.HollowDispatchers = max(0, dispatchers-options.Dispatchers)
 	s, err := newSession(options.Options)
@@ -60,13 +60,13 @@
 	}
 	following, cancel := context.WithCancel(ctx)
 	defer s.close(cancel)
-	if err := s.ready(ctx); err != nil {
+	if err := s.configure(ctx); err != nil {
 		return nil, err
 	}
-	s.from = s.cluster.ledger.now()
+	s.loadStart = s.cluster.tracker.now()
 	size := &SizeReport{Wanted: int(runningPerWorker * float64(options.Workers)), WindowSeconds: options.Window.Seconds()}
 	s.awaitContact(ctx, size)
-	if err := s.fill(following, size); err != nil {
+	if err := s.startResidentTasks(following, size); err != nil {
 		return nil, err
 	}
 	return size, s.measure(following, cancel, size)
@@ -74,56 +74,56 @@
 
 // awaitContact waits until every worker has been called on.
 func (s *session) awaitContact(ctx context.Context, size *SizeReport) {
-	limited, cancel := context.WithTimeout(ctx, contactLimit)
+	limited, cancel := context.WithTimeout(ctx, contactTimeout)
 	defer cancel()
-	for s.cluster.fleet.world.Stats().Holds < s.options.Workers && pause.For(limited, waitEvery) == nil {
+	for s.cluster.fleet.world.Stats().Holds < s.options.Workers && pause.For(limited, pollInterval) == nil {
 	}
-	size.ContactSeconds = (s.cluster.ledger.now() - s.from).Seconds()
-	s.tell("all workers were called on, or patience is over")
+	size.ContactSeconds = (s.cluster.tracker.now() - s.loadStart).Seconds()
+	s.logLine("all workers were called on, or patience is over")
 }
 
-// fill hands in the tasks that outlast the run, has the troubles strike meanwhile, and waits for the starts.
-func (s *session) fill(ctx context.Context, size *SizeReport) error {
-	begun := s.cluster.ledger.now()
-	troubles := &troublemaker{cluster: s.cluster, tell: s.tell, version: s.cluster.configuration.parsed.Version}
-	troubled := make(chan error, 1)
-	go func() { troubled <- troubles.run(ctx, s.options.Troubles) }()
+// startResidentTasks hands in the tasks that outlast the run, has the troubles strike meanwhile, and waits for the starts.
+func (s *session) startResidentTasks(ctx context.Context, size *SizeReport) error {
+	start := s.cluster.tracker.now()
+	troubles := &troubleInjector{cluster: s.cluster, logLine: s.logLine, configVersion: s.cluster.configuration.parsed.Version}
+	troubleResult := make(chan error, 1)
+	go func() { troubleResult <- troubles.run(ctx, s.options.Troubles) }()
 	first := s.cluster.fleet.world.Stats().Starts
-	limited, cancel := context.WithTimeout(ctx, fillLimit)
+	limited, cancel := context.WithTimeout(ctx, fillTimeout)
 	defer cancel()
 	jobs := (size.Wanted + residentTasks - 1) / residentTasks
 	for range jobs {
-		if err := s.hand(ctx, s.resident); err != nil {
+		if err := s.submitNext(ctx, s.residentJob); err != nil {
 			return err
 		}
-		_ = pause.For(limited, time.Second/fillJobsASecond)
+		_ = pause.For(limited, time.Second/fillJobsPerSecond)
 	}
 	started := 0
 	for limited.Err() == nil {
 		if started = s.cluster.fleet.world.Stats().Starts - first; started >= size.Wanted {
 			break
 		}
-		_ = pause.For(limited, waitEvery)
+		_ = pause.For(limited, pollInterval)
 	}
 	size.Resident = started
-	size.FillSeconds = (s.cluster.ledger.now() - begun).Seconds()
+	size.FillSeconds = (s.cluster.tracker.now() - start).Seconds()
 	size.FillStartsPerS = float64(started) / size.FillSeconds
-	s.tell(fmt.Sprintf("%d of %d lasting tasks started", started, size.Wanted))
-	return firstOf(<-troubled, ctx.Err())
+	s.logLine(fmt.Sprintf("%d of %d lasting tasks started", started, size.Wanted))
+	return firstError(<-troubleResult, ctx.Err())
 }
 
-func (s *session) resident() (jobKind, *clusterconfig.Route) {
-	return kindResident, s.routeInTurn()
+func (s *session) residentJob() (jobKind, *clusterconfig.Route) {
+	return kindResident, s.nextRoute()
 }
 
-func (s *session) steady() (jobKind, *clusterconfig.Route) {
-	return kindSteady, s.routeInTurn()
+func (s *session) steadyJob() (jobKind, *clusterconfig.Route) {
+	return kindSteady, s.nextRoute()
 }
 
-// routeInTurn spreads jobs over the services as the workers are.
-func (s *session) routeInTurn() *clusterconfig.Route {
+// nextRoute spreads jobs over the services as the workers are.
+func (s *session) nextRoute() *clusterconfig.Route {
 	config := s.cluster.configuration.parsed
-	service := config.Services[s.jobs%len(config.Services)].Name
+	service := config.Services[s.submitted%len(config.Services)].Name
 	for i := range config.Routes {
 		if config.Routes[i].Backend == service {
 			return &config.Routes[i]
@@ -134,20 +134,20 @@
 
 // measure plays the steady load, looks at its second part, and makes the report.
 func (s *session) measure(ctx context.Context, cancel context.CancelFunc, size *SizeReport) error {
-	if err := s.load(ctx, s.options.Rate, settleSpan, s.steady); err != nil {
+	if err := s.load(ctx, s.options.Rate, warmUpDuration, s.steadyJob); err != nil {
 		return err
 	}
-	s.from = s.cluster.ledger.now()
-	before, orders := s.cluster.look(), s.cluster.lookAtOrders()
-	if err := s.load(ctx, s.options.Rate, s.options.For, s.steady); err != nil {
+	s.loadStart = s.cluster.tracker.now()
+	before, orders := s.cluster.sampleUsage(), s.cluster.sampleOrders()
+	if err := s.load(ctx, s.options.Rate, s.options.For, s.steadyJob); err != nil {
 		return err
 	}
-	after, orderEnd := s.cluster.look(), s.cluster.lookAtOrders()
-	s.tell("measured")
+	after, orderEnd := s.cluster.sampleUsage(), s.cluster.sampleOrders()
+	s.logLine("measured")
 	s.awaitJobs(ctx)
-	seconds, err := s.timeConfiguration(ctx)
+	seconds, err := s.measureConfiguration(ctx)
 	if err != nil {
-		s.tell(err.Error())
+		s.logLine(err.Error())
 		seconds = notInForce
 	}
 	size.ConfigurationSeconds = seconds
@@ -155,25 +155,25 @@
 	return nil
 }
 
-// timeConfiguration adds a queue and gives the seconds until the last dispatcher answers for it.
-func (s *session) timeConfiguration(ctx context.Context) (float64, error) {
+// measureConfiguration adds a queue and gives the seconds until the last dispatcher answers for it.
+func (s *session) measureConfiguration(ctx context.Context) (float64, error) {
 	current := s.cluster.configuration.parsed.Version
-	body, err := s.cluster.configuration.withProbe(current + 1)
+	body, err := s.cluster.configuration.withProbeRoute(current + 1)
 	if err != nil {
 		return 0, err
 	}
-	limited, cancel := context.WithTimeout(ctx, reconfigureLimit)
+	limited, cancel := context.WithTimeout(ctx, reconfigureTimeout)
 	defer cancel()
-	begun := time.Now()
-	operator := newOperator(s.cluster.controls())
+	start := time.Now()
+	operator := newOperator(s.cluster.controlAddresses())
 	defer operator.close()
 	if err := operator.replace(limited, current, body); err != nil {
 		return 0, err
 	}
-	if err := s.clients.readyAll(limited, probeHost, probePrefix); err != nil {
-		return 0, fmt.Errorf("a dispatcher hasn't the configuration after %v: %w", reconfigureLimit, err)
+	if err := s.clients.awaitAllReady(limited, probeHost, probePrefix); err != nil {
+		return 0, fmt.Errorf("a dispatcher hasn't the configuration after %v: %w", reconfigureTimeout, err)
 	}
-	return time.Since(begun).Seconds(), nil
+	return time.Since(start).Seconds(), nil
 }
 
 // PrintSizes writes a table with a line for each size.
--- a/internal/system/localcluster/scenario.go
+++ b/internal/system/localcluster/scenario.go
@@ -24,7 +24,7 @@
 	Trouble     []Trouble `hcl:"trouble,block"`
 	Range       hcl.Range `hcl:",def_range"`
 
-	length time.Duration
+	duration time.Duration
 }
 
 // Trouble is something that goes wrong at a time, for a while.
@@ -37,8 +37,8 @@
 	For    string    `hcl:"for,optional"`
 	Range  hcl.Range `hcl:",def_range"`
 
-	at, length time.Duration
-	target     target
+	startAfter, duration time.Duration
+	target               target
 }
 
 // The kinds of trouble.
@@ -50,7 +50,7 @@
 	troubleReconfigure = "reconfigure" // the operator replaces the configuration
 )
 
-const defaultTroubleLength = 3 * time.Second
+const defaultTroubleDuration = 3 * time.Second
 
 // The groups that a target names.
 const (
@@ -64,12 +64,12 @@
 // target says whom a trouble strikes: a whole group, or one of it.
 type target struct {
 	group string
-	index int // allOf: the whole group
+	index int // wholeGroup: the whole group
 }
 
-const allOf = -1
+const wholeGroup = -1
 
-var groupsOfOne = map[string]string{"replica": groupReplicas, "dispatcher": groupDispatchers, "worker": groupWorkers}
+var groupBySingular = map[string]string{"replica": groupReplicas, "dispatcher": groupDispatchers, "worker": groupWorkers}
 
 // parseTarget reads "head", "replicas" or "replica:0".
 func parseTarget(text string) (target, error) {
@@ -77,11 +77,11 @@
 	if !single {
 		switch name {
 		case groupHead, groupTail, groupReplicas, groupDispatchers, groupWorkers:
-			return target{group: name, index: allOf}, nil
+			return target{group: name, index: wholeGroup}, nil
 		}
 		return target{}, fmt.Errorf("%q is none of head, tail, replicas, dispatchers, workers, replica:N, dispatcher:N, worker:N", text)
 	}
-	group, known := groupsOfOne[name]
+	group, known := groupBySingular[name]
 	index, err := strconv.Atoi(number)
 	if !known || err != nil || index < 0 {
 		return target{}, fmt.Errorf("%q is none of replica:N, dispatcher:N, worker:N", text)
@@ -110,13 +110,13 @@
 	}
 	checker := &scenario.Checker{}
 	read.Range.Filename = "--trouble"
-	read.check(checker)
+	read.validate(checker)
 	return read, checker.Err
 }
 
-func (t *Trouble) check(checker *scenario.Checker) {
-	t.at = checker.Time(t.Range, "at", t.At, 0)
-	t.length = checker.Time(t.Range, "for", t.For, defaultTroubleLength)
+func (t *Trouble) validate(checker *scenario.Checker) {
+	t.startAfter = checker.Time(t.Range, "at", t.At, 0)
+	t.duration = checker.Time(t.Range, "for", t.For, defaultTroubleDuration)
 	switch t.Kind {
 	case troubleReconfigure:
 		return
@@ -135,9 +135,9 @@
 // String tells the trouble in a few words.
 func (t *Trouble) String() string {
 	if t.Kind == troubleReconfigure {
-		return fmt.Sprintf("%s at %v", t.Kind, t.at)
+		return fmt.Sprintf("%s at %v", t.Kind, t.startAfter)
 	}
-	return fmt.Sprintf("%s %s at %v for %v", t.Kind, t.Target, t.at, t.length)
+	return fmt.Sprintf("%s %s at %v for %v", t.Kind, t.Target, t.startAfter, t.duration)
 }
 
 // LoadScenario reads a file that holds one scenario. Errors name file, line, column and key.
@@ -158,17 +158,17 @@
 	}
 	read := &document.Scenario
 	checker := &scenario.Checker{}
-	read.length = checker.Time(read.Range, "length", read.Length, 0)
+	read.duration = checker.Time(read.Range, "length", read.Length, 0)
 	checker.Want(read.Rate >= 0, read.Range, "rate", "0 or more")
 	for i := range read.Trouble {
-		read.Trouble[i].check(checker)
+		read.Trouble[i].validate(checker)
 	}
 	return read, checker.Err
 }
 
 // Apply puts what the scenario says into the options.
 func (s *Scenario) Apply(options *Options) {
-	override(&options.For, s.length)
+	override(&options.For, s.duration)
 	override(&options.Rate, s.Rate)
 	override(&options.Replicas, s.Replicas)
 	override(&options.Dispatchers, s.Dispatchers)
--- a/internal/system/localcluster/scenario_test.go
+++ b/internal/system/localcluster/scenario_test.go
@@ -11,22 +11,22 @@
 func TestParseTrouble(t *testing.T) {
 	read, err := ParseTrouble("kill head 5s 2s")
 	require.NoError(t, err)
-	require.Equal(t, target{group: groupHead, index: allOf}, read.target)
-	require.Equal(t, 5*time.Second, read.at)
-	require.Equal(t, 2*time.Second, read.length)
+	require.Equal(t, target{group: groupHead, index: wholeGroup}, read.target)
+	require.Equal(t, 5*time.Second, read.startAfter)
+	require.Equal(t, 2*time.Second, read.duration)
 	require.Equal(t, "kill head at 5s for 2s", read.String())
 
 	read, err = ParseTrouble("freeze worker:12 1s")
 	require.NoError(t, err)
 	require.Equal(t, target{group: groupWorkers, index: 12}, read.target)
-	require.Equal(t, defaultTroubleLength, read.length)
+	require.Equal(t, defaultTroubleDuration, read.duration)
 
 	read, err = ParseTrouble("reconfigure 4s")
 	require.NoError(t, err)
 	require.Equal(t, "reconfigure at 4s", read.String())
 }
 
-func TestParseTroubleTellsWhatIsWrong(t *testing.T) {
+func TestParseTroubleErrors(t *testing.T) {
 	for text, what := range map[string]string{
 		"":                      "KIND TARGET AT",
 		"kill head":             "KIND TARGET AT",
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestScenarioFiles(t *testing.T) {
+func TestScenarioFilesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../../scenarios/localcluster/*.hcl")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -54,13 +54,13 @@
 		options := Options{Workers: 3, Rate: 1}
 		read.Apply(&options)
 		options.withDefaults()
-		require.NoError(t, options.check(), file)
+		require.NoError(t, options.validate(), file)
 		require.Len(t, options.Troubles, len(read.Trouble))
-		require.Equal(t, read.length, options.For)
+		require.Equal(t, read.duration, options.For)
 	}
 }
 
-func TestScenarioTellsThePlaceOfAFault(t *testing.T) {
+func TestScenarioErrorsNamePosition(t *testing.T) {
 	_, err := parseScenario([]byte("scenario \"x\" {\n  trouble \"kill\" {\n    target = \"feet\"\n    at = \"1s\"\n  }\n}\n"), "x.hcl")
 	require.ErrorContains(t, err, "x.hcl:2")
 	require.ErrorContains(t, err, "feet")
@@ -68,19 +68,19 @@
 	require.ErrorContains(t, err, "x.hcl:2")
 }
 
-func TestOptionsAreBounded(t *testing.T) {
+func TestOptionsAreValidated(t *testing.T) {
 	for name, change := range map[string]func(*Options){
-		"replicas":    func(o *Options) { o.Replicas = mostReplicas + 1 },
-		"dispatchers": func(o *Options) { o.Dispatchers = mostChildren + 1 },
-		"hollow":      func(o *Options) { o.HollowDispatchers = mostMachines },
-		"workers":     func(o *Options) { o.Workers = mostWorkers + 1 },
+		"replicas":    func(o *Options) { o.Replicas = maxReplicas + 1 },
+		"dispatchers": func(o *Options) { o.Dispatchers = maxProcesses + 1 },
+		"hollow":      func(o *Options) { o.HollowDispatchers = maxDispatchers },
+		"workers":     func(o *Options) { o.Workers = maxWorkers + 1 },
 		"jobs":        func(o *Options) { o.Rate = -1 },
 		"patience":    func(o *Options) { o.Patience = -1 },
 	} {
 		var options Options
 		options.withDefaults()
-		require.NoError(t, options.check())
+		require.NoError(t, options.validate())
 		change(&options)
-		require.ErrorContains(t, options.check(), name)
+		require.ErrorContains(t, options.validate(), name)
 	}
 }
--- a/internal/system/localcluster/soak.go
+++ b/internal/system/localcluster/soak.go
@@ -35,21 +35,21 @@
 	Table io.Writer
 }
 
-// historyName is the file in a run's folder that tells its troubles and findings with their times.
-const historyName = "troubles.log"
+// troubleLogName is the file in a run's folder that tells its troubles and findings with their times.
+const troubleLogName = "troubles.log"
 
 const (
-	defaultSoakRate   = 8
-	defaultSoakFor    = 15 * time.Second
-	defaultSoakTracks = 3
-
-	// soakRecovery is within how long after the troubles all replicas are in the chain again and jobs are taken.
-	soakRecovery = 25 * time.Second
-	// soakFinish is within how long after that all accepted jobs are over.
-	soakFinish = 40 * time.Second
-	// soakSettled is within how long after that all machines tell the newest configuration.
-	soakSettled = 10 * time.Second
-	soakPoll    = 100 * time.Millisecond
+	defaultSoakRate     = 8
+	defaultSoakDuration = 15 * time.Second
+	defaultSoakTracks   = 3
+
+	// recoveryTimeout is within how long after the troubles all replicas are in the chain again and jobs are taken.
+	recoveryTimeout = 25 * time.Second
+	// finishTimeout is within how long after that all accepted jobs are over.
+	finishTimeout = 40 * time.Second
+	// settleTimeout is within how long after that all machines tell the newest configuration.
+	settleTimeout    = 10 * time.Second
+	soakPollInterval = 100 * time.Millisecond
 )
 
 // Finding is a promise that a soak run saw broken.
@@ -86,22 +86,22 @@
 
 // soak is a soak run under way.
 type soak struct {
-	options SoakOptions
-	relay   *relay.Relay
-	cluster *Cluster
-	zero    time.Time
+	options   SoakOptions
+	relay     *relay.Relay
+	cluster   *Cluster
+	startTime time.Time
 
-	mutex    sync.Mutex
-	findings []Finding
-	troubles map[string]int
-	telling  sync.Mutex
-	history  io.WriteCloser // the troubles, in the run's folder
+	mutex      sync.Mutex
+	findings   []Finding
+	troubles   map[string]int
+	logMutex   sync.Mutex
+	troubleLog io.WriteCloser // the troubles, in the run's folder
 
-	busy  map[*Child]*sync.Mutex // who is struck, by one trouble at a time
-	disks diskLosses
-	jobs  soakClients
-	admin soakOperator
-	loud  unrulyClients
+	childLocks map[*Child]*sync.Mutex // who is struck, by one trouble at a time
+	disks      diskLosses
+	clients    soakClients
+	operator   soakOperator
+	unruly     unrulyClients
 }
 
 func (o *SoakOptions) withDefaults() {
@@ -109,7 +109,7 @@
 	orDefault(&o.Dispatchers, defaultDispatchers)
 	orDefault(&o.Workers, defaultWorkers)
 	orDefault(&o.Rate, defaultSoakRate)
-	orDefault(&o.For, defaultSoakFor)
+	orDefault(&o.For, defaultSoakDuration)
 	orDefault(&o.Tracks, defaultSoakTracks)
 }
 
@@ -117,69 +117,69 @@
 // by itself and leaves no process behind.
 func Soak(ctx context.Context, options SoakOptions) (*SoakReport, error) {
 	options.withDefaults()
-	carrier, err := relay.Start(options.Seed)
+	relayServer, err := relay.Start(options.Seed)
 	if err != nil {
 		return nil, err
 	}
-	defer carrier.Close()
-	folder, err := soakFolder(options.Folder)
+	defer relayServer.Close()
+	dir, err := soakDir(options.Folder)
 	if err != nil {
 		return nil, err
 	}
 	cluster, err := Start(Options{Replicas: options.Replicas, Dispatchers: options.Dispatchers, Workers: options.Workers, Seed: options.Seed,
-		Programs: options.Programs, Folder: folder, Relay: carrier.Address()})
+		Programs: options.Programs, Folder: dir, Relay: relayServer.Address()})
 	if err != nil {
 		return nil, err
 	}
 	defer cluster.Stop()
-	s := &soak{options: options, relay: carrier, cluster: cluster, zero: time.Now(), troubles: make(map[string]int),
-		busy: make(map[*Child]*sync.Mutex)}
+	s := &soak{options: options, relay: relayServer, cluster: cluster, startTime: time.Now(), troubles: make(map[string]int),
+		childLocks: make(map[*Child]*sync.Mutex)}
 	for _, child := range cluster.children() {
-		s.busy[child] = &sync.Mutex{}
+		s.childLocks[child] = &sync.Mutex{}
 	}
-	if s.history, err = os.Create(filepath.Join(folder, historyName)); err != nil {
+	if s.troubleLog, err = os.Create(filepath.Join(dir, troubleLogName)); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
-	defer s.history.Close()
+	defer s.troubleLog.Close()
 	s.disks.known = make(map[view.ReplicaID]bool)
-	s.jobs.open(s)
-	s.admin.open(s)
-	s.loud.open(s)
+	s.clients.setUp(s)
+	s.operator.setUp(s)
+	s.unruly.setUp(s)
 	return s.run(ctx)
 }
 
-func soakFolder(wanted string) (string, error) {
+func soakDir(wanted string) (string, error) {
 	if wanted != "" {
 		return wanted, nil
 	}
 	return os.MkdirTemp("", "gaugeslip-soak-")
 }
 
-func (s *soak) now() time.Duration { return time.Since(s.zero) }
+func (s *soak) now() time.Duration { return time.Since(s.startTime) }
 
-// find takes note of a broken promise.
-func (s *soak) find(rule, format string, arguments ...any) {
+// addFinding takes note of a broken promise.
+func (s *soak) addFinding(rule, format string, arguments ...any) {
 	found := Finding{At: s.now(), Rule: rule, Detail: fmt.Sprintf(format, arguments...)}
 	s.mutex.Lock()
 	s.findings = append(s.findings, found)
 	s.mutex.Unlock()
-	s.tell("FOUND " + rule + ": " + found.Detail)
+	s.logLine("FOUND " + rule + ": " + found.Detail)
 }
 
-func (s *soak) tell(line string) {
-	s.telling.Lock()
-	defer s.telling.Unlock()
-	told := fmt.Sprintf("%8.3f s  %s\n", s.now().Seconds(), line)
-	_, _ = io.WriteString(s.history, told) // whoever lacks it has the logs
+func (s *soak) logLine(line string) {
+	s.logMutex.Lock()
+	defer s.logMutex.Unlock()
+	text := fmt.Sprintf("%8.3f s  %s\n", s.now().Seconds(), line)
+	_, _ = io.WriteString(s.troubleLog, text) // whoever lacks it has the logs
 	if s.options.Table != nil {
-		_, _ = io.WriteString(s.options.Table, told)
+		_, _ = io.WriteString(s.options.Table, text)
 	}
 }
 
-// http makes a client whose connections go through the relay under a name.
-func (s *soak) http(host string, timeout time.Duration) *http.Client {
-	through := relay.Network{Relay: s.relay.Address(), Host: host}
-	return &http.Client{Timeout: timeout, Transport: &http.Transport{DialContext: through.Dial, MaxIdleConnsPerHost: idlePerHost}}
+// httpClient makes a client whose connections go through the relay under a name.
+func (s *soak) httpClient(host string, timeout time.Duration) *http.Client {
+	network := relay.Network{Relay: s.relay.Address(), Host: host}
+	return &http.Client{Timeout: timeout, Transport: &http.Transport{DialContext: network.Dial, MaxIdleConnsPerHost: maxIdlePerHost}}
 }
 
 // run plays the load and the troubles, heals everything, and looks at what is left.
@@ -190,40 +190,40 @@
 	loading, stop := context.WithCancel(ctx)
 	defer stop()
 	var group sync.WaitGroup
-	group.Go(func() { s.jobs.load(loading) })
-	group.Go(func() { s.admin.run(loading) })
-	group.Go(func() { s.loud.run(loading) })
-	s.cluster.fleet.world.SetTrouble(s.cluster.plan.worldRules.MaxHold + mostTrouble)
-	s.trouble(ctx)
-	s.tell("all troubles are over")
-	s.recover(ctx)
+	group.Go(func() { s.clients.load(loading) })
+	group.Go(func() { s.operator.run(loading) })
+	group.Go(func() { s.unruly.run(loading) })
+	s.cluster.fleet.world.SetTrouble(s.cluster.plan.worldSettings.MaxHold + maxTroubleDuration)
+	s.runTroubles(ctx)
+	s.logLine("all troubles are over")
+	s.awaitRecovery(ctx)
 	s.cluster.fleet.world.SetTrouble(0)
 	stop()
 	group.Wait()
-	s.finish(ctx)
+	s.runFinalChecks(ctx)
 	report := s.report()
-	s.jobs.close()
-	s.admin.close()
+	s.clients.close()
+	s.operator.close()
 	return report, ctx.Err()
 }
 
 // ready puts the first configuration and waits until all dispatchers serve.
 func (s *soak) ready(ctx context.Context) error {
-	limited, cancel := context.WithTimeout(ctx, readyLimit)
+	limited, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	direct := newClients(s.cluster.frontends(), s.cluster.ledger, s.cluster.fleet.world)
+	direct := newClients(s.cluster.frontendAddresses(), s.cluster.tracker, s.cluster.fleet.world)
 	defer direct.wait()
 	return s.cluster.configure(limited, direct)
 }
 
-// trouble runs the tracks of troubles.
-func (s *soak) trouble(ctx context.Context) {
+// runTroubles runs the tracks of troubles.
+func (s *soak) runTroubles(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, s.options.For)
 	defer cancel()
 	var group sync.WaitGroup
 	for number := range s.options.Tracks {
 		random := rand.New(rand.NewPCG(s.options.Seed, uint64(number)+firstTrackStream))
-		group.Go(func() { s.track(limited, random) })
+		group.Go(func() { s.runTrack(limited, random) })
 	}
 	group.Wait()
 }
@@ -231,23 +231,23 @@
 func (s *soak) report() *SoakReport {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	report := &SoakReport{Seed: s.options.Seed, Troubles: maps.Clone(s.troubles), Jobs: s.jobs.count(), Changes: s.admin.count(),
-		Unruly: int(s.loud.opened.Load()), Starts: s.cluster.fleet.world.Stats().Starts, Findings: slices.Clone(s.findings)}
-	if newest, err := s.cluster.view(); err == nil {
+	report := &SoakReport{Seed: s.options.Seed, Troubles: maps.Clone(s.troubles), Jobs: s.clients.count(), Changes: s.operator.count(),
+		Unruly: int(s.unruly.opened.Load()), Starts: s.cluster.fleet.world.Stats().Starts, Findings: slices.Clone(s.findings)}
+	if newest, err := s.cluster.newestView(); err == nil {
 		report.Epoch = newest.Epoch
 	}
-	s.keepOrRemove(report)
+	s.keepOrRemoveDir(report)
 	return report
 }
 
-// keepOrRemove keeps the folder for whoever looks into a finding.
-func (s *soak) keepOrRemove(report *SoakReport) {
+// keepOrRemoveDir keeps the folder for whoever looks into a finding.
+func (s *soak) keepOrRemoveDir(report *SoakReport) {
 	if len(report.Findings) > 0 || s.options.Folder != "" {
-		report.Folder = s.cluster.plan.folder
+		report.Folder = s.cluster.plan.dir
 		return
 	}
-	s.cluster.removeFolder = true
+	s.cluster.removeDir = true
 	for _, child := range s.cluster.children() {
-		_ = os.Remove(filepath.Join(s.cluster.plan.folder, child.Name+".log"))
+		_ = os.Remove(filepath.Join(s.cluster.plan.dir, child.Name+".log"))
 	}
 }
--- a/internal/system/localcluster/soak_disks.go
+++ b/internal/system/localcluster/soak_disks.go
@@ -12,22 +12,22 @@
 	"gaugeslip/internal/system/localcluster/faultydisk"
 )
 
-// diskSettles is how long after a disk's trouble its process may still end for it.
-const diskSettles = 300 * time.Millisecond
+// diskSettleTime is how long after a disk's trouble its process may still end for it.
+const diskSettleTime = 300 * time.Millisecond
 
-// diskReturn is within how long a lost disk's replica is in the chain again, before another disk is taken.
-const diskReturn = 20 * time.Second
+// diskReturnTimeout is within how long a lost disk's replica is in the chain again, before another disk is taken.
+const diskReturnTimeout = 20 * time.Second
 
 // diskLosses holds that no more disks are lost than may be: the next only once the last one's replica is in the chain again, under the
 // identity of its new disk.
 type diskLosses struct {
-	mutex sync.Mutex
-	out   bool
-	known map[view.ReplicaID]bool // identities that were in a chain before the last loss
+	mutex   sync.Mutex
+	pending bool
+	known   map[view.ReplicaID]bool // identities that were in a chain before the last loss
 }
 
-// see takes note of the identities in a chain and tells whether a replica is there under one that wasn't known.
-func (d *diskLosses) see(newest view.View, address string) (back bool) {
+// observe takes note of the identities in a chain and tells whether a replica is there under one that wasn't known.
+func (d *diskLosses) observe(newest view.View, address string) (back bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, member := range newest.Chain {
@@ -39,104 +39,104 @@
 	return back
 }
 
-func (d *diskLosses) take() bool {
+func (d *diskLosses) acquire() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.out {
+	if d.pending {
 		return false
 	}
-	d.out = true
+	d.pending = true
 	return true
 }
 
-func (d *diskLosses) giveBack() {
+func (d *diskLosses) release() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.out = false
+	d.pending = false
 }
 
 func (s *soak) loseDisk(ctx context.Context, random *rand.Rand, length time.Duration) {
-	if !s.disks.take() {
+	if !s.disks.acquire() {
 		return
 	}
-	newest, err := s.cluster.view()
+	newest, err := s.cluster.newestView()
 	if err != nil {
-		s.disks.giveBack()
+		s.disks.release()
 		return
 	}
-	s.disks.see(newest, "")
+	s.disks.observe(newest, "")
 	number := random.IntN(len(s.cluster.replicas))
-	if !inChain(newest, at(s.cluster.plan.layout.replica(number), internalPort)) {
-		s.disks.giveBack() // the identity of its disk may be one that isn't known yet
+	if !inChain(newest, hostPort(s.cluster.plan.layout.replica(number), internalPort)) {
+		s.disks.release() // the identity of its disk may be one that isn't known yet
 		return
 	}
 	child := s.cluster.replicas[number]
-	struck := s.strike(child, func() {
+	locked := s.withChildLocked(child, func() {
 		child.kill()
-		if err := s.cluster.prepareReturn(number, true); err != nil {
-			s.find("FAULT", "%s has no settings: %v", child.Name, err)
+		if err := s.cluster.prepareRestart(number, true); err != nil {
+			s.addFinding("FAULT", "%s has no settings: %v", child.Name, err)
 		}
 		_ = pause.For(ctx, min(length, time.Second))
-		s.startAgain(child)
+		s.restart(child)
 	})
-	if !struck {
-		s.disks.giveBack()
+	if !locked {
+		s.disks.release()
 		return
 	}
-	s.jobs.group.Go(func() { s.awaitDisk(number) })
+	s.clients.group.Go(func() { s.awaitDiskReturn(number) })
 }
 
 func inChain(newest view.View, address string) bool {
 	return slices.ContainsFunc(newest.Chain, func(member view.Member) bool { return member.Address == address })
 }
 
-// awaitDisk frees the next loss of a disk once the replica has everything again.
-func (s *soak) awaitDisk(number int) {
-	limited, cancel := context.WithTimeout(s.jobs.follow, diskReturn)
+// awaitDiskReturn frees the next loss of a disk once the replica has everything again.
+func (s *soak) awaitDiskReturn(number int) {
+	limited, cancel := context.WithTimeout(s.clients.followContext, diskReturnTimeout)
 	defer cancel()
-	address := at(s.cluster.plan.layout.replica(number), internalPort)
-	for pause.For(limited, soakPoll) == nil {
-		newest, err := s.cluster.view()
-		if err == nil && s.disks.see(newest, address) {
-			s.disks.giveBack()
+	address := hostPort(s.cluster.plan.layout.replica(number), internalPort)
+	for pause.For(limited, soakPollInterval) == nil {
+		newest, err := s.cluster.newestView()
+		if err == nil && s.disks.observe(newest, address) {
+			s.disks.release()
 			return
 		}
 	}
 }
 
 func (s *soak) stallDisk(ctx context.Context, random *rand.Rand, length time.Duration) {
-	s.strikeDisk(ctx, random, length, faultydisk.Stalled)
+	s.injectDiskFault(ctx, random, length, faultydisk.Stalled)
 }
 
 func (s *soak) slowDisk(ctx context.Context, random *rand.Rand, length time.Duration) {
-	s.strikeDisk(ctx, random, length, faultydisk.Slow)
+	s.injectDiskFault(ctx, random, length, faultydisk.Slow)
 }
 
 func (s *soak) fillDisk(ctx context.Context, random *rand.Rand, length time.Duration) {
-	s.strikeDisk(ctx, random, length, faultydisk.Full)
+	s.injectDiskFault(ctx, random, length, faultydisk.Full)
 }
 
-// strikeDisk gives a replica's disk a trouble for a while: every other time that of the head. A process that can't bear it ends, and is started
+// injectDiskFault gives a replica's disk a trouble for a while: every other time that of the head. A process that can't bear it ends, and is started
 // again as the platform does.
-func (s *soak) strikeDisk(ctx context.Context, random *rand.Rand, length time.Duration, trouble faultydisk.Trouble) {
+func (s *soak) injectDiskFault(ctx context.Context, random *rand.Rand, length time.Duration, trouble faultydisk.Fault) {
 	child := s.anyReplica(random)
 	if random.IntN(2) == 0 {
-		child = s.headOr(random)
+		child = s.headOrAnyReplica(random)
 	}
-	orders := faultydisk.OrdersOf(s.cluster.plan.dataFolder(slices.Index(s.cluster.replicas, child)))
-	s.strike(child, func() {
-		s.order(orders, trouble)
+	faultFile := faultydisk.FaultFile(s.cluster.plan.dataDir(slices.Index(s.cluster.replicas, child)))
+	s.withChildLocked(child, func() {
+		s.setDiskFault(faultFile, trouble)
 		_ = pause.For(ctx, length)
-		s.order(orders, faultydisk.None)
-		_ = pause.For(ctx, diskSettles)
-		if child.forgiveEnd() {
-			s.startAgain(child)
+		s.setDiskFault(faultFile, faultydisk.None)
+		_ = pause.For(ctx, diskSettleTime)
+		if child.excuseExit() {
+			s.restart(child)
 		}
 	})
 }
 
-func (s *soak) order(file string, trouble faultydisk.Trouble) {
-	if err := faultydisk.Order(file, trouble); err != nil {
-		s.find("FAULT", "a disk can't be struck: %v", err)
+func (s *soak) setDiskFault(file string, trouble faultydisk.Fault) {
+	if err := faultydisk.SetFault(file, trouble); err != nil {
+		s.addFinding("FAULT", "a disk can't be struck: %v", err)
 	}
 }
--- a/internal/system/localcluster/soak_dispatchers.go
+++ b/internal/system/localcluster/soak_dispatchers.go
@@ -12,34 +12,34 @@
 // checkDispatchers holds that every dispatcher has the newest configuration in force once all is calm, and counts no job as pending that
 // has begun or is over.
 func (s *soak) checkDispatchers(ctx context.Context) {
-	client := s.http(readerHost, soakOrderTimeout)
+	client := s.httpClient(readerHost, soakCallTimeout)
 	defer client.CloseIdleConnections()
 	for i := range s.cluster.dispatchers {
-		address := at(s.cluster.plan.layout.dispatcher(i), readinessPort)
-		for !s.upToDate(ctx, client, address) {
-			if pause.For(ctx, soakPoll) != nil {
-				s.find("CONFIG", "%s hasn't the newest configuration in the end", s.cluster.dispatchers[i].Name)
+		address := hostPort(s.cluster.plan.layout.dispatcher(i), readinessPort)
+		for !s.hasNewestConfiguration(ctx, client, address) {
+			if pause.For(ctx, soakPollInterval) != nil {
+				s.addFinding("CONFIG", "%s hasn't the newest configuration in the end", s.cluster.dispatchers[i].Name)
 				break
 			}
 		}
 	}
 }
 
-// versionFigure is the figure of a dispatcher that tells its configuration's version.
-const versionFigure = "gaugeslip_config_version "
+// versionMetric is the figure of a dispatcher that tells its configuration's version.
+const versionMetric = "gaugeslip_config_version "
 
-func (s *soak) upToDate(ctx context.Context, client *http.Client, address string) bool {
+func (s *soak) hasNewestConfiguration(ctx context.Context, client *http.Client, address string) bool {
 	_, text, err := fetch(ctx, client, address, "/metrics")
 	if err != nil {
 		return false
 	}
 	for line := range strings.Lines(string(text)) {
-		figure, found := strings.CutPrefix(strings.TrimSpace(line), versionFigure)
+		value, found := strings.CutPrefix(strings.TrimSpace(line), versionMetric)
 		if !found {
 			continue
 		}
-		version, err := strconv.ParseFloat(figure, 64)
-		return err == nil && int64(version) >= s.admin.acknowledged()
+		version, err := strconv.ParseFloat(value, 64)
+		return err == nil && int64(version) >= s.operator.acknowledged()
 	}
 	return false
 }
@@ -48,5 +48,5 @@
 func (o *soakOperator) acknowledged() int64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.newest
+	return o.newestAcknowledged
 }
--- a/internal/system/localcluster/soak_jobs.go
+++ b/internal/system/localcluster/soak_jobs.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	soakHost        = "client"
-	soakTries       = 12
-	briefShare      = 0.25 // of the jobs are handed in once, whatever the answer
-	doubledShare    = 0.15 // of the jobs are handed in at two dispatchers at once
-	cancelledShare  = 0.12
-	mostCancelDelay = 1500 * time.Millisecond
-	leastLasting    = 2 * time.Second // until a job that lasts is cancelled
-	askedAgain      = 2               // times, once a job is over
-	jobStream       = 7
+	soakHost         = "client"
+	maxSoakTries     = 12
+	singleTryShare   = 0.25 // of the jobs are handed in once, whatever the answer
+	doubledShare     = 0.15 // of the jobs are handed in at two dispatchers at once
+	cancelledShare   = 0.12
+	maxCancelDelay   = 1500 * time.Millisecond
+	minLongRunning   = 2 * time.Second // until a job that lasts is cancelled
+	extraStatusCalls = 2               // times, once a job is over
+	jobStream        = 7
 )
 
 // SoakJobs counts the jobs of a soak run.
@@ -33,40 +33,40 @@
 
 // soakJob is what is known of one job.
 type soakJob struct {
-	*draft
-	tries                    int // to hand it in
-	accepted, refused, doubt bool
-	cancelAsked, cancelled   bool
-	state                    string // the last that was shown
-	over                     bool
+	*jobDraft
+	maxTries                   int // to hand it in
+	accepted, refused, inDoubt bool
+	cancelRequested, cancelled bool
+	state                      string // the last that was shown
+	finished                   bool
 }
 
 // soakClients hand jobs in, cancel some, and follow them; they take nothing for granted.
 type soakClients struct {
-	soak      *soak
-	client    *http.Client
-	addresses []string
-	drafter   *drafter
-	random    *rand.Rand
-	group     sync.WaitGroup
-	follow    context.Context // of those who follow jobs; it outlasts the load
-	stop      context.CancelFunc
+	soak          *soak
+	client        *http.Client
+	addresses     []string
+	generator     *jobGenerator
+	random        *rand.Rand
+	group         sync.WaitGroup
+	followContext context.Context // of those who follow jobs; it outlasts the load
+	stopFollowing context.CancelFunc
 
 	mutex sync.Mutex
 	jobs  []*soakJob
 }
 
-func (c *soakClients) open(s *soak) {
+func (c *soakClients) setUp(s *soak) {
 	c.soak = s
-	c.client = s.http(soakHost, clientTimeout)
-	c.addresses = s.cluster.frontends()
-	c.drafter = newDrafter(s.options.Seed)
+	c.client = s.httpClient(soakHost, clientTimeout)
+	c.addresses = s.cluster.frontendAddresses()
+	c.generator = newJobGenerator(s.options.Seed)
 	c.random = rand.New(rand.NewPCG(s.options.Seed, jobStream))
-	c.follow, c.stop = context.WithCancel(context.Background())
+	c.followContext, c.stopFollowing = context.WithCancel(context.Background())
 }
 
 func (c *soakClients) close() {
-	c.stop()
+	c.stopFollowing()
 	c.group.Wait()
 	c.client.CloseIdleConnections()
 }
@@ -80,38 +80,38 @@
 			return
 		}
 		number := c.random.IntN(len(routes))
-		drawn, shape, err := c.drafter.drawSoak(jobKind(number%int(kindSteady)), &routes[number], time.Now(), c.soak.cluster.fleet.world.Now())
+		draft, shape, err := c.generator.generateSoak(jobKind(number%int(kindSteady)), &routes[number], time.Now(), c.soak.cluster.fleet.world.Now())
 		if err != nil {
-			c.soak.find("FAULT", "no job drawn: %v", err)
+			c.soak.addFinding("FAULT", "no job drawn: %v", err)
 			return
 		}
-		job := &soakJob{draft: drawn}
+		job := &soakJob{jobDraft: draft}
 		doubled, cancels := c.random.Float64() < doubledShare, c.random.Float64() < cancelledShare
-		delay := time.Duration(c.random.Int64N(int64(mostCancelDelay)))
-		if shape == shapeLasting {
-			cancels, delay = true, leastLasting+2*delay
+		delay := time.Duration(c.random.Int64N(int64(maxCancelDelay)))
+		if shape == shapeLongRunning {
+			cancels, delay = true, minLongRunning+2*delay
 		}
 		c.mutex.Lock()
 		c.jobs = append(c.jobs, job)
 		c.mutex.Unlock()
-		c.soak.cluster.fleet.world.AddJob(drawn.job)
-		job.tries = soakTries
-		if c.random.Float64() < briefShare {
-			job.tries = 1
+		c.soak.cluster.fleet.world.AddJob(draft.job)
+		job.maxTries = maxSoakTries
+		if c.random.Float64() < singleTryShare {
+			job.maxTries = 1
 		}
-		c.group.Go(func() { c.live(c.follow, job, doubled, cancels, delay) })
+		c.group.Go(func() { c.runJob(c.followContext, job, doubled, cancels, delay) })
 	}
 }
 
-// live takes one job through its life.
-func (c *soakClients) live(ctx context.Context, job *soakJob, doubled, cancels bool, delay time.Duration) {
+// runJob takes one job through its life.
+func (c *soakClients) runJob(ctx context.Context, job *soakJob, doubled, cancels bool, delay time.Duration) {
 	if doubled {
 		var group sync.WaitGroup
-		group.Go(func() { c.handIn(ctx, job) })
-		group.Go(func() { c.handIn(ctx, job) })
+		group.Go(func() { c.submit(ctx, job) })
+		group.Go(func() { c.submit(ctx, job) })
 		group.Wait()
 	} else {
-		c.handIn(ctx, job)
+		c.submit(ctx, job)
 	}
 	accepted := c.settleHandIn(job)
 	if !accepted {
@@ -121,44 +121,44 @@
 		_ = pause.For(ctx, delay)
 		c.cancel(ctx, job)
 	}
-	c.watch(ctx, job)
+	c.pollStatus(ctx, job)
 }
 
 // settleHandIn takes note that nobody hands the job in any more.
 func (c *soakClients) settleHandIn(job *soakJob) (accepted bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !job.accepted && !job.doubt {
+	if !job.accepted && !job.inDoubt {
 		job.refused = true
 		c.soak.cluster.fleet.world.RefuseJob(job.id)
 	}
 	return job.accepted
 }
 
-// handIn tries until the answer is clear.
-func (c *soakClients) handIn(ctx context.Context, job *soakJob) {
-	gap := firstRetryPause
-	for range job.tries {
+// submit tries until the answer is clear.
+func (c *soakClients) submit(ctx context.Context, job *soakJob) {
+	gap := firstRetryDelay
+	for range job.maxTries {
 		status, body, err := c.call(ctx, http.MethodPost, job)
-		if c.handedIn(job, status, body, err) || pause.For(ctx, gap) != nil {
+		if c.recordSubmit(job, status, body, err) || pause.For(ctx, gap) != nil {
 			return
 		}
 		gap = min(2*gap, time.Second)
 	}
 }
 
-// handedIn takes note of one answer to a job that was handed in, and tells whether it was taken.
-func (c *soakClients) handedIn(job *soakJob, status int, body []byte, err error) bool {
+// recordSubmit takes note of one answer to a job that was handed in, and tells whether it was taken.
+func (c *soakClients) recordSubmit(job *soakJob, status int, body []byte, err error) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	switch {
 	case err != nil || status == http.StatusBadGateway || status == http.StatusGatewayTimeout:
-		job.doubt = true
+		job.inDoubt = true
 	case status == http.StatusOK:
 		job.accepted = true
 		return true
 	case status != http.StatusTooManyRequests && status != http.StatusServiceUnavailable:
-		c.soak.find("CONFIG", "job %s was answered %d: %s", job.id, status, body)
+		c.soak.addFinding("CONFIG", "job %s was answered %d: %s", job.id, status, body)
 	}
 	return false
 }
@@ -166,7 +166,7 @@
 // cancel asks until the answer is clear.
 func (c *soakClients) cancel(ctx context.Context, job *soakJob) {
 	c.mutex.Lock()
-	job.cancelAsked = true
+	job.cancelRequested = true
 	c.mutex.Unlock()
 	for {
 		status, _, err := c.call(ctx, http.MethodDelete, job)
@@ -178,35 +178,35 @@
 			c.soak.cluster.fleet.world.CancelJob(job.id)
 			return
 		case err == nil && status == http.StatusGone:
-			c.soak.find("LOST", "job %s was accepted, and its cancelling answered 410", job.id)
+			c.soak.addFinding("LOST", "job %s was accepted, and its cancelling answered 410", job.id)
 			return
 		}
-		if pause.For(ctx, statusPause) != nil {
+		if pause.For(ctx, statusPollInterval) != nil {
 			return
 		}
 	}
 }
 
-// watch asks for the job's state until it is over, and again after that.
-func (c *soakClients) watch(ctx context.Context, job *soakJob) {
-	left := 1 + askedAgain
-	for left > 0 && pause.For(ctx, statusPause+time.Duration(rand.Int64N(int64(statusPause)))) == nil {
+// pollStatus asks for the job's state until it is over, and again after that.
+func (c *soakClients) pollStatus(ctx context.Context, job *soakJob) {
+	left := 1 + extraStatusCalls
+	for left > 0 && pause.For(ctx, statusPollInterval+time.Duration(rand.Int64N(int64(statusPollInterval)))) == nil {
 		status, body, err := c.call(ctx, http.MethodGet, job)
 		if err != nil || status >= http.StatusInternalServerError {
 			continue
 		}
 		if status != http.StatusOK {
-			c.soak.find("LOST", "job %s was accepted, and its state is answered %d", job.id, status)
+			c.soak.addFinding("LOST", "job %s was accepted, and its state is answered %d", job.id, status)
 			return
 		}
 		var answer struct {
 			State string `json:"state"`
 		}
 		if json.Unmarshal(body, &answer) != nil {
-			c.soak.find("MIXED", "the state of job %s can't be read: %q", job.id, body)
+			c.soak.addFinding("MIXED", "the state of job %s can't be read: %q", job.id, body)
 			return
 		}
-		if c.shown(job, answer.State) {
+		if c.recordState(job, answer.State) {
 			left--
 		}
 	}
@@ -215,61 +215,61 @@
 // stateOrder is the order in which states may follow each other.
 var stateOrder = []string{"pending", "running", "completed", "failed", "cancelled"}
 
-// shown takes note of a state that was shown, and tells whether the job is over by it.
-func (c *soakClients) shown(job *soakJob, state string) (over bool) {
+// recordState takes note of a state that was shown, and tells whether the job is over by it.
+func (c *soakClients) recordState(job *soakJob, state string) (over bool) {
 	world := c.soak.cluster.fleet.world
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	before, now := slices.Index(stateOrder, job.state), slices.Index(stateOrder, state)
-	if now < before || job.over && state != job.state {
-		c.soak.find("STATE", "job %s was shown as %s after %s", job.id, state, job.state)
+	if now < before || job.finished && state != job.state {
+		c.soak.addFinding("STATE", "job %s was shown as %s after %s", job.id, state, job.state)
 	}
 	job.state = state
-	job.over = now >= slices.Index(stateOrder, "completed")
+	job.finished = now >= slices.Index(stateOrder, "completed")
 	switch {
 	case now < 0:
-		c.soak.find("MIXED", "job %s is shown as %q", job.id, state)
+		c.soak.addFinding("MIXED", "job %s is shown as %q", job.id, state)
 	case state == "completed" && !world.JobDone(job.id):
-		c.soak.find("MIXED", "job %s is shown as completed, and it isn't", job.id)
+		c.soak.addFinding("MIXED", "job %s is shown as completed, and it isn't", job.id)
 	case state == "failed" && !world.JobHopeless(job.id):
-		c.soak.find("LOST", "job %s is shown as failed without cause", job.id)
-	case state == "cancelled" && !job.cancelAsked:
-		c.soak.find("LOST", "job %s is shown as cancelled, and nobody cancelled it", job.id)
+		c.soak.addFinding("LOST", "job %s is shown as failed without cause", job.id)
+	case state == "cancelled" && !job.cancelRequested:
+		c.soak.addFinding("LOST", "job %s is shown as cancelled, and nobody cancelled it", job.id)
 	}
-	return job.over
+	return job.finished
 }
 
 func (c *soakClients) call(ctx context.Context, method string, job *soakJob) (int, []byte, error) {
-	return callAbout(ctx, c.client, method, c.addresses, job.draft)
+	return callRandomDispatcher(ctx, c.client, method, c.addresses, job.jobDraft)
 }
 
-// await waits until all accepted jobs are over.
-func (c *soakClients) await(ctx context.Context) {
-	for len(c.waiting()) > 0 && pause.For(ctx, soakPoll) == nil {
+// awaitFinished waits until all accepted jobs are over.
+func (c *soakClients) awaitFinished(ctx context.Context) {
+	for len(c.unfinished()) > 0 && pause.For(ctx, soakPollInterval) == nil {
 	}
-	for _, job := range c.waiting() {
-		c.soak.find("LOST", "job %s, %s, accepted, isn't over %v after the troubles", job.id, job.state, soakFinish)
+	for _, job := range c.unfinished() {
+		c.soak.addFinding("LOST", "job %s, %s, accepted, isn't over %v after the troubles", job.id, job.state, finishTimeout)
 	}
-	for _, lost := range c.soak.cluster.fleet.world.Lost(lostSpan) {
-		if c.kept(lost) {
-			c.soak.find("LOST", "%s", lost.String())
+	for _, lost := range c.soak.cluster.fleet.world.Lost(lostAfter) {
+		if c.wasAccepted(lost) {
+			c.soak.addFinding("LOST", "%s", lost.String())
 		}
 	}
 }
 
-// kept tells whether a job that nothing runs of was accepted.
-func (c *soakClients) kept(lost hollow.Violation) bool {
+// wasAccepted tells whether a job that nothing runs of was accepted.
+func (c *soakClients) wasAccepted(lost hollow.Violation) bool {
 	id, _, _ := bytes.Cut([]byte(lost.Task), []byte("."))
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return slices.ContainsFunc(c.jobs, func(job *soakJob) bool { return job.id == string(id) && job.accepted })
 }
 
-func (c *soakClients) waiting() (waiting []*soakJob) {
+func (c *soakClients) unfinished() (waiting []*soakJob) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, job := range c.jobs {
-		if job.accepted && !job.over {
+		if job.accepted && !job.finished {
 			waiting = append(waiting, job)
 		}
 	}
--- a/internal/system/localcluster/soak_operator.go
+++ b/internal/system/localcluster/soak_operator.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	operatorHost     = "operator"
-	readerHost       = "reader"
-	soakOrderTimeout = 1200 * time.Millisecond
-	changeGap        = 400 * time.Millisecond // between two changes, at most twice that
-	readGap          = 120 * time.Millisecond
-	raceShare        = 0.3 // of the changes meet another on the same version
-	orderStream      = 8
-	orderPatience    = 8 * time.Second
+	operatorHost       = "operator"
+	readerHost         = "reader"
+	soakCallTimeout    = 1200 * time.Millisecond
+	meanChangeInterval = 400 * time.Millisecond // between two changes, at most twice that
+	readInterval       = 120 * time.Millisecond
+	raceShare          = 0.3 // of the changes meet another on the same version
+	changeStream       = 8
+	changeTimeout      = 8 * time.Second
 )
 
 // SoakChanges counts the configurations of a soak run.
@@ -35,67 +35,67 @@
 	body          []byte
 	acknowledged  bool
 	refused       bool // clearly, and never left without a clear answer
-	doubt         bool // sent at least once without a clear answer
+	inDoubt       bool // sent at least once without a clear answer
 }
 
 // soakOperator changes the configuration again and again, two changes at once at times, and reads it at every machine all the while.
 type soakOperator struct {
-	soak    *soak
-	orders  *http.Client
-	reads   *http.Client
-	random  *rand.Rand
-	readers sync.WaitGroup
+	soak         *soak
+	changeClient *http.Client
+	readClient   *http.Client
+	random       *rand.Rand
+	readers      sync.WaitGroup
 
-	mutex   sync.Mutex
-	changes []*change
-	newest  int64 // the highest version that was acknowledged
-	counted SoakChanges
+	mutex              sync.Mutex
+	changes            []*change
+	newestAcknowledged int64 // the highest version that was acknowledged
+	counts             SoakChanges
 }
 
-func (o *soakOperator) open(s *soak) {
+func (o *soakOperator) setUp(s *soak) {
 	o.soak = s
-	o.orders = s.http(operatorHost, soakOrderTimeout)
-	o.reads = s.http(readerHost, soakOrderTimeout)
-	o.random = rand.New(rand.NewPCG(s.options.Seed, orderStream))
-	o.newest = s.cluster.configuration.parsed.Version
-	o.changes = []*change{{version: o.newest, body: s.cluster.configuration.body, acknowledged: true}}
+	o.changeClient = s.httpClient(operatorHost, soakCallTimeout)
+	o.readClient = s.httpClient(readerHost, soakCallTimeout)
+	o.random = rand.New(rand.NewPCG(s.options.Seed, changeStream))
+	o.newestAcknowledged = s.cluster.configuration.parsed.Version
+	o.changes = []*change{{version: o.newestAcknowledged, body: s.cluster.configuration.body, acknowledged: true}}
 }
 
 func (o *soakOperator) close() {
-	o.orders.CloseIdleConnections()
-	o.reads.CloseIdleConnections()
+	o.changeClient.CloseIdleConnections()
+	o.readClient.CloseIdleConnections()
 }
 
 // run sends changes until the context ends.
 func (o *soakOperator) run(ctx context.Context) {
 	defer o.readers.Wait()
-	for _, address := range o.soak.cluster.controls() {
+	for _, address := range o.soak.cluster.controlAddresses() {
 		o.readers.Go(func() { o.read(ctx, address) })
 	}
-	base := o.newest
-	for pause.For(ctx, time.Duration(o.random.Int64N(int64(2*changeGap)))) == nil {
+	base := o.newestAcknowledged
+	for pause.For(ctx, time.Duration(o.random.Int64N(int64(2*meanChangeInterval)))) == nil {
 		count := 1
 		if o.random.Float64() < raceShare {
 			count = 2
 		}
 		var group sync.WaitGroup
 		for number := range count {
-			sent, err := o.draw(base, int64(number))
+			sent, err := o.newChange(base, int64(number))
 			if err != nil {
-				o.soak.find("FAULT", "no configuration drawn: %v", err)
+				o.soak.addFinding("FAULT", "no configuration drawn: %v", err)
 				return
 			}
 			group.Go(func() { o.send(ctx, sent) })
 		}
 		group.Wait()
-		base = o.current(ctx, base)
+		base = o.currentVersion(ctx, base)
 	}
 }
 
-// draw makes the next change; two on the same version bear different numbers or the same one.
-func (o *soakOperator) draw(base, number int64) (*change, error) {
+// newChange makes the next change; two on the same version bear different numbers or the same one.
+func (o *soakOperator) newChange(base, number int64) (*change, error) {
 	version := base + 1 + o.random.Int64N(3)
-	body, err := o.soak.cluster.configuration.renumbered(version)
+	body, err := o.soak.cluster.configuration.withVersion(version)
 	if err != nil {
 		return nil, err
 	}
@@ -105,54 +105,54 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.changes = append(o.changes, sent)
-	o.counted.Sent++
+	o.counts.Sent++
 	return sent, nil
 }
 
 // send sends one change until the answer is clear, at any machine.
 func (o *soakOperator) send(ctx context.Context, sent *change) {
-	addresses := o.soak.cluster.controls()
-	for limit := o.soak.now() + orderPatience; o.soak.now() < limit; {
-		status, text, err := sendConfiguration(ctx, o.orders, addresses[rand.IntN(len(addresses))], sent.base, sent.body)
-		if o.answered(sent, status, text, err) || pause.For(ctx, operatorPause) != nil {
+	addresses := o.soak.cluster.controlAddresses()
+	for limit := o.soak.now() + changeTimeout; o.soak.now() < limit; {
+		status, text, err := sendConfiguration(ctx, o.changeClient, addresses[rand.IntN(len(addresses))], sent.base, sent.body)
+		if o.recordAnswer(sent, status, text, err) || pause.For(ctx, operatorRetryInterval) != nil {
 			return
 		}
 	}
 }
 
-// answered takes note of an answer, and tells whether it was clear.
-func (o *soakOperator) answered(sent *change, status int, text []byte, err error) bool {
+// recordAnswer takes note of an answer, and tells whether it was clear.
+func (o *soakOperator) recordAnswer(sent *change, status int, text []byte, err error) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	switch {
 	case err != nil || status >= http.StatusInternalServerError:
-		sent.doubt = true
+		sent.inDoubt = true
 		return false
 	case status == http.StatusOK:
 		o.acknowledge(sent)
 	case status == http.StatusPreconditionFailed:
-		sent.refused = !sent.doubt
-		o.counted.Refused++
+		sent.refused = !sent.inDoubt
+		o.counts.Refused++
 	default:
-		o.soak.find("CONFIG", "change to %d on %d was answered %d: %s", sent.version, sent.base, status, text)
+		o.soak.addFinding("CONFIG", "change to %d on %d was answered %d: %s", sent.version, sent.base, status, text)
 	}
 	return true
 }
 
 func (o *soakOperator) acknowledge(sent *change) {
 	sent.acknowledged = true
-	o.counted.Acknowledged++
-	o.newest = max(o.newest, sent.version)
+	o.counts.Acknowledged++
+	o.newestAcknowledged = max(o.newestAcknowledged, sent.version)
 	for _, other := range o.changes {
 		if other != sent && other.acknowledged && other.base == sent.base && other.base > 0 {
-			o.soak.find("CONFIG", "two changes on %d were acknowledged: %d and %d", sent.base, other.version, sent.version)
+			o.soak.addFinding("CONFIG", "two changes on %d were acknowledged: %d and %d", sent.base, other.version, sent.version)
 		}
 	}
 }
 
 // read asks one machine for the configuration until the context ends.
 func (o *soakOperator) read(ctx context.Context, address string) {
-	for pause.For(ctx, readGap) == nil {
+	for pause.For(ctx, readInterval) == nil {
 		o.readOnce(ctx, address)
 	}
 }
@@ -160,26 +160,26 @@
 // readOnce holds that an answer is what was acknowledged when it was asked for, or newer, and something that was sent.
 func (o *soakOperator) readOnce(ctx context.Context, address string) (version int64, known bool) {
 	o.mutex.Lock()
-	least := o.newest
+	minimum := o.newestAcknowledged
 	o.mutex.Unlock()
-	status, body, err := fetch(ctx, o.reads, address, "/Config.Read")
+	status, body, err := fetch(ctx, o.readClient, address, "/Config.Read")
 	if err != nil || status >= http.StatusInternalServerError {
 		return 0, false
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.counted.Reads++
+	o.counts.Reads++
 	if status != http.StatusOK {
-		o.soak.find("CONFIG", "%s answers a read with %d: %s", address, status, body)
+		o.soak.addFinding("CONFIG", "%s answers a read with %d: %s", address, status, body)
 		return 0, false
 	}
 	parsed, err := clusterconfig.Parse(body)
 	if err != nil {
-		o.soak.find("CONFIG", "%s answers a read with what can't be read: %v", address, err)
+		o.soak.addFinding("CONFIG", "%s answers a read with what can't be read: %v", address, err)
 		return 0, false
 	}
-	if parsed.Version < least {
-		o.soak.find("CONFIG", "%s answers %d, and %d was acknowledged before it was asked", address, parsed.Version, least)
+	if parsed.Version < minimum {
+		o.soak.addFinding("CONFIG", "%s answers %d, and %d was acknowledged before it was asked", address, parsed.Version, minimum)
 	}
 	o.checkSent(address, parsed.Version, body)
 	return parsed.Version, true
@@ -192,16 +192,16 @@
 			continue
 		}
 		if sent.refused {
-			o.soak.find("CONFIG", "%s answers %d on %d, which was refused", address, version, sent.base)
+			o.soak.addFinding("CONFIG", "%s answers %d on %d, which was refused", address, version, sent.base)
 		}
 		return
 	}
-	o.soak.find("CONFIG", "%s answers %d with a body that nobody sent", address, version)
+	o.soak.addFinding("CONFIG", "%s answers %d with a body that nobody sent", address, version)
 }
 
-// current reads the version on which the next change builds; before where nobody tells.
-func (o *soakOperator) current(ctx context.Context, before int64) int64 {
-	for _, address := range o.soak.cluster.controls() {
+// currentVersion reads the version on which the next change builds; before where nobody tells.
+func (o *soakOperator) currentVersion(ctx context.Context, before int64) int64 {
+	for _, address := range o.soak.cluster.controlAddresses() {
 		if version, known := o.readOnce(ctx, address); known {
 			return version
 		}
@@ -209,15 +209,15 @@
 	return before
 }
 
-// checkEnd holds that every machine answers the newest configuration once all is calm.
-func (o *soakOperator) checkEnd(ctx context.Context) {
-	for _, address := range o.soak.cluster.controls() {
+// checkFinalReads holds that every machine answers the newest configuration once all is calm.
+func (o *soakOperator) checkFinalReads(ctx context.Context) {
+	for _, address := range o.soak.cluster.controlAddresses() {
 		for {
 			if _, known := o.readOnce(ctx, address); known {
 				break
 			}
-			if pause.For(ctx, soakPoll) != nil {
-				o.soak.find("CONFIG", "%s doesn't answer a read in the end", address)
+			if pause.For(ctx, soakPollInterval) != nil {
+				o.soak.addFinding("CONFIG", "%s doesn't answer a read in the end", address)
 				break
 			}
 		}
@@ -227,7 +227,7 @@
 func (o *soakOperator) count() SoakChanges {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	counted := o.counted
+	counted := o.counts
 	for _, sent := range o.changes {
 		if !sent.acknowledged && !sent.refused {
 			counted.Doubt++
--- a/internal/system/localcluster/soak_test.go
+++ b/internal/system/localcluster/soak_test.go
@@ -12,15 +12,15 @@
 	"gaugeslip/internal/seeds"
 )
 
-// soakShort is how long troubles last in the form for CI.
-const soakShort = 6 * time.Second
+// shortSoakDuration is how long troubles last in the form for CI.
+const shortSoakDuration = 6 * time.Second
 
 // TestSoak runs real processes under troubles that overlap. GAUGESLIP_SOAKS gives the number of seeds, GAUGESLIP_SOAK one seed, and
 // GAUGESLIP_SOAK_FOR how many seconds troubles last; with GAUGESLIP_SOAK_LOG each trouble is told.
 func TestSoak(t *testing.T) {
 	programs := t.TempDir()
 	require.NoError(t, BuildRelayed(t.Context(), programs))
-	length := soakShort
+	length := shortSoakDuration
 	if seconds, given := seeds.Alone(t, "GAUGESLIP_SOAK_FOR"); given {
 		length = time.Duration(seconds) * time.Second
 	}
--- a/internal/system/localcluster/soak_troubles.go
+++ b/internal/system/localcluster/soak_troubles.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	firstTrackStream = 100 // of random numbers
-	mostTrackPause   = 1200 * time.Millisecond
-	leastTrouble     = 200 * time.Millisecond
-	mostTrouble      = 4 * time.Second
-	startPause       = 50 * time.Millisecond
-	mostSlowdown     = 4
+	firstTrackStream   = 100 // of random numbers
+	maxTroubleGap      = 1200 * time.Millisecond
+	minTroubleDuration = 200 * time.Millisecond
+	maxTroubleDuration = 4 * time.Second
+	restartPause       = 50 * time.Millisecond
+	maxSlowdown        = 4
 )
 
 // soakTrouble is one kind of trouble; cause brings it about and ends it, with what the seed draws.
 type soakTrouble struct {
-	name  string
-	cause func(s *soak, ctx context.Context, random *rand.Rand, length time.Duration)
+	name   string
+	inject func(s *soak, ctx context.Context, random *rand.Rand, length time.Duration)
 }
 
 // soakTroubles are all kinds, those that strike the core several times.
@@ -54,51 +54,51 @@
 	{"reset connections", (*soak).resetConnections},
 	{"stalled bodies", (*soak).stalledBodies},
 	{"crash workers", (*soak).crashWorkers},
-	{"unsound workers", (*soak).unsoundWorkers},
+	{"unsound workers", (*soak).faultyWorkers},
 }
 
-// track causes one trouble after the other until the context ends, and heals the last.
-func (s *soak) track(ctx context.Context, random *rand.Rand) {
-	for pause.For(ctx, time.Duration(random.Int64N(int64(mostTrackPause)))) == nil {
+// runTrack causes one trouble after the other until the context ends, and heals the last.
+func (s *soak) runTrack(ctx context.Context, random *rand.Rand) {
+	for pause.For(ctx, time.Duration(random.Int64N(int64(maxTroubleGap)))) == nil {
 		trouble := &soakTroubles[random.IntN(len(soakTroubles))]
-		length := leastTrouble + time.Duration(random.Int64N(int64(mostTrouble-leastTrouble)))
+		length := minTroubleDuration + time.Duration(random.Int64N(int64(maxTroubleDuration-minTroubleDuration)))
 		s.mutex.Lock()
 		s.troubles[trouble.name]++
 		s.mutex.Unlock()
-		s.tell(trouble.name + " for " + length.Round(time.Millisecond).String())
-		trouble.cause(s, ctx, random, length)
+		s.logLine(trouble.name + " for " + length.Round(time.Millisecond).String())
+		trouble.inject(s, ctx, random, length)
 	}
 }
 
-// strike has a process that no other trouble strikes suffer one, and tells whether it could.
-func (s *soak) strike(child *Child, suffer func()) bool {
-	held := s.busy[child]
-	if !held.TryLock() {
+// withChildLocked has a process that no other trouble strikes suffer one, and tells whether it could.
+func (s *soak) withChildLocked(child *Child, do func()) bool {
+	lock := s.childLocks[child]
+	if !lock.TryLock() {
 		return false
 	}
-	defer held.Unlock()
-	suffer()
+	defer lock.Unlock()
+	do()
 	return true
 }
 
-// away ends a process, lets time pass, and starts it again.
-func (s *soak) away(ctx context.Context, child *Child, end func(), length time.Duration) {
-	s.strike(child, func() {
+// stopAndRestart ends a process, lets time pass, and starts it again.
+func (s *soak) stopAndRestart(ctx context.Context, child *Child, end func(), length time.Duration) {
+	s.withChildLocked(child, func() {
 		end()
 		_ = pause.For(ctx, length)
-		s.startAgain(child)
+		s.restart(child)
 	})
 }
 
-// startAgain starts a process with the settings of a return.
-func (s *soak) startAgain(child *Child) {
+// restart starts a process with the settings of a return.
+func (s *soak) restart(child *Child) {
 	if number := slices.Index(s.cluster.replicas, child); number >= 0 {
-		if err := s.cluster.prepareReturn(number, false); err != nil {
-			s.find("FAULT", "%s has no settings: %v", child.Name, err)
+		if err := s.cluster.prepareRestart(number, false); err != nil {
+			s.addFinding("FAULT", "%s has no settings: %v", child.Name, err)
 		}
 	}
 	if err := child.start(); err != nil {
-		s.find("FAULT", "%s doesn't start: %v", child.Name, err)
+		s.addFinding("FAULT", "%s doesn't start: %v", child.Name, err)
 	}
 }
 
@@ -110,9 +110,9 @@
 	return s.cluster.dispatchers[random.IntN(len(s.cluster.dispatchers))]
 }
 
-// headOr is the replica at the head, or any where nobody tells who that is.
-func (s *soak) headOr(random *rand.Rand) *Child {
-	if number := s.cluster.head(); number >= 0 {
+// headOrAnyReplica is the replica at the head, or any where nobody tells who that is.
+func (s *soak) headOrAnyReplica(random *rand.Rand) *Child {
+	if number := s.cluster.headIndex(); number >= 0 {
 		return s.cluster.replicas[number]
 	}
 	return s.anyReplica(random)
@@ -120,17 +120,17 @@
 
 func (s *soak) killReplica(ctx context.Context, random *rand.Rand, length time.Duration) {
 	child := s.anyReplica(random)
-	s.away(ctx, child, child.kill, length)
+	s.stopAndRestart(ctx, child, child.kill, length)
 }
 
 func (s *soak) killHead(ctx context.Context, random *rand.Rand, length time.Duration) {
-	child := s.headOr(random)
-	s.away(ctx, child, child.kill, length)
+	child := s.headOrAnyReplica(random)
+	s.stopAndRestart(ctx, child, child.kill, length)
 }
 
 func (s *soak) restartReplica(ctx context.Context, random *rand.Rand, _ time.Duration) {
 	child := s.anyReplica(random)
-	s.away(ctx, child, func() { child.terminate(endLimit) }, startPause)
+	s.stopAndRestart(ctx, child, func() { child.terminate(terminateTimeout) }, restartPause)
 }
 
 func (s *soak) freezeReplica(ctx context.Context, random *rand.Rand, length time.Duration) {
@@ -138,11 +138,11 @@
 }
 
 func (s *soak) freezeHead(ctx context.Context, random *rand.Rand, length time.Duration) {
-	s.freeze(ctx, s.headOr(random), length)
+	s.freeze(ctx, s.headOrAnyReplica(random), length)
 }
 
 func (s *soak) freeze(ctx context.Context, child *Child, length time.Duration) {
-	s.strike(child, func() {
+	s.withChildLocked(child, func() {
 		child.freeze()
 		_ = pause.For(ctx, length)
 		child.thaw()
@@ -160,19 +160,19 @@
 func (s *soak) killTogether(ctx context.Context, children []*Child, length time.Duration) {
 	var group sync.WaitGroup
 	for _, child := range children {
-		group.Go(func() { s.away(ctx, child, child.kill, length/4) })
+		group.Go(func() { s.stopAndRestart(ctx, child, child.kill, length/4) })
 	}
 	group.Wait()
 }
 
 func (s *soak) killDispatcher(ctx context.Context, random *rand.Rand, length time.Duration) {
 	child := s.anyDispatcher(random)
-	s.away(ctx, child, child.kill, length/4)
+	s.stopAndRestart(ctx, child, child.kill, length/4)
 }
 
 func (s *soak) restartDispatcher(ctx context.Context, random *rand.Rand, _ time.Duration) {
 	child := s.anyDispatcher(random)
-	s.away(ctx, child, func() { child.terminate(endLimit) }, startPause)
+	s.stopAndRestart(ctx, child, func() { child.terminate(terminateTimeout) }, restartPause)
 }
 
 func (s *soak) freezeDispatcher(ctx context.Context, random *rand.Rand, length time.Duration) {
@@ -183,16 +183,16 @@
 func (s *soak) reload(_ context.Context, random *rand.Rand, _ time.Duration) {
 	for _, child := range s.cluster.children() {
 		for range 1 + random.IntN(2) {
-			child.hangUp()
+			child.sendHangUp()
 		}
 	}
 }
 
-// hangUp sends SIGHUP, unless the process is down.
-func (c *Child) hangUp() {
+// sendHangUp sends SIGHUP, unless the process is down.
+func (c *Child) sendHangUp() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.state != childDown && !c.asked {
+	if c.state != childDown && !c.endRequested {
 		_ = c.process.Signal(syscall.SIGHUP) // it may just have ended
 	}
 }
@@ -206,22 +206,22 @@
 	_ = pause.For(ctx, length)
 }
 
-// unsoundWorkers gives some workers a fault.
-func (s *soak) unsoundWorkers(ctx context.Context, random *rand.Rand, length time.Duration) {
+// faultyWorkers gives some workers a fault.
+func (s *soak) faultyWorkers(ctx context.Context, random *rand.Rand, length time.Duration) {
 	faults := []hollow.Faults{
-		{Silent: true}, {Hang: true}, {Busy: true}, {Slow: 1 + mostSlowdown*random.Float64()}, {FailShare: 0.3},
-		{LateBy: time.Duration(random.Int64N(int64(mostTrouble)))},
+		{Silent: true}, {Hang: true}, {Busy: true}, {Slow: 1 + maxSlowdown*random.Float64()}, {FailShare: 0.3},
+		{LateBy: time.Duration(random.Int64N(int64(maxTroubleDuration)))},
 	}
 	fault := faults[random.IntN(len(faults))]
-	var struck []*hollow.Worker
+	var affected []*hollow.Worker
 	for _, worker := range s.cluster.fleet.workers {
 		if random.IntN(4) == 0 {
-			struck = append(struck, worker)
+			affected = append(affected, worker)
 			worker.SetFaults(fault)
 		}
 	}
 	_ = pause.For(ctx, length)
-	for _, worker := range struck {
+	for _, worker := range affected {
 		worker.SetFaults(hollow.Faults{})
 	}
 }
--- a/internal/system/localcluster/soak_unruly.go
+++ b/internal/system/localcluster/soak_unruly.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	unrulyStream  = 9
-	unrulyGap     = 60 * time.Millisecond
-	mostUnruly    = 24 // connections at a time
-	unrulyLife    = 4 * time.Second
-	unrulyDial    = time.Second
-	longHeader    = 64 << 10
-	largeBody     = 1 << 20
-	pipelined     = 40
-	halfOfRequest = 2
+	unrulyStream      = 9
+	unrulyInterval    = 60 * time.Millisecond
+	maxUnruly         = 24 // connections at a time
+	unrulyLifetime    = 4 * time.Second
+	unrulyDialTimeout = time.Second
+	longHeaderBytes   = 64 << 10
+	largeBodyBytes    = 1 << 20
+	pipelinedRequests = 40
+	halfDivisor       = 2
 )
 
 // unrulyClients open connections to dispatchers and to the operator's API and don't keep to what is spoken there.
@@ -33,24 +33,24 @@
 	opened atomic.Int64
 }
 
-func (u *unrulyClients) open(s *soak) {
+func (u *unrulyClients) setUp(s *soak) {
 	u.soak = s
 	u.random = rand.New(rand.NewPCG(s.options.Seed, unrulyStream))
 }
 
 // run opens connections until the context ends, and waits for the last.
 func (u *unrulyClients) run(ctx context.Context) {
-	addresses := append(u.soak.cluster.frontends(), u.soak.cluster.controls()...)
-	places := make(chan struct{}, mostUnruly)
+	addresses := append(u.soak.cluster.frontendAddresses(), u.soak.cluster.controlAddresses()...)
+	slots := make(chan struct{}, maxUnruly)
 	var group sync.WaitGroup
 	defer group.Wait()
-	for pause.For(ctx, unrulyGap) == nil {
-		address, text, manner := addresses[u.random.IntN(len(addresses))], u.request(), u.random.IntN(mannerCount)
+	for pause.For(ctx, unrulyInterval) == nil {
+		address, text, behavior := addresses[u.random.IntN(len(addresses))], u.request(), u.random.IntN(behaviorCount)
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 			group.Go(func() {
-				defer func() { <-places }()
-				u.misbehave(ctx, address, text, manner)
+				defer func() { <-slots }()
+				u.misbehave(ctx, address, text, behavior)
 			})
 		case <-ctx.Done():
 		}
@@ -71,11 +71,11 @@
 	case 1:
 		return head("POST", place, "Transfer-Encoding: chunked\r\n\r\n", "ffffffff\r\n", body)
 	case 2:
-		return head("GET", place, "X-Long: ", strings.Repeat("x", longHeader), "\r\n\r\n")
+		return head("GET", place, "X-Long: ", strings.Repeat("x", longHeaderBytes), "\r\n\r\n")
 	case 3:
-		return head("POST", place, fmt.Sprintf("Content-Length: %d\r\n\r\n", largeBody), strings.Repeat("y", largeBody))
+		return head("POST", place, fmt.Sprintf("Content-Length: %d\r\n\r\n", largeBodyBytes), strings.Repeat("y", largeBodyBytes))
 	case 4:
-		return strings.Repeat(head("GET", place, "\r\n"), pipelined)
+		return strings.Repeat(head("GET", place, "\r\n"), pipelinedRequests)
 	case 5:
 		return head("DELETE", route.PathPrefix+"not-an-id", "\r\n")
 	case 6:
@@ -89,63 +89,63 @@
 }
 
 const (
-	stalledClients = 1100 // together they begin as much as a dispatcher's machine has
-	stalledBody    = 256 << 10
-	stalledLife    = 3 * time.Second
+	stalledClients   = 1100 // together they begin as much as a dispatcher's machine has
+	stalledBodyBytes = 256 << 10
+	stalledDuration  = 3 * time.Second
 )
 
 // stalledBodies has many clients begin a large job at one dispatcher, and send nothing more once almost all of it is there.
 func (s *soak) stalledBodies(ctx context.Context, random *rand.Rand, _ time.Duration) {
-	frontends := s.cluster.frontends()
+	frontends := s.cluster.frontendAddresses()
 	address := frontends[random.IntN(len(frontends))]
 	route := &s.cluster.configuration.parsed.Routes[0]
 	text := fmt.Sprintf("POST %s%016x HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s", route.PathPrefix, random.Uint64(), route.Host,
-		stalledBody, strings.Repeat("z", stalledBody-1))
-	limited, cancel := context.WithTimeout(ctx, stalledLife)
+		stalledBodyBytes, strings.Repeat("z", stalledBodyBytes-1))
+	limited, cancel := context.WithTimeout(ctx, stalledDuration)
 	defer cancel()
 	var group sync.WaitGroup
 	for range stalledClients {
-		group.Go(func() { s.loud.misbehave(limited, address, text, mannerNeverReads) })
+		group.Go(func() { s.unruly.misbehave(limited, address, text, behaviorNeverReads) })
 	}
 	group.Wait()
 }
 
 // The manners of unruly clients.
 const (
-	mannerLeavesAtOnce = iota // without waiting for an answer
-	mannerSendsHalf           // and says no more
-	mannerDribbles            // a few bytes at a time
-	mannerNeverReads
-	mannerClosesItsSide // and reads the answer
-	mannerCount
+	behaviorDisconnects = iota // without waiting for an answer
+	behaviorSendsHalf          // and says no more
+	behaviorTrickles           // a few bytes at a time
+	behaviorNeverReads
+	behaviorHalfCloses // and reads the answer
+	behaviorCount
 )
 
-func (u *unrulyClients) misbehave(ctx context.Context, address, text string, manner int) {
-	connection, err := net.DialTimeout("tcp", address, unrulyDial)
+func (u *unrulyClients) misbehave(ctx context.Context, address, text string, behavior int) {
+	connection, err := net.DialTimeout("tcp", address, unrulyDialTimeout)
 	if err != nil {
 		return
 	}
 	defer connection.Close()
 	u.opened.Add(1)
-	limited, cancel := context.WithTimeout(ctx, unrulyLife)
+	limited, cancel := context.WithTimeout(ctx, unrulyLifetime)
 	defer cancel()
 	stop := context.AfterFunc(limited, func() { _ = connection.Close() })
 	defer stop()
 	// Whatever becomes of the writes and reads, the dispatcher has to bear it.
-	switch manner {
-	case mannerLeavesAtOnce:
+	switch behavior {
+	case behaviorDisconnects:
 		_, _ = io.WriteString(connection, text)
-	case mannerSendsHalf:
-		_, _ = io.WriteString(connection, text[:len(text)/halfOfRequest])
+	case behaviorSendsHalf:
+		_, _ = io.WriteString(connection, text[:len(text)/halfDivisor])
 		<-limited.Done()
-	case mannerDribbles:
-		for i := 0; i < len(text) && pause.For(limited, unrulyGap) == nil; i += 7 {
+	case behaviorTrickles:
+		for i := 0; i < len(text) && pause.For(limited, unrulyInterval) == nil; i += 7 {
 			_, _ = io.WriteString(connection, text[i:min(i+7, len(text))])
 		}
-	case mannerNeverReads:
+	case behaviorNeverReads:
 		_, _ = io.WriteString(connection, text)
 		<-limited.Done()
-	case mannerClosesItsSide:
+	case behaviorHalfCloses:
 		_, _ = io.WriteString(connection, text)
 		if half, ok := connection.(*net.TCPConn); ok {
 			_ = half.CloseWrite()
