--- a/internal/system/localcluster/trouble.go
+++ b/internal/system/localcluster/trouble.go
@@ -11,60 +11,60 @@
 	"gaugeslip/internal/system/hollow"
 )
 
-// troublemaker causes troubles at their times.
-type troublemaker struct {
-	cluster *Cluster
-	tell    func(string)
-	version int64 // of the configuration
-	mutex   sync.Mutex
-	faults  []error
+// troubleInjector causes troubles at their times.
+type troubleInjector struct {
+	cluster       *Cluster
+	logLine       func(string)
+	configVersion int64 // of the configuration
+	mutex         sync.Mutex
+	errs          []error
 }
 
 // run causes all troubles, counted from now, and returns once all are over.
-func (t *troublemaker) run(ctx context.Context, troubles []Trouble) error {
+func (t *troubleInjector) run(ctx context.Context, troubles []Trouble) error {
 	var group sync.WaitGroup
 	for i := range troubles {
 		trouble := &troubles[i]
 		group.Go(func() {
-			if pause.For(ctx, trouble.at) != nil {
+			if pause.For(ctx, trouble.startAfter) != nil {
 				return
 			}
-			t.tell("trouble: " + trouble.String())
-			if err := t.cause(ctx, trouble); err != nil {
-				t.note(fmt.Errorf("%s: %w", trouble, err))
+			t.logLine("trouble: " + trouble.String())
+			if err := t.inject(ctx, trouble); err != nil {
+				t.recordError(fmt.Errorf("%s: %w", trouble, err))
 			}
 		})
 	}
 	group.Wait()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if len(t.faults) > 0 {
-		return t.faults[0]
+	if len(t.errs) > 0 {
+		return t.errs[0]
 	}
 	return nil
 }
 
-func (t *troublemaker) note(err error) {
+func (t *troubleInjector) recordError(err error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.faults = append(t.faults, err)
+	t.errs = append(t.errs, err)
 }
 
-func (t *troublemaker) cause(ctx context.Context, trouble *Trouble) error {
+func (t *troubleInjector) inject(ctx context.Context, trouble *Trouble) error {
 	if trouble.Kind == troubleReconfigure {
 		return t.reconfigure(ctx)
 	}
 	if trouble.target.group == groupWorkers {
-		return t.strikeWorkers(ctx, trouble)
+		return t.injectIntoWorkers(ctx, trouble)
 	}
-	children, numbers, err := t.cluster.struck(trouble.target)
+	children, numbers, err := t.cluster.targetedChildren(trouble.target)
 	if err != nil {
 		return err
 	}
 	failures := make([]error, len(children))
 	var group sync.WaitGroup
 	for i, child := range children {
-		group.Go(func() { failures[i] = t.strike(ctx, trouble, child, numbers[i]) })
+		group.Go(func() { failures[i] = t.injectIntoChild(ctx, trouble, child, numbers[i]) })
 	}
 	group.Wait()
 	for _, failure := range failures {
@@ -78,24 +78,24 @@
 // notReplica stands for the number of a process that is no replica.
 const notReplica = -1
 
-// struck are the processes that a target names, with the numbers of replicas among them.
-func (c *Cluster) struck(target target) (children []*Child, numbers []int, err error) {
+// targetedChildren are the processes that a target names, with the numbers of replicas among them.
+func (c *Cluster) targetedChildren(target target) (children []*Child, numbers []int, err error) {
 	switch target.group {
 	case groupHead, groupTail:
-		number, err := c.memberAt(target.group)
+		number, err := c.chainEndIndex(target.group)
 		if err != nil {
 			return nil, nil, err
 		}
 		return c.replicas[number : number+1], []int{number}, nil
 	case groupReplicas:
 		for i, child := range c.replicas {
-			if target.index == allOf || target.index == i {
+			if target.index == wholeGroup || target.index == i {
 				children, numbers = append(children, child), append(numbers, i)
 			}
 		}
 	case groupDispatchers:
 		for i, child := range c.dispatchers {
-			if target.index == allOf || target.index == i {
+			if target.index == wholeGroup || target.index == i {
 				children, numbers = append(children, child), append(numbers, notReplica)
 			}
 		}
@@ -106,9 +106,9 @@
 	return children, numbers, nil
 }
 
-// memberAt is the number of the replica at the chain's head or tail.
-func (c *Cluster) memberAt(group string) (int, error) {
-	newest, err := c.view()
+// chainEndIndex is the number of the replica at the chain's head or tail.
+func (c *Cluster) chainEndIndex(group string) (int, error) {
+	newest, err := c.newestView()
 	if err != nil {
 		return 0, err
 	}
@@ -116,82 +116,82 @@
 	if group == groupTail {
 		member = newest.Tail()
 	}
-	number := c.replicaAt(member.Address)
+	number := c.replicaIndex(member.Address)
 	if number < 0 {
 		return 0, fmt.Errorf("%s is none of this cluster", member.Address)
 	}
 	return number, nil
 }
 
-// strike has one process suffer a trouble and come back.
-func (t *troublemaker) strike(ctx context.Context, trouble *Trouble, child *Child, number int) error {
+// injectIntoChild has one process suffer a trouble and come back.
+func (t *troubleInjector) injectIntoChild(ctx context.Context, trouble *Trouble, child *Child, number int) error {
 	switch trouble.Kind {
 	case troubleFreeze:
 		child.freeze()
-		_ = pause.For(ctx, trouble.length)
+		_ = pause.For(ctx, trouble.duration)
 		child.thaw()
 		return nil
 	case troubleRestart:
-		child.terminate(endLimit)
+		child.terminate(terminateTimeout)
 	default:
 		child.kill()
 	}
 	if number != notReplica {
-		if err := t.cluster.prepareReturn(number, trouble.Kind == troubleWipe); err != nil {
+		if err := t.cluster.prepareRestart(number, trouble.Kind == troubleWipe); err != nil {
 			return err
 		}
 	}
-	_ = pause.For(ctx, trouble.length)
+	_ = pause.For(ctx, trouble.duration)
 	return child.start()
 }
 
-// prepareReturn writes the settings with which a replica comes back, and takes its disk away where that is lost.
-func (c *Cluster) prepareReturn(number int, wipe bool) error {
+// prepareRestart writes the settings with which a replica comes back, and takes its disk away where that is lost.
+func (c *Cluster) prepareRestart(number int, wipe bool) error {
 	if wipe {
-		if err := os.RemoveAll(c.plan.dataFolder(number)); err != nil {
+		if err := os.RemoveAll(c.plan.dataDir(number)); err != nil {
 			return err
 		}
 	}
-	_, err := c.plan.write(c.plan.replica(number, false))
+	_, err := c.plan.writeSettings(c.plan.replicaSettings(number, false))
 	return err
 }
 
-func (t *troublemaker) strikeWorkers(ctx context.Context, trouble *Trouble) error {
-	struck := false
+func (t *troubleInjector) injectIntoWorkers(ctx context.Context, trouble *Trouble) error {
+	found := false
 	for i, worker := range t.cluster.fleet.workers {
-		if trouble.target.index != allOf && trouble.target.index != i {
+		if trouble.target.index != wholeGroup && trouble.target.index != i {
 			continue
 		}
-		struck = true
+		found = true
 		if trouble.Kind == troubleFreeze {
 			worker.SetFaults(hollow.Faults{Silent: true})
 			defer worker.SetFaults(hollow.Faults{})
 			continue
 		}
-		worker.Crash(trouble.length)
+		worker.Crash(trouble.duration)
 	}
-	if !struck {
+	if !found {
 		return fmt.Errorf("there is no worker:%d", trouble.target.index)
 	}
-	_ = pause.For(ctx, trouble.length)
+	_ = pause.For(ctx, trouble.duration)
 	return nil
 }
 
-const reconfigureLimit = 20 * time.Second
+const reconfigureTimeout = 20 * time.Second
 
 // reconfigure has the operator replace the configuration by the same one with the next number.
-func (t *troublemaker) reconfigure(ctx context.Context) error {
+func (t *troubleInjector) reconfigure(ctx context.Context) error {
 	t.mutex.Lock()
-	base := t.version
-	t.version++
+	base := t.configVersion
+	t.configVersion++
 	t.mutex.Unlock()
-	body, err := t.cluster.configuration.renumbered(base + 1)
+	body, err := t.cluster.configuration.withVersion(base + 1)
 	if err != nil {
 		return err
 	}
-	limited, cancel := context.WithTimeout(ctx, reconfigureLimit)
+	limited, cancel := context.WithTimeout(ctx, reconfigureTimeout)
 	defer cancel()
-	operator := newOperator(t.cluster.controls())
+	operator := newOperator(t.cluster.controlAddresses())
 	defer operator.close()
 	return operator.replace(limited, base, body)
 }
--- a/internal/tools/relayednode/main.go
+++ b/internal/tools/relayednode/main.go
@@ -36,40 +36,40 @@
 	if len(arguments) != 2 {
 		return errUsage
 	}
-	taken := console.TakeSignals()
+	signals := console.TakeSignals()
 	path := os.Getenv(nodesettings.FileVariable)
 	settings, err := nodesettings.Load(path)
 	if err != nil {
 		return err
 	}
-	through := relay.Network{Relay: arguments[1], Host: settings.IP}
+	network := relay.Network{Relay: arguments[1], Host: settings.IP}
 	switch nodesettings.Role(arguments[0]) {
 	case nodesettings.RoleControlPlane:
-		return runReplica(path, settings, through, taken)
+		return runReplica(path, settings, network, signals)
 	case nodesettings.RoleDataPlane:
-		return runDispatcher(path, through, taken)
+		return runDispatcher(path, network, signals)
 	}
 	return errUsage
 }
 
 // runReplica runs a replica until SIGTERM; SIGHUP reads the settings again.
-func runReplica(path string, settings *nodesettings.Settings, through relay.Network, taken console.Signals) error {
+func runReplica(path string, settings *nodesettings.Settings, network relay.Network, signals console.Signals) error {
 	logger := console.NewLogger(false)
-	folder, err := wal.OSDisk(settings.DataDir)
+	disk, err := wal.OSDisk(settings.DataDir)
 	if err != nil {
 		return fmt.Errorf("disk: %w", err)
 	}
-	node, err := control.Start(control.Options{Settings: settings, Logger: logger, Network: through, Invariants: control.NewInvariants(logger),
-		Disk: faultydisk.New(folder, faultydisk.OrdersOf(settings.DataDir))})
+	node, err := control.Start(control.Options{Settings: settings, Logger: logger, Network: network, Invariants: control.NewInvariants(logger),
+		Disk: faultydisk.New(disk, faultydisk.FaultFile(settings.DataDir))})
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
 	for {
 		select {
-		case <-taken.End:
+		case <-signals.End:
 			node.Leave()
 			return nil
-		case <-taken.Reload:
+		case <-signals.Reload:
 			if changed, err := nodesettings.Load(path); err == nil {
 				node.Reload(changed)
 			}
@@ -80,20 +80,20 @@
 }
 
 // runDispatcher runs a dispatcher until SIGTERM; SIGHUP reads the settings again.
-func runDispatcher(path string, through relay.Network, taken console.Signals) error {
+func runDispatcher(path string, network relay.Network, signals console.Signals) error {
 	logger := console.NewLogger(false)
-	process, err := dataplane.Start(path, logger, dataplane.Options{Network: through, Invariants: dataplane.NewInvariants(logger)})
+	process, err := dataplane.Start(path, logger, dataplane.Options{Network: network, Invariants: dataplane.NewInvariants(logger)})
 	if err != nil {
 		return err
 	}
 	ending, end := context.WithCancel(context.Background())
 	go func() {
-		<-taken.End
+		<-signals.End
 		end()
 	}()
 	reload := make(chan struct{})
 	go func() {
-		for range taken.Reload {
+		for range signals.Reload {
 			reload <- struct{}{}
 		}
 	}()
