--- a/internal/system/localcluster/child.go
+++ b/internal/system/localcluster/child.go
@@ -114,9 +114,9 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.state == childDown {
-		over := make(chan struct{})
-		close(over)
-		return over
+		closed := make(chan struct{})
+		close(closed)
+		return closed
 	}
 	if ends {
 		c.endRequested = true
@@ -178,7 +178,7 @@
 }
 
 // crashSummary returns the number of exits without a request, and the status of the last one.
-func (c *Child) crashSummary() (how string, count int) {
+func (c *Child) crashSummary() (status string, count int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.lastCrash, c.crashes
--- a/internal/system/localcluster/faultydisk/faultydisk_test.go
+++ b/internal/system/localcluster/faultydisk/faultydisk_test.go
@@ -58,13 +58,13 @@
 	log, _, err := wal.Open(disk, "log")
 	require.NoError(t, err)
 	require.NoError(t, SetFault(disk.faultFile, Stalled))
-	over := make(chan error, 1)
-	go func() { over <- log.Append(record("late")) }()
+	done := make(chan error, 1)
+	go func() { done <- log.Append(record("late")) }()
 	select {
-	case <-over:
+	case <-done:
 		t.Fatal("write to a stalled disk returned")
 	case <-time.After(5 * pollInterval):
 	}
 	require.NoError(t, SetFault(disk.faultFile, None))
-	require.NoError(t, <-over)
+	require.NoError(t, <-done)
 }
--- a/internal/system/localcluster/ledger.go
+++ b/internal/system/localcluster/ledger.go
@@ -195,7 +195,7 @@
 func (l *jobTracker) latencies(from time.Duration) Latencies {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	var accepted, started, over []time.Duration
+	var accepted, started, done []time.Duration
 	for _, record := range l.records {
 		if record.sent < from || record.kind == kindResident {
 			continue
@@ -207,8 +207,8 @@
 			started = append(started, record.started-record.sent)
 		}
 		if record.outcome == outcomeDone {
-			over = append(over, record.finished-record.sent)
+			done = append(done, record.finished-record.sent)
 		}
 	}
-	return Latencies{newLatency(accepted), newLatency(started), newLatency(over)}
+	return Latencies{newLatency(accepted), newLatency(started), newLatency(done)}
 }
--- a/internal/system/localcluster/proc_test.go
+++ b/internal/system/localcluster/proc_test.go
@@ -46,9 +46,9 @@
 }
 
 func TestUsageSumsAndDifferences(t *testing.T) {
-	early := Usage{Processor: time.Second, Resident: 5, Peak: 9, Received: 10, Sent: 20, Reads: 1, Writes: 2}
-	late := Usage{Processor: 3 * time.Second, Resident: 4, Peak: 12, Received: 15, Sent: 26, Reads: 8, Writes: 10}
-	used := late.since(early)
+	earlier := Usage{Processor: time.Second, Resident: 5, Peak: 9, Received: 10, Sent: 20, Reads: 1, Writes: 2}
+	later := Usage{Processor: 3 * time.Second, Resident: 4, Peak: 12, Received: 15, Sent: 26, Reads: 8, Writes: 10}
+	used := later.since(earlier)
 	require.Equal(t, Usage{Processor: 2 * time.Second, Resident: 4, Peak: 12, Received: 5, Sent: 6, Reads: 7, Writes: 8}, used)
 	sum := used.plus(used)
 	require.EqualValues(t, 8, sum.Resident)
--- a/internal/system/localcluster/report.go
+++ b/internal/system/localcluster/report.go
@@ -19,7 +19,7 @@
 	Seconds     float64        `json:"seconds"` // duration of the load
 	Jobs        Jobs           `json:"jobs"`
 	Latencies   Latencies      `json:"latencies"`
-	Broken      map[string]int `json:"broken_rules"` // violations seen by the workers, by rule
+	Violations  map[string]int `json:"broken_rules"` // violations seen by the workers, by rule
 	Examples    []string       `json:"examples,omitempty"`
 	Crashes     int            `json:"crashes"` // exits of processes without a request
 	Epoch       uint64         `json:"epoch"`   // epoch of the last view
@@ -107,9 +107,9 @@
 
 // addViolations adds the violations that the workers' checker found.
 func (r *Report) addViolations(violations []hollow.Violation) {
-	r.Broken = make(map[string]int)
+	r.Violations = make(map[string]int)
 	for _, violation := range violations {
-		r.Broken[string(violation.Rule)]++
+		r.Violations[string(violation.Rule)]++
 		if len(r.Examples) < maxExamples {
 			r.Examples = append(r.Examples, violation.String())
 		}
@@ -117,7 +117,7 @@
 }
 
 // Sound reports whether no job was lost, no rule was broken, and no process exited without a request.
-func (r *Report) Sound() bool { return r.Jobs.Lost == 0 && len(r.Broken) == 0 && r.Crashes == 0 }
+func (r *Report) Sound() bool { return r.Jobs.Lost == 0 && len(r.Violations) == 0 && r.Crashes == 0 }
 
 // JSON writes the report as a JSON object.
 func (r *Report) JSON(out io.Writer) error {
@@ -130,8 +130,8 @@
 func (r *Report) Print(out io.Writer) error {
 	fmt.Fprintf(out, "\nseed %d: %d replicas, %d dispatchers, %d workers, %.0f s of load\n", r.Seed, r.Replicas, r.Dispatchers, r.Workers, r.Seconds)
 	fmt.Fprintf(out, "jobs: %d sent, %d accepted, %d refused, %d in doubt; %d done, %d failed, lost %d, twice %d, not visible yet %d\n", r.Jobs.Sent,
-		r.Jobs.Accepted, r.Jobs.Refused, r.Jobs.InDoubt, r.Jobs.Done, r.Jobs.Failed, r.Jobs.Lost, r.Broken[string(hollow.RuleTwice)], r.Jobs.NotVisibleYet)
-	fmt.Fprintf(out, "broken rules: %s; processes that ended by themselves: %d; epoch %d\n", countsText(r.Broken), r.Crashes, r.Epoch)
+		r.Jobs.Accepted, r.Jobs.Refused, r.Jobs.InDoubt, r.Jobs.Done, r.Jobs.Failed, r.Jobs.Lost, r.Violations[string(hollow.RuleTwice)], r.Jobs.NotVisibleYet)
+	fmt.Fprintf(out, "broken rules: %s; processes that ended by themselves: %d; epoch %d\n", countsText(r.Violations), r.Crashes, r.Epoch)
 	for _, example := range r.Examples {
 		fmt.Fprintln(out, "  "+example)
 	}
--- a/internal/system/localcluster/report_test.go
+++ b/internal/system/localcluster/report_test.go
@@ -113,10 +113,10 @@
 }
 
 func TestOrdersAreRatesPerSecond(t *testing.T) {
-	early := orderSample{at: time.Second, stats: hollow.Stats{Starts: 10, Holds: 5}, traffic: TrafficCount{Received: kilobyte}}
-	late := orderSample{at: 3 * time.Second, stats: hollow.Stats{Starts: 30, Holds: 6, ListRejected: 2, Ends: [len(endWords)]int{9, 0, 0, 3}, StartsRoom: 4},
+	earlier := orderSample{at: time.Second, stats: hollow.Stats{Starts: 10, Holds: 5}, traffic: TrafficCount{Received: kilobyte}}
+	later := orderSample{at: 3 * time.Second, stats: hollow.Stats{Starts: 30, Holds: 6, ListRejected: 2, Ends: [len(endWords)]int{9, 0, 0, 3}, StartsRoom: 4},
 		traffic: TrafficCount{Received: 5 * kilobyte, Connections: 4}, listing: TrafficCount{Calls: 3}}
-	orders := early.until(late)
+	orders := earlier.until(later)
 	require.InDelta(t, 10, orders.StartsPerS, 0)
 	require.InDelta(t, 0.5, orders.HoldsPerS, 0)
 	require.InDelta(t, 1.5, orders.ListsPerS, 0)
--- a/internal/system/localcluster/scale.go
+++ b/internal/system/localcluster/scale.go
@@ -40,7 +40,7 @@
 	// the rate of their starts.
 	FillSeconds    float64 `json:"fill_s"`
 	Resident       int     `json:"resident"`
-	Wanted         int     `json:"resident_wanted"`
+	ResidentWanted int     `json:"resident_wanted"`
 	FillStartsPerS float64 `json:"fill_starts_s"`
 	// ConfigurationSeconds is the time from sending a changed configuration until it was in force at the last dispatcher. It is -1 if
 	// that did not happen within the time limit.
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	s.loadStart = s.cluster.tracker.now()
-	size := &SizeReport{Wanted: int(runningPerWorker * float64(options.Workers)), WindowSeconds: options.Window.Seconds()}
+	size := &SizeReport{ResidentWanted: int(runningPerWorker * float64(options.Workers)), WindowSeconds: options.Window.Seconds()}
 	s.awaitContact(ctx, size)
 	if err := s.startResidentTasks(clientContext, size); err != nil {
 		return nil, err
@@ -90,10 +90,10 @@
 	troubles := &troubleInjector{cluster: s.cluster, logLine: s.logLine, configVersion: s.cluster.configuration.parsed.Version}
 	troubleResult := make(chan error, 1)
 	go func() { troubleResult <- troubles.run(ctx, s.options.Troubles) }()
-	first := s.cluster.fleet.world.Stats().Starts
+	startsBefore := s.cluster.fleet.world.Stats().Starts
 	limited, cancel := context.WithTimeout(ctx, fillTimeout)
 	defer cancel()
-	jobs := (size.Wanted + residentTasks - 1) / residentTasks
+	jobs := (size.ResidentWanted + residentTasks - 1) / residentTasks
 	for range jobs {
 		if err := s.submitNext(ctx, s.residentJob); err != nil {
 			return err
@@ -102,7 +102,7 @@
 	}
 	started := 0
 	for limited.Err() == nil {
-		if started = s.cluster.fleet.world.Stats().Starts - first; started >= size.Wanted {
+		if started = s.cluster.fleet.world.Stats().Starts - startsBefore; started >= size.ResidentWanted {
 			break
 		}
 		_ = pause.For(limited, pollInterval)
@@ -110,7 +110,7 @@
 	size.Resident = started
 	size.FillSeconds = (s.cluster.tracker.now() - start).Seconds()
 	size.FillStartsPerS = float64(started) / size.FillSeconds
-	s.logLine(fmt.Sprintf("%d of %d lasting tasks started", started, size.Wanted))
+	s.logLine(fmt.Sprintf("%d of %d lasting tasks started", started, size.ResidentWanted))
 	return firstError(<-troubleResult, ctx.Err())
 }
 
--- a/internal/system/localcluster/scaletable.go
+++ b/internal/system/localcluster/scaletable.go
@@ -30,7 +30,7 @@
 
 func (s *SizeReport) row(out io.Writer) {
 	fmt.Fprintf(out, "%d\t%d\t%.1f\t%d\t%d\t%.0f\t%.1f\t%.0f\t%.2f\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%d\t%d\t%d\t%s\t\n",
-		s.Workers, s.Dispatchers, s.ContactSeconds, s.Resident, s.Wanted, s.FillStartsPerS, s.Orders.StartsPerS, s.Orders.HoldsPerS,
+		s.Workers, s.Dispatchers, s.ContactSeconds, s.Resident, s.ResidentWanted, s.FillStartsPerS, s.Orders.StartsPerS, s.Orders.HoldsPerS,
 		s.Orders.ListsPerS, s.Latencies.Started.P50, s.Latencies.Started.P99, s.Latencies.Done.P50, s.Latencies.Done.P99,
-		s.ConfigurationSeconds, s.Disk.LogBytes/kilobyte, s.Disk.SnapshotBytes/kilobyte, s.Jobs.Lost, countsText(s.Broken))
+		s.ConfigurationSeconds, s.Disk.LogBytes/kilobyte, s.Disk.SnapshotBytes/kilobyte, s.Jobs.Lost, countsText(s.Violations))
 }
--- a/internal/system/localcluster/scenario.go
+++ b/internal/system/localcluster/scenario.go
@@ -94,26 +94,26 @@
 // 4s".
 func ParseTrouble(text string) (Trouble, error) {
 	words := strings.Fields(text)
-	read := Trouble{}
+	parsed := Trouble{}
 	if len(words) > 0 {
-		read.Kind = words[0]
+		parsed.Kind = words[0]
 		words = words[1:]
 	}
-	if read.Kind != troubleReconfigure && len(words) > 0 {
-		read.Target = words[0]
+	if parsed.Kind != troubleReconfigure && len(words) > 0 {
+		parsed.Target = words[0]
 		words = words[1:]
 	}
 	if len(words) == 0 || len(words) > 2 {
 		return Trouble{}, fmt.Errorf("%q is not of the form KIND TARGET AT [FOR], such as \"kill head 5s 3s\"", text)
 	}
-	read.At = words[0]
+	parsed.At = words[0]
 	if len(words) > 1 {
-		read.For = words[1]
+		parsed.For = words[1]
 	}
 	checker := &scenario.Checker{}
-	read.Range.Filename = "--trouble"
-	read.validate(checker)
-	return read, checker.Err
+	parsed.Range.Filename = "--trouble"
+	parsed.validate(checker)
+	return parsed, checker.Err
 }
 
 func (t *Trouble) validate(checker *scenario.Checker) {
@@ -130,8 +130,8 @@
 	var err error
 	t.target, err = parseTarget(t.Target)
 	checker.Want(err == nil, t.Range, "target", "%v", err)
-	wipes := t.target.group == groupDispatchers || t.target.group == groupWorkers
-	checker.Want(t.Kind != troubleWipe || !wipes, t.Range, "target", "%s has no disk", t.Target)
+	hasNoDisk := t.target.group == groupDispatchers || t.target.group == groupWorkers
+	checker.Want(t.Kind != troubleWipe || !hasNoDisk, t.Range, "target", "%s has no disk", t.Target)
 }
 
 // String returns a short description.
@@ -158,14 +158,14 @@
 	if err := scenario.Decode(text, name, &document); err != nil {
 		return nil, err
 	}
-	read := &document.Scenario
+	parsed := &document.Scenario
 	checker := &scenario.Checker{}
-	read.duration = checker.Time(read.Range, "length", read.Length, 0)
-	checker.Want(read.Rate >= 0, read.Range, "rate", "0 or more")
-	for i := range read.Trouble {
-		read.Trouble[i].validate(checker)
+	parsed.duration = checker.Time(parsed.Range, "length", parsed.Length, 0)
+	checker.Want(parsed.Rate >= 0, parsed.Range, "rate", "0 or more")
+	for i := range parsed.Trouble {
+		parsed.Trouble[i].validate(checker)
 	}
-	return read, checker.Err
+	return parsed, checker.Err
 }
 
 // Apply copies the scenario's values into the options.
--- a/internal/system/localcluster/scenario_test.go
+++ b/internal/system/localcluster/scenario_test.go
@@ -9,21 +9,21 @@
 )
 
 func TestParseTrouble(t *testing.T) {
-	read, err := ParseTrouble("kill head 5s 2s")
+	parsed, err := ParseTrouble("kill head 5s 2s")
 	require.NoError(t, err)
-	require.Equal(t, target{group: groupHead, index: wholeGroup}, read.target)
-	require.Equal(t, 5*time.Second, read.startAfter)
-	require.Equal(t, 2*time.Second, read.duration)
-	require.Equal(t, "kill head at 5s for 2s", read.String())
+	require.Equal(t, target{group: groupHead, index: wholeGroup}, parsed.target)
+	require.Equal(t, 5*time.Second, parsed.startAfter)
+	require.Equal(t, 2*time.Second, parsed.duration)
+	require.Equal(t, "kill head at 5s for 2s", parsed.String())
 
-	read, err = ParseTrouble("freeze worker:12 1s")
+	parsed, err = ParseTrouble("freeze worker:12 1s")
 	require.NoError(t, err)
-	require.Equal(t, target{group: groupWorkers, index: 12}, read.target)
-	require.Equal(t, defaultTroubleDuration, read.duration)
+	require.Equal(t, target{group: groupWorkers, index: 12}, parsed.target)
+	require.Equal(t, defaultTroubleDuration, parsed.duration)
 
-	read, err = ParseTrouble("reconfigure 4s")
+	parsed, err = ParseTrouble("reconfigure 4s")
 	require.NoError(t, err)
-	require.Equal(t, "reconfigure at 4s", read.String())
+	require.Equal(t, "reconfigure at 4s", parsed.String())
 }
 
 func TestParseTroubleErrors(t *testing.T) {
@@ -49,14 +49,14 @@
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
 	for _, file := range files {
-		read, err := LoadScenario(file)
+		parsed, err := LoadScenario(file)
 		require.NoError(t, err)
 		options := Options{Workers: 3, Rate: 1}
-		read.Apply(&options)
+		parsed.Apply(&options)
 		options.withDefaults()
 		require.NoError(t, options.validate(), file)
-		require.Len(t, options.Troubles, len(read.Trouble))
-		require.Equal(t, read.duration, options.For)
+		require.Len(t, options.Troubles, len(parsed.Trouble))
+		require.Equal(t, parsed.duration, options.For)
 	}
 }
 
--- a/internal/system/localcluster/soak.go
+++ b/internal/system/localcluster/soak.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// soak is a soak run in progress.
-type soak struct {
+// soakRun is a soak run in progress.
+type soakRun struct {
 	options   SoakOptions
 	relay     *relay.Relay
 	cluster   *Cluster
@@ -133,7 +133,7 @@
 		return nil, err
 	}
 	defer cluster.Stop()
-	s := &soak{options: options, relay: relayServer, cluster: cluster, startTime: time.Now(), troubles: make(map[string]int),
+	s := &soakRun{options: options, relay: relayServer, cluster: cluster, startTime: time.Now(), troubles: make(map[string]int),
 		childLocks: make(map[*Child]*sync.Mutex)}
 	for _, child := range cluster.children() {
 		s.childLocks[child] = &sync.Mutex{}
@@ -156,10 +156,10 @@
 	return os.MkdirTemp("", "gaugeslip-soak-")
 }
 
-func (s *soak) now() time.Duration { return time.Since(s.startTime) }
+func (s *soakRun) now() time.Duration { return time.Since(s.startTime) }
 
 // addFinding records a violated guarantee.
-func (s *soak) addFinding(rule, format string, arguments ...any) {
+func (s *soakRun) addFinding(rule, format string, arguments ...any) {
 	found := Finding{At: s.now(), Rule: rule, Detail: fmt.Sprintf(format, arguments...)}
 	s.mutex.Lock()
 	s.findings = append(s.findings, found)
@@ -167,7 +167,7 @@
 	s.logLine("FOUND " + rule + ": " + found.Detail)
 }
 
-func (s *soak) logLine(line string) {
+func (s *soakRun) logLine(line string) {
 	s.logMutex.Lock()
 	defer s.logMutex.Unlock()
 	text := fmt.Sprintf("%8.3f s  %s\n", s.now().Seconds(), line)
@@ -178,13 +178,13 @@
 }
 
 // httpClient returns a client whose connections go through the relay under a host name.
-func (s *soak) httpClient(host string, timeout time.Duration) *http.Client {
+func (s *soakRun) httpClient(host string, timeout time.Duration) *http.Client {
 	network := relay.Network{Relay: s.relay.Address(), Host: host}
 	return &http.Client{Timeout: timeout, Transport: &http.Transport{DialContext: network.Dial, MaxIdleConnsPerHost: maxIdlePerHost}}
 }
 
 // run runs the load and the troubles, waits for recovery, and makes the final checks.
-func (s *soak) run(ctx context.Context) (*SoakReport, error) {
+func (s *soakRun) run(ctx context.Context) (*SoakReport, error) {
 	if err := s.ready(ctx); err != nil {
 		return nil, err
 	}
@@ -209,7 +209,7 @@
 }
 
 // ready sends the first configuration and waits until all dispatchers serve.
-func (s *soak) ready(ctx context.Context) error {
+func (s *soakRun) ready(ctx context.Context) error {
 	limited, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	direct := newClients(s.cluster.frontendAddresses(), s.cluster.tracker, s.cluster.fleet.world)
@@ -218,7 +218,7 @@
 }
 
 // runTroubles runs the tracks of troubles concurrently.
-func (s *soak) runTroubles(ctx context.Context) {
+func (s *soakRun) runTroubles(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, s.options.For)
 	defer cancel()
 	var group sync.WaitGroup
@@ -229,7 +229,7 @@
 	group.Wait()
 }
 
-func (s *soak) report() *SoakReport {
+func (s *soakRun) report() *SoakReport {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	report := &SoakReport{Seed: s.options.Seed, Troubles: maps.Clone(s.troubles), Jobs: s.clients.count(), Changes: s.operator.count(),
@@ -242,7 +242,7 @@
 }
 
 // keepOrRemoveDir keeps the directory if there are findings to investigate or if it was named in the options.
-func (s *soak) keepOrRemoveDir(report *SoakReport) {
+func (s *soakRun) keepOrRemoveDir(report *SoakReport) {
 	if len(report.Findings) > 0 || s.options.Folder != "" {
 		report.Folder = s.cluster.plan.dir
 		return
--- a/internal/system/localcluster/soak_checks.go
+++ b/internal/system/localcluster/soak_checks.go
@@ -12,7 +12,7 @@
 )
 
 // awaitRecovery waits until every replica is back in the chain.
-func (s *soak) awaitRecovery(ctx context.Context) {
+func (s *soakRun) awaitRecovery(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	for {
@@ -28,7 +28,7 @@
 }
 
 // runFinalChecks waits for all jobs and checks the guarantees that have to hold at the end.
-func (s *soak) runFinalChecks(ctx context.Context) {
+func (s *soakRun) runFinalChecks(ctx context.Context) {
 	runWithTimeout(ctx, finishTimeout, s.clients.awaitFinished)
 	runWithTimeout(ctx, settleTimeout, s.operator.checkFinalReads)
 	runWithTimeout(ctx, settleTimeout, s.checkDispatchers)
@@ -44,7 +44,7 @@
 }
 
 // checkWorkers adds the violations that the workers' checker found. It ignores incomplete gangs, which may time out during troubles.
-func (s *soak) checkWorkers() {
+func (s *soakRun) checkWorkers() {
 	for _, violation := range s.cluster.fleet.world.Violations() {
 		if violation.Rule != hollow.RuleAlone {
 			s.addFinding(string(violation.Rule), "%s", violation.String())
@@ -56,7 +56,7 @@
 var alarmTexts = []string{"invariant broken", "an invariant is broken", "panic:", "fatal error:", "DATA RACE"}
 
 // checkProcesses checks every process for exits without a request, for memory above the limit, and for alarms in its log.
-func (s *soak) checkProcesses() {
+func (s *soakRun) checkProcesses() {
 	for _, child := range s.cluster.children() {
 		if how, count := child.crashSummary(); count > 0 {
 			s.addFinding("FAULT", "%s ended by itself %d times, the last time: %s", child.Name, count, how)
@@ -77,7 +77,7 @@
 }
 
 // memoryMb returns the memory of the process's machine.
-func (s *soak) memoryMb(child *Child) float64 {
+func (s *soakRun) memoryMb(child *Child) float64 {
 	if slices.Contains(s.cluster.replicas, child) {
 		return replicaMemoryMb
 	}
--- a/internal/system/localcluster/soak_disks.go
+++ b/internal/system/localcluster/soak_disks.go
@@ -57,7 +57,7 @@
 	d.pending = false
 }
 
-func (s *soak) loseDisk(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) loseDisk(ctx context.Context, random *rand.Rand, length time.Duration) {
 	if !s.disks.acquire() {
 		return
 	}
@@ -93,7 +93,7 @@
 }
 
 // awaitDiskReturn allows the next loss of a disk once the replica is back in the chain.
-func (s *soak) awaitDiskReturn(number int) {
+func (s *soakRun) awaitDiskReturn(number int) {
 	limited, cancel := context.WithTimeout(s.clients.followContext, diskReturnTimeout)
 	defer cancel()
 	address := hostPort(s.cluster.plan.layout.replica(number), internalPort)
@@ -106,21 +106,21 @@
 	}
 }
 
-func (s *soak) stallDisk(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) stallDisk(ctx context.Context, random *rand.Rand, length time.Duration) {
 	s.injectDiskFault(ctx, random, length, faultydisk.Stalled)
 }
 
-func (s *soak) slowDisk(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) slowDisk(ctx context.Context, random *rand.Rand, length time.Duration) {
 	s.injectDiskFault(ctx, random, length, faultydisk.Slow)
 }
 
-func (s *soak) fillDisk(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) fillDisk(ctx context.Context, random *rand.Rand, length time.Duration) {
 	s.injectDiskFault(ctx, random, length, faultydisk.Full)
 }
 
 // injectDiskFault applies a fault to a replica's disk for a while. In half of the cases it picks the head's disk. A process that exits
 // because of the fault is started again, as the platform would do.
-func (s *soak) injectDiskFault(ctx context.Context, random *rand.Rand, length time.Duration, trouble faultydisk.Fault) {
+func (s *soakRun) injectDiskFault(ctx context.Context, random *rand.Rand, length time.Duration, trouble faultydisk.Fault) {
 	child := s.anyReplica(random)
 	if random.IntN(2) == 0 {
 		child = s.headOrAnyReplica(random)
@@ -137,7 +137,7 @@
 	})
 }
 
-func (s *soak) setDiskFault(file string, trouble faultydisk.Fault) {
+func (s *soakRun) setDiskFault(file string, trouble faultydisk.Fault) {
 	if err := faultydisk.SetFault(file, trouble); err != nil {
 		s.addFinding("FAULT", "a disk can't be struck: %v", err)
 	}
--- a/internal/system/localcluster/soak_dispatchers.go
+++ b/internal/system/localcluster/soak_dispatchers.go
@@ -10,7 +10,7 @@
 )
 
 // checkDispatchers checks that every dispatcher has the newest configuration in force after the troubles.
-func (s *soak) checkDispatchers(ctx context.Context) {
+func (s *soakRun) checkDispatchers(ctx context.Context) {
 	client := s.httpClient(readerHost, soakCallTimeout)
 	defer client.CloseIdleConnections()
 	for i := range s.cluster.dispatchers {
@@ -27,7 +27,7 @@
 // versionMetric is the metric for the version of a dispatcher's configuration.
 const versionMetric = "gaugeslip_config_version "
 
-func (s *soak) hasNewestConfiguration(ctx context.Context, client *http.Client, address string) bool {
+func (s *soakRun) hasNewestConfiguration(ctx context.Context, client *http.Client, address string) bool {
 	_, text, err := fetch(ctx, client, address, "/metrics")
 	if err != nil {
 		return false
--- a/internal/system/localcluster/soak_drafts.go
+++ b/internal/system/localcluster/soak_drafts.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	hopelessFailures = 9
-	maxLeadMs        = 2000 // until the first run
-	soakWorkerKind   = "a"
+	permanentFailures = 9
+	maxLeadMs         = 2000 // until the first run
+	soakWorkerKind    = "a"
 )
 
 // generateSoak creates a job of a soak run. now is the wall clock time, and worldNow the time of the workers' checker at the same
@@ -77,6 +77,6 @@
 	case shapeFailsOnce:
 		checked.OwnFailures = 1
 	case shapeFailsForGood:
-		checked.OwnFailures = hopelessFailures
+		checked.OwnFailures = permanentFailures
 	}
 }
--- a/internal/system/localcluster/soak_jobs.go
+++ b/internal/system/localcluster/soak_jobs.go
@@ -43,7 +43,7 @@
 
 // soakClients submit jobs, cancel some of them, and poll their states. They check every answer.
 type soakClients struct {
-	soak          *soak
+	soak          *soakRun
 	client        *http.Client
 	addresses     []string
 	generator     *jobGenerator
@@ -56,7 +56,7 @@
 	jobs  []*soakJob
 }
 
-func (c *soakClients) setUp(s *soak) {
+func (c *soakClients) setUp(s *soakRun) {
 	c.soak = s
 	c.client = s.httpClient(soakHost, clientTimeout)
 	c.addresses = s.cluster.frontendAddresses()
@@ -113,7 +113,7 @@
 	} else {
 		c.submit(ctx, job)
 	}
-	accepted := c.settleHandIn(job)
+	accepted := c.settleSubmission(job)
 	if !accepted {
 		return
 	}
@@ -124,8 +124,8 @@
 	c.pollStatus(ctx, job)
 }
 
-// settleHandIn records that no client submits the job any more.
-func (c *soakClients) settleHandIn(job *soakJob) (accepted bool) {
+// settleSubmission records that no client submits the job any more.
+func (c *soakClients) settleSubmission(job *soakJob) (accepted bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !job.accepted && !job.inDoubt {
@@ -216,7 +216,7 @@
 var stateOrder = []string{"pending", "running", "completed", "failed", "cancelled"}
 
 // recordState checks and records a reported state. It reports whether the state is final.
-func (c *soakClients) recordState(job *soakJob, state string) (over bool) {
+func (c *soakClients) recordState(job *soakJob, state string) (finished bool) {
 	world := c.soak.cluster.fleet.world
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/system/localcluster/soak_links.go
+++ b/internal/system/localcluster/soak_links.go
@@ -19,14 +19,14 @@
 )
 
 // applyRule keeps a rule in force for a while.
-func (s *soak) applyRule(ctx context.Context, rule relay.Rule, length time.Duration) {
+func (s *soakRun) applyRule(ctx context.Context, rule relay.Rule, length time.Duration) {
 	remove := s.relay.Add(rule)
 	defer remove()
 	_ = pause.For(ctx, length)
 }
 
 // replicaHosts returns the hosts of the replicas.
-func (s *soak) replicaHosts() []string {
+func (s *soakRun) replicaHosts() []string {
 	hosts := make([]string, len(s.cluster.replicas))
 	for i := range hosts {
 		hosts[i] = s.cluster.plan.layout.replica(i).String()
@@ -47,13 +47,13 @@
 	return slices.DeleteFunc(slices.Clone(list), func(candidate string) bool { return candidate == item })
 }
 
-func (s *soak) cutReplica(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) cutReplica(ctx context.Context, random *rand.Rand, length time.Duration) {
 	hosts := s.replicaHosts()
 	host := hosts[random.IntN(len(hosts))]
 	s.applyRule(ctx, relay.Rule{Matches: between([]string{host}, without(hosts, host)), Effect: relay.Effect{Cut: true}}, length)
 }
 
-func (s *soak) cutReplicaOneWay(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) cutReplicaOneWay(ctx context.Context, random *rand.Rand, length time.Duration) {
 	hosts := s.replicaHosts()
 	host, out := hosts[random.IntN(len(hosts))], random.IntN(2) == 0
 	s.applyRule(ctx, relay.Rule{Effect: relay.Effect{Cut: true}, Matches: func(link relay.Link) bool {
@@ -65,7 +65,7 @@
 }
 
 // splitCore partitions the replicas into two halves. All other hosts still reach both.
-func (s *soak) splitCore(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) splitCore(ctx context.Context, random *rand.Rand, length time.Duration) {
 	hosts := s.replicaHosts()
 	random.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 	half := len(hosts) / 2
@@ -73,7 +73,7 @@
 }
 
 // randomWorkerAddresses returns the addresses of a random share of the workers.
-func (s *soak) randomWorkerAddresses(random *rand.Rand, share float64) (addresses []string) {
+func (s *soakRun) randomWorkerAddresses(random *rand.Rand, share float64) (addresses []string) {
 	for _, worker := range s.cluster.fleet.workers {
 		if random.Float64() < share {
 			addresses = append(addresses, worker.Address())
@@ -83,7 +83,7 @@
 }
 
 // cutFromWorkers cuts some workers off from all replicas or from the first one. It may cut only the direction of the answers.
-func (s *soak) cutFromWorkers(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) cutFromWorkers(ctx context.Context, random *rand.Rand, length time.Duration) {
 	addresses := s.randomWorkerAddresses(random, cutWorkerShare)
 	from := s.replicaHosts()
 	if random.IntN(2) == 0 {
@@ -99,14 +99,14 @@
 	}}, length)
 }
 
-func (s *soak) cutDispatcher(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) cutDispatcher(ctx context.Context, random *rand.Rand, length time.Duration) {
 	host := s.cluster.plan.layout.dispatcher(random.IntN(len(s.cluster.dispatchers))).String()
 	s.applyRule(ctx, relay.Rule{Matches: between([]string{host}, s.replicaHosts()), Effect: relay.Effect{Cut: true}}, length)
 }
 
 // randomLinks draws a class of links: between replicas and hosts other than the workers, from and to the workers, among the replicas,
 // from and to the operator, or from and to the clients.
-func (s *soak) randomLinks(random *rand.Rand) func(relay.Link) bool {
+func (s *soakRun) randomLinks(random *rand.Rand) func(relay.Link) bool {
 	replicas := s.replicaHosts()
 	inCore := func(host string) bool { return slices.Contains(replicas, host) }
 	switch random.IntN(5) {
@@ -135,15 +135,15 @@
 	return link.To
 }
 
-func (s *soak) loseAnswers(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) loseAnswers(ctx context.Context, random *rand.Rand, length time.Duration) {
 	s.applyRule(ctx, relay.Rule{Matches: s.randomLinks(random), Effect: relay.Effect{LossProbability: minLossProbability + lossProbabilityRange*random.Float64()}}, length)
 }
 
-func (s *soak) delay(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) delay(ctx context.Context, random *rand.Rand, length time.Duration) {
 	by := time.Duration(random.Int64N(int64(maxDelay)))
 	s.applyRule(ctx, relay.Rule{Matches: s.randomLinks(random), Effect: relay.Effect{Delay: by}}, length)
 }
 
-func (s *soak) resetConnections(_ context.Context, random *rand.Rand, _ time.Duration) {
+func (s *soakRun) resetConnections(_ context.Context, random *rand.Rand, _ time.Duration) {
 	s.relay.Reset(s.randomLinks(random), minResetShare+(1-minResetShare)*random.Float64())
 }
--- a/internal/system/localcluster/soak_operator.go
+++ b/internal/system/localcluster/soak_operator.go
@@ -41,7 +41,7 @@
 // soakOperator changes the configuration repeatedly, sometimes with two concurrent changes. All the while it reads the configuration
 // from every replica.
 type soakOperator struct {
-	soak         *soak
+	soak         *soakRun
 	changeClient *http.Client
 	readClient   *http.Client
 	random       *rand.Rand
@@ -53,7 +53,7 @@
 	counts             SoakChanges
 }
 
-func (o *soakOperator) setUp(s *soak) {
+func (o *soakOperator) setUp(s *soakRun) {
 	o.soak = s
 	o.changeClient = s.httpClient(operatorHost, soakCallTimeout)
 	o.readClient = s.httpClient(readerHost, soakCallTimeout)
--- a/internal/system/localcluster/soak_troubles.go
+++ b/internal/system/localcluster/soak_troubles.go
@@ -24,42 +24,42 @@
 // soakTrouble is one kind of trouble. inject causes it and ends it, with the details drawn from random.
 type soakTrouble struct {
 	name   string
-	inject func(s *soak, ctx context.Context, random *rand.Rand, length time.Duration)
+	inject func(s *soakRun, ctx context.Context, random *rand.Rand, length time.Duration)
 }
 
 // soakTroubles are all kinds of trouble. Those that affect the control plane appear in several variants, so that they are drawn more
 // often.
 var soakTroubles = []soakTrouble{
-	{"kill replica", (*soak).killReplica},
-	{"kill head", (*soak).killHead},
-	{"restart replica", (*soak).restartReplica},
-	{"freeze replica", (*soak).freezeReplica},
-	{"freeze head", (*soak).freezeHead},
-	{"lose disk", (*soak).loseDisk},
-	{"stall disk", (*soak).stallDisk},
-	{"slow disk", (*soak).slowDisk},
-	{"fill disk", (*soak).fillDisk},
-	{"kill core", (*soak).killCore},
-	{"kill all", (*soak).killAll},
-	{"cut replica", (*soak).cutReplica},
-	{"cut replica one way", (*soak).cutReplicaOneWay},
-	{"split core", (*soak).splitCore},
-	{"cut core from workers", (*soak).cutFromWorkers},
-	{"cut dispatcher", (*soak).cutDispatcher},
-	{"kill dispatcher", (*soak).killDispatcher},
-	{"restart dispatcher", (*soak).restartDispatcher},
-	{"freeze dispatcher", (*soak).freezeDispatcher},
-	{"reload", (*soak).reload},
-	{"lose answers", (*soak).loseAnswers},
-	{"delay", (*soak).delay},
-	{"reset connections", (*soak).resetConnections},
-	{"stalled bodies", (*soak).stalledBodies},
-	{"crash workers", (*soak).crashWorkers},
-	{"unsound workers", (*soak).faultyWorkers},
+	{"kill replica", (*soakRun).killReplica},
+	{"kill head", (*soakRun).killHead},
+	{"restart replica", (*soakRun).restartReplica},
+	{"freeze replica", (*soakRun).freezeReplica},
+	{"freeze head", (*soakRun).freezeHead},
+	{"lose disk", (*soakRun).loseDisk},
+	{"stall disk", (*soakRun).stallDisk},
+	{"slow disk", (*soakRun).slowDisk},
+	{"fill disk", (*soakRun).fillDisk},
+	{"kill core", (*soakRun).killCore},
+	{"kill all", (*soakRun).killAll},
+	{"cut replica", (*soakRun).cutReplica},
+	{"cut replica one way", (*soakRun).cutReplicaOneWay},
+	{"split core", (*soakRun).splitCore},
+	{"cut core from workers", (*soakRun).cutFromWorkers},
+	{"cut dispatcher", (*soakRun).cutDispatcher},
+	{"kill dispatcher", (*soakRun).killDispatcher},
+	{"restart dispatcher", (*soakRun).restartDispatcher},
+	{"freeze dispatcher", (*soakRun).freezeDispatcher},
+	{"reload", (*soakRun).reload},
+	{"lose answers", (*soakRun).loseAnswers},
+	{"delay", (*soakRun).delay},
+	{"reset connections", (*soakRun).resetConnections},
+	{"stalled bodies", (*soakRun).stalledBodies},
+	{"crash workers", (*soakRun).crashWorkers},
+	{"unsound workers", (*soakRun).faultyWorkers},
 }
 
 // runTrack causes one trouble after the other until the context ends, and ends the last one.
-func (s *soak) runTrack(ctx context.Context, random *rand.Rand) {
+func (s *soakRun) runTrack(ctx context.Context, random *rand.Rand) {
 	for pause.For(ctx, time.Duration(random.Int64N(int64(maxTroubleGap)))) == nil {
 		trouble := &soakTroubles[random.IntN(len(soakTroubles))]
 		length := minTroubleDuration + time.Duration(random.Int64N(int64(maxTroubleDuration-minTroubleDuration)))
@@ -72,7 +72,7 @@
 }
 
 // withChildLocked calls do unless another trouble currently applies to the process. It reports whether it called do.
-func (s *soak) withChildLocked(child *Child, do func()) bool {
+func (s *soakRun) withChildLocked(child *Child, do func()) bool {
 	lock := s.childLocks[child]
 	if !lock.TryLock() {
 		return false
@@ -83,7 +83,7 @@
 }
 
 // stopAndRestart ends a process, waits, and starts it again.
-func (s *soak) stopAndRestart(ctx context.Context, child *Child, end func(), length time.Duration) {
+func (s *soakRun) stopAndRestart(ctx context.Context, child *Child, end func(), length time.Duration) {
 	s.withChildLocked(child, func() {
 		end()
 		_ = pause.For(ctx, length)
@@ -92,7 +92,7 @@
 }
 
 // restart starts a process with the settings of a restart, which do not bootstrap.
-func (s *soak) restart(child *Child) {
+func (s *soakRun) restart(child *Child) {
 	if number := slices.Index(s.cluster.replicas, child); number >= 0 {
 		if err := s.cluster.prepareRestart(number, false); err != nil {
 			s.addFinding("FAULT", "%s has no settings: %v", child.Name, err)
@@ -103,46 +103,46 @@
 	}
 }
 
-func (s *soak) anyReplica(random *rand.Rand) *Child {
+func (s *soakRun) anyReplica(random *rand.Rand) *Child {
 	return s.cluster.replicas[random.IntN(len(s.cluster.replicas))]
 }
 
-func (s *soak) anyDispatcher(random *rand.Rand) *Child {
+func (s *soakRun) anyDispatcher(random *rand.Rand) *Child {
 	return s.cluster.dispatchers[random.IntN(len(s.cluster.dispatchers))]
 }
 
 // headOrAnyReplica returns the replica at the head, or a random one if the head is not known.
-func (s *soak) headOrAnyReplica(random *rand.Rand) *Child {
+func (s *soakRun) headOrAnyReplica(random *rand.Rand) *Child {
 	if number := s.cluster.headIndex(); number >= 0 {
 		return s.cluster.replicas[number]
 	}
 	return s.anyReplica(random)
 }
 
-func (s *soak) killReplica(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) killReplica(ctx context.Context, random *rand.Rand, length time.Duration) {
 	child := s.anyReplica(random)
 	s.stopAndRestart(ctx, child, child.kill, length)
 }
 
-func (s *soak) killHead(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) killHead(ctx context.Context, random *rand.Rand, length time.Duration) {
 	child := s.headOrAnyReplica(random)
 	s.stopAndRestart(ctx, child, child.kill, length)
 }
 
-func (s *soak) restartReplica(ctx context.Context, random *rand.Rand, _ time.Duration) {
+func (s *soakRun) restartReplica(ctx context.Context, random *rand.Rand, _ time.Duration) {
 	child := s.anyReplica(random)
 	s.stopAndRestart(ctx, child, func() { child.terminate(terminateTimeout) }, restartPause)
 }
 
-func (s *soak) freezeReplica(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) freezeReplica(ctx context.Context, random *rand.Rand, length time.Duration) {
 	s.freeze(ctx, s.anyReplica(random), length)
 }
 
-func (s *soak) freezeHead(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) freezeHead(ctx context.Context, random *rand.Rand, length time.Duration) {
 	s.freeze(ctx, s.headOrAnyReplica(random), length)
 }
 
-func (s *soak) freeze(ctx context.Context, child *Child, length time.Duration) {
+func (s *soakRun) freeze(ctx context.Context, child *Child, length time.Duration) {
 	s.withChildLocked(child, func() {
 		child.freeze()
 		_ = pause.For(ctx, length)
@@ -150,15 +150,15 @@
 	})
 }
 
-func (s *soak) killCore(ctx context.Context, _ *rand.Rand, length time.Duration) {
+func (s *soakRun) killCore(ctx context.Context, _ *rand.Rand, length time.Duration) {
 	s.killTogether(ctx, s.cluster.replicas, length)
 }
 
-func (s *soak) killAll(ctx context.Context, _ *rand.Rand, length time.Duration) {
+func (s *soakRun) killAll(ctx context.Context, _ *rand.Rand, length time.Duration) {
 	s.killTogether(ctx, s.cluster.children(), length)
 }
 
-func (s *soak) killTogether(ctx context.Context, children []*Child, length time.Duration) {
+func (s *soakRun) killTogether(ctx context.Context, children []*Child, length time.Duration) {
 	var group sync.WaitGroup
 	for _, child := range children {
 		group.Go(func() { s.stopAndRestart(ctx, child, child.kill, length/4) })
@@ -166,22 +166,22 @@
 	group.Wait()
 }
 
-func (s *soak) killDispatcher(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) killDispatcher(ctx context.Context, random *rand.Rand, length time.Duration) {
 	child := s.anyDispatcher(random)
 	s.stopAndRestart(ctx, child, child.kill, length/4)
 }
 
-func (s *soak) restartDispatcher(ctx context.Context, random *rand.Rand, _ time.Duration) {
+func (s *soakRun) restartDispatcher(ctx context.Context, random *rand.Rand, _ time.Duration) {
 	child := s.anyDispatcher(random)
 	s.stopAndRestart(ctx, child, func() { child.terminate(terminateTimeout) }, restartPause)
 }
 
-func (s *soak) freezeDispatcher(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) freezeDispatcher(ctx context.Context, random *rand.Rand, length time.Duration) {
 	s.freeze(ctx, s.anyDispatcher(random), length)
 }
 
 // reload makes every process reload its settings, some of them twice.
-func (s *soak) reload(_ context.Context, random *rand.Rand, _ time.Duration) {
+func (s *soakRun) reload(_ context.Context, random *rand.Rand, _ time.Duration) {
 	for _, child := range s.cluster.children() {
 		for range 1 + random.IntN(2) {
 			child.sendHangUp()
@@ -198,7 +198,7 @@
 	}
 }
 
-func (s *soak) crashWorkers(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) crashWorkers(ctx context.Context, random *rand.Rand, length time.Duration) {
 	for _, worker := range s.cluster.fleet.workers {
 		if random.IntN(4) == 0 {
 			worker.Crash(length)
@@ -208,7 +208,7 @@
 }
 
 // faultyWorkers applies one kind of fault to some workers.
-func (s *soak) faultyWorkers(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) faultyWorkers(ctx context.Context, random *rand.Rand, length time.Duration) {
 	faults := []hollow.Faults{
 		{Silent: true}, {Hang: true}, {Busy: true}, {Slow: 1 + maxSlowdown*random.Float64()}, {FailShare: 0.3},
 		{LateBy: time.Duration(random.Int64N(int64(maxTroubleDuration)))},
--- a/internal/system/localcluster/soak_unruly.go
+++ b/internal/system/localcluster/soak_unruly.go
@@ -28,12 +28,12 @@
 
 // unrulyClients open connections to dispatchers and to the operator's API and violate the protocol.
 type unrulyClients struct {
-	soak   *soak
+	soak   *soakRun
 	random *rand.Rand
 	opened atomic.Int64
 }
 
-func (u *unrulyClients) setUp(s *soak) {
+func (u *unrulyClients) setUp(s *soakRun) {
 	u.soak = s
 	u.random = rand.New(rand.NewPCG(s.options.Seed, unrulyStream))
 }
@@ -60,26 +60,26 @@
 // request draws a text to send: valid requests, invalid requests and data that is not HTTP.
 func (u *unrulyClients) request() string {
 	route := &u.soak.cluster.configuration.parsed.Routes[0]
-	place := fmt.Sprintf("%s%016x", route.PathPrefix, u.random.Uint64())
+	jobPath := fmt.Sprintf("%s%016x", route.PathPrefix, u.random.Uint64())
 	head := func(method, path string, more ...string) string {
 		return method + " " + path + " HTTP/1.1\r\nHost: " + route.Host + "\r\n" + strings.Join(more, "")
 	}
 	body := `{"spec":"unruly","stages":[{"count":1,"cpu":10`
 	switch u.random.IntN(10) {
 	case 0:
-		return head("POST", place, "Content-Length: 5000\r\n\r\n", body)
+		return head("POST", jobPath, "Content-Length: 5000\r\n\r\n", body)
 	case 1:
-		return head("POST", place, "Transfer-Encoding: chunked\r\n\r\n", "ffffffff\r\n", body)
+		return head("POST", jobPath, "Transfer-Encoding: chunked\r\n\r\n", "ffffffff\r\n", body)
 	case 2:
-		return head("GET", place, "X-Long: ", strings.Repeat("x", longHeaderBytes), "\r\n\r\n")
+		return head("GET", jobPath, "X-Long: ", strings.Repeat("x", longHeaderBytes), "\r\n\r\n")
 	case 3:
-		return head("POST", place, fmt.Sprintf("Content-Length: %d\r\n\r\n", largeBodyBytes), strings.Repeat("y", largeBodyBytes))
+		return head("POST", jobPath, fmt.Sprintf("Content-Length: %d\r\n\r\n", largeBodyBytes), strings.Repeat("y", largeBodyBytes))
 	case 4:
-		return strings.Repeat(head("GET", place, "\r\n"), pipelinedRequests)
+		return strings.Repeat(head("GET", jobPath, "\r\n"), pipelinedRequests)
 	case 5:
 		return head("DELETE", route.PathPrefix+"not-an-id", "\r\n")
 	case 6:
-		return head("PATCH", place, "X-Gaugeslip-Deadline: -5\r\n\r\n")
+		return head("PATCH", jobPath, "X-Gaugeslip-Deadline: -5\r\n\r\n")
 	case 7:
 		return "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 this is no HTTP\r\n\r\n"
 	case 8:
@@ -95,7 +95,7 @@
 )
 
 // stalledBodies makes many clients submit a large job to one dispatcher and stop just before the end of the body.
-func (s *soak) stalledBodies(ctx context.Context, random *rand.Rand, _ time.Duration) {
+func (s *soakRun) stalledBodies(ctx context.Context, random *rand.Rand, _ time.Duration) {
 	frontends := s.cluster.frontendAddresses()
 	address := frontends[random.IntN(len(frontends))]
 	route := &s.cluster.configuration.parsed.Routes[0]
