--- a/internal/system/localcluster/soak_jobs.go
+++ b/internal/system/localcluster/soak_jobs.go
@@ -135,7 +135,7 @@
 	return job.accepted
 }
 
-// submit tries until the answer is clear.
+// submit submits the job until it is accepted or definitely rejected, at most maxTries times.
 func (c *soakClients) submit(ctx context.Context, job *soakJob) {
 	gap := firstRetryDelay
 	for range job.maxTries {
