--- a/internal/system/localcluster/options.go
+++ b/internal/system/localcluster/options.go
@@ -15,7 +15,7 @@
 	HollowDispatchers int
 	Workers           int     // 12
 	Rate              float64 // jobs per second, 5 by default
-	// For is how long clients submit jobs, 15 s by default. Patience is how long the run then waits for unfinished jobs, 20 s by
+	// For is how long clients submit jobs, 15 s by default. The second field limits the wait for unfinished jobs after that, 20 s by
 	// default.
 	For, Patience time.Duration
 	// Seed seeds the jobs, their submission times and the random choices of troubles.
@@ -26,7 +26,7 @@
 	// Programs is the directory of the programs controlplane and dataplane.
 	Programs string
 	// Relay is the address of the relay that carries all connections between processes. Empty means direct connections. With a relay,
-	// Programs has to contain relayednode.
+	// the program directory has to contain relayednode.
 	Relay string
 	// Self is the path of this module's gaugelab program, which runs hollow dispatchers and profiled replicas. It is not needed
 	// otherwise.
--- a/internal/system/localcluster/report.go
+++ b/internal/system/localcluster/report.go
@@ -119,7 +119,7 @@
 // Sound reports whether no job was lost, no rule was broken, and no process exited without a request.
 func (r *Report) Sound() bool { return r.Jobs.Lost == 0 && len(r.Violations) == 0 && r.Crashes == 0 }
 
-// JSON writes the report as a JSON object.
+// JSON encodes the report as one indented object.
 func (r *Report) JSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
--- a/internal/system/localcluster/run.go
+++ b/internal/system/localcluster/run.go
@@ -157,7 +157,7 @@
 	return jobKind(number % int(kindSteady)), &routes[number]
 }
 
-// awaitJobs waits until every accepted job is finished, at most for Options.Patience.
+// awaitJobs waits until every accepted job is finished or the time for that is over.
 func (s *session) awaitJobs(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, s.options.Patience)
 	defer cancel()
