--- a/cmd/gaugeslip/endings_test.go
+++ b/cmd/gaugeslip/endings_test.go
@@ -70,7 +70,7 @@
 func TestPushedLists(t *testing.T) {
 	a, b := nettest.Listen(t, nettest.Serve), nettest.Listen(t, nettest.Serve)
 	lists := make(chan string, 1)
-	discovery := nettest.Listen(t, func(c *nettest.Call) { c.Say(nettest.Chunks(<-lists)) })
+	discovery := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks(<-lists)) })
 	t.Cleanup(func() { close(lists) })
 	at := func(health ...string) []string {
 		return []string{entry("s-0000000a", a.Addr, health[0], 0), entry("s-0000000b", b.Addr, health[1], 0)}
@@ -101,7 +101,7 @@
 			}
 			return calls
 		}
-		require.Eventually(t, func() bool { return goesTo() == [2]int{1, 0} }, nettest.Patience, time.Millisecond, "it hears of it")
+		require.Eventually(t, func() bool { return goesTo() == [2]int{1, 0} }, nettest.Timeout, time.Millisecond, "it hears of it")
 		for range 5 {
 			assert.Equal(t, [2]int{1, 0}, goesTo(), "nothing goes to what drains or is gone")
 		}
--- a/cmd/gaugeslip/info.go
+++ b/cmd/gaugeslip/info.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	known, err := cluster.Known(c.Known, c.Settings)
+	known, err := cluster.DecodeKnown(c.Known, c.Settings)
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
--- a/cmd/gaugeslip/jobs_test.go
+++ b/cmd/gaugeslip/jobs_test.go
@@ -40,7 +40,7 @@
 func (l *lanes) run(c *nettest.Call) {
 	if l.queue.Add(1) > int32(4*cap(l.free)) {
 		l.queue.Add(-1)
-		c.Say("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
+		c.WriteText("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
 	l.free <- struct{}{}
@@ -48,11 +48,11 @@
 	l.ran[c.Header.Get("X-Trace-Id")]++
 	l.mu.Unlock()
 	id := c.Header.Get("X-Trace-Id")
-	c.Say(nettest.Chunks(`{"id":"` + id + `","state":"started"}`))
+	c.WriteText(nettest.Chunks(`{"id":"` + id + `","state":"started"}`))
 	time.Sleep(l.work)
 	<-l.free
 	l.queue.Add(-1)
-	c.Say(nettest.Chunk(`{"id":"`+id+`","state":"done","result":"`+c.Text+`"}`) + "0\r\n\r\n")
+	c.WriteText(nettest.Chunk(`{"id":"`+id+`","state":"done","result":"`+c.Text+`"}`) + "0\r\n\r\n")
 }
 
 // jobs runs one command of the client.
@@ -73,7 +73,7 @@
 		h := nettest.Listen(t, l.run)
 		entries = append(entries, entry(fmt.Sprintf("s-%08x", i+1), h.Addr, "in_service", 0))
 	}
-	discovery := nettest.Listen(t, func(c *nettest.Call) { c.Say(nettest.Chunks()) })
+	discovery := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks()) })
 	_, env := siteFile(t, `waiting { default_due = "4s" }`)
 	settings := strings.NewReplacer(`"on-time":15000.0`, `"on-time":100.0`, `"most-held":100`, `"most-held":1000`,
 		`"max-attempts":3`, `"max-attempts":6`).Replace(nettest.SettingsJSON)
@@ -161,7 +161,7 @@
 // The client's commands against the real program, and a reload that makes the bounds smaller.
 func TestJobsCommands(t *testing.T) {
 	host := nettest.Listen(t, served)
-	discovery := nettest.Listen(t, func(c *nettest.Call) { c.Say(nettest.Chunks()) })
+	discovery := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks()) })
 	path, env := siteFile(t, "waiting {}")
 	addr, cmd, log := program(t, list(1, true, entry("s-0000000a", host.Addr, "in_service", 0)), discovery.Addr, env)
 	body := filepath.Join(t.TempDir(), "body")
@@ -197,10 +197,10 @@
 	require.NoError(t, os.WriteFile(path, []byte("waiting { max_jobs = 0 }"), 0o600))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool { return strings.Contains(log.String(), path+":1:11: waiting.max_jobs") },
-		nettest.Patience, time.Millisecond, "a faulty file is named")
+		nettest.Timeout, time.Millisecond, "a faulty file is named")
 	require.NoError(t, os.WriteFile(path, []byte("waiting { max_jobs = 1 }"), 0o600))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
-	require.Eventually(t, func() bool { return strings.Contains(log.String(), "configuration reloaded") }, nettest.Patience,
+	require.Eventually(t, func() bool { return strings.Contains(log.String(), "configuration reloaded") }, nettest.Timeout,
 		time.Millisecond)
 	code, out := jobs(addr, "submit", "plot-load", "--id", "d", "--in", "1h")
 	assert.Equal(t, exitOK, code, out)
--- a/cmd/gaugeslip/main_test.go
+++ b/cmd/gaugeslip/main_test.go
@@ -65,7 +65,7 @@
 			c.Close()
 		}
 		return err == nil
-	}, nettest.Patience, 5*time.Millisecond)
+	}, nettest.Timeout, 5*time.Millisecond)
 	awaitDoor(t, env)
 	return addr, cmd, log
 }
@@ -74,7 +74,7 @@
 func awaitDoor(t *testing.T, env []string) {
 	for _, variable := range env {
 		if door, found := strings.CutPrefix(variable, "NODE_OPS="); found {
-			require.Eventually(t, func() bool { return healthy(door) }, nettest.Patience, 5*time.Millisecond)
+			require.Eventually(t, func() bool { return healthy(door) }, nettest.Timeout, 5*time.Millisecond)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 }
 
 func served(c *nettest.Call) {
-	c.Say(nettest.Chunked(`{"id":"`+c.Header.Get("X-Trace-Id")+`","state":"started"}`,
+	c.WriteText(nettest.Chunked(`{"id":"`+c.Header.Get("X-Trace-Id")+`","state":"started"}`,
 		`{"id":"`+c.Header.Get("X-Trace-Id")+`","state":"done","result":"`+c.Text+`"}`))
 }
 
@@ -138,8 +138,8 @@
 func TestReloads(t *testing.T) {
 	host := nettest.Listen(t, served)
 	news := make(chan string, 1)
-	old := nettest.Listen(t, func(c *nettest.Call) { c.Say(nettest.Chunks(list(3, false))) })
-	moved := nettest.Listen(t, func(c *nettest.Call) { c.Say(nettest.Chunks(<-news)) })
+	old := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks(list(3, false))) })
+	moved := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks(<-news)) })
 	addr, cmd, log := program(t, list(1, true), old.Addr, "NODE_DISCOVERY="+old.Addr)
 	nettest.Wait(t, old.Calls)
 	path := ""
@@ -156,7 +156,7 @@
 	}
 	replace("nowhere")
 	require.Eventually(t, func() bool { return strings.Contains(log.String(), "discovery: address nowhere") },
-		nettest.Patience, time.Millisecond)
+		nettest.Timeout, time.Millisecond)
 	replace(moved.Addr)
 	assert.Contains(t, nettest.Wait(t, moved.Calls).RequestURI, "index=")
 	news <- list(4, false, entry("s-0000000a", host.Addr, "in_service", 0))
@@ -178,9 +178,9 @@
 	host, cold := nettest.Listen(t, served), nettest.Listen(t, served)
 	news := make(chan string)
 	discovery := nettest.Listen(t, func(c *nettest.Call) {
-		c.Say(nettest.Chunks())
+		c.WriteText(nettest.Chunks())
 		for l := range news {
-			c.Say(nettest.Chunk(l))
+			c.WriteText(nettest.Chunk(l))
 		}
 	})
 	defer close(news)
@@ -228,7 +228,7 @@
 			c.Close()
 		}
 		return err != nil
-	}, nettest.Patience, 5*time.Millisecond)
+	}, nettest.Timeout, 5*time.Millisecond)
 	release()
 	resp, body := c.Answer()
 	assert.Equal(t, "200 body", resp.Status[:3]+" "+body)
--- a/cmd/gaugeslip/ops_test.go
+++ b/cmd/gaugeslip/ops_test.go
@@ -45,7 +45,7 @@
 func TestFiguresCountAKnownLoad(t *testing.T) {
 	host := nettest.Listen(t, func(c *nettest.Call) {
 		if strings.HasPrefix(c.Text, "fail") {
-			c.Say("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+			c.WriteText("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 			return
 		}
 		served(c)
--- a/cmd/gaugeslip/plan.go
+++ b/cmd/gaugeslip/plan.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	known, err := cluster.Known(c.Known, c.Settings)
+	known, err := cluster.DecodeKnown(c.Known, c.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
@@ -107,7 +107,7 @@
 		shed = *own.Overload
 	}
 	cfg := &c.Settings.Policy
-	order, err := shed.Ranked(cfg)
+	order, err := shed.ClassOrder(cfg)
 	if err != nil {
 		return nil, fmt.Errorf("site: overload.%w", err)
 	}
--- a/cmd/gaugeslip/shares.go
+++ b/cmd/gaugeslip/shares.go
@@ -48,7 +48,7 @@
 
 // budgetsCommand shows the fleet-wide budgets as one dispatcher has them.
 func budgetsCommand(stdout io.Writer) *cobra.Command {
-	return viewCommand("budgets", "Show what a running dispatcher owns of the fleet's budgets", stdout, func(w io.Writer, all []budget.Figure) {
+	return viewCommand("budgets", "Show what a running dispatcher owns of the fleet's budgets", stdout, func(w io.Writer, all []budget.AccountStatus) {
 		fmt.Fprintln(w, "budget\twhole a second\tfloor\towned\tfor\tepoch\tused\trefused")
 		for _, f := range all {
 			ends := "good"
--- a/cmd/gaugeslip/shares_test.go
+++ b/cmd/gaugeslip/shares_test.go
@@ -28,7 +28,7 @@
 // owns asks a dispatcher what it owns of its one budget.
 func owns(t *testing.T, ops string) float64 {
 	_, text := opsCall(t, http.MethodGet, ops, "/budgets")
-	var all []budget.Figure
+	var all []budget.AccountStatus
 	require.NoError(t, json.Unmarshal([]byte(text), &all), text)
 	require.Len(t, all, 1)
 	return all[0].Owned
@@ -50,12 +50,12 @@
 		cmd, _ := launch(t, launching{settings: withQuota, known: list(1, true, entry("s-0000000a", host.Addr, "in_service", 0)),
 			discovery: discovery.Addr, listen: addr, files: []*os.File{f},
 			env: []string{"NODE_INHERITED_FD=3", "NODE_OPS=" + ops, "TMPDIR=" + tmp, "NODE_SITE=" + site}})
-		require.Eventually(t, func() bool { return healthy(ops) }, nettest.Patience, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return healthy(ops) }, nettest.Timeout, 10*time.Millisecond)
 		return func(s syscall.Signal) { cmd.Process.Signal(s); cmd.Wait() }
 	}
 	first, second, third := freeporttest.Address(t), freeporttest.Address(t), freeporttest.Address(t)
 	stopFirst := start(first)
-	require.Eventually(t, func() bool { return owns(t, first) == 1 }, nettest.Patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return owns(t, first) == 1 }, nettest.Timeout, 5*time.Millisecond)
 	stopSecond := start(second)
 	require.Eventually(t, func() bool {
 		a := owns(t, first)
@@ -65,12 +65,12 @@
 		}
 		require.LessOrEqual(t, a+b, 1.0)
 		return b == 1
-	}, nettest.Patience, 5*time.Millisecond, "the successor owns it once the old process has handed over")
+	}, nettest.Timeout, 5*time.Millisecond, "the successor owns it once the old process has handed over")
 	stopFirst(syscall.SIGTERM)
 	assert.Equal(t, 1.0, owns(t, second))
 	stopThird := start(third)
 	stopSecond(syscall.SIGKILL)
-	require.Eventually(t, func() bool { return owns(t, third) == 1 }, nettest.Patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return owns(t, third) == 1 }, nettest.Timeout, 5*time.Millisecond)
 	assert.Equal(t, 1.0, figure(t, third, `edge_node_budget_owned{budget="tenant a"}`))
 
 	for _, form := range []string{"", "--json"} {
@@ -109,7 +109,7 @@
 		c.Post("/plot-load/7", "r"+time.Now().Format("150405.000"), "X-Expires-In-Ms: 15000\r\nX-Customer: a\r\n", "x")
 		resp, _ := c.Answer()
 		return resp.StatusCode == http.StatusOK
-	}, nettest.Patience, time.Millisecond)
+	}, nettest.Timeout, time.Millisecond)
 	c.Post("/plot-load/7", "other", "X-Expires-In-Ms: 15000\r\n", "x")
 	resp, _ := c.Answer()
 	assert.Equal(t, http.StatusOK, resp.StatusCode, "no tenant, no quota")
@@ -136,7 +136,7 @@
 	require.Eventually(t, func() bool {
 		var out, errs bytes.Buffer
 		return run([]string{"plan", "--ops", ops}, &out, &errs) == exitOK
-	}, nettest.Patience, 20*time.Millisecond)
+	}, nettest.Timeout, 20*time.Millisecond)
 	assert.Contains(t, plan(exitOK, "--ops", ops), "y is lost")
 	assert.Equal(t, 0.0, figure(t, ops, `edge_node_site_state{site="z"}`))
 
@@ -165,7 +165,7 @@
 		calls = append(calls, time.Now())
 		mu.Unlock()
 		text := list(1, true, entry("s-0000000a", host.Addr, "in_service", 0)) + "\n"
-		c.Say("HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(text)) + "\r\nConnection: close\r\n\r\n" + text)
+		c.WriteText("HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(text)) + "\r\nConnection: close\r\n\r\n" + text)
 		c.Conn.Close()
 	})
 	tmp := t.TempDir()
@@ -173,7 +173,7 @@
 	require.NoError(t, os.WriteFile(site, []byte("budgets {\n  list_calls = 1\n}\n"), 0o600))
 	programWith(t, withQuota, list(1, true, entry("s-0000000a", host.Addr, "in_service", 0)), discovery.Addr, "NODE_SITE="+site, "TMPDIR="+tmp)
 	made := func() []time.Time { mu.Lock(); defer mu.Unlock(); return slices.Clone(calls) }
-	require.Eventually(t, func() bool { return len(made()) >= 4 }, nettest.Patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return len(made()) >= 4 }, nettest.Timeout, 10*time.Millisecond)
 	all := made()                                                           // one a second, less a little for what lies between taking a token and the call
 	assert.Greater(t, all[3].Sub(all[0]), 2700*time.Millisecond, "%v", all) // without the bound three waits are at most 2.25 s
 }
--- a/cmd/gaugeslip/upgrade_test.go
+++ b/cmd/gaugeslip/upgrade_test.go
@@ -87,7 +87,7 @@
 		cmd, log := launch(t, launching{settings: nettest.SettingsJSON, known: known, discovery: discovery.Addr,
 			listen: addr, files: []*os.File{f},
 			env: []string{"NODE_INHERITED_FD=3", "NODE_OPS=" + ops, "TMPDIR=" + tmp}})
-		require.Eventually(t, func() bool { return healthy(ops) }, nettest.Patience, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return healthy(ops) }, nettest.Timeout, 10*time.Millisecond)
 		return cmd, log
 	}
 	oldOps, newOps := freeporttest.Address(t), freeporttest.Address(t)
@@ -96,14 +96,14 @@
 	long := nettest.Dial(t, addr)
 	long.Post("/harvest-sale/7", "long", "X-Expires-In-Ms: 15000\r\n", "held")
 	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return seen["long"] == 1 },
-		nettest.Patience, 5*time.Millisecond)
+		nettest.Timeout, 5*time.Millisecond)
 	kept := nettest.Dial(t, addr) // a client's kept connection to the old process
 	kept.Post("/plot-load/7", "k0", "X-Expires-In-Ms: 15000\r\n", "k0")
 	resp, body := kept.Answer()
 	require.Equal(t, "200 k0", fmt.Sprint(resp.StatusCode, " ", body))
 
 	_, newLog := start(newOps)
-	require.Eventually(t, func() bool { return !healthy(oldOps) }, nettest.Patience, 10*time.Millisecond,
+	require.Eventually(t, func() bool { return !healthy(oldOps) }, nettest.Timeout, 10*time.Millisecond,
 		"the old process hands over before any SIGTERM")
 	kept.Closed() // idle: closed, so that its client goes to the successor
 	for i := range 20 {
--- a/coord/replica/bound_test.go
+++ b/coord/replica/bound_test.go
@@ -344,7 +344,7 @@
 // number of seeds, which run with a full state of 50 MB. By default the state has a sixteenth of that size, and its costs are scaled to
 // the whole.
 func TestLossesAtTheBound(t *testing.T) {
-	if seed, alone := seeds.Alone(t, "GAUGESLIP_BOUND"); alone {
+	if seed, alone := seeds.Single(t, "GAUGESLIP_BOUND"); alone {
 		_, err := playBoundTrial(seed, boundLosses, boundBytes, 1, t.Logf)
 		require.NoError(t, err)
 		return
--- a/coord/replica/cutoff_test.go
+++ b/coord/replica/cutoff_test.go
@@ -211,9 +211,9 @@
 // TestCutOff cuts each place in the chain off, or freezes it, for 5 to 60 s, in each way and with restarts at the same time. GAUGESLIP_CUTOFFS
 // sets the number of seeds for each scenario, GAUGESLIP_CUTOFF selects one seed; -run selects the scenario.
 func TestCutOff(t *testing.T) {
-	played := seeds.Played(t, "GAUGESLIP_CUTOFF", "GAUGESLIP_CUTOFFS", 2, 1) // with seed 2 a head that heard nobody once made itself the only member
+	played := seeds.List(t, "GAUGESLIP_CUTOFF", "GAUGESLIP_CUTOFFS", 2, 1) // with seed 2 a head that heard nobody once made itself the only member
 	trace := func(*testing.T) func(string, ...any) { return nil }
-	if _, alone := seeds.Alone(t, "GAUGESLIP_CUTOFF"); alone {
+	if _, alone := seeds.Single(t, "GAUGESLIP_CUTOFF"); alone {
 		trace = func(t *testing.T) func(string, ...any) { return t.Logf }
 	}
 	for _, who := range []string{victimHead, victimMiddle, victimTail, victimLearner} {
--- a/coord/replica/longtrials_test.go
+++ b/coord/replica/longtrials_test.go
@@ -137,7 +137,7 @@
 
 // TestLongTrials plays long faults. GAUGESLIP_LONG_TRIALS sets the number of seeds, GAUGESLIP_LONG_TRIAL selects one seed, with a trace.
 func TestLongTrials(t *testing.T) {
-	if seed, alone := seeds.Alone(t, "GAUGESLIP_LONG_TRIAL"); alone {
+	if seed, alone := seeds.Single(t, "GAUGESLIP_LONG_TRIAL"); alone {
 		require.NoError(t, playLongTrial(seed, t.Logf))
 		return
 	}
--- a/coord/replica/trials_test.go
+++ b/coord/replica/trials_test.go
@@ -365,7 +365,7 @@
 
 // TestTrials plays random faults. GAUGESLIP_TRIALS sets the number of seeds, GAUGESLIP_TRIAL selects one seed, with a trace.
 func TestTrials(t *testing.T) {
-	if seed, alone := seeds.Alone(t, "GAUGESLIP_TRIAL"); alone {
+	if seed, alone := seeds.Single(t, "GAUGESLIP_TRIAL"); alone {
 		require.NoError(t, playTrial(seed, t.Logf))
 		return
 	}
--- a/coord/transport/faults_test.go
+++ b/coord/transport/faults_test.go
@@ -24,7 +24,7 @@
 
 // Calls at once under cuts of one way, resets, frozen and stopped servers: what each error says is what came of the call.
 func TestCallsUnderFaults(t *testing.T) {
-	played := seeds.Played(t, seedVariable, "", 1, faultSeeds)
+	played := seeds.List(t, seedVariable, "", 1, faultSeeds)
 	told := map[string]int{}
 	for _, seed := range played {
 		inWire(t, seed, func(t *testing.T, w *wire) {
--- a/coord/transport/peers.go
+++ b/coord/transport/peers.go
@@ -223,9 +223,9 @@
 	}
 }
 
-// Reachable takes note that the process at an address has just been heard of by another way: calls to it needn't wait for the end of a
+// MarkReachable takes note that the process at an address has just been heard of by another way: calls to it needn't wait for the end of a
 // back-off, nor for the repetition of an opening packet that was sent before it was there.
-func (c *Client) Reachable(addr string) {
+func (c *Client) MarkReachable(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known, found := c.peers[addr]
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -34,35 +34,35 @@
 
 // Share is what a process may use of a budget: Floor for good, More besides until the time Until.
 type Share struct {
-	Floor, More Units
-	Until       time.Duration
-	Epoch       uint32 // rises with each change
+	Floor, Extra Units
+	Until        time.Duration
+	Epoch        uint32 // rises with each change
 }
 
 // At is what may be used at a time.
 func (s Share) At(now time.Duration) Units {
 	if now < s.Until {
-		return s.Floor + s.More
+		return s.Floor + s.Extra
 	}
 	return s.Floor
 }
 
-// Static is the share of one of so many members that never talk: an equal part, the rest of the division to nobody.
-func Static(members int) Share { return Share{Floor: Whole / Units(max(members, 1))} }
+// EqualShare is the share of one of so many members that never talk: an equal part, the rest of the division to nobody.
+func EqualShare(members int) Share { return Share{Floor: Whole / Units(max(members, 1))} }
 
 // Way is how budgets are divided.
 type Way string
 
 // The ways.
 const (
-	ByNumber Way = "static" // equal parts by the settings' count
-	ByTalk   Way = "talk"   // a floor by the settings' count, the rest by need
+	StaticShares Way = "static" // equal parts by the settings' count
+	LeasedShares Way = "talk"   // a floor by the settings' count, the rest by need
 )
 
 // Limits are the settings of the block budgets.
 type Limits struct {
 	Way       Way
-	Floor     float64 // ByTalk: of an equal part, what each member owns whatever happens
+	Floor     float64 // LeasedShares: of an equal part, what each member owns whatever happens
 	Tenants   bool    // tenants are held to the quotas of the platform's settings
 	Burst     float64 // of tenants, in seconds of their quota
 	Probes    float64 // of a host by all dispatchers, a second; 0: no bound
@@ -70,13 +70,13 @@
 }
 
 // Defaults is what an empty block means.
-func Defaults() Limits { return Limits{Way: ByNumber, Floor: 0.25, Tenants: true, Burst: 1} }
+func Defaults() Limits { return Limits{Way: StaticShares, Floor: 0.25, Tenants: true, Burst: 1} }
 
 // Check finds settings that can't be kept. An error begins with the faulty key.
 func (l *Limits) Check() error {
 	switch {
-	case l.Way != ByNumber && l.Way != ByTalk:
-		return fmt.Errorf("way: %q is neither %q nor %q", l.Way, ByNumber, ByTalk)
+	case l.Way != StaticShares && l.Way != LeasedShares:
+		return fmt.Errorf("way: %q is neither %q nor %q", l.Way, StaticShares, LeasedShares)
 	case !(l.Floor >= 0 && l.Floor <= 1):
 		return errors.New("floor: out of range, 0 to 1 of an equal part: over it the floors come to more than the whole")
 	case !(l.Burst > 0 && l.Burst <= 3600):
@@ -93,14 +93,14 @@
 	return nil
 }
 
-// FloorOf is what each of so many members owns whatever happens.
-func (l *Limits) FloorOf(members int) Units {
-	return Units(float64(Static(members).Floor) * l.Floor)
+// FloorUnits is what each of so many members owns whatever happens.
+func (l *Limits) FloorUnits(members int) Units {
+	return Units(float64(EqualShare(members).Floor) * l.Floor)
 }
 
-// Wanted is what a member asks for beyond its floor when so much is asked of it, of a whole of so much: a tenth more, for what is
+// ExtraDemand is what a member asks for beyond its floor when so much is asked of it, of a whole of so much: a tenth more, for what is
 // yet to come.
-func Wanted(asked, whole float64, floor Units) Units {
+func ExtraDemand(asked, whole float64, floor Units) Units {
 	const more = 1.1
 	if !(whole > 0) {
 		return 0
--- a/internal/budget/ledger.go
+++ b/internal/budget/ledger.go
@@ -14,8 +14,8 @@
 	Keyed     bool    // there is as much for each key: for each host, say
 }
 
-// Figure is an Account as it stands.
-type Figure struct {
+// AccountStatus is an Account as it stands.
+type AccountStatus struct {
 	Name    string  `json:"budget"`
 	Whole   float64 `json:"whole_per_second"`
 	Keyed   bool    `json:"for_each_key,omitempty"`
@@ -41,8 +41,8 @@
 type purse struct {
 	Account
 	share         Share
-	one           Rate
-	keys          map[uint64]*Rate
+	one           TokenBucket
+	keys          map[uint64]*TokenBucket
 	used, refused uint64
 	asked         float64 // a second, lately
 	askedAt       time.Duration
@@ -52,32 +52,32 @@
 func NewLedger(accounts []Account, drift float64) *Ledger {
 	l := &Ledger{drift: drift}
 	for _, a := range accounts {
-		l.all = append(l.all, &purse{Account: a, one: l.rate(&a), keys: map[uint64]*Rate{}})
+		l.all = append(l.all, &purse{Account: a, one: l.rate(&a), keys: map[uint64]*TokenBucket{}})
 	}
 	return l
 }
 
-func (l *Ledger) rate(a *Account) Rate {
-	return Rate{PerSecond: a.PerSecond / (1 + l.drift), Burst: a.Burst}
+func (l *Ledger) rate(a *Account) TokenBucket {
+	return TokenBucket{PerSecond: a.PerSecond / (1 + l.drift), Burst: a.Burst}
 }
 
 // Accounts is how many there are.
 func (l *Ledger) Accounts() int { return len(l.all) }
 
-// Own changes what the process owns of an account.
-func (l *Ledger) Own(now time.Duration, account int, s Share) {
+// SetShare changes what the process owns of an account.
+func (l *Ledger) SetShare(now time.Duration, account int, s Share) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.all[account]
 	p.share = s
-	p.one.Own(now, s)
+	p.one.SetShare(now, s)
 	for _, r := range p.keys {
-		r.Own(now, s)
+		r.SetShare(now, s)
 	}
 }
 
 // of is the bucket of a key. The lock is held.
-func (l *Ledger) of(now time.Duration, p *purse, key uint64) *Rate {
+func (l *Ledger) of(now time.Duration, p *purse, key uint64) *TokenBucket {
 	if !p.Keyed {
 		return &p.one
 	}
@@ -88,7 +88,7 @@
 		}
 		fresh := l.rate(&p.Account)
 		r = &fresh
-		r.Own(now, p.share)
+		r.SetShare(now, p.share)
 		p.keys[key] = r
 	}
 	return r
@@ -118,11 +118,11 @@
 		return true, 0
 	}
 	p.refused++
-	return false, r.In(now, 1)
+	return false, r.TimeUntil(now, 1)
 }
 
-// Wanted puts into want what is asked for of each account beyond a floor.
-func (l *Ledger) Wanted(now time.Duration, floor Units, want []Units) {
+// ExtraDemand puts into want what is asked for of each account beyond a floor.
+func (l *Ledger) ExtraDemand(now time.Duration, floor Units, want []Units) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i, p := range l.all {
@@ -131,17 +131,17 @@
 		if p.Keyed {
 			whole *= float64(max(len(p.keys), 1))
 		}
-		want[i] = Wanted(p.asked/lately.Seconds(), whole, floor)
+		want[i] = ExtraDemand(p.asked/lately.Seconds(), whole, floor)
 	}
 }
 
-// Figures tells how all accounts stand at a time.
-func (l *Ledger) Figures(now time.Duration) []Figure {
+// Status tells how all accounts stand at a time.
+func (l *Ledger) Status(now time.Duration) []AccountStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := make([]Figure, 0, len(l.all))
+	all := make([]AccountStatus, 0, len(l.all))
 	for _, p := range l.all {
-		f := Figure{Name: p.Name, Whole: p.PerSecond, Keyed: p.Keyed, Floor: part(p.share.Floor, 1), Owned: part(p.share.At(now), 1),
+		f := AccountStatus{Name: p.Name, Whole: p.PerSecond, Keyed: p.Keyed, Floor: part(p.share.Floor, 1), Owned: part(p.share.At(now), 1),
 			Epoch: p.share.Epoch, Used: p.used, Refused: p.refused}
 		if now < p.share.Until {
 			f.EndsMS = (p.share.Until - now).Milliseconds()
--- a/internal/budget/model_test.go
+++ b/internal/budget/model_test.go
@@ -84,7 +84,7 @@
 			b = binary.AppendVarint(b, x)
 		}
 	}
-	ballot := func(x Ballot) { put(int64(x.N), int64(x.By), int64(x.Life)) }
+	ballot := func(x Ballot) { put(int64(x.N), int64(x.Proposer), int64(x.Incarnation)) }
 	units := func(all []Units) {
 		for _, u := range all {
 			put(int64(u))
@@ -92,7 +92,7 @@
 	}
 	put(int64(s.tick), int64(s.faults), int64(s.lives))
 	for i, n := range s.nodes {
-		put(int64(s.clock[i]), int64(s.paused[i]), int64(s.seen[i]), int64(n.cfg.Life), int64(n.born), int64(n.now), int64(n.holdUntil), int64(n.top),
+		put(int64(s.clock[i]), int64(s.paused[i]), int64(s.seen[i]), int64(n.cfg.Incarnation), int64(n.born), int64(n.now), int64(n.holdUntil), int64(n.top),
 			int64(n.began), int64(n.phase), int64(n.yes), int64(n.retryAt), int64(n.leadUntil), int64(n.epoch), int64(n.divided), int64(n.seq),
 			int64(n.askAt), int64(n.leader), int64(n.missed), int64(n.heard), int64(n.held.Epoch), int64(n.end), int64(n.given))
 		ballot(n.promised)
@@ -164,13 +164,13 @@
 
 // modelNode starts a member.
 func modelNode(i int, life uint64, now time.Duration, mut *mutant) *Node {
-	c := Config{Self: i, Members: 3, Voters: 3, Budgets: 2, Floor: Whole / 16, Term: 60, Every: 20, Drift: 0.2, Life: life}
+	c := Config{Self: i, Members: 3, Voters: 3, Budgets: 2, Floor: Whole / 16, LeaseTime: 60, RequestInterval: 20, Drift: 0.2, Incarnation: life}
 	if mut.drift >= 0 {
 		c.Drift = mut.drift
 	}
 	n := NewNode(c, now)
 	n.askAt = now + time.Duration(i*7)
-	n.Want([]Units{Whole, Whole / Units(1+2*i)})
+	n.SetDemand([]Units{Whole, Whole / Units(1+2*i)})
 	if mut.restart != nil {
 		mut.restart(n)
 	}
@@ -244,7 +244,7 @@
 	return to
 }
 
-var kindNames = map[Kind]string{Prepare: "prepare", Promise: "promise", Nack: "nack", Propose: "propose", Accepted: "accepted", Ask: "ask",
+var kindNames = map[Kind]string{Prepare: "prepare", Promise: "promise", Nack: "nack", Propose: "propose", Accepted: "accepted", Request: "ask",
 	Grant: "grant", Redirect: "redirect"}
 
 func (s *state) deliver(m Message, mut *mutant) {
@@ -278,13 +278,13 @@
 		"drift of zero": {drift: 0},
 		"lapse forgotten": {drift: -1, usable: func(s *state, i, b int) Units {
 			x := s.nodes[i].Share(b)
-			return x.Floor + x.More
+			return x.Floor + x.Extra
 		}},
 		"check before a pause, use after": {drift: -1, usable: func(s *state, i, b int) Units {
 			return s.nodes[i].Share(b).At(s.seen[i])
 		}},
 		"given out before the ack": {drift: -1, before: func(s *state, m *Message) {
-			if m.Kind == Ask && s.nodes[m.To].Leads(s.at(m.To)) {
+			if m.Kind == Request && s.nodes[m.To].IsLeader(s.at(m.To)) {
 				m.Ballot, m.Epoch = s.nodes[m.To].lead, 1<<31
 			}
 		}},
@@ -295,8 +295,8 @@
 		}},
 		"a voter that speaks at once": {drift: -1, restart: func(n *Node) { n.born -= 1000 }},
 		"the lead counted from its end": {drift: -1, after: func(s *state, m *Message) {
-			if n := s.nodes[m.To]; m.Kind == Accepted && n.Leads(s.at(m.To)) {
-				n.leadUntil = max(n.leadUntil, s.at(m.To)+n.cfg.Term)
+			if n := s.nodes[m.To]; m.Kind == Accepted && n.IsLeader(s.at(m.To)) {
+				n.leadUntil = max(n.leadUntil, s.at(m.To)+n.cfg.LeaseTime)
 			}
 		}},
 		"a grant counted from when it came": {drift: -1, before: func(s *state, m *Message) {
--- a/internal/budget/node.go
+++ b/internal/budget/node.go
@@ -8,23 +8,25 @@
 
 // Ballot numbers an attempt at the lead. Ballots are ordered by N, then By, then Life; a process never makes the same twice.
 type Ballot struct {
-	N    uint32
-	By   uint16
-	Life uint64
+	N           uint32
+	Proposer    uint16
+	Incarnation uint64
 }
 
 func (b Ballot) less(o Ballot) bool {
 	if b.N != o.N {
 		return b.N < o.N
 	}
-	if b.By != o.By {
-		return b.By < o.By
+	if b.Proposer != o.Proposer {
+		return b.Proposer < o.Proposer
 	}
-	return b.Life < o.Life
+	return b.Incarnation < o.Incarnation
 }
 
 // same tells whether two ballots are of one process.
-func (b Ballot) same(o Ballot) bool { return b.By == o.By && b.Life == o.Life }
+func (b Ballot) same(o Ballot) bool {
+	return b.Proposer == o.Proposer && b.Incarnation == o.Incarnation
+}
 
 // Kind says what a Message is for.
 type Kind uint8
@@ -36,7 +38,7 @@
 	Nack                     // Ballot: a higher one is promised
 	Propose                  // Ballot: I lead
 	Accepted                 // Ballot
-	Ask                      // Seq, Units wanted beyond the floor; Ballot and Epoch of the grant that is held to
+	Request                  // Seq, Units wanted beyond the floor; Ballot and Epoch of the grant that is held to
 	Grant                    // Seq and To's Asker as asked, Ballot, Epoch, TTL, Units
 	Redirect                 // Leader: ask there; -1: none is known
 	kinds
@@ -44,33 +46,33 @@
 
 // Message is what members tell one another.
 type Message struct {
-	Kind     Kind
-	From, To int
-	Life     uint64 // of the process that sends
-	Asker    uint64 // Grant: the life that asked
-	Ballot   Ballot
-	Open     bool
-	Seq      uint32
-	Epoch    uint32
-	TTL      time.Duration
-	Leader   int
-	Units    []Units // by budget
+	Kind        Kind
+	From, To    int
+	Incarnation uint64 // of the process that sends
+	Requester   uint64 // Grant: the life that asked
+	Ballot      Ballot
+	Open        bool
+	Seq         uint32
+	Epoch       uint32
+	TTL         time.Duration
+	Leader      int
+	Units       []Units // by budget
 }
 
 // Config is what a Node must keep to. All members of a fleet have the same, but for Self and Life.
 type Config struct {
-	Self, Members int
-	Voters        int // the members numbered below this decide who leads: one, or better three or five
-	Budgets       int
-	Floor         Units         // that each member owns of each budget, whatever happens
-	Term          time.Duration // of the lead, and the longest of a grant
-	Every         time.Duration // between two asks of a member
-	Drift         float64       // of any clock against real time, at most
-	Life          uint64        // another one for each start of a process; not 0
+	Self, Members   int
+	Voters          int // the members numbered below this decide who leads: one, or better three or five
+	Budgets         int
+	Floor           Units         // that each member owns of each budget, whatever happens
+	LeaseTime       time.Duration // of the lead, and the longest of a grant
+	RequestInterval time.Duration // between two asks of a member
+	Drift           float64       // of any clock against real time, at most
+	Incarnation     uint64        // another one for each start of a process; not 0
 }
 
-// Pace gives Every and Term for a fleet of so many members: the one who leads hears each of them once in Every.
-func Pace(members int) (every, term time.Duration) {
+// Timing gives Every and Term for a fleet of so many members: the one who leads hears each of them once in Every.
+func Timing(members int) (every, term time.Duration) {
 	every = min(max(time.Duration(members)*time.Millisecond, 200*time.Millisecond), time.Second)
 	return every, 5 * every
 }
@@ -155,8 +157,8 @@
 // NewNode makes a member that starts at a time.
 func NewNode(c Config, now time.Duration) *Node {
 	n := &Node{cfg: c, born: now, now: now, leader: -1, heard: now, need: make([]Units, c.Budgets),
-		askAt: now + time.Duration(float64(c.Every)*spread(c.Life, 0))}
-	n.retryAt = now + c.Term
+		askAt: now + time.Duration(float64(c.RequestInterval)*spread(c.Incarnation, 0))}
+	n.retryAt = now + c.LeaseTime
 	return n
 }
 
@@ -167,20 +169,20 @@
 	return float64(x>>11) / (1 << 53)
 }
 
-// Want sets what the member would use of each budget beyond its floor.
-func (n *Node) Want(units []Units) { copy(n.need, units) }
+// SetDemand sets what the member would use of each budget beyond its floor.
+func (n *Node) SetDemand(units []Units) { copy(n.need, units) }
 
 // Share is what the process may use of a budget.
 func (n *Node) Share(budget int) Share {
 	s := Share{Floor: n.cfg.Floor, Epoch: n.given}
 	if budget < len(n.held.Units) {
-		s.More, s.Until = n.held.Units[budget], n.end
+		s.Extra, s.Until = n.held.Units[budget], n.end
 	}
 	return s
 }
 
-// Leads tells whether this member leads now, Leader whom it takes for the one who does (-1: nobody).
-func (n *Node) Leads(now time.Duration) bool { return now < n.leadUntil }
+// IsLeader tells whether this member leads now, Leader whom it takes for the one who does (-1: nobody).
+func (n *Node) IsLeader(now time.Duration) bool { return now < n.leadUntil }
 
 // Leader: see Leads.
 func (n *Node) Leader() int { return n.leader }
@@ -189,7 +191,7 @@
 
 // send puts a message on its way.
 func (n *Node) send(m Message) {
-	if m.From, m.Life = n.cfg.Self, n.cfg.Life; m.To == n.cfg.Self {
+	if m.From, m.Incarnation = n.cfg.Self, n.cfg.Incarnation; m.To == n.cfg.Self {
 		n.own = append(n.own, m)
 	} else {
 		n.out = append(n.out, m)
@@ -228,13 +230,13 @@
 }
 
 func (n *Node) take(m *Message) {
-	if m.From < 0 || m.From >= n.cfg.Members || m.To != n.cfg.Self || m.Life == 0 || len(m.Units) > n.cfg.Budgets {
+	if m.From < 0 || m.From >= n.cfg.Members || m.To != n.cfg.Self || m.Incarnation == 0 || len(m.Units) > n.cfg.Budgets {
 		return
 	}
 	voter := m.From < n.cfg.Voters
 	switch m.Kind {
 	case Prepare, Propose:
-		if voter && int(m.Ballot.By) == m.From && m.Ballot.Life == m.Life {
+		if voter && int(m.Ballot.Proposer) == m.From && m.Ballot.Incarnation == m.Incarnation {
 			n.vote(m)
 		}
 	case Promise, Accepted:
@@ -243,7 +245,7 @@
 		}
 	case Nack:
 		n.top = max(n.top, m.Ballot.N)
-	case Ask:
+	case Request:
 		n.asked(m)
 	case Grant:
 		n.granted(m)
@@ -256,7 +258,7 @@
 
 // vote is a voter's.
 func (n *Node) vote(m *Message) {
-	if n.cfg.Self >= n.cfg.Voters || n.now < n.born+n.cfg.guard(n.cfg.Term) {
+	if n.cfg.Self >= n.cfg.Voters || n.now < n.born+n.cfg.guard(n.cfg.LeaseTime) {
 		return // it may have promised otherwise before it started
 	}
 	b := m.Ballot
@@ -271,7 +273,7 @@
 		n.promised = b
 		n.send(Message{Kind: Promise, To: m.From, Ballot: b, Open: n.now >= n.holdUntil || n.holder.same(b)})
 	default:
-		n.promised, n.holder, n.holdUntil = b, b, n.now+n.cfg.guard(n.cfg.Term)
+		n.promised, n.holder, n.holdUntil = b, b, n.now+n.cfg.guard(n.cfg.LeaseTime)
 		n.send(Message{Kind: Accepted, To: m.From, Ballot: b})
 	}
 }
@@ -279,9 +281,9 @@
 // tryFrom is from when on it is time to lead, or to lead on.
 func (n *Node) tryFrom() time.Duration {
 	if n.now < n.leadUntil {
-		return n.leadUntil - n.cfg.Term/2
+		return n.leadUntil - n.cfg.LeaseTime/2
 	}
-	return n.heard + n.cfg.Term
+	return n.heard + n.cfg.LeaseTime
 }
 
 // try begins an attempt at the lead where it is time.
@@ -290,12 +292,12 @@
 		return
 	}
 	n.top++
-	n.ballot = Ballot{N: n.top, By: uint16(n.cfg.Self), Life: n.cfg.Life}
+	n.ballot = Ballot{N: n.top, Proposer: uint16(n.cfg.Self), Incarnation: n.cfg.Incarnation}
 	// The lead counts from here, before anyone has heard of it: voters count from later.
 	n.began, n.phase, n.yes = n.now, Prepare, 0
-	n.retryAt = n.now + n.cfg.Every
+	n.retryAt = n.now + n.cfg.RequestInterval
 	if n.now >= n.leadUntil { // others may try too: not in step with them
-		n.retryAt += time.Duration(float64(n.cfg.Term) * spread(n.cfg.Life, n.top))
+		n.retryAt += time.Duration(float64(n.cfg.LeaseTime) * spread(n.cfg.Incarnation, n.top))
 	}
 	for v := range n.cfg.Voters {
 		n.send(Message{Kind: Prepare, To: v, Ballot: n.ballot})
@@ -319,14 +321,14 @@
 		return
 	}
 	n.phase = 0
-	if n.now >= n.began+n.cfg.Term {
+	if n.now >= n.began+n.cfg.LeaseTime {
 		return // won too late
 	}
 	if n.asks == nil {
 		n.asks = make([]asker, n.cfg.Members)
 	}
 	// What it gave out under an earlier lead stays booked until it is surely over: members' clocks may be slower than its own.
-	n.lead, n.leadUntil, n.leader = n.ballot, n.began+n.cfg.Term, n.cfg.Self
+	n.lead, n.leadUntil, n.leader = n.ballot, n.began+n.cfg.LeaseTime, n.cfg.Self
 }
 
 // ask asks for units where it is time.
@@ -334,7 +336,7 @@
 	if n.now < n.askAt {
 		return
 	}
-	n.askAt = n.now + n.cfg.Every
+	n.askAt = n.now + n.cfg.RequestInterval
 	if n.now < n.leadUntil {
 		n.leader = n.cfg.Self
 	} else if n.leader == n.cfg.Self || n.missed >= 3 {
@@ -347,7 +349,7 @@
 	n.missed++
 	n.seq++
 	n.sent[n.seq%uint32(len(n.sent))] = stamp{n.seq, n.now}
-	m := Message{Kind: Ask, To: to, Seq: n.seq, Units: append([]Units(nil), n.need...)}
+	m := Message{Kind: Request, To: to, Seq: n.seq, Units: append([]Units(nil), n.need...)}
 	if n.now < n.end {
 		m.Ballot, m.Epoch = n.held.Ballot, n.held.Epoch
 	}
@@ -366,12 +368,12 @@
 		return
 	}
 	a := &n.asks[m.From]
-	a.life, a.heard, a.asked, a.want = m.Life, n.now, true, m.Units
+	a.life, a.heard, a.asked, a.want = m.Incarnation, n.now, true, m.Units
 	mine := m.Ballot.same(n.lead)
 	keep := a.out[:0]
 	for _, g := range a.out {
 		// Who holds to a later grant has dropped this one for good; a process that has ended may be a paused one.
-		if n.now < g.until && !(mine && g.life == m.Life && g.epoch < m.Epoch) {
+		if n.now < g.until && !(mine && g.life == m.Incarnation && g.epoch < m.Epoch) {
 			keep = append(keep, g)
 		}
 	}
@@ -381,12 +383,12 @@
 	n.redivide()
 	n.epoch++
 	ttl := n.leadUntil - n.now
-	g := granted{life: m.Life, epoch: n.epoch, units: make([]Units, n.cfg.Budgets), until: n.now + n.cfg.guard(ttl)}
+	g := granted{life: m.Incarnation, epoch: n.epoch, units: make([]Units, n.cfg.Budgets), until: n.now + n.cfg.guard(ttl)}
 	for b := range g.units {
-		g.units[b] = max(0, min(n.parts[b][m.From], n.pool()-n.outside(b, m.From, m.Life)))
+		g.units[b] = max(0, min(n.parts[b][m.From], n.pool()-n.outside(b, m.From, m.Incarnation)))
 	}
 	a.out = append(a.out, g)
-	n.send(Message{Kind: Grant, To: m.From, Asker: m.Life, Seq: m.Seq, Ballot: n.lead, Epoch: g.epoch, TTL: ttl, Units: g.units})
+	n.send(Message{Kind: Grant, To: m.From, Requester: m.Incarnation, Seq: m.Seq, Ballot: n.lead, Epoch: g.epoch, TTL: ttl, Units: g.units})
 }
 
 // outside is what may be in use of a budget by all processes but one.
@@ -423,7 +425,7 @@
 
 // redivide works out what each member should have, a few times in Every.
 func (n *Node) redivide() {
-	if n.parts != nil && n.now < n.divided+n.cfg.Every/4 {
+	if n.parts != nil && n.now < n.divided+n.cfg.RequestInterval/4 {
 		return
 	}
 	n.divided = n.now
@@ -435,7 +437,7 @@
 	}
 	var who []int
 	for i := range n.asks {
-		if a := &n.asks[i]; a.asked && n.now < a.heard+n.cfg.Term {
+		if a := &n.asks[i]; a.asked && n.now < a.heard+n.cfg.LeaseTime {
 			who = append(who, i)
 		}
 	}
@@ -457,7 +459,7 @@
 // granted takes in an answer to an ask.
 func (n *Node) granted(m *Message) {
 	at := n.sent[m.Seq%uint32(len(n.sent))]
-	if m.Asker != n.cfg.Life || at.seq != m.Seq || m.Seq == 0 || m.TTL <= 0 || m.TTL > n.cfg.Term {
+	if m.Requester != n.cfg.Incarnation || at.seq != m.Seq || m.Seq == 0 || m.TTL <= 0 || m.TTL > n.cfg.LeaseTime {
 		return
 	}
 	n.leader, n.missed, n.heard, n.top = m.From, 0, n.now, max(n.top, m.Ballot.N)
--- a/internal/budget/purse.go
+++ b/internal/budget/purse.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Rate is a member's part of a budget that is a rate: a bucket that fills with the share's part of so many tokens a second. It is
+// TokenBucket is a member's part of a budget that is a rate: a bucket that fills with the share's part of so many tokens a second. It is
 // empty at the start, and what a share gains comes empty, so that no token is there twice.
 //
 // Over all members and any window, the uses are at most PerSecond x window + Burst + the number of members: each bucket holds the
 // share's part of Burst, but one token at least, or a small share could never pay for anything.
-type Rate struct {
+type TokenBucket struct {
 	PerSecond float64
 	Burst     float64 // tokens that all buckets hold together
 
@@ -23,27 +23,27 @@
 // part is what so many units are of an amount.
 func part(u Units, of float64) float64 { return of * float64(u) / float64(Whole) }
 
-// Own changes the share at a time.
-func (r *Rate) Own(now time.Duration, s Share) {
+// SetShare changes the share at a time.
+func (r *TokenBucket) SetShare(now time.Duration, s Share) {
 	r.fill(now)
 	r.share = s
 	r.cap(s.At(now))
 }
 
-func (r *Rate) cap(u Units) { r.level = min(r.level, max(1, part(u, r.Burst))) }
+func (r *TokenBucket) cap(u Units) { r.level = min(r.level, max(1, part(u, r.Burst))) }
 
 // fill lets time pass. A share that has lapsed meanwhile filled the bucket up to its end only.
-func (r *Rate) fill(now time.Duration) {
+func (r *TokenBucket) fill(now time.Duration) {
 	if !r.began {
 		r.began, r.at = true, now
 	}
 	if until := r.share.Until; r.at < until && until <= now {
-		r.pour(until, r.share.Floor+r.share.More)
+		r.pour(until, r.share.Floor+r.share.Extra)
 	}
 	r.pour(now, r.share.At(now))
 }
 
-func (r *Rate) pour(to time.Duration, u Units) {
+func (r *TokenBucket) pour(to time.Duration, u Units) {
 	if to > r.at {
 		r.level += part(u, r.PerSecond) * (to - r.at).Seconds()
 		r.at = to
@@ -52,7 +52,7 @@
 }
 
 // Take uses n tokens at a time, or none: false.
-func (r *Rate) Take(now time.Duration, n float64) bool {
+func (r *TokenBucket) Take(now time.Duration, n float64) bool {
 	if r.fill(now); r.level < n || r.share.At(now) <= 0 {
 		return false
 	}
@@ -60,8 +60,8 @@
 	return true
 }
 
-// In is how long it takes until n tokens are there, if the share stays and nobody takes any; negative: they never are.
-func (r *Rate) In(now time.Duration, n float64) time.Duration {
+// TimeUntil is how long it takes until n tokens are there, if the share stays and nobody takes any; negative: they never are.
+func (r *TokenBucket) TimeUntil(now time.Duration, n float64) time.Duration {
 	r.fill(now)
 	u := r.share.At(now)
 	rate := part(u, r.PerSecond)
@@ -71,11 +71,11 @@
 	return time.Duration(max(0, n-r.level) / rate * 1e9)
 }
 
-// Window is a member's part of a budget that is a sum over a window: at most Most uses within any stretch of Length. A share
+// SlidingWindow is a member's part of a budget that is a sum over a window: at most Most uses within any stretch of Length. A share
 // counts from a window after it has come, since whoever had it before may have used it up until then; so does the whole share of
 // a process that has just started. Over all members the uses in any window are at most Most, without a burst.
-type Window struct {
-	Most   float64
+type SlidingWindow struct {
+	Max    float64
 	Length time.Duration
 
 	share Share
@@ -95,15 +95,15 @@
 	n  float64
 }
 
-// Own changes the share at a time. What is lost goes at once, and first from what does not count yet.
-func (w *Window) Own(now time.Duration, s Share) {
+// SetShare changes the share at a time. What is lost goes at once, and first from what does not count yet.
+func (w *SlidingWindow) SetShare(now time.Duration, s Share) {
 	w.lapse(now)
 	w.share = s
 	w.follow(now, s.At(now))
 }
 
 // lapse lets time pass.
-func (w *Window) lapse(now time.Duration) {
+func (w *SlidingWindow) lapse(now time.Duration) {
 	w.follow(now, w.share.At(now))
 	for len(w.ripe) > 0 && w.ripe[0].at <= now {
 		w.owned += w.ripe[0].units
@@ -116,7 +116,7 @@
 }
 
 // follow makes what is owned, ripe or not, come to u units.
-func (w *Window) follow(now time.Duration, u Units) {
+func (w *SlidingWindow) follow(now time.Duration, u Units) {
 	total := w.owned
 	for _, r := range w.ripe {
 		total += r.units
@@ -139,40 +139,40 @@
 }
 
 // Take uses n at a time, or none: false.
-func (w *Window) Take(now time.Duration, n float64) bool {
-	if w.lapse(now); w.sum+n > part(w.owned, w.Most)+1e-9 {
+func (w *SlidingWindow) Take(now time.Duration, n float64) bool {
+	if w.lapse(now); w.sum+n > part(w.owned, w.Max)+1e-9 {
 		return false
 	}
 	w.used, w.sum = append(w.used, use{now, n}), w.sum+n
 	return true
 }
 
-// Held is a member's part of a budget that is a number held at once: at most Most, over all members. What a share gains counts
+// ConcurrencyLimit is a member's part of a budget that is a number held at once: at most Most, over all members. What a share gains counts
 // after Longest, the longest that whoever had it before may take to let go of what it holds; so does the share of a process that has
 // just started. Who loses a share has as long to let go of what is Over: until then the sum is kept by the wait of who gained it.
-type Held struct {
-	Most    float64
-	Longest time.Duration
+type ConcurrencyLimit struct {
+	Max         float64
+	ReleaseTime time.Duration
 
-	own  Window // of length Longest, with no uses: it lets units ripen
+	own  SlidingWindow // of length Longest, with no uses: it lets units ripen
 	held int
 }
 
-// Own changes the share at a time.
-func (h *Held) Own(now time.Duration, s Share) {
-	h.own.Length = h.Longest
-	h.own.Own(now, s)
+// SetShare changes the share at a time.
+func (h *ConcurrencyLimit) SetShare(now time.Duration, s Share) {
+	h.own.Length = h.ReleaseTime
+	h.own.SetShare(now, s)
 }
 
 // allowed is the number that may be held.
-func (h *Held) allowed(now time.Duration) int {
-	h.own.Length = h.Longest
+func (h *ConcurrencyLimit) allowed(now time.Duration) int {
+	h.own.Length = h.ReleaseTime
 	h.own.lapse(now)
-	return int(math.Floor(part(h.own.owned, h.Most) + 1e-9))
+	return int(math.Floor(part(h.own.owned, h.Max) + 1e-9))
 }
 
 // Take holds one more; false: there is no room.
-func (h *Held) Take(now time.Duration) bool {
+func (h *ConcurrencyLimit) Take(now time.Duration) bool {
 	if h.held >= h.allowed(now) {
 		return false
 	}
@@ -180,8 +180,8 @@
 	return true
 }
 
-// Drop lets go of one.
-func (h *Held) Drop() { h.held = max(0, h.held-1) }
+// Release lets go of one.
+func (h *ConcurrencyLimit) Release() { h.held = max(0, h.held-1) }
 
-// Over is how many are held beyond the share, to be let go of within Longest of the loss.
-func (h *Held) Over(now time.Duration) int { return max(0, h.held-h.allowed(now)) }
+// Excess is how many are held beyond the share, to be let go of within Longest of the loss.
+func (h *ConcurrencyLimit) Excess(now time.Duration) int { return max(0, h.held-h.allowed(now)) }
--- a/internal/budget/purse_test.go
+++ b/internal/budget/purse_test.go
@@ -13,7 +13,7 @@
 
 // holder is one of several among which a test moves units about, never more than the whole.
 type holder interface {
-	Own(time.Duration, Share)
+	SetShare(time.Duration, Share)
 	Take(time.Duration, float64) bool
 }
 
@@ -36,7 +36,7 @@
 			owned[i] = Units(rapid.IntRange(0, int(free)).Draw(t, "units"))
 			free -= owned[i]
 			until[i] = now + time.Duration(rapid.IntRange(1, 500).Draw(t, "for"))*ms
-			all[i].Own(now, Share{More: owned[i], Until: until[i]})
+			all[i].SetShare(now, Share{Extra: owned[i], Until: until[i]})
 		} else if all[i].Take(now, 1) {
 			at = append(at, now)
 		}
@@ -57,13 +57,13 @@
 	}
 }
 
-func TestRateKeepsItsBound(t *testing.T) {
+func TestTokenBucketKeepsItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate, burst := rapid.Float64Range(1, 200).Draw(t, "rate"), rapid.Float64Range(0, 50).Draw(t, "burst")
 		n := rapid.IntRange(1, 5).Draw(t, "holders")
 		var all []holder
 		for range n {
-			all = append(all, &Rate{PerSecond: rate, Burst: burst})
+			all = append(all, &TokenBucket{PerSecond: rate, Burst: burst})
 		}
 		at := moves(t, all)
 		for _, w := range []time.Duration{ms, 50 * ms, time.Second, 10 * time.Second} {
@@ -72,12 +72,12 @@
 	})
 }
 
-func TestWindowKeepsItsBound(t *testing.T) {
+func TestSlidingWindowKeepsItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most, length := rapid.Float64Range(1, 60).Draw(t, "most"), time.Duration(rapid.IntRange(10, 400).Draw(t, "length"))*ms
 		var all []holder
 		for range rapid.IntRange(1, 4).Draw(t, "holders") {
-			all = append(all, &Window{Most: most, Length: length})
+			all = append(all, &SlidingWindow{Max: most, Length: length})
 		}
 		within(t, moves(t, all), length, most)
 	})
@@ -85,11 +85,11 @@
 
 // Who has a share that stays uses all of it.
 func TestWholeCanBeUsed(t *testing.T) {
-	r, w, used := &Rate{PerSecond: 100, Burst: 10}, &Window{Most: 10, Length: 100 * ms}, [2]int{}
+	r, w, used := &TokenBucket{PerSecond: 100, Burst: 10}, &SlidingWindow{Max: 10, Length: 100 * ms}, [2]int{}
 	for now := time.Duration(0); now < 10*time.Second; now += ms {
 		if now == 0 {
-			r.Own(now, Share{Floor: Whole})
-			w.Own(now, Share{Floor: Whole})
+			r.SetShare(now, Share{Floor: Whole})
+			w.SetShare(now, Share{Floor: Whole})
 		}
 		for i, h := range []holder{r, w} {
 			if h.Take(now, 1) {
@@ -99,30 +99,30 @@
 	}
 	assert.InDelta(t, 1000, used[0], 12)
 	assert.InDelta(t, 1000, used[1], 30)
-	assert.InDelta(t, 5*ms, r.In(10*time.Second, 0.5+r.level), float64(ms))
-	r.Own(10*time.Second, Share{})
-	assert.Negative(t, r.In(11*time.Second, 1), "nothing comes to who owns nothing")
+	assert.InDelta(t, 5*ms, r.TimeUntil(10*time.Second, 0.5+r.level), float64(ms))
+	r.SetShare(10*time.Second, Share{})
+	assert.Negative(t, r.TimeUntil(11*time.Second, 1), "nothing comes to who owns nothing")
 	assert.False(t, r.Take(20*time.Second, 1))
 }
 
 // A number held at once: what one loses another has only when the first has had the time to let go.
-func TestHeld(t *testing.T) {
-	a, b := &Held{Most: 10, Longest: time.Second}, &Held{Most: 10, Longest: time.Second}
-	a.Own(0, Share{Floor: Whole})
+func TestConcurrencyLimit(t *testing.T) {
+	a, b := &ConcurrencyLimit{Max: 10, ReleaseTime: time.Second}, &ConcurrencyLimit{Max: 10, ReleaseTime: time.Second}
+	a.SetShare(0, Share{Floor: Whole})
 	assert.False(t, a.Take(0), "its forerunner may hold all")
 	now := 2 * time.Second
 	for range 10 {
 		assert.True(t, a.Take(now))
 	}
 	assert.False(t, a.Take(now))
-	a.Own(now, Share{Floor: Whole / 2})
-	b.Own(now, Share{Floor: Whole / 2})
-	assert.Equal(t, 5, a.Over(now))
+	a.SetShare(now, Share{Floor: Whole / 2})
+	b.SetShare(now, Share{Floor: Whole / 2})
+	assert.Equal(t, 5, a.Excess(now))
 	assert.False(t, b.Take(now+900*ms))
 	for range 5 {
-		a.Drop()
+		a.Release()
 	}
-	assert.Zero(t, a.Over(now))
+	assert.Zero(t, a.Excess(now))
 	assert.True(t, b.Take(now+1100*ms))
 }
 
@@ -168,8 +168,8 @@
 func TestMessagesOnTheWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := Message{Kind: Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind")), From: rapid.IntRange(0, 1999).Draw(t, "from"),
-			To: rapid.IntRange(0, 1999).Draw(t, "to"), Life: rapid.Uint64().Draw(t, "life"), Asker: rapid.Uint64().Draw(t, "asker"),
-			Ballot: Ballot{N: rapid.Uint32Max(1<<31).Draw(t, "n"), By: rapid.Uint16Max(1999).Draw(t, "by"), Life: rapid.Uint64().Draw(t, "l")},
+			To: rapid.IntRange(0, 1999).Draw(t, "to"), Incarnation: rapid.Uint64().Draw(t, "life"), Requester: rapid.Uint64().Draw(t, "asker"),
+			Ballot: Ballot{N: rapid.Uint32Max(1<<31).Draw(t, "n"), Proposer: rapid.Uint16Max(1999).Draw(t, "by"), Incarnation: rapid.Uint64().Draw(t, "l")},
 			Open:   rapid.Bool().Draw(t, "open"), Seq: rapid.Uint32().Draw(t, "seq"), Epoch: rapid.Uint32().Draw(t, "epoch"),
 			TTL: time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "ttl")), Leader: rapid.IntRange(-1, 1999).Draw(t, "leader")}
 		for range rapid.IntRange(0, 5).Draw(t, "budgets") {
@@ -191,15 +191,15 @@
 
 // FuzzRead: whatever comes, it is a message or an error, and a node bears it.
 func FuzzRead(f *testing.F) {
-	f.Add(Append(nil, &Message{Kind: Ask, From: 1, Life: 7, Units: []Units{5}}))
-	f.Add(Append(nil, &Message{Kind: Grant, From: 2, Life: 7, TTL: time.Second, Units: []Units{Whole}}))
+	f.Add(Append(nil, &Message{Kind: Request, From: 1, Incarnation: 7, Units: []Units{5}}))
+	f.Add(Append(nil, &Message{Kind: Grant, From: 2, Incarnation: 7, TTL: time.Second, Units: []Units{Whole}}))
 	f.Add([]byte{version, byte(Prepare)})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := Read(b)
 		if err != nil {
 			return
 		}
-		n := NewNode(Config{Self: m.To % 3, Members: 3, Voters: 3, Budgets: 1, Floor: Whole / 4, Term: time.Second, Every: 200 * ms, Drift: 0.01, Life: 9}, 0)
+		n := NewNode(Config{Self: m.To % 3, Members: 3, Voters: 3, Budgets: 1, Floor: Whole / 4, LeaseTime: time.Second, RequestInterval: 200 * ms, Drift: 0.01, Incarnation: 9}, 0)
 		n.Step(10*time.Second, nil)
 		n.Step(10*time.Second, []Message{m})
 		if u := n.Share(0).At(10 * time.Second); u > Whole {
@@ -225,7 +225,7 @@
 
 func BenchmarkTake(b *testing.B) {
 	l := NewLedger([]Account{{Name: "a", PerSecond: 1e9, Burst: 1e9, Keyed: true}}, 0.01)
-	l.Own(0, 0, Share{Floor: Whole})
+	l.SetShare(0, 0, Share{Floor: Whole})
 	b.ReportAllocs()
 	for i := range b.N {
 		l.Take(time.Duration(i)*time.Microsecond, 0, uint64(i&63))
--- a/internal/budget/wire.go
+++ b/internal/budget/wire.go
@@ -22,11 +22,11 @@
 	b = append(b, version, byte(m.Kind))
 	b = binary.AppendUvarint(b, uint64(m.From))
 	b = binary.AppendUvarint(b, uint64(m.To))
-	b = binary.BigEndian.AppendUint64(b, m.Life)
-	b = binary.BigEndian.AppendUint64(b, m.Asker)
+	b = binary.BigEndian.AppendUint64(b, m.Incarnation)
+	b = binary.BigEndian.AppendUint64(b, m.Requester)
 	b = binary.AppendUvarint(b, uint64(m.Ballot.N))
-	b = binary.AppendUvarint(b, uint64(m.Ballot.By))
-	b = binary.BigEndian.AppendUint64(b, m.Ballot.Life)
+	b = binary.AppendUvarint(b, uint64(m.Ballot.Proposer))
+	b = binary.BigEndian.AppendUint64(b, m.Ballot.Incarnation)
 	open := byte(0)
 	if m.Open {
 		open = 1
@@ -51,8 +51,8 @@
 	}
 	m.Kind = Kind(r.byte())
 	m.From, m.To = int(r.number(1<<16)), int(r.number(1<<16))
-	m.Life, m.Asker = r.eight(), r.eight()
-	m.Ballot = Ballot{N: uint32(r.number(1 << 31)), By: uint16(r.number(1<<16 - 1)), Life: r.eight()}
+	m.Incarnation, m.Requester = r.eight(), r.eight()
+	m.Ballot = Ballot{N: uint32(r.number(1 << 31)), Proposer: uint16(r.number(1<<16 - 1)), Incarnation: r.eight()}
 	open := r.byte()
 	m.Open = open == 1
 	m.Seq, m.Epoch = uint32(r.number(1<<32-1)), uint32(r.number(1<<32-1))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -92,8 +92,8 @@
 	return parse(getenv, text, anew)
 }
 
-// Fixed names the keys whose values differ in a newer configuration and count only from a start on.
-func (c *Config) Fixed(newer *Config) (keys []string) {
+// KeysNeedingRestart names the keys whose values differ in a newer configuration and count only from a start on.
+func (c *Config) KeysNeedingRestart(newer *Config) (keys []string) {
 	for key, same := range map[string]bool{
 		"name":     c.Name == newer.Name,
 		"listen":   c.Listen == newer.Listen,
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -95,7 +95,7 @@
 			t.Fatal(err)
 		}
 		newer, err := Reload(vars, path)
-		if err != nil || newer.Discovery != c.discovery || strings.Join(first.Fixed(newer), " ") != c.fixed {
+		if err != nil || newer.Discovery != c.discovery || strings.Join(first.KeysNeedingRestart(newer), " ") != c.fixed {
 			t.Errorf("%+v, %v, want %s and %s", newer, err, c.discovery, c.fixed)
 		}
 	}
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -49,16 +49,16 @@
 // In refuses jobs beyond their tenant's quota.
 func (g *BudgetGate) In(now time.Duration, in []Message, p *Pass) {
 	for _, m := range in {
-		if a, ok := m.(Arrived); ok && a.Wait == nil && a.Tenant >= 0 && a.Tenant < len(g.tenants) && g.tenants[a.Tenant] >= 0 {
+		if a, ok := m.(JobArrived); ok && a.Wait == nil && a.Tenant >= 0 && a.Tenant < len(g.tenants) && g.tenants[a.Tenant] >= 0 {
 			if ok, after := g.ledger.Take(now, g.tenants[a.Tenant], 0); !ok {
 				if after < 0 || after > g.advice {
 					after = g.advice
 				}
-				p.Do(LocalReply{Job: a.Job, Refused: true, RetryAfter: after})
+				p.Emit(LocalReply{Job: a.Job, Refused: true, RetryAfter: after})
 				continue
 			}
 		}
-		p.On(m)
+		p.Forward(m)
 	}
 }
 
@@ -67,11 +67,11 @@
 	for _, c := range out {
 		if x, ok := c.(Probe); ok && g.probes >= 0 {
 			if ok, _ := g.ledger.Take(now, g.probes, uint64(x.Worker)); !ok {
-				p.On(Probed{Worker: x.Worker, Result: policy.NeverSent})
+				p.Forward(ProbeEnded{Worker: x.Worker, Result: policy.NeverSent})
 				continue
 			}
 		}
-		p.Do(c)
+		p.Emit(c)
 	}
 }
 
@@ -81,11 +81,11 @@
 // Detached is 0: no job lives on here.
 func (g *BudgetGate) Detached() int { return 0 }
 
-// Crashed changes nothing: what was used was used.
-func (g *BudgetGate) Crashed(time.Duration) {}
+// ModuleLost changes nothing: what was used was used.
+func (g *BudgetGate) ModuleLost(time.Duration) {}
 
-// Keeps is false: every job that passed is the module's.
-func (g *BudgetGate) Keeps(uint64) bool { return false }
+// Owns is false: every job that passed is the module's.
+func (g *BudgetGate) Owns(uint64) bool { return false }
 
-// Anew is the gate itself: its ledger is not in doubt.
-func (g *BudgetGate) Anew() Gate { return g }
+// Recreate is the gate itself: its ledger is not in doubt.
+func (g *BudgetGate) Recreate() Gate { return g }
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -27,12 +27,12 @@
 	g := gate(ledger)
 	now := 1000 * time.Second
 	for i := range accounts {
-		ledger.Own(now, i, budget.Share{Floor: budget.Whole})
+		ledger.SetShare(now, i, budget.Share{Floor: budget.Whole})
 	}
 	let := func(tenant int, n int) (in int) {
 		for i := range n {
 			var p Pass
-			g.In(now, []Message{Arrived{Job: uint64(i), Tenant: tenant}}, &p)
+			g.In(now, []Message{JobArrived{Job: uint64(i), Tenant: tenant}}, &p)
 			if in += len(p.on); len(p.do) > 0 {
 				r := p.do[0].(LocalReply)
 				assert.True(t, r.Refused)
@@ -58,7 +58,7 @@
 	now += 100 * time.Millisecond
 	g.Out(now, out, &p)
 	assert.Equal(t, []Command{Probe{Worker: 7}, Probe{Worker: 7}, Probe{Worker: 8}, Send{}}, p.do)
-	assert.Equal(t, []Message{Probed{Worker: 7, Result: policy.NeverSent}}, p.on)
+	assert.Equal(t, []Message{ProbeEnded{Worker: 7, Result: policy.NeverSent}}, p.on)
 
 	// In a chain with a host: the module goes on without the answer, and does not suspect the host.
 	lim.Probes, lim.Tenants = 0.001, false
@@ -67,10 +67,10 @@
 	require.NoError(t, err)
 	accounts, gate, _ = BudgetAccounts(&lim, &cfg)
 	c := NewChain(core, Gates{Budget: gate(budget.NewLedger(accounts, 0))})
-	c.Step(now, []Message{Listed{Whole: true, Hosts: []Host{{Name: "s-00000001", Addr: "h", Scale: 1}}}})
+	c.Step(now, []Message{HostList{Whole: true, Hosts: []Host{{Name: "s-00000001", Addr: "h", Scale: 1}}}})
 	for i := range 20 {
 		now += 50 * time.Millisecond
-		for _, x := range c.Step(now, []Message{Arrived{Job: uint64(100 + i), Tenant: -1, At: now, Budget: time.Second, Size: time.Millisecond, Slots: 1}}) {
+		for _, x := range c.Step(now, []Message{JobArrived{Job: uint64(100 + i), Tenant: -1, At: now, Budget: time.Second, Size: time.Millisecond, Slots: 1}}) {
 			_, asks := x.(Probe)
 			assert.False(t, asks)
 		}
--- a/internal/dispatch/chain.go
+++ b/internal/dispatch/chain.go
@@ -18,12 +18,12 @@
 	Wake() (at time.Duration, ok bool)
 	// Detached counts the jobs without a connection that are before the module or at a host.
 	Detached() int
-	// Crashed tells that the module has forgotten what was before it. Keeps then tells of a job whether it is the
+	// ModuleLost tells that the module has forgotten what was before it. Keeps then tells of a job whether it is the
 	// gate's alone, and goes on.
-	Crashed(now time.Duration)
-	Keeps(job uint64) bool
-	// Anew makes one that knows nothing, for when a panic has left this one in doubt.
-	Anew() Gate
+	ModuleLost(now time.Duration)
+	Owns(job uint64) bool
+	// Recreate makes one that knows nothing, for when a panic has left this one in doubt.
+	Recreate() Gate
 }
 
 // Pass is what a gate hands on.
@@ -32,11 +32,11 @@
 	do []Command
 }
 
-// On sends a message on towards the core.
-func (p *Pass) On(m Message) { p.on = append(p.on, m) }
+// Forward sends a message on towards the core.
+func (p *Pass) Forward(m Message) { p.on = append(p.on, m) }
 
-// Do sends a command on towards the sockets.
-func (p *Pass) Do(c Command) { p.do = append(p.do, c) }
+// Emit sends a command on towards the sockets.
+func (p *Pass) Emit(c Command) { p.do = append(p.do, c) }
 
 // Chain is a Core with gates round it. Like a Core it is not safe for use by more than one goroutine. With no gates it
 // costs nothing and changes nothing.
@@ -125,35 +125,35 @@
 	return n
 }
 
-// Open is how many jobs the core's table holds.
-func (c *Chain) Open() int { return c.core.Open() }
+// OpenJobs is how many jobs the core's table holds.
+func (c *Chain) OpenJobs() int { return c.core.OpenJobs() }
 
-// Heard is the version that a watch begins after.
-func (c *Chain) Heard() uint64 { return c.core.Heard() }
+// WatchVersion is the version that a watch begins after.
+func (c *Chain) WatchVersion() uint64 { return c.core.WatchVersion() }
 
-// Renew makes a Chain for when a panic has left this one in doubt, and the list to begin it with. Gates go on with what
+// Rebuild makes a Chain for when a panic has left this one in doubt, and the list to begin it with. Gates go on with what
 // is theirs alone where the panic was in the module; keeps tells which jobs that are. After one in a gate nothing
 // of it is trusted.
-func (c *Chain) Renew(now time.Duration) (n *Chain, known Listed, keeps func(job uint64) bool, err error) {
-	core, known, err := c.core.Renew()
+func (c *Chain) Rebuild(now time.Duration) (n *Chain, known HostList, keeps func(job uint64) bool, err error) {
+	core, known, err := c.core.Rebuild()
 	if err != nil {
-		return nil, Listed{}, nil, err
+		return nil, HostList{}, nil, err
 	}
 	n = &Chain{core: core}
 	if c.inCore {
 		n.gates = c.gates
 		for _, g := range n.gates {
-			g.Crashed(now)
+			g.ModuleLost(now)
 		}
 	} else {
 		for _, g := range c.gates {
-			n.gates = append(n.gates, g.Anew())
+			n.gates = append(n.gates, g.Recreate())
 		}
 	}
 	n.passes = make([]Pass, len(n.gates))
 	return n, known, func(job uint64) bool {
 		for _, g := range n.gates {
-			if g.Keeps(job) {
+			if g.Owns(job) {
 				return true
 			}
 		}
@@ -164,5 +164,5 @@
 // Workers counts the listed hosts and those that the dispatcher keeps away from; see Core.Workers.
 func (c *Chain) Workers() (known, excluded int) { return c.core.Workers() }
 
-// Hands lists the hosts that are out by hand.
-func (c *Chain) Hands() []string { return c.core.Hands() }
+// Cordoned lists the hosts that are out by hand.
+func (c *Chain) Cordoned() []string { return c.core.Cordoned() }
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -66,13 +66,13 @@
 		hosts: map[uint32]Host{}, hands: map[string]struct{}{}, back: map[string]time.Duration{}}, nil
 }
 
-// Renew makes a Core for when a panic has left this one's module in doubt, and the list to begin it with.
-func (c *Core) Renew() (*Core, Listed, error) {
+// Rebuild makes a Core for when a panic has left this one's module in doubt, and the list to begin it with.
+func (c *Core) Rebuild() (*Core, HostList, error) {
 	n, err := New(c.cfg, c.seed+1)
 	if err == nil { // what was done by hand is not in doubt, nor that the program ends
 		n.hands, n.back, n.closeAt = c.hands, c.back, c.closeAt
 	}
-	known := Listed{Version: c.version, Whole: true, Stale: true}
+	known := HostList{Version: c.version, Whole: true, Stale: true}
 	for _, h := range c.hosts {
 		known.Hosts = append(known.Hosts, h)
 	}
@@ -80,12 +80,12 @@
 	return n, known, err
 }
 
-// Open is how many jobs the table holds, answered ones with requests still out included.
-func (c *Core) Open() int { return len(c.jobs) }
+// OpenJobs is how many jobs the table holds, answered ones with requests still out included.
+func (c *Core) OpenJobs() int { return len(c.jobs) }
 
-// Heard is the version of the last list taken in, which is what a watch begins after: lower than the newest's where the
+// WatchVersion is the version of the last list taken in, which is what a watch begins after: lower than the newest's where the
 // cluster has told an older one since.
-func (c *Core) Heard() uint64 { return c.heard }
+func (c *Core) WatchVersion() uint64 { return c.heard }
 
 // Step takes in what happened up to now and returns what to do, in order. The result is valid until the
 // next Step.
@@ -168,41 +168,41 @@
 func (c *Core) take(now time.Duration, m Message) {
 	e := policy.Event{}
 	switch m := m.(type) {
-	case Arrived:
+	case JobArrived:
 		if c.jobs[m.Job] != nil {
 			return
 		}
-		c.jobs[m.Job] = &job{deadline: m.At + m.Budget, class: m.Class, base: m.Tried}
+		c.jobs[m.Job] = &job{deadline: m.At + m.Budget, class: m.Class, base: m.EarlierAttempts}
 		e = policy.Event{Kind: policy.JobArrived, Job: m.Job, Class: m.Class, Tenant: m.Tenant,
 			Budget: m.Budget - (now - m.At), Size: m.Size, Slots: m.Slots, Retry: m.Retry,
 			Waited: m.Waited}
-	case Left:
+	case ClientGone:
 		j := c.jobs[m.Job]
 		if j == nil || j.finished {
 			return
 		}
 		c.finish(m.Job, j)
 		e = policy.Event{Kind: policy.ClientGone, Job: m.Job}
-	case Started:
+	case JobStarted:
 		a, n := c.running(m.Key)
 		if a == nil {
 			return
 		}
 		e = policy.Event{Kind: policy.JobStarted, Job: m.Job, Attempt: n, Worker: a.worker}
-	case Progress:
+	case JobProgress:
 		a, n := c.running(m.Key)
 		if a == nil {
 			return
 		}
 		e = policy.Event{Kind: policy.JobProgress, Job: m.Job, Attempt: n, Worker: a.worker, Share: m.Share}
-	case Ended:
+	case AttemptEnded:
 		if !c.ended(now, m, &e) {
 			return
 		}
-	case Probed:
+	case ProbeEnded:
 		e = policy.Event{Kind: policy.ProbeEnded, Worker: m.Worker, Result: m.Result, Took: m.Took}
 		e.HasLoad, e.Load = load(m.Load)
-	case Listed:
+	case HostList:
 		if c.heard = m.Version; m.Version < c.version {
 			m = c.older(m)
 		}
@@ -211,20 +211,20 @@
 		c.unsend()
 	case ListLost:
 		e = policy.Event{Kind: policy.ListLost}
-	case Hand:
+	case SetCordon:
 		known := c.knows(m.Name)
 		if known {
-			c.hand(now, m.Name, m.Out)
+			c.hand(now, m.Name, m.Cordoned)
 		}
-		c.out = append(c.out, Handed{Ask: m.Ask, Known: known})
+		c.out = append(c.out, CordonResult{Request: m.Request, Known: known})
 		return
-	case HandSet:
+	case CordonSet:
 		c.handSet(now, m.Names)
 		return
-	case Closing:
-		c.closeAt = m.By
+	case Shutdown:
+		c.closeAt = m.Deadline
 		return
-	case Asked, Unasked, Tuned: // for gates
+	case JobQuery, QueryCancelled, WaitingLimits: // for gates
 		return
 	default:
 		panic(fmt.Sprintf("dispatch: unknown message %T", m))
@@ -246,7 +246,7 @@
 }
 
 // ended books the one outcome of an upstream request. A second outcome is dropped.
-func (c *Core) ended(now time.Duration, m Ended, e *policy.Event) bool {
+func (c *Core) ended(now time.Duration, m AttemptEnded, e *policy.Event) bool {
 	a, n := c.running(m.Key)
 	if a == nil {
 		return false
@@ -345,7 +345,7 @@
 	}
 	j.out++
 	j.ran++
-	c.out = append(c.out, Send{Key: k, Addr: h.Addr, Until: until})
+	c.out = append(c.out, Send{Key: k, Addr: h.Addr, Deadline: until})
 }
 
 // unsend calls back what was decided for hosts that are to get nothing new, and may still wait for a connection: the
@@ -356,12 +356,12 @@
 		for n := range j.attempts {
 			a := &j.attempts[n]
 			if h, ok := c.hosts[a.worker]; !a.ended && (!ok || c.worker(h).State != policy.Ready) {
-				c.out = append(c.out, Unsend{Key{id, j.base + n}})
+				c.out = append(c.out, CancelUnsent{Key{id, j.base + n}})
 			}
 		}
 	}
 	slices.SortFunc(c.out[from:], func(a, b Command) int { // the same in each run
-		x, y := a.(Unsend).Key, b.(Unsend).Key
+		x, y := a.(CancelUnsent).Key, b.(CancelUnsent).Key
 		return cmp.Or(cmp.Compare(x.Job, y.Job), cmp.Compare(x.Attempt, y.Attempt))
 	})
 }
@@ -370,13 +370,13 @@
 // missing too, and hosts that the newest did not know or that have started since. What it says else has been told otherwise
 // since: a host that drains is not ready again by it. A host that is missing only as it was new then comes again with the
 // changes that follow.
-func (c *Core) older(m Listed) Listed {
-	l := Listed{Version: c.version}
+func (c *Core) older(m HostList) HostList {
+	l := HostList{Version: c.version}
 	told := map[uint32]bool{}
 	for _, h := range m.Hosts {
 		id := WorkerID(h.Name)
 		old, known := c.hosts[id]
-		if told[id] = true; !known || h.State != policy.Ready || h.Born > old.Born {
+		if told[id] = true; !known || h.State != policy.Ready || h.StartedAt > old.StartedAt {
 			l.Hosts = append(l.Hosts, h)
 		}
 	}
@@ -390,7 +390,7 @@
 }
 
 // list turns the cluster's entries into the module's workers, and keeps what the module need not know.
-func (c *Core) list(m Listed) []policy.Worker {
+func (c *Core) list(m HostList) []policy.Worker {
 	if m.Whole {
 		clear(c.hosts)
 	}
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Step(start, []Message{Listed{Version: 7, Whole: true, Stale: true, Hosts: hosts}})
+	c.Step(start, []Message{HostList{Version: 7, Whole: true, Stale: true, Hosts: hosts}})
 	return c
 }
 
@@ -37,8 +37,8 @@
 	return out
 }
 
-func arrival(id uint64, class int) Arrived {
-	return Arrived{Job: id, Class: class, Tenant: -1, At: start, Budget: 5 * time.Second, Size: 100 * ms, Slots: 1}
+func arrival(id uint64, class int) JobArrived {
+	return JobArrived{Job: id, Class: class, Tenant: -1, At: start, Budget: 5 * time.Second, Size: 100 * ms, Slots: 1}
 }
 
 var one = Host{Name: "s-0000000a", Addr: "127.0.0.1:1", Scale: 1}
@@ -48,7 +48,7 @@
 func TestSendIsCutToDeadline(t *testing.T) {
 	c := newCore(t, one)
 	got := of[Send](c.Step(start+300*ms, []Message{arrival(1, 0)}))
-	if len(got) != 1 || got[0].Until != start+5*time.Second || got[0].Addr != one.Addr || got[0].Key != (Key{1, 0}) {
+	if len(got) != 1 || got[0].Deadline != start+5*time.Second || got[0].Addr != one.Addr || got[0].Key != (Key{1, 0}) {
 		t.Fatalf("sent %+v", got)
 	}
 }
@@ -56,9 +56,9 @@
 // Exactly one final answer: what comes after it is dropped, whatever it is.
 func TestOneFinalAnswer(t *testing.T) {
 	for name, last := range map[string]Message{
-		"served":    Ended{Key: Key{1, 0}, Result: policy.OK},
-		"left":      Left{Job: 1},
-		"timed out": Ended{Key: Key{1, 0}, Result: policy.TimedOut},
+		"served":    AttemptEnded{Key: Key{1, 0}, Result: policy.OK},
+		"left":      ClientGone{Job: 1},
+		"timed out": AttemptEnded{Key: Key{1, 0}, Result: policy.TimedOut},
 	} {
 		c := newCore(t, one)
 		if n := len(of[Send](c.Step(start, []Message{arrival(1, 1)}))); n != 1 {
@@ -66,15 +66,15 @@
 		}
 		late := start + 5*time.Second
 		replies := of[LocalReply](c.Step(late, []Message{last}))
-		replies = append(replies, of[LocalReply](c.Step(late, []Message{last, Left{Job: 1},
-			Ended{Key: Key{1, 0}, Result: policy.OK}, Started{Key{1, 0}}, Progress{Key{1, 0}, 0.5}}))...)
+		replies = append(replies, of[LocalReply](c.Step(late, []Message{last, ClientGone{Job: 1},
+			AttemptEnded{Key: Key{1, 0}, Result: policy.OK}, JobStarted{Key{1, 0}}, JobProgress{Key{1, 0}, 0.5}}))...)
 		// What may have run twice is never refused.
 		want := []LocalReply{{Job: 1}}
 		if name != "timed out" {
 			want = nil
 		}
-		if !slices.Equal(replies, want) || c.Open() != 0 {
-			t.Errorf("%s: replies %+v, %d jobs open", name, replies, c.Open())
+		if !slices.Equal(replies, want) || c.OpenJobs() != 0 {
+			t.Errorf("%s: replies %+v, %d jobs open", name, replies, c.OpenJobs())
 		}
 	}
 }
@@ -85,7 +85,7 @@
 		policy.AppError: 0, policy.ConnectionLost: 0, policy.TimedOut: 0, policy.Cancelled: 0} {
 		c := newCore(t, one, two)
 		c.Step(start, []Message{arrival(1, 1)})
-		out := c.Step(start+ms, []Message{Ended{Key: Key{1, 0}, Result: result}})
+		out := c.Step(start+ms, []Message{AttemptEnded{Key: Key{1, 0}, Result: result}})
 		if got := len(of[Send](out)); got != want {
 			t.Errorf("result %d: sent %d times more, want %d", result, got, want)
 		}
@@ -99,7 +99,7 @@
 func TestSendThatCannotGo(t *testing.T) {
 	c := newCore(t, one)
 	c.Step(start, []Message{arrival(1, 0)})
-	c.Step(start, []Message{Ended{Key: Key{1, 0}, Result: policy.NeverSent}})
+	c.Step(start, []Message{AttemptEnded{Key: Key{1, 0}, Result: policy.NeverSent}})
 	j := c.jobs[1]
 	if len(j.attempts) != 2 || j.out != 1 {
 		t.Fatalf("%+v", j)
@@ -117,9 +117,9 @@
 func TestLeftWithTheEndOfAnAttempt(t *testing.T) {
 	c := newCore(t, one)
 	c.Step(start, []Message{arrival(1, 0)})
-	out := c.Step(start+ms, []Message{Ended{Key: Key{1, 0}, Result: policy.TimedOut}, Left{Job: 1}})
-	if len(of[Send](out)) != 0 || c.Open() != 0 {
-		t.Fatalf("commands %v, %d jobs open", out, c.Open())
+	out := c.Step(start+ms, []Message{AttemptEnded{Key: Key{1, 0}, Result: policy.TimedOut}, ClientGone{Job: 1}})
+	if len(of[Send](out)) != 0 || c.OpenJobs() != 0 {
+		t.Fatalf("commands %v, %d jobs open", out, c.OpenJobs())
 	}
 	if out = c.Step(start+2*ms, []Message{arrival(2, 0)}); len(of[Send](out)) != 1 {
 		t.Fatalf("the next job is not sent: %v", out)
@@ -142,13 +142,13 @@
 func TestCollision(t *testing.T) {
 	c := newCore(t, one)
 	twin := Host{Name: "t-0000000a", Addr: "127.0.0.1:9"}
-	out := c.Step(start, []Message{Listed{Version: 8, Hosts: []Host{twin}}})
+	out := c.Step(start, []Message{HostList{Version: 8, Hosts: []Host{twin}}})
 	if len(of[Log](out)) == 0 || c.hosts[10].Addr != one.Addr {
 		t.Fatalf("commands %v, hosts %v", out, c.hosts)
 	}
 	gone := one
 	gone.State = policy.Gone
-	c.Step(start, []Message{Listed{Version: 9, Hosts: []Host{gone, twin}}})
+	c.Step(start, []Message{HostList{Version: 9, Hosts: []Host{gone, twin}}})
 	if c.hosts[10].Addr != twin.Addr {
 		t.Fatalf("hosts %v", c.hosts)
 	}
@@ -161,7 +161,7 @@
 		t.Fatal(err)
 	}
 	now := start
-	c.Step(now, []Message{Listed{Version: 7, Whole: true, Stale: true}})
+	c.Step(now, []Message{HostList{Version: 7, Whole: true, Stale: true}})
 	for i, version := range []uint64{7, 9, 4} {
 		var got []Watch
 		for len(got) == 0 {
@@ -175,15 +175,15 @@
 		if got[0].Version != version {
 			t.Fatalf("watches after %d, want %d", got[0].Version, version)
 		}
-		c.Step(now, []Message{Listed{Version: []uint64{9, 4, 4}[i], Whole: true}, ListLost{}})
+		c.Step(now, []Message{HostList{Version: []uint64{9, 4, 4}[i], Whole: true}, ListLost{}})
 	}
 }
 
 // A core made anew after a panic knows the hosts, as a list that may be old.
 func TestRenew(t *testing.T) {
-	n, known, err := newCore(t, two, one).Renew()
+	n, known, err := newCore(t, two, one).Rebuild()
 	if err != nil || !known.Whole || !known.Stale || known.Version != 7 ||
-		!slices.Equal(known.Hosts, []Host{one, two}) || n.Open() != 0 {
+		!slices.Equal(known.Hosts, []Host{one, two}) || n.OpenJobs() != 0 {
 		t.Fatalf("%+v, %v", known, err)
 	}
 }
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -11,7 +11,7 @@
 // As the program ends all that is open is answered in time, once, and refused only where it never ran or a repeat is
 // harmless. What each job's upstream requests have proved until then decides.
 func TestClosing(t *testing.T) {
-	end := func(r policy.Result) []Message { return []Message{Ended{Key: Key{1, 0}, Result: r}} }
+	end := func(r policy.Result) []Message { return []Message{AttemptEnded{Key: Key{1, 0}, Result: r}} }
 	for name, c := range map[string]struct {
 		class   int
 		hosts   []Host
@@ -20,12 +20,12 @@
 	}{
 		"safe, out":                   {0, []Host{one}, nil, true},
 		"unsafe, out":                 {1, []Host{one}, nil, false},
-		"unsafe, begun":               {1, []Host{one}, []Message{Started{Key{1, 0}}}, false},
+		"unsafe, begun":               {1, []Host{one}, []Message{JobStarted{Key{1, 0}}}, false},
 		"unsafe, never ran, out anew": {1, []Host{one, two}, end(policy.Full), false},
 	} {
 		k := newCore(t, c.hosts...)
 		k.Step(start, []Message{arrival(1, c.class)})
-		k.Step(start, []Message{Closing{By: start + 2*time.Second}})
+		k.Step(start, []Message{Shutdown{Deadline: start + 2*time.Second}})
 		k.Step(start+ms, c.before)
 		if at, ok := k.Wake(); !ok || at > start+2*time.Second {
 			t.Errorf("%s: wakes at %v, %v", name, at-start, ok)
@@ -34,7 +34,7 @@
 		if len(got) != 1 || got[0].Job != 1 || got[0].Refused != c.refused || c.refused != (got[0].RetryAfter > 0) {
 			t.Errorf("%s: answered %+v", name, got)
 		}
-		for _, late := range []Message{Ended{Key: Key{1, 0}, Result: policy.Full}, Ended{Key: Key{1, 1}, Result: policy.TimedOut}, Left{Job: 1}} {
+		for _, late := range []Message{AttemptEnded{Key: Key{1, 0}, Result: policy.Full}, AttemptEnded{Key: Key{1, 1}, Result: policy.TimedOut}, ClientGone{Job: 1}} {
 			if out := k.Step(start+2*time.Second+ms, []Message{late}); len(of[LocalReply](out))+len(of[Send](out)) > 0 {
 				t.Errorf("%s: after its answer %+v", name, out)
 			}
@@ -50,8 +50,8 @@
 // A panic in the module after SIGTERM does not forget the end: what is still to come to the new core is answered before it.
 func TestClosingOutlivesPanic(t *testing.T) {
 	k := newCore(t, one)
-	k.Step(start, []Message{Closing{By: start + 2*time.Second}})
-	n, known, err := k.Renew()
+	k.Step(start, []Message{Shutdown{Deadline: start + 2*time.Second}})
+	n, known, err := k.Rebuild()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 func TestOlderList(t *testing.T) {
 	three := Host{Name: "s-0000000c", Addr: "127.0.0.1:3", Scale: 1}
 	drains, ready, back := one, one, one
-	drains.State, back.Born = policy.Draining, start
+	drains.State, back.StartedAt = policy.Draining, start
 	for name, c := range map[string]struct {
 		newest, old []Host
 		sent        bool
@@ -82,10 +82,10 @@
 	} {
 		for _, whole := range []bool{false, true} {
 			k := newCore(t)
-			k.Step(start, []Message{Listed{Version: 9, Whole: true, Hosts: c.newest}})
-			k.Step(start, []Message{Listed{Version: 8, Whole: whole, Hosts: c.old}})
-			if k.version != 9 || k.Heard() != 8 {
-				t.Errorf("%s: version %d, heard %d", name, k.version, k.Heard())
+			k.Step(start, []Message{HostList{Version: 9, Whole: true, Hosts: c.newest}})
+			k.Step(start, []Message{HostList{Version: 8, Whole: whole, Hosts: c.old}})
+			if k.version != 9 || k.WatchVersion() != 8 {
+				t.Errorf("%s: version %d, heard %d", name, k.version, k.WatchVersion())
 			}
 			a := arrival(1, 0)
 			a.Size = ms                                                       // little enough for a host that has just started
@@ -94,7 +94,7 @@
 				t.Errorf("%s, whole %v: %d sent", name, whole, got)
 			}
 			if whole && c.old == nil { // one that was only new then comes with the changes that follow
-				k.Step(start+ms, []Message{Listed{Version: 9, Hosts: c.newest}})
+				k.Step(start+ms, []Message{HostList{Version: 9, Hosts: c.newest}})
 				if b := arrival(2, 0); len(of[Send](k.Step(start+2*ms, []Message{b}))) != 1 {
 					t.Errorf("%s: not known again", name)
 				}
@@ -105,16 +105,16 @@
 
 // A client that leaves in the same Step in which its job would be sent, first or once more, is seen: nothing goes out.
 func TestLeavesAtTheDecision(t *testing.T) {
-	full := Ended{Key: Key{1, 0}, Result: policy.Full}
-	for name, batch := range map[string][]Message{"first": {arrival(1, 1), Left{Job: 1}}, "retry": {full, Left{Job: 1}},
-		"retry, told after": {Left{Job: 1}, full}} {
+	full := AttemptEnded{Key: Key{1, 0}, Result: policy.Full}
+	for name, batch := range map[string][]Message{"first": {arrival(1, 1), ClientGone{Job: 1}}, "retry": {full, ClientGone{Job: 1}},
+		"retry, told after": {ClientGone{Job: 1}, full}} {
 		k := newCore(t, one, two)
 		if name != "first" {
 			k.Step(start, []Message{arrival(1, 1)})
 		}
 		out := k.Step(start+ms, batch)
-		if len(of[Send](out))+len(of[LocalReply](out)) > 0 || k.Open() > 0 {
-			t.Errorf("%s: %+v, %d open", name, out, k.Open())
+		if len(of[Send](out))+len(of[LocalReply](out)) > 0 || k.OpenJobs() > 0 {
+			t.Errorf("%s: %+v, %d open", name, out, k.OpenJobs())
 		}
 	}
 }
@@ -128,14 +128,14 @@
 		told Message
 		want int
 	}{
-		"drains": {Listed{Version: 8, Hosts: []Host{drains}}, 1}, "gone": {Listed{Version: 8, Hosts: []Host{gone}}, 1},
-		"missing": {Listed{Version: 8, Whole: true, Hosts: []Host{two}}, 1}, "by hand": {Hand{Ask: 1, Name: one.Name, Out: true}, 1},
-		"another":  {Listed{Version: 8, Hosts: []Host{{Name: two.Name, State: policy.Draining}}}, 0},
-		"the same": {Listed{Version: 8, Hosts: []Host{one}}, 0},
+		"drains": {HostList{Version: 8, Hosts: []Host{drains}}, 1}, "gone": {HostList{Version: 8, Hosts: []Host{gone}}, 1},
+		"missing": {HostList{Version: 8, Whole: true, Hosts: []Host{two}}, 1}, "by hand": {SetCordon{Request: 1, Name: one.Name, Cordoned: true}, 1},
+		"another":  {HostList{Version: 8, Hosts: []Host{{Name: two.Name, State: policy.Draining}}}, 0},
+		"the same": {HostList{Version: 8, Hosts: []Host{one}}, 0},
 	} {
 		k := newCore(t, one)
 		k.Step(start, []Message{arrival(1, 1)})
-		if got := of[Unsend](k.Step(start+ms, []Message{c.told})); len(got) != c.want || c.want > 0 && got[0].Key != (Key{1, 0}) {
+		if got := of[CancelUnsent](k.Step(start+ms, []Message{c.told})); len(got) != c.want || c.want > 0 && got[0].Key != (Key{1, 0}) {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
@@ -152,10 +152,10 @@
 	chain.Step(start, []Message{long})
 	chain.Step(start+ms, []Message{waits})
 	chain.Step(start+10*ms, nil)
-	if core.Open() != 2 {
-		t.Fatalf("%d before the module", core.Open())
+	if core.OpenJobs() != 2 {
+		t.Fatalf("%d before the module", core.OpenJobs())
 	}
-	chain.Step(start+20*ms, []Message{Closing{By: start + 500*ms}})
+	chain.Step(start+20*ms, []Message{Shutdown{Deadline: start + 500*ms}})
 	got := of[LocalReply](chain.Step(start+500*ms, nil))
 	if len(got) != 2 || !got[0].Refused || !got[1].Refused {
 		t.Errorf("answered %+v", got)
--- a/internal/dispatch/hands.go
+++ b/internal/dispatch/hands.go
@@ -8,26 +8,26 @@
 	"gaugeslip/policy"
 )
 
-// Hand takes a host out by hand (Out), or puts it back. It is answered by one Handed.
-type Hand struct {
-	Ask  uint64
-	Name string
-	Out  bool
+// SetCordon takes a host out by hand (Out), or puts it back. It is answered by one Handed.
+type SetCordon struct {
+	Request  uint64
+	Name     string
+	Cordoned bool
 }
 
-// HandSet is the whole set of hosts that are out by hand, as it was kept outside the process: at a start, and when
+// CordonSet is the whole set of hosts that are out by hand, as it was kept outside the process: at a start, and when
 // another process of the same dispatcher has changed it.
-type HandSet struct{ Names []string }
+type CordonSet struct{ Names []string }
 
-// Handed answers a Hand. Known: a host of that name is on the list or out by hand; else nothing was changed.
-type Handed struct {
-	Ask   uint64
-	Known bool
+// CordonResult answers a Hand. Known: a host of that name is on the list or out by hand; else nothing was changed.
+type CordonResult struct {
+	Request uint64
+	Known   bool
 }
 
-func (Hand) message()    {}
-func (HandSet) message() {}
-func (Handed) command()  {}
+func (SetCordon) message()    {}
+func (CordonSet) message()    {}
+func (CordonResult) command() {}
 
 // What is out by hand is an input to the module like the list: a host that is out is told to the module as one that
 // drains, whatever the list says of it, and one that comes back is told as one that has just started, since it was
@@ -80,7 +80,7 @@
 // worker is what the module is told of a listed host: its entry, changed by what was done by hand.
 func (c *Core) worker(h Host) policy.Worker {
 	w := policy.Worker{ID: WorkerID(h.Name), Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, State: h.State,
-		Scale: h.Scale, Since: h.Born}
+		Scale: h.Scale, Since: h.StartedAt}
 	if c.isOut(h.Name) && w.State == policy.Ready {
 		w.State = policy.Draining
 	}
@@ -90,8 +90,8 @@
 	return w
 }
 
-// Hands lists the hosts that are out by hand, by name.
-func (c *Core) Hands() []string {
+// Cordoned lists the hosts that are out by hand, by name.
+func (c *Core) Cordoned() []string {
 	names := make([]string, 0, len(c.hands))
 	for name := range c.hands {
 		names = append(names, name)
--- a/internal/dispatch/history_test.go
+++ b/internal/dispatch/history_test.go
@@ -29,7 +29,7 @@
 	}
 	var out []Key
 	now, job, version := time.Duration(start), uint64(0), uint64(1)
-	in := []Message{Listed{Version: version, Whole: true, Stale: true, Hosts: hosts}}
+	in := []Message{HostList{Version: version, Whole: true, Stale: true, Hosts: hosts}}
 	for range steps {
 		commands := s.Step(now, in)
 		each(now, in, commands)
@@ -39,13 +39,13 @@
 			case Send:
 				out = append(out, c.Key)
 			case CancelSend:
-				in = append(in, Ended{Key: c.Key, Result: policy.Cancelled})
+				in = append(in, AttemptEnded{Key: c.Key, Result: policy.Cancelled})
 				out = slices.DeleteFunc(out, func(k Key) bool { return k == c.Key })
 			case Probe:
-				in = append(in, Probed{Worker: c.Worker, Took: ms, Load: &policy.Load{FreeSlots: 1, Queue: 0, Busy: -1}})
+				in = append(in, ProbeEnded{Worker: c.Worker, Took: ms, Load: &policy.Load{FreeSlots: 1, Queue: 0, Busy: -1}})
 			case Watch:
 				version++
-				in = append(in, Listed{Version: version, Hosts: hosts[:3]})
+				in = append(in, HostList{Version: version, Hosts: hosts[:3]})
 			}
 		}
 		for range rng.IntN(3) {
@@ -58,13 +58,13 @@
 			k := out[rng.IntN(len(out))]
 			switch rng.IntN(10) {
 			case 0:
-				in = append(in, Left{Job: k.Job})
+				in = append(in, ClientGone{Job: k.Job})
 			case 1, 2:
-				in = append(in, Started{k}, Progress{k, 0.5})
+				in = append(in, JobStarted{k}, JobProgress{k, 0.5})
 			default:
 				results := []policy.Result{policy.OK, policy.OK, policy.OK, policy.OK, policy.Full, policy.AppError,
 					policy.TimedOut, policy.ConnectionLost, policy.ConnectFailed}
-				in = append(in, Ended{Key: k, Result: results[rng.IntN(len(results))]})
+				in = append(in, AttemptEnded{Key: k, Result: results[rng.IntN(len(results))]})
 				out = slices.DeleteFunc(out, func(o Key) bool { return o == k })
 			}
 		}
@@ -85,7 +85,7 @@
 		for _, c := range out {
 			switch c := c.(type) {
 			case Send:
-				fmt.Fprint(h, now, "send", c.Job, c.Attempt, c.Addr, c.Until)
+				fmt.Fprint(h, now, "send", c.Job, c.Attempt, c.Addr, c.Deadline)
 			case CancelSend:
 				fmt.Fprint(h, now, "cancel", c.Job, c.Attempt)
 			case LocalReply:
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -20,8 +20,8 @@
 // Message is one thing that the sockets saw.
 type Message interface{ message() }
 
-// Arrived tells of a new job. Its deadline is Budget after At.
-type Arrived struct {
+// JobArrived tells of a new job. Its deadline is Budget after At.
+type JobArrived struct {
 	Job           uint64
 	Class, Tenant int // Tenant -1: none
 	At            time.Duration
@@ -29,13 +29,13 @@
 	Slots         int
 	Retry         bool
 
-	Name, Client string        // its id and who sent it, for gates
-	Bytes        int           // of its body
-	Wait         *Wait         // what it asks of the waiting room; nil: nothing
-	Tried        int           // sends of it in earlier turns: its Keys count on from there
-	Waited       time.Duration // of Budget, spent by its client's own wish
-	Key          uint64        // of what it concerns, alike in all of its client's tries; Keyed: there is one
-	Keyed        bool
+	Name, Client    string        // its id and who sent it, for gates
+	Bytes           int           // of its body
+	Wait            *Wait         // what it asks of the waiting room; nil: nothing
+	EarlierAttempts int           // sends of it in earlier turns: its Keys count on from there
+	Waited          time.Duration // of Budget, spent by its client's own wish
+	Key             uint64        // of what it concerns, alike in all of its client's tries; Keyed: there is one
+	Keyed           bool
 }
 
 // Wait is what a job asks of the waiting room.
@@ -46,36 +46,36 @@
 	Detached  bool          // it lives on without its connection
 }
 
-// Left tells that the downstream client has gone: nothing is owed to it any more.
-type Left struct{ Job uint64 }
+// ClientGone tells that the downstream client has gone: nothing is owed to it any more.
+type ClientGone struct{ Job uint64 }
 
-// Started tells that a job has begun to run.
-type Started struct{ Key }
+// JobStarted tells that a job has begun to run.
+type JobStarted struct{ Key }
 
-// Progress tells how much of a job is done.
-type Progress struct {
+// JobProgress tells how much of a job is done.
+type JobProgress struct {
 	Key
 	Share float64
 }
 
-// Ended is the outcome of an upstream request; each Send has exactly one.
-type Ended struct {
+// AttemptEnded is the outcome of an upstream request; each Send has exactly one.
+type AttemptEnded struct {
 	Key
 	Result policy.Result
 	Load   *policy.Load // nil: none came along
 	Body   []byte       // of OK, for gates that keep it
 }
 
-// Probed is the outcome of a Probe.
-type Probed struct {
+// ProbeEnded is the outcome of a Probe.
+type ProbeEnded struct {
 	Worker uint32
 	Result policy.Result
 	Took   time.Duration
 	Load   *policy.Load
 }
 
-// Listed brings the cluster's list or its changes.
-type Listed struct {
+// HostList brings the cluster's list or its changes.
+type HostList struct {
 	Version uint64
 	Whole   bool
 	Stale   bool // a copy from before this start
@@ -85,30 +85,30 @@
 // ListLost tells that a call for the list failed or that the watch broke.
 type ListLost struct{}
 
-// Asked is a question about a job that waits or has waited, or with no Name about all. It is answered by one Told.
-type Asked struct{ waiting.Ask }
+// JobQuery is a question about a job that waits or has waited, or with no Name about all. It is answered by one Told.
+type JobQuery struct{ waiting.Query }
 
-// Unasked tells that the one who asked has gone.
-type Unasked struct{ Ask uint64 }
+// QueryCancelled tells that the one who asked has gone.
+type QueryCancelled struct{ Query uint64 }
 
-// Closing tells that the program ends and gives answers until By.
-type Closing struct{ By time.Duration }
+// Shutdown tells that the program ends and gives answers until By.
+type Shutdown struct{ Deadline time.Duration }
 
-// Tuned brings new limits of the waiting room.
-type Tuned struct{ Waiting waiting.Limits }
+// WaitingLimits brings new limits of the waiting room.
+type WaitingLimits struct{ Limits waiting.Limits }
 
-func (Asked) message()    {}
-func (Unasked) message()  {}
-func (Closing) message()  {}
-func (Tuned) message()    {}
-func (Arrived) message()  {}
-func (Left) message()     {}
-func (Started) message()  {}
-func (Progress) message() {}
-func (Ended) message()    {}
-func (Probed) message()   {}
-func (Listed) message()   {}
-func (ListLost) message() {}
+func (JobQuery) message()       {}
+func (QueryCancelled) message() {}
+func (Shutdown) message()       {}
+func (WaitingLimits) message()  {}
+func (JobArrived) message()     {}
+func (ClientGone) message()     {}
+func (JobStarted) message()     {}
+func (JobProgress) message()    {}
+func (AttemptEnded) message()   {}
+func (ProbeEnded) message()     {}
+func (HostList) message()       {}
+func (ListLost) message()       {}
 
 // Host is one entry of the cluster's list.
 type Host struct {
@@ -117,7 +117,7 @@
 	Cell       int
 	State      policy.State
 	Scale      float64
-	Born       time.Duration // last start, on the clock of Step; 0: long ago
+	StartedAt  time.Duration // last start, on the clock of Step; 0: long ago
 }
 
 // Command is one thing for the sockets to do.
@@ -126,16 +126,16 @@
 // Send starts an upstream request, to be given up at Until.
 type Send struct {
 	Key
-	Addr  string
-	Until time.Duration
+	Addr     string
+	Deadline time.Duration
 }
 
 // CancelSend gives up an upstream request.
 type CancelSend struct{ Key }
 
-// Unsend gives up an upstream request whose last byte has not been written: its host is to get nothing new. One that has
+// CancelUnsent gives up an upstream request whose last byte has not been written: its host is to get nothing new. One that has
 // been sent goes on.
-type Unsend struct{ Key }
+type CancelUnsent struct{ Key }
 
 // LocalReply is the final answer to a job that no upstream host served. Refused promises that a repeat is
 // harmless, and only then may RetryAfter advise when to come back.
@@ -144,18 +144,18 @@
 	Refused    bool
 	RetryAfter time.Duration
 	Status     int    // what HTTP calls it; 0: as Refused says
-	Why        string // in words
+	Reason     string // in words
 }
 
 // Accepted promises that a job lives on without its connection.
 type Accepted struct{ Job uint64 }
 
-// Told is the answer to an Asked.
-type Told struct {
-	Ask    uint64
+// QueryResult is the answer to an Asked.
+type QueryResult struct {
+	Query  uint64
 	Status int
-	Info   *waiting.Info  // of one job
-	Board  *waiting.Board // of all
+	Info   *waiting.Info    // of one job
+	Board  *waiting.JobList // of all
 }
 
 // Probe asks an upstream host for its load.
@@ -173,12 +173,12 @@
 	Warn bool
 }
 
-func (Send) command()       {}
-func (CancelSend) command() {}
-func (Unsend) command()     {}
-func (LocalReply) command() {}
-func (Probe) command()      {}
-func (Watch) command()      {}
-func (Log) command()        {}
-func (Accepted) command()   {}
-func (Told) command()       {}
+func (Send) command()         {}
+func (CancelSend) command()   {}
+func (CancelUnsent) command() {}
+func (LocalReply) command()   {}
+func (Probe) command()        {}
+func (Watch) command()        {}
+func (Log) command()          {}
+func (Accepted) command()     {}
+func (QueryResult) command()  {}
--- a/internal/dispatch/shed.go
+++ b/internal/dispatch/shed.go
@@ -38,43 +38,43 @@
 	return g, nil
 }
 
-// Anew makes a gate that knows nothing.
-func (g *ShedGate) Anew() Gate {
+// Recreate makes a gate that knows nothing.
+func (g *ShedGate) Recreate() Gate {
 	n, _ := NewShedGate(g.lim, g.cfg) // the limits were sound
 	return n
 }
 
-// Shed is how many jobs of a class were refused here, Admit what share of the offered work is let in. Both may be read from any
+// RefusedJobs is how many jobs of a class were refused here, Admit what share of the offered work is let in. Both may be read from any
 // goroutine.
-func (g *ShedGate) Shed(class int) float64 { return float64(g.shed[class].Load()) }
+func (g *ShedGate) RefusedJobs(class int) float64 { return float64(g.shed[class].Load()) }
 
 // Admit: see Shed.
-func (g *ShedGate) Admit() float64 { return math.Float64frombits(g.admit.Load()) }
+func (g *ShedGate) AdmittedShare() float64 { return math.Float64frombits(g.admit.Load()) }
 
-func (g *ShedGate) publish() { g.admit.Store(math.Float64bits(g.shedder.Admit())) }
+func (g *ShedGate) publish() { g.admit.Store(math.Float64bits(g.shedder.AdmittedShare())) }
 
 // In refuses what is shed, and notes when jobs began and how they ended.
 func (g *ShedGate) In(now time.Duration, in []Message, p *Pass) {
 	for _, m := range in {
 		switch m := m.(type) {
-		case Arrived:
+		case JobArrived:
 			if g.open[m.Job] != nil {
 				break // the core drops it
 			}
-			if m.Wait == nil && m.Tried == 0 && m.Waited == 0 {
-				ok, after := g.shedder.Arrived(now, overload.Job{Class: m.Class, Key: m.Key, Keyed: m.Keyed, Retry: m.Retry, Work: m.Size})
+			if m.Wait == nil && m.EarlierAttempts == 0 && m.Waited == 0 {
+				ok, after := g.shedder.AdmitJob(now, overload.Job{Class: m.Class, Key: m.Key, Keyed: m.Keyed, Retry: m.Retry, Work: m.Size})
 				if !ok {
 					g.shed[m.Class].Add(1)
-					p.Do(LocalReply{Job: m.Job, Refused: true, RetryAfter: min(after, g.cfg.MaxRetryAfter)})
+					p.Emit(LocalReply{Job: m.Job, Refused: true, RetryAfter: min(after, g.cfg.MaxRetryAfter)})
 					continue
 				}
 			}
 			g.open[m.Job] = &passed{class: m.Class, came: m.At, size: m.Size}
-		case Started:
+		case JobStarted:
 			if j := g.open[m.Job]; j != nil {
 				j.began = now
 			}
-		case Ended:
+		case AttemptEnded:
 			if j := g.open[m.Job]; j != nil && m.Result == policy.OK {
 				c := &g.cfg.Classes[j.class]
 				run := j.size
@@ -85,16 +85,16 @@
 				if now-j.came > c.OnTime+time.Duration(c.Stretch*float64(run)) {
 					end = overload.Late
 				}
-				g.shedder.Came(j.size, end)
+				g.shedder.JobEnded(j.size, end)
 				delete(g.open, m.Job)
 			}
-		case Left: // its client would have no more of it
+		case ClientGone: // its client would have no more of it
 			if j := g.open[m.Job]; j != nil {
-				g.shedder.Came(j.size, overload.Late)
+				g.shedder.JobEnded(j.size, overload.Late)
 				delete(g.open, m.Job)
 			}
 		}
-		p.On(m)
+		p.Forward(m)
 	}
 	g.publish()
 }
@@ -104,11 +104,11 @@
 	for _, c := range out {
 		if r, ok := c.(LocalReply); ok {
 			if j := g.open[r.Job]; j != nil && r.Refused {
-				g.shedder.Came(j.size, overload.NoRoom)
+				g.shedder.JobEnded(j.size, overload.Refused)
 			}
 			delete(g.open, r.Job)
 		}
-		p.Do(c)
+		p.Emit(c)
 	}
 }
 
@@ -118,8 +118,8 @@
 // Detached is 0: no job lives on here.
 func (g *ShedGate) Detached() int { return 0 }
 
-// Crashed forgets the jobs that were before the module.
-func (g *ShedGate) Crashed(time.Duration) { clear(g.open) }
+// ModuleLost forgets the jobs that were before the module.
+func (g *ShedGate) ModuleLost(time.Duration) { clear(g.open) }
 
-// Keeps is false: every job that passed is the module's.
-func (g *ShedGate) Keeps(uint64) bool { return false }
+// Owns is false: every job that passed is the module's.
+func (g *ShedGate) Owns(uint64) bool { return false }
--- a/internal/dispatch/shed_test.go
+++ b/internal/dispatch/shed_test.go
@@ -22,10 +22,10 @@
 	require.NoError(t, err)
 	c := NewChain(core, Gates{Shed: g})
 	now, next := 1000*time.Second, uint64(0)
-	arrive := func(change func(*Arrived)) (id uint64, out []Command) {
+	arrive := func(change func(*JobArrived)) (id uint64, out []Command) {
 		next++
 		now += 10 * time.Millisecond
-		a := Arrived{Job: next, Class: 0, Tenant: -1, At: now, Budget: time.Second, Size: 100 * time.Millisecond, Slots: 1, Key: next, Keyed: true}
+		a := JobArrived{Job: next, Class: 0, Tenant: -1, At: now, Budget: time.Second, Size: 100 * time.Millisecond, Slots: 1, Key: next, Keyed: true}
 		if change != nil {
 			change(&a)
 		}
@@ -33,7 +33,7 @@
 	}
 	shed := 0
 	for range 600 { // no host at all: the module refuses whatever comes
-		open := core.Open()
+		open := core.OpenJobs()
 		id, out := arrive(nil)
 		answers := 0
 		for _, x := range out {
@@ -44,30 +44,30 @@
 			}
 		}
 		require.Equal(t, 1, answers)
-		require.Equal(t, open, core.Open())
+		require.Equal(t, open, core.OpenJobs())
 	}
 	for class := range cfg.Classes {
-		shed += int(g.Shed(class))
+		shed += int(g.RefusedJobs(class))
 	}
 	assert.Greater(t, shed, 100)
-	assert.Less(t, g.Admit(), 0.6)
+	assert.Less(t, g.AdmittedShare(), 0.6)
 	assert.Empty(t, g.open)
 	for range 50 {
-		before := g.Shed(0)
-		arrive(func(a *Arrived) { a.Waited = time.Second })
-		assert.Equal(t, before, g.Shed(0), "its wait was its own wish")
+		before := g.RefusedJobs(0)
+		arrive(func(a *JobArrived) { a.Waited = time.Second })
+		assert.Equal(t, before, g.RefusedJobs(0), "its wait was its own wish")
 	}
 	// A late end, and a client that leaves, are no room; a job that fails says nothing.
-	for _, m := range []Message{Left{Job: 1 << 40}, Ended{Key: Key{Job: 1 << 40}, Result: policy.OK}} {
-		g.shedder.Came(0, overload.InTime)
-		before := g.Admit()
+	for _, m := range []Message{ClientGone{Job: 1 << 40}, AttemptEnded{Key: Key{Job: 1 << 40}, Result: policy.OK}} {
+		g.shedder.JobEnded(0, overload.InTime)
+		before := g.AdmittedShare()
 		g.open[1<<40] = &passed{class: 0, came: now - time.Hour, size: 100 * time.Millisecond}
 		c.Step(now, []Message{m})
-		assert.Less(t, g.Admit(), before+0.001, "%T", m)
+		assert.Less(t, g.AdmittedShare(), before+0.001, "%T", m)
 		assert.Empty(t, g.open)
 	}
 	now += time.Minute
 	arrive(nil)
-	assert.Equal(t, 1.0, g.Admit(), "after a minute without news")
-	assert.Empty(t, g.Anew().(*ShedGate).open)
+	assert.Equal(t, 1.0, g.AdmittedShare(), "after a minute without news")
+	assert.Empty(t, g.Recreate().(*ShedGate).open)
 }
--- a/internal/dispatch/sites.go
+++ b/internal/dispatch/sites.go
@@ -47,11 +47,11 @@
 func NewSitesGate(l siteloss.Limits, cfg policy.Config, names []string, order []int, floor float64) *SitesGate {
 	g := &SitesGate{lim: l, cfg: cfg, names: names, order: order, floor: floor,
 		set: siteloss.Settings{Sites: max(cfg.Zones, 1), Own: cfg.Zone, WarmUp: cfg.WarmUp}}
-	return g.Anew().(*SitesGate)
+	return g.Recreate().(*SitesGate)
 }
 
-// Anew makes a gate that knows nothing.
-func (g *SitesGate) Anew() Gate {
+// Recreate makes a gate that knows nothing.
+func (g *SitesGate) Recreate() Gate {
 	return &SitesGate{lim: g.lim, cfg: g.cfg, names: g.names, order: g.order, floor: g.floor, set: g.set, judge: siteloss.New(g.set),
 		hosts: map[uint32]int{}, byAddr: map[string]uint32{}, at: map[Key]uint32{}, scale: map[uint32]float64{},
 		states: make([]atomic.Uint32, g.set.Sites), work: make([]float64, len(g.cfg.Classes))}
@@ -63,7 +63,7 @@
 func (g *SitesGate) Fleet() *siteloss.Fleet { return g.fleet.Load() }
 
 // arrived counts a job's work.
-func (g *SitesGate) arrived(now time.Duration, m *Arrived) {
+func (g *SitesGate) arrived(now time.Duration, m *JobArrived) {
 	g.fade(now)
 	g.work[m.Class] += m.Size.Seconds() / loadOver.Seconds()
 }
@@ -118,22 +118,22 @@
 func (g *SitesGate) In(now time.Duration, in []Message, p *Pass) {
 	for _, m := range in {
 		switch m := m.(type) {
-		case Arrived:
+		case JobArrived:
 			g.arrived(now, &m)
-		case Listed:
+		case HostList:
 			g.listed(&m)
-		case Probed:
+		case ProbeEnded:
 			switch m.Result {
 			case policy.OK:
 				g.judge.Heard(now, m.Worker, true)
 			case policy.TimedOut, policy.ConnectFailed: // a connection that does not come up, or is refused: nobody is there
 				g.judge.Heard(now, m.Worker, false)
 			}
-		case Started:
+		case JobStarted:
 			g.heard(now, m.Key, true)
-		case Progress:
+		case JobProgress:
 			g.heard(now, m.Key, true)
-		case Ended:
+		case AttemptEnded:
 			switch m.Result {
 			case policy.OK, policy.AppError, policy.Full, policy.Rejected:
 				g.heard(now, m.Key, true)
@@ -142,7 +142,7 @@
 			}
 			delete(g.at, m.Key)
 		}
-		p.On(m)
+		p.Forward(m)
 	}
 	if now-g.stepped < judgeEvery {
 		return
@@ -154,7 +154,7 @@
 	}
 	for _, c := range g.judge.Step(now) {
 		g.states[c.Site].Store(uint32(c.To))
-		p.Do(Log{Text: fmt.Sprintf("site %s: %v, was %v: %s", g.name(c.Site), c.To, c.From, c.Ground), Warn: c.To != siteloss.Serving})
+		p.Emit(Log{Text: fmt.Sprintf("site %s: %v, was %v: %s", g.name(c.Site), c.To, c.From, c.Ground), Warn: c.To != siteloss.Serving})
 	}
 }
 
@@ -164,7 +164,7 @@
 	}
 }
 
-func (g *SitesGate) listed(m *Listed) {
+func (g *SitesGate) listed(m *HostList) {
 	if m.Whole {
 		for id := range g.hosts {
 			g.judge.Listed(id, 0, true)
@@ -193,7 +193,7 @@
 				g.at[s.Key] = id
 			}
 		}
-		p.Do(c)
+		p.Emit(c)
 	}
 }
 
@@ -203,8 +203,8 @@
 // Detached is 0: no job lives on here.
 func (g *SitesGate) Detached() int { return 0 }
 
-// Crashed forgets the sends that were out.
-func (g *SitesGate) Crashed(time.Duration) { clear(g.at) }
+// ModuleLost forgets the sends that were out.
+func (g *SitesGate) ModuleLost(time.Duration) { clear(g.at) }
 
-// Keeps is false: every job that passed is the module's.
-func (g *SitesGate) Keeps(uint64) bool { return false }
+// Owns is false: every job that passed is the module's.
+func (g *SitesGate) Owns(uint64) bool { return false }
--- a/internal/dispatch/sites_test.go
+++ b/internal/dispatch/sites_test.go
@@ -41,19 +41,19 @@
 	for i := range 12 {
 		all = append(all, Host{Name: fmt.Sprintf("s-%08x", i+1), Addr: fmt.Sprint("h", i), Zone: i % 3, Scale: 2})
 	}
-	step(Listed{Whole: true, Hosts: all})
+	step(HostList{Whole: true, Hosts: all})
 	job := uint64(0)
 	for range 100 {
 		now += 50 * time.Millisecond
 		job++
-		step(Arrived{Job: job, Class: int(job % 2), Tenant: -1, At: now, Budget: time.Second, Size: 100 * time.Millisecond, Slots: 1})
+		step(JobArrived{Job: job, Class: int(job % 2), Tenant: -1, At: now, Budget: time.Second, Size: 100 * time.Millisecond, Slots: 1})
 		for i, h := range all {
 			r := policy.OK
 			if h.Zone == 2 && job > 40 {
 				r = []policy.Result{policy.TimedOut, policy.ConnectFailed}[i%2]
 			}
 			if i%6 == int(job%6) {
-				step(Probed{Worker: WorkerID(h.Name), Result: r})
+				step(ProbeEnded{Worker: WorkerID(h.Name), Result: r})
 			}
 		}
 	}
@@ -67,5 +67,5 @@
 	assert.Equal(t, 8.0, f.Sites[1].Capacity)
 	assert.Equal(t, cfg.Classes[1].Name, f.Classes[0].Name)
 	assert.InDelta(t, 2*0.787, f.Sites[0].Load, 0.3, "2 s of work a second by each dispatcher, 1 - 1/e^0.5 of it seen; two of six are there")
-	assert.Equal(t, siteloss.Serving, g.Anew().(*SitesGate).State(2))
+	assert.Equal(t, siteloss.Serving, g.Recreate().(*SitesGate).State(2))
 }
--- a/internal/dispatch/waiting.go
+++ b/internal/dispatch/waiting.go
@@ -8,11 +8,11 @@
 	"gaugeslip/policy"
 )
 
-// WaitingGate puts a waiting.Room before the core: jobs that ask to wait are held in it and come before the module
+// WaitingGate puts a waiting.Queue before the core: jobs that ask to wait are held in it and come before the module
 // when it is their turn; all others pass. Each job has its one answer from the module or from the room, never from
 // both: once the room has answered, the core has been told that the client left, and answers no more.
 type WaitingGate struct {
-	room  *waiting.Room
+	room  *waiting.Queue
 	lim   waiting.Limits
 	fleet waiting.Fleet
 	ready map[string]bool // hosts that are
@@ -29,13 +29,13 @@
 	return &WaitingGate{room: waiting.New(lim, f), lim: lim, fleet: f, ready: map[string]bool{}}
 }
 
-// Anew makes a gate with an empty room.
-func (g *WaitingGate) Anew() Gate {
+// Recreate makes a gate with an empty room.
+func (g *WaitingGate) Recreate() Gate {
 	return &WaitingGate{room: waiting.New(g.lim, g.fleet), lim: g.lim, fleet: g.fleet, ready: map[string]bool{}}
 }
 
 // Room is the gate's room, to be looked at between Steps only.
-func (g *WaitingGate) Room() *waiting.Room { return g.room }
+func (g *WaitingGate) Room() *waiting.Queue { return g.room }
 
 // In lets ready jobs in before the first fresh one of the Step: what a host has just freed is theirs first.
 func (g *WaitingGate) In(now time.Duration, in []Message, p *Pass) {
@@ -43,7 +43,7 @@
 	ticked := false
 	for _, m := range in {
 		switch m := m.(type) {
-		case Arrived:
+		case JobArrived:
 			if !ticked {
 				ticked = true
 				g.room.Tick(now)
@@ -53,38 +53,38 @@
 			if m.Wait != nil {
 				g.room.Submit(now, &j)
 				g.carry(now, p)
-			} else if g.room.Fresh(now, &j) {
-				p.On(m)
+			} else if g.room.AddFresh(now, &j) {
+				p.Forward(m)
 			} else {
 				g.carry(now, p)
 			}
 			continue
-		case Left:
-			pass := g.room.Left(now, m.Job)
+		case ClientGone:
+			pass := g.room.ClientLeft(now, m.Job)
 			if g.carry(now, p); !pass {
 				continue
 			}
-		case Ended:
-			g.room.Ended(now, m.Job, outcome(m.Result), m.Body)
+		case AttemptEnded:
+			g.room.SendEnded(now, m.Job, outcome(m.Result), m.Body)
 			g.carry(now, p)
-		case Listed:
+		case HostList:
 			g.listed(&m)
-		case Asked:
-			g.room.Asked(now, &m.Ask)
+		case JobQuery:
+			g.room.AddQuery(now, &m.Query)
 			g.carry(now, p)
 			continue
-		case Unasked:
-			g.room.Unasked(m.Ask)
+		case QueryCancelled:
+			g.room.RemoveQuery(m.Query)
 			continue
-		case Closing:
-			g.room.Close(now, m.By)
+		case Shutdown:
+			g.room.Close(now, m.Deadline)
 			g.carry(now, p) // and the core answers what is before it
-		case Tuned:
-			g.lim = m.Waiting
-			g.room.SetLimits(m.Waiting)
+		case WaitingLimits:
+			g.lim = m.Limits
+			g.room.SetLimits(m.Limits)
 			continue
 		}
-		p.On(m)
+		p.Forward(m)
 	}
 	if !ticked {
 		g.room.Tick(now)
@@ -93,7 +93,7 @@
 }
 
 // held is an arrival as the room takes it.
-func held(m *Arrived) waiting.Job {
+func held(m *JobArrived) waiting.Job {
 	j := waiting.Job{Number: m.Job, Name: m.Name, Client: m.Client, Class: m.Class, Tenant: m.Tenant, Size: m.Size,
 		Slots: m.Slots, Arrived: m.At, Deadline: m.At + m.Budget, Bytes: m.Bytes, Attached: true}
 	if w := m.Wait; w != nil {
@@ -116,12 +116,12 @@
 	case r.NeverRan():
 		return waiting.NeverRan
 	case r == policy.Rejected:
-		return waiting.TurnedOff
+		return waiting.Rejected
 	}
-	return waiting.MayHave
+	return waiting.MayHaveRun
 }
 
-func (g *WaitingGate) listed(m *Listed) {
+func (g *WaitingGate) listed(m *HostList) {
 	if m.Whole {
 		clear(g.ready)
 	}
@@ -132,7 +132,7 @@
 			delete(g.ready, h.Name)
 		}
 	}
-	g.room.Hosts(len(g.ready))
+	g.room.SetReadyHosts(len(g.ready))
 }
 
 // Out tells the room what the module made of its jobs, and takes back the refusals that the room does.
@@ -140,15 +140,15 @@
 	for _, c := range out {
 		switch c := c.(type) {
 		case Send:
-			g.room.Sent(now, c.Job)
+			g.room.JobSent(now, c.Job)
 		case LocalReply:
 			if !c.Refused {
-				g.room.Failed(now, c.Job)
-			} else if g.room.Refused(now, c.Job) {
+				g.room.JobFailed(now, c.Job)
+			} else if g.room.JobRefused(now, c.Job) {
 				continue
 			}
 		}
-		p.Do(c)
+		p.Emit(c)
 		g.carry(now, p)
 	}
 }
@@ -160,17 +160,17 @@
 		switch a := &actions[i]; a.Kind {
 		case waiting.Release:
 			j := &a.Job
-			p.On(Arrived{Job: j.Number, Name: j.Name, Class: j.Class, Tenant: j.Tenant, At: j.Arrived, Budget: a.Budget,
-				Size: j.Size, Slots: j.Slots, Tried: a.Tried, Waited: a.Waited})
+			p.Forward(JobArrived{Job: j.Number, Name: j.Name, Class: j.Class, Tenant: j.Tenant, At: j.Arrived, Budget: a.Budget,
+				Size: j.Size, Slots: j.Slots, EarlierAttempts: a.Attempts, Waited: a.Waited})
 		case waiting.Accept:
-			p.Do(Accepted{a.Job.Number})
+			p.Emit(Accepted{a.Job.Number})
 		case waiting.Answer:
-			p.Do(LocalReply{Job: a.Job.Number, Status: a.Status, Why: a.Why, RetryAfter: a.After,
+			p.Emit(LocalReply{Job: a.Job.Number, Status: a.Status, Reason: a.Reason, RetryAfter: a.RetryAfter,
 				Refused: a.Status == waiting.StatusRefused || a.Status == waiting.StatusFull})
 		case waiting.Withdraw:
-			p.On(Left{a.Job.Number})
-		case waiting.Tell:
-			p.Do(Told{Ask: a.Ask, Status: a.Status, Info: a.Info, Board: a.Board})
+			p.Forward(ClientGone{a.Job.Number})
+		case waiting.Reply:
+			p.Emit(QueryResult{Query: a.Query, Status: a.Status, Info: a.Info, Board: a.List})
 		}
 	}
 }
@@ -182,10 +182,10 @@
 }
 
 // Detached is the room's Out.
-func (g *WaitingGate) Detached() int { return g.room.Out() }
+func (g *WaitingGate) Detached() int { return g.room.DetachedOut() }
 
-// Crashed is the room's.
-func (g *WaitingGate) Crashed(now time.Duration) { g.room.Crashed(now) }
+// ModuleLost is the room's.
+func (g *WaitingGate) ModuleLost(now time.Duration) { g.room.ModuleCrashed(now) }
 
-// Keeps is the room's.
-func (g *WaitingGate) Keeps(job uint64) bool { return g.room.Keeps(job) }
+// Owns is the room's.
+func (g *WaitingGate) Owns(job uint64) bool { return g.room.Keeps(job) }
--- a/internal/dispatch/waiting_test.go
+++ b/internal/dispatch/waiting_test.go
@@ -61,7 +61,7 @@
 
 func (n named) Step(now time.Duration, in []Message) []Command {
 	for i, m := range in {
-		if a, ok := m.(Arrived); ok {
+		if a, ok := m.(JobArrived); ok {
 			a.Name = fmt.Sprint("n", a.Job)
 			in[i] = a
 		}
@@ -93,7 +93,7 @@
 	jobs  map[uint64]*tracked
 	names []string
 	next  uint64
-	told  map[uint64]Told
+	told  map[uint64]QueryResult
 }
 
 func (m *machine) step(in ...Message) {
@@ -139,8 +139,8 @@
 		}
 	case Accepted:
 		m.jobs[c.Job].accepted++
-	case Told:
-		m.told[c.Ask] = c
+	case QueryResult:
+		m.told[c.Query] = c
 	}
 }
 
@@ -153,10 +153,10 @@
 		if j.status == 0 && !j.left {
 			j.served = true
 		}
-	case waiting.MayHave, waiting.TurnedOff:
+	case waiting.MayHaveRun, waiting.Rejected:
 		j.maybe = true
 	}
-	m.step(Ended{Key: k, Result: r, Body: []byte("r")})
+	m.step(AttemptEnded{Key: k, Result: r, Body: []byte("r")})
 }
 
 // one picks a job that fits.
@@ -181,7 +181,7 @@
 		j.name = rapid.SampledFrom(m.names).Draw(m.T, "name")
 	}
 	m.jobs[m.next] = j
-	a := Arrived{Job: m.next, Name: j.name, Client: "c", Class: class, Tenant: -1, At: m.now, Budget: 5 * time.Second,
+	a := JobArrived{Job: m.next, Name: j.name, Client: "c", Class: class, Tenant: -1, At: m.now, Budget: 5 * time.Second,
 		Size: time.Duration(rapid.IntRange(1, 900).Draw(m.T, "size")) * ms, Slots: 1}
 	if j.waits = rapid.Bool().Draw(m.T, "waits"); j.waits {
 		j.detached = rapid.Bool().Draw(m.T, "detached")
@@ -208,8 +208,8 @@
 			l.MaxJobs, l.ClientShare = rapid.SampledFrom([]int{3, 1000}).Draw(rt, "max"), 1
 			l.RunOnFailure = rapid.Bool().Draw(rt, "run")
 		})
-		m := &machine{T: rt, c: c, gate: gate, now: start, jobs: map[uint64]*tracked{}, told: map[uint64]Told{}}
-		m.step(Listed{Version: 1, Whole: true, Hosts: []Host{one, two}})
+		m := &machine{T: rt, c: c, gate: gate, now: start, jobs: map[uint64]*tracked{}, told: map[uint64]QueryResult{}}
+		m.step(HostList{Version: 1, Whole: true, Hosts: []Host{one, two}})
 		out := func(j *tracked) bool { return len(j.out) > 0 }
 		rt.Repeat(map[string]func(*rapid.T){
 			"arrive": func(*rapid.T) { m.arrive() },
@@ -229,15 +229,15 @@
 			"leave": func(*rapid.T) {
 				if id := m.one("job", func(j *tracked) bool { return !j.detached && !j.left && !j.served && j.status == 0 }); id != 0 {
 					m.jobs[id].left = true
-					m.step(Left{id})
+					m.step(ClientGone{id})
 				}
 			},
 			"cancel": func(*rapid.T) {
 				if len(m.names) > 0 {
-					m.step(Asked{waiting.Ask{Number: 1, Name: rapid.SampledFrom(m.names).Draw(rt, "name"), Cancel: true}})
+					m.step(JobQuery{waiting.Query{Number: 1, Name: rapid.SampledFrom(m.names).Draw(rt, "name"), Cancel: true}})
 				}
 			},
-			"list": func(*rapid.T) { m.step(Asked{waiting.Ask{Number: 2, Most: 10}}) },
+			"list": func(*rapid.T) { m.step(JobQuery{waiting.Query{Number: 2, MaxJobs: 10}}) },
 		})
 		// All that is out ends, and time passes until nothing is left to wait for.
 		for range 200 {
@@ -255,8 +255,8 @@
 
 // settled checks that all is over, and that what is told fits what was answered.
 func (m *machine) settled() {
-	if m.gate.room.Held() != 0 || m.c.Open() != 0 {
-		m.Fatalf("%d still wait, %d still run", m.gate.room.Held(), m.c.Open())
+	if m.gate.room.Held() != 0 || m.c.OpenJobs() != 0 {
+		m.Fatalf("%d still wait, %d still run", m.gate.room.Held(), m.c.OpenJobs())
 	}
 	if s := m.gate.room.Stats(); s.Longest > 2 {
 		m.Fatalf("a wait of %v due times", s.Longest)
@@ -275,7 +275,7 @@
 			continue
 		}
 		first[j.name] = true
-		m.step(Asked{waiting.Ask{Number: 3, Name: j.name}})
+		m.step(JobQuery{waiting.Query{Number: 3, Name: j.name}})
 		i := m.told[3].Info
 		if i == nil || !i.State.Final() {
 			m.Fatalf("%s: %+v", j.name, m.told[3])
@@ -289,13 +289,13 @@
 // A panic in the module leaves what only waits; one in a gate leaves nothing of it.
 func TestChainRenews(t *testing.T) {
 	c, gate := gated(t, nil)
-	c.Step(start, []Message{Listed{Version: 1, Whole: true, Hosts: []Host{one}}})
+	c.Step(start, []Message{HostList{Version: 1, Whole: true, Hosts: []Host{one}}})
 	wait := arrival(1, 0)
 	wait.Name, wait.Wait = "a", &Wait{Detached: true, NotBefore: time.Second}
 	c.Step(start, []Message{wait})
 	for _, inCore := range []bool{true, false} {
 		c.inCore = inCore
-		n, known, keeps, err := c.Renew(start)
+		n, known, keeps, err := c.Rebuild(start)
 		if err != nil || len(known.Hosts) != 1 || keeps(1) != inCore {
 			t.Fatalf("%v %+v %v", err, known, keeps(1))
 		}
@@ -303,7 +303,7 @@
 		if out := of[Probe](n.Step(start+time.Second, nil)); len(out) != map[bool]int{true: 1, false: 0}[inCore] {
 			t.Errorf("in the core %v: asked hosts %v", inCore, out)
 		}
-		gate.room.Crashed(start)
+		gate.room.ModuleCrashed(start)
 	}
 }
 
@@ -320,7 +320,7 @@
 			for i := range 100 {
 				hosts = append(hosts, Host{Name: fmt.Sprintf("s-%08x", i), Addr: "127.0.0.1:1", Scale: 2})
 			}
-			s.Step(start, []Message{Listed{Version: 1, Whole: true, Hosts: hosts}})
+			s.Step(start, []Message{HostList{Version: 1, Whole: true, Hosts: hosts}})
 			names := make([]string, 100_000)
 			for i := range names {
 				names[i] = fmt.Sprintf("%016x", i)
@@ -334,7 +334,7 @@
 				a.At, a.Name = now, names[i%len(names)]
 				in[0] = a
 				s.Step(now, in)
-				in[0] = Ended{Key: Key{Job: a.Job}, Result: policy.OK}
+				in[0] = AttemptEnded{Key: Key{Job: a.Job}, Result: policy.OK}
 				s.Step(now+10*ms, in)
 			}
 		})
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -77,7 +77,7 @@
 
 // pool ends with the test.
 func pool(t *testing.T) *upstream.Pool {
-	p := upstream.NewPool(upstream.Config{ConnectTimeout: nettest.Patience, ConnIdle: time.Minute, ProbeTimeout: time.Second,
+	p := upstream.NewPool(upstream.Config{ConnectTimeout: nettest.Timeout, ConnIdle: time.Minute, ProbeTimeout: time.Second,
 		MaxConns: 100})
 	t.Cleanup(func() {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -128,19 +128,19 @@
 	f, r := start(t, 1, fleet.Params{Queue: 4, ColdFrom: 0.5, WarmUp: time.Hour})
 	h, p := f.Hosts[0], pool(t)
 	lost := make(chan *ended)
-	go func() { lost <- ask(t, p, h, "t1", time.Hour, nettest.Patience) }()
-	require.Eventually(t, func() bool { return len(r.ids()) == 1 }, nettest.Patience, time.Millisecond)
+	go func() { lost <- ask(t, p, h, "t1", time.Hour, nettest.Timeout) }()
+	require.Eventually(t, func() bool { return len(r.ids()) == 1 }, nettest.Timeout, time.Millisecond)
 	h.Kill()
 	assert.Equal(t, policy.ConnectionLost, nettest.Wait(t, lost).out.Result)
 	require.NoError(t, h.Restart())
 	begun := time.Now()
-	assert.Equal(t, policy.OK, ask(t, p, h, "t2", 50*time.Millisecond, nettest.Patience).out.Result)
+	assert.Equal(t, policy.OK, ask(t, p, h, "t2", 50*time.Millisecond, nettest.Timeout).out.Result)
 	assert.GreaterOrEqual(t, time.Since(begun), 100*time.Millisecond, "at half of its speed")
 	set, err := settings.Parse([]byte(nettest.SettingsJSON))
 	require.NoError(t, err)
 	l, err := cluster.Decode(f.List(), set)
 	require.NoError(t, err)
-	assert.Positive(t, l.Hosts[0].Born)
+	assert.Positive(t, l.Hosts[0].StartedAt)
 }
 
 // Discovery as the platform's: the whole list, changes on a watch, and an end of the watch when it goes down.
@@ -148,11 +148,11 @@
 	f, _ := start(t, 2, fleet.Params{Queue: 4})
 	set, err := settings.Parse([]byte(nettest.SettingsJSON))
 	require.NoError(t, err)
-	news, over := make(chan dispatch.Listed, 10), make(chan error, 1)
+	news, over := make(chan dispatch.HostList, 10), make(chan error, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	source := &cluster.Discovery{Addr: f.Discovery, Stall: nettest.Patience, Settings: set}
-	go func() { over <- source.Watch(ctx, 0, func(l dispatch.Listed) { news <- l }) }()
+	source := &cluster.Discovery{Addr: f.Discovery, StallTimeout: nettest.Timeout, Settings: set}
+	go func() { over <- source.Watch(ctx, 0, func(l dispatch.HostList) { news <- l }) }()
 	first := nettest.Wait(t, news)
 	assert.Len(t, first.Hosts, 2)
 	f.Hosts[0].Drain()
@@ -174,8 +174,8 @@
 	p := pool(t)
 	assert.Equal(t, upstream.Report{"queue": 0, "inflight": 0, "x0": 1}, p.Probe(t.Context(), f.Hosts[0].Addr).Load)
 	done := make(chan *ended)
-	go func() { done <- ask(t, p, f.Hosts[0], "t1", 300*time.Millisecond, nettest.Patience) }()
-	require.Eventually(t, func() bool { return len(r.ids()) == 1 }, nettest.Patience, time.Millisecond)
+	go func() { done <- ask(t, p, f.Hosts[0], "t1", 300*time.Millisecond, nettest.Timeout) }()
+	require.Eventually(t, func() bool { return len(r.ids()) == 1 }, nettest.Timeout, time.Millisecond)
 	assert.Equal(t, upstream.Report{"queue": 0, "inflight": 1, "x0": 0}, p.Probe(t.Context(), f.Hosts[0].Addr).Load)
 	nettest.Wait(t, done)
 	f.Hosts[0].Vanish()
@@ -195,10 +195,10 @@
 		if wait {
 			<-stall
 		}
-		c.Say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		c.WriteText("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	})
 	l := &Load{Addr: peer.Addr, Rate: 100, Length: time.Second, MaxOpen: 200, Seed: 1, Classes: []LoadClass{{Name: "a", Part: 1,
-		Mean: time.Millisecond, OnTime: 100 * time.Millisecond, Patience: nettest.Patience, Worth: 1}}}
+		Mean: time.Millisecond, OnTime: 100 * time.Millisecond, Patience: nettest.Timeout, Worth: 1}}}
 	time.AfterFunc(500*time.Millisecond, func() { close(stall) })
 	res := l.Run(t.Context())
 	c := res.Classes["a"]
--- a/internal/heaptest/heaptest.go
+++ b/internal/heaptest/heaptest.go
@@ -3,8 +3,8 @@
 
 import "runtime"
 
-// Held returns the number of reachable bytes, after a garbage collection.
-func Held() int64 {
+// LiveBytes returns the number of reachable bytes, after a garbage collection.
+func LiveBytes() int64 {
 	var figures runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&figures)
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -99,7 +99,7 @@
 		return
 	}
 	t.life, t.deadline = n.life, l.now+left
-	m := dispatch.Arrived{Job: t.id, Class: o.class, Tenant: -1, At: l.now, Budget: left, Size: o.hint, Slots: 1,
+	m := dispatch.JobArrived{Job: t.id, Class: o.class, Tenant: -1, At: l.now, Budget: left, Size: o.hint, Slots: 1,
 		Retry: o.tries > 1, Key: o.key, Keyed: !l.sc.Clients.Keyless}
 	if l.sc.Clients.Keyless {
 		m.Key = t.id
--- a/internal/lab/commands.go
+++ b/internal/lab/commands.go
@@ -44,14 +44,14 @@
 		h := l.byAdr[c.Addr]
 		l.rep.Probes++
 		l.cal.push(event{at: l.now + l.delay(n.room, l.hosts[h].Room), kind: probes, a: int32(i), b: int32(h),
-			msg: dispatch.Probed{Worker: c.Worker, Took: l.now}})
+			msg: dispatch.ProbeEnded{Worker: c.Worker, Took: l.now}})
 	case dispatch.Watch:
 		if l.down || l.deaf[n.room] > 0 {
 			l.later(i, 250*time.Millisecond, dispatch.ListLost{})
 			return
 		}
 		n.watching = true
-		l.later(i, 2*l.sc.delay+time.Millisecond, dispatch.Listed{Version: l.seq, Whole: true, Hosts: slices.Clone(l.list)})
+		l.later(i, 2*l.sc.delay+time.Millisecond, dispatch.HostList{Version: l.seq, Whole: true, Hosts: slices.Clone(l.list)})
 	}
 }
 
@@ -64,7 +64,7 @@
 func (l *Lab) deliver(i int, e *event) {
 	n := l.nodes[i]
 	switch m := e.msg.(type) {
-	case dispatch.Listed:
+	case dispatch.HostList:
 		if m.Whole {
 			n.known = slices.Clone(m.Hosts)
 		}
@@ -74,7 +74,7 @@
 				k = check.Told
 			}
 			l.see(check.Event{Kind: k, Node: i, Host: l.byAdr[h.Addr]})
-			if h.Born == l.hosts[l.byAdr[h.Addr]].Born() {
+			if h.StartedAt == l.hosts[l.byAdr[h.Addr]].Born() {
 				l.see(check.Event{Kind: check.Knows, Node: i, Host: l.byAdr[h.Addr]})
 			}
 			if !m.Whole {
--- a/internal/lab/sends.go
+++ b/internal/lab/sends.go
@@ -44,7 +44,7 @@
 	if !apart {
 		l.cal.push(event{at: l.now + way, kind: reaches, send: s})
 	}
-	l.cal.push(event{at: max(c.Until, l.now), kind: givesUp, send: s})
+	l.cal.push(event{at: max(c.Deadline, l.now), kind: givesUp, send: s})
 }
 
 // back brings an outcome to the dispatcher after a while.
@@ -74,7 +74,7 @@
 	if r == policy.OK {
 		l.answer(s.try, check.Served)
 	}
-	l.tell(s.node, dispatch.Ended{Key: s.key, Result: r})
+	l.tell(s.node, dispatch.AttemptEnded{Key: s.key, Result: r})
 }
 
 // reach brings a send to its host.
@@ -128,11 +128,11 @@
 		switch n.Kind {
 		case fleet.Started:
 			l.cal.push(event{at: l.now + way, kind: toNode, a: int32(s.node), b: int32(s.life), send: s,
-				msg: dispatch.Started{Key: s.key}})
+				msg: dispatch.JobStarted{Key: s.key}})
 			continue
 		case fleet.Progressed:
 			l.cal.push(event{at: l.now + way, kind: toNode, a: int32(s.node), b: int32(s.life), send: s,
-				msg: dispatch.Progress{Key: s.key, Share: n.Share}})
+				msg: dispatch.JobProgress{Key: s.key, Share: n.Share}})
 			continue
 		case fleet.Done:
 			l.did(s, way)
@@ -159,7 +159,7 @@
 
 func (l *Lab) probe(i, host int, e *event) {
 	h := l.hosts[host]
-	m := e.msg.(dispatch.Probed)
+	m := e.msg.(dispatch.ProbeEnded)
 	sent := m.Took
 	if l.apart(l.nodes[i].room, h.Room) {
 		m.Result, m.Took = policy.TimedOut, probeTimeout
--- a/internal/lab/setup.go
+++ b/internal/lab/setup.go
@@ -46,7 +46,7 @@
 			addr := fmt.Sprintf("10.%d.%d.%d:1", i>>16, i>>8&255, i&255)
 			l.byAdr[addr] = i
 			l.list = append(l.list, dispatch.Host{Name: name, Addr: addr, Zone: h.Room, Kind: kind, Scale: float64(hs.Lanes) * hs.Speed,
-				Born: h.Born()})
+				StartedAt: h.Born()})
 		}
 	}
 	l.wake = make([]time.Duration, len(l.hosts))
@@ -94,7 +94,7 @@
 	n.chain, n.up, n.watching, n.open, n.inbox, n.wakeAt = dispatch.NewChain(core, dispatch.Gates{Waiting: gate, Shed: shed, Sites: l.sitesGate(i)}), true, false, map[uint64]*try{}, nil, 0
 	n.stopping = 0
 	clear(n.idle)
-	l.tell(i, dispatch.Listed{Version: 0, Whole: true, Stale: true, Hosts: slices.Clone(n.known)})
+	l.tell(i, dispatch.HostList{Version: 0, Whole: true, Stale: true, Hosts: slices.Clone(n.known)})
 	return nil
 }
 
--- a/internal/lab/shares/world.go
+++ b/internal/lab/shares/world.go
@@ -57,7 +57,7 @@
 	member  int
 	life    uint64
 	node    *budget.Node
-	rate    *budget.Rate
+	rate    *budget.TokenBucket
 	drift   float64
 	offset  time.Duration
 	born    time.Duration
@@ -123,13 +123,13 @@
 // Play plays a world.
 func Play(w *World, seed uint64) *Result {
 	p := &play{w: w, rng: rand.New(rand.NewPCG(seed, 17)), led: -1, second: make([]float64, int(w.Length/time.Second)+1)}
-	every, term := budget.Pace(w.Members)
+	every, term := budget.Timing(w.Members)
 	believed := w.Believed
 	if believed == 0 {
 		believed = w.Drift
 	}
 	lim := budget.Limits{Floor: w.Floor}
-	p.cfg = budget.Config{Members: w.Members, Voters: w.Voters, Budgets: 1, Floor: lim.FloorOf(w.Members), Term: term, Every: every, Drift: believed}
+	p.cfg = budget.Config{Members: w.Members, Voters: w.Voters, Budgets: 1, Floor: lim.FloorUnits(w.Members), LeaseTime: term, RequestInterval: every, Drift: believed}
 	p.at = make([]*process, w.Members)
 	for i := range w.Members {
 		p.start(i)
@@ -159,17 +159,17 @@
 		return
 	}
 	x := &process{member: i, life: uint64(len(p.all) + 1), born: p.now, drift: (2*p.rng.Float64() - 1) * p.w.Drift,
-		offset: time.Duration(p.rng.Float64() * 24 * float64(time.Hour)), rate: &budget.Rate{PerSecond: p.w.Rate / (1 + p.cfg.Drift), Burst: p.w.Burst}}
+		offset: time.Duration(p.rng.Float64() * 24 * float64(time.Hour)), rate: &budget.TokenBucket{PerSecond: p.w.Rate / (1 + p.cfg.Drift), Burst: p.w.Burst}}
 	x.askedAt = x.offset
 	p.all, p.at[i] = append(p.all, x), x
 	if p.w.Static {
-		x.rate.Own(x.offset, budget.Static(p.w.Members))
+		x.rate.SetShare(x.offset, budget.EqualShare(p.w.Members))
 		return
 	}
 	c := p.cfg
-	c.Self, c.Life = i, x.life
+	c.Self, c.Incarnation = i, x.life
 	x.node = budget.NewNode(c, x.offset)
-	x.rate.Own(x.offset, x.node.Share(0))
+	x.rate.SetShare(x.offset, x.node.Share(0))
 	p.step(x, nil)
 }
 
@@ -187,16 +187,16 @@
 	local := x.local(p.now)
 	f := math.Exp(-float64(local-x.askedAt) / 1e9)
 	x.asked, x.askedAt = x.asked*f, local
-	x.node.Want([]budget.Units{budget.Wanted(x.asked, p.w.Rate, p.cfg.Floor)})
+	x.node.SetDemand([]budget.Units{budget.ExtraDemand(x.asked, p.w.Rate, p.cfg.Floor)})
 	for _, m := range x.node.Step(local, in) {
 		p.carry(m)
 	}
 	if s := x.node.Share(0); s.Epoch != x.epoch {
 		x.epoch = s.Epoch
-		x.rate.Own(local, s)
+		x.rate.SetShare(local, s)
 		p.sum()
 	}
-	if x.node.Leads(local) && p.led != x.member {
+	if x.node.IsLeader(local) && p.led != x.member {
 		p.led = x.member
 		p.res.Leaders++
 	}
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -73,13 +73,13 @@
 func (l *Lab) publish(host int, s policy.State) {
 	l.seq++
 	e := &l.list[host]
-	e.State, e.Born = s, l.hosts[host].Born()
+	e.State, e.StartedAt = s, l.hosts[host].Born()
 	if l.down {
 		return
 	}
 	for i, n := range l.nodes {
 		if n.up && n.watching && l.deaf[n.room] == 0 {
-			l.later(i, l.sc.delay, dispatch.Listed{Version: l.seq, Hosts: []dispatch.Host{*e}})
+			l.later(i, l.sc.delay, dispatch.HostList{Version: l.seq, Hosts: []dispatch.Host{*e}})
 		}
 	}
 }
--- a/internal/net/cluster/cluster.go
+++ b/internal/net/cluster/cluster.go
@@ -19,10 +19,10 @@
 	"gaugeslip/policy"
 )
 
-// StallAfter is how long a watch may stay silent before it counts as broken. Discovery sends a line every 2 s and a
+// StallTimeout is how long a watch may stay silent before it counts as broken. Discovery sends a line every 2 s and a
 // call may wait 3 s for its turn. Discovery counts a change as delivered after 6 s even if it never arrives, or after 4
 // s if the service has moved.
-const StallAfter = 3500 * time.Millisecond
+const StallTimeout = 3500 * time.Millisecond
 
 const (
 	maxLine     = 1 << 20
@@ -32,7 +32,7 @@
 // Source provides the list of upstream hosts.
 type Source interface {
 	// Watch passes on all changes after a version until the watch breaks or ctx ends. The returned error is never nil.
-	Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error
+	Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error
 }
 
 // hostEntry is one host of the list.
@@ -58,26 +58,26 @@
 
 // Decode reads one list, either whole or of changes. An invalid entry is an error, since skipping it could mean missing
 // a drain.
-func Decode(text []byte, s *settings.Settings) (dispatch.Listed, error) {
+func Decode(text []byte, s *settings.Settings) (dispatch.HostList, error) {
 	var l hostList
 	if err := json.Unmarshal(text, &l); err != nil {
-		return dispatch.Listed{}, fmt.Errorf("cluster: %w", err)
+		return dispatch.HostList{}, fmt.Errorf("cluster: %w", err)
 	}
-	out := dispatch.Listed{Version: l.Seq, Whole: l.Whole, Hosts: make([]dispatch.Host, 0, len(l.Hosts))}
+	out := dispatch.HostList{Version: l.Seq, Whole: l.Whole, Hosts: make([]dispatch.Host, 0, len(l.Hosts))}
 	for _, e := range l.Hosts {
 		state, ok := healthStates[e.Health]
 		if !ok || e.Host == "" {
-			return dispatch.Listed{}, fmt.Errorf("cluster: host %q: health: unknown %q", e.Host, e.Health)
+			return dispatch.HostList{}, fmt.Errorf("cluster: host %q: health: unknown %q", e.Host, e.Health)
 		}
 		out.Hosts = append(out.Hosts, dispatch.Host{Name: e.Host, Addr: e.Dial,
-			Zone: settings.Find(s.Zones, e.Site), Kind: settings.Find(s.Kinds, e.Class), Cell: e.Block,
-			State: state, Scale: e.Share, Born: settings.Millis(e.BornMS)})
+			Zone: settings.IndexOf(s.Zones, e.Site), Kind: settings.IndexOf(s.Kinds, e.Class), Cell: e.Block,
+			State: state, Scale: e.Share, StartedAt: settings.Millis(e.BornMS)})
 	}
 	return out, nil
 }
 
-// Known reads the list of the configuration, which may be out of date. Without one the cluster is empty.
-func Known(text []byte, s *settings.Settings) (dispatch.Listed, error) {
+// DecodeKnown reads the list of the configuration, which may be out of date. Without one the cluster is empty.
+func DecodeKnown(text []byte, s *settings.Settings) (dispatch.HostList, error) {
 	if len(text) == 0 {
 		text = []byte("{}")
 	}
@@ -88,14 +88,14 @@
 
 // Discovery is the Source that uses discovery's HTTP interface.
 type Discovery struct {
-	Addr     string
-	Stall    time.Duration // how long a watch may stay silent, see StallAfter
-	Settings *settings.Settings
+	Addr         string
+	StallTimeout time.Duration // how long a watch may stay silent, see StallTimeout
+	Settings     *settings.Settings
 }
 
 // Watch opens the stream of changes and follows it.
-func (d *Discovery) Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error {
-	dialer := net.Dialer{Timeout: min(d.Stall, dialTimeout), KeepAlive: -1}
+func (d *Discovery) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
+	dialer := net.Dialer{Timeout: min(d.StallTimeout, dialTimeout), KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", d.Addr)
 	if err != nil {
 		return fmt.Errorf("cluster: %w", err)
@@ -104,7 +104,7 @@
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	// The deadline applies to each list, not to each read: a machine that vanishes leaves a silent connection open, and
 	// one that sends byte by byte makes no progress either.
-	alive := func() { conn.SetDeadline(time.Now().Add(d.Stall)) }
+	alive := func() { conn.SetDeadline(time.Now().Add(d.StallTimeout)) }
 	alive()
 	req := "GET /discovery/hosts?stream=1&index=" + strconv.FormatUint(after, 10) +
 		" HTTP/1.1\r\nHost: " + d.Addr + "\r\n\r\n"
--- a/internal/net/cluster/cluster_test.go
+++ b/internal/net/cluster/cluster_test.go
@@ -17,9 +17,9 @@
 	`"block":3,"health":"terminating","share":1.5,"born_ms":1700000000123},` +
 	`{"host":"s-2","dial":"127.0.0.1:8444","site":"far","class":"m9","health":"terminated"}]}`
 
-var want = dispatch.Listed{Version: 43, Hosts: []dispatch.Host{
+var want = dispatch.HostList{Version: 43, Hosts: []dispatch.Host{
 	{Name: "s-1", Addr: "127.0.0.1:8443", Cell: 3, State: policy.Draining, Scale: 1.5,
-		Born: 1700000000123 * time.Millisecond},
+		StartedAt: 1700000000123 * time.Millisecond},
 	{Name: "s-2", Addr: "127.0.0.1:8444", Zone: -1, Kind: -1, State: policy.Gone}}}
 
 func TestDecode(t *testing.T) {
@@ -36,29 +36,29 @@
 // The configuration's copy of the list may be out of date or missing.
 func TestKnown(t *testing.T) {
 	for _, text := range []string{"", `{"seq":5,"whole":false}`} {
-		l, err := Known([]byte(text), nettest.Settings(t))
+		l, err := DecodeKnown([]byte(text), nettest.Settings(t))
 		require.NoError(t, err)
 		assert.True(t, l.Whole && l.Stale)
 	}
 }
 
 // watch follows a scripted discovery until the watch breaks.
-func watch(t *testing.T, stall time.Duration, script func(*nettest.Call)) (*nettest.Peer, []dispatch.Listed, error) {
+func watch(t *testing.T, stall time.Duration, script func(*nettest.Call)) (*nettest.Peer, []dispatch.HostList, error) {
 	p := nettest.Listen(t, script)
-	d := &Discovery{Addr: p.Addr, Stall: stall, Settings: nettest.Settings(t)}
-	var got []dispatch.Listed
-	err := d.Watch(t.Context(), 41, func(l dispatch.Listed) { got = append(got, l) })
+	d := &Discovery{Addr: p.Addr, StallTimeout: stall, Settings: nettest.Settings(t)}
+	var got []dispatch.HostList
+	err := d.Watch(t.Context(), 41, func(l dispatch.HostList) { got = append(got, l) })
 	return p, got, err
 }
 
 // A watch passes on every list, also a whole one, skips empty lines and returns an error when it breaks.
 func TestWatch(t *testing.T) {
-	p, got, err := watch(t, nettest.Patience, func(c *nettest.Call) {
-		c.Say(nettest.Chunks(line, "", `{"seq":44,"whole":true}`))
+	p, got, err := watch(t, nettest.Timeout, func(c *nettest.Call) {
+		c.WriteText(nettest.Chunks(line, "", `{"seq":44,"whole":true}`))
 		c.Conn.Close()
 	})
 	require.Error(t, err)
-	assert.Equal(t, []dispatch.Listed{want, {Version: 44, Whole: true, Hosts: []dispatch.Host{}}}, got)
+	assert.Equal(t, []dispatch.HostList{want, {Version: 44, Whole: true, Hosts: []dispatch.Host{}}}, got)
 	assert.Equal(t, "/discovery/hosts?stream=1&index=41", nettest.Wait(t, p.Calls).RequestURI)
 }
 
@@ -74,14 +74,14 @@
 		"stalled":   nettest.Chunks(line),
 		"half line": nettest.Chunks(line) + "40\r\n{\"seq\":44,",
 	} {
-		stall := nettest.Patience
+		stall := nettest.Timeout
 		if name == "no answer" || name == "stalled" || name == "unended" || name == "half line" {
 			stall = 50 * time.Millisecond
 		}
-		_, got, err := watch(t, stall, func(c *nettest.Call) { c.Say(say) })
+		_, got, err := watch(t, stall, func(c *nettest.Call) { c.WriteText(say) })
 		assert.Error(t, err, name)
 		if name == "half line" {
-			assert.Equal(t, []dispatch.Listed{want}, got, "complete lists are passed on")
+			assert.Equal(t, []dispatch.HostList{want}, got, "complete lists are passed on")
 		}
 	}
 }
@@ -90,11 +90,11 @@
 func TestWatchStaysUp(t *testing.T) {
 	const stall = time.Second
 	_, got, err := watch(t, stall, func(c *nettest.Call) {
-		c.Say(nettest.Chunks())
+		c.WriteText(nettest.Chunks())
 		for begun := time.Now(); time.Since(begun) < 3*stall/2; time.Sleep(stall / 50) {
-			c.Say(nettest.Chunk(""))
+			c.WriteText(nettest.Chunk(""))
 		}
-		c.Say(nettest.Chunk(line))
+		c.WriteText(nettest.Chunk(line))
 		c.Conn.Close()
 	})
 	require.Error(t, err)
@@ -104,7 +104,7 @@
 // A watch ends with its context.
 func TestWatchCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	p := nettest.Listen(t, func(c *nettest.Call) { c.Say(nettest.Chunks(line)) })
-	d := &Discovery{Addr: p.Addr, Stall: nettest.Patience, Settings: nettest.Settings(t)}
-	assert.Error(t, d.Watch(ctx, 0, func(dispatch.Listed) { cancel() }))
+	p := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks(line)) })
+	d := &Discovery{Addr: p.Addr, StallTimeout: nettest.Timeout, Settings: nettest.Settings(t)}
+	assert.Error(t, d.Watch(ctx, 0, func(dispatch.HostList) { cancel() }))
 }
--- a/internal/net/cluster/endings_test.go
+++ b/internal/net/cluster/endings_test.go
@@ -33,20 +33,20 @@
 		"within a list": nettest.Chunks(line, `{"seq":44,`)} {
 		t.Run(name, func(t *testing.T) {
 			type end struct {
-				got []dispatch.Listed
+				got []dispatch.HostList
 				err error
 			}
 			ended := make(chan end, 1)
 			go func() {
 				_, got, err := watch(t, 200*time.Millisecond, func(c *nettest.Call) {
 					if begin == "" {
-						for c.Say("HTTP/1.1 200 OK\r\n"); ; time.Sleep(time.Millisecond) {
+						for c.WriteText("HTTP/1.1 200 OK\r\n"); ; time.Sleep(time.Millisecond) {
 							if _, err := c.Conn.Write([]byte("X: y\r\n")); err != nil {
 								return
 							}
 						}
 					}
-					c.Say(begin)
+					c.WriteText(begin)
 					trickle(c, `"more":[1,2,3],`)
 				})
 				ended <- end{got, err}
@@ -65,9 +65,9 @@
 	indent := func(s string) string {
 		return strings.NewReplacer("{\"", "{\n  \"", ",\"", ",\n  \"", ":[", ": [\n", "}", "\n}").Replace(s)
 	}
-	_, got, err := watch(t, nettest.Patience, func(c *nettest.Call) {
-		c.Say(nettest.Chunks(strings.Split(indent(line), "\n")...) + nettest.Chunk(""))
-		c.Say(nettest.Chunk(strings.ReplaceAll(odd, `,"whole"`, ",\r\n\t\"whole\"")) + nettest.Chunk(`{"seq":45,"whole":true}`))
+	_, got, err := watch(t, nettest.Timeout, func(c *nettest.Call) {
+		c.WriteText(nettest.Chunks(strings.Split(indent(line), "\n")...) + nettest.Chunk(""))
+		c.WriteText(nettest.Chunk(strings.ReplaceAll(odd, `,"whole"`, ",\r\n\t\"whole\"")) + nettest.Chunk(`{"seq":45,"whole":true}`))
 		c.Conn.Close()
 	})
 	require.Error(t, err)
--- a/internal/net/cluster/pace.go
+++ b/internal/net/cluster/pace.go
@@ -55,7 +55,7 @@
 		within := time.Duration(askWithinFactor * float64(askWithin))
 		p.firstWindow, p.maxWindow = min(window, within), min(p.maxWindow, failureFactor*within)
 	}
-	p.silentWindow = min(p.firstWindow, max(0, deliveredAfter+grace-StallAfter-reopenTime))
+	p.silentWindow = min(p.firstWindow, max(0, deliveredAfter+grace-StallTimeout-reopenTime))
 	return p
 }
 
@@ -90,12 +90,12 @@
 }
 
 // Watch waits as long as the pace requires, then watches.
-func (s *Paced) Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error {
+func (s *Paced) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
 	if err := pause.For(ctx, s.Pace.Next()); err != nil {
 		return err
 	}
 	received := false
-	err := s.Source.Watch(ctx, after, func(l dispatch.Listed) {
+	err := s.Source.Watch(ctx, after, func(l dispatch.HostList) {
 		received = true
 		each(l)
 	})
--- a/internal/net/cluster/pace_test.go
+++ b/internal/net/cluster/pace_test.go
@@ -96,7 +96,7 @@
 // failingSource is a source whose every call fails.
 type failingSource struct{ calls int }
 
-func (l *failingSource) Watch(context.Context, uint64, func(dispatch.Listed)) error {
+func (l *failingSource) Watch(context.Context, uint64, func(dispatch.HostList)) error {
 	l.calls++
 	return errors.New("status 503")
 }
--- a/internal/net/cluster/pushed.go
+++ b/internal/net/cluster/pushed.go
@@ -30,14 +30,14 @@
 }
 
 // Watch follows the source until ctx ends.
-func (s *Pushed) Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error {
+func (s *Pushed) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
 	most := maxRetryWait
 	if s.Grace > 0 {
 		most = min(most, max(minRetryWait, s.Grace/graceDivisor))
 	}
 	for wait := time.Duration(0); ; {
 		received := false
-		err := s.Source.Watch(ctx, after, func(l dispatch.Listed) {
+		err := s.Source.Watch(ctx, after, func(l dispatch.HostList) {
 			received, after = true, l.Version
 			each(l)
 		})
--- a/internal/net/downstream/decode.go
+++ b/internal/net/downstream/decode.go
@@ -76,7 +76,7 @@
 			return nil, bad("%s: more than one", name)
 		}
 	}
-	t := &loop.Ticket{Arrived: arrived, Job: dispatch.Arrived{Class: class, Tenant: -1, Slots: 1},
+	t := &loop.Ticket{Arrived: arrived, Job: dispatch.JobArrived{Class: class, Tenant: -1, Slots: 1},
 		Forward: upstream.Request{Method: r.Method, URI: target(r), Host: r.Host,
 			TraceID: r.Header.Get("X-Trace-Id"), Once: s.Policy.Classes[class].Effect != policy.Repeatable}}
 	j := &t.Job
--- a/internal/net/downstream/downstream_test.go
+++ b/internal/net/downstream/downstream_test.go
@@ -24,7 +24,7 @@
 // none is a cluster of which nothing is heard.
 type none struct{}
 
-func (none) Watch(ctx context.Context, _ uint64, _ func(dispatch.Listed)) error {
+func (none) Watch(ctx context.Context, _ uint64, _ func(dispatch.HostList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -48,13 +48,13 @@
 	set := nettest.Settings(t)
 	core, err := dispatch.New(set.Policy, 1)
 	require.NoError(t, err)
-	pool := upstream.NewPool(upstream.Config{ConnectTimeout: nettest.Patience, ConnIdle: time.Minute, MaxConns: 9})
+	pool := upstream.NewPool(upstream.Config{ConnectTimeout: nettest.Timeout, ConnIdle: time.Minute, MaxConns: 9})
 	var room *dispatch.WaitingGate
 	if lim != nil {
 		room = dispatch.NewWaitingGate(*lim, set.Policy)
 	}
 	l := loop.New(dispatch.NewChain(core, dispatch.Gates{Waiting: room}), set, pool, none{}, loop.NewClock())
-	l.Post(dispatch.Listed{Whole: true, Stale: true,
+	l.Post(dispatch.HostList{Whole: true, Stale: true,
 		Hosts: []dispatch.Host{{Name: "s-0000000a", Addr: host.Addr, Scale: 1},
 			{Name: "s-0000000b", Addr: host.Addr, Scale: 1}}})
 	s := New(Config{Listen: "127.0.0.1:0", MaxConns: maxConns, MaxBodies: maxBody, AcceptFor: acceptFor,
@@ -242,7 +242,7 @@
 	closed := make(chan int, maxConns)
 	for i, c := range idle {
 		go func() {
-			c.Conn.SetReadDeadline(time.Now().Add(nettest.Patience))
+			c.Conn.SetReadDeadline(time.Now().Add(nettest.Timeout))
 			if _, err := c.Conn.Read(make([]byte, 1)); err != nil {
 				closed <- i
 			}
@@ -299,7 +299,7 @@
 	}
 	k, err := decode(r, nettest.Settings(t), time.Now())
 	require.NoError(t, err)
-	assert.Equal(t, dispatch.Arrived{Class: 1, Tenant: -1, Budget: 480 * time.Millisecond, Retry: true,
+	assert.Equal(t, dispatch.JobArrived{Class: 1, Tenant: -1, Budget: 480 * time.Millisecond, Retry: true,
 		Size: 2500 * time.Microsecond, Slots: 2, Key: k.Job.Key, Keyed: true}, k.Job)
 	r.Header.Set("X-Trace-Id", "another")
 	again, err := decode(r, nettest.Settings(t), time.Now())
@@ -409,7 +409,7 @@
 			<-hold
 		}
 		nettest.Serve(c)
-	}, nil, func(s *Server) { s.cfg.KilledAfter = nettest.Patience }) // else slow may have failed by then
+	}, nil, func(s *Server) { s.cfg.KilledAfter = nettest.Timeout }) // else slow may have failed by then
 	release := sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(release) // before the host ends, which waits for its script
 	slow, idle := nettest.Dial(t, addr), nettest.Dial(t, addr)
--- a/internal/net/downstream/endings_test.go
+++ b/internal/net/downstream/endings_test.go
@@ -54,7 +54,7 @@
 			}
 			c.Send("POST /harvest-sale/x HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t1\r\nX-Not-Yet: 1\r\nContent-Length: 0\r\n\r\n")
 			nettest.Wait(t, left)
-			require.Eventually(t, func() bool { return running.Held() == 0 }, nettest.Patience, time.Millisecond)
+			require.Eventually(t, func() bool { return running.Held() == 0 }, nettest.Timeout, time.Millisecond)
 			for len(host.Calls) > 0 { // t1 may have gone out before the leave was seen, what came behind it never
 				assert.Equal(t, "t1", (<-host.Calls).Header.Get("X-Trace-Id"))
 			}
@@ -68,7 +68,7 @@
 			nettest.Wait(t, host.Calls)
 			c.Post("/harvest-sale/x", "t2", "", more)
 			c.Conn.Close()
-			require.Eventually(t, func() bool { return running.Held() == 0 }, nettest.Patience, time.Millisecond)
+			require.Eventually(t, func() bool { return running.Held() == 0 }, nettest.Timeout, time.Millisecond)
 			assert.Empty(t, host.Calls, "a request that came too early and whose client left is not sent on")
 		})
 	}
@@ -207,7 +207,7 @@
 				server.gate.mu.Lock()
 				defer server.gate.mu.Unlock()
 				return len(server.gate.conns[idle]) == 1
-			}, nettest.Patience, time.Millisecond)
+			}, nettest.Timeout, time.Millisecond)
 			var crossing atomic.Bool
 			once := sync.OnceFunc(func() { crossing.Store(true); end(server) }) // its client may see the end at once
 			crossed := func(n int) {
@@ -219,7 +219,7 @@
 			after = crossed
 			server.gate.mu.Unlock()
 			c.Post("/harvest-sale/x", "t2", "", "x") // the read that waits since before has the old hook's address
-			c.SetReadDeadline(time.Now().Add(nettest.Patience))
+			c.SetReadDeadline(time.Now().Add(nettest.Timeout))
 			_, err := c.Conn.Read(make([]byte, 1))
 			require.Error(t, err, "closed with no answer")
 			require.False(t, errors.Is(err, os.ErrDeadlineExceeded))
@@ -351,7 +351,7 @@
 			answered := make(chan struct{})
 			up := &ending{}
 			l := loop.New(dispatch.NewChain(core, dispatch.Gates{}), set, up, none{}, loop.NewClock())
-			l.Post(dispatch.Listed{Whole: true, Stale: true, Hosts: []dispatch.Host{{Name: "s-0000000a", Addr: "127.0.0.1:1", Scale: 1}}})
+			l.Post(dispatch.HostList{Whole: true, Stale: true, Hosts: []dispatch.Host{{Name: "s-0000000a", Addr: "127.0.0.1:1", Scale: 1}}})
 			ctx, halt := context.WithCancel(t.Context())
 			client, leave := context.WithCancel(t.Context())
 			up.halt = func() {
@@ -376,7 +376,7 @@
 			}
 			w := httptest.NewRecorder()
 			k := &loop.Ticket{Arrived: time.Now(), Forward: upstream.Request{TraceID: "t1"},
-				Job: dispatch.Arrived{Tenant: -1, Budget: 15 * time.Second, Size: 100 * time.Millisecond, Slots: 1}}
+				Job: dispatch.JobArrived{Tenant: -1, Budget: 15 * time.Second, Size: 100 * time.Millisecond, Slots: 1}}
 			s.await(w, r, k, prefer{})
 			assert.Equal(t, "200 r", strings.TrimSpace(w.Result().Status[:3]+" "+w.Body.String()), ends)
 			assert.Zero(t, l.Held())
@@ -468,7 +468,7 @@
 			}
 		}
 		return false
-	}, nettest.Patience, time.Millisecond)
+	}, nettest.Timeout, time.Millisecond)
 	taken := nettest.Dial(t, addr)
 	taken.Post("/harvest-sale/x", "t1", "", "x")
 	nettest.Wait(t, read)
@@ -477,7 +477,7 @@
 	nettest.Wait(t, l.ended)
 	fresh := nettest.Dial(t, addr)
 	fresh.Post("/harvest-sale/x", "t3", "", "x")
-	successor.(*net.TCPListener).SetDeadline(time.Now().Add(nettest.Patience))
+	successor.(*net.TCPListener).SetDeadline(time.Now().Add(nettest.Timeout))
 	nc, err := successor.Accept()
 	require.NoError(t, err)
 	defer nc.Close()
--- a/internal/net/downstream/jobs.go
+++ b/internal/net/downstream/jobs.go
@@ -118,7 +118,7 @@
 // the end first may have that instead.
 func (s *Server) accepted(w http.ResponseWriter, r *http.Request, id string, p prefer) {
 	if p.wait > 0 {
-		if told, ok := s.ask(r, waiting.Ask{Name: id}, p.wait); ok && told.Info != nil && told.Info.State.Final() {
+		if told, ok := s.ask(r, waiting.Query{Name: id}, p.wait); ok && told.Info != nil && told.Info.State.Final() {
 			s.outcome(w, told.Info)
 			return
 		}
@@ -163,8 +163,8 @@
 
 func view(i *waiting.Info) *Job {
 	j := &Job{ID: i.Name, State: i.State.String(), Class: i.Class, DueMS: i.Due.Milliseconds(),
-		WaitedMS: i.Waited.Milliseconds(), Attempts: i.Attempts, Status: i.Status, Shed: i.Shed}
-	if i.State == waiting.Served && !i.Shed {
+		WaitedMS: i.Waited.Milliseconds(), Attempts: i.Attempts, Status: i.Status, Shed: i.ResultShed}
+	if i.State == waiting.Served && !i.ResultShed {
 		if utf8.ValidString(i.Result) {
 			j.Result = &i.Result
 		} else {
@@ -175,27 +175,27 @@
 }
 
 // ask puts a question to the room and waits for its end where wait says so.
-func (s *Server) ask(r *http.Request, q waiting.Ask, wait time.Duration) (dispatch.Told, bool) {
-	q.Until = s.loop.Clock().Now() + wait
-	return s.loop.Ask(r.Context(), dispatch.Asked{Ask: q})
+func (s *Server) ask(r *http.Request, q waiting.Query, wait time.Duration) (dispatch.QueryResult, bool) {
+	q.Deadline = s.loop.Clock().Now() + wait
+	return s.loop.Ask(r.Context(), dispatch.JobQuery{Query: q})
 }
 
 // jobs serves what is below Jobs.
 func (s *Server) jobs(w http.ResponseWriter, r *http.Request) {
 	id := strings.TrimPrefix(strings.TrimPrefix(r.URL.Path, Jobs), "/")
-	q := waiting.Ask{Name: id}
+	q := waiting.Query{Name: id}
 	var wait time.Duration
 	switch {
 	case id == "" && r.Method == http.MethodGet:
 		query, err := url.ParseQuery(r.URL.RawQuery)
 		if err == nil {
-			q.From, q.Most = query.Get("from"), maxPage
+			q.StartAfter, q.MaxJobs = query.Get("from"), maxPage
 			if said := query.Get("most"); said != "" {
 				var n uint64
 				if n, err = strconv.ParseUint(said, 10, 16); n < 1 || n > maxPage {
 					err = strconv.ErrRange
 				}
-				q.Most = int(n)
+				q.MaxJobs = int(n)
 			}
 		}
 		if err != nil {
@@ -234,7 +234,7 @@
 			j.Result = nil
 			page.Jobs = append(page.Jobs, *j)
 		}
-		if n := len(page.Jobs); n == q.Most {
+		if n := len(page.Jobs); n == q.MaxJobs {
 			page.Next = page.Jobs[n-1].ID
 		}
 		s.json(w, http.StatusOK, &page)
@@ -259,6 +259,6 @@
 // closing tells the room that the program ends, and when its answers have to be out.
 func (s *Server) closing() {
 	if s.loop != nil {
-		s.loop.Post(dispatch.Closing{By: s.loop.Clock().Since(s.answerBy(s.killedAt()))})
+		s.loop.Post(dispatch.Shutdown{Deadline: s.loop.Clock().Since(s.answerBy(s.killedAt()))})
 	}
 }
--- a/internal/net/downstream/jobs_test.go
+++ b/internal/net/downstream/jobs_test.go
@@ -86,7 +86,7 @@
 		id := c.Header.Get("X-Trace-Id")
 		order <- id
 		if id == "bad" {
-			c.Say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
+			c.WriteText("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 			return
 		}
 		nettest.Serve(c)
@@ -211,9 +211,9 @@
 	known := func(state string) func() bool {
 		return func() bool { j, _ := job(t, addr, "t1", ""); return j.State == state }
 	}
-	require.Eventually(t, known("waiting"), nettest.Patience, time.Millisecond)
+	require.Eventually(t, known("waiting"), nettest.Timeout, time.Millisecond)
 	c.Close()
-	require.Eventually(t, known("cancelled"), nettest.Patience, time.Millisecond)
+	require.Eventually(t, known("cancelled"), nettest.Timeout, time.Millisecond)
 	assert.Empty(t, host.Calls)
 }
 
@@ -245,7 +245,7 @@
 	assert.Equal(t, 202, resp.StatusCode)
 	nettest.Wait(t, host.Calls)
 	asks.Send("GET /jobs/out HTTP/1.1\r\nHost: h\r\nPrefer: wait=60\r\n\r\n")
-	require.Eventually(t, func() bool { j, _ := job(t, addr, "line", ""); return j.State == "waiting" }, nettest.Patience,
+	require.Eventually(t, func() bool { j, _ := job(t, addr, "line", ""); return j.State == "waiting" }, nettest.Timeout,
 		time.Millisecond)
 	stop()
 	resp, _ = line.Answer()
--- a/internal/net/loop/calls.go
+++ b/internal/net/loop/calls.go
@@ -13,7 +13,7 @@
 // is changed. Once it returns with known, the module has heard of it. False and an error: ctx or the loop has ended
 // first, and the change may yet be made.
 func (l *Loop) Hand(ctx context.Context, name string, out bool) (known bool, err error) {
-	m := dispatch.Hand{Ask: l.nextHand.Add(1), Name: name, Out: out}
+	m := dispatch.SetCordon{Request: l.nextHand.Add(1), Name: name, Cordoned: out}
 	handed := make(chan bool, 1)
 	select {
 	case l.urgent <- envelope{msg: m, handed: handed}:
@@ -35,7 +35,7 @@
 // HandSet makes the set of hosts out by hand the one given, as it is kept outside the process.
 func (l *Loop) HandSet(names []string) {
 	select {
-	case l.urgent <- envelope{msg: dispatch.HandSet{Names: names}}:
+	case l.urgent <- envelope{msg: dispatch.CordonSet{Names: names}}:
 	case <-l.stopped:
 	}
 }
@@ -112,24 +112,24 @@
 func (l *Loop) Release(t *Ticket, left bool) {
 	l.held.Add(-1)
 	if left {
-		l.Post(dispatch.Left{Job: t.Job.Job})
+		l.Post(dispatch.ClientGone{Job: t.Job.Job})
 	}
 }
 
 // Ask asks about waiting jobs. What q waits for is over at its Until, on the loop's clock. False: ctx has ended, or the
 // loop has.
-func (l *Loop) Ask(ctx context.Context, q dispatch.Asked) (dispatch.Told, bool) {
+func (l *Loop) Ask(ctx context.Context, q dispatch.JobQuery) (dispatch.QueryResult, bool) {
 	q.Number = l.nextAsk.Add(1)
-	told := make(chan dispatch.Told, 1)
+	told := make(chan dispatch.QueryResult, 1)
 	l.post(envelope{msg: q, told: told})
 	select {
 	case t := <-told:
 		return t, true
 	case <-ctx.Done():
-		l.Post(dispatch.Unasked{Ask: q.Number})
+		l.Post(dispatch.QueryCancelled{Query: q.Number})
 	case <-l.stopped:
 	}
-	return dispatch.Told{}, false
+	return dispatch.QueryResult{}, false
 }
 
 // Idle waits until no job that lives on without its connection is before the module or at a host, or until ctx ends.
--- a/internal/net/loop/carry.go
+++ b/internal/net/loop/carry.go
@@ -21,14 +21,14 @@
 		if out, ok := l.out[c.Key]; ok {
 			out.cancel()
 		}
-	case dispatch.Unsend:
+	case dispatch.CancelUnsent:
 		if out, ok := l.out[c.Key]; ok {
 			out.unsend()
 		}
 	case dispatch.LocalReply:
 		if t := l.tickets[c.Job]; t != nil {
 			delete(l.tickets, c.Job)
-			a := Answer{Refused: c.Refused, Status: c.Status, Why: c.Why}
+			a := Answer{Refused: c.Refused, Status: c.Status, Why: c.Reason}
 			if l.set.RetryAfter {
 				a.RetryAfter = c.RetryAfter
 			}
@@ -41,21 +41,21 @@
 			l.parked[c.Job] = park(t)
 			t.settle(Answer{Accepted: true})
 		}
-	case dispatch.Handed:
-		if handed := l.hands[c.Ask]; handed != nil {
-			delete(l.hands, c.Ask)
+	case dispatch.CordonResult:
+		if handed := l.hands[c.Request]; handed != nil {
+			delete(l.hands, c.Request)
 			handed <- c.Known // its buffer holds one
 		}
-	case dispatch.Told:
-		if told := l.asks[c.Ask]; told != nil {
-			delete(l.asks, c.Ask)
+	case dispatch.QueryResult:
+		if told := l.asks[c.Query]; told != nil {
+			delete(l.asks, c.Query)
 			told <- c // its buffer holds one
 		}
 	case dispatch.Probe:
 		l.spawn(func() {
 			o := l.upstream.Probe(ctx, c.Addr)
-			l.Post(dispatch.Probed{Worker: c.Worker, Result: o.Result, Took: o.Took, Load: l.load(o.Load)})
-		}, dispatch.Probed{Worker: c.Worker, Result: policy.AppError})
+			l.Post(dispatch.ProbeEnded{Worker: c.Worker, Result: o.Result, Took: o.Took, Load: l.load(o.Load)})
+		}, dispatch.ProbeEnded{Worker: c.Worker, Result: policy.AppError})
 	case dispatch.Watch:
 		if l.watch == nil { // else a move has begun one while the module waited to ask
 			l.startWatch(ctx, c)
@@ -83,7 +83,7 @@
 		panic(fmt.Sprintf("loop: a request for job %d, which is over", c.Job))
 	}
 	q := t.Forward
-	ctx, cancel := context.WithDeadline(ctx, l.clock.Time(c.Until))
+	ctx, cancel := context.WithDeadline(ctx, l.clock.Time(c.Deadline))
 	client := q.Client
 	if client == nil {
 		client = context.Background()
@@ -95,7 +95,7 @@
 		defer cancel()
 		defer unsend()
 		l.upstream.Do(ctx, &q, &follower{l, t, c.Key})
-	}, dispatch.Ended{Key: c.Key, Result: policy.ConnectionLost}) // it may have run
+	}, dispatch.AttemptEnded{Key: c.Key, Result: policy.ConnectionLost}) // it may have run
 }
 
 // spawn starts work that the loop waits for at its end. A panic there must neither end the process nor leave
@@ -119,16 +119,16 @@
 	key    dispatch.Key
 }
 
-func (f *follower) Started() { f.loop.Post(dispatch.Started{Key: f.key}) }
+func (f *follower) Started() { f.loop.Post(dispatch.JobStarted{Key: f.key}) }
 
-func (f *follower) Progress(s float64) { f.loop.Post(dispatch.Progress{Key: f.key, Share: s}) }
+func (f *follower) Progress(s float64) { f.loop.Post(dispatch.JobProgress{Key: f.key, Share: s}) }
 
 // Ended passes the first result on to the client at once; a late one only the loop hears of.
 func (f *follower) Ended(o upstream.Outcome) {
 	if o.Result == policy.OK {
 		f.ticket.settle(Answer{Served: true, Body: o.Body})
 	}
-	f.loop.Post(dispatch.Ended{Key: f.key, Result: o.Result, Load: f.loop.load(o.Load), Body: o.Body})
+	f.loop.Post(dispatch.AttemptEnded{Key: f.key, Result: o.Result, Load: f.loop.load(o.Load), Body: o.Body})
 }
 
 // load turns a report by names into the module's.
@@ -161,7 +161,7 @@
 			}
 			l.post(envelope{msg: dispatch.ListLost{}, watch: n})
 		}()
-		err := source.Watch(ctx, c.Version, func(m dispatch.Listed) { l.post(envelope{msg: m, watch: n}) })
+		err := source.Watch(ctx, c.Version, func(m dispatch.HostList) { l.post(envelope{msg: m, watch: n}) })
 		if ctx.Err() == nil {
 			slog.Info("watch lost", "error", err)
 		}
--- a/internal/net/loop/endings_test.go
+++ b/internal/net/loop/endings_test.go
@@ -26,7 +26,7 @@
 	require.NoError(t, x.Client.Err())
 	drains, other := host, dispatch.Host{Name: "s-0000000b", Addr: "127.0.0.1:2", Scale: 1}
 	drains.State = policy.Draining
-	l.Post(dispatch.Listed{Version: 6, Hosts: []dispatch.Host{drains, other}})
+	l.Post(dispatch.HostList{Version: 6, Hosts: []dispatch.Host{drains, other}})
 	nettest.Wait(t, x.Client.Done())
 	require.NoError(t, x.ctx.Err(), "one that has been written goes on")
 	x.end <- upstream.Outcome{Result: policy.Full} // NeverSent stands for a panic at this side
@@ -46,7 +46,7 @@
 	assert.Equal(t, uint64(5), nettest.Wait(t, s.watches), "it asks again")
 	drains := host
 	drains.State = policy.Draining
-	l.Post(dispatch.Listed{Version: 6, Hosts: []dispatch.Host{drains}})
+	l.Post(dispatch.HostList{Version: 6, Hosts: []dispatch.Host{drains}})
 	assert.True(t, nettest.Wait(t, submit(t, l, 1, 15*time.Second).Answer()).Refused)
 	assert.Empty(t, s.sends)
 }
@@ -63,21 +63,21 @@
 	l := New(dispatch.NewChain(core, dispatch.Gates{}), set, pool, s, NewClock())
 	at := host
 	at.Addr = peer.Addr
-	l.Post(dispatch.Listed{Version: 5, Whole: true, Stale: true, Hosts: []dispatch.Host{at}})
+	l.Post(dispatch.HostList{Version: 5, Whole: true, Stale: true, Hosts: []dispatch.Host{at}})
 	for len(l.queue) < queueLen {
-		l.Post(dispatch.Unasked{})
+		l.Post(dispatch.QueryCancelled{})
 	}
 	client, leave := context.WithCancel(t.Context())
 	left, stays := &Ticket{}, &Ticket{}
 	in := make(chan error, 2)
 	for i, k := range []*Ticket{left, stays} {
-		k.Arrived, k.Job = time.Now(), dispatch.Arrived{Class: 1, Tenant: -1, Budget: 15 * time.Second, Size: 100 * time.Millisecond, Slots: 1}
+		k.Arrived, k.Job = time.Now(), dispatch.JobArrived{Class: 1, Tenant: -1, Budget: 15 * time.Second, Size: 100 * time.Millisecond, Slots: 1}
 		k.Forward = upstream.Request{Method: "POST", URI: "/harvest-sale/x", Host: "h", TraceID: fmt.Sprint("t", i), Once: true}
 		if k == left {
 			k.Forward.Client = client
 		}
 		go func() { in <- l.Submit(k) }()
-		require.Eventually(t, func() bool { return l.Held() == int64(i+1) }, nettest.Patience, time.Millisecond)
+		require.Eventually(t, func() bool { return l.Held() == int64(i+1) }, nettest.Timeout, time.Millisecond)
 	}
 	leave()
 	end := start(t, l)
@@ -99,13 +99,13 @@
 	}
 	next := make(chan string) // the list that a watch tells; empty: it ends
 	discovery := nettest.Listen(t, func(c *nettest.Call) {
-		c.Say(nettest.Chunks())
+		c.WriteText(nettest.Chunks())
 		for text := range next {
 			if text == "" {
 				c.Conn.Close()
 				return
 			}
-			c.Say(nettest.Chunk(text))
+			c.WriteText(nettest.Chunk(text))
 		}
 	})
 	t.Cleanup(func() { close(next) })
@@ -113,8 +113,8 @@
 	core, err := dispatch.New(set.Policy, 1)
 	require.NoError(t, err)
 	s := &side{make(chan *sent, 9), nil, nil}
-	l := New(dispatch.NewChain(core, dispatch.Gates{}), set, s, &cluster.Discovery{Addr: discovery.Addr, Stall: time.Minute, Settings: set}, NewClock())
-	l.Post(dispatch.Listed{Version: 41, Whole: true, Stale: true, Hosts: []dispatch.Host{{Name: "s-0000000a", Addr: "127.0.0.1:10a", Scale: 1}}})
+	l := New(dispatch.NewChain(core, dispatch.Gates{}), set, s, &cluster.Discovery{Addr: discovery.Addr, StallTimeout: time.Minute, Settings: set}, NewClock())
+	l.Post(dispatch.HostList{Version: 41, Whole: true, Stale: true, Hosts: []dispatch.Host{{Name: "s-0000000a", Addr: "127.0.0.1:10a", Scale: 1}}})
 	defer start(t, l)()
 	assert.Equal(t, "41", nettest.Wait(t, discovery.Calls).URL.Query().Get("index"))
 	next <- ""
@@ -147,7 +147,7 @@
 	core, err := dispatch.New(set.Policy, 1)
 	require.NoError(t, err)
 	l := New(dispatch.NewChain(core, dispatch.Gates{}), set, s, s, NewClock())
-	l.Post(dispatch.Listed{Version: 5, Whole: true, Stale: true, Hosts: []dispatch.Host{host}})
+	l.Post(dispatch.HostList{Version: 5, Whole: true, Stale: true, Hosts: []dispatch.Host{host}})
 	end := start(t, l)
 	assert.Equal(t, uint64(5), nettest.Wait(t, s.watches))
 	assert.Equal(t, Answer{}, nettest.Wait(t, submit(t, l, 99, 15*time.Second).Answer()), "no such class: it panics")
--- a/internal/net/loop/loop.go
+++ b/internal/net/loop/loop.go
@@ -29,13 +29,13 @@
 // envelope is what waits in the queue.
 type envelope struct {
 	msg    dispatch.Message
-	ticket *Ticket            // of a new job
-	told   chan dispatch.Told // of an Asked
-	handed chan bool          // of a Hand
-	idle   chan struct{}      // to be closed when nothing without a connection is out
-	count  chan struct{}      // to be closed when the hosts are counted anew
-	watch  uint64             // the number of the watch that the message comes from; 0: from none
-	source cluster.Source     // a new source in place of a message
+	ticket *Ticket                   // of a new job
+	told   chan dispatch.QueryResult // of an Asked
+	handed chan bool                 // of a Hand
+	idle   chan struct{}             // to be closed when nothing without a connection is out
+	count  chan struct{}             // to be closed when the hosts are counted anew
+	watch  uint64                    // the number of the watch that the message comes from; 0: from none
+	source cluster.Source            // a new source in place of a message
 }
 
 // calls end an upstream request: cancel at any time, unsend only where its last byte has not been written.
@@ -63,7 +63,7 @@
 	// Owned by Run.
 	tickets map[uint64]*Ticket
 	parked  map[uint64]*parked
-	asks    map[uint64]chan dispatch.Told
+	asks    map[uint64]chan dispatch.QueryResult
 	hands   map[uint64]chan bool
 	idle    []chan struct{}
 	out     map[dispatch.Key]calls
@@ -77,7 +77,7 @@
 func New(core *dispatch.Chain, set *settings.Settings, up Upstream, source cluster.Source, clock Clock) *Loop {
 	return &Loop{core: core, set: set, upstream: up, source: source, clock: clock,
 		queue: make(chan envelope, queueLen), urgent: make(chan envelope, urgentLen), hands: map[uint64]chan bool{}, ids: ids{until: map[string]time.Time{}}, stopped: make(chan struct{}),
-		asks: map[uint64]chan dispatch.Told{}, parked: map[uint64]*parked{}, tickets: map[uint64]*Ticket{}, out: map[dispatch.Key]calls{}}
+		asks: map[uint64]chan dispatch.QueryResult{}, parked: map[uint64]*parked{}, tickets: map[uint64]*Ticket{}, out: map[dispatch.Key]calls{}}
 }
 
 // Post puts a message in the queue.
--- a/internal/net/loop/loop_test.go
+++ b/internal/net/loop/loop_test.go
@@ -48,7 +48,7 @@
 
 func (s *side) Probe(context.Context, string) upstream.Outcome { return upstream.Outcome{} }
 
-func (s *side) Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error {
+func (s *side) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
 	s.watches <- after
 	select {
 	case err := <-s.breaks:
@@ -67,7 +67,7 @@
 	core, err := dispatch.New(set.Policy, 1)
 	require.NoError(t, err)
 	l := New(dispatch.NewChain(core, dispatch.Gates{}), set, s, s, NewClock())
-	l.Post(dispatch.Listed{Version: 5, Whole: true, Stale: true, Hosts: []dispatch.Host{host}})
+	l.Post(dispatch.HostList{Version: 5, Whole: true, Stale: true, Hosts: []dispatch.Host{host}})
 	start(t, l)
 	return l, s
 }
@@ -87,7 +87,7 @@
 
 func submit(t *testing.T, l *Loop, class int, budget time.Duration) *Ticket {
 	k := &Ticket{Arrived: time.Now(), Forward: upstream.Request{TraceID: fmt.Sprint("t", l.nextJob.Load()+1)},
-		Job: dispatch.Arrived{Class: class, Tenant: -1, Budget: budget, Size: 100 * time.Millisecond, Slots: 1}}
+		Job: dispatch.JobArrived{Class: class, Tenant: -1, Budget: budget, Size: 100 * time.Millisecond, Slots: 1}}
 	require.NoError(t, l.Submit(k))
 	return k
 }
@@ -167,7 +167,7 @@
 func TestWatchesAgain(t *testing.T) {
 	l, s := run(t)
 	assert.Equal(t, uint64(5), nettest.Wait(t, s.watches))
-	l.Post(dispatch.Listed{Version: 6})
+	l.Post(dispatch.HostList{Version: 6})
 	s.breaks <- errors.New("broken")
 	assert.Equal(t, uint64(6), nettest.Wait(t, s.watches))
 }
@@ -177,7 +177,7 @@
 func TestMove(t *testing.T) {
 	l, s := run(t)
 	assert.Equal(t, uint64(5), nettest.Wait(t, s.watches))
-	l.Post(dispatch.Listed{Version: 7})
+	l.Post(dispatch.HostList{Version: 7})
 	next := &side{watches: make(chan uint64, 9), breaks: make(chan error)}
 	l.Move(next)
 	assert.Equal(t, uint64(7), nettest.Wait(t, next.watches))
@@ -196,7 +196,7 @@
 func TestOldWatchIsNotHeard(t *testing.T) {
 	l := &Loop{watches: 2, watch: func() {}}
 	for watch, want := range []int{1, 0, 1, 0} {
-		assert.Len(t, l.open(nil, envelope{msg: dispatch.Listed{}, watch: uint64(watch)}), want)
+		assert.Len(t, l.open(nil, envelope{msg: dispatch.HostList{}, watch: uint64(watch)}), want)
 	}
 	assert.Len(t, l.open(nil, envelope{msg: dispatch.ListLost{}, watch: 2}), 1)
 	assert.Empty(t, l.open(nil, envelope{msg: dispatch.ListLost{}, watch: 2}), "one loss a watch")
--- a/internal/net/loop/run.go
+++ b/internal/net/loop/run.go
@@ -42,7 +42,7 @@
 		}
 		l.tellIdle()
 		if l.moved && l.renewed == nil { // not before the step: what the old source told last counts
-			l.startWatch(ctx, dispatch.Watch{Version: l.core.Heard()})
+			l.startWatch(ctx, dispatch.Watch{Version: l.core.WatchVersion()})
 		}
 		if l.renewed != nil {
 			timer.Reset(0)
@@ -74,14 +74,14 @@
 		return batch
 	}
 	switch m := e.msg.(type) {
-	case dispatch.Arrived:
+	case dispatch.JobArrived:
 		l.tickets[m.Job] = e.ticket
-	case dispatch.Asked:
+	case dispatch.JobQuery:
 		l.asks[m.Number] = e.told
-	case dispatch.Hand:
-		l.hands[m.Ask] = e.handed
-	case dispatch.Unasked:
-		delete(l.asks, m.Ask)
+	case dispatch.SetCordon:
+		l.hands[m.Request] = e.handed
+	case dispatch.QueryCancelled:
+		delete(l.asks, m.Query)
 	case dispatch.ListLost:
 		l.watch = nil
 	}
@@ -122,9 +122,9 @@
 	}
 	for _, m := range batch { // a ticket is of no more use once its job is over
 		switch m := m.(type) {
-		case dispatch.Left:
+		case dispatch.ClientGone:
 			delete(l.tickets, m.Job)
-		case dispatch.Ended:
+		case dispatch.AttemptEnded:
 			delete(l.out, m.Key)
 			if m.Result == policy.OK {
 				delete(l.tickets, m.Job)
@@ -142,10 +142,10 @@
 	for _, m := range in {
 		load := settings.NoLoad()
 		switch e := m.(type) {
-		case dispatch.Ended:
+		case dispatch.AttemptEnded:
 			e.Load, e.Body = nil, nil
 			m = e
-		case dispatch.Probed:
+		case dispatch.ProbeEnded:
 			if e.Load != nil {
 				load = *e.Load
 			}
@@ -173,7 +173,7 @@
 // renew answers all that was before the module and puts a new core in the old one's place. What was may have run, so
 // it has failed and is not refused. What only waits goes on waiting.
 func (l *Loop) renew() error {
-	core, known, keeps, err := l.core.Renew(l.clock.Now())
+	core, known, keeps, err := l.core.Rebuild(l.clock.Now())
 	if err != nil {
 		return fmt.Errorf("loop: %w", err)
 	}
@@ -193,7 +193,7 @@
 	}
 	clear(l.out)
 	for _, told := range l.asks { // the askers may ask again
-		told <- dispatch.Told{Status: waiting.StatusFull}
+		told <- dispatch.QueryResult{Status: waiting.StatusFull}
 	}
 	clear(l.asks)
 	clear(l.hands) // their callers give up by their own deadlines
--- a/internal/net/loop/ticket.go
+++ b/internal/net/loop/ticket.go
@@ -21,8 +21,8 @@
 
 // Ticket is one downstream request on its way through the dispatcher.
 type Ticket struct {
-	Job     dispatch.Arrived // Job, Name, Bytes and At are filled in by Submit
-	Forward upstream.Request // Addr is filled in for each upstream request
+	Job     dispatch.JobArrived // Job, Name, Bytes and At are filled in by Submit
+	Forward upstream.Request    // Addr is filled in for each upstream request
 	Arrived time.Time
 
 	done   atomic.Bool
--- a/internal/net/loop/waiting_test.go
+++ b/internal/net/loop/waiting_test.go
@@ -24,7 +24,7 @@
 	core, err := dispatch.New(set.Policy, 1)
 	require.NoError(t, err)
 	l := New(dispatch.NewChain(core, dispatch.Gates{Waiting: dispatch.NewWaitingGate(lim, set.Policy)}), set, s, s, NewClock())
-	l.Post(dispatch.Listed{Version: 5, Whole: true, Stale: true, Hosts: []dispatch.Host{host}})
+	l.Post(dispatch.HostList{Version: 5, Whole: true, Stale: true, Hosts: []dispatch.Host{host}})
 	start(t, l)
 	return l, s
 }
@@ -32,7 +32,7 @@
 func detached(id string, wait dispatch.Wait) *Ticket {
 	wait.Detached = true
 	return &Ticket{Arrived: time.Now(), Forward: upstream.Request{Method: "POST", URI: "/plot-load/" + id,
-		Host: "game.example.org", TraceID: id}, Job: dispatch.Arrived{Tenant: -1, Budget: 15 * time.Second, Client: "c",
+		Host: "game.example.org", TraceID: id}, Job: dispatch.JobArrived{Tenant: -1, Budget: 15 * time.Second, Client: "c",
 		Size: time.Second, Slots: 1, Wait: &wait}}
 }
 
--- a/internal/net/nettest/nettest.go
+++ b/internal/net/nettest/nettest.go
@@ -18,8 +18,8 @@
 	"gaugeslip/internal/settings"
 )
 
-// Patience is how long a test waits for an event that must happen.
-const Patience = 20 * time.Second
+// Timeout is how long a test waits for an event that must happen.
+const Timeout = 20 * time.Second
 
 // SettingsJSON holds the settings of a small deployment with two classes, of which one is safe to repeat and the other
 // is not.
@@ -43,18 +43,18 @@
 // Call is one request that a Peer has read completely.
 type Call struct {
 	*http.Request
-	Text string // the body
-	Conn net.Conn
-	Nth  int // the number of the request on its connection, from 0
+	Text  string // the body
+	Conn  net.Conn
+	Index int // the number of the request on its connection, from 0
 }
 
 // Serve answers a job with its own body as the result.
 func Serve(c *Call) {
-	c.Say(Chunked(`{"id":"` + c.Header.Get("X-Trace-Id") + `","state":"done","result":"` + c.Text + `"}`))
+	c.WriteText(Chunked(`{"id":"` + c.Header.Get("X-Trace-Id") + `","state":"done","result":"` + c.Text + `"}`))
 }
 
-// Say writes raw text to the connection.
-func (c *Call) Say(text string) { io.WriteString(c.Conn, text) }
+// WriteText writes raw text to the connection.
+func (c *Call) WriteText(text string) { io.WriteString(c.Conn, text) }
 
 // Reset closes the connection with a RST.
 func (c *Call) Reset() {
@@ -130,7 +130,7 @@
 		if err != nil {
 			return
 		}
-		call := &Call{Request: req, Text: string(body), Conn: c, Nth: n}
+		call := &Call{Request: req, Text: string(body), Conn: c, Index: n}
 		p.Calls <- call
 		script(call)
 	}
@@ -142,7 +142,7 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(Patience):
+	case <-time.After(Timeout):
 		require.FailNow(t, "nothing arrived in time")
 		panic("unreachable")
 	}
@@ -196,7 +196,7 @@
 // Answer reads one answer.
 func (c *Client) Answer() (*http.Response, string) {
 	c.t.Helper()
-	c.SetReadDeadline(time.Now().Add(Patience))
+	c.SetReadDeadline(time.Now().Add(Timeout))
 	resp, err := http.ReadResponse(c.r, nil)
 	require.NoError(c.t, err)
 	body, err := io.ReadAll(resp.Body)
@@ -207,7 +207,7 @@
 // Closed waits until the other side has closed the connection.
 func (c *Client) Closed() {
 	c.t.Helper()
-	c.SetReadDeadline(time.Now().Add(Patience))
+	c.SetReadDeadline(time.Now().Add(Timeout))
 	_, err := c.r.ReadByte()
 	require.ErrorIs(c.t, err, io.EOF)
 }
--- a/internal/net/operators/figures.go
+++ b/internal/net/operators/figures.go
@@ -1,7 +1,7 @@
 // Package operators is the operators' HTTP/1.1 server of a dispatcher, separate from the server for clients. It reports
 // whether the process can serve, exposes metrics in the Prometheus text format, and lets operators take game workers
 // out of use and put them back. It stores which game workers were taken out by hand in a file, so that the next process
-// of the same dispatcher keeps them out. See dispatch.Hand for the effect on the choice of hosts.
+// of the same dispatcher keeps them out. See dispatch.SetCordon for the effect on the choice of hosts.
 package operators
 
 import (
@@ -18,17 +18,17 @@
 	Workers  func() (known, excluded float64) // listed game workers, and those of them that are not used
 }
 
-// Figures holds the metrics of a dispatcher. Its methods are safe for concurrent use and never wait for the core.
-type Figures struct {
+// Metrics holds the metrics of a dispatcher. Its methods are safe for concurrent use and never wait for the core.
+type Metrics struct {
 	registry                 *prometheus.Registry
 	served, refused, failed  []prometheus.Counter // by class
 	servedV, refusedV, failV *prometheus.CounterVec
 	attempts                 prometheus.Counter
 }
 
-// NewFigures creates the metrics of a dispatcher with these classes, in the order of their numbers in the settings.
-func NewFigures(classes []string, g Gauges) *Figures {
-	f := &Figures{registry: prometheus.NewRegistry()}
+// NewMetrics creates the metrics of a dispatcher with these classes, in the order of their numbers in the settings.
+func NewMetrics(classes []string, g Gauges) *Metrics {
+	f := &Metrics{registry: prometheus.NewRegistry()}
 	f.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	vec := func(name, help string) *prometheus.CounterVec {
 		v := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "edge_node", Name: name, Help: help},
@@ -61,14 +61,14 @@
 
 // Gauge adds a gauge whose value is read, from any goroutine, each time the metrics are read. Each name may be added
 // once.
-func (f *Figures) Gauge(name, help string, read func() float64) {
+func (f *Metrics) Gauge(name, help string, read func() float64) {
 	f.registry.MustRegister(prometheus.NewGaugeFunc(
 		prometheus.GaugeOpts{Namespace: "edge_node", Name: name, Help: help}, read))
 }
 
-// Labelled adds a metric like Gauge, with one label. Several metrics may have the same name if the label's values
+// LabelledFunc adds a metric like Gauge, with one label. Several metrics may have the same name if the label's values
 // differ. A name that ends in _total makes a counter.
-func (f *Figures) Labelled(name, help, label, value string, read func() float64) {
+func (f *Metrics) LabelledFunc(name, help, label, value string, read func() float64) {
 	l := prometheus.Labels{label: value}
 	if strings.HasSuffix(name, "_total") {
 		f.registry.MustRegister(prometheus.NewCounterFunc(
@@ -81,7 +81,7 @@
 
 // Answered counts the final answer to a job by its class and the status that the client sees: 200 counts as served, 429
 // and 503 as refused, any other as failed. A class that is not in the settings is not counted.
-func (f *Figures) Answered(class, status int) {
+func (f *Metrics) Answered(class, status int) {
 	if f == nil || class < 0 || class >= len(f.served) {
 		return
 	}
@@ -96,11 +96,11 @@
 }
 
 // Attempt counts an upstream request whose last byte has been written.
-func (f *Figures) Attempt() {
+func (f *Metrics) Attempt() {
 	if f != nil {
 		f.attempts.Inc()
 	}
 }
 
 // Gatherer returns what GET /stats exposes.
-func (f *Figures) Gatherer() prometheus.Gatherer { return f.registry }
+func (f *Metrics) Gatherer() prometheus.Gatherer { return f.registry }
--- a/internal/net/operators/server.go
+++ b/internal/net/operators/server.go
@@ -38,7 +38,7 @@
 	Addr     string
 	MaxConns int         // connections at any one time; at the limit the oldest without a complete request head is closed
 	Ready    func() bool // reports whether the process can serve
-	Figures  *Figures
+	Metrics  *Metrics
 	Core     Core
 	Store    *Store // nil: changes by hand are lost when the process ends
 	// Views are further resources by path below /. GET answers with the returned value as JSON. The functions must not
@@ -59,7 +59,7 @@
 	s := &Server{cfg: cfg}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthcheck", s.health)
-	mux.Handle("GET /stats", promhttp.HandlerFor(cfg.Figures.Gatherer(), promhttp.HandlerOpts{
+	mux.Handle("GET /stats", promhttp.HandlerFor(cfg.Metrics.Gatherer(), promhttp.HandlerOpts{
 		ErrorHandling: promhttp.ContinueOnError, MaxRequestsInFlight: 4, Timeout: time.Second}))
 	mux.HandleFunc("POST /game-workers/{id}/maint", func(w http.ResponseWriter, r *http.Request) { s.setOut(w, r, true) })
 	mux.HandleFunc("POST /game-workers/{id}/ready", func(w http.ResponseWriter, r *http.Request) { s.setOut(w, r, false) })
--- a/internal/net/operators/server_test.go
+++ b/internal/net/operators/server_test.go
@@ -49,7 +49,7 @@
 
 // startServer starts a server on a free loopback port and returns its address.
 func startServer(t *testing.T, c *fakeCore, ready *atomic.Bool, dir string) string {
-	f := NewFigures([]string{"plot-load", "harvest-sale"}, Gauges{
+	f := NewMetrics([]string{"plot-load", "harvest-sale"}, Gauges{
 		InFlight: func() float64 { return 14 },
 		Workers:  func() (float64, float64) { return 5, 2 }})
 	f.Answered(0, 200)
@@ -62,7 +62,7 @@
 	if dir != "" {
 		store = NewStore(dir, "n1")
 	}
-	d := NewServer(Config{Addr: "127.0.0.1:0", MaxConns: 4, Ready: ready.Load, Figures: f, Core: c, Store: store})
+	d := NewServer(Config{Addr: "127.0.0.1:0", MaxConns: 4, Ready: ready.Load, Metrics: f, Core: c, Store: store})
 	ln, err := d.Listen()
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/net/operators/store.go
+++ b/internal/net/operators/store.go
@@ -85,12 +85,12 @@
 
 // NewStore returns the store of a dispatcher, with its file in dir.
 func NewStore(dir, node string) *Store {
-	return &Store{node: node, path: FileOf(dir, node, "out-by-hand")}
+	return &Store{node: node, path: StateFilePath(dir, node, "out-by-hand")}
 }
 
-// FileOf returns the path of the file in dir that the processes of one dispatcher share for a purpose. All characters
+// StateFilePath returns the path of the file in dir that the processes of one dispatcher share for a purpose. All characters
 // of the dispatcher's name other than letters, digits, - and _ are replaced by _.
-func FileOf(dir, node, purpose string) string {
+func StateFilePath(dir, node, purpose string) string {
 	safe := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' {
 			return r
@@ -100,9 +100,9 @@
 	return filepath.Join(dir, "gaugeslip-"+safe+"-"+purpose+".json")
 }
 
-// WriteWhole replaces a file atomically by a rename: a reader sees either the old content or the new one. With sync
+// WriteFileAtomically replaces a file atomically by a rename: a reader sees either the old content or the new one. With sync
 // set, the content is on disk when the call returns.
-func WriteWhole(path string, text []byte, sync bool) error {
+func WriteFileAtomically(path string, text []byte, sync bool) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+"-*")
 	if err != nil {
 		return err
@@ -161,7 +161,7 @@
 
 // Save replaces the file with this set.
 func (s *Store) Save(out []string) error {
-	if err := WriteWhole(s.path, Encode(s.node, out), true); err != nil {
+	if err := WriteFileAtomically(s.path, Encode(s.node, out), true); err != nil {
 		return fmt.Errorf("out by hand: %s: %w", s.path, err)
 	}
 	if info, err := os.Stat(s.path); err == nil {
--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -75,7 +75,7 @@
 
 func (p *Peers) releaseShares() {
 	for b := range p.cfg.Ledger.Accounts() {
-		p.cfg.Ledger.Own(p.cfg.Now(), b, budget.Share{})
+		p.cfg.Ledger.SetShare(p.cfg.Now(), b, budget.Share{})
 	}
 	p.locked(func() { p.bound = false })
 }
--- a/internal/net/peers/peers_test.go
+++ b/internal/net/peers/peers_test.go
@@ -66,7 +66,7 @@
 
 func owned(all ...*Peers) (sum float64) {
 	for _, p := range all {
-		sum += p.cfg.Ledger.Figures(p.cfg.Now())[0].Owned
+		sum += p.cfg.Ledger.Status(p.cfg.Now())[0].Owned
 	}
 	return sum
 }
@@ -103,7 +103,7 @@
 	before := all[1].View().Dropped
 	all[1].deliver([][]byte{
 		[]byte("not a message"),
-		budget.Append(nil, &budget.Message{Kind: budget.Ask, To: 2, Life: 5}), // addressed to another member
+		budget.Append(nil, &budget.Message{Kind: budget.Request, To: 2, Incarnation: 5}), // addressed to another member
 	})
 	assert.Equal(t, before+2, all[1].View().Dropped)
 
--- a/internal/net/peers/talk.go
+++ b/internal/net/peers/talk.go
@@ -41,9 +41,9 @@
 // runBudget runs this member of internal/budget until ctx ends.
 func (p *Peers) runBudget(ctx context.Context, to *sender) {
 	accounts := p.cfg.Ledger.Accounts()
-	every, term := budget.Pace(len(p.cfg.Members))
+	every, term := budget.Timing(len(p.cfg.Members))
 	node := budget.NewNode(budget.Config{Self: p.cfg.Self, Members: len(p.cfg.Members), Voters: p.cfg.Voters, Budgets: accounts,
-		Floor: p.cfg.Floor, Term: term, Every: every, Drift: p.cfg.Drift, Life: p.cfg.Life}, p.cfg.Now())
+		Floor: p.cfg.Floor, LeaseTime: term, RequestInterval: every, Drift: p.cfg.Drift, Incarnation: p.cfg.Life}, p.cfg.Now())
 	want := make([]budget.Units, accounts)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -59,19 +59,19 @@
 		case <-timer.C:
 		}
 		now := p.cfg.Now()
-		p.cfg.Ledger.Wanted(now, p.cfg.Floor, want)
-		node.Want(want)
+		p.cfg.Ledger.ExtraDemand(now, p.cfg.Floor, want)
+		node.SetDemand(want)
 		out := node.Step(now, in)
 		if s := node.Share(0); first || s.Epoch != epoch {
 			first, epoch = false, s.Epoch
 			for b := range accounts {
-				p.cfg.Ledger.Own(now, b, node.Share(b))
+				p.cfg.Ledger.SetShare(now, b, node.Share(b))
 			}
 		}
 		for i := range out {
 			p.send(to, &out[i])
 		}
-		p.locked(func() { p.leader, p.leading = node.Leader(), node.Leads(now) })
+		p.locked(func() { p.leader, p.leading = node.Leader(), node.IsLeader(now) })
 		timer.Reset(max(node.Wake()-p.cfg.Now(), minStepInterval))
 	}
 }
--- a/internal/net/upstream/endings_test.go
+++ b/internal/net/upstream/endings_test.go
@@ -97,7 +97,7 @@
 				host = nettest.Wait(t, conns)
 				readBody(t, host, 4)
 				io.WriteString(host, nettest.Chunked(done))
-				require.Eventually(t, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(p.idle[addr]) == 1 }, nettest.Patience, time.Millisecond)
+				require.Eventually(t, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(p.idle[addr]) == 1 }, nettest.Timeout, time.Millisecond)
 			}
 			p.cfg.Settle = 2 * time.Second // all of it only where the fault is there
 			client, leave := context.WithCancel(t.Context())
@@ -124,7 +124,7 @@
 // readBody reads a request from a host's side up to the given part of its body.
 func readBody(t *testing.T, host net.Conn, n int) {
 	t.Helper()
-	host.SetReadDeadline(time.Now().Add(nettest.Patience))
+	host.SetReadDeadline(time.Now().Add(nettest.Timeout))
 	var text []byte
 	for b := make([]byte, 1); !strings.Contains(string(text), "\r\n\r\n"+"body"[:n]); text = append(text, b...) {
 		_, err := io.ReadFull(host, b)
@@ -154,11 +154,11 @@
 // whose answers come once, leave it ready at once.
 func TestLateSecondAnswer(t *testing.T) {
 	host := nettest.Listen(t, func(c *nettest.Call) {
-		if c.Nth > 0 && c.Method == http.MethodPost { // held back until the connection is lent again
-			c.Say(status("503 No", "X-Never-Ran: 1\r\n"))
+		if c.Index > 0 && c.Method == http.MethodPost { // held back until the connection is lent again
+			c.WriteText(status("503 No", "X-Never-Ran: 1\r\n"))
 		}
 		if c.Method == http.MethodGet {
-			c.Say(status("200 OK", ""))
+			c.WriteText(status("200 OK", ""))
 			return
 		}
 		answer(c)
@@ -170,7 +170,7 @@
 			q := request(host.Addr)
 			q.Once = once
 			assert.Equal(t, policy.OK, do(t.Context(), p, q).result())
-			assert.Zero(t, nettest.Wait(t, host.Calls).Nth)
+			assert.Zero(t, nettest.Wait(t, host.Calls).Index)
 		}
 		assert.Equal(t, 2, p.held)
 		p.cfg.Rest = 0
@@ -193,7 +193,7 @@
 		strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 50):                                              policy.ConnectionLost,
 		"HTTP/1.1 101 Switching Protocols\r\n\r\n" + nettest.Chunked(done):                                 policy.ConnectionLost,
 	} {
-		host := nettest.Listen(t, func(c *nettest.Call) { c.Say(text) })
+		host := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(text) })
 		p := pool(time.Minute)
 		assert.Equal(t, want, do(t.Context(), p, request(host.Addr)).result())
 		assert.Equal(t, want == policy.OK, p.held == 1, "only a sound connection is kept")
@@ -205,7 +205,7 @@
 	for _, text := range []string{"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 4<<10),
 		"HTTP/1.1 200 " + strings.Repeat("x", 4<<10)} {
 		host := nettest.Listen(t, func(c *nettest.Call) {
-			for c.Say(text); ; {
+			for c.WriteText(text); ; {
 				if _, err := io.WriteString(c.Conn, strings.Repeat("X: y\r\n", 100)); err != nil {
 					return
 				}
@@ -230,7 +230,7 @@
 // The time runs out as the last line arrives: the answer that is there counts, and the connection goes.
 func TestTimeOutAtLastLine(t *testing.T) {
 	host := nettest.Listen(t, func(c *nettest.Call) {
-		c.Say(nettest.Chunked(`{"id":"t1","state":"running","share":0.9}`, done))
+		c.WriteText(nettest.Chunked(`{"id":"t1","state":"running","share":0.9}`, done))
 	})
 	p := pool(time.Minute)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -243,7 +243,7 @@
 
 // An answer that does not end after its last line holds nothing up for longer than its request may take.
 func TestAnswerWithoutEnd(t *testing.T) {
-	host := nettest.Listen(t, func(c *nettest.Call) { c.Say(nettest.Chunks(done)) })
+	host := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks(done)) })
 	p := pool(time.Minute)
 	p.end = time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/net/upstream/upstream_test.go
+++ b/internal/net/upstream/upstream_test.go
@@ -32,7 +32,7 @@
 func (h *heard) result() policy.Result { return h.ended[0].Result }
 
 func pool(idle time.Duration) *Pool {
-	return NewPool(Config{ConnectTimeout: nettest.Patience, ConnIdle: idle, ProbeTimeout: nettest.Patience, MaxConns: 4})
+	return NewPool(Config{ConnectTimeout: nettest.Timeout, ConnIdle: idle, ProbeTimeout: nettest.Timeout, MaxConns: 4})
 }
 
 func request(addr string) *Request {
@@ -81,7 +81,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			host := nettest.Listen(t, func(call *nettest.Call) {
-				if call.Say(c.say); c.then == "close" {
+				if call.WriteText(c.say); c.then == "close" {
 					call.Conn.Close()
 				}
 			})
@@ -99,10 +99,10 @@
 // What is passed on: method, path, query, body and id as they are, and the time that is left.
 func TestForwards(t *testing.T) {
 	host := nettest.Listen(t, func(c *nettest.Call) {
-		c.Say(nettest.Chunked(`{"id":"t1","state":"started"}`, `{"id":"t1","state":"running","share":0.5}`,
+		c.WriteText(nettest.Chunked(`{"id":"t1","state":"started"}`, `{"id":"t1","state":"running","share":0.5}`,
 			`{"id":"t1","state":"done","result":{"a":1},"load":{"queue":2,"odd":"x"}}`))
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), nettest.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), nettest.Timeout)
 	defer cancel()
 	h := do(ctx, pool(time.Minute), request(host.Addr))
 	c := nettest.Wait(t, host.Calls)
@@ -154,7 +154,7 @@
 		want policy.Result
 	}{{false, 0, policy.ConnectionLost}, {true, 0, policy.ConnectFailed}, {true, 1, policy.NeverSent}} {
 		p := pool(time.Minute)
-		p.cfg.Settle = nettest.Patience
+		p.cfg.Settle = nettest.Timeout
 		q := request(ln.Addr().String())
 		answers <- c.kept
 		for range c.kept {
@@ -173,7 +173,7 @@
 	q.Once, p.cfg.Settle = true, time.Millisecond
 	assert.Equal(t, policy.OK, do(t.Context(), p, q).result())
 	assert.Equal(t, "body", nettest.Wait(t, host.Calls).Text)
-	q, p.cfg.Settle = request(host.Addr), nettest.Patience
+	q, p.cfg.Settle = request(host.Addr), nettest.Timeout
 	q.Once = true
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
@@ -211,7 +211,7 @@
 	assert.Empty(t, host.Calls)
 }
 
-func answer(c *nettest.Call) { c.Say(nettest.Chunked(done)) }
+func answer(c *nettest.Call) { c.WriteText(nettest.Chunked(done)) }
 
 // Connections are kept and used again, one request at a time.
 func TestReuse(t *testing.T) {
@@ -219,7 +219,7 @@
 	p := pool(time.Minute)
 	for nth := range 3 {
 		assert.Equal(t, policy.OK, do(t.Context(), p, request(host.Addr)).result())
-		assert.Equal(t, nth, nettest.Wait(t, host.Calls).Nth)
+		assert.Equal(t, nth, nettest.Wait(t, host.Calls).Index)
 	}
 	assert.Equal(t, 1, p.held)
 }
@@ -231,7 +231,7 @@
 	p := pool(time.Minute)
 	do(t.Context(), p, request(host.Addr))
 	host.Hangup()
-	require.Eventually(t, func() bool { return !alive(p.idle[host.Addr][0]) }, nettest.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return !alive(p.idle[host.Addr][0]) }, nettest.Timeout, time.Millisecond)
 	assert.Equal(t, policy.OK, do(t.Context(), p, request(host.Addr)).result())
 	assert.Equal(t, 1, p.held)
 }
@@ -245,7 +245,7 @@
 	swept := make(chan struct{})
 	go func() { defer close(swept); p.Sweep(ctx) }()
 	held := func() int { p.mu.Lock(); defer p.mu.Unlock(); return p.held }
-	require.Eventually(t, func() bool { return held() == 0 }, nettest.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return held() == 0 }, nettest.Timeout, time.Millisecond)
 	p.cfg.ConnIdle = time.Minute
 	do(t.Context(), p, request(host.Addr))
 	cancel()
@@ -281,7 +281,7 @@
 		"silent":  {"", policy.TimedOut, nil},
 		"garbled": {"HELLO\r\n\r\n", policy.ConnectionLost, nil},
 	} {
-		host := nettest.Listen(t, func(call *nettest.Call) { call.Say(c.say) })
+		host := nettest.Listen(t, func(call *nettest.Call) { call.WriteText(c.say) })
 		p := pool(time.Minute)
 		if c.say == "" {
 			p.cfg.ProbeTimeout = time.Second
--- a/internal/node/budgets.go
+++ b/internal/node/budgets.go
@@ -34,38 +34,38 @@
 }
 
 // newBudgets makes them as the settings want; nil: there are none. Nothing is owned yet.
-func newBudgets(cfg *config.Config, own *operatorsettings.Settings, now func() time.Duration, figures *operators.Figures) *budgets {
+func newBudgets(cfg *config.Config, own *operatorsettings.Settings, now func() time.Duration, figures *operators.Metrics) *budgets {
 	if own.Budgets == nil {
 		return nil
 	}
 	policy := &cfg.Settings.Policy
 	drift, members := 0.0, max(policy.Replicas, 1)
-	if own.Budgets.Way == budget.ByTalk {
+	if own.Budgets.Way == budget.LeasedShares {
 		drift, members = own.Peers.Drift, len(own.Peers.Members)
 	}
 	accounts, gate, lists := dispatch.BudgetAccounts(own.Budgets, policy)
 	b := &budgets{ledger: budget.NewLedger(accounts, drift), lists: lists, now: now, done: make(chan struct{}),
-		path: operators.FileOf(os.TempDir(), cfg.Name, "share"), equal: budget.Static(members)}
+		path: operators.StateFilePath(os.TempDir(), cfg.Name, "share"), equal: budget.EqualShare(members)}
 	b.gate = gate(b.ledger)
-	if own.Budgets.Way == budget.ByTalk {
-		b.peers = peers.New(peers.Config{Limits: *own.Peers, Self: policy.Ordinal, Floor: own.Budgets.FloorOf(members), Ledger: b.ledger,
+	if own.Budgets.Way == budget.LeasedShares {
+		b.peers = peers.New(peers.Config{Limits: *own.Peers, Self: policy.Ordinal, Floor: own.Budgets.FloorUnits(members), Ledger: b.ledger,
 			Now: now, Life: rand.Uint64() | 1})
 		for _, state := range []string{"alive", "silent", "left"} {
-			figures.Labelled("members", "Dispatchers by what membership has of them.", "state", state, func() float64 { return b.peers.Count(state) })
+			figures.LabelledFunc("members", "Dispatchers by what membership has of them.", "state", state, func() float64 { return b.peers.Count(state) })
 		}
 	}
-	for i, f := range b.ledger.Figures(now()) {
+	for i, f := range b.ledger.Status(now()) {
 		for name, x := range map[string]struct {
 			help string
-			of   func(budget.Figure) float64
+			of   func(budget.AccountStatus) float64
 		}{
-			"budget_whole":         {"What the whole fleet may use a second.", func(f budget.Figure) float64 { return f.Whole }},
-			"budget_owned":         {"Share of the whole that this process owns.", func(f budget.Figure) float64 { return f.Owned }},
-			"budget_used_total":    {"Uses by this process, since the start.", func(f budget.Figure) float64 { return float64(f.Used) }},
-			"budget_refused_total": {"Uses refused for want of a share, since the start.", func(f budget.Figure) float64 { return float64(f.Refused) }},
-			"budget_epoch":         {"Rises with each change of the share.", func(f budget.Figure) float64 { return float64(f.Epoch) }},
+			"budget_whole":         {"What the whole fleet may use a second.", func(f budget.AccountStatus) float64 { return f.Whole }},
+			"budget_owned":         {"Share of the whole that this process owns.", func(f budget.AccountStatus) float64 { return f.Owned }},
+			"budget_used_total":    {"Uses by this process, since the start.", func(f budget.AccountStatus) float64 { return float64(f.Used) }},
+			"budget_refused_total": {"Uses refused for want of a share, since the start.", func(f budget.AccountStatus) float64 { return float64(f.Refused) }},
+			"budget_epoch":         {"Rises with each change of the share.", func(f budget.AccountStatus) float64 { return float64(f.Epoch) }},
 		} {
-			figures.Labelled(name, x.help, "budget", f.Name, func() float64 { return x.of(b.ledger.Figures(b.now())[i]) })
+			figures.LabelledFunc(name, x.help, "budget", f.Name, func() float64 { return x.of(b.ledger.Status(b.now())[i]) })
 		}
 	}
 	return b
@@ -100,7 +100,7 @@
 
 func (b *budgets) own(s budget.Share) {
 	for i := range b.ledger.Accounts() {
-		b.ledger.Own(b.now(), i, s)
+		b.ledger.SetShare(b.now(), i, s)
 	}
 }
 
@@ -160,7 +160,7 @@
 }
 
 // Watch waits its turn, then watches.
-func (s *bounded) Watch(ctx context.Context, after uint64, each func(dispatch.Listed)) error {
+func (s *bounded) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
 	if err := s.budgets.listTurn(ctx); err != nil {
 		return err
 	}
@@ -180,7 +180,7 @@
 	if b == nil {
 		return
 	}
-	v["budgets"] = func() any { return b.ledger.Figures(b.now()) }
+	v["budgets"] = func() any { return b.ledger.Status(b.now()) }
 	if b.peers != nil {
 		v["members"] = func() any { return b.peers.View() }
 	}
--- a/internal/node/gates.go
+++ b/internal/node/gates.go
@@ -12,7 +12,7 @@
 )
 
 // shedding makes the gate that refuses jobs at the door in overload, with its figures; nil: none is set.
-func shedding(l *overload.Limits, cfg *policy.Config, figures *operators.Figures) (*dispatch.ShedGate, error) {
+func shedding(l *overload.Limits, cfg *policy.Config, figures *operators.Metrics) (*dispatch.ShedGate, error) {
 	if l == nil || !l.Shed {
 		return nil, nil
 	}
@@ -21,15 +21,15 @@
 		return nil, fmt.Errorf("site: overload.%w", err)
 	}
 	for i, c := range cfg.Classes {
-		figures.Labelled("shed_total", "Jobs of a class refused at the door for overload, since the start; refused_total has them too.",
-			"class", c.Name, func() float64 { return g.Shed(i) })
+		figures.LabelledFunc("shed_total", "Jobs of a class refused at the door for overload, since the start; refused_total has them too.",
+			"class", c.Name, func() float64 { return g.RefusedJobs(i) })
 	}
-	figures.Gauge("admitted_share", "Share of the work asked for that the door lets in.", g.Admit)
+	figures.Gauge("admitted_share", "Share of the work asked for that the door lets in.", g.AdmittedShare)
 	return g, nil
 }
 
 // judging makes the gate that judges sites, with its figures; nil: none is set.
-func judging(own *operatorsettings.Settings, cfg *config.Config, decisions *policy.Config, figures *operators.Figures) (*dispatch.SitesGate, error) {
+func judging(own *operatorsettings.Settings, cfg *config.Config, decisions *policy.Config, figures *operators.Metrics) (*dispatch.SitesGate, error) {
 	if own.Sites == nil {
 		return nil, nil
 	}
@@ -37,14 +37,14 @@
 	if own.Overload != nil {
 		shed = *own.Overload
 	}
-	order, err := shed.Ranked(decisions)
+	order, err := shed.ClassOrder(decisions)
 	if err != nil {
 		return nil, fmt.Errorf("site: overload.%w", err)
 	}
 	names := Rooms(cfg)
 	g := dispatch.NewSitesGate(*own.Sites, *decisions, names, order, shed.Floor)
 	for i, name := range names {
-		figures.Labelled("site_state", "0: serving, 1: suspect, 2: lost, 3: cut off from here, 4: returning.", "site", name,
+		figures.LabelledFunc("site_state", "0: serving, 1: suspect, 2: lost, 3: cut off from here, 4: returning.", "site", name,
 			func() float64 { return float64(g.State(i)) })
 	}
 	return g, nil
--- a/internal/node/level.go
+++ b/internal/node/level.go
@@ -30,18 +30,18 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Since(v.started)
-	if !v.level.Answered(now, status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
+	if !v.level.RecordAnswer(now, status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
 		return
 	}
-	on, share := v.level.Now(now)
+	on, share := v.level.Current(now)
 	text := map[bool]string{true: "overloaded", false: "no longer overloaded"}[on]
-	slog.Warn(text, "refused_share", math.Round(share*100)/100, "turns", v.level.Turns())
+	slog.Warn(text, "refused_share", math.Round(share*100)/100, "turns", v.level.Changes())
 }
 
 func (v *level) now() (on bool, share float64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.level.Now(time.Since(v.started))
+	return v.level.Current(time.Since(v.started))
 }
 
 func (v *level) on() float64 {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -31,11 +31,11 @@
 			slog.Error("configuration not reloaded, the old one holds", "error", err)
 			continue
 		}
-		keys := cfg.Fixed(newer)
+		keys := cfg.KeysNeedingRestart(newer)
 		if (settings.Waiting == nil) != (own.Waiting == nil) {
 			keys = append(keys, "waiting")
 		} else if settings.Waiting != nil {
-			l.Post(dispatch.Tuned{Waiting: *settings.Waiting})
+			l.Post(dispatch.WaitingLimits{Limits: *settings.Waiting})
 		}
 		for _, x := range []struct {
 			key      string
