--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -54,7 +54,7 @@
 	if own.Overload != nil {
 		own.Overload.Apply(&decisions)
 	}
-	known, err := cluster.Known(cfg.Known, cfg.Settings)
+	known, err := cluster.DecodeKnown(cfg.Known, cfg.Settings)
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
@@ -69,7 +69,7 @@
 		down -= door
 	}
 	var l *loop.Loop
-	figures := operators.NewFigures(classes(cfg), operators.Gauges{
+	figures := operators.NewMetrics(classes(cfg), operators.Gauges{
 		InFlight: func() float64 { return float64(l.Held()) },
 		Workers: func() (float64, float64) {
 			known, excluded := l.Workers()
@@ -115,7 +115,7 @@
 	var operatorsServer *operators.Server
 	var opsLn net.Listener
 	if cfg.Ops != "" {
-		operatorsServer = operators.NewServer(operators.Config{Addr: cfg.Ops, MaxConns: door, Ready: server.Serving, Figures: figures,
+		operatorsServer = operators.NewServer(operators.Config{Addr: cfg.Ops, MaxConns: door, Ready: server.Serving, Metrics: figures,
 			Core: l, Store: operators.NewStore(os.TempDir(), cfg.Name), Views: views(shares, rooms)})
 		if opsLn, err = operatorsServer.Listen(); err != nil {
 			ln.Close()
--- a/internal/node/successor.go
+++ b/internal/node/successor.go
@@ -25,12 +25,12 @@
 }
 
 // servingFile is where the processes of a dispatcher tell which of them serves.
-func servingFile(dir, name string) string { return operators.FileOf(dir, name, "serving") }
+func servingFile(dir, name string) string { return operators.StateFilePath(dir, name, "serving") }
 
 // announce writes that this process serves now.
 func announce(path string, me serving) error {
 	text, _ := json.Marshal(me)
-	if err := operators.WriteWhole(path, text, false); err != nil {
+	if err := operators.WriteFileAtomically(path, text, false); err != nil {
 		return fmt.Errorf("serving: %w", err)
 	}
 	return nil
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -46,7 +46,7 @@
 // moves to one that has to be asked at once. Where lists are pushed nobody waits.
 func watched(cfg *config.Config, shares *budgets, start bool) cluster.Source {
 	p := &cfg.Settings.Policy
-	var s cluster.Source = &cluster.Discovery{Addr: cfg.Discovery, Stall: cluster.StallAfter, Settings: cfg.Settings}
+	var s cluster.Source = &cluster.Discovery{Addr: cfg.Discovery, StallTimeout: cluster.StallTimeout, Settings: cfg.Settings}
 	switch {
 	case !p.Ask:
 		return &cluster.Pushed{Source: shares.bound(s), Grace: p.DrainGrace}
--- a/internal/operatorsettings/blocks.go
+++ b/internal/operatorsettings/blocks.go
@@ -125,7 +125,7 @@
 	r.duration(b.MaxDelay, &l.MaxDelay)
 	r.number(b.Share, &l.Share)
 	r.number(b.ClientShare, &l.ClientShare)
-	r.boolean(b.Fresh, &l.Fresh)
+	r.boolean(b.Fresh, &l.RememberFresh)
 	switch word := "fail"; {
 	case r.text(b.OnFailure, &word) && word != "fail" && word != "run":
 		r.fault(b.OnFailure, `%q is neither "fail" nor "run"`, word)
--- a/internal/operatorsettings/settings.go
+++ b/internal/operatorsettings/settings.go
@@ -62,7 +62,7 @@
 			return nil, err
 		}
 	}
-	if s.Budgets != nil && s.Budgets.Way == budget.ByTalk && s.Peers == nil {
+	if s.Budgets != nil && s.Budgets.Way == budget.LeasedShares && s.Peers == nil {
 		return nil, at(f.Budgets.Range, "budgets.way", "talk needs a block peers")
 	}
 	return s, nil
--- a/internal/operatorsettings/settings_test.go
+++ b/internal/operatorsettings/settings_test.go
@@ -30,7 +30,7 @@
 	require.NoError(t, err)
 	want := waiting.Defaults()
 	want.MaxJobs, want.MaxBytes, want.Retention, want.DefaultDue = 50, 512<<10, 90*time.Second, 5*time.Second
-	want.Share, want.RunOnFailure, want.Fresh = 0.25, true, false
+	want.Share, want.RunOnFailure, want.RememberFresh = 0.25, true, false
 	assert.Equal(t, &want, s.Waiting)
 	s, err = Parse([]byte("waiting {}"), "a.hcl")
 	require.NoError(t, err)
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -87,8 +87,8 @@
 	v.asked, v.refused, v.at = v.asked*f, v.refused*f, now
 }
 
-// Answered takes in an answer at a time, which does not go back. True: the level has turned.
-func (v *Level) Answered(now time.Duration, refused bool) (turned bool) {
+// RecordAnswer takes in an answer at a time, which does not go back. True: the level has turned.
+func (v *Level) RecordAnswer(now time.Duration, refused bool) (turned bool) {
 	v.fade(now)
 	if v.asked++; refused {
 		v.refused++
@@ -102,8 +102,8 @@
 	return true
 }
 
-// Now gives the level at a time: whether the dispatcher is overloaded, and the share of refusals that says so.
-func (v *Level) Now(now time.Duration) (overloaded bool, share float64) {
+// Current gives the level at a time: whether the dispatcher is overloaded, and the share of refusals that says so.
+func (v *Level) Current(now time.Duration) (overloaded bool, share float64) {
 	v.fade(now)
 	if v.asked < 1e-3 {
 		return v.on, 0
@@ -111,5 +111,5 @@
 	return v.on, v.refused / v.asked
 }
 
-// Turns is how often the level has turned.
-func (v *Level) Turns() int { return v.turns }
+// Changes is how often the level has turned.
+func (v *Level) Changes() int { return v.turns }
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -44,9 +44,9 @@
 				now += 10 * time.Millisecond
 				if owed += share; owed >= 1 {
 					owed--
-					v.Answered(now, true)
+					v.RecordAnswer(now, true)
 				} else {
-					v.Answered(now, false)
+					v.RecordAnswer(now, false)
 				}
 			}
 		}
@@ -54,20 +54,20 @@
 		for range rapid.IntRange(1, 20).Draw(t, "waves") {
 			feed(rapid.IntRange(100, 500).Draw(t, "answers"), rapid.Float64Range(0.08, 0.17).Draw(t, "share"))
 		}
-		if v.Turns() > 0 {
-			t.Fatalf("%d turns between the marks", v.Turns())
+		if v.Changes() > 0 {
+			t.Fatalf("%d turns between the marks", v.Changes())
 		}
 		feed(1000, 0.5)
-		if on, _ := v.Now(now); !on || v.Turns() != 1 {
-			t.Fatalf("overloaded %v after %d turns", on, v.Turns())
+		if on, _ := v.Current(now); !on || v.Changes() != 1 {
+			t.Fatalf("overloaded %v after %d turns", on, v.Changes())
 		}
 		feed(1000, rapid.Float64Range(0.08, 1).Draw(t, "share"))
-		if v.Turns() != 1 {
-			t.Fatalf("%d turns above the lower mark", v.Turns())
+		if v.Changes() != 1 {
+			t.Fatalf("%d turns above the lower mark", v.Changes())
 		}
 		feed(1500, 0)
-		if on, share := v.Now(now); on || share > 0.01 || v.Turns() != 2 {
-			t.Fatalf("overloaded %v, %v, after %d turns", on, share, v.Turns())
+		if on, share := v.Current(now); on || share > 0.01 || v.Changes() != 2 {
+			t.Fatalf("overloaded %v, %v, after %d turns", on, share, v.Changes())
 		}
 	})
 }
@@ -76,9 +76,9 @@
 func TestLevelNeedsAnswers(t *testing.T) {
 	v := NewLevel(Defaults())
 	for i := range 20 {
-		v.Answered(time.Duration(i)*5*time.Second, true)
+		v.RecordAnswer(time.Duration(i)*5*time.Second, true)
 	}
-	on, share := v.Now(100 * time.Second)
+	on, share := v.Current(100 * time.Second)
 	assert.False(t, on)
 	assert.InDelta(t, 1, share, 0.01)
 }
--- a/internal/overload/shed.go
+++ b/internal/overload/shed.go
@@ -68,7 +68,7 @@
 // NewShedder makes one that lets everything in, for a dispatcher with these settings. Limits that are not sound, or that name
 // classes that are not there, are an error that begins with the key.
 func NewShedder(l Limits, cfg *policy.Config) (*Shedder, error) {
-	order, err := l.Ranked(cfg)
+	order, err := l.ClassOrder(cfg)
 	if err != nil {
 		return nil, err
 	}
@@ -83,9 +83,9 @@
 	return s, nil
 }
 
-// Ranked is the order in which classes are kept, as numbers. By default the one that is worth more for its work is kept longer; where
+// ClassOrder is the order in which classes are kept, as numbers. By default the one that is worth more for its work is kept longer; where
 // worth is by the job, its wait tells of its work.
-func (l *Limits) Ranked(cfg *policy.Config) (all []int, err error) {
+func (l *Limits) ClassOrder(cfg *policy.Config) (all []int, err error) {
 	named := map[string]int{}
 	for i, c := range cfg.Classes {
 		named[c.Name] = i
@@ -132,9 +132,9 @@
 	return at - math.Floor(at)
 }
 
-// Arrived takes in a job at a time on a clock that all dispatchers share. False: it is to be refused at once, and its client
+// AdmitJob takes in a job at a time on a clock that all dispatchers share. False: it is to be refused at once, and its client
 // told to come back after a while.
-func (s *Shedder) Arrived(now time.Duration, j Job) (ok bool, after time.Duration) {
+func (s *Shedder) AdmitJob(now time.Duration, j Job) (ok bool, after time.Duration) {
 	if s.grow(drift * max(0, min(now-s.at, time.Minute)).Seconds()); now > s.at {
 		s.at = now
 	}
@@ -181,18 +181,18 @@
 	return at
 }
 
-// End is what became of a job that was let in.
-type End uint8
+// Outcome is what became of a job that was let in.
+type Outcome uint8
 
 // The ends that tell of room. Jobs that failed for other causes tell nothing.
 const (
-	InTime End = iota
-	Late       // or its client left before it ended
-	NoRoom     // the module refused it
+	InTime  Outcome = iota
+	Late            // or its client left before it ended
+	Refused         // the module refused it
 )
 
-// Came tells what became of a job that was let in.
-func (s *Shedder) Came(work time.Duration, end End) {
+// JobEnded tells what became of a job that was let in.
+func (s *Shedder) JobEnded(work time.Duration, end Outcome) {
 	w := min(work.Seconds()/max(s.mean, 1e-9), 3)
 	if work <= 0 {
 		w = 1
@@ -203,7 +203,7 @@
 		s.grow(more * w * float64(s.streak))
 	case Late:
 		s.admit, s.streak = max(s.floor, s.admit*(1-lessLate*w)), 0
-	case NoRoom:
+	case Refused:
 		s.admit, s.streak = max(s.floor, s.admit*(1-lessRefused*w)), 0
 	}
 }
@@ -215,5 +215,5 @@
 	}
 }
 
-// Admit is the share of the offered work that is let in now.
-func (s *Shedder) Admit() float64 { return s.admit }
+// AdmittedShare is the share of the offered work that is let in now.
+func (s *Shedder) AdmittedShare() float64 { return s.admit }
--- a/internal/overload/shed_test.go
+++ b/internal/overload/shed_test.go
@@ -29,7 +29,7 @@
 func (s *Shedder) ask(now time.Duration, j Job) (bool, time.Duration) {
 	s.at = now
 	classes, admit := [2]offered{s.classes[0], s.classes[1]}, s.admit
-	ok, after := s.Arrived(now, j)
+	ok, after := s.AdmitJob(now, j)
 	copy(s.classes, classes[:])
 	s.admit = admit
 	return ok, after
@@ -118,24 +118,24 @@
 func TestShareFollows(t *testing.T) {
 	for every, low := range map[time.Duration]float64{50 * time.Millisecond: 0.28, 2 * time.Second: 0.6} { // time brings back who sees little
 		s, now := pressed(t, 1), time.Duration(0)
-		step := func(end End) {
+		step := func(end Outcome) {
 			now += every
-			s.Arrived(now, Job{Class: 1, Key: uint64(now), Work: time.Second})
-			s.Came(time.Second, end)
+			s.AdmitJob(now, Job{Class: 1, Key: uint64(now), Work: time.Second})
+			s.JobEnded(time.Second, end)
 		}
 		for range 200 {
 			step(Late)
 		}
-		assert.GreaterOrEqual(t, s.Admit(), s.floor, every)
-		assert.Less(t, s.Admit(), low, every)
+		assert.GreaterOrEqual(t, s.AdmittedShare(), s.floor, every)
+		assert.Less(t, s.AdmittedShare(), low, every)
 		begin := now
-		for s.Admit() < 1 {
+		for s.AdmittedShare() < 1 {
 			step(InTime)
 		}
 		assert.Less(t, now-begin, 15*time.Second, every)
 		for i := range 400 {
-			step(map[bool]End{true: Late, false: InTime}[i%50 == 0])
-			assert.Greater(t, s.Admit(), 0.85)
+			step(map[bool]Outcome{true: Late, false: InTime}[i%50 == 0])
+			assert.Greater(t, s.AdmittedShare(), 0.85)
 		}
 	}
 }
@@ -154,6 +154,6 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		s.admit = 0.25
-		s.Arrived(time.Duration(i), Job{Class: i & 1, Key: uint64(i), Keyed: true, Work: time.Second})
+		s.AdmitJob(time.Duration(i), Job{Class: i & 1, Key: uint64(i), Keyed: true, Work: time.Second})
 	}
 }
--- a/internal/seeds/seeds.go
+++ b/internal/seeds/seeds.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// Alone returns the single seed that an environment variable sets. ok is false if the variable is unset. An invalid value fails the
+// Single returns the single seed that an environment variable sets. ok is false if the variable is unset. An invalid value fails the
 // test.
-func Alone(t testing.TB, variable string) (seed uint64, ok bool) {
+func Single(t testing.TB, variable string) (seed uint64, ok bool) {
 	t.Helper()
 	text := os.Getenv(variable)
 	if text == "" {
@@ -26,18 +26,18 @@
 // Count returns the number of seeds that an environment variable sets, or preset if it is unset. An invalid value fails the test.
 func Count(t testing.TB, variable string, preset int) int {
 	t.Helper()
-	count, ok := Alone(t, variable)
+	count, ok := Single(t, variable)
 	if !ok {
 		return preset
 	}
 	return int(count)
 }
 
-// Played returns the seeds to run: the one that the variable alone sets, or else consecutive ones from first on, whose number is set
+// List returns the seeds to run: the one that the variable alone sets, or else consecutive ones from first on, whose number is set
 // by the variable many or is preset. An empty variable name counts as unset.
-func Played(t testing.TB, alone, many string, first uint64, preset int) []uint64 {
+func List(t testing.TB, alone, many string, first uint64, preset int) []uint64 {
 	t.Helper()
-	if seed, ok := Alone(t, alone); ok {
+	if seed, ok := Single(t, alone); ok {
 		return []uint64{seed}
 	}
 	var played []uint64
--- a/internal/seeds/seeds_test.go
+++ b/internal/seeds/seeds_test.go
@@ -23,19 +23,19 @@
 func (r *recorder) Fatalf(string, ...any) { r.ended = true }
 
 func TestPlayed(t *testing.T) {
-	assert.Equal(t, []uint64{5, 6, 7}, Played(t, aloneVariable, manyVariable, 5, 3))
-	assert.Equal(t, []uint64{0, 1}, Played(t, "", "", 0, 2))
+	assert.Equal(t, []uint64{5, 6, 7}, List(t, aloneVariable, manyVariable, 5, 3))
+	assert.Equal(t, []uint64{0, 1}, List(t, "", "", 0, 2))
 	t.Setenv(manyVariable, "1")
-	assert.Equal(t, []uint64{5}, Played(t, aloneVariable, manyVariable, 5, 3))
+	assert.Equal(t, []uint64{5}, List(t, aloneVariable, manyVariable, 5, 3))
 	t.Setenv(aloneVariable, "18446744073709551615")
-	assert.Equal(t, []uint64{1<<64 - 1}, Played(t, aloneVariable, manyVariable, 5, 3))
+	assert.Equal(t, []uint64{1<<64 - 1}, List(t, aloneVariable, manyVariable, 5, 3))
 }
 
 func TestInvalidSeedEndsTheTest(t *testing.T) {
 	for _, text := range []string{"-1", "x", "1.5", "18446744073709551616"} {
 		t.Setenv(aloneVariable, text)
 		r := &recorder{TB: t}
-		_, _ = Alone(r, aloneVariable)
+		_, _ = Single(r, aloneVariable)
 		require.True(t, r.ended, text)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// Find numbers a name that a list may hold though the settings do not: -1.
-func Find(m map[string]int, name string) int {
+// IndexOf numbers a name that a list may hold though the settings do not: -1.
+func IndexOf(m map[string]int, name string) int {
 	if v, ok := m[name]; ok {
 		return v
 	}
--- a/internal/system/control/operatorshistory_test.go
+++ b/internal/system/control/operatorshistory_test.go
@@ -241,7 +241,7 @@
 // TestOperatorsSeeOneRegister plays operators under random faults. GAUGESLIP_OPERATORS_SEEDS gives the number of seeds,
 // GAUGESLIP_OPERATORS one seed, with a trace.
 func TestOperatorsSeeOneRegister(t *testing.T) {
-	if seed, alone := seeds.Alone(t, "GAUGESLIP_OPERATORS"); alone {
+	if seed, alone := seeds.Single(t, "GAUGESLIP_OPERATORS"); alone {
 		checkHistory(t, seed, t.Logf)
 		return
 	}
--- a/internal/system/control/ordermemory_test.go
+++ b/internal/system/control/ordermemory_test.go
@@ -33,7 +33,7 @@
 		api.figures = http.NotFound
 		server := operatorServer(api.handler())
 		go func() { _ = server.Serve(listener) }()
-		before := heaptest.Held()
+		before := heaptest.LiveBytes()
 		head := fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", mostConfigBytes)
 		half := strings.Repeat(" ", mostConfigBytes/2)
 		var conns []net.Conn
@@ -48,7 +48,7 @@
 			go func() { _, _ = io.Copy(io.Discard, conn) }()
 		}
 		time.Sleep(time.Second)
-		held := heaptest.Held() - before
+		held := heaptest.LiveBytes() - before
 		for _, conn := range conns {
 			conn.Close()
 		}
--- a/internal/system/control/restart_test.go
+++ b/internal/system/control/restart_test.go
@@ -199,7 +199,7 @@
 // GAUGESLIP_CHANGES the number of changes of each.
 func TestRestartsAmongChanges(t *testing.T) {
 	changes := seeds.Count(t, "GAUGESLIP_CHANGES", 60)
-	if seed, alone := seeds.Alone(t, "GAUGESLIP_RESTART"); alone {
+	if seed, alone := seeds.Single(t, "GAUGESLIP_RESTART"); alone {
 		synctest.Test(t, func(t *testing.T) { playRestarts(t, seed, changes, t.Logf) })
 		return
 	}
--- a/internal/system/control/sockets.go
+++ b/internal/system/control/sockets.go
@@ -68,7 +68,7 @@
 
 func (n *Node) received(messages []*replica.Message) {
 	if len(messages) > 0 {
-		n.client.Reachable(messages[0].From.Address) // all of them are of one sender
+		n.client.MarkReachable(messages[0].From.Address) // all of them are of one sender
 	}
 	n.loop.postUrgent(func() {
 		for _, message := range messages {
--- a/internal/system/dataplane/bodymemory_test.go
+++ b/internal/system/dataplane/bodymemory_test.go
@@ -36,7 +36,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				server := newPipeServerOf(t, NewDispatcher(slowCore(time.Millisecond), knowingLimits(t, DefaultLimits()), noPoke, Options{}), stalledClients+1)
-				before := heaptest.Held()
+				before := heaptest.LiveBytes()
 				head := "POST " + testPrefix + testID + " HTTP/1.1\r\nHost: " + testHost + "\r\n" + body.framing
 				text := strings.Repeat("x", body.sent)
 				var conns []net.Conn
@@ -50,7 +50,7 @@
 					go func() { _, _ = io.Copy(io.Discard, conn) }()
 				}
 				synctest.Wait()
-				held := heaptest.Held() - before
+				held := heaptest.LiveBytes() - before
 				for _, conn := range conns {
 					conn.Close()
 				}
--- a/internal/system/dataplane/wire_test.go
+++ b/internal/system/dataplane/wire_test.go
@@ -138,7 +138,7 @@
 
 // Whatever goes wrong on the way to the replica: a job that was answered 200 is there, one that was answered 503 never is.
 func TestAnswersAreCertainOverTheWire(t *testing.T) {
-	played := seeds.Played(t, wireSeedVariable, "", 1, wireSeeds)
+	played := seeds.List(t, wireSeedVariable, "", 1, wireSeeds)
 	statuses := map[int]int{}
 	for _, seed := range played {
 		inCoreWire(t, seed, func(t *testing.T, w *wireCore) {
--- a/internal/system/localcluster/soak_test.go
+++ b/internal/system/localcluster/soak_test.go
@@ -21,10 +21,10 @@
 	programs := t.TempDir()
 	require.NoError(t, BuildRelayed(t.Context(), programs))
 	length := shortSoakDuration
-	if seconds, given := seeds.Alone(t, "GAUGESLIP_SOAK_FOR"); given {
+	if seconds, given := seeds.Single(t, "GAUGESLIP_SOAK_FOR"); given {
 		length = time.Duration(seconds) * time.Second
 	}
-	for _, seed := range seeds.Played(t, "GAUGESLIP_SOAK", "GAUGESLIP_SOAKS", 1, 1) {
+	for _, seed := range seeds.List(t, "GAUGESLIP_SOAK", "GAUGESLIP_SOAKS", 1, 1) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			options := SoakOptions{Seed: seed, For: length, Programs: programs}
 			if os.Getenv("GAUGESLIP_SOAK_LOG") != "" {
--- a/internal/system/simworld/world_test.go
+++ b/internal/system/simworld/world_test.go
@@ -202,5 +202,5 @@
 
 // seedsToPlay are the seeds of a random run: one from the environment, or as many as are asked for.
 func seedsToPlay(t *testing.T, rounds int) []uint64 {
-	return seeds.Played(t, seedVariable, roundsVariable, 1, rounds)
+	return seeds.List(t, seedVariable, roundsVariable, 1, rounds)
 }
--- a/internal/system/workerapi/answermemory_test.go
+++ b/internal/system/workerapi/answermemory_test.go
@@ -53,7 +53,7 @@
 func TestEndlessAnswersTakeABoundedPartOfTheMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := NewClient(Options{Connections: 2 * babblers, AnswerTimeout: time.Second, Dial: babbling(3 << 20)})
-		before := heaptest.Held()
+		before := heaptest.LiveBytes()
 		var calls sync.WaitGroup
 		for i := range babblers {
 			calls.Go(func() {
@@ -64,7 +64,7 @@
 			})
 		}
 		synctest.Wait() // each has said all that it says, or is hung up on
-		held := heaptest.Held() - before
+		held := heaptest.LiveBytes() - before
 		reply, err := client.Hold(t.Context(), Worker{Address: soundAddress, Instance: "i"}, HoldOrder{FenceToken: 1})
 		assert.NoError(t, err)
 		assert.Equal(t, int64(7), reply.ClockMs)
--- a/internal/waiting/accept.go
+++ b/internal/waiting/accept.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Fresh adds a job that does not wait. If it returns false, the job has been answered and must not be passed on.
-func (q *Room) Fresh(now time.Duration, j *Job) bool {
+// AddFresh adds a job that does not wait. If it returns false, the job has been answered and must not be passed on.
+func (q *Queue) AddFresh(now time.Duration, j *Job) bool {
 	if q.byName[j.Name] != 0 {
 		q.refuse(j, StatusConflict, "the id is already used", 0)
 		return false
@@ -18,7 +18,7 @@
 	e := q.entries.at(i)
 	e.state, e.entered, e.ready = Released, now, now
 	e.flags |= unsent
-	if q.limits.Fresh {
+	if q.limits.RememberFresh {
 		e.flags |= indexed
 		q.byName[e.name] = i
 	}
@@ -26,7 +26,7 @@
 	return true
 }
 
-func (q *Room) add(j *Job, flags uint16) uint32 {
+func (q *Queue) add(j *Job, flags uint16) uint32 {
 	i := q.allocEntry()
 	e := q.entries.at(i)
 	*e = entry{name: j.Name, number: j.Number, arrived: j.Arrived, deadline: j.Deadline, size: j.Size,
@@ -35,8 +35,8 @@
 	return i
 }
 
-func (q *Room) refuse(j *Job, status int, why string, after time.Duration) {
-	q.emit(Action{Kind: Answer, Job: Job{Number: j.Number}, Status: status, Why: why, After: after})
+func (q *Queue) refuse(j *Job, status int, why string, after time.Duration) {
+	q.emit(Action{Kind: Answer, Job: Job{Number: j.Number}, Status: status, Reason: why, RetryAfter: after})
 }
 
 // Submit adds a job that asks to wait. The job is either answered at once or held; a detached job that is held is also
@@ -44,7 +44,7 @@
 //
 // A job can wait only for jobs that are known when it arrives, and becomes known itself only afterwards. Predecessors
 // are always older, so there can be no cycle.
-func (q *Room) Submit(now time.Duration, j *Job) {
+func (q *Queue) Submit(now time.Duration, j *Job) {
 	q.stats.Submitted++
 	if q.byName[j.Name] != 0 {
 		q.refuse(j, StatusConflict, "the id is already used", 0)
@@ -139,7 +139,7 @@
 }
 
 // countForClient adds a job to the count of its client.
-func (q *Room) countForClient(e *entry, client string) {
+func (q *Queue) countForClient(e *entry, client string) {
 	s := q.byClient[client]
 	if s == nil {
 		s = &clientJobs{name: client}
@@ -150,7 +150,7 @@
 }
 
 // addEdge creates an edge and returns its index.
-func (q *Room) addEdge(of uint32, number uint64, next uint32) uint32 {
+func (q *Queue) addEdge(of uint32, number uint64, next uint32) uint32 {
 	x := edge{of, number, next}
 	if i := q.freeEdges; i != 0 {
 		q.freeEdges = q.edges.at(i).next
@@ -161,7 +161,7 @@
 }
 
 // exceededLimit names the limit that a job would exceed; "": none.
-func (q *Room) exceededLimit(j *Job) string {
+func (q *Queue) exceededLimit(j *Job) string {
 	switch {
 	case q.held >= q.limits.MaxJobs:
 		return "as many jobs wait as may"
@@ -176,7 +176,7 @@
 // retryAfter estimates when a rejected client can find free space: after the earliest possible end of a held job, plus
 // the mean interval between freed places for each client that was already told to retry. Each client is thereby
 // directed to a place of its own.
-func (q *Room) retryAfter(now time.Duration) time.Duration {
+func (q *Queue) retryAfter(now time.Duration) time.Duration {
 	gap := max(q.meanFreeInterval, time.Millisecond)
 	first := gap
 	if at, ok := q.timers.earliest(); ok && q.pacer.turns+q.ready.len()+q.backoff.len() == 0 {
--- a/internal/waiting/asks.go
+++ b/internal/waiting/asks.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Asked answers a query: at once, when the job ends, or when the query times out.
-func (q *Room) Asked(now time.Duration, query *Ask) {
+// AddQuery answers a query: at once, when the job ends, or when the query times out.
+func (q *Queue) AddQuery(now time.Duration, query *Query) {
 	if query.Name == "" {
 		q.list(now, query)
 		return
 	}
 	i := q.byName[query.Name]
 	if i == 0 {
-		q.emit(Action{Kind: Tell, Ask: query.Number, Status: StatusUnknown})
+		q.emit(Action{Kind: Reply, Query: query.Number, Status: StatusUnknown})
 		return
 	}
 	e := q.entries.at(i)
@@ -28,25 +28,25 @@
 			q.emit(Action{Kind: Withdraw, Job: Job{Number: e.number}})
 		}
 		q.finish(now, i, Cancelled, StatusCancelled, "cancelled", true)
-	case !e.state.Final() && query.Until > now && len(q.queries) < maxQueries && !q.closing:
-		q.queries[query.Number] = &pendingQuery{i, query.Until}
+	case !e.state.Final() && query.Deadline > now && len(q.queries) < maxQueries && !q.closing:
+		q.queries[query.Number] = &pendingQuery{i, query.Deadline}
 		q.queriesByEntry[i] = append(q.queriesByEntry[i], query.Number)
-		if len(q.queries) == 1 || query.Until < q.nextQueryTimeout {
-			q.nextQueryTimeout = query.Until
+		if len(q.queries) == 1 || query.Deadline < q.nextQueryTimeout {
+			q.nextQueryTimeout = query.Deadline
 		}
 		return
 	}
-	q.emit(Action{Kind: Tell, Ask: query.Number, Status: status, Info: q.info(now, i)})
+	q.emit(Action{Kind: Reply, Query: query.Number, Status: status, Info: q.info(now, i)})
 }
 
-// Unasked removes a query whose caller has left.
-func (q *Room) Unasked(number uint64) {
+// RemoveQuery removes a query whose caller has left.
+func (q *Queue) RemoveQuery(number uint64) {
 	if w := q.queries[number]; w != nil {
 		q.removeQuery(number, w)
 	}
 }
 
-func (q *Room) removeQuery(number uint64, w *pendingQuery) {
+func (q *Queue) removeQuery(number uint64, w *pendingQuery) {
 	delete(q.queries, number)
 	list := q.queriesByEntry[w.entry]
 	for k, n := range list {
@@ -61,7 +61,7 @@
 }
 
 // answerOverdueQueries answers the queries that have timed out with the present state.
-func (q *Room) answerOverdueQueries(now time.Duration) {
+func (q *Queue) answerOverdueQueries(now time.Duration) {
 	if len(q.queries) == 0 || now < q.nextQueryTimeout {
 		return
 	}
@@ -77,35 +77,35 @@
 	for _, n := range sorted(over) {
 		w := q.queries[n]
 		q.removeQuery(n, w)
-		q.emit(Action{Kind: Tell, Ask: n, Status: StatusServed, Info: q.info(now, w.entry)})
+		q.emit(Action{Kind: Reply, Query: n, Status: StatusServed, Info: q.info(now, w.entry)})
 	}
 }
 
 // list replies with up to query.Most jobs that asked to wait, in the order of their entries.
-func (q *Room) list(now time.Duration, query *Ask) {
+func (q *Queue) list(now time.Duration, query *Query) {
 	i := uint32(0)
-	if query.From != "" {
-		if i = q.byName[query.From]; i == 0 {
-			q.emit(Action{Kind: Tell, Ask: query.Number, Status: StatusUnknown})
+	if query.StartAfter != "" {
+		if i = q.byName[query.StartAfter]; i == 0 {
+			q.emit(Action{Kind: Reply, Query: query.Number, Status: StatusUnknown})
 			return
 		}
 	}
 	var list []Info
-	for i++; int(i) < q.entries.len() && len(list) < query.Most; i++ {
+	for i++; int(i) < q.entries.len() && len(list) < query.MaxJobs; i++ {
 		if e := q.entries.at(i); e.has(indexed) && !e.has(fresh) {
 			info := q.info(now, i)
 			info.Result = ""
 			list = append(list, *info)
 		}
 	}
-	q.emit(Action{Kind: Tell, Ask: query.Number, Status: StatusServed, Board: &Board{list, q.Stats()}})
+	q.emit(Action{Kind: Reply, Query: query.Number, Status: StatusServed, List: &JobList{list, q.Stats()}})
 }
 
 // info describes the present state of a job.
-func (q *Room) info(now time.Duration, i uint32) *Info {
+func (q *Queue) info(now time.Duration, i uint32) *Info {
 	e := q.entries.at(i)
 	n := &Info{Name: e.name, State: e.state, Due: e.due(), Attempts: int(e.attempts), Status: int(e.status),
-		Result: e.result, Shed: e.has(resultShed)}
+		Result: e.result, ResultShed: e.has(resultShed)}
 	if int(e.class) < len(q.fleet.Classes) {
 		n.Class = q.fleet.Classes[e.class].Name
 	}
--- a/internal/waiting/bench_test.go
+++ b/internal/waiting/bench_test.go
@@ -11,11 +11,11 @@
 )
 
 // filled returns a queue with n jobs, each with a set time within the next hour.
-func filled(tb testing.TB, n int) *Room {
+func filled(tb testing.TB, n int) *Queue {
 	lim := Defaults()
 	lim.MaxJobs, lim.MaxKept, lim.ClientShare, lim.MaxBytes, lim.DefaultDue = 10_000_000, 10_000_000, 1, 1<<40, 55*time.Minute
 	r := New(lim, Fleet{Replicas: 1, MaxAttempts: 6, Classes: []Class{{Name: "plot-load", Deadline: 8 * second}}})
-	r.Hosts(1000)
+	r.SetReadyHosts(1000)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range n {
 		r.Submit(epoch, &Job{Number: uint64(i + 1), Name: fmt.Sprintf("%016x", i), Client: "c", Slots: 1,
@@ -99,8 +99,8 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		r.Sent(epoch, uint64(1e9+i))
-		r.Ended(epoch, uint64(1e9+i), OK, nil)
+		r.JobSent(epoch, uint64(1e9+i))
+		r.SendEnded(epoch, uint64(1e9+i), OK, nil)
 	}
 }
 
--- a/internal/waiting/closing.go
+++ b/internal/waiting/closing.go
@@ -8,7 +8,7 @@
 
 // Close begins the shutdown of the program, which answers clients until the time by. Attached jobs that cannot become
 // ready by then are refused now, other attached jobs by then. No further jobs are accepted.
-func (q *Room) Close(now, by time.Duration) {
+func (q *Queue) Close(now, by time.Duration) {
 	q.closing = true
 	for _, w := range q.queries {
 		w.deadline = now
@@ -34,9 +34,9 @@
 	}
 }
 
-// Crashed records that the decision module has lost all jobs it held. Jobs that were released may have run and end as
+// ModuleCrashed records that the decision module has lost all jobs it held. Jobs that were released may have run and end as
 // failed. The program sends their answers itself.
-func (q *Room) Crashed(now time.Duration) {
+func (q *Queue) ModuleCrashed(now time.Duration) {
 	for _, n := range slices.Sorted(maps.Keys(q.active)) {
 		if i := q.active[n]; q.entries.at(i).state == Released {
 			q.finish(now, i, Failed, StatusFailed, "failed", false)
@@ -45,7 +45,7 @@
 }
 
 // Keeps reports whether a job is held and not released, so that a crash of the decision module does not affect it.
-func (q *Room) Keeps(number uint64) bool {
+func (q *Queue) Keeps(number uint64) bool {
 	i := q.active[number]
 	return i != 0 && q.entries.at(i).state < Released
 }
--- a/internal/waiting/export_test.go
+++ b/internal/waiting/export_test.go
@@ -35,4 +35,4 @@
 var Rules = []string{"by need", "strict ageing", "reserved share", "virtual time"}
 
 // SetRule sets the rule by which the queue paces its jobs to one of Rules.
-func (q *Room) SetRule(name string, share, lanes float64) { q.windowRule = rules[name](share, lanes) }
+func (q *Queue) SetRule(name string, share, lanes float64) { q.windowRule = rules[name](share, lanes) }
--- a/internal/waiting/finish.go
+++ b/internal/waiting/finish.go
@@ -6,7 +6,7 @@
 
 // finish puts a job into its final state. It emits an answer only if answer is set; otherwise the answer comes from
 // elsewhere.
-func (q *Room) finish(now time.Duration, i uint32, s State, status int, why string, answer bool) {
+func (q *Queue) finish(now time.Duration, i uint32, s State, status int, why string, answer bool) {
 	e := q.entries.at(i)
 	if e.state.Final() {
 		return
@@ -42,11 +42,11 @@
 	e.state, e.status, e.clientJobs, e.bodyBytes = s, uint16(status), nil, 0
 	e.sent = max(e.sent, e.ready)
 	if answer {
-		q.emit(Action{Kind: Answer, Job: Job{Number: e.number}, Status: status, Why: why})
+		q.emit(Action{Kind: Answer, Job: Job{Number: e.number}, Status: status, Reason: why})
 	}
 	for _, a := range q.queriesByEntry[i] {
 		delete(q.queries, a)
-		q.emit(Action{Kind: Tell, Ask: a, Status: StatusServed, Info: q.info(now, i)})
+		q.emit(Action{Kind: Reply, Query: a, Status: StatusServed, Info: q.info(now, i)})
 	}
 	delete(q.queriesByEntry, i)
 	if e.dependants != 0 {
@@ -71,7 +71,7 @@
 }
 
 // storeResult stores the result of a job. shedResults may have to drop older ones for it.
-func (q *Room) storeResult(e *entry, result []byte) {
+func (q *Queue) storeResult(e *entry, result []byte) {
 	if e.has(fresh) {
 		return // its client has received it on its connection
 	}
@@ -80,7 +80,7 @@
 }
 
 // shedResults drops the oldest results while bodies and results exceed MaxBytes. Their jobs stay known.
-func (q *Room) shedResults() {
+func (q *Queue) shedResults() {
 	for q.bodyBytes+q.resultBytes > q.limits.MaxBytes && q.nextToShed != 0 {
 		e := q.entries.at(q.nextToShed)
 		if len(e.result) > 0 {
@@ -94,7 +94,7 @@
 }
 
 // evictKept forgets final jobs whose retention has ended, and the oldest ones if there are more than MaxKept.
-func (q *Room) evictKept(now time.Duration, work *int) {
+func (q *Queue) evictKept(now time.Duration, work *int) {
 	for ; *work > 0 && q.oldestKept != 0; *work-- {
 		i := q.oldestKept
 		e := q.entries.at(i)
--- a/internal/waiting/records.go
+++ b/internal/waiting/records.go
@@ -43,11 +43,11 @@
 }
 
 // Record turns recording on. Without it, records cost nothing.
-func (q *Room) Record() { q.records = make([]Record, 0, 16) }
+func (q *Queue) Record() { q.records = make([]Record, 0, 16) }
 
 // Records returns the records to store since the last call, see Store. The slice is valid until the next call of any
 // method.
-func (q *Room) Records() []Record {
+func (q *Queue) Records() []Record {
 	out := q.records
 	if out != nil {
 		q.records = q.records[len(out):]
@@ -59,7 +59,7 @@
 }
 
 // record adds a record about an accepted job.
-func (q *Room) record(now time.Duration, e *entry, x Record) {
+func (q *Queue) record(now time.Duration, e *entry, x Record) {
 	if q.records == nil || !e.has(accepted) {
 		return
 	}
@@ -81,7 +81,7 @@
 // is safe to repeat; otherwise it ends as failed and is never sent a second time. Final jobs stay final until their
 // retention ends. A predecessor that was not recorded, because it had a connection, which ended with the process,
 // counts as not served. Restore returns the jobs that are not final.
-func (q *Room) Restore(now time.Duration, next func() uint64, load func(each func(Record) error) error) ([]Job, error) {
+func (q *Queue) Restore(now time.Duration, next func() uint64, load func(each func(Record) error) error) ([]Job, error) {
 	if len(q.byName) > 0 {
 		return nil, fmt.Errorf("waiting: cannot restore into a queue that knows %d jobs", len(q.byName))
 	}
@@ -136,7 +136,7 @@
 }
 
 // restoreJob restores one job. Older jobs, which it may wait for, are already restored.
-func (q *Room) restoreJob(now time.Duration, p *jobHistory) {
+func (q *Queue) restoreJob(now time.Duration, p *jobHistory) {
 	j := &p.job
 	i := q.add(j, indexed|accepted)
 	e := q.entries.at(i)
--- a/internal/waiting/records_test.go
+++ b/internal/waiting/records_test.go
@@ -69,23 +69,23 @@
 			if b.queue.active[n] == 0 {
 				continue
 			}
-			b.queue.Sent(b.now, n)
+			b.queue.JobSent(b.now, n)
 			look()
 			facts = append(facts, fact{kept: len(records), name: names[n], sent: classes[n] == 1})
 			switch rng.IntN(3) {
 			case 0:
-				b.queue.Ended(b.now, n, OK, []byte("r"))
+				b.queue.SendEnded(b.now, n, OK, []byte("r"))
 				look()
 				facts = append(facts, fact{kept: len(records), name: names[n], end: Served})
 			case 1:
-				b.queue.Ended(b.now, n, NeverRan, nil)
+				b.queue.SendEnded(b.now, n, NeverRan, nil)
 				look()
 				facts = append(facts, fact{kept: len(records), name: names[n], back: true})
-				b.queue.Refused(b.now, n)
+				b.queue.JobRefused(b.now, n)
 			case 2:
-				b.queue.Ended(b.now, n, MayHave, nil)
+				b.queue.SendEnded(b.now, n, MayHaveRun, nil)
 				if !b.queue.repeatable(b.queue.entries.at(b.queue.active[n])) {
-					b.queue.Failed(b.now, n)
+					b.queue.JobFailed(b.now, n)
 				}
 			}
 		}
@@ -141,8 +141,8 @@
 					if b.queue.active[n] != 0 && unsafe[e.name] {
 						t.Fatalf("seed %d, record %d: %s may have run and has another turn", seed+1, k, e.name)
 					}
-					b.queue.Sent(b.now, n)
-					b.queue.Ended(b.now, n, OK, nil)
+					b.queue.JobSent(b.now, n)
+					b.queue.SendEnded(b.now, n, OK, nil)
 				}
 				b.turns = b.turns[:0]
 				b.tick(50 * ms)
--- a/internal/waiting/room.go
+++ b/internal/waiting/room.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Room holds the waiting jobs. Use New to create one.
-type Room struct {
+// Queue holds the waiting jobs. Use New to create one.
+type Queue struct {
 	limits           Limits
 	fleet            Fleet
 	entries          slab[entry] // index 0 of each slab is unused
@@ -52,8 +52,8 @@
 }
 
 // New creates an empty queue. The limits must be valid, see Limits.Check.
-func New(lim Limits, fleet Fleet) *Room {
-	q := &Room{limits: lim, fleet: fleet, byName: map[string]uint32{}, active: map[uint64]uint32{}, byClient: map[string]*clientJobs{},
+func New(lim Limits, fleet Fleet) *Queue {
+	q := &Queue{limits: lim, fleet: fleet, byName: map[string]uint32{}, active: map[uint64]uint32{}, byClient: map[string]*clientJobs{},
 		queriesByEntry: map[uint32][]uint64{}, queries: map[uint64]*pendingQuery{}, pacer: newPacer(), windowRule: demandRule,
 		longestBudget: make([]time.Duration, len(fleet.Classes))}
 	q.entries.push(entry{}) // so that 0 means none
@@ -66,7 +66,7 @@
 
 // Actions returns the actions that have become necessary since the last call. The slice is valid until the next call of
 // Actions.
-func (q *Room) Actions() []Action {
+func (q *Queue) Actions() []Action {
 	out := q.actions
 	if q.actions, q.spareActions = q.spareActions[:0], out; cap(out) > maxTickWork {
 		q.spareActions = nil // do not retain the memory of a rare burst
@@ -74,17 +74,17 @@
 	return out
 }
 
-func (q *Room) emit(a Action) { q.actions = append(q.actions, a) }
+func (q *Queue) emit(a Action) { q.actions = append(q.actions, a) }
 
 // SetLimits changes the limits. Jobs already held stay even if they exceed the new limits; no more are accepted until
 // they fit.
-func (q *Room) SetLimits(lim Limits) { q.limits = lim }
+func (q *Queue) SetLimits(lim Limits) { q.limits = lim }
 
-// Hosts sets how many hosts are ready.
-func (q *Room) Hosts(n int) { q.hosts = n }
+// SetReadyHosts sets how many hosts are ready.
+func (q *Queue) SetReadyHosts(n int) { q.hosts = n }
 
 // Stats returns counts of what is held and what was done.
-func (q *Room) Stats() Stats {
+func (q *Queue) Stats() Stats {
 	s := q.stats
 	s.Ready, s.Released = q.ready.len()+q.backoff.len(), q.pacer.turns
 	s.Waiting = q.held - s.Ready - s.Released
@@ -93,10 +93,10 @@
 }
 
 // Held returns how many jobs are waiting, ready or released, not counting fresh jobs.
-func (q *Room) Held() int { return q.held }
+func (q *Queue) Held() int { return q.held }
 
-// Out returns how many detached jobs are released: with the decision module or at a host.
-func (q *Room) Out() (n int) {
+// DetachedOut returns how many detached jobs are released: with the decision module or at a host.
+func (q *Queue) DetachedOut() (n int) {
 	for _, i := range q.active {
 		if e := q.entries.at(i); e.state == Released && !e.has(attached|fresh) {
 			n++
@@ -106,7 +106,7 @@
 }
 
 // allocEntry returns the index of an empty entry.
-func (q *Room) allocEntry() uint32 {
+func (q *Queue) allocEntry() uint32 {
 	if i := q.freeEntries; i != 0 {
 		q.freeEntries = q.entries.at(i).next
 		*q.entries.at(i) = entry{}
@@ -117,7 +117,7 @@
 	return q.entries.push(entry{})
 }
 
-func (q *Room) freeEntry(i uint32) {
+func (q *Queue) freeEntry(i uint32) {
 	*q.entries.at(i) = entry{next: q.freeEntries}
 	q.freeEntries = i
 }
--- a/internal/waiting/room_test.go
+++ b/internal/waiting/room_test.go
@@ -16,7 +16,7 @@
 // harness drives a queue step by step and records its actions.
 type harness struct {
 	*testing.T
-	queue     *Room
+	queue     *Queue
 	now       time.Duration
 	next      uint64
 	answers   map[uint64]Action
@@ -37,7 +37,7 @@
 	b := &harness{T: t, now: epoch, answers: map[uint64]Action{}, replies: map[uint64]Action{}, withdrawn: map[uint64]int{},
 		queue: New(lim, Fleet{Replicas: 1, MaxAttempts: 3, Classes: []Class{
 			{Name: "plot-load", Deadline: 5 * second, Repeatable: true}, {Name: "harvest-sale", Deadline: 20 * second}}})}
-	b.queue.Hosts(100)
+	b.queue.SetReadyHosts(100)
 	return b
 }
 
@@ -48,13 +48,13 @@
 		switch n := a.Job.Number; a.Kind {
 		case Answer:
 			if old, twice := b.answers[n]; twice {
-				b.Fatalf("job %d is answered twice: %d %s, %d %s", n, old.Status, old.Why, a.Status, a.Why)
+				b.Fatalf("job %d is answered twice: %d %s, %d %s", n, old.Status, old.Reason, a.Status, a.Reason)
 			}
 			b.answers[n] = a
 		case Release:
 			b.turns, b.budgets = append(b.turns, n), append(b.budgets, a.Budget)
-		case Tell:
-			b.replies[a.Ask] = a
+		case Reply:
+			b.replies[a.Query] = a
 		case Withdraw:
 			b.withdrawn[n]++
 		}
@@ -99,7 +99,7 @@
 func (b *harness) fresh(name string) uint64 {
 	b.Helper()
 	b.next++
-	if !b.queue.Fresh(b.now, &Job{Number: b.next, Name: name, Arrived: b.now, Deadline: b.now + second, Attached: true}) {
+	if !b.queue.AddFresh(b.now, &Job{Number: b.next, Name: name, Arrived: b.now, Deadline: b.now + second, Attached: true}) {
 		b.Fatalf("fresh job %s is not passed on", name)
 	}
 	return b.next
@@ -108,15 +108,15 @@
 // serve sends a job that has its turn and ends it with a result.
 func (b *harness) serve(n uint64) {
 	b.Helper()
-	b.queue.Sent(b.now, n)
-	b.queue.Ended(b.now, n, OK, []byte("result"))
+	b.queue.JobSent(b.now, n)
+	b.queue.SendEnded(b.now, n, OK, []byte("result"))
 	b.readActions()
 }
 
 func (b *harness) info(name string) Info {
 	b.Helper()
 	b.next++
-	b.queue.Asked(b.now, &Ask{Number: b.next, Name: name})
+	b.queue.AddQuery(b.now, &Query{Number: b.next, Name: name})
 	b.readActions()
 	if a := b.replies[b.next]; a.Info != nil {
 		return *a.Info
@@ -179,13 +179,13 @@
 // A predecessor that was not served makes its dependant fail with 424, or lets it run if RunOnFailure is set.
 func TestPredecessors(t *testing.T) {
 	ways := map[string]func(b *harness, n uint64){
-		"fails":   func(b *harness, n uint64) { b.queue.Sent(b.now, n); b.queue.Failed(b.now, n) },
-		"refused": func(b *harness, n uint64) { b.tick(2*30*second - ms); b.queue.Refused(b.now, n) },
+		"fails":   func(b *harness, n uint64) { b.queue.JobSent(b.now, n); b.queue.JobFailed(b.now, n) },
+		"refused": func(b *harness, n uint64) { b.tick(2*30*second - ms); b.queue.JobRefused(b.now, n) },
 		"cancelled": func(b *harness, n uint64) {
-			b.queue.Asked(b.now, &Ask{Number: 999, Name: "a", Cancel: true})
+			b.queue.AddQuery(b.now, &Query{Number: 999, Name: "a", Cancel: true})
 		},
 		"too late": func(b *harness, n uint64) { b.tick(2 * 30 * second) },
-		"left":     func(b *harness, n uint64) { b.queue.Left(b.now, n) },
+		"left":     func(b *harness, n uint64) { b.queue.ClientLeft(b.now, n) },
 	}
 	for way, end := range ways {
 		for _, run := range []bool{false, true} {
@@ -244,7 +244,7 @@
 		}
 		b.tick(0)
 		if !good {
-			b.queue.Failed(b.now, jobs[0])
+			b.queue.JobFailed(b.now, jobs[0])
 			b.tick(0)
 			b.wantState("j999", Failed, StatusDependency)
 			continue
@@ -267,7 +267,7 @@
 		b.submit(fmt.Sprint("b", i), after("a"))
 	}
 	b.tick(0)
-	b.queue.Failed(b.now, n)
+	b.queue.JobFailed(b.now, n)
 	b.queue.Tick(b.now)
 	if got := len(b.queue.Actions()); got > maxTickWork {
 		t.Errorf("%d answers in one Tick", got)
@@ -329,13 +329,13 @@
 
 // An unsafe job that may have run gets no second turn and ends as failed. One that provably did not run gets one.
 func TestUnsafeRunsOnce(t *testing.T) {
-	for outcome, again := range map[Outcome]bool{MayHave: false, TurnedOff: false, NeverRan: true} {
+	for outcome, again := range map[Outcome]bool{MayHaveRun: false, Rejected: false, NeverRan: true} {
 		b := newHarness(t, nil)
 		n := b.submit("a", sale)
 		b.tick(0)
-		b.queue.Sent(b.now, n)
-		b.queue.Ended(b.now, n, outcome, nil)
-		if got := b.queue.Refused(b.now, n); got != again {
+		b.queue.JobSent(b.now, n)
+		b.queue.SendEnded(b.now, n, outcome, nil)
+		if got := b.queue.JobRefused(b.now, n); got != again {
 			t.Errorf("outcome %d: queued again %v", outcome, got)
 		}
 		b.tick(3 * second)
@@ -344,9 +344,9 @@
 	b := newHarness(t, nil)
 	n := b.submit("a", sale)
 	b.tick(0)
-	b.queue.Sent(b.now, n)
-	b.queue.Ended(b.now, n, MayHave, nil)
-	b.queue.Failed(b.now, n)
+	b.queue.JobSent(b.now, n)
+	b.queue.SendEnded(b.now, n, MayHaveRun, nil)
+	b.queue.JobFailed(b.now, n)
 	b.tick(time.Minute)
 	b.wantTurns(n, 1)
 	b.wantState("a", Failed, StatusFailed)
@@ -364,7 +364,7 @@
 		}
 		turns = len(b.turns)
 		first, last, before = max(first, b.now-before), b.now-before, b.now
-		if !b.queue.Refused(b.now, n) {
+		if !b.queue.JobRefused(b.now, n) {
 			break
 		}
 	}
@@ -380,9 +380,9 @@
 	n = b.submit("a", nil)
 	for range 4 {
 		b.tick(5 * second)
-		b.queue.Sent(b.now, n)
-		b.queue.Ended(b.now, n, NeverRan, nil)
-		b.queue.Refused(b.now, n)
+		b.queue.JobSent(b.now, n)
+		b.queue.SendEnded(b.now, n, NeverRan, nil)
+		b.queue.JobRefused(b.now, n)
 	}
 	b.wantTurns(n, 3)
 	b.wantState("a", Refused, StatusRefused)
@@ -394,7 +394,7 @@
 	b := newHarness(t, nil)
 	cancel := func(name string) int {
 		b.next++
-		b.queue.Asked(b.now, &Ask{Number: b.next, Name: name, Cancel: true})
+		b.queue.AddQuery(b.now, &Query{Number: b.next, Name: name, Cancel: true})
 		b.readActions()
 		return b.replies[b.next].Status
 	}
@@ -402,7 +402,7 @@
 	held := b.submit("held", nil)
 	out := b.submit("out", nil)
 	b.tick(0)
-	b.queue.Sent(b.now, out)
+	b.queue.JobSent(b.now, out)
 	for _, c := range []struct {
 		name string
 		want int
@@ -414,7 +414,7 @@
 	if b.withdrawn[held] != 1 {
 		t.Error("a cancelled job was not withdrawn from the decision module")
 	}
-	b.queue.Ended(b.now, out, OK, nil)
+	b.queue.SendEnded(b.now, out, OK, nil)
 	if got := cancel("out"); got != StatusConflict {
 		t.Errorf("cancellation of a served job: status %d", got)
 	}
@@ -431,7 +431,7 @@
 			t.Errorf("job %d: %+v", n, b.answers[n])
 		}
 	}
-	if b.queue.Fresh(b.now, &Job{Number: 99, Name: "a"}) {
+	if b.queue.AddFresh(b.now, &Job{Number: 99, Name: "a"}) {
 		t.Error("a fresh job with the id of a waiting one is passed on")
 	}
 	b.wantState("a", Waiting, 0)
@@ -444,15 +444,15 @@
 	waits := b.submit("waits", func(j *Job) { attach(j); j.NotBefore = b.now + second })
 	held, out, maybe := b.submit("held", attach), b.submit("out", attach), b.submit("maybe", attach)
 	b.tick(0)
-	b.queue.Sent(b.now, out)
-	b.queue.Sent(b.now, maybe)
+	b.queue.JobSent(b.now, out)
+	b.queue.JobSent(b.now, maybe)
 	for n, pass := range map[uint64]bool{waits: false, held: true, out: true, maybe: true, 12345: true} {
-		if b.queue.Left(b.now, n) != pass {
+		if b.queue.ClientLeft(b.now, n) != pass {
 			t.Errorf("job %d: passed on %v", n, !pass)
 		}
 	}
-	b.queue.Ended(b.now, out, OK, nil)
-	b.queue.Ended(b.now, maybe, MayHave, nil)
+	b.queue.SendEnded(b.now, out, OK, nil)
+	b.queue.SendEnded(b.now, maybe, MayHaveRun, nil)
 	b.wantState("waits", Cancelled, StatusCancelled)
 	b.wantState("held", Cancelled, StatusCancelled)
 	b.wantState("out", Served, StatusServed)
@@ -472,14 +472,14 @@
 	b.submit("a1", by("a", 1000))
 	b.submit("a2", by("a", 1000))
 	for name, n := range map[string]uint64{"share": b.submit("a3", by("a", 0)), "bytes": b.submit("b1", by("b", 64<<10))} {
-		if b.answers[n].Status != StatusFull || b.answers[n].After < second {
+		if b.answers[n].Status != StatusFull || b.answers[n].RetryAfter < second {
 			t.Errorf("%s: %+v", name, b.answers[n])
 		}
 	}
 	b.submit("b2", by("b", 0))
 	b.submit("c1", by("c", 0))
 	one, two := b.submit("d1", by("d", 0)), b.submit("d2", by("d", 0))
-	if x, y := b.answers[one], b.answers[two]; x.Status != StatusFull || x.After < 5*second || y.After <= x.After {
+	if x, y := b.answers[one], b.answers[two]; x.Status != StatusFull || x.RetryAfter < 5*second || y.RetryAfter <= x.RetryAfter {
 		t.Errorf("%+v, %+v", x, y)
 	}
 	b.tick(5 * second)
@@ -514,10 +514,10 @@
 func TestRetention(t *testing.T) {
 	b := newHarness(t, func(l *Limits) { l.Retention = 10 * second })
 	n := b.submit("a", at(b.now+time.Minute))
-	b.queue.Asked(b.now, &Ask{Number: 1000, Name: "a", Until: b.now + time.Hour})
-	b.queue.Asked(b.now, &Ask{Number: 1001, Name: "a", Until: b.now + second})
-	b.queue.Asked(b.now, &Ask{Number: 1002, Name: "a", Until: b.now + time.Hour})
-	b.queue.Unasked(1002)
+	b.queue.AddQuery(b.now, &Query{Number: 1000, Name: "a", Deadline: b.now + time.Hour})
+	b.queue.AddQuery(b.now, &Query{Number: 1001, Name: "a", Deadline: b.now + second})
+	b.queue.AddQuery(b.now, &Query{Number: 1002, Name: "a", Deadline: b.now + time.Hour})
+	b.queue.RemoveQuery(1002)
 	b.tick(second)
 	if a, ok := b.replies[1001]; !ok || a.Info.State != Waiting {
 		t.Errorf("%+v", a)
@@ -576,14 +576,14 @@
 	for i := range 3 {
 		n := b.submit(fmt.Sprint(i), nil)
 		b.tick(0)
-		b.queue.Sent(b.now, n)
-		b.queue.Ended(b.now, n, OK, make([]byte, 30<<10))
+		b.queue.JobSent(b.now, n)
+		b.queue.SendEnded(b.now, n, OK, make([]byte, 30<<10))
 	}
-	if i := b.info("0"); i.State != Served || !i.Shed || i.Result != "" {
-		t.Errorf("%v %v", i.State, i.Shed)
+	if i := b.info("0"); i.State != Served || !i.ResultShed || i.Result != "" {
+		t.Errorf("%v %v", i.State, i.ResultShed)
 	}
-	if i := b.info("2"); i.Shed || len(i.Result) != 30<<10 {
-		t.Errorf("%v", i.Shed)
+	if i := b.info("2"); i.ResultShed || len(i.Result) != 30<<10 {
+		t.Errorf("%v", i.ResultShed)
 	}
 	if s := b.queue.Stats(); s.Bytes > 64<<10 || s.ResultsShed != 1 {
 		t.Errorf("%+v", s)
@@ -597,7 +597,7 @@
 		return func(j *Job) { j.Attached, j.Deadline, j.NotBefore = true, b.now+time.Minute, b.now+not }
 	}
 	far, near, free := b.submit("far", attach(10*second)), b.submit("near", attach(second)), b.submit("free", at(b.now+second))
-	b.queue.Asked(b.now, &Ask{Number: 1000, Name: "free", Until: b.now + time.Hour})
+	b.queue.AddQuery(b.now, &Query{Number: 1000, Name: "free", Deadline: b.now + time.Hour})
 	b.queue.Close(b.now, b.now+3*second)
 	b.readActions()
 	if b.answers[far].Status != StatusFull || b.replies[1000].Info == nil {
@@ -620,8 +620,8 @@
 	out, waits := b.submit("out", nil), b.submit("waits", at(b.now+second))
 	m := b.submit("after", after("out"))
 	b.tick(0)
-	b.queue.Sent(b.now, out)
-	b.queue.Crashed(b.now)
+	b.queue.JobSent(b.now, out)
+	b.queue.ModuleCrashed(b.now)
 	if b.queue.Keeps(out) || !b.queue.Keeps(waits) {
 		t.Error("Keeps reports the wrong job")
 	}
@@ -651,7 +651,7 @@
 // The window grows while jobs are sent promptly, halves when a fresh job is refused, and never falls below its floor.
 func TestWindow(t *testing.T) {
 	b := newHarness(t, func(l *Limits) { l.ClientShare = 1; l.DefaultDue = 10 * time.Minute; l.Share = 0.5 })
-	b.queue.Hosts(10)
+	b.queue.SetReadyHosts(10)
 	for i := range 2000 {
 		b.submit(fmt.Sprint(i), nil)
 	}
@@ -660,12 +660,12 @@
 	for range 4 {
 		sent := served
 		for ; sent < min(len(b.turns), served+40); b.tick(0) { // the fleet has 40 lanes
-			b.queue.Sent(b.now, b.turns[sent])
+			b.queue.JobSent(b.now, b.turns[sent])
 			sent++
 		}
 		b.tick(100 * ms)
 		for ; served < sent; served++ {
-			b.queue.Ended(b.now, b.turns[served], OK, nil)
+			b.queue.SendEnded(b.now, b.turns[served], OK, nil)
 		}
 	}
 	grown := b.queue.Stats().Window
@@ -673,7 +673,7 @@
 		t.Errorf("window %d", grown)
 	}
 	n := b.fresh("f")
-	if b.queue.Refused(b.now, n) {
+	if b.queue.JobRefused(b.now, n) {
 		t.Error("a refused fresh job is queued again")
 	}
 	b.tick(100 * ms)
@@ -681,7 +681,7 @@
 		t.Errorf("window %d after %d", w, grown)
 	}
 	for i := range 20 {
-		b.queue.Refused(b.now, b.fresh(fmt.Sprint("f", i)))
+		b.queue.JobRefused(b.now, b.fresh(fmt.Sprint("f", i)))
 		b.tick(300 * ms)
 	}
 	// 2000 jobs in 600 s with very short turns need little: one at a time, but never none.
@@ -695,13 +695,13 @@
 	b := newHarness(t, func(l *Limits) { l.Retention = second })
 	n := b.submit("a", at(b.now+time.Minute))
 	b.submit("b", after("a"))
-	b.queue.Asked(b.now, &Ask{Number: 999, Name: "b", Cancel: true})
+	b.queue.AddQuery(b.now, &Query{Number: 999, Name: "b", Cancel: true})
 	b.tick(second) // b is forgotten
 	m := b.submit("c", at(b.now+time.Hour))
 	if b.queue.active[m] != 2 {
 		t.Fatalf("c has place %d", b.queue.active[m])
 	}
-	b.queue.Asked(b.now, &Ask{Number: 999, Name: "a", Cancel: true})
+	b.queue.AddQuery(b.now, &Query{Number: 999, Name: "a", Cancel: true})
 	b.tick(0)
 	b.wantState("c", Waiting, 0)
 	if b.answers[n].Status != StatusCancelled || b.answers[m].Status != 0 {
--- a/internal/waiting/tick.go
+++ b/internal/waiting/tick.go
@@ -5,7 +5,7 @@
 )
 
 // makeReady makes a job ready, since all that it waited for has happened.
-func (q *Room) makeReady(now time.Duration, i uint32) {
+func (q *Queue) makeReady(now time.Duration, i uint32) {
 	e := q.entries.at(i)
 	e.state, e.ready = Ready, now
 	q.record(now, e, Record{Kind: BecameReady})
@@ -15,7 +15,7 @@
 }
 
 // armDeadline sets the time by which a job must be answered that is ready, or in its turn and not sent.
-func (q *Room) armDeadline(i uint32) {
+func (q *Queue) armDeadline(i uint32) {
 	e := q.entries.at(i)
 	at := e.ready + maxWaitFactor*e.due()
 	if e.deadline > 0 && e.has(attached) {
@@ -27,7 +27,7 @@
 
 // Tick advances the time: it handles what has become due and releases jobs. It handles a bounded number of entries;
 // Wake returns when to call it again.
-func (q *Room) Tick(now time.Duration) {
+func (q *Queue) Tick(now time.Duration) {
 	work := maxTickWork
 	q.evictKept(now, &work)
 	for ; work > 0; work-- {
@@ -62,7 +62,7 @@
 }
 
 // expire answers a job that has waited as long as it may.
-func (q *Room) expire(now time.Duration, i uint32) {
+func (q *Queue) expire(now time.Duration, i uint32) {
 	e := q.entries.at(i)
 	if e.state == Released {
 		q.emit(Action{Kind: Withdraw, Job: Job{Number: e.number}})
@@ -74,13 +74,13 @@
 	q.finish(now, i, Refused, StatusRefused, "no room came in the time that it could wait", true)
 }
 
-func (q *Room) repeatable(e *entry) bool {
+func (q *Queue) repeatable(e *entry) bool {
 	return int(e.class) < len(q.fleet.Classes) && q.fleet.Classes[e.class].Repeatable
 }
 
 // notifyDependants notifies the dependants of ended jobs. It works through a list instead of recursing, so that a chain
 // of any length uses no stack and a job with many dependants does not make a Tick long.
-func (q *Room) notifyDependants(now time.Duration, work *int) {
+func (q *Queue) notifyDependants(now time.Duration, work *int) {
 	for *work > 0 && len(q.unnotified) > 0 {
 		p := q.unnotified[len(q.unnotified)-1]
 		x := q.entries.at(p).dependants
@@ -106,7 +106,7 @@
 }
 
 // Wake returns when the next Tick is due if nothing else happens.
-func (q *Room) Wake(now time.Duration) (at time.Duration, ok bool) {
+func (q *Queue) Wake(now time.Duration) (at time.Duration, ok bool) {
 	if q.moreWork || len(q.unnotified) > 0 {
 		return now, true
 	}
--- a/internal/waiting/turns.go
+++ b/internal/waiting/turns.go
@@ -51,7 +51,7 @@
 }
 
 // releaseReady starts the turns of ready jobs, the one with the earliest target time first.
-func (q *Room) releaseReady(now time.Duration) {
+func (q *Queue) releaseReady(now time.Duration) {
 	p := &q.pacer
 	if q.ready.len() == 0 {
 		return
@@ -69,7 +69,7 @@
 		p.turns++
 		p.unsent++
 		q.stats.Turns++
-		a := Action{Kind: Release, Tried: int(e.attempts), Job: Job{Number: e.number, Name: e.name, Class: int(e.class),
+		a := Action{Kind: Release, Attempts: int(e.attempts), Job: Job{Number: e.number, Name: e.name, Class: int(e.class),
 			Tenant: int(e.tenant), Size: e.size, Slots: int(e.slots), Arrived: now, Attached: e.has(attached)}}
 		if e.has(attached) { // its deadline is its client's, and it waited at its own request
 			a.Job.Arrived, a.Budget, a.Waited = e.arrived, e.deadline-e.arrived, now-e.arrived
@@ -82,7 +82,7 @@
 
 // turnBudget returns the time that a job without a client gets for one turn. It is the longest budget that a client has
 // set, because the decision module takes the longest budget it has seen as the full time that a client waits.
-func (q *Room) turnBudget(class int) time.Duration {
+func (q *Queue) turnBudget(class int) time.Duration {
 	if class < len(q.longestBudget) && q.longestBudget[class] > 0 {
 		return q.longestBudget[class]
 	}
@@ -93,7 +93,7 @@
 }
 
 // mayRelease reports whether another job may begin its turn now.
-func (q *Room) mayRelease(now time.Duration) bool {
+func (q *Queue) mayRelease(now time.Duration) bool {
 	p := &q.pacer
 	switch {
 	case q.ready.len() == 0 || now < p.pausedUntil || p.turns >= p.window:
@@ -106,7 +106,7 @@
 
 // updateWindow computes the floor and the window. It examines single jobs only when it recomputes the demand, which
 // happens less often the longer the backlog is.
-func (q *Room) updateWindow(now time.Duration) {
+func (q *Queue) updateWindow(now time.Duration) {
 	p := &q.pacer
 	wait := demandInterval + time.Duration(q.ready.len())*demandIntervalPerJob
 	if p.demandComputedAt == 0 || now-p.demandComputedAt >= wait || p.demandStale && now-p.demandComputedAt >= wait/4 {
@@ -129,7 +129,7 @@
 // requiredRate returns the rate in jobs per second at which the ready jobs must be sent so that each is sent by its due
 // time: the slope of the steepest line from now to any point of their demand curve. Remaining times are sorted into
 // bins a quarter of an octave wide, and each counts as the lower edge of its bin.
-func (q *Room) requiredRate(now time.Duration) float64 {
+func (q *Queue) requiredRate(now time.Duration) float64 {
 	const least = 100 * time.Millisecond
 	var bins [256]int
 	count := func(target time.Duration, jobs int) {
@@ -157,7 +157,7 @@
 }
 
 // nextRelease returns when a ready job may begin its turn if nothing else happens.
-func (q *Room) nextRelease(now time.Duration) (time.Duration, bool) {
+func (q *Queue) nextRelease(now time.Duration) (time.Duration, bool) {
 	p := &q.pacer
 	if q.ready.len() == 0 {
 		return 0, false
@@ -171,8 +171,8 @@
 	return max(p.demandComputedAt+demandInterval+time.Duration(q.ready.len())*demandIntervalPerJob, now+time.Millisecond), true
 }
 
-// Sent records that a job was sent to a host.
-func (q *Room) Sent(now time.Duration, number uint64) {
+// JobSent records that a job was sent to a host.
+func (q *Queue) JobSent(now time.Duration, number uint64) {
 	i := q.active[number]
 	if i == 0 {
 		return
@@ -209,8 +209,8 @@
 	}
 }
 
-// Ended records the outcome of a send. The first OK ends the job.
-func (q *Room) Ended(now time.Duration, number uint64, o Outcome, result []byte) {
+// SendEnded records the outcome of a send. The first OK ends the job.
+func (q *Queue) SendEnded(now time.Duration, number uint64, o Outcome, result []byte) {
 	q.pacer.pausedUntil = min(q.pacer.pausedUntil, now) // a lane may be free
 	i := q.active[number]
 	if i == 0 {
@@ -226,9 +226,9 @@
 		q.storeResult(e, result)
 		q.finish(now, i, Served, StatusServed, "", false)
 		return
-	case MayHave:
+	case MayHaveRun:
 		e.flags |= mayHaveRun
-	case TurnedOff:
+	case Rejected:
 		e.flags |= mayHaveRun | rejected
 	}
 	if e.sendsOut > 0 {
@@ -243,7 +243,7 @@
 }
 
 // finishAbandoned ends a job whose client has left and of which no send is in progress.
-func (q *Room) finishAbandoned(now time.Duration, i uint32) {
+func (q *Queue) finishAbandoned(now time.Duration, i uint32) {
 	if q.entries.at(i).has(mayHaveRun) {
 		q.finish(now, i, Failed, StatusFailed, "", false)
 		return
@@ -251,9 +251,9 @@
 	q.finish(now, i, Cancelled, StatusCancelled, "", false)
 }
 
-// Refused records that the decision module refused a job. If it returns true, the job is queued again for another turn
+// JobRefused records that the decision module refused a job. If it returns true, the job is queued again for another turn
 // and the refusal must not be passed on. This is safe if no send may have run or the class is safe to repeat.
-func (q *Room) Refused(now time.Duration, number uint64) bool {
+func (q *Queue) JobRefused(now time.Duration, number uint64) bool {
 	i := q.active[number]
 	if i == 0 {
 		return false
@@ -291,12 +291,12 @@
 }
 
 // backoffDelay returns how long a refused job is held back. The delay shrinks as the job approaches its latest time.
-func (q *Room) backoffDelay(now time.Duration, e *entry) time.Duration {
+func (q *Queue) backoffDelay(now time.Duration, e *entry) time.Duration {
 	return min(max((e.ready+maxWaitFactor*e.due()-now)/32, minBackoff), maxBackoff)
 }
 
 // endTurn ends a job's turn, if it has one.
-func (q *Room) endTurn(now time.Duration, i uint32, to State) {
+func (q *Queue) endTurn(now time.Duration, i uint32, to State) {
 	e, p := q.entries.at(i), &q.pacer
 	if e.state != Released {
 		return
@@ -315,15 +315,15 @@
 	}
 }
 
-// Failed records that the decision module failed a job.
-func (q *Room) Failed(now time.Duration, number uint64) {
+// JobFailed records that the decision module failed a job.
+func (q *Queue) JobFailed(now time.Duration, number uint64) {
 	if i := q.active[number]; i != 0 {
 		q.finish(now, i, Failed, StatusFailed, "", false)
 	}
 }
 
-// Left records that the client of a job has left. If it returns true, the decision module must be notified.
-func (q *Room) Left(now time.Duration, number uint64) bool {
+// ClientLeft records that the client of a job has left. If it returns true, the decision module must be notified.
+func (q *Queue) ClientLeft(now time.Duration, number uint64) bool {
 	i := q.active[number]
 	if i == 0 {
 		return true
--- a/internal/waiting/types.go
+++ b/internal/waiting/types.go
@@ -46,24 +46,24 @@
 
 // Limits are the operators' limits for the queue. They may change while it is in use.
 type Limits struct {
-	MaxJobs      int           // jobs that are waiting, ready or released at any one time
-	MaxKept      int           // final jobs remembered; beyond this the oldest are forgotten before their retention ends
-	MaxBytes     int64         // bodies of waiting jobs and kept results together
-	Retention    time.Duration // how long a final state is kept
-	DefaultDue   time.Duration // due time of a job that sets none
-	MaxDue       time.Duration
-	MaxDelay     time.Duration // how far in the future a set time may lie
-	Share        float64       // part of the fleet that waiting jobs may claim while fresh jobs are refused; 0 to 1
-	ClientShare  float64       // part of MaxJobs that one client may hold; 0 to 1
-	RunOnFailure bool          // run a job even if a predecessor was not served; otherwise it fails with 424
-	Fresh        bool          // remember jobs that do not wait too, so that others can wait for them
+	MaxJobs       int           // jobs that are waiting, ready or released at any one time
+	MaxKept       int           // final jobs remembered; beyond this the oldest are forgotten before their retention ends
+	MaxBytes      int64         // bodies of waiting jobs and kept results together
+	Retention     time.Duration // how long a final state is kept
+	DefaultDue    time.Duration // due time of a job that sets none
+	MaxDue        time.Duration
+	MaxDelay      time.Duration // how far in the future a set time may lie
+	Share         float64       // part of the fleet that waiting jobs may claim while fresh jobs are refused; 0 to 1
+	ClientShare   float64       // part of MaxJobs that one client may hold; 0 to 1
+	RunOnFailure  bool          // run a job even if a predecessor was not served; otherwise it fails with 424
+	RememberFresh bool          // remember jobs that do not wait too, so that others can wait for them
 }
 
 // Defaults returns the limits that apply where the settings set none.
 func Defaults() Limits {
 	return Limits{MaxJobs: 10_000, MaxKept: 10_000, MaxBytes: 4 << 20, Retention: 10 * time.Minute,
 		DefaultDue: 30 * time.Second, MaxDue: time.Hour, MaxDelay: 24 * time.Hour, Share: 0.5, ClientShare: 0.25,
-		Fresh: true}
+		RememberFresh: true}
 }
 
 // Check validates the limits. The error begins with the key as it stands in the settings file.
@@ -132,26 +132,26 @@
 	Accept                     // Job: the job is held and no longer depends on its connection
 	Answer                     // Job, Status, Why, After: the final answer; that of a detached job is not sent to anyone
 	Withdraw                   // Job: the decision module holds the job and must not send it any more
-	Tell                       // Ask, Status, Info: the reply to a query
+	Reply                      // Ask, Status, Info: the reply to a query
 )
 
 // Action is something that the program has to do. Actions are carried out in order.
 type Action struct {
-	Kind   ActionKind
-	Job    Job // for Release the whole job except After; otherwise only its Number
-	Budget time.Duration
-	Tried  int           // sends in earlier turns
-	Waited time.Duration // time that an attached job has waited at its own request
-	Status int
-	Why    string
-	After  time.Duration // value for Retry-After; 0: none
-	Ask    uint64
-	Info   *Info  // nil if Status says that there is none
-	Board  *Board // of a list
+	Kind       ActionKind
+	Job        Job // for Release the whole job except After; otherwise only its Number
+	Budget     time.Duration
+	Attempts   int           // sends in earlier turns
+	Waited     time.Duration // time that an attached job has waited at its own request
+	Status     int
+	Reason     string
+	RetryAfter time.Duration // value for Retry-After; 0: none
+	Query      uint64
+	Info       *Info    // nil if Status says that there is none
+	List       *JobList // of a list
 }
 
-// Board is a list of jobs, with the counts of the whole queue.
-type Board struct {
+// JobList is a list of jobs, with the counts of the whole queue.
+type JobList struct {
 	Jobs  []Info
 	Stats Stats
 }
@@ -161,33 +161,33 @@
 
 // The outcomes.
 const (
-	OK        Outcome = iota // the host returned the result
-	NeverRan                 // the job provably did not run
-	MayHave                  // the job may have run
-	TurnedOff                // the host will not accept a job like this one, now or later
+	OK         Outcome = iota // the host returned the result
+	NeverRan                  // the job provably did not run
+	MayHaveRun                // the job may have run
+	Rejected                  // the host will not accept a job like this one, now or later
 )
 
 // Info describes a job to those who query it.
 type Info struct {
-	Name     string
-	State    State
-	Class    string
-	Due      time.Duration
-	Waited   time.Duration // from ready to its last send, or until now
-	Attempts int
-	Status   int // of a final job
-	Result   string
-	Shed     bool // there was a result, but it was dropped for lack of space
+	Name       string
+	State      State
+	Class      string
+	Due        time.Duration
+	Waited     time.Duration // from ready to its last send, or until now
+	Attempts   int
+	Status     int // of a final job
+	Result     string
+	ResultShed bool // there was a result, but it was dropped for lack of space
 }
 
-// Ask is a query about one job or about all, or the cancellation of a job.
-type Ask struct {
-	Number uint64 // assigned by the caller
-	Name   string // empty: a list
-	Until  time.Duration
-	Cancel bool
-	Most   int    // of a list: maximum number of jobs
-	From   string // of a list: the id after which it starts
+// Query is a query about one job or about all, or the cancellation of a job.
+type Query struct {
+	Number     uint64 // assigned by the caller
+	Name       string // empty: a list
+	Deadline   time.Duration
+	Cancel     bool
+	MaxJobs    int    // of a list: maximum number of jobs
+	StartAfter string // of a list: the id after which it starts
 }
 
 // Stats counts what the queue holds and has done.
--- a/internal/waiting/weigh_test.go
+++ b/internal/waiting/weigh_test.go
@@ -30,7 +30,7 @@
 type simulation struct {
 	rng    *rand.Rand
 	chain  *dispatch.Chain
-	room   *waiting.Room
+	room   *waiting.Queue
 	now    time.Duration
 	events eventQueue
 	seq    int
@@ -103,7 +103,7 @@
 		w.hosts[addr] = &host{lanes: lanes}
 		list = append(list, dispatch.Host{Name: fmt.Sprintf("s-%08x", 0x7000+i), Addr: addr, Scale: float64(lanes)})
 	}
-	w.in = append(w.in, dispatch.Listed{Version: 1, Whole: true, Hosts: list})
+	w.in = append(w.in, dispatch.HostList{Version: 1, Whole: true, Hosts: list})
 	return w
 }
 
@@ -130,7 +130,7 @@
 // arrive submits a job; with wait nil it is a fresh one.
 func (w *simulation) arrive(m *simJob, id uint64, wait *dispatch.Wait) {
 	budget := classes[m.class].Deadline
-	w.in = append(w.in, dispatch.Arrived{Job: id, Name: fmt.Sprint("j", id), Client: "c", Class: m.class, Tenant: -1,
+	w.in = append(w.in, dispatch.JobArrived{Job: id, Name: fmt.Sprint("j", id), Client: "c", Class: m.class, Tenant: -1,
 		At: w.now, Budget: budget, Size: m.size, Slots: 1, Wait: wait})
 }
 
@@ -179,13 +179,13 @@
 		r := &run{key: c.Key, at: h}
 		w.out[c.Key] = r
 		w.at(w.now+ms, func() { h.take(w, r) })
-		w.at(c.Until, func() { w.end(r, policy.TimedOut) })
+		w.at(c.Deadline, func() { w.end(r, policy.TimedOut) })
 	case dispatch.LocalReply:
 		w.jobs[c.Job].answers++
 	case dispatch.Probe:
 		h := w.hosts[c.Addr]
 		w.at(w.now+ms, func() {
-			w.in = append(w.in, dispatch.Probed{Worker: c.Worker, Took: ms, Load: &policy.Load{
+			w.in = append(w.in, dispatch.ProbeEnded{Worker: c.Worker, Took: ms, Load: &policy.Load{
 				FreeSlots: float64(h.lanes - h.busy), Queue: float64(len(h.queue)), InFlight: -1, Busy: -1}})
 		})
 	}
@@ -210,7 +210,7 @@
 			continue
 		}
 		h.busy++
-		w.in = append(w.in, dispatch.Started{Key: r.key})
+		w.in = append(w.in, dispatch.JobStarted{Key: r.key})
 		w.at(w.now+w.jobs[r.key.Job].size, func() {
 			h.busy--
 			w.end(r, policy.OK)
@@ -237,7 +237,7 @@
 		}
 		m.served = true
 	}
-	w.in = append(w.in, dispatch.Ended{Key: r.key, Result: result})
+	w.in = append(w.in, dispatch.AttemptEnded{Key: r.key, Result: result})
 }
 
 // results are the results of one run of the experiment.
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -347,7 +347,7 @@
 		e.Workers = make([]policy.Worker, 0, len(h.lists[set]))
 		for _, x := range h.lists[set] {
 			w := x.worker
-			w.Zone, w.Kind = settings.Find(n.Zones, x.zone), settings.Find(n.Kinds, x.kind)
+			w.Zone, w.Kind = settings.IndexOf(n.Zones, x.zone), settings.IndexOf(n.Kinds, x.kind)
 			e.Workers = append(e.Workers, w)
 		}
 	}
