--- a/internal/system/localcluster/disk.go
+++ b/internal/system/localcluster/disk.go
@@ -10,26 +10,26 @@
 	"gaugeslip/internal/system/state"
 )
 
-// DiskState is what the disk of a replica holds, once the replica has ended.
+// DiskState describes the data directory of a stopped replica.
 type DiskState struct {
 	LogBytes      int64 `json:"log_bytes"`
-	Entries       int   `json:"log_entries"`    // behind the snapshot
-	SnapshotBytes int   `json:"snapshot_bytes"` // of the whole state, made anew
+	Entries       int   `json:"log_entries"`    // after the snapshot
+	SnapshotBytes int   `json:"snapshot_bytes"` // of a new snapshot of the whole state
 	Jobs          int   `json:"jobs"`
 	Workers       int   `json:"workers"`
-	Runs          int   `json:"runs"` // that may exist
+	Runs          int   `json:"runs"` // runs that may exist
 }
 
-// logName is the name under which a replica keeps its log.
+// logName is the name of a replica's log.
 const logName = "replica"
 
-// readDisk applies everything that a replica's log holds. The replica must not run.
-func readDisk(folder string) (DiskState, error) {
-	size, err := folderBytes(folder)
+// readDisk replays a replica's log and describes the result. The replica must not be running.
+func readDisk(dir string) (DiskState, error) {
+	size, err := dirBytes(dir)
 	if err != nil {
 		return DiskState{}, fmt.Errorf("disk: %w", err)
 	}
-	disk, err := wal.OSDisk(folder)
+	disk, err := wal.OSDisk(dir)
 	if err != nil {
 		return DiskState{}, fmt.Errorf("disk: %w", err)
 	}
@@ -42,16 +42,16 @@
 	if err != nil {
 		return DiskState{}, fmt.Errorf("disk: %w", err)
 	}
-	held := DiskState{LogBytes: size, Entries: entries, SnapshotBytes: len(machine.Snapshot()), Jobs: len(machine.Jobs()),
+	contents := DiskState{LogBytes: size, Entries: entries, SnapshotBytes: len(machine.Snapshot()), Jobs: len(machine.Jobs()),
 		Workers: len(machine.Workers())}
 	for _, worker := range machine.Workers() {
-		held.Runs += len(worker.Runs)
+		contents.Runs += len(worker.Runs)
 	}
-	return held, nil
+	return contents, nil
 }
 
-func folderBytes(folder string) (total int64, err error) {
-	err = filepath.WalkDir(folder, func(_ string, item fs.DirEntry, err error) error {
+func dirBytes(dir string) (total int64, err error) {
+	err = filepath.WalkDir(dir, func(_ string, item fs.DirEntry, err error) error {
 		if err != nil || item.IsDir() {
 			return err
 		}
@@ -64,7 +64,7 @@
 	return total, err
 }
 
-// replay makes the state from a log's records.
+// replay rebuilds the state from the records of a log. It also returns the number of entries after the snapshot.
 func replay(records []wal.Record) (*state.Machine, int, error) {
 	converted := make([]replica.Record, len(records))
 	for i, record := range records {
--- a/internal/system/localcluster/faultydisk/faultydisk.go
+++ b/internal/system/localcluster/faultydisk/faultydisk.go
@@ -1,5 +1,5 @@
-// Package faultydisk gives a real process a folder of the operating system whose disk has troubles: it stalls, is slow, is full, or forgets
-// what wasn't synced when the process is killed, as a machine does that loses power. Another process orders the troubles by a file.
+// Package faultydisk wraps the disk of a real process and injects faults: the disk stalls, is slow, is full, or loses unsynced data
+// when the process is killed, as in a power failure. Another process selects the fault through a file.
 package faultydisk
 
 import (
@@ -13,32 +13,32 @@
 	"gaugeslip/coord/wal"
 )
 
-// Trouble is what a disk suffers while its orders file says so.
-type Trouble string
+// Fault is what happens to calls on a disk while its fault file names it.
+type Fault string
 
-// The troubles of a disk.
+// The faults of a disk.
 const (
-	// None: all is well, as without a file.
-	None Trouble = ""
-	// Stalled: writes and syncs wait for the trouble's end.
-	Stalled Trouble = "stalled"
-	// Slow: each write and sync takes SlowTime more.
-	Slow Trouble = "slow"
-	// Full: writes are refused, and nothing of them is there.
-	Full Trouble = "full"
+	// None means no fault. It is also in force if there is no fault file.
+	None Fault = ""
+	// Stalled makes writes and syncs wait until the fault ends.
+	Stalled Fault = "stalled"
+	// Slow delays each write and sync by SlowDelay.
+	Slow Fault = "slow"
+	// Full makes writes fail without storing anything.
+	Full Fault = "full"
 )
 
-// SlowTime is what a call on a slow disk takes more.
-const SlowTime = 120 * time.Millisecond
+// SlowDelay is the additional duration of a call on a slow disk.
+const SlowDelay = 120 * time.Millisecond
 
-// look is how often a stalled call looks for the end of the trouble.
-const look = 10 * time.Millisecond
+// pollInterval is the interval at which a stalled call checks whether the fault has ended.
+const pollInterval = 10 * time.Millisecond
 
-// OrdersOf is the orders file of the disk in a folder.
-func OrdersOf(folder string) string { return filepath.Clean(folder) + ".orders" }
+// FaultFile returns the path of the fault file of the disk in a directory.
+func FaultFile(folder string) string { return filepath.Clean(folder) + ".orders" }
 
-// Order puts a trouble in force, for the disks that go by the file, from now on.
-func Order(file string, trouble Trouble) error {
+// SetFault puts a fault in force for the disks that use the file.
+func SetFault(file string, trouble Fault) error {
 	const mode = 0o644
 	next := file + ".next"
 	if err := os.WriteFile(next, []byte(trouble), mode); err != nil {
@@ -47,37 +47,37 @@
 	return os.Rename(next, file)
 }
 
-// Disk is a folder with troubles. It implements wal.Disk.
+// Disk wraps a directory and injects faults. It implements wal.Disk.
 type Disk struct {
 	wal.Disk
-	orders string
+	faultFile string
 }
 
 var _ wal.Disk = (*Disk)(nil)
 
-// New gives a folder the troubles that the orders file names; without such a file it has none. What is written reaches the folder with its
-// sync and is lost before that, should the process be killed.
+// New returns a disk that stores its data in inner and applies the fault that the fault file names. Without the file there is no
+// fault. Written data reaches inner only with a sync. If the process is killed before that, the data is lost.
 func New(folder wal.Disk, orders string) *Disk {
-	return &Disk{Disk: folder, orders: orders}
+	return &Disk{Disk: folder, faultFile: orders}
 }
 
-func (d *Disk) trouble() Trouble {
-	content, err := os.ReadFile(d.orders)
+func (d *Disk) currentFault() Fault {
+	content, err := os.ReadFile(d.faultFile)
 	if err != nil {
 		return None
 	}
-	return Trouble(strings.TrimSpace(string(content)))
+	return Fault(strings.TrimSpace(string(content)))
 }
 
-// suffer has a call wait as the trouble in force demands, or gives the error with which it is refused.
-func (d *Disk) suffer(writes bool) error {
-	switch d.trouble() {
+// applyFault delays the call or returns an error, as the current fault demands.
+func (d *Disk) applyFault(writes bool) error {
+	switch d.currentFault() {
 	case Stalled:
-		for d.trouble() == Stalled {
-			time.Sleep(look)
+		for d.currentFault() == Stalled {
+			time.Sleep(pollInterval)
 		}
 	case Slow:
-		time.Sleep(SlowTime)
+		time.Sleep(SlowDelay)
 	case Full:
 		if writes {
 			return syscall.ENOSPC
@@ -88,7 +88,7 @@
 
 // Create implements wal.Disk.
 func (d *Disk) Create(name string) (wal.File, error) {
-	if err := d.suffer(true); err != nil {
+	if err := d.applyFault(true); err != nil {
 		return nil, err
 	}
 	return d.open(d.Disk.Create(name))
@@ -108,13 +108,13 @@
 
 // SyncDir implements wal.Disk.
 func (d *Disk) SyncDir() error {
-	if err := d.suffer(false); err != nil {
+	if err := d.applyFault(false); err != nil {
 		return err
 	}
 	return d.Disk.SyncDir()
 }
 
-// file keeps in memory what isn't synced yet.
+// file buffers unsynced data in memory.
 type file struct {
 	wal.File
 	disk *Disk
@@ -125,7 +125,7 @@
 
 // Write implements wal.File.
 func (f *file) Write(data []byte) (int, error) {
-	if err := f.disk.suffer(true); err != nil {
+	if err := f.disk.applyFault(true); err != nil {
 		return 0, err
 	}
 	f.mutex.Lock()
@@ -134,9 +134,9 @@
 	return len(data), nil
 }
 
-// Sync implements wal.File. Writes that come meanwhile wait for it.
+// Sync implements wal.File. Concurrent writes wait until it returns.
 func (f *file) Sync() error {
-	if err := f.disk.suffer(false); err != nil {
+	if err := f.disk.applyFault(false); err != nil {
 		return err
 	}
 	f.mutex.Lock()
--- a/internal/system/localcluster/relay/dial.go
+++ b/internal/system/localcluster/relay/dial.go
@@ -8,25 +8,26 @@
 	"net"
 )
 
-// The relay's word on a dial.
+// The relay's answer to a dial.
 const (
-	dialConnected byte = 1
-	dialRefused   byte = 2
+	statusConnected byte = 1
+	statusRefused   byte = 2
 )
 
-// errRefused is what a dial comes to whose target took no connection.
+// errRefused is the error of a dial whose target accepted no connection.
 var errRefused = errors.New("connection refused")
 
-// Network is one host's way to others through a relay. It is a network.Network.
+// Network connects one host to others through a relay. It implements network.Network.
 type Network struct {
 	Relay string // the relay's address
-	Host  string // how the relay knows this host: its IP
+	Host  string // name of this host at the relay: its IP
 }
 
-// Listen takes an address with the operating system's sockets.
+// Listen opens a TCP listener of the operating system.
 func (n Network) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// Dial connects to an address through the relay. Where the link is cut it hangs until the context ends, as a dial into the dark does.
+// Dial connects to an address through the relay. If the link is cut, Dial blocks until the context ends, like a dial to an unreachable
+// host.
 func (n Network) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	connection, err := dialer.DialContext(ctx, network, n.Relay)
@@ -34,12 +35,12 @@
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
-	word, err := n.greet(connection, address)
+	status, err := n.handshake(connection, address)
 	if !stop() {
 		_ = connection.Close()
 		return nil, fmt.Errorf("dial %s: %w", address, ctx.Err())
 	}
-	if err == nil && word != dialConnected {
+	if err == nil && status != statusConnected {
 		err = errRefused
 	}
 	if err != nil {
@@ -49,11 +50,11 @@
 	return connection, nil
 }
 
-func (n Network) greet(connection net.Conn, address string) (byte, error) {
+func (n Network) handshake(connection net.Conn, address string) (byte, error) {
 	if _, err := fmt.Fprintf(connection, "%s %s\n", n.Host, address); err != nil {
 		return 0, err
 	}
-	var word [1]byte
-	_, err := io.ReadFull(connection, word[:])
-	return word[0], err
+	var status [1]byte
+	_, err := io.ReadFull(connection, status[:])
+	return status[0], err
 }
--- a/internal/system/localcluster/relay/relay.go
+++ b/internal/system/localcluster/relay/relay.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	pieceBytes   = 32 << 10
-	dialTimeout  = time.Second
-	greetTimeout = 5 * time.Second
-	backlog      = 64 // pieces that one direction holds
+	chunkBytes       = 32 << 10
+	dialTimeout      = time.Second
+	handshakeTimeout = 5 * time.Second
+	queueLength      = 64 // chunks that are queued per direction
 )
 
-// Relay connects hosts. All its methods may be called from any goroutine.
+// Relay connects hosts. Its methods are safe for concurrent use.
 type Relay struct {
 	listener net.Listener
 	group    sync.WaitGroup
@@ -25,13 +25,13 @@
 	mutex       sync.Mutex
 	rules       map[int]Rule
 	nextRule    int
-	changed     chan struct{} // closed at each change of rules
+	changed     chan struct{} // closed and replaced at each change of rules
 	connections map[*connection]struct{}
 	random      *rand.Rand
 	closed      bool
 }
 
-// Start opens a relay on loopback. The seed is that of the answers that are lost.
+// Start starts a relay on the loopback interface. The seed determines which answers are lost.
 func Start(seed uint64) (*Relay, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +43,7 @@
 	return r, nil
 }
 
-// Address is where hosts dial.
+// Address returns the address that hosts dial.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
 // Add puts a rule in force until remove is called.
@@ -53,36 +53,36 @@
 	number := r.nextRule
 	r.nextRule++
 	r.rules[number] = rule
-	r.tellChange()
+	r.notifyChange()
 	return func() {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
 		delete(r.rules, number)
-		r.tellChange()
+		r.notifyChange()
 	}
 }
 
-func (r *Relay) tellChange() {
+func (r *Relay) notifyChange() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Reset breaks the connections of which one direction matches, a share of them.
+// Reset closes a random share of the connections of which at least one direction matches.
 func (r *Relay) Reset(matches func(Link) bool, share float64) {
 	r.mutex.Lock()
-	var struck []*connection
+	var selected []*connection
 	for c := range r.connections {
 		if (matches(c.requests) || matches(c.answers)) && r.random.Float64() < share {
-			struck = append(struck, c)
+			selected = append(selected, c)
 		}
 	}
 	r.mutex.Unlock()
-	for _, c := range struck {
+	for _, c := range selected {
 		c.close()
 	}
 }
 
-// Close ends the relay and all its connections.
+// Close closes the relay and all its connections.
 func (r *Relay) Close() {
 	r.mutex.Lock()
 	r.closed = true
@@ -98,20 +98,20 @@
 	r.group.Wait()
 }
 
-// effect is what holds for a link now, and a channel that is closed once that may have changed.
+// effect returns the current effect on a link, and a channel that is closed when the effect may have changed.
 func (r *Relay) effect(link Link) (Effect, <-chan struct{}) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var sum Effect
 	for _, rule := range r.rules {
 		if rule.Matches(link) {
-			sum = sum.join(rule.Effect)
+			sum = sum.combine(rule.Effect)
 		}
 	}
 	return sum, r.changed
 }
 
-func (r *Relay) draws(probability float64) bool {
+func (r *Relay) chance(probability float64) bool {
 	if probability <= 0 {
 		return false
 	}
@@ -126,19 +126,19 @@
 		if err != nil {
 			return
 		}
-		c := &connection{relay: r, dialler: accepted, ended: make(chan struct{})}
-		if !r.keep(c) {
+		c := &connection{relay: r, client: accepted, closed: make(chan struct{})}
+		if !r.register(c) {
 			_ = accepted.Close()
 			return
 		}
 		r.group.Go(func() {
-			defer r.drop(c)
+			defer r.unregister(c)
 			c.serve()
 		})
 	}
 }
 
-func (r *Relay) keep(c *connection) bool {
+func (r *Relay) register(c *connection) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.closed {
@@ -148,16 +148,17 @@
 	return true
 }
 
-func (r *Relay) drop(c *connection) {
+func (r *Relay) unregister(c *connection) {
 	c.close()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.connections, c)
 }
 
-// readGreeting reads who dials whom. Nothing behind the greeting is read: the dialler waits for the relay's word first.
-func readGreeting(from net.Conn) (host, target string, ok bool) {
-	_ = from.SetReadDeadline(time.Now().Add(greetTimeout))
+// readHandshake reads the names of the dialling host and of its target. It consumes no data after the handshake, because the client
+// waits for the relay's answer before it sends more.
+func readHandshake(from net.Conn) (host, target string, ok bool) {
+	_ = from.SetReadDeadline(time.Now().Add(handshakeTimeout))
 	line, err := bufio.NewReaderSize(from, 256).ReadString('\n')
 	if err != nil {
 		return "", "", false
--- a/internal/system/localcluster/report.go
+++ b/internal/system/localcluster/report.go
@@ -10,54 +10,54 @@
 	"gaugeslip/internal/system/hollow"
 )
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
 	Seed        uint64         `json:"seed"`
 	Replicas    int            `json:"replicas"`
-	Dispatchers int            `json:"dispatchers"` // hollow ones too
+	Dispatchers int            `json:"dispatchers"` // including hollow ones
 	Workers     int            `json:"workers"`
-	Seconds     float64        `json:"seconds"` // of load
+	Seconds     float64        `json:"seconds"` // duration of the load
 	Jobs        Jobs           `json:"jobs"`
 	Latencies   Latencies      `json:"latencies"`
-	Broken      map[string]int `json:"broken_rules"` // by rule, as workers saw it
+	Violations  map[string]int `json:"broken_rules"` // violations seen by the workers, by rule
 	Examples    []string       `json:"examples,omitempty"`
-	Crashes     int            `json:"crashes"` // ends of processes that nobody asked for
-	Epoch       uint64         `json:"epoch"`   // of the last view
+	Crashes     int            `json:"crashes"` // exits of processes without a request
+	Epoch       uint64         `json:"epoch"`   // epoch of the last view
 	Roles       []RoleCost     `json:"roles"`
 	Orders      Orders         `json:"orders"`
-	// Disk is that of the first replica that could be read.
+	// Disk describes the first replica's disk that was readable.
 	Disk DiskState `json:"disk"`
 }
 
-// Orders is what went between the head, the workers and the platform's list, a second.
+// Orders summarizes the traffic between the head, the workers and the platform's list. Rates are per second.
 type Orders struct {
 	StartsPerS float64 `json:"starts_s"`
 	HoldsPerS  float64 `json:"holds_s"`
 	StopsPerS  float64 `json:"stops_s"`
-	// Refused are the starts that workers refused in the whole span, by reason.
+	// Refused counts the starts that workers refused in the whole span, by reason.
 	Refused map[string]int `json:"refused"`
-	// Ends are the ends of runs in the whole span, by the word that workers list them with.
+	// Ends counts the runs that ended in the whole span, by the end reason that workers report.
 	Ends            map[string]int `json:"ends"`
 	ListsPerS       float64        `json:"list_calls_s"`
 	ListsRefused    int            `json:"list_calls_refused"`
-	Connections     int64          `json:"connections"` // new ones at workers
+	Connections     int64          `json:"connections"` // new connections to workers
 	ToWorkersKBs    float64        `json:"to_workers_kb_s"`
 	FromWorkersKBs  float64        `json:"from_workers_kb_s"`
 	FromPlatformKBs float64        `json:"from_platform_kb_s"`
 }
 
-// orderLook is a look at the counters that Orders comes from.
-type orderLook struct {
+// orderSample is a snapshot of the counters from which Orders is computed.
+type orderSample struct {
 	at               time.Duration
 	stats            hollow.Stats
 	traffic, listing TrafficCount
 }
 
-func (c *Cluster) lookAtOrders() orderLook {
-	return orderLook{c.ledger.now(), c.fleet.world.Stats(), c.fleet.traffic.count(), c.fleet.listing.count()}
+func (c *Cluster) sampleOrders() orderSample {
+	return orderSample{c.tracker.now(), c.fleet.world.Stats(), c.fleet.traffic.count(), c.fleet.listTraffic.count()}
 }
 
-func (o orderLook) until(later orderLook) Orders {
+func (o orderSample) until(later orderSample) Orders {
 	seconds := (later.at - o.at).Seconds()
 	traffic, listing := later.traffic.since(o.traffic), later.listing.since(o.listing)
 	return Orders{
@@ -75,7 +75,7 @@
 	}
 }
 
-// endWords are the ways in which runs end, in the order in which hollow.Stats counts them.
+// endWords are the end reasons of runs, in the order in which hollow.Stats counts them.
 var endWords = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone", "crashed"}
 
 func endsBetween(earlier, later *hollow.Stats) map[string]int {
@@ -103,35 +103,35 @@
 	return refused
 }
 
-const mostExamples = 10
+const maxExamples = 10
 
-// noteRules takes in what the workers' checker found.
-func (r *Report) noteRules(violations []hollow.Violation) {
-	r.Broken = make(map[string]int)
+// addViolations adds the violations that the workers' checker found.
+func (r *Report) addViolations(violations []hollow.Violation) {
+	r.Violations = make(map[string]int)
 	for _, violation := range violations {
-		r.Broken[string(violation.Rule)]++
-		if len(r.Examples) < mostExamples {
+		r.Violations[string(violation.Rule)]++
+		if len(r.Examples) < maxExamples {
 			r.Examples = append(r.Examples, violation.String())
 		}
 	}
 }
 
-// Sound tells whether nothing was lost, no rule was broken, and no process ended by itself.
-func (r *Report) Sound() bool { return r.Jobs.Lost == 0 && len(r.Broken) == 0 && r.Crashes == 0 }
+// Sound reports whether no job was lost, no rule was broken, and no process exited without a request.
+func (r *Report) Sound() bool { return r.Jobs.Lost == 0 && len(r.Violations) == 0 && r.Crashes == 0 }
 
-// JSON writes the report as one object.
+// JSON encodes the report as one indented object.
 func (r *Report) JSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(r)
 }
 
-// Print writes the report for people.
+// Print writes the report as text.
 func (r *Report) Print(out io.Writer) error {
 	fmt.Fprintf(out, "\nseed %d: %d replicas, %d dispatchers, %d workers, %.0f s of load\n", r.Seed, r.Replicas, r.Dispatchers, r.Workers, r.Seconds)
 	fmt.Fprintf(out, "jobs: %d sent, %d accepted, %d refused, %d in doubt; %d done, %d failed, lost %d, twice %d, not visible yet %d\n", r.Jobs.Sent,
-		r.Jobs.Accepted, r.Jobs.Refused, r.Jobs.Open, r.Jobs.Done, r.Jobs.Failed, r.Jobs.Lost, r.Broken[string(hollow.RuleTwice)], r.Jobs.Unseen)
-	fmt.Fprintf(out, "broken rules: %s; processes that ended by themselves: %d; epoch %d\n", countsText(r.Broken), r.Crashes, r.Epoch)
+		r.Jobs.Accepted, r.Jobs.Refused, r.Jobs.InDoubt, r.Jobs.Done, r.Jobs.Failed, r.Jobs.Lost, r.Violations[string(hollow.RuleTwice)], r.Jobs.NotVisibleYet)
+	fmt.Fprintf(out, "broken rules: %s; processes that ended by themselves: %d; epoch %d\n", countsText(r.Violations), r.Crashes, r.Epoch)
 	for _, example := range r.Examples {
 		fmt.Fprintln(out, "  "+example)
 	}
@@ -139,7 +139,7 @@
 	fmt.Fprintln(table, "\nfrom submit, ms\tcount\tp50\tp90\tp99\tmax\t")
 	r.Latencies.Accepted.row(table, "accepted")
 	r.Latencies.Started.row(table, "first start")
-	r.Latencies.Over.row(table, "done")
+	r.Latencies.Done.row(table, "done")
 	fmt.Fprintln(table, "\nrole, each\tcount\tcores\twaited\tMB\tpeak MB\tKB/s in\tKB/s out\treads/s\twrites/s\tfiles\t")
 	for _, role := range r.Roles {
 		role.row(table)
@@ -160,7 +160,7 @@
 }
 
 func (l *Latency) row(out io.Writer, name string) {
-	fmt.Fprintf(out, "%s\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", name, l.Count, l.P50, l.P90, l.P99, l.Most)
+	fmt.Fprintf(out, "%s\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", name, l.Count, l.P50, l.P90, l.P99, l.Max)
 }
 
 func (r *RoleCost) row(out io.Writer) {
--- a/internal/system/localcluster/run_test.go
+++ b/internal/system/localcluster/run_test.go
@@ -13,9 +13,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A whole cluster of real processes survives that its head is killed: every job is done, none is lost, nothing runs twice, and all
-// processes and the folder are gone afterwards.
-func TestClusterSurvivesTheHead(t *testing.T) {
+// A cluster of real processes survives the kill of its head: every job finishes, none is lost, nothing runs twice, and all processes
+// and the directory are gone afterwards.
+func TestClusterSurvivesKilledHead(t *testing.T) {
 	programs := t.TempDir()
 	require.NoError(t, Build(t.Context(), programs))
 	trouble, err := ParseTrouble("kill head 1s 500ms")
@@ -35,19 +35,19 @@
 	require.Positive(t, report.Latencies.Started.Count)
 }
 
-func TestStartCleansUpAfterAFault(t *testing.T) {
+func TestStartCleansUpAfterError(t *testing.T) {
 	temporary := t.TempDir()
 	t.Setenv("TMPDIR", temporary)
 	_, err := Start(Options{Programs: "/nowhere"})
 	require.Error(t, err)
-	left, err := os.ReadDir(temporary)
+	remaining, err := os.ReadDir(temporary)
 	require.NoError(t, err)
-	require.Empty(t, left)
+	require.Empty(t, remaining)
 }
 
-func TestStartLeavesTheFolderOfAnotherCluster(t *testing.T) {
-	folder := t.TempDir()
-	require.NoError(t, os.Mkdir(filepath.Join(folder, replicaName(0)), folderMode))
-	_, err := Start(Options{Programs: "/nowhere", Folder: folder})
-	require.ErrorIs(t, err, errFolderInUse)
+func TestStartRejectsNonEmptyDir(t *testing.T) {
+	dir := t.TempDir()
+	require.NoError(t, os.Mkdir(filepath.Join(dir, replicaName(0)), dirMode))
+	_, err := Start(Options{Programs: "/nowhere", Folder: dir})
+	require.ErrorIs(t, err, errDirNotEmpty)
 }
--- a/internal/system/localcluster/scale.go
+++ b/internal/system/localcluster/scale.go
@@ -10,120 +10,122 @@
 	"gaugeslip/internal/system/clusterconfig"
 )
 
-// The load of a scale run, each as a share of the workers: that of a deployment with 2,300 workers, 250 starts a second at its
-// peak and 20,000 tasks that run.
+// The load of a scale run, relative to the number of workers. It is modelled on a deployment with 2,300 workers, a peak of 250
+// starts per second and 20,000 running tasks.
 const (
-	startsASecondPerWorker = 250.0 / 2300
-	runningPerWorker       = 20_000.0 / 2300
-	workersADispatcher     = 10
-	leastDispatchers       = 6
-	fillLimit              = time.Minute
-	settleSpan             = 3 * time.Second
-	contactLimit           = 30 * time.Second
-	fillJobsASecond        = 20
-	notInForce             = -1 // seconds: a configuration that wasn't in force everywhere when patience was over
+	startsPerSecondPerWorker = 250.0 / 2300
+	runningPerWorker         = 20_000.0 / 2300
+	workersPerDispatcher     = 10
+	minDispatchers           = 6
+	fillTimeout              = time.Minute
+	warmUpDuration           = 3 * time.Second
+	contactTimeout           = 30 * time.Second
+	fillJobsPerSecond        = 20
+	notInForce               = -1 // reported in place of seconds if the configuration was not in force everywhere in time
 )
 
-// ScaleOptions say how a scale run plays each size.
+// ScaleOptions configures a scale run of one size.
 type ScaleOptions struct {
 	Options
 	// Window is how long the steady load is measured.
 	Window time.Duration
 }
 
-// SizeReport is what a cluster of one size came to.
+// SizeReport is the result for a cluster of one size.
 type SizeReport struct {
 	Report
-	// ContactSeconds is the time from the configuration until the head has been in touch with every worker.
+	// ContactSeconds is the time from the configuration until the head has contacted every worker.
 	ContactSeconds float64 `json:"contact_s"`
-	// FillSeconds is the time until the tasks that outlast the run had started, Resident how many had, FillStartsPerS their rate.
+	// FillSeconds is the time until the resident tasks had started, Resident is how many of them had started, and FillStartsPerS is
+	// the rate of their starts.
 	FillSeconds    float64 `json:"fill_s"`
 	Resident       int     `json:"resident"`
-	Wanted         int     `json:"resident_wanted"`
+	ResidentWanted int     `json:"resident_wanted"`
 	FillStartsPerS float64 `json:"fill_starts_s"`
-	// ConfigurationSeconds is the time from the send of a changed configuration until the last dispatcher had it in force;
-	// -1: it hadn't when patience was over.
+	// ConfigurationSeconds is the time from sending a changed configuration until it was in force at the last dispatcher. It is -1 if
+	// that did not happen within the time limit.
 	ConfigurationSeconds float64 `json:"configuration_s"`
 	WindowSeconds        float64 `json:"window_s"`
 }
 
-// RunSize plays a cluster of the options' number of workers: tasks that outlast the run, then a steady load that is measured.
+// RunSize runs a cluster with the number of workers in the options. It starts resident tasks, which outlast the run, and then measures
+// a steady load.
 func RunSize(ctx context.Context, options ScaleOptions) (*SizeReport, error) {
-	options.Rate = startsASecondPerWorker * float64(options.Workers) / steadyTasks
+	options.Rate = startsPerSecondPerWorker * float64(options.Workers) / steadyTasks
 	options.For = options.Window
-	dispatchers := max(leastDispatchers, options.Workers/workersADispatcher)
+	dispatchers := max(minDispatchers, options.Workers/workersPerDispatcher)
 	options.withDefaults()
 	options.HollowDispatchers = max(0, dispatchers-options.Dispatchers)
 	s, err := newSession(options.Options)
 	if err != nil {
 		return nil, err
 	}
-	following, cancel := context.WithCancel(ctx)
+	clientContext, cancel := context.WithCancel(ctx)
 	defer s.close(cancel)
-	if err := s.ready(ctx); err != nil {
+	if err := s.configure(ctx); err != nil {
 		return nil, err
 	}
-	s.from = s.cluster.ledger.now()
-	size := &SizeReport{Wanted: int(runningPerWorker * float64(options.Workers)), WindowSeconds: options.Window.Seconds()}
+	s.loadStart = s.cluster.tracker.now()
+	size := &SizeReport{ResidentWanted: int(runningPerWorker * float64(options.Workers)), WindowSeconds: options.Window.Seconds()}
 	s.awaitContact(ctx, size)
-	if err := s.fill(following, size); err != nil {
+	if err := s.startResidentTasks(clientContext, size); err != nil {
 		return nil, err
 	}
-	return size, s.measure(following, cancel, size)
+	return size, s.measure(clientContext, cancel, size)
 }
 
-// awaitContact waits until every worker has been called on.
+// awaitContact waits until the workers have received as many holds as there are workers.
 func (s *session) awaitContact(ctx context.Context, size *SizeReport) {
-	limited, cancel := context.WithTimeout(ctx, contactLimit)
+	limited, cancel := context.WithTimeout(ctx, contactTimeout)
 	defer cancel()
-	for s.cluster.fleet.world.Stats().Holds < s.options.Workers && pause.For(limited, waitEvery) == nil {
+	for s.cluster.fleet.world.Stats().Holds < s.options.Workers && pause.For(limited, pollInterval) == nil {
 	}
-	size.ContactSeconds = (s.cluster.ledger.now() - s.from).Seconds()
-	s.tell("all workers were called on, or patience is over")
+	size.ContactSeconds = (s.cluster.tracker.now() - s.loadStart).Seconds()
+	s.logLine("all workers were called on, or patience is over")
 }
 
-// fill hands in the tasks that outlast the run, has the troubles strike meanwhile, and waits for the starts.
-func (s *session) fill(ctx context.Context, size *SizeReport) error {
-	begun := s.cluster.ledger.now()
-	troubles := &troublemaker{cluster: s.cluster, tell: s.tell, version: s.cluster.configuration.parsed.Version}
-	troubled := make(chan error, 1)
-	go func() { troubled <- troubles.run(ctx, s.options.Troubles) }()
-	first := s.cluster.fleet.world.Stats().Starts
-	limited, cancel := context.WithTimeout(ctx, fillLimit)
+// startResidentTasks submits the tasks that outlast the run, causes the troubles meanwhile, and waits for the tasks to start.
+func (s *session) startResidentTasks(ctx context.Context, size *SizeReport) error {
+	start := s.cluster.tracker.now()
+	troubles := &troubleInjector{cluster: s.cluster, logLine: s.logLine, configVersion: s.cluster.configuration.parsed.Version}
+	troubleResult := make(chan error, 1)
+	go func() { troubleResult <- troubles.run(ctx, s.options.Troubles) }()
+	startsBefore := s.cluster.fleet.world.Stats().Starts
+	limited, cancel := context.WithTimeout(ctx, fillTimeout)
 	defer cancel()
-	jobs := (size.Wanted + residentTasks - 1) / residentTasks
+	jobs := (size.ResidentWanted + residentTasks - 1) / residentTasks
 	for range jobs {
-		if err := s.hand(ctx, s.resident); err != nil {
+		if err := s.submitNext(ctx, s.residentJob); err != nil {
 			return err
 		}
-		_ = pause.For(limited, time.Second/fillJobsASecond)
+		_ = pause.For(limited, time.Second/fillJobsPerSecond)
 	}
 	started := 0
 	for limited.Err() == nil {
-		if started = s.cluster.fleet.world.Stats().Starts - first; started >= size.Wanted {
+		if started = s.cluster.fleet.world.Stats().Starts - startsBefore; started >= size.ResidentWanted {
 			break
 		}
-		_ = pause.For(limited, waitEvery)
+		_ = pause.For(limited, pollInterval)
 	}
 	size.Resident = started
-	size.FillSeconds = (s.cluster.ledger.now() - begun).Seconds()
+	size.FillSeconds = (s.cluster.tracker.now() - start).Seconds()
 	size.FillStartsPerS = float64(started) / size.FillSeconds
-	s.tell(fmt.Sprintf("%d of %d lasting tasks started", started, size.Wanted))
-	return firstOf(<-troubled, ctx.Err())
+	s.logLine(fmt.Sprintf("%d of %d lasting tasks started", started, size.ResidentWanted))
+	return firstError(<-troubleResult, ctx.Err())
 }
 
-func (s *session) resident() (jobKind, *clusterconfig.Route) {
-	return kindResident, s.routeInTurn()
+func (s *session) residentJob() (jobKind, *clusterconfig.Route) {
+	return kindResident, s.nextRoute()
 }
 
-func (s *session) steady() (jobKind, *clusterconfig.Route) {
-	return kindSteady, s.routeInTurn()
+func (s *session) steadyJob() (jobKind, *clusterconfig.Route) {
+	return kindSteady, s.nextRoute()
 }
 
-// routeInTurn spreads jobs over the services as the workers are.
-func (s *session) routeInTurn() *clusterconfig.Route {
+// nextRoute assigns jobs to services in turn, as workers are assigned.
+func (s *session) nextRoute() *clusterconfig.Route {
 	config := s.cluster.configuration.parsed
-	service := config.Services[s.jobs%len(config.Services)].Name
+	service := config.Services[s.submitted%len(config.Services)].Name
 	for i := range config.Routes {
 		if config.Routes[i].Backend == service {
 			return &config.Routes[i]
@@ -132,22 +134,22 @@
 	return &config.Routes[0]
 }
 
-// measure plays the steady load, looks at its second part, and makes the report.
+// measure runs the steady load, samples the usage after a warm-up, and creates the report.
 func (s *session) measure(ctx context.Context, cancel context.CancelFunc, size *SizeReport) error {
-	if err := s.load(ctx, s.options.Rate, settleSpan, s.steady); err != nil {
+	if err := s.load(ctx, s.options.Rate, warmUpDuration, s.steadyJob); err != nil {
 		return err
 	}
-	s.from = s.cluster.ledger.now()
-	before, orders := s.cluster.look(), s.cluster.lookAtOrders()
-	if err := s.load(ctx, s.options.Rate, s.options.For, s.steady); err != nil {
+	s.loadStart = s.cluster.tracker.now()
+	before, orders := s.cluster.sampleUsage(), s.cluster.sampleOrders()
+	if err := s.load(ctx, s.options.Rate, s.options.For, s.steadyJob); err != nil {
 		return err
 	}
-	after, orderEnd := s.cluster.look(), s.cluster.lookAtOrders()
-	s.tell("measured")
+	after, orderEnd := s.cluster.sampleUsage(), s.cluster.sampleOrders()
+	s.logLine("measured")
 	s.awaitJobs(ctx)
-	seconds, err := s.timeConfiguration(ctx)
+	seconds, err := s.measureConfiguration(ctx)
 	if err != nil {
-		s.tell(err.Error())
+		s.logLine(err.Error())
 		seconds = notInForce
 	}
 	size.ConfigurationSeconds = seconds
@@ -155,28 +157,28 @@
 	return nil
 }
 
-// timeConfiguration adds a queue and gives the seconds until the last dispatcher answers for it.
-func (s *session) timeConfiguration(ctx context.Context) (float64, error) {
+// measureConfiguration adds a route and returns the seconds until the last dispatcher answers for it.
+func (s *session) measureConfiguration(ctx context.Context) (float64, error) {
 	current := s.cluster.configuration.parsed.Version
-	body, err := s.cluster.configuration.withProbe(current + 1)
+	body, err := s.cluster.configuration.withProbeRoute(current + 1)
 	if err != nil {
 		return 0, err
 	}
-	limited, cancel := context.WithTimeout(ctx, reconfigureLimit)
+	limited, cancel := context.WithTimeout(ctx, reconfigureTimeout)
 	defer cancel()
-	begun := time.Now()
-	operator := newOperator(s.cluster.controls())
+	start := time.Now()
+	operator := newOperator(s.cluster.controlAddresses())
 	defer operator.close()
 	if err := operator.replace(limited, current, body); err != nil {
 		return 0, err
 	}
-	if err := s.clients.readyAll(limited, probeHost, probePrefix); err != nil {
-		return 0, fmt.Errorf("a dispatcher hasn't the configuration after %v: %w", reconfigureLimit, err)
+	if err := s.clients.awaitAllReady(limited, probeHost, probePrefix); err != nil {
+		return 0, fmt.Errorf("a dispatcher does not have the configuration after %v: %w", reconfigureTimeout, err)
 	}
-	return time.Since(begun).Seconds(), nil
+	return time.Since(start).Seconds(), nil
 }
 
-// PrintSizes writes a table with a line for each size.
+// PrintSizes writes a table with one line per size.
 func PrintSizes(out io.Writer, sizes []*SizeReport) error {
 	printRoleTable(out, sizes)
 	return printSizeTable(out, sizes)
--- a/internal/system/localcluster/scenario.go
+++ b/internal/system/localcluster/scenario.go
@@ -12,47 +12,48 @@
 	"gaugeslip/internal/scenario"
 )
 
-// Scenario is what a scenario file says: the cluster's size, the load and the troubles. What it leaves out stays as it was.
+// Scenario is the content of a scenario file: the size of the cluster, the load and the troubles. Omitted values leave the options
+// unchanged.
 type Scenario struct {
 	Name        string    `hcl:"name,label"`
 	About       string    `hcl:"about,optional"`
 	Length      string    `hcl:"length,optional"`
-	Rate        float64   `hcl:"rate,optional"` // jobs a second
+	Rate        float64   `hcl:"rate,optional"` // jobs per second
 	Replicas    int       `hcl:"replicas,optional"`
 	Dispatchers int       `hcl:"dispatchers,optional"`
 	Workers     int       `hcl:"workers,optional"`
 	Trouble     []Trouble `hcl:"trouble,block"`
 	Range       hcl.Range `hcl:",def_range"`
 
-	length time.Duration
+	duration time.Duration
 }
 
-// Trouble is something that goes wrong at a time, for a while.
+// Trouble is a failure or an operator's action that starts at a given time and lasts for a while.
 type Trouble struct {
 	// Kind is kill, freeze, restart, wipe or reconfigure.
 	Kind string `hcl:"kind,label"`
 	At   string `hcl:"at"`
-	// Target is head, tail, replicas, dispatchers, workers, or one of them by number: replica:0, dispatcher:1, worker:7.
+	// Target is head, tail, replicas, dispatchers or workers, or a single one of them, such as replica:0, dispatcher:1 or worker:7.
 	Target string    `hcl:"target,optional"`
 	For    string    `hcl:"for,optional"`
 	Range  hcl.Range `hcl:",def_range"`
 
-	at, length time.Duration
-	target     target
+	startAfter, duration time.Duration
+	target               target
 }
 
 // The kinds of trouble.
 const (
-	troubleKill        = "kill"        // the process is gone at once, and is started again after a while
-	troubleFreeze      = "freeze"      // it stands still for a while
-	troubleRestart     = "restart"     // it is asked to end, and started again
-	troubleWipe        = "wipe"        // killed, and its disk is lost
+	troubleKill        = "kill"        // kills the process and starts it again after a while
+	troubleFreeze      = "freeze"      // suspends the process for a while
+	troubleRestart     = "restart"     // terminates the process gracefully and starts it again
+	troubleWipe        = "wipe"        // kills the process and removes its data before it starts again
 	troubleReconfigure = "reconfigure" // the operator replaces the configuration
 )
 
-const defaultTroubleLength = 3 * time.Second
+const defaultTroubleDuration = 3 * time.Second
 
-// The groups that a target names.
+// The groups that a target can name.
 const (
 	groupHead        = "head"
 	groupTail        = "tail"
@@ -61,27 +62,27 @@
 	groupWorkers     = "workers"
 )
 
-// target says whom a trouble strikes: a whole group, or one of it.
+// target selects what a trouble applies to: a whole group or one member of it.
 type target struct {
 	group string
-	index int // allOf: the whole group
+	index int // wholeGroup selects all members
 }
 
-const allOf = -1
+const wholeGroup = -1
 
-var groupsOfOne = map[string]string{"replica": groupReplicas, "dispatcher": groupDispatchers, "worker": groupWorkers}
+var groupBySingular = map[string]string{"replica": groupReplicas, "dispatcher": groupDispatchers, "worker": groupWorkers}
 
-// parseTarget reads "head", "replicas" or "replica:0".
+// parseTarget parses a target such as "head", "replicas" or "replica:0".
 func parseTarget(text string) (target, error) {
 	name, number, single := strings.Cut(text, ":")
 	if !single {
 		switch name {
 		case groupHead, groupTail, groupReplicas, groupDispatchers, groupWorkers:
-			return target{group: name, index: allOf}, nil
+			return target{group: name, index: wholeGroup}, nil
 		}
 		return target{}, fmt.Errorf("%q is none of head, tail, replicas, dispatchers, workers, replica:N, dispatcher:N, worker:N", text)
 	}
-	group, known := groupsOfOne[name]
+	group, known := groupBySingular[name]
 	index, err := strconv.Atoi(number)
 	if !known || err != nil || index < 0 {
 		return target{}, fmt.Errorf("%q is none of replica:N, dispatcher:N, worker:N", text)
@@ -89,34 +90,35 @@
 	return target{group: group, index: index}, nil
 }
 
-// ParseTrouble reads a trouble of a command line: "KIND TARGET AT [FOR]", such as "kill head 5s 3s" or "reconfigure 4s".
+// ParseTrouble parses a trouble from a command line. Its form is "KIND TARGET AT [FOR]", such as "kill head 5s 3s" or "reconfigure
+// 4s".
 func ParseTrouble(text string) (Trouble, error) {
 	words := strings.Fields(text)
-	read := Trouble{}
+	parsed := Trouble{}
 	if len(words) > 0 {
-		read.Kind = words[0]
+		parsed.Kind = words[0]
 		words = words[1:]
 	}
-	if read.Kind != troubleReconfigure && len(words) > 0 {
-		read.Target = words[0]
+	if parsed.Kind != troubleReconfigure && len(words) > 0 {
+		parsed.Target = words[0]
 		words = words[1:]
 	}
 	if len(words) == 0 || len(words) > 2 {
 		return Trouble{}, fmt.Errorf("%q is not of the form KIND TARGET AT [FOR], such as \"kill head 5s 3s\"", text)
 	}
-	read.At = words[0]
+	parsed.At = words[0]
 	if len(words) > 1 {
-		read.For = words[1]
+		parsed.For = words[1]
 	}
 	checker := &scenario.Checker{}
-	read.Range.Filename = "--trouble"
-	read.check(checker)
-	return read, checker.Err
+	parsed.Range.Filename = "--trouble"
+	parsed.validate(checker)
+	return parsed, checker.Err
 }
 
-func (t *Trouble) check(checker *scenario.Checker) {
-	t.at = checker.Time(t.Range, "at", t.At, 0)
-	t.length = checker.Time(t.Range, "for", t.For, defaultTroubleLength)
+func (t *Trouble) validate(checker *scenario.Checker) {
+	t.startAfter = checker.Time(t.Range, "at", t.At, 0)
+	t.duration = checker.Time(t.Range, "for", t.For, defaultTroubleDuration)
 	switch t.Kind {
 	case troubleReconfigure:
 		return
@@ -128,19 +130,19 @@
 	var err error
 	t.target, err = parseTarget(t.Target)
 	checker.Want(err == nil, t.Range, "target", "%v", err)
-	wipes := t.target.group == groupDispatchers || t.target.group == groupWorkers
-	checker.Want(t.Kind != troubleWipe || !wipes, t.Range, "target", "%s has no disk", t.Target)
+	hasNoDisk := t.target.group == groupDispatchers || t.target.group == groupWorkers
+	checker.Want(t.Kind != troubleWipe || !hasNoDisk, t.Range, "target", "%s has no disk", t.Target)
 }
 
-// String tells the trouble in a few words.
+// String returns a short description.
 func (t *Trouble) String() string {
 	if t.Kind == troubleReconfigure {
-		return fmt.Sprintf("%s at %v", t.Kind, t.at)
+		return fmt.Sprintf("%s at %v", t.Kind, t.startAfter)
 	}
-	return fmt.Sprintf("%s %s at %v for %v", t.Kind, t.Target, t.at, t.length)
+	return fmt.Sprintf("%s %s at %v for %v", t.Kind, t.Target, t.startAfter, t.duration)
 }
 
-// LoadScenario reads a file that holds one scenario. Errors name file, line, column and key.
+// LoadScenario reads a file that contains one scenario. Errors name file, line, column and key.
 func LoadScenario(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -156,19 +158,19 @@
 	if err := scenario.Decode(text, name, &document); err != nil {
 		return nil, err
 	}
-	read := &document.Scenario
+	parsed := &document.Scenario
 	checker := &scenario.Checker{}
-	read.length = checker.Time(read.Range, "length", read.Length, 0)
-	checker.Want(read.Rate >= 0, read.Range, "rate", "0 or more")
-	for i := range read.Trouble {
-		read.Trouble[i].check(checker)
+	parsed.duration = checker.Time(parsed.Range, "length", parsed.Length, 0)
+	checker.Want(parsed.Rate >= 0, parsed.Range, "rate", "0 or more")
+	for i := range parsed.Trouble {
+		parsed.Trouble[i].validate(checker)
 	}
-	return read, checker.Err
+	return parsed, checker.Err
 }
 
-// Apply puts what the scenario says into the options.
+// Apply copies the scenario's values into the options.
 func (s *Scenario) Apply(options *Options) {
-	override(&options.For, s.length)
+	override(&options.For, s.duration)
 	override(&options.Rate, s.Rate)
 	override(&options.Replicas, s.Replicas)
 	override(&options.Dispatchers, s.Dispatchers)
--- a/internal/system/localcluster/soak.go
+++ b/internal/system/localcluster/soak.go
@@ -17,62 +17,63 @@
 	"gaugeslip/internal/system/localcluster/relay"
 )
 
-// SoakOptions say how long a soak run lasts and how much goes wrong in it at a time. Zero values stand for the defaults.
+// SoakOptions configures a soak run. Zero values select the defaults.
 type SoakOptions struct {
 	Seed        uint64
 	Replicas    int           // 3
 	Dispatchers int           // 3
 	Workers     int           // 12
-	Rate        float64       // jobs a second, 8 by default
+	Rate        float64       // jobs per second, 8 by default
 	For         time.Duration // how long troubles last, 15 s by default
-	// Tracks is how many troubles there may be at a time, 3 by default.
+	// Tracks is the number of troubles that may be in progress at the same time, 3 by default.
 	Tracks int
-	// Programs is the folder that holds relayednode.
+	// Programs is the directory that contains relayednode.
 	Programs string
-	// Folder holds settings, disks and logs and has to be empty; a temporary one where it isn't named. It is kept where something was found.
+	// Folder is the directory for settings, data and logs. It has to be empty. Without it, the run uses a temporary directory, which
+	// is kept only if there are findings.
 	Folder string
-	// Table gets a line for each trouble; nil: none.
+	// Table receives one line per trouble. Nil disables it.
 	Table io.Writer
 }
 
-// historyName is the file in a run's folder that tells its troubles and findings with their times.
-const historyName = "troubles.log"
+// troubleLogName is the file in the run's directory that lists its troubles and findings with their times.
+const troubleLogName = "troubles.log"
 
 const (
-	defaultSoakRate   = 8
-	defaultSoakFor    = 15 * time.Second
-	defaultSoakTracks = 3
-
-	// soakRecovery is within how long after the troubles all replicas are in the chain again and jobs are taken.
-	soakRecovery = 25 * time.Second
-	// soakFinish is within how long after that all accepted jobs are over.
-	soakFinish = 40 * time.Second
-	// soakSettled is within how long after that all machines tell the newest configuration.
-	soakSettled = 10 * time.Second
-	soakPoll    = 100 * time.Millisecond
+	defaultSoakRate     = 8
+	defaultSoakDuration = 15 * time.Second
+	defaultSoakTracks   = 3
+
+	// recoveryTimeout is the time after the troubles within which all replicas have to be back in the chain.
+	recoveryTimeout = 25 * time.Second
+	// finishTimeout is the time after that within which all accepted jobs have to finish.
+	finishTimeout = 40 * time.Second
+	// settleTimeout is the time after that within which all machines have to report the newest configuration.
+	settleTimeout    = 10 * time.Second
+	soakPollInterval = 100 * time.Millisecond
 )
 
-// Finding is a promise that a soak run saw broken.
+// Finding is a violated guarantee.
 type Finding struct {
 	At     time.Duration
 	Rule   string
 	Detail string
 }
 
-// SoakReport is what a soak run came to.
+// SoakReport is the result of a soak run.
 type SoakReport struct {
 	Seed     uint64
 	Troubles map[string]int // by kind
 	Jobs     SoakJobs
 	Changes  SoakChanges
 	Unruly   int // connections of unruly clients
-	Starts   int // that workers took
+	Starts   int // accepted by workers
 	Epoch    uint64
 	Findings []Finding
-	Folder   string // of settings, disks and logs, where it was kept
+	Folder   string // directory of settings, data and logs, if it was kept
 }
 
-// Print writes the report for people.
+// Print writes the report as text.
 func (r *SoakReport) Print(out io.Writer) {
 	fmt.Fprintf(out, "seed %d: %d findings; jobs %+v; configurations %+v; %d unruly connections; %d starts; epoch %d; troubles %s\n", r.Seed,
 		len(r.Findings), r.Jobs, r.Changes, r.Unruly, r.Starts, r.Epoch, countsText(r.Troubles))
@@ -84,24 +85,24 @@
 	}
 }
 
-// soak is a soak run under way.
-type soak struct {
-	options SoakOptions
-	relay   *relay.Relay
-	cluster *Cluster
-	zero    time.Time
+// soakRun is a soak run in progress.
+type soakRun struct {
+	options   SoakOptions
+	relay     *relay.Relay
+	cluster   *Cluster
+	startTime time.Time
 
-	mutex    sync.Mutex
-	findings []Finding
-	troubles map[string]int
-	telling  sync.Mutex
-	history  io.WriteCloser // the troubles, in the run's folder
+	mutex      sync.Mutex
+	findings   []Finding
+	troubles   map[string]int
+	logMutex   sync.Mutex
+	troubleLog io.WriteCloser // file named troubleLogName
 
-	busy  map[*Child]*sync.Mutex // who is struck, by one trouble at a time
-	disks diskLosses
-	jobs  soakClients
-	admin soakOperator
-	loud  unrulyClients
+	childLocks map[*Child]*sync.Mutex // at most one trouble at a time applies to a process
+	disks      diskLosses
+	clients    soakClients
+	operator   soakOperator
+	unruly     unrulyClients
 }
 
 func (o *SoakOptions) withDefaults() {
@@ -109,145 +110,145 @@
 	orDefault(&o.Dispatchers, defaultDispatchers)
 	orDefault(&o.Workers, defaultWorkers)
 	orDefault(&o.Rate, defaultSoakRate)
-	orDefault(&o.For, defaultSoakFor)
+	orDefault(&o.For, defaultSoakDuration)
 	orDefault(&o.Tracks, defaultSoakTracks)
 }
 
-// Soak runs one cluster of real processes under troubles that overlap, all drawn by the seed, and tells which promises it saw broken. It ends
-// by itself and leaves no process behind.
+// Soak runs a cluster of real processes under overlapping troubles, which are all drawn from the seed, and reports the violated
+// guarantees. It leaves no process behind.
 func Soak(ctx context.Context, options SoakOptions) (*SoakReport, error) {
 	options.withDefaults()
-	carrier, err := relay.Start(options.Seed)
+	relayServer, err := relay.Start(options.Seed)
 	if err != nil {
 		return nil, err
 	}
-	defer carrier.Close()
-	folder, err := soakFolder(options.Folder)
+	defer relayServer.Close()
+	dir, err := soakDir(options.Folder)
 	if err != nil {
 		return nil, err
 	}
 	cluster, err := Start(Options{Replicas: options.Replicas, Dispatchers: options.Dispatchers, Workers: options.Workers, Seed: options.Seed,
-		Programs: options.Programs, Folder: folder, Relay: carrier.Address()})
+		Programs: options.Programs, Folder: dir, Relay: relayServer.Address()})
 	if err != nil {
 		return nil, err
 	}
 	defer cluster.Stop()
-	s := &soak{options: options, relay: carrier, cluster: cluster, zero: time.Now(), troubles: make(map[string]int),
-		busy: make(map[*Child]*sync.Mutex)}
+	s := &soakRun{options: options, relay: relayServer, cluster: cluster, startTime: time.Now(), troubles: make(map[string]int),
+		childLocks: make(map[*Child]*sync.Mutex)}
 	for _, child := range cluster.children() {
-		s.busy[child] = &sync.Mutex{}
+		s.childLocks[child] = &sync.Mutex{}
 	}
-	if s.history, err = os.Create(filepath.Join(folder, historyName)); err != nil {
+	if s.troubleLog, err = os.Create(filepath.Join(dir, troubleLogName)); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
-	defer s.history.Close()
+	defer s.troubleLog.Close()
 	s.disks.known = make(map[view.ReplicaID]bool)
-	s.jobs.open(s)
-	s.admin.open(s)
-	s.loud.open(s)
+	s.clients.setUp(s)
+	s.operator.setUp(s)
+	s.unruly.setUp(s)
 	return s.run(ctx)
 }
 
-func soakFolder(wanted string) (string, error) {
+func soakDir(wanted string) (string, error) {
 	if wanted != "" {
 		return wanted, nil
 	}
 	return os.MkdirTemp("", "gaugeslip-soak-")
 }
 
-func (s *soak) now() time.Duration { return time.Since(s.zero) }
+func (s *soakRun) now() time.Duration { return time.Since(s.startTime) }
 
-// find takes note of a broken promise.
-func (s *soak) find(rule, format string, arguments ...any) {
+// addFinding records a violated guarantee.
+func (s *soakRun) addFinding(rule, format string, arguments ...any) {
 	found := Finding{At: s.now(), Rule: rule, Detail: fmt.Sprintf(format, arguments...)}
 	s.mutex.Lock()
 	s.findings = append(s.findings, found)
 	s.mutex.Unlock()
-	s.tell("FOUND " + rule + ": " + found.Detail)
+	s.logLine("FOUND " + rule + ": " + found.Detail)
 }
 
-func (s *soak) tell(line string) {
-	s.telling.Lock()
-	defer s.telling.Unlock()
-	told := fmt.Sprintf("%8.3f s  %s\n", s.now().Seconds(), line)
-	_, _ = io.WriteString(s.history, told) // whoever lacks it has the logs
+func (s *soakRun) logLine(line string) {
+	s.logMutex.Lock()
+	defer s.logMutex.Unlock()
+	text := fmt.Sprintf("%8.3f s  %s\n", s.now().Seconds(), line)
+	_, _ = io.WriteString(s.troubleLog, text) // the logs remain if this write fails
 	if s.options.Table != nil {
-		_, _ = io.WriteString(s.options.Table, told)
+		_, _ = io.WriteString(s.options.Table, text)
 	}
 }
 
-// http makes a client whose connections go through the relay under a name.
-func (s *soak) http(host string, timeout time.Duration) *http.Client {
-	through := relay.Network{Relay: s.relay.Address(), Host: host}
-	return &http.Client{Timeout: timeout, Transport: &http.Transport{DialContext: through.Dial, MaxIdleConnsPerHost: idlePerHost}}
+// httpClient returns a client whose connections go through the relay under a host name.
+func (s *soakRun) httpClient(host string, timeout time.Duration) *http.Client {
+	network := relay.Network{Relay: s.relay.Address(), Host: host}
+	return &http.Client{Timeout: timeout, Transport: &http.Transport{DialContext: network.Dial, MaxIdleConnsPerHost: maxIdlePerHost}}
 }
 
-// run plays the load and the troubles, heals everything, and looks at what is left.
-func (s *soak) run(ctx context.Context) (*SoakReport, error) {
+// run runs the load and the troubles, waits for recovery, and makes the final checks.
+func (s *soakRun) run(ctx context.Context) (*SoakReport, error) {
 	if err := s.ready(ctx); err != nil {
 		return nil, err
 	}
-	loading, stop := context.WithCancel(ctx)
+	loadContext, stop := context.WithCancel(ctx)
 	defer stop()
 	var group sync.WaitGroup
-	group.Go(func() { s.jobs.load(loading) })
-	group.Go(func() { s.admin.run(loading) })
-	group.Go(func() { s.loud.run(loading) })
-	s.cluster.fleet.world.SetTrouble(s.cluster.plan.worldRules.MaxHold + mostTrouble)
-	s.trouble(ctx)
-	s.tell("all troubles are over")
-	s.recover(ctx)
+	group.Go(func() { s.clients.load(loadContext) })
+	group.Go(func() { s.operator.run(loadContext) })
+	group.Go(func() { s.unruly.run(loadContext) })
+	s.cluster.fleet.world.SetTrouble(s.cluster.plan.worldSettings.MaxHold + maxTroubleDuration)
+	s.runTroubles(ctx)
+	s.logLine("all troubles are over")
+	s.awaitRecovery(ctx)
 	s.cluster.fleet.world.SetTrouble(0)
 	stop()
 	group.Wait()
-	s.finish(ctx)
+	s.runFinalChecks(ctx)
 	report := s.report()
-	s.jobs.close()
-	s.admin.close()
+	s.clients.close()
+	s.operator.close()
 	return report, ctx.Err()
 }
 
-// ready puts the first configuration and waits until all dispatchers serve.
-func (s *soak) ready(ctx context.Context) error {
-	limited, cancel := context.WithTimeout(ctx, readyLimit)
+// ready sends the first configuration and waits until all dispatchers serve.
+func (s *soakRun) ready(ctx context.Context) error {
+	limited, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	direct := newClients(s.cluster.frontends(), s.cluster.ledger, s.cluster.fleet.world)
+	direct := newClients(s.cluster.frontendAddresses(), s.cluster.tracker, s.cluster.fleet.world)
 	defer direct.wait()
 	return s.cluster.configure(limited, direct)
 }
 
-// trouble runs the tracks of troubles.
-func (s *soak) trouble(ctx context.Context) {
+// runTroubles runs the tracks of troubles concurrently.
+func (s *soakRun) runTroubles(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, s.options.For)
 	defer cancel()
 	var group sync.WaitGroup
 	for number := range s.options.Tracks {
 		random := rand.New(rand.NewPCG(s.options.Seed, uint64(number)+firstTrackStream))
-		group.Go(func() { s.track(limited, random) })
+		group.Go(func() { s.runTrack(limited, random) })
 	}
 	group.Wait()
 }
 
-func (s *soak) report() *SoakReport {
+func (s *soakRun) report() *SoakReport {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	report := &SoakReport{Seed: s.options.Seed, Troubles: maps.Clone(s.troubles), Jobs: s.jobs.count(), Changes: s.admin.count(),
-		Unruly: int(s.loud.opened.Load()), Starts: s.cluster.fleet.world.Stats().Starts, Findings: slices.Clone(s.findings)}
-	if newest, err := s.cluster.view(); err == nil {
+	report := &SoakReport{Seed: s.options.Seed, Troubles: maps.Clone(s.troubles), Jobs: s.clients.count(), Changes: s.operator.count(),
+		Unruly: int(s.unruly.opened.Load()), Starts: s.cluster.fleet.world.Stats().Starts, Findings: slices.Clone(s.findings)}
+	if newest, err := s.cluster.newestView(); err == nil {
 		report.Epoch = newest.Epoch
 	}
-	s.keepOrRemove(report)
+	s.keepOrRemoveDir(report)
 	return report
 }
 
-// keepOrRemove keeps the folder for whoever looks into a finding.
-func (s *soak) keepOrRemove(report *SoakReport) {
+// keepOrRemoveDir keeps the directory if there are findings to investigate or if it was named in the options.
+func (s *soakRun) keepOrRemoveDir(report *SoakReport) {
 	if len(report.Findings) > 0 || s.options.Folder != "" {
-		report.Folder = s.cluster.plan.folder
+		report.Folder = s.cluster.plan.dir
 		return
 	}
-	s.cluster.removeFolder = true
+	s.cluster.removeDir = true
 	for _, child := range s.cluster.children() {
-		_ = os.Remove(filepath.Join(s.cluster.plan.folder, child.Name+".log"))
+		_ = os.Remove(filepath.Join(s.cluster.plan.dir, child.Name+".log"))
 	}
 }
--- a/internal/system/localcluster/soak_links.go
+++ b/internal/system/localcluster/soak_links.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	mostDelay   = 500 * time.Millisecond
-	cutWorkers  = 0.4 // the share of the workers that are cut off
-	leastLosses = 0.05
-	moreLosses  = 0.4
-	leastResets = 0.3
+	maxDelay             = 500 * time.Millisecond
+	cutWorkerShare       = 0.4 // share of the workers that are cut off
+	minLossProbability   = 0.05
+	lossProbabilityRange = 0.4
+	minResetShare        = 0.3
 )
 
-// hold keeps a rule in force for a while.
-func (s *soak) hold(ctx context.Context, rule relay.Rule, length time.Duration) {
+// applyRule keeps a rule in force for a while.
+func (s *soakRun) applyRule(ctx context.Context, rule relay.Rule, length time.Duration) {
 	remove := s.relay.Add(rule)
 	defer remove()
 	_ = pause.For(ctx, length)
 }
 
-// hostsOf are the hosts of the replicas.
-func (s *soak) replicaHosts() []string {
+// replicaHosts returns the hosts of the replicas.
+func (s *soakRun) replicaHosts() []string {
 	hosts := make([]string, len(s.cluster.replicas))
 	for i := range hosts {
 		hosts[i] = s.cluster.plan.layout.replica(i).String()
@@ -34,46 +34,46 @@
 	return hosts
 }
 
-// between matches the links, both ways, between one group of hosts and the other.
-func between(some, others []string) func(relay.Link) bool {
+// between matches the links in both directions between two groups of hosts.
+func between(group, other []string) func(relay.Link) bool {
 	return func(link relay.Link) bool {
-		return slices.Contains(some, link.From) && slices.Contains(others, link.To) ||
-			slices.Contains(others, link.From) && slices.Contains(some, link.To)
+		return slices.Contains(group, link.From) && slices.Contains(other, link.To) ||
+			slices.Contains(other, link.From) && slices.Contains(group, link.To)
 	}
 }
 
-// without is a list without one of its items.
+// without returns a copy of the list without an item.
 func without(list []string, item string) []string {
-	return slices.DeleteFunc(slices.Clone(list), func(other string) bool { return other == item })
+	return slices.DeleteFunc(slices.Clone(list), func(candidate string) bool { return candidate == item })
 }
 
-func (s *soak) cutReplica(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) cutReplica(ctx context.Context, random *rand.Rand, length time.Duration) {
 	hosts := s.replicaHosts()
-	one := hosts[random.IntN(len(hosts))]
-	s.hold(ctx, relay.Rule{Matches: between([]string{one}, without(hosts, one)), Effect: relay.Effect{Cut: true}}, length)
+	host := hosts[random.IntN(len(hosts))]
+	s.applyRule(ctx, relay.Rule{Matches: between([]string{host}, without(hosts, host)), Effect: relay.Effect{Cut: true}}, length)
 }
 
-func (s *soak) cutReplicaOneWay(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) cutReplicaOneWay(ctx context.Context, random *rand.Rand, length time.Duration) {
 	hosts := s.replicaHosts()
-	one, out := hosts[random.IntN(len(hosts))], random.IntN(2) == 0
-	s.hold(ctx, relay.Rule{Effect: relay.Effect{Cut: true}, Matches: func(link relay.Link) bool {
+	host, out := hosts[random.IntN(len(hosts))], random.IntN(2) == 0
+	s.applyRule(ctx, relay.Rule{Effect: relay.Effect{Cut: true}, Matches: func(link relay.Link) bool {
 		if out {
-			return link.From == one && slices.Contains(hosts, link.To)
+			return link.From == host && slices.Contains(hosts, link.To)
 		}
-		return link.To == one && slices.Contains(hosts, link.From)
+		return link.To == host && slices.Contains(hosts, link.From)
 	}}, length)
 }
 
-// splitCore cuts the replicas into two halves; everybody else reaches both.
-func (s *soak) splitCore(ctx context.Context, random *rand.Rand, length time.Duration) {
+// splitCore partitions the replicas into two halves. All other hosts still reach both.
+func (s *soakRun) splitCore(ctx context.Context, random *rand.Rand, length time.Duration) {
 	hosts := s.replicaHosts()
 	random.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 	half := len(hosts) / 2
-	s.hold(ctx, relay.Rule{Matches: between(hosts[:half], hosts[half:]), Effect: relay.Effect{Cut: true}}, length)
+	s.applyRule(ctx, relay.Rule{Matches: between(hosts[:half], hosts[half:]), Effect: relay.Effect{Cut: true}}, length)
 }
 
-// workerAddresses are those of some workers, drawn by lot.
-func (s *soak) workerAddresses(random *rand.Rand, share float64) (addresses []string) {
+// randomWorkerAddresses returns the addresses of a random share of the workers.
+func (s *soakRun) randomWorkerAddresses(random *rand.Rand, share float64) (addresses []string) {
 	for _, worker := range s.cluster.fleet.workers {
 		if random.Float64() < share {
 			addresses = append(addresses, worker.Address())
@@ -82,15 +82,15 @@
 	return addresses
 }
 
-// cutFromWorkers cuts some workers off from all replicas, or from one.
-func (s *soak) cutFromWorkers(ctx context.Context, random *rand.Rand, length time.Duration) {
-	addresses := s.workerAddresses(random, cutWorkers)
+// cutFromWorkers cuts some workers off from all replicas or from the first one. It may cut only the direction of the answers.
+func (s *soakRun) cutFromWorkers(ctx context.Context, random *rand.Rand, length time.Duration) {
+	addresses := s.randomWorkerAddresses(random, cutWorkerShare)
 	from := s.replicaHosts()
 	if random.IntN(2) == 0 {
 		from = from[:1]
 	}
 	answersOnly := random.IntN(3) == 0
-	s.hold(ctx, relay.Rule{Effect: relay.Effect{Cut: true}, Matches: func(link relay.Link) bool {
+	s.applyRule(ctx, relay.Rule{Effect: relay.Effect{Cut: true}, Matches: func(link relay.Link) bool {
 		client := link.From
 		if link.Answers {
 			client = link.To
@@ -99,20 +99,23 @@
 	}}, length)
 }
 
-func (s *soak) cutDispatcher(ctx context.Context, random *rand.Rand, length time.Duration) {
-	one := s.cluster.plan.layout.dispatcher(random.IntN(len(s.cluster.dispatchers))).String()
-	s.hold(ctx, relay.Rule{Matches: between([]string{one}, s.replicaHosts()), Effect: relay.Effect{Cut: true}}, length)
+func (s *soakRun) cutDispatcher(ctx context.Context, random *rand.Rand, length time.Duration) {
+	host := s.cluster.plan.layout.dispatcher(random.IntN(len(s.cluster.dispatchers))).String()
+	s.applyRule(ctx, relay.Rule{Matches: between([]string{host}, s.replicaHosts()), Effect: relay.Effect{Cut: true}}, length)
 }
 
-// someLinks draws a class of links: from everybody to the core, from the core to the workers, among the core, from clients.
-func (s *soak) someLinks(random *rand.Rand) func(relay.Link) bool {
+// randomLinks draws a class of links: between replicas and hosts other than the workers, from and to the workers, among the replicas,
+// from and to the operator, or from and to the clients.
+func (s *soakRun) randomLinks(random *rand.Rand) func(relay.Link) bool {
 	replicas := s.replicaHosts()
 	inCore := func(host string) bool { return slices.Contains(replicas, host) }
 	switch random.IntN(5) {
 	case 0:
-		return func(link relay.Link) bool { return inCore(link.From) != inCore(link.To) && hostOf(link) != workerHost }
+		return func(link relay.Link) bool {
+			return inCore(link.From) != inCore(link.To) && serverHost(link) != workerHost
+		}
 	case 1:
-		return func(link relay.Link) bool { return hostOf(link) == workerHost }
+		return func(link relay.Link) bool { return serverHost(link) == workerHost }
 	case 2:
 		return func(link relay.Link) bool { return inCore(link.From) && inCore(link.To) }
 	case 3:
@@ -121,26 +124,26 @@
 	return func(link relay.Link) bool { return link.From == soakHost || link.To == soakHost }
 }
 
-// workerHost is where all hollow workers listen.
+// workerHost is the host on which all hollow workers listen.
 const workerHost = "127.0.0.1"
 
-// hostOf is the host that was dialled.
-func hostOf(link relay.Link) string {
+// serverHost returns the host that was dialled.
+func serverHost(link relay.Link) string {
 	if link.Answers {
 		return link.From
 	}
 	return link.To
 }
 
-func (s *soak) loseAnswers(ctx context.Context, random *rand.Rand, length time.Duration) {
-	s.hold(ctx, relay.Rule{Matches: s.someLinks(random), Effect: relay.Effect{Loses: leastLosses + moreLosses*random.Float64()}}, length)
+func (s *soakRun) loseAnswers(ctx context.Context, random *rand.Rand, length time.Duration) {
+	s.applyRule(ctx, relay.Rule{Matches: s.randomLinks(random), Effect: relay.Effect{LossProbability: minLossProbability + lossProbabilityRange*random.Float64()}}, length)
 }
 
-func (s *soak) delay(ctx context.Context, random *rand.Rand, length time.Duration) {
-	by := time.Duration(random.Int64N(int64(mostDelay)))
-	s.hold(ctx, relay.Rule{Matches: s.someLinks(random), Effect: relay.Effect{Delay: by}}, length)
+func (s *soakRun) delay(ctx context.Context, random *rand.Rand, length time.Duration) {
+	by := time.Duration(random.Int64N(int64(maxDelay)))
+	s.applyRule(ctx, relay.Rule{Matches: s.randomLinks(random), Effect: relay.Effect{Delay: by}}, length)
 }
 
-func (s *soak) resetConnections(_ context.Context, random *rand.Rand, _ time.Duration) {
-	s.relay.Reset(s.someLinks(random), leastResets+(1-leastResets)*random.Float64())
+func (s *soakRun) resetConnections(_ context.Context, random *rand.Rand, _ time.Duration) {
+	s.relay.Reset(s.randomLinks(random), minResetShare+(1-minResetShare)*random.Float64())
 }
--- a/internal/system/localcluster/soak_troubles.go
+++ b/internal/system/localcluster/soak_troubles.go
@@ -13,191 +13,192 @@
 )
 
 const (
-	firstTrackStream = 100 // of random numbers
-	mostTrackPause   = 1200 * time.Millisecond
-	leastTrouble     = 200 * time.Millisecond
-	mostTrouble      = 4 * time.Second
-	startPause       = 50 * time.Millisecond
-	mostSlowdown     = 4
+	firstTrackStream   = 100 // random number stream of the first track
+	maxTroubleGap      = 1200 * time.Millisecond
+	minTroubleDuration = 200 * time.Millisecond
+	maxTroubleDuration = 4 * time.Second
+	restartPause       = 50 * time.Millisecond
+	maxSlowdown        = 4
 )
 
-// soakTrouble is one kind of trouble; cause brings it about and ends it, with what the seed draws.
+// soakTrouble is one kind of trouble. inject causes it and ends it, with the details drawn from random.
 type soakTrouble struct {
-	name  string
-	cause func(s *soak, ctx context.Context, random *rand.Rand, length time.Duration)
+	name   string
+	inject func(s *soakRun, ctx context.Context, random *rand.Rand, length time.Duration)
 }
 
-// soakTroubles are all kinds, those that strike the core several times.
+// soakTroubles are all kinds of trouble. Those that affect the control plane appear in several variants, so that they are drawn more
+// often.
 var soakTroubles = []soakTrouble{
-	{"kill replica", (*soak).killReplica},
-	{"kill head", (*soak).killHead},
-	{"restart replica", (*soak).restartReplica},
-	{"freeze replica", (*soak).freezeReplica},
-	{"freeze head", (*soak).freezeHead},
-	{"lose disk", (*soak).loseDisk},
-	{"stall disk", (*soak).stallDisk},
-	{"slow disk", (*soak).slowDisk},
-	{"fill disk", (*soak).fillDisk},
-	{"kill core", (*soak).killCore},
-	{"kill all", (*soak).killAll},
-	{"cut replica", (*soak).cutReplica},
-	{"cut replica one way", (*soak).cutReplicaOneWay},
-	{"split core", (*soak).splitCore},
-	{"cut core from workers", (*soak).cutFromWorkers},
-	{"cut dispatcher", (*soak).cutDispatcher},
-	{"kill dispatcher", (*soak).killDispatcher},
-	{"restart dispatcher", (*soak).restartDispatcher},
-	{"freeze dispatcher", (*soak).freezeDispatcher},
-	{"reload", (*soak).reload},
-	{"lose answers", (*soak).loseAnswers},
-	{"delay", (*soak).delay},
-	{"reset connections", (*soak).resetConnections},
-	{"stalled bodies", (*soak).stalledBodies},
-	{"crash workers", (*soak).crashWorkers},
-	{"unsound workers", (*soak).unsoundWorkers},
-}
-
-// track causes one trouble after the other until the context ends, and heals the last.
-func (s *soak) track(ctx context.Context, random *rand.Rand) {
-	for pause.For(ctx, time.Duration(random.Int64N(int64(mostTrackPause)))) == nil {
+	{"kill replica", (*soakRun).killReplica},
+	{"kill head", (*soakRun).killHead},
+	{"restart replica", (*soakRun).restartReplica},
+	{"freeze replica", (*soakRun).freezeReplica},
+	{"freeze head", (*soakRun).freezeHead},
+	{"lose disk", (*soakRun).loseDisk},
+	{"stall disk", (*soakRun).stallDisk},
+	{"slow disk", (*soakRun).slowDisk},
+	{"fill disk", (*soakRun).fillDisk},
+	{"kill core", (*soakRun).killCore},
+	{"kill all", (*soakRun).killAll},
+	{"cut replica", (*soakRun).cutReplica},
+	{"cut replica one way", (*soakRun).cutReplicaOneWay},
+	{"split core", (*soakRun).splitCore},
+	{"cut core from workers", (*soakRun).cutFromWorkers},
+	{"cut dispatcher", (*soakRun).cutDispatcher},
+	{"kill dispatcher", (*soakRun).killDispatcher},
+	{"restart dispatcher", (*soakRun).restartDispatcher},
+	{"freeze dispatcher", (*soakRun).freezeDispatcher},
+	{"reload", (*soakRun).reload},
+	{"lose answers", (*soakRun).loseAnswers},
+	{"delay", (*soakRun).delay},
+	{"reset connections", (*soakRun).resetConnections},
+	{"stalled bodies", (*soakRun).stalledBodies},
+	{"crash workers", (*soakRun).crashWorkers},
+	{"unsound workers", (*soakRun).faultyWorkers},
+}
+
+// runTrack causes one trouble after the other until the context ends, and ends the last one.
+func (s *soakRun) runTrack(ctx context.Context, random *rand.Rand) {
+	for pause.For(ctx, time.Duration(random.Int64N(int64(maxTroubleGap)))) == nil {
 		trouble := &soakTroubles[random.IntN(len(soakTroubles))]
-		length := leastTrouble + time.Duration(random.Int64N(int64(mostTrouble-leastTrouble)))
+		length := minTroubleDuration + time.Duration(random.Int64N(int64(maxTroubleDuration-minTroubleDuration)))
 		s.mutex.Lock()
 		s.troubles[trouble.name]++
 		s.mutex.Unlock()
-		s.tell(trouble.name + " for " + length.Round(time.Millisecond).String())
-		trouble.cause(s, ctx, random, length)
+		s.logLine(trouble.name + " for " + length.Round(time.Millisecond).String())
+		trouble.inject(s, ctx, random, length)
 	}
 }
 
-// strike has a process that no other trouble strikes suffer one, and tells whether it could.
-func (s *soak) strike(child *Child, suffer func()) bool {
-	held := s.busy[child]
-	if !held.TryLock() {
+// withChildLocked calls do unless another trouble currently applies to the process. It reports whether it called do.
+func (s *soakRun) withChildLocked(child *Child, do func()) bool {
+	lock := s.childLocks[child]
+	if !lock.TryLock() {
 		return false
 	}
-	defer held.Unlock()
-	suffer()
+	defer lock.Unlock()
+	do()
 	return true
 }
 
-// away ends a process, lets time pass, and starts it again.
-func (s *soak) away(ctx context.Context, child *Child, end func(), length time.Duration) {
-	s.strike(child, func() {
+// stopAndRestart ends a process, waits, and starts it again.
+func (s *soakRun) stopAndRestart(ctx context.Context, child *Child, end func(), length time.Duration) {
+	s.withChildLocked(child, func() {
 		end()
 		_ = pause.For(ctx, length)
-		s.startAgain(child)
+		s.restart(child)
 	})
 }
 
-// startAgain starts a process with the settings of a return.
-func (s *soak) startAgain(child *Child) {
+// restart starts a process with the settings of a restart, which do not bootstrap.
+func (s *soakRun) restart(child *Child) {
 	if number := slices.Index(s.cluster.replicas, child); number >= 0 {
-		if err := s.cluster.prepareReturn(number, false); err != nil {
-			s.find("FAULT", "%s has no settings: %v", child.Name, err)
+		if err := s.cluster.prepareRestart(number, false); err != nil {
+			s.addFinding("FAULT", "%s has no settings: %v", child.Name, err)
 		}
 	}
 	if err := child.start(); err != nil {
-		s.find("FAULT", "%s doesn't start: %v", child.Name, err)
+		s.addFinding("FAULT", "%s doesn't start: %v", child.Name, err)
 	}
 }
 
-func (s *soak) anyReplica(random *rand.Rand) *Child {
+func (s *soakRun) anyReplica(random *rand.Rand) *Child {
 	return s.cluster.replicas[random.IntN(len(s.cluster.replicas))]
 }
 
-func (s *soak) anyDispatcher(random *rand.Rand) *Child {
+func (s *soakRun) anyDispatcher(random *rand.Rand) *Child {
 	return s.cluster.dispatchers[random.IntN(len(s.cluster.dispatchers))]
 }
 
-// headOr is the replica at the head, or any where nobody tells who that is.
-func (s *soak) headOr(random *rand.Rand) *Child {
-	if number := s.cluster.head(); number >= 0 {
+// headOrAnyReplica returns the replica at the head, or a random one if the head is not known.
+func (s *soakRun) headOrAnyReplica(random *rand.Rand) *Child {
+	if number := s.cluster.headIndex(); number >= 0 {
 		return s.cluster.replicas[number]
 	}
 	return s.anyReplica(random)
 }
 
-func (s *soak) killReplica(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) killReplica(ctx context.Context, random *rand.Rand, length time.Duration) {
 	child := s.anyReplica(random)
-	s.away(ctx, child, child.kill, length)
+	s.stopAndRestart(ctx, child, child.kill, length)
 }
 
-func (s *soak) killHead(ctx context.Context, random *rand.Rand, length time.Duration) {
-	child := s.headOr(random)
-	s.away(ctx, child, child.kill, length)
+func (s *soakRun) killHead(ctx context.Context, random *rand.Rand, length time.Duration) {
+	child := s.headOrAnyReplica(random)
+	s.stopAndRestart(ctx, child, child.kill, length)
 }
 
-func (s *soak) restartReplica(ctx context.Context, random *rand.Rand, _ time.Duration) {
+func (s *soakRun) restartReplica(ctx context.Context, random *rand.Rand, _ time.Duration) {
 	child := s.anyReplica(random)
-	s.away(ctx, child, func() { child.terminate(endLimit) }, startPause)
+	s.stopAndRestart(ctx, child, func() { child.terminate(terminateTimeout) }, restartPause)
 }
 
-func (s *soak) freezeReplica(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) freezeReplica(ctx context.Context, random *rand.Rand, length time.Duration) {
 	s.freeze(ctx, s.anyReplica(random), length)
 }
 
-func (s *soak) freezeHead(ctx context.Context, random *rand.Rand, length time.Duration) {
-	s.freeze(ctx, s.headOr(random), length)
+func (s *soakRun) freezeHead(ctx context.Context, random *rand.Rand, length time.Duration) {
+	s.freeze(ctx, s.headOrAnyReplica(random), length)
 }
 
-func (s *soak) freeze(ctx context.Context, child *Child, length time.Duration) {
-	s.strike(child, func() {
+func (s *soakRun) freeze(ctx context.Context, child *Child, length time.Duration) {
+	s.withChildLocked(child, func() {
 		child.freeze()
 		_ = pause.For(ctx, length)
 		child.thaw()
 	})
 }
 
-func (s *soak) killCore(ctx context.Context, _ *rand.Rand, length time.Duration) {
+func (s *soakRun) killCore(ctx context.Context, _ *rand.Rand, length time.Duration) {
 	s.killTogether(ctx, s.cluster.replicas, length)
 }
 
-func (s *soak) killAll(ctx context.Context, _ *rand.Rand, length time.Duration) {
+func (s *soakRun) killAll(ctx context.Context, _ *rand.Rand, length time.Duration) {
 	s.killTogether(ctx, s.cluster.children(), length)
 }
 
-func (s *soak) killTogether(ctx context.Context, children []*Child, length time.Duration) {
+func (s *soakRun) killTogether(ctx context.Context, children []*Child, length time.Duration) {
 	var group sync.WaitGroup
 	for _, child := range children {
-		group.Go(func() { s.away(ctx, child, child.kill, length/4) })
+		group.Go(func() { s.stopAndRestart(ctx, child, child.kill, length/4) })
 	}
 	group.Wait()
 }
 
-func (s *soak) killDispatcher(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) killDispatcher(ctx context.Context, random *rand.Rand, length time.Duration) {
 	child := s.anyDispatcher(random)
-	s.away(ctx, child, child.kill, length/4)
+	s.stopAndRestart(ctx, child, child.kill, length/4)
 }
 
-func (s *soak) restartDispatcher(ctx context.Context, random *rand.Rand, _ time.Duration) {
+func (s *soakRun) restartDispatcher(ctx context.Context, random *rand.Rand, _ time.Duration) {
 	child := s.anyDispatcher(random)
-	s.away(ctx, child, func() { child.terminate(endLimit) }, startPause)
+	s.stopAndRestart(ctx, child, func() { child.terminate(terminateTimeout) }, restartPause)
 }
 
-func (s *soak) freezeDispatcher(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) freezeDispatcher(ctx context.Context, random *rand.Rand, length time.Duration) {
 	s.freeze(ctx, s.anyDispatcher(random), length)
 }
 
-// reload has every process read its settings again, some of them twice.
-func (s *soak) reload(_ context.Context, random *rand.Rand, _ time.Duration) {
+// reload makes every process reload its settings, some of them twice.
+func (s *soakRun) reload(_ context.Context, random *rand.Rand, _ time.Duration) {
 	for _, child := range s.cluster.children() {
 		for range 1 + random.IntN(2) {
-			child.hangUp()
+			child.sendHangUp()
 		}
 	}
 }
 
-// hangUp sends SIGHUP, unless the process is down.
-func (c *Child) hangUp() {
+// sendHangUp sends SIGHUP, unless the process is down.
+func (c *Child) sendHangUp() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.state != childDown && !c.asked {
-		_ = c.process.Signal(syscall.SIGHUP) // it may just have ended
+	if c.state != childDown && !c.endRequested {
+		_ = c.process.Signal(syscall.SIGHUP) // the process may already have exited
 	}
 }
 
-func (s *soak) crashWorkers(ctx context.Context, random *rand.Rand, length time.Duration) {
+func (s *soakRun) crashWorkers(ctx context.Context, random *rand.Rand, length time.Duration) {
 	for _, worker := range s.cluster.fleet.workers {
 		if random.IntN(4) == 0 {
 			worker.Crash(length)
@@ -206,22 +207,22 @@
 	_ = pause.For(ctx, length)
 }
 
-// unsoundWorkers gives some workers a fault.
-func (s *soak) unsoundWorkers(ctx context.Context, random *rand.Rand, length time.Duration) {
+// faultyWorkers applies one kind of fault to some workers.
+func (s *soakRun) faultyWorkers(ctx context.Context, random *rand.Rand, length time.Duration) {
 	faults := []hollow.Faults{
-		{Silent: true}, {Hang: true}, {Busy: true}, {Slow: 1 + mostSlowdown*random.Float64()}, {FailShare: 0.3},
-		{LateBy: time.Duration(random.Int64N(int64(mostTrouble)))},
+		{Silent: true}, {Hang: true}, {Busy: true}, {Slow: 1 + maxSlowdown*random.Float64()}, {FailShare: 0.3},
+		{LateBy: time.Duration(random.Int64N(int64(maxTroubleDuration)))},
 	}
 	fault := faults[random.IntN(len(faults))]
-	var struck []*hollow.Worker
+	var affected []*hollow.Worker
 	for _, worker := range s.cluster.fleet.workers {
 		if random.IntN(4) == 0 {
-			struck = append(struck, worker)
+			affected = append(affected, worker)
 			worker.SetFaults(fault)
 		}
 	}
 	_ = pause.For(ctx, length)
-	for _, worker := range struck {
+	for _, worker := range affected {
 		worker.SetFaults(hollow.Faults{})
 	}
 }
--- a/internal/tools/relayednode/main.go
+++ b/internal/tools/relayednode/main.go
@@ -1,10 +1,10 @@
-// Command relayednode runs one process of either role, as the programs themselves do, but with all its connections to others through a
-// relay (internal/system/localcluster/relay), and with a disk that has troubles (internal/system/localcluster/faultydisk). Soak runs use it to
-// cut links between real processes, and to strike their disks.
+// Command relayednode runs one process of either role, as the programs themselves do, but with all its connections going through a
+// relay (internal/system/localcluster/relay) and with a disk that can have faults (internal/system/localcluster/faultydisk). Soak runs
+// use it to cut links between real processes and to inject disk faults.
 //
 //	relayednode controlplane|dataplane RELAY
 //
-// The settings file is named by GAUGESLIP_NODE_FILE.
+// The environment variable GAUGESLIP_NODE_FILE names the settings file.
 package main
 
 import (
@@ -36,40 +36,40 @@
 	if len(arguments) != 2 {
 		return errUsage
 	}
-	taken := console.TakeSignals()
+	signals := console.TakeSignals()
 	path := os.Getenv(nodesettings.FileVariable)
 	settings, err := nodesettings.Load(path)
 	if err != nil {
 		return err
 	}
-	through := relay.Network{Relay: arguments[1], Host: settings.IP}
+	network := relay.Network{Relay: arguments[1], Host: settings.IP}
 	switch nodesettings.Role(arguments[0]) {
 	case nodesettings.RoleControlPlane:
-		return runReplica(path, settings, through, taken)
+		return runReplica(path, settings, network, signals)
 	case nodesettings.RoleDataPlane:
-		return runDispatcher(path, through, taken)
+		return runDispatcher(path, network, signals)
 	}
 	return errUsage
 }
 
-// runReplica runs a replica until SIGTERM; SIGHUP reads the settings again.
-func runReplica(path string, settings *nodesettings.Settings, through relay.Network, taken console.Signals) error {
+// runReplica runs a replica until SIGTERM. SIGHUP reloads the settings.
+func runReplica(path string, settings *nodesettings.Settings, network relay.Network, signals console.Signals) error {
 	logger := console.NewLogger(false)
-	folder, err := wal.OSDisk(settings.DataDir)
+	disk, err := wal.OSDisk(settings.DataDir)
 	if err != nil {
 		return fmt.Errorf("disk: %w", err)
 	}
-	node, err := control.Start(control.Options{Settings: settings, Logger: logger, Network: through, Invariants: control.NewInvariants(logger),
-		Disk: faultydisk.New(folder, faultydisk.OrdersOf(settings.DataDir))})
+	node, err := control.Start(control.Options{Settings: settings, Logger: logger, Network: network, Invariants: control.NewInvariants(logger),
+		Disk: faultydisk.New(disk, faultydisk.FaultFile(settings.DataDir))})
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
 	for {
 		select {
-		case <-taken.End:
+		case <-signals.End:
 			node.Leave()
 			return nil
-		case <-taken.Reload:
+		case <-signals.Reload:
 			if changed, err := nodesettings.Load(path); err == nil {
 				node.Reload(changed)
 			}
@@ -79,21 +79,21 @@
 	}
 }
 
-// runDispatcher runs a dispatcher until SIGTERM; SIGHUP reads the settings again.
-func runDispatcher(path string, through relay.Network, taken console.Signals) error {
+// runDispatcher runs a dispatcher until SIGTERM. SIGHUP reloads the settings.
+func runDispatcher(path string, network relay.Network, signals console.Signals) error {
 	logger := console.NewLogger(false)
-	process, err := dataplane.Start(path, logger, dataplane.Options{Network: through, Invariants: dataplane.NewInvariants(logger)})
+	process, err := dataplane.Start(path, logger, dataplane.Options{Network: network, Invariants: dataplane.NewInvariants(logger)})
 	if err != nil {
 		return err
 	}
 	ending, end := context.WithCancel(context.Background())
 	go func() {
-		<-taken.End
+		<-signals.End
 		end()
 	}()
 	reload := make(chan struct{})
 	go func() {
-		for range taken.Reload {
+		for range signals.Reload {
 			reload <- struct{}{}
 		}
 	}()
