--- a/internal/system/control/sockets.go
+++ b/internal/system/control/sockets.go
@@ -37,14 +37,14 @@
 }
 
 func (n *Node) listenForOperator() error {
-	listener, err := network.Listen(n.network, n.settings.Bind.ControlPlane, network.Sockets)
+	listener, err := network.Listen(n.network, n.settings.Bind.ControlPlane, network.ListenTCP)
 	if err != nil {
 		return fmt.Errorf("listen for the operator: %w", err)
 	}
 	api := newOperatorAPI(n.settings.Limits.MemoryMb)
 	api.replace, api.read, api.metrics = n.replaceOrForward, n.readOrForward, n.serveMetrics
 	n.operator = operatorServer(api.handler())
-	bounded := network.Bound(listener, maxOperatorConnections)
+	bounded := network.LimitListener(listener, maxOperatorConnections)
 	go func() { _ = n.operator.Serve(bounded) }()
 	return nil
 }
--- a/internal/system/dataplane/dispatcher.go
+++ b/internal/system/dataplane/dispatcher.go
@@ -69,7 +69,7 @@
 	if request.ContentLength != 0 {
 		setBodyDeadline(w, arrived)
 	}
-	lease := d.bodyBudget.Lease()
+	lease := d.bodyBudget.NewLease()
 	defer lease.Release()
 	reply := d.respond(w, request, arrived, lease)
 	if d.draining.Load() {
--- a/internal/system/dataplane/gate.go
+++ b/internal/system/dataplane/gate.go
@@ -39,7 +39,7 @@
 	}
 	conn, err := l.Listener.Accept()
 	if err == nil {
-		return l.slots.Hold(conn), nil
+		return l.slots.ReleaseOnClose(conn), nil
 	}
 	<-l.slots
 	select {
--- a/internal/system/dataplane/options.go
+++ b/internal/system/dataplane/options.go
@@ -34,7 +34,7 @@
 	DefaultWaitTime time.Duration
 	// DrainDelay is how long a draining dispatcher goes on accepting connections: the platform has to see two failed readiness
 	// probes, a second apart.
-	Announce time.Duration
+	DrainDelay time.Duration
 	// BodyMemory bounds the bytes used by the bodies of all requests together.
 	BodyMemory int64
 	// Logger receives requests that weren't served, a few per second. Nil disables this.
@@ -58,7 +58,7 @@
 	defaultHeadContactTimeout = 3500 * time.Millisecond
 	defaultMaxConfigAge       = 1500 * time.Millisecond
 	defaultWaitTime           = 3 * time.Second
-	defaultAnnounce           = 2200 * time.Millisecond
+	defaultDrainDelay         = 2200 * time.Millisecond
 	defaultBodyMemory         = 16 << 20
 )
 
@@ -75,7 +75,7 @@
 	setDefault(&o.HeadContactTimeout, defaultHeadContactTimeout)
 	setDefault(&o.MaxConfigAge, defaultMaxConfigAge)
 	setDefault(&o.DefaultWaitTime, defaultWaitTime)
-	setDefault(&o.Announce, defaultAnnounce)
+	setDefault(&o.DrainDelay, defaultDrainDelay)
 	setDefault(&o.BodyMemory, defaultBodyMemory)
 	return o
 }
--- a/internal/system/dataplane/process.go
+++ b/internal/system/dataplane/process.go
@@ -79,7 +79,7 @@
 		name:      settings.NodeName,
 		zone:      settings.Zone,
 		directory: NewDirectory(),
-		client:    transport.NewClient(transport.Options{Dial: network.DialOf(options.Network)}),
+		client:    transport.NewClient(transport.Options{Dial: network.DialFunc(options.Network)}),
 	}
 	p.options = p.boundedOptions(options)
 	p.options.Logger = logger
@@ -155,7 +155,7 @@
 }
 
 func (p *Process) listenReadiness(errorLog *stdlog.Logger) error {
-	listener, err := network.Listen(p.options.Network, p.settings.Bind.Readiness, network.Sockets)
+	listener, err := network.Listen(p.options.Network, p.settings.Bind.Readiness, network.ListenTCP)
 	if err != nil {
 		return fmt.Errorf("readiness: %w", err)
 	}
@@ -167,7 +167,7 @@
 		IdleTimeout:       readinessIdle,
 		ErrorLog:          errorLog,
 	}
-	bounded := network.Bound(listener, maxReadinessConnections)
+	bounded := network.LimitListener(listener, maxReadinessConnections)
 	p.group.Go(func() { _ = p.readinessServer.Serve(bounded) }) // returns at Close
 	return nil
 }
@@ -249,7 +249,7 @@
 	p.readiness.Drain()
 	p.dispatcher.Drain()
 	p.dispatcher.SetResponseDeadline(deadline.Add(-responseMargin))
-	time.Sleep(min(p.options.Announce, time.Until(deadline)/2))
+	time.Sleep(min(p.options.DrainDelay, time.Until(deadline)/2))
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	err := p.frontend.Shutdown(ctx)
--- a/internal/system/localcluster/cluster.go
+++ b/internal/system/localcluster/cluster.go
@@ -69,7 +69,7 @@
 	}
 	c.plan.replicas, c.plan.tolerance = c.options.Replicas, c.options.tolerance()
 	c.plan.memoryMb = c.options.ReplicaMemoryMb
-	c.plan.maxOpenFiles = c.options.ReplicaFiles
+	c.plan.maxOpenFiles = c.options.ReplicaMaxOpenFiles
 	c.plan.listRate = c.options.ListRate
 	c.plan.worldSettings = hollow.DefaultSettings()
 	c.plan.worldSettings.Seed = c.options.Seed
@@ -89,7 +89,7 @@
 }
 
 func (c *Cluster) prepareDir() error {
-	c.plan.dir = c.options.Folder
+	c.plan.dir = c.options.Dir
 	if c.plan.dir == "" {
 		dir, err := os.MkdirTemp("", "gaugeslip-cluster-")
 		if err != nil {
@@ -149,7 +149,7 @@
 		}
 		arguments = append(arguments, path)
 	}
-	c.hollow = c.newChild("hollow-dispatchers", "", func() *exec.Cmd { return exec.Command(c.options.Self, arguments...) })
+	c.hollow = c.newChild("hollow-dispatchers", "", func() *exec.Cmd { return exec.Command(c.options.GaugelabPath, arguments...) })
 	return nil
 }
 
@@ -163,21 +163,21 @@
 
 func (c *Cluster) programCommand(name, settings string) func() *exec.Cmd {
 	if c.options.Relay != "" {
-		path := filepath.Join(c.options.Programs, programRelayed)
+		path := filepath.Join(c.options.ProgramDir, programRelayed)
 		return func() *exec.Cmd { return exec.Command(path, name, c.options.Relay) }
 	}
-	path := filepath.Join(c.options.Programs, name)
+	path := filepath.Join(c.options.ProgramDir, name)
 	return func() *exec.Cmd { return exec.Command(path, "run") }
 }
 
 // replicaCommand returns the command of a replica. If profiles are wanted, it runs the gaugelab program in the replica's role.
 func (c *Cluster) replicaCommand(index int, settings string) func() *exec.Cmd {
-	if c.options.Profiles == "" {
+	if c.options.ProfileDir == "" {
 		return c.programCommand(programReplica, settings)
 	}
-	prefix := filepath.Join(c.options.Profiles, replicaName(index))
+	prefix := filepath.Join(c.options.ProfileDir, replicaName(index))
 	return func() *exec.Cmd {
-		return exec.Command(c.options.Self, "system", "process", programReplica, settings, "--profile", prefix)
+		return exec.Command(c.options.GaugelabPath, "system", "process", programReplica, settings, "--profile", prefix)
 	}
 }
 
@@ -290,7 +290,7 @@
 	for _, child := range children {
 		group.Go(func() {
 			child.thaw()
-			if c.options.Profiles == "" {
+			if c.options.ProfileDir == "" {
 				child.kill()
 				return
 			}
--- a/internal/system/localcluster/report.go
+++ b/internal/system/localcluster/report.go
@@ -116,11 +116,11 @@
 	}
 }
 
-// Sound reports whether no job was lost, no rule was broken, and no process exited without a request.
-func (r *Report) Sound() bool { return r.Jobs.Lost == 0 && len(r.Violations) == 0 && r.Crashes == 0 }
+// Passed reports whether no job was lost, no rule was broken, and no process exited without a request.
+func (r *Report) Passed() bool { return r.Jobs.Lost == 0 && len(r.Violations) == 0 && r.Crashes == 0 }
 
-// JSON encodes the report as one indented object.
-func (r *Report) JSON(out io.Writer) error {
+// WriteJSON encodes the report as one indented object.
+func (r *Report) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(r)
--- a/internal/system/localcluster/run.go
+++ b/internal/system/localcluster/run.go
@@ -93,7 +93,7 @@
 		defer close(troublesDone)
 		fault = troubles.run(ctx, s.options.Troubles)
 	}()
-	err := s.load(ctx, s.options.Rate, s.options.For, s.mixedJob)
+	err := s.load(ctx, s.options.Rate, s.options.LoadDuration, s.mixedJob)
 	<-troublesDone
 	if err == nil {
 		err = fault
@@ -159,7 +159,7 @@
 
 // awaitJobs waits until every accepted job is finished or the time for that is over.
 func (s *session) awaitJobs(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, s.options.Patience)
+	limited, cancel := context.WithTimeout(ctx, s.options.DrainTimeout)
 	defer cancel()
 	for s.cluster.tracker.unfinished() > 0 && pause.For(limited, pollInterval) == nil {
 	}
@@ -202,7 +202,7 @@
 		Replicas:    s.options.Replicas,
 		Dispatchers: s.options.Dispatchers + s.options.HollowDispatchers,
 		Workers:     s.options.Workers,
-		Seconds:     s.options.For.Seconds(),
+		Seconds:     s.options.LoadDuration.Seconds(),
 		Jobs:        c.tracker.count(true),
 		Latencies:   c.tracker.latencies(s.loadStart),
 		Orders:      orders,
--- a/internal/system/localcluster/scale.go
+++ b/internal/system/localcluster/scale.go
@@ -52,7 +52,7 @@
 // a steady load.
 func RunSize(ctx context.Context, options ScaleOptions) (*SizeReport, error) {
 	options.Rate = startsPerSecondPerWorker * float64(options.Workers) / steadyTasks
-	options.For = options.Window
+	options.LoadDuration = options.Window
 	dispatchers := max(minDispatchers, options.Workers/workersPerDispatcher)
 	options.withDefaults()
 	options.HollowDispatchers = max(0, dispatchers-options.Dispatchers)
@@ -141,7 +141,7 @@
 	}
 	s.loadStart = s.cluster.tracker.now()
 	before, orders := s.cluster.sampleUsage(), s.cluster.sampleOrders()
-	if err := s.load(ctx, s.options.Rate, s.options.For, s.steadyJob); err != nil {
+	if err := s.load(ctx, s.options.Rate, s.options.LoadDuration, s.steadyJob); err != nil {
 		return err
 	}
 	after, orderEnd := s.cluster.sampleUsage(), s.cluster.sampleOrders()
--- a/internal/system/localcluster/scenario.go
+++ b/internal/system/localcluster/scenario.go
@@ -170,7 +170,7 @@
 
 // Apply copies the scenario's values into the options.
 func (s *Scenario) Apply(options *Options) {
-	override(&options.For, s.duration)
+	override(&options.LoadDuration, s.duration)
 	override(&options.Rate, s.Rate)
 	override(&options.Replicas, s.Replicas)
 	override(&options.Dispatchers, s.Dispatchers)
--- a/internal/system/localcluster/soak.go
+++ b/internal/system/localcluster/soak.go
@@ -19,19 +19,19 @@
 
 // SoakOptions configures a soak run. Zero values select the defaults.
 type SoakOptions struct {
-	Seed        uint64
-	Replicas    int           // 3
-	Dispatchers int           // 3
-	Workers     int           // 12
-	Rate        float64       // jobs per second, 8 by default
-	For         time.Duration // how long troubles last, 15 s by default
-	// Tracks is the number of troubles that may be in progress at the same time, 3 by default.
-	Tracks int
-	// Programs is the directory that contains relayednode.
-	Programs string
-	// Folder is the directory for settings, data and logs. It has to be empty. Without it, the run uses a temporary directory, which
+	Seed            uint64
+	Replicas        int           // 3
+	Dispatchers     int           // 3
+	Workers         int           // 12
+	Rate            float64       // jobs per second, 8 by default
+	TroubleDuration time.Duration // how long troubles last, 15 s by default
+	// ConcurrentTroubles is the number of troubles that may be in progress at the same time, 3 by default.
+	ConcurrentTroubles int
+	// ProgramDir is the directory that contains relayednode.
+	ProgramDir string
+	// Dir is the directory for settings, data and logs. It has to be empty. Without it, the run uses a temporary directory, which
 	// is kept only if there are findings.
-	Folder string
+	Dir string
 	// Table receives one line per trouble. Nil disables it.
 	Table io.Writer
 }
@@ -70,7 +70,7 @@
 	Starts   int // accepted by workers
 	Epoch    uint64
 	Findings []Finding
-	Folder   string // directory of settings, data and logs, if it was kept
+	Dir      string // directory of settings, data and logs, if it was kept
 }
 
 // Print writes the report as text.
@@ -80,8 +80,8 @@
 	for _, finding := range r.Findings {
 		fmt.Fprintf(out, "  %8.3f s %s: %s\n", finding.At.Seconds(), finding.Rule, finding.Detail)
 	}
-	if r.Folder != "" {
-		fmt.Fprintf(out, "  logs: %s\n", r.Folder)
+	if r.Dir != "" {
+		fmt.Fprintf(out, "  logs: %s\n", r.Dir)
 	}
 }
 
@@ -110,8 +110,8 @@
 	orDefault(&o.Dispatchers, defaultDispatchers)
 	orDefault(&o.Workers, defaultWorkers)
 	orDefault(&o.Rate, defaultSoakRate)
-	orDefault(&o.For, defaultSoakDuration)
-	orDefault(&o.Tracks, defaultSoakTracks)
+	orDefault(&o.TroubleDuration, defaultSoakDuration)
+	orDefault(&o.ConcurrentTroubles, defaultSoakTracks)
 }
 
 // Soak runs a cluster of real processes under overlapping troubles, which are all drawn from the seed, and reports the violated
@@ -123,12 +123,12 @@
 		return nil, err
 	}
 	defer relayServer.Close()
-	dir, err := soakDir(options.Folder)
+	dir, err := soakDir(options.Dir)
 	if err != nil {
 		return nil, err
 	}
 	cluster, err := Start(Options{Replicas: options.Replicas, Dispatchers: options.Dispatchers, Workers: options.Workers, Seed: options.Seed,
-		Programs: options.Programs, Folder: dir, Relay: relayServer.Address()})
+		ProgramDir: options.ProgramDir, Dir: dir, Relay: relayServer.Address()})
 	if err != nil {
 		return nil, err
 	}
@@ -219,10 +219,10 @@
 
 // runTroubles runs the tracks of troubles concurrently.
 func (s *soakRun) runTroubles(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, s.options.For)
+	limited, cancel := context.WithTimeout(ctx, s.options.TroubleDuration)
 	defer cancel()
 	var group sync.WaitGroup
-	for number := range s.options.Tracks {
+	for number := range s.options.ConcurrentTroubles {
 		random := rand.New(rand.NewPCG(s.options.Seed, uint64(number)+firstTrackStream))
 		group.Go(func() { s.runTrack(limited, random) })
 	}
@@ -243,8 +243,8 @@
 
 // keepOrRemoveDir keeps the directory if there are findings to investigate or if it was named in the options.
 func (s *soakRun) keepOrRemoveDir(report *SoakReport) {
-	if len(report.Findings) > 0 || s.options.Folder != "" {
-		report.Folder = s.cluster.plan.dir
+	if len(report.Findings) > 0 || s.options.Dir != "" {
+		report.Dir = s.cluster.plan.dir
 		return
 	}
 	s.cluster.removeDir = true
--- a/internal/tools/relayednode/main.go
+++ b/internal/tools/relayednode/main.go
@@ -36,7 +36,7 @@
 	if len(arguments) != 2 {
 		return errUsage
 	}
-	signals := console.TakeSignals()
+	signals := console.NotifySignals()
 	path := os.Getenv(nodesettings.FileVariable)
 	settings, err := nodesettings.Load(path)
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 	for {
 		select {
-		case <-signals.End:
+		case <-signals.Terminate:
 			node.Leave()
 			return nil
 		case <-signals.Reload:
@@ -88,7 +88,7 @@
 	}
 	ending, end := context.WithCancel(context.Background())
 	go func() {
-		<-signals.End
+		<-signals.Terminate
 		end()
 	}()
 	reload := make(chan struct{})
