--- a/internal/system/hollow/audit.go
+++ b/internal/system/hollow/audit.go
@@ -17,37 +17,37 @@
 
 // Violations returns all findings so far, in the order of their time.
 func (world *World) Violations() []Violation {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	return slices.Clone(world.checker.violations)
 }
 
 // JobDone tells whether every task of the job has ended done.
 func (world *World) JobDone(id string) bool {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	job := world.jobs[id]
 	if job == nil {
 		return false
 	}
 	done := true
-	job.eachPlace(func(place taskPlace) { done = done && job.task(place).done })
+	job.eachTaskKey(func(key taskKey) { done = done && job.task(key).done })
 	return done
 }
 
 // JobHopeless tells whether a task of the job has failed as often as its queue allows, so that the job may be shown as failed.
 func (world *World) JobHopeless(id string) bool {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	job := world.jobs[id]
-	return job != nil && job.hopeless()
+	return job != nil && job.retriesExhausted()
 }
 
 // Unfinished returns the names of all tasks that aren't done, of jobs that could be: neither cancelled nor hopeless nor
 // running until they are cancelled.
 func (world *World) Unfinished() []string {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	var names []string
 	world.eachOpenTask(func(open *task) {
 		if !open.stage.LongRunning {
@@ -61,8 +61,8 @@
 // Lost returns a finding for each job that has had a task whose turn has come and that nothing has run of for longer than
 // span, while nothing else of the job runs.
 func (world *World) Lost(span time.Duration) []Violation {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	idle := make(map[*job]*task)
 	busy := make(map[*job]bool)
 	world.eachOpenTask(func(open *task) {
@@ -70,7 +70,7 @@
 			busy[open.job] = true
 			return
 		}
-		if open.job.ready(open.place.repetition, open.place.stage, world.now) && world.now-open.idleSince() > span {
+		if open.job.ready(open.key.repetition, open.key.stage, world.now) && world.now-open.idleSince() > span {
 			idle[open.job] = open
 		}
 	})
@@ -87,11 +87,11 @@
 // eachOpenTask visits each task that is still to be done.
 func (world *World) eachOpenTask(visit func(open *task)) {
 	for _, job := range world.jobs {
-		if job.cancelled || job.refused || job.hopeless() {
+		if job.cancelled || job.refused || job.retriesExhausted() {
 			continue
 		}
-		job.eachPlace(func(place taskPlace) {
-			if open := job.task(place); !open.done {
+		job.eachTaskKey(func(key taskKey) {
+			if open := job.task(key); !open.done {
 				visit(open)
 			}
 		})
--- a/internal/system/hollow/checker.go
+++ b/internal/system/hollow/checker.go
@@ -47,8 +47,8 @@
 	checker.violations = append(checker.violations, Violation{world.now, rule, task, worker, detail})
 }
 
-// noteSaved remembers that a checkpoint of the group reached so far.
-func (checker *checker) noteSaved(group string, progress time.Duration) {
+// recordCheckpoint remembers that a checkpoint of the group reached so far.
+func (checker *checker) recordCheckpoint(group string, progress time.Duration) {
 	if checker.saved == nil {
 		checker.saved = make(map[string]time.Duration)
 	}
@@ -60,15 +60,15 @@
 	report := func(rule Rule, detail string) {
 		checker.report(world, rule, started.task.name, started.worker.instance, detail)
 	}
-	checkAsked(world, started, spec, report)
+	checkRequested(world, started, spec, report)
 	checkOrder(world, started, report)
 	checkRoute(started, report)
-	checkRepeats(started, report)
+	checkReruns(started, report)
 	checker.checkCheckpoint(started, report)
-	started.task.noteStart(world.now, started.worker.instance)
+	started.task.recordStart(world.now, started.worker.instance)
 }
 
-func checkAsked(world *World, started *run, spec string, report func(Rule, string)) {
+func checkRequested(world *World, started *run, spec string, report func(Rule, string)) {
 	job := started.task.job
 	if spec != job.Spec {
 		report(RuleUnasked, "another spec")
@@ -83,11 +83,11 @@
 
 func checkOrder(world *World, started *run, report func(Rule, string)) {
 	task := started.task
-	if world.now < task.job.due(task.place.repetition)-world.settings.Early {
+	if world.now < task.job.due(task.key.repetition)-world.settings.Early {
 		report(RuleOrder, "ahead of its time")
 	}
 	for _, earlier := range task.stage.DependsOn {
-		if !task.job.stageDone(task.place.repetition, earlier) {
+		if !task.job.stageDone(task.key.repetition, earlier) {
 			report(RuleOrder, fmt.Sprintf("step %d isn't done", earlier))
 		}
 	}
@@ -110,15 +110,15 @@
 	}
 }
 
-func checkRepeats(started *run, report func(Rule, string)) {
+func checkReruns(started *run, report func(Rule, string)) {
 	task := started.task
 	if !task.stage.Speculative && task.running > 0 {
 		report(RuleTwice, "another run is present")
 	}
-	if !task.stage.Speculative && task.notedDone() {
+	if !task.stage.Speculative && task.hasAcknowledgedDone() {
 		report(RuleTwice, "after a noted end done")
 	}
-	if limit := task.job.MaxRetries; limit > 0 && !task.stage.LongRunning && task.notedFailures(len(task.failed)) >= limit {
+	if limit := task.job.MaxRetries; limit > 0 && !task.stage.LongRunning && task.acknowledgedFailures(len(task.failedEnds)) >= limit {
 		report(RuleBudget, "retries are used up")
 	}
 }
@@ -127,16 +127,16 @@
 	if started.checkpoint == "" {
 		return
 	}
-	group := started.task.group()
+	group := started.task.checkpointGroup()
 	progress, valid := checkpointProgress(group, started.checkpoint)
 	if !valid || progress > checker.saved[group] {
 		report(RuleCheckpoint, started.checkpoint)
 	}
 }
 
-// notedDone tells whether an end done is noted, for a gang that of any member.
-func (task *task) notedDone() bool {
-	noted := func(end *endRecord) bool { return end.noted && !end.void }
+// hasAcknowledgedDone tells whether an end done is noted, for a gang that of any member.
+func (task *task) hasAcknowledgedDone() bool {
+	noted := func(end *endRecord) bool { return end.acknowledged && !end.void }
 	if !task.stage.Gang {
 		return slices.ContainsFunc(task.doneEnds, noted)
 	}
@@ -148,93 +148,93 @@
 	return false
 }
 
-// notedFailures counts the noted ones among the first ends that failed.
-func (task *task) notedFailures(first int) int {
+// acknowledgedFailures counts the noted ones among the first ends that failed.
+func (task *task) acknowledgedFailures(first int) int {
 	count := 0
-	for _, end := range task.failed[:first] {
-		if end.noted && !end.void {
+	for _, end := range task.failedEnds[:first] {
+		if end.acknowledged && !end.void {
 			count++
 		}
 	}
 	return count
 }
 
-// noteStart remembers a start, as ends before it may be noted later.
-func (task *task) noteStart(now time.Duration, worker string) {
-	start := startRecord{at: now, worker: worker, failed: len(task.failed)}
-	remember(task.failed, start)
-	remember(task.doneEnds, start)
+// recordStart remembers a start, as ends before it may be noted later.
+func (task *task) recordStart(now time.Duration, worker string) {
+	start := startRecord{at: now, worker: worker, failed: len(task.failedEnds)}
+	addStart(task.failedEnds, start)
+	addStart(task.doneEnds, start)
 	if task.stage.Gang {
 		for _, sibling := range task.siblings() {
 			if sibling != task {
-				remember(sibling.doneEnds, start)
+				addStart(sibling.doneEnds, start)
 			}
 		}
 	}
 	task.running++
 }
 
-// remember keeps a start with each of the ends before it that may still be noted.
-func remember(ends []*endRecord, start startRecord) {
+// addStart keeps a start with each of the ends before it that may still be noted.
+func addStart(ends []*endRecord, start startRecord) {
 	for _, end := range ends {
-		if !end.noted && !end.void {
+		if !end.acknowledged && !end.void {
 			end.starts = append(end.starts, start)
 		}
 	}
 }
 
-// noteEnd remembers an end; a done one of a gang counts for all of it.
-func (checker *checker) noteEnd(world *World, ended *run, how how) {
+// recordEnd remembers an end; a done one of a gang counts for all of it.
+func (checker *checker) recordEnd(world *World, ended *run, reason endReason) {
 	task := ended.task
 	task.running--
-	task.idle = world.now
-	if how == howDone {
+	task.lastEnd = world.now
+	if reason == endDone {
 		task.done = true
 		task.job.lastDone = world.now
 	}
-	if how == howDone && task.stage.Gang {
+	if reason == endDone && task.stage.Gang {
 		for index := range task.stage.Count {
-			place := task.place
-			place.index = index
-			task.job.task(place).done = true
+			key := task.key
+			key.index = index
+			task.job.task(key).done = true
 		}
 	}
 }
 
-// noteAlone reports a member that waited in vain, unless its job is cancelled.
-func (checker *checker) noteAlone(world *World, ended *run) {
+// reportIncompleteGang reports a member that waited in vain, unless its job is cancelled.
+func (checker *checker) reportIncompleteGang(world *World, ended *run) {
 	if !ended.task.job.cancelled {
 		checker.report(world, RuleAlone, ended.task.name, ended.worker.instance, "the gang isn't whole")
 	}
 }
 
-// record returns what is remembered of a listed end, or nil if no rule asks for it.
-func (task *task) record(how how) *endRecord {
-	record := &endRecord{task: task, how: how}
-	switch how {
-	case howDone:
+// recordEnd returns what is remembered of a listed end, or nil if no rule asks for it.
+func (task *task) recordEnd(reason endReason) *endRecord {
+	record := &endRecord{task: task, reason: reason}
+	switch reason {
+	case endDone:
 		task.doneEnds = append(task.doneEnds, record)
-	case howFailed:
-		task.failed = append(task.failed, record)
+	case endFailed:
+		task.failedEnds = append(task.failedEnds, record)
 	default:
 		return nil
 	}
 	return record
 }
 
-// noteSeen follows an acknowledgement of an end: starts after it that were harmless until now may be findings.
-func (checker *checker) noteSeen(world *World, end *endRecord) {
-	if end == nil || end.noted || end.void {
+// acknowledgeEnd follows an acknowledgement of an end: starts after it that were harmless until now may be findings.
+func (checker *checker) acknowledgeEnd(world *World, end *endRecord) {
+	if end == nil || end.acknowledged || end.void {
 		return
 	}
-	end.noted = true
+	end.acknowledged = true
 	task := end.task
 	for _, start := range end.starts {
 		limit := task.job.MaxRetries
 		switch {
-		case end.how == howDone && !task.stage.Speculative:
+		case end.reason == endDone && !task.stage.Speculative:
 			checker.report(world, RuleTwice, task.name, start.worker, "had ended done before, noted later")
-		case end.how == howFailed && limit > 0 && !task.stage.LongRunning && task.notedFailures(start.failed) == limit:
+		case end.reason == endFailed && limit > 0 && !task.stage.LongRunning && task.acknowledgedFailures(start.failed) == limit:
 			checker.report(world, RuleBudget, task.name, start.worker, "retries were used up, noted later")
 		}
 	}
--- a/internal/system/hollow/checker_test.go
+++ b/internal/system/hollow/checker_test.go
@@ -26,11 +26,11 @@
 	start(t, first, 0, 0, 1)
 	start(t, second, 0, 0, 2)
 	world.clock.Advance(time.Second)
-	require.Equal(t, []string{"done"}, hold(t, second, 0).hows())
+	require.Equal(t, []string{"done"}, hold(t, second, 0).endReasons())
 	world.requireRules()
 }
 
-func TestStartAfterANotedEnd(t *testing.T) {
+func TestStartAfterAnAcknowledgedEnd(t *testing.T) {
 	world := newTestWorld(t)
 	worker := world.worker()
 	world.job(oneTask(time.Second))
@@ -41,7 +41,7 @@
 	world.requireRules(RuleTwice)
 }
 
-func TestStartAfterAnEndThatIsNotedLater(t *testing.T) {
+func TestStartBeforeTheEndIsAcknowledged(t *testing.T) {
 	world := newTestWorld(t)
 	first, second := world.worker(), world.worker()
 	world.job(oneTask(time.Second))
@@ -72,7 +72,7 @@
 	world.job(stage)
 	for attempt := 1; attempt <= 2; attempt++ {
 		start(t, first, 0, 0, attempt)
-		world.run(time.Second, first)
+		world.advanceHolding(time.Second, first)
 	}
 	require.Empty(t, world.Unfinished(), "a hopeless job isn't lost")
 	start(t, second, 0, 0, 3)
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestTimedJobStartsAheadOfItsTime(t *testing.T) {
+func TestScheduledJobStartsAheadOfItsDueTime(t *testing.T) {
 	world := newTestWorld(t)
 	worker := world.worker()
 	world.AddJob(Job{
@@ -171,7 +171,7 @@
 }
 
 // In trouble, what was cancelled may run for longer, and no longer than told.
-func TestInTroubleACancelledRunMayLast(t *testing.T) {
+func TestCancelAllowanceLetsACancelledRunContinue(t *testing.T) {
 	for _, test := range []struct {
 		longer time.Duration
 		want   int
--- a/internal/system/hollow/clock.go
+++ b/internal/system/hollow/clock.go
@@ -8,8 +8,8 @@
 // Clock is a steady clock with alarms. Now counts from the clock's own zero.
 type Clock interface {
 	Now() time.Duration
-	// Alarm calls ring once, on any goroutine and never within the call itself, when the clock has reached at.
-	Alarm(at time.Duration, ring func()) (cancel func())
+	// Alarm calls callback once, on any goroutine and never within the call itself, when the clock has reached at.
+	Alarm(at time.Duration, callback func()) (cancel func())
 }
 
 // SteadyClock is the process's own steady clock.
@@ -28,8 +28,8 @@
 }
 
 // Alarm implements Clock.
-func (clock *SteadyClock) Alarm(at time.Duration, ring func()) func() {
-	timer := time.AfterFunc(at-clock.Now(), ring)
+func (clock *SteadyClock) Alarm(at time.Duration, callback func()) func() {
+	timer := time.AfterFunc(at-clock.Now(), callback)
 	return func() { timer.Stop() }
 }
 
@@ -41,8 +41,8 @@
 }
 
 type manualAlarm struct {
-	at   time.Duration
-	ring func()
+	at       time.Duration
+	callback func()
 }
 
 // NewManualClock returns a clock that stands at now.
@@ -58,10 +58,10 @@
 }
 
 // Alarm implements Clock.
-func (clock *ManualClock) Alarm(at time.Duration, ring func()) func() {
+func (clock *ManualClock) Alarm(at time.Duration, callback func()) func() {
 	clock.mutex.Lock()
 	defer clock.mutex.Unlock()
-	alarm := &manualAlarm{at: at, ring: ring}
+	alarm := &manualAlarm{at: at, callback: callback}
 	clock.alarms[alarm] = struct{}{}
 	return func() {
 		clock.mutex.Lock()
@@ -78,7 +78,7 @@
 		if alarm == nil {
 			return
 		}
-		alarm.ring()
+		alarm.callback()
 	}
 }
 
--- a/internal/system/hollow/closing_test.go
+++ b/internal/system/hollow/closing_test.go
@@ -10,7 +10,7 @@
 )
 
 // A worker that is closed before its server has begun to accept must not leave a listener behind that takes connections and resets them.
-func TestAWorkerThatIsClosedAtOnceTakesNoConnection(t *testing.T) {
+func TestWorkerClosedAtOnceAcceptsNoConnection(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // the server's goroutine doesn't run before the test waits
 	for range 50 {
 		world := NewWorld(DefaultSettings(), NewManualClock(0))
--- a/internal/system/hollow/events.go
+++ b/internal/system/hollow/events.go
@@ -9,7 +9,7 @@
 type event struct {
 	at        time.Duration
 	sequence  uint64
-	act       func()
+	action    func()
 	cancelled bool
 }
 
@@ -26,9 +26,9 @@
 	sequence uint64
 }
 
-func (queue *eventQueue) add(at time.Duration, act func()) *event {
+func (queue *eventQueue) add(at time.Duration, action func()) *event {
 	queue.sequence++
-	added := &event{at: at, sequence: queue.sequence, act: act}
+	added := &event{at: at, sequence: queue.sequence, action: action}
 	heap.Push(&queue.heap, added)
 	return added
 }
@@ -44,8 +44,8 @@
 	return queue.heap[0]
 }
 
-// take removes and returns the earliest event if it is due at now.
-func (queue *eventQueue) take(now time.Duration) *event {
+// popDue removes and returns the earliest event if it is due at now.
+func (queue *eventQueue) popDue(now time.Duration) *event {
 	first := queue.first()
 	if first == nil || first.at > now {
 		return nil
--- a/internal/system/hollow/execution.go
+++ b/internal/system/hollow/execution.go
@@ -25,23 +25,23 @@
 
 // execution is the common work of one run: of a single task, or of all members of a gang.
 type execution struct {
-	world   *World
-	key     gangKey // of a gang
-	group   string  // whose checkpoints serve: the task, or the gang of all attempts
-	stage   *Stage
-	members []*run
-	want    int
-	state   executionState
+	world       *World
+	key         gangKey // of a gang
+	group       string  // whose checkpoints serve: the task, or the gang of all attempts
+	stage       *Stage
+	members     []*run
+	memberCount int
+	state       executionState
 
-	progress time.Duration // of work, as of since
-	since    time.Duration
-	factor   float64 // time that one unit of work takes; +Inf for none
-	resumed  time.Duration
-	saved    time.Duration
-	savedTo  string
-	failAt   time.Duration // progress at which it fails; negative for never
-	failing  *run
-	next     *event
+	progress        time.Duration // of work, as of since
+	updatedAt       time.Duration
+	slowdown        float64 // time that one unit of work takes; +Inf for none
+	resumedFrom     time.Duration
+	saved           time.Duration
+	savedCheckpoint string
+	failAt          time.Duration // progress at which it fails; negative for never
+	failingMember   *run
+	next            *event
 }
 
 const neverFails = time.Duration(-1)
@@ -51,7 +51,7 @@
 	if !task.stage.Gang {
 		return world.newExecution(task, gangKey{})
 	}
-	key := gangKey{task.place.job, task.place.repetition, task.place.stage, attempt}
+	key := gangKey{task.key.job, task.key.repetition, task.key.stage, attempt}
 	if known := world.gangs[key]; known != nil && known.state == gathering {
 		return known
 	}
@@ -62,15 +62,15 @@
 
 func (world *World) newExecution(task *task, key gangKey) *execution {
 	created := &execution{
-		world:  world,
-		key:    key,
-		group:  task.group(),
-		stage:  task.stage,
-		want:   1,
-		failAt: neverFails,
+		world:       world,
+		key:         key,
+		group:       task.checkpointGroup(),
+		stage:       task.stage,
+		memberCount: 1,
+		failAt:      neverFails,
 	}
 	if task.stage.Gang {
-		created.want = task.stage.Count
+		created.memberCount = task.stage.Count
 	}
 	return created
 }
@@ -79,12 +79,12 @@
 func (execution *execution) join(member *run) {
 	execution.members = append(execution.members, member)
 	member.execution = execution
-	if execution.state == gathering && len(execution.members) == execution.want {
+	if execution.state == gathering && len(execution.members) == execution.memberCount {
 		execution.begin()
 		return
 	}
 	if execution.state == gathering {
-		execution.world.after(execution.world.settings.Gang, member.giveUpWaiting)
+		execution.world.after(execution.world.settings.Gang, member.timeOutGathering)
 	}
 }
 
@@ -92,24 +92,24 @@
 func (execution *execution) begin() {
 	world := execution.world
 	for _, member := range execution.members {
-		world.stats.GangWaitCPU += coreTime(member.task.stage.Need, world.now-member.present)
+		world.stats.GangWaitCPU += coreTime(member.task.stage.Need, world.now-member.startedAt)
 	}
 	execution.drawFailure()
 	if execution.saved == 0 {
-		execution.work()
+		execution.startWork()
 		return
 	}
 	execution.state = restoring
-	execution.next = world.after(world.settings.Restore, execution.work)
+	execution.next = world.after(world.settings.Restore, execution.startWork)
 }
 
-// work begins the work itself.
-func (execution *execution) work() {
+// startWork begins the work itself.
+func (execution *execution) startWork() {
 	execution.state = working
 	execution.progress = execution.saved
-	execution.resumed = execution.saved
-	execution.since = execution.world.now
-	execution.factor = execution.speedFactor()
+	execution.resumedFrom = execution.saved
+	execution.updatedAt = execution.world.now
+	execution.slowdown = execution.currentSlowdown()
 	execution.schedule()
 }
 
@@ -117,22 +117,22 @@
 func (execution *execution) drawFailure() {
 	if execution.stage.FailAfter > 0 {
 		execution.failAt = execution.saved + execution.stage.FailAfter
-		execution.failing = execution.members[0]
+		execution.failingMember = execution.members[0]
 	}
 	for _, member := range execution.members {
 		own := member.task.failures < execution.stage.OwnFailures
 		if own || execution.world.random.Float64() < member.worker.faults.FailShare {
 			execution.failAt = execution.saved + (execution.stage.Work-execution.saved)/2
-			execution.failing = member
+			execution.failingMember = member
 		}
 	}
 }
 
-// speedFactor is that of the slowest member.
-func (execution *execution) speedFactor() float64 {
+// currentSlowdown is that of the slowest member.
+func (execution *execution) currentSlowdown() float64 {
 	factor := 1.0
 	for _, member := range execution.members {
-		factor = max(factor, member.speedFactor())
+		factor = max(factor, member.slowdown())
 	}
 	if execution.stage.SameRack && execution.racks() > 1 {
 		factor *= execution.world.settings.Far
@@ -148,22 +148,22 @@
 	return len(racks)
 }
 
-// settle brings the progress up to now.
-func (execution *execution) settle() {
+// updateProgress brings the progress up to now.
+func (execution *execution) updateProgress() {
 	now := execution.world.now
 	if execution.state == working {
-		execution.progress += time.Duration(float64(now-execution.since) / execution.factor)
+		execution.progress += time.Duration(float64(now-execution.updatedAt) / execution.slowdown)
 	}
-	execution.since = now
+	execution.updatedAt = now
 }
 
-// respeed follows a change of a member's speed.
-func (execution *execution) respeed() {
+// updateSpeed follows a change of a member's speed.
+func (execution *execution) updateSpeed() {
 	if execution.state != working {
 		return
 	}
-	execution.settle()
-	execution.factor = execution.speedFactor()
+	execution.updateProgress()
+	execution.slowdown = execution.currentSlowdown()
 	execution.schedule()
 }
 
@@ -171,15 +171,15 @@
 func (execution *execution) schedule() {
 	execution.next.cancel()
 	execution.next = nil
-	target, any := execution.nextPoint()
-	if !any || math.IsInf(execution.factor, 1) {
+	target, exists := execution.nextPoint()
+	if !exists || math.IsInf(execution.slowdown, 1) {
 		return
 	}
-	span := time.Duration(math.Ceil(float64(target-execution.progress) * execution.factor))
-	execution.next = execution.world.after(max(span, 0), func() { execution.reach(target) })
+	span := time.Duration(math.Ceil(float64(target-execution.progress) * execution.slowdown))
+	execution.next = execution.world.after(max(span, 0), func() { execution.handlePoint(target) })
 }
 
-func (execution *execution) nextPoint() (target time.Duration, any bool) {
+func (execution *execution) nextPoint() (target time.Duration, exists bool) {
 	target = math.MaxInt64
 	if !execution.stage.LongRunning {
 		target = execution.stage.Work
@@ -193,13 +193,13 @@
 	return target, target != math.MaxInt64
 }
 
-// reach does what is due at a point of the work.
-func (execution *execution) reach(target time.Duration) {
-	execution.settle()
+// handlePoint does what is due at a point of the work.
+func (execution *execution) handlePoint(target time.Duration) {
+	execution.updateProgress()
 	execution.progress = target
 	switch {
 	case execution.failAt >= 0 && target >= execution.failAt:
-		execution.failing.end(howFailed)
+		execution.failingMember.end(endFailed)
 	case !execution.stage.LongRunning && target >= execution.stage.Work:
 		execution.complete()
 	default:
@@ -213,7 +213,7 @@
 	execution.halt()
 	execution.saved = execution.progress
 	for _, member := range execution.takeMembers() {
-		member.leave(howDone)
+		member.finish(endDone)
 	}
 }
 
@@ -223,13 +223,13 @@
 		return
 	}
 	execution.saved = execution.progress
-	execution.savedTo = checkpointText(execution.group, execution.progress)
-	execution.world.checker.noteSaved(execution.group, execution.progress)
+	execution.savedCheckpoint = checkpointText(execution.group, execution.progress)
+	execution.world.checker.recordCheckpoint(execution.group, execution.progress)
 }
 
 // halt stops the work for good.
 func (execution *execution) halt() {
-	execution.settle()
+	execution.updateProgress()
 	execution.state = halted
 	execution.next.cancel()
 	execution.next = nil
@@ -238,18 +238,18 @@
 // memberEnded follows the end of one member: what had begun together ends together.
 func (execution *execution) memberEnded(ended *run) {
 	if execution.state == gathering {
-		execution.drop(ended)
+		execution.removeMember(ended)
 		return
 	}
 	execution.halt()
 	for _, member := range execution.takeMembers() {
 		if member != ended {
-			member.leave(howBroken)
+			member.finish(endGangBroken)
 		}
 	}
 }
 
-func (execution *execution) drop(ended *run) {
+func (execution *execution) removeMember(ended *run) {
 	for i, member := range execution.members {
 		if member == ended {
 			execution.members = append(execution.members[:i], execution.members[i+1:]...)
@@ -257,12 +257,12 @@
 		}
 	}
 	if len(execution.members) == 0 {
-		execution.forget()
+		execution.unregister()
 	}
 }
 
-// forget takes a gang's run that is over from the world's table.
-func (execution *execution) forget() {
+// unregister takes a gang's run that is over from the world's table.
+func (execution *execution) unregister() {
 	if execution.world.gangs[execution.key] == execution {
 		delete(execution.world.gangs, execution.key)
 	}
@@ -271,14 +271,14 @@
 func (execution *execution) takeMembers() []*run {
 	members := execution.members
 	execution.members = nil
-	execution.forget()
+	execution.unregister()
 	return members
 }
 
 // percent is the progress as workers list it.
 func (execution *execution) percent() int {
 	if execution.state == working {
-		execution.settle()
+		execution.updateProgress()
 	}
 	if execution.stage.Work <= 0 {
 		return 0
@@ -288,7 +288,7 @@
 
 // unsaved is the work that a run loses if it ends now.
 func (execution *execution) unsaved() time.Duration {
-	return max(execution.progress-max(execution.saved, execution.resumed), 0)
+	return max(execution.progress-max(execution.saved, execution.resumedFrom), 0)
 }
 
 func coreTime(need Resources, span time.Duration) time.Duration {
--- a/internal/system/hollow/gang_test.go
+++ b/internal/system/hollow/gang_test.go
@@ -20,26 +20,26 @@
 	require.Equal(t, 0.0, hold(t, first, 0).Running[0][3])
 	start(t, second, 0, 1, 1)
 	world.clock.Advance(2 * time.Second)
-	require.Equal(t, []string{"done"}, hold(t, first, 0).hows())
-	require.Equal(t, []string{"done"}, hold(t, second, 0).hows())
+	require.Equal(t, []string{"done"}, hold(t, first, 0).endReasons())
+	require.Equal(t, []string{"done"}, hold(t, second, 0).endReasons())
 	require.Equal(t, time.Second, world.Stats().GangWaitCPU)
 	world.requireRules()
 }
 
-func TestGangMemberEndsAlone(t *testing.T) {
+func TestIncompleteGangTimesOut(t *testing.T) {
 	world := newTestWorld(t)
 	worker := world.worker()
 	world.job(gangOf(2, time.Second))
 	start(t, worker, 0, 0, 1)
 	world.clock.Advance(3 * time.Second)
-	require.Equal(t, []string{"alone"}, hold(t, worker, 0).hows())
+	require.Equal(t, []string{"alone"}, hold(t, worker, 0).endReasons())
 	world.requireRules(RuleAlone)
 	start(t, worker, 0, 1, 1)
 	world.clock.Advance(time.Second)
 	require.Len(t, hold(t, worker, 0).Running, 1, "the member that left isn't counted any more")
 }
 
-func TestGangBreaksTogether(t *testing.T) {
+func TestGangMembersEndTogether(t *testing.T) {
 	breaks := map[string]func(t *testing.T, world *testWorld, worker *Worker){
 		"crash": func(t *testing.T, world *testWorld, worker *Worker) { worker.Crash(time.Second) },
 		"stop": func(t *testing.T, world *testWorld, worker *Worker) {
@@ -56,7 +56,7 @@
 			start(t, second, 0, 1, 1)
 			world.clock.Advance(time.Second)
 			cut(t, world, first)
-			require.Equal(t, []string{"broken"}, hold(t, second, 0).hows())
+			require.Equal(t, []string{"broken"}, hold(t, second, 0).endReasons())
 			require.Equal(t, 2*time.Second, world.Stats().WastedCPU)
 			require.Empty(t, world.gangs)
 		})
@@ -75,10 +75,10 @@
 	world.clock.Advance(2 * time.Second)
 	require.Len(t, hold(t, first, 0).Running, 1)
 	world.clock.Advance(time.Second)
-	require.Equal(t, []string{"done"}, hold(t, first, 0).hows())
+	require.Equal(t, []string{"done"}, hold(t, first, 0).endReasons())
 }
 
-func TestGangResumesFromAnyMembersText(t *testing.T) {
+func TestGangResumesFromAnyMembersCheckpoint(t *testing.T) {
 	world := newTestWorld(t)
 	first, second := world.worker(), world.worker()
 	stage := gangOf(2, 3*time.Second)
@@ -94,6 +94,6 @@
 	startWith(t, third, 0, 0, 2, checkpoint)
 	startWith(t, second, 0, 1, 2, checkpoint)
 	world.clock.Advance(1600 * time.Millisecond)
-	require.Equal(t, []string{"done"}, hold(t, third, 0).hows())
+	require.Equal(t, []string{"done"}, hold(t, third, 0).endReasons())
 	world.requireRules()
 }
--- a/internal/system/hollow/handler.go
+++ b/internal/system/hollow/handler.go
@@ -19,28 +19,28 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	var given answer
+	var reply answer
 	answered := false
 	switch request.Method + " " + request.URL.Path {
 	case "POST /run-start":
-		given, answered = handleOrder(worker, request, body, worker.start)
+		reply, answered = handleOrder(worker, request, body, worker.start)
 	case "POST /run-stop":
-		given, answered = handleOrder(worker, request, body, worker.stop)
+		reply, answered = handleOrder(worker, request, body, worker.stop)
 	case "POST /hold":
-		given, answered = worker.handleHold(request, body)
+		reply, answered = worker.handleHold(request, body)
 	case "GET /healthz":
-		given, answered = worker.handleHealth()
+		reply, answered = worker.handleHealth()
 	default:
-		given, answered = answer{status: http.StatusNotFound, bodyless: true}, true
+		reply, answered = answer{status: http.StatusNotFound, bodyless: true}, true
 	}
 	if !answered {
 		panic(http.ErrAbortHandler)
 	}
-	given.write(writer)
+	reply.write(writer)
 }
 
-// screen tells what becomes of a call before its body counts: nil if it is to be carried out.
-func (worker *Worker) screen(request *http.Request) (refusal *answer, breakOff bool) {
+// checkCall tells what becomes of a call before its body counts: nil if it is to be carried out.
+func (worker *Worker) checkCall(request *http.Request) (refusal *answer, abort bool) {
 	if !worker.alive() {
 		return nil, true
 	}
@@ -57,48 +57,48 @@
 }
 
 // handleOrder carries out a start or a stop, late and unanswered if the worker does so.
-func handleOrder[Order any](worker *Worker, request *http.Request, body []byte, carryOut func(*Order) answer) (answer, bool) {
+func handleOrder[Order any](worker *Worker, request *http.Request, body []byte, execute func(*Order) answer) (answer, bool) {
 	world := worker.world
-	world.enter()
+	world.lock()
 	if worker.faults.Silent {
-		world.leave()
-		worker.keepSilent(request)
+		world.unlock()
+		worker.withholdAnswer(request)
 		return answer{}, false
 	}
-	refusal, breakOff := worker.screen(request)
-	if refusal != nil || breakOff {
-		defer world.leave()
-		return valueOf(refusal), !breakOff
+	refusal, abort := worker.checkCall(request)
+	if refusal != nil || abort {
+		defer world.unlock()
+		return valueOf(refusal), !abort
 	}
 	order := new(Order)
 	if !decodeOrder(body, order) {
-		defer world.leave()
+		defer world.unlock()
 		return answer{status: http.StatusBadRequest, ClockMs: worker.clockMs()}, true
 	}
 	if worker.faults.LateBy > 0 {
-		worker.carryOutLate(func() { carryOut(order) })
-		world.leave()
-		worker.keepSilent(request)
+		worker.executeLater(func() { execute(order) })
+		world.unlock()
+		worker.withholdAnswer(request)
 		return answer{}, false
 	}
-	defer world.leave()
-	return carryOut(order), true
+	defer world.unlock()
+	return execute(order), true
 }
 
-// carryOutLate does it after a while, if this life lasts so long.
-func (worker *Worker) carryOutLate(carryOut func()) {
+// executeLater does it after a while, if this life lasts so long.
+func (worker *Worker) executeLater(execute func()) {
 	instance := worker.instance
 	worker.world.after(worker.faults.LateBy, func() {
 		if worker.alive() && worker.instance == instance {
-			carryOut()
+			execute()
 		}
 	})
 }
 
-// keepSilent holds a call until its caller has given up.
-func (worker *Worker) keepSilent(request *http.Request) {
-	worker.world.changeUnanswered(1)
-	defer worker.world.changeUnanswered(-1)
+// withholdAnswer holds a call until its caller has reply up.
+func (worker *Worker) withholdAnswer(request *http.Request) {
+	worker.world.addUnanswered(1)
+	defer worker.world.addUnanswered(-1)
 	select {
 	case <-request.Context().Done():
 	case <-worker.world.closed:
@@ -107,12 +107,12 @@
 
 func (worker *Worker) handleHold(request *http.Request, body []byte) (answer, bool) {
 	var order holdOrder
-	given, answered, waiting := worker.beginHold(request, body, &order)
+	reply, answered, waiting := worker.beginHold(request, body, &order)
 	if waiting == nil {
 		if !answered {
-			worker.keepSilentIfSo(request)
+			worker.withholdAnswerIfSilent(request)
 		}
-		return given, answered
+		return reply, answered
 	}
 	select {
 	case <-waiting.wake:
@@ -123,16 +123,16 @@
 }
 
 // beginHold carries a hold out and either has its answer or waits for an end.
-func (worker *Worker) beginHold(request *http.Request, body []byte, order *holdOrder) (given answer, answered bool, waiting *waiter) {
+func (worker *Worker) beginHold(request *http.Request, body []byte, order *holdOrder) (reply answer, answered bool, waiting *waiter) {
 	world := worker.world
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	if worker.faults.Silent {
 		return answer{}, false, nil
 	}
-	refusal, breakOff := worker.screen(request)
-	if refusal != nil || breakOff {
-		return valueOf(refusal), !breakOff, nil
+	refusal, abort := worker.checkCall(request)
+	if refusal != nil || abort {
+		return valueOf(refusal), !abort, nil
 	}
 	if !decodeOrder(body, order) || order.WaitMs < 0 {
 		return answer{status: http.StatusBadRequest, ClockMs: worker.clockMs()}, true, nil
@@ -142,41 +142,41 @@
 		return *refusal, true, nil
 	}
 	if ended || order.WaitMs == 0 {
-		return worker.lists(), true, nil
+		return worker.listRuns(), true, nil
 	}
 	return answer{}, false, worker.wait(order.WaitMs)
 }
 
 // finishHold answers a hold that has waited; a worker that has become silent or another life doesn't.
 func (worker *Worker) finishHold(request *http.Request, waiting *waiter) (answer, bool) {
-	worker.world.enter()
+	worker.world.lock()
 	worker.endWait(waiting)
-	refusal, breakOff := worker.screen(request)
+	refusal, abort := worker.checkCall(request)
 	silent := worker.faults.Silent
 	defer func() {
 		if silent {
-			worker.keepSilent(request)
+			worker.withholdAnswer(request)
 		}
 	}()
-	defer worker.world.leave()
-	if refusal != nil || breakOff || silent {
+	defer worker.world.unlock()
+	if refusal != nil || abort || silent {
 		return answer{}, false
 	}
-	return worker.lists(), true
+	return worker.listRuns(), true
 }
 
-func (worker *Worker) keepSilentIfSo(request *http.Request) {
-	worker.world.enter()
+func (worker *Worker) withholdAnswerIfSilent(request *http.Request) {
+	worker.world.lock()
 	silent := worker.faults.Silent
-	worker.world.leave()
+	worker.world.unlock()
 	if silent {
-		worker.keepSilent(request)
+		worker.withholdAnswer(request)
 	}
 }
 
 func (worker *Worker) handleHealth() (answer, bool) {
-	worker.world.enter()
-	defer worker.world.leave()
+	worker.world.lock()
+	defer worker.world.unlock()
 	if !worker.alive() {
 		return answer{}, false
 	}
--- a/internal/system/hollow/job.go
+++ b/internal/system/hollow/job.go
@@ -21,8 +21,8 @@
 	return Resources{resources.CPU - other.CPU, resources.MemoryMB - other.MemoryMB, resources.GPUs - other.GPUs}
 }
 
-func (resources Resources) fitsInto(room Resources) bool {
-	return resources.CPU <= room.CPU && resources.MemoryMB <= room.MemoryMB && resources.GPUs <= room.GPUs
+func (resources Resources) fitsInto(capacity Resources) bool {
+	return resources.CPU <= capacity.CPU && resources.MemoryMB <= capacity.MemoryMB && resources.GPUs <= capacity.GPUs
 }
 
 // Job is what the world knows of one job: what a client handed in, and what its work is in truth.
@@ -62,41 +62,41 @@
 	return job + "." + strconv.Itoa(repetition) + "." + strconv.Itoa(stage) + "." + strconv.Itoa(index)
 }
 
-// taskPlace is a task's name in parts.
-type taskPlace struct {
+// taskKey is a task's name in parts.
+type taskKey struct {
 	job        string
 	repetition int
 	stage      int
 	index      int
 }
 
-func parseTaskName(name string) (taskPlace, bool) {
+func parseTaskKey(name string) (taskKey, bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
-		return taskPlace{}, false
+		return taskKey{}, false
 	}
 	var numbers [3]int
 	for i := range numbers {
 		number, err := strconv.Atoi(parts[i+1])
 		if err != nil || number < 0 {
-			return taskPlace{}, false
+			return taskKey{}, false
 		}
 		numbers[i] = number
 	}
-	return taskPlace{parts[0], numbers[0], numbers[1], numbers[2]}, true
+	return taskKey{parts[0], numbers[0], numbers[1], numbers[2]}, true
 }
 
 // job is a job with what has become of it.
 type job struct {
 	Job
-	tasks       map[taskPlace]*task
+	tasks       map[taskKey]*task
 	added       time.Duration
 	lastDone    time.Duration // when a task of it last ended done
 	cancelled   bool
 	cancelledAt time.Duration
 	refused     bool // nobody has it in custody
-	// gangFailures are the attempts of each gang, by the place of its first task, in which a member has failed.
-	gangFailures map[taskPlace]map[int]bool
+	// gangFailures are the attempts of each gang, by the key of its first task, in which a member has failed.
+	gangFailures map[taskKey]map[int]bool
 }
 
 // repetitions returns how often the stages run.
@@ -104,47 +104,47 @@
 	return max(job.Repetitions, 1)
 }
 
-// task returns the task at the place, or nil if the job has none there.
-func (job *job) task(place taskPlace) *task {
-	if place.job != job.ID {
+// task returns the task at the key, or nil if the job has none there.
+func (job *job) task(key taskKey) *task {
+	if key.job != job.ID {
 		return nil
 	}
-	if known := job.tasks[place]; known != nil {
+	if known := job.tasks[key]; known != nil {
 		return known
 	}
-	if place.repetition >= job.repetitions() || place.stage >= len(job.Stages) {
+	if key.repetition >= job.repetitions() || key.stage >= len(job.Stages) {
 		return nil
 	}
-	stage := &job.Stages[place.stage]
-	if place.index >= stage.Count {
+	stage := &job.Stages[key.stage]
+	if key.index >= stage.Count {
 		return nil
 	}
-	name := TaskName(job.ID, place.repetition, place.stage, place.index)
-	added := &task{job: job, stage: stage, place: place, name: name}
-	job.tasks[place] = added
+	name := TaskName(job.ID, key.repetition, key.stage, key.index)
+	added := &task{job: job, stage: stage, key: key, name: name}
+	job.tasks[key] = added
 	return added
 }
 
-// eachPlace visits the place of every task.
-func (job *job) eachPlace(visit func(place taskPlace)) {
+// eachTaskKey visits the key of every task.
+func (job *job) eachTaskKey(visit func(key taskKey)) {
 	for repetition := range job.repetitions() {
 		for stage := range job.Stages {
 			for index := range job.Stages[stage].Count {
-				visit(taskPlace{job.ID, repetition, stage, index})
+				visit(taskKey{job.ID, repetition, stage, index})
 			}
 		}
 	}
 }
 
-// hopeless tells whether a task, or a gang, has failed as often as the queue allows.
-func (job *job) hopeless() bool {
+// retriesExhausted tells whether a task, or a gang, has failed as often as the queue allows.
+func (job *job) retriesExhausted() bool {
 	for _, attempts := range job.gangFailures {
 		if job.MaxRetries > 0 && len(attempts) >= job.MaxRetries {
 			return true
 		}
 	}
 	for _, task := range job.tasks {
-		if task.hopeless() {
+		if task.retriesExhausted() {
 			return true
 		}
 	}
@@ -154,8 +154,8 @@
 // stageDone tells whether every task of the stage has ended done.
 func (job *job) stageDone(repetition, stage int) bool {
 	for index := range job.Stages[stage].Count {
-		place := taskPlace{job.ID, repetition, stage, index}
-		task := job.tasks[place]
+		key := taskKey{job.ID, repetition, stage, index}
+		task := job.tasks[key]
 		if task == nil || !task.done {
 			return false
 		}
--- a/internal/system/hollow/life.go
+++ b/internal/system/hollow/life.go
@@ -11,7 +11,7 @@
 
 // clockMs is what the worker's own clock shows.
 func (worker *Worker) clockMs() int64 {
-	lived := float64(worker.world.now-worker.bornAt) * worker.settings.ClockRate
+	lived := float64(worker.world.now-worker.startedAt) * worker.settings.ClockRate
 	shown := worker.settings.ClockZero + time.Duration(lived)
 	return shown.Milliseconds()
 }
@@ -19,7 +19,7 @@
 // worldTime returns when the worker's clock shows so many milliseconds.
 func (worker *Worker) worldTime(milliseconds int64) time.Duration {
 	shown := time.Duration(milliseconds)*time.Millisecond - worker.settings.ClockZero
-	return worker.bornAt + time.Duration(math.Ceil(float64(shown)/worker.settings.ClockRate))
+	return worker.startedAt + time.Duration(math.Ceil(float64(shown)/worker.settings.ClockRate))
 }
 
 // renew lengthens the hold of all that runs; it never shortens it.
@@ -30,10 +30,10 @@
 		return
 	}
 	worker.heldUntil = due
-	worker.expectLapse()
+	worker.scheduleLapse()
 }
 
-func (worker *Worker) expectLapse() {
+func (worker *Worker) scheduleLapse() {
 	if worker.lapse != nil {
 		return
 	}
@@ -45,19 +45,19 @@
 func (worker *Worker) checkLapse() {
 	worker.lapse = nil
 	if worker.clockMs() < worker.heldUntil {
-		worker.expectLapse()
+		worker.scheduleLapse()
 		return
 	}
 	worker.voidEnds()
 	for _, run := range worker.sortedRuns() {
-		run.end(howLapsed)
+		run.end(endLapsed)
 	}
 }
 
 // voidEnds notes that ends which weren't taken note of until now never count.
 func (worker *Worker) voidEnds() {
 	for i := range worker.finished {
-		if record := worker.finished[i].record; record != nil && !record.noted {
+		if record := worker.finished[i].record; record != nil && !record.acknowledged {
 			record.void = true
 			record.starts = nil
 		}
@@ -68,40 +68,40 @@
 func (worker *Worker) remove(run *run) {
 	delete(worker.runs, runKey{run.task.name, run.attempt})
 	worker.used = worker.used.minus(run.task.stage.Need)
-	worker.bury(run.task.name, run.attempt)
+	worker.rejectAttemptsUpTo(run.task.name, run.attempt)
 }
 
-// bury remembers that no attempt of the task up to this one starts here any more.
-func (worker *Worker) bury(task string, attempt int) {
-	worker.over[task] = max(worker.over[task], attempt)
+// rejectAttemptsUpTo remembers that no attempt of the task up to this one starts here any more.
+func (worker *Worker) rejectAttemptsUpTo(task string, attempt int) {
+	worker.endedAttempts[task] = max(worker.endedAttempts[task], attempt)
 }
 
-// list adds an end to the list and wakes the holds that wait for one.
-func (worker *Worker) list(run *run, how how) {
+// listEnd adds an end to the list and wakes the holds that wait for one.
+func (worker *Worker) listEnd(run *run, reason endReason) {
 	if !worker.alive() {
 		return
 	}
 	worker.lastNumber++
 	checkpoint := ""
-	if how != howDone {
-		checkpoint = run.saved()
+	if reason != endDone {
+		checkpoint = run.latestCheckpoint()
 	}
 	worker.finished = append(worker.finished, finishedEnd{
 		number:     worker.lastNumber,
 		task:       run.task.name,
 		attempt:    run.attempt,
-		how:        how,
+		reason:     reason,
 		checkpoint: checkpoint,
-		record:     run.task.record(how),
+		record:     run.task.recordEnd(reason),
 	})
 	worker.wakeAll()
 }
 
-// see forgets the ends that the caller has seen.
-func (worker *Worker) see(lastSeen uint64) {
+// acknowledgeEnds forgets the ends that the caller has seen.
+func (worker *Worker) acknowledgeEnds(lastSeen uint64) {
 	seen := 0
 	for seen < len(worker.finished) && worker.finished[seen].number <= lastSeen {
-		worker.world.checker.noteSeen(worker.world, worker.finished[seen].record)
+		worker.world.checker.acknowledgeEnd(worker.world, worker.finished[seen].record)
 		seen++
 	}
 	worker.finished = slices.Delete(worker.finished, 0, seen)
@@ -109,6 +109,6 @@
 
 func (worker *Worker) wakeAll() {
 	for waiter := range worker.waiters {
-		waiter.end()
+		waiter.signal()
 	}
 }
--- a/internal/system/hollow/orders.go
+++ b/internal/system/hollow/orders.go
@@ -76,7 +76,7 @@
 		return worker.refuse("late")
 	}
 	worker.renew(order.DueAtMs)
-	if order.Attempt <= worker.over[order.Task] {
+	if order.Attempt <= worker.endedAttempts[order.Task] {
 		world.stats.StartsOld++
 		return worker.refuse("old")
 	}
@@ -89,19 +89,19 @@
 		world.stats.StartsRoom++
 		return worker.refuse("room")
 	}
-	worker.begin(task, order)
+	worker.startRun(task, order)
 	return worker.accept()
 }
 
-// begin makes a run present.
-func (worker *Worker) begin(task *task, order *startOrder) {
+// startRun makes a run present.
+func (worker *Worker) startRun(task *task, order *startOrder) {
 	world := worker.world
 	started := &run{
 		worker:     worker,
 		task:       task,
 		attempt:    order.Attempt,
 		checkpoint: order.Checkpoint,
-		present:    world.now,
+		startedAt:  world.now,
 	}
 	world.checker.checkStart(world, started, order.Spec)
 	world.stats.Starts++
@@ -122,7 +122,7 @@
 		run.stop()
 		return worker.accept()
 	}
-	worker.bury(order.Task, order.Attempt)
+	worker.rejectAttemptsUpTo(order.Task, order.Attempt)
 	return worker.accept()
 }
 
@@ -134,19 +134,19 @@
 	}
 	worker.world.stats.Holds++
 	worker.renew(order.DueAtMs)
-	worker.see(order.LastSeen)
+	worker.acknowledgeEnds(order.LastSeen)
 	return nil, len(worker.finished) > 0
 }
 
-// lists is the answer to a hold.
-func (worker *Worker) lists() answer {
+// listRuns is the answer to a hold.
+func (worker *Worker) listRuns() answer {
 	answer := worker.accept()
 	for _, run := range worker.sortedRuns() {
-		row := [4]any{run.task.name, run.attempt, run.saved(), run.execution.percent()}
+		row := [4]any{run.task.name, run.attempt, run.latestCheckpoint(), run.execution.percent()}
 		answer.Running = append(answer.Running, row)
 	}
 	for _, end := range worker.finished[:min(len(worker.finished), maxFinished)] {
-		row := [5]any{end.number, end.task, end.attempt, howWords[end.how], end.checkpoint}
+		row := [5]any{end.number, end.task, end.attempt, endReasonNames[end.reason], end.checkpoint}
 		answer.Finished = append(answer.Finished, row)
 	}
 	return answer
@@ -158,8 +158,8 @@
 	added := &waiter{wake: make(chan struct{})}
 	worker.waiters[added] = struct{}{}
 	span := min(time.Duration(milliseconds)*time.Millisecond, maxWait)
-	added.expiry = world.after(span, added.end)
-	world.waiting++
+	added.expiry = world.after(span, added.signal)
+	world.waitingHolds++
 	world.waitChanged.Broadcast()
 	return added
 }
@@ -167,20 +167,20 @@
 func (worker *Worker) endWait(waiter *waiter) {
 	delete(worker.waiters, waiter)
 	waiter.expiry.cancel()
-	worker.world.waiting--
+	worker.world.waitingHolds--
 }
 
 // findTask returns the task with this name, or nil if no job has it.
 func (world *World) findTask(name string) *task {
-	place, valid := parseTaskName(name)
+	key, valid := parseTaskKey(name)
 	if !valid {
 		return nil
 	}
-	job := world.jobs[place.job]
+	job := world.jobs[key.job]
 	if job == nil {
 		return nil
 	}
-	return job.task(place)
+	return job.task(key)
 }
 
 // resumeFrom takes over a checkpoint that a member was started with.
@@ -188,10 +188,10 @@
 	progress, valid := checkpointProgress(execution.group, checkpoint)
 	if valid && len(execution.members) == 0 {
 		execution.saved = progress
-		execution.savedTo = checkpoint
+		execution.savedCheckpoint = checkpoint
 	}
-	if execution.savedTo != checkpoint {
+	if execution.savedCheckpoint != checkpoint {
 		execution.saved = 0
-		execution.savedTo = ""
+		execution.savedCheckpoint = ""
 	}
 }
--- a/internal/system/hollow/platform.go
+++ b/internal/system/hollow/platform.go
@@ -23,9 +23,9 @@
 	settings PlatformSettings
 	server   *server
 
-	entries []*listEntry // by the worker's number, as of Lag ago; nil for those not on the list
-	tokens  float64
-	filled  time.Duration
+	entries    []*listEntry // by the worker's number, as of Lag ago; nil for those not on the list
+	tokens     float64
+	refilledAt time.Duration
 }
 
 // listEntry is one worker on the list.
@@ -57,14 +57,14 @@
 
 // NewPlatform adds a list of the world's workers.
 func (world *World) NewPlatform(settings PlatformSettings) *Platform {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	if settings.PageSize <= 0 {
 		settings.PageSize = 50
 	}
-	platform := &Platform{world: world, settings: settings, tokens: settings.RatePerS, filled: world.now}
+	platform := &Platform{world: world, settings: settings, tokens: settings.RatePerS, refilledAt: world.now}
 	for _, worker := range world.workers {
-		platform.show(worker.number, worker.listed())
+		platform.setEntry(worker.number, worker.publishedEntry())
 	}
 	world.platforms = append(world.platforms, platform)
 	return platform
@@ -72,26 +72,26 @@
 
 // publish has every list show the worker, after its lag, as it is now.
 func (worker *Worker) publish() {
-	entry := worker.listed()
+	entry := worker.publishedEntry()
 	for _, platform := range worker.world.platforms {
 		if platform.settings.Lag <= 0 {
-			platform.show(worker.number, entry)
+			platform.setEntry(worker.number, entry)
 			continue
 		}
-		worker.world.after(platform.settings.Lag, func() { platform.show(worker.number, entry) })
+		worker.world.after(platform.settings.Lag, func() { platform.setEntry(worker.number, entry) })
 	}
 }
 
-// show puts a worker's entry on the list; nil takes it away.
-func (platform *Platform) show(number int, entry *listEntry) {
+// setEntry puts a worker's entry on the list; nil takes it away.
+func (platform *Platform) setEntry(number int, entry *listEntry) {
 	if missing := number + 1 - len(platform.entries); missing > 0 {
 		platform.entries = append(platform.entries, make([]*listEntry, missing)...)
 	}
 	platform.entries[number] = entry
 }
 
-// listed is the worker's entry, nil if it is gone or listens nowhere; one that is down still shows its last life.
-func (worker *Worker) listed() *listEntry {
+// publishedEntry is the worker's entry, nil if it is gone or listens nowhere; one that is down still shows its last life.
+func (worker *Worker) publishedEntry() *listEntry {
 	if worker.state == workerGone || worker.address == "" {
 		return nil
 	}
@@ -100,7 +100,7 @@
 }
 
 func (worker *Worker) listEntry() listEntry {
-	room := worker.settings.Allocatable
+	allocatable := worker.settings.Allocatable
 	entry := listEntry{
 		Backend:     worker.settings.Backend,
 		Address:     worker.address,
@@ -108,7 +108,7 @@
 		Version:     worker.settings.Version,
 		Capacity:    worker.settings.Capacity,
 		State:       "ready",
-		Allocatable: listResources(room),
+		Allocatable: listResources(allocatable),
 		Labels:      worker.labels(),
 		ID:          worker.instance,
 	}
@@ -141,14 +141,14 @@
 
 func (platform *Platform) page(zone, token string) (listAnswer, int) {
 	world := platform.world
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	world.stats.ListCalls++
 	if !platform.takeToken() {
 		world.stats.ListRejected++
 		return listAnswer{}, http.StatusTooManyRequests
 	}
-	entries := platform.entriesOf(zone)
+	entries := platform.entriesInZone(zone)
 	first, err := strconv.Atoi(strings.TrimPrefix(token, pageTokenPrefix))
 	if token == "" {
 		first, err = 0, nil
@@ -166,8 +166,8 @@
 	return page, http.StatusOK
 }
 
-// entriesOf returns a copy of the list, with the times that drain as of now.
-func (platform *Platform) entriesOf(zone string) []listEntry {
+// entriesInZone returns a copy of the list, with the times that drain as of now.
+func (platform *Platform) entriesInZone(zone string) []listEntry {
 	entries := make([]listEntry, 0, len(platform.entries))
 	for _, shown := range platform.entries {
 		if shown == nil || zone != "" && shown.Zone != zone {
@@ -189,8 +189,8 @@
 		return true
 	}
 	now := platform.world.now
-	platform.tokens = min(platform.tokens+(now-platform.filled).Seconds()*rate, rate)
-	platform.filled = now
+	platform.tokens = min(platform.tokens+(now-platform.refilledAt).Seconds()*rate, rate)
+	platform.refilledAt = now
 	if platform.tokens < 1 {
 		return false
 	}
--- a/internal/system/hollow/platform_test.go
+++ b/internal/system/hollow/platform_test.go
@@ -21,7 +21,7 @@
 	return page, recorder.Code
 }
 
-func TestListTrailsTheWorkers(t *testing.T) {
+func TestListLagsBehindTheWorkers(t *testing.T) {
 	world := newTestWorld(t)
 	platform := world.NewPlatform(PlatformSettings{Lag: 800 * time.Millisecond})
 	worker := world.worker()
@@ -45,7 +45,7 @@
 	require.Empty(t, page.Instances)
 }
 
-func TestDrainedWorkerTakesItsRunsAlong(t *testing.T) {
+func TestRunsEndWhenADrainedWorkerLeaves(t *testing.T) {
 	world := newTestWorld(t)
 	worker := world.worker()
 	world.job(oneTask(time.Minute))
@@ -89,7 +89,7 @@
 	require.Equal(t, []int{200, 429, 429}, statuses())
 }
 
-func TestListShowsTheLastLifeUntilTheNextIsThere(t *testing.T) {
+func TestListShowsTheLastInstanceUntilTheNextStarts(t *testing.T) {
 	world := newTestWorld(t)
 	platform := world.NewPlatform(PlatformSettings{Lag: 500 * time.Millisecond})
 	worker := world.worker()
--- a/internal/system/hollow/random_test.go
+++ b/internal/system/hollow/random_test.go
@@ -13,10 +13,10 @@
 func requireConsistent(t *rapid.T, worker *Worker) {
 	var used Resources
 	for key, run := range worker.runs {
-		require.False(t, run.over)
+		require.False(t, run.ended)
 		require.Equal(t, runKey{run.task.name, run.attempt}, key)
 		require.Contains(t, run.execution.members, run)
-		require.NotEqual(t, run.attempt, worker.over[run.task.name], "a run that ended here is present")
+		require.NotEqual(t, run.attempt, worker.endedAttempts[run.task.name], "a run that ended here is present")
 		used = used.plus(run.task.stage.Need)
 	}
 	require.Equal(t, used, worker.used)
@@ -32,8 +32,8 @@
 }
 
 func requireWorldConsistent(t *rapid.T, world *World) {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	for _, worker := range world.workers {
 		requireConsistent(t, worker)
 	}
@@ -117,8 +117,8 @@
 		clock.Advance(time.Duration(rapid.IntRange(0, 3000).Draw(t, "span")) * time.Millisecond)
 		return
 	}
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	if !worker.alive() {
 		return
 	}
@@ -131,6 +131,6 @@
 	default:
 		lastSeen := worker.lastNumber - min(worker.lastNumber, uint64(rapid.IntRange(0, 2).Draw(t, "unseen")))
 		worker.hold(&holdOrder{DueAtMs: due, LastSeen: lastSeen})
-		worker.lists()
+		worker.listRuns()
 	}
 }
--- a/internal/system/hollow/run.go
+++ b/internal/system/hollow/run.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// how is the way a run ended, as an index of Stats.Ends.
-type how uint8
+// endReason is the way a run ended, as an index of Stats.Ends.
+type endReason uint8
 
 const (
-	howDone how = iota
-	howFailed
-	howStopped
-	howLapsed
-	howBroken
-	howAlone
-	howCrashed // the worker is gone; never listed
-	howCount
+	endDone endReason = iota
+	endFailed
+	endStopped
+	endLapsed
+	endGangBroken
+	endGangIncomplete
+	endCrashed // the worker is gone; never listed
+	endReasonCount
 )
 
-var howWords = [howCount]string{"done", "failed", "stopped", "lapsed", "broken", "alone", "crashed"}
+var endReasonNames = [endReasonCount]string{"done", "failed", "stopped", "lapsed", "broken", "alone", "crashed"}
 
 // run is one run of a task that is present on a worker.
 type run struct {
@@ -27,43 +27,43 @@
 	task       *task
 	attempt    int
 	checkpoint string
-	present    time.Duration
+	startedAt  time.Duration
 	stopping   bool
-	over       bool
+	ended      bool
 	execution  *execution
 }
 
-// noteGangFailure remembers that this common run of a gang has failed.
-func (run *run) noteGangFailure() {
+// recordGangFailure remembers that this common run of a gang has failed.
+func (run *run) recordGangFailure() {
 	if !run.task.stage.Gang {
 		return
 	}
-	place := run.task.place
-	place.index = 0
+	key := run.task.key
+	key.index = 0
 	job := run.task.job
 	if job.gangFailures == nil {
-		job.gangFailures = make(map[taskPlace]map[int]bool)
+		job.gangFailures = make(map[taskKey]map[int]bool)
 	}
-	if job.gangFailures[place] == nil {
-		job.gangFailures[place] = make(map[int]bool)
+	if job.gangFailures[key] == nil {
+		job.gangFailures[key] = make(map[int]bool)
 	}
-	job.gangFailures[place][run.attempt] = true
+	job.gangFailures[key][run.attempt] = true
 }
 
-// giveUpWaiting ends a member of a gang that still isn't whole.
-func (run *run) giveUpWaiting() {
-	if run.over || run.execution.state != gathering {
+// timeOutGathering ends a member of a gang that still isn't whole.
+func (run *run) timeOutGathering() {
+	if run.ended || run.execution.state != gathering {
 		return
 	}
 	world := run.worker.world
-	world.stats.GangWaitCPU += coreTime(run.task.stage.Need, world.now-run.present)
-	world.checker.noteAlone(world, run)
-	run.end(howAlone)
+	world.stats.GangWaitCPU += coreTime(run.task.stage.Need, world.now-run.startedAt)
+	world.checker.reportIncompleteGang(world, run)
+	run.end(endGangIncomplete)
 }
 
 // stop begins the end of a run; its room stays taken until the stop is over.
 func (run *run) stop() {
-	if run.over || run.stopping {
+	if run.ended || run.stopping {
 		return
 	}
 	run.stopping = true
@@ -71,43 +71,43 @@
 		run.execution.halt()
 		run.execution.save()
 	}
-	run.worker.world.after(run.worker.world.settings.Stop, func() { run.end(howStopped) })
+	run.worker.world.after(run.worker.world.settings.Stop, func() { run.end(endStopped) })
 }
 
 // end ends the run and, if their work had begun, the other members of its gang.
-func (run *run) end(how how) {
-	if run.over {
+func (run *run) end(reason endReason) {
+	if run.ended {
 		return
 	}
 	if run.execution.state == working {
-		run.execution.settle()
+		run.execution.updateProgress()
 	}
-	run.leave(how)
+	run.finish(reason)
 	run.execution.memberEnded(run)
 }
 
-// leave takes the run off its worker and lists its end.
-func (run *run) leave(how how) {
-	if run.over {
+// finish takes the run off its worker and lists its end.
+func (run *run) finish(reason endReason) {
+	if run.ended {
 		return
 	}
-	run.over = true
+	run.ended = true
 	world := run.worker.world
-	world.stats.Ends[how]++
-	if how != howDone {
+	world.stats.Ends[reason]++
+	if reason != endDone {
 		world.stats.WastedCPU += coreTime(run.task.stage.Need, run.execution.unsaved())
 	}
-	if how == howFailed {
+	if reason == endFailed {
 		run.task.failures++
-		run.noteGangFailure()
+		run.recordGangFailure()
 	}
 	run.worker.remove(run)
-	world.checker.noteEnd(world, run, how)
-	run.worker.list(run, how)
+	world.checker.recordEnd(world, run, reason)
+	run.worker.listEnd(run, reason)
 }
 
-// speedFactor is the time that one unit of work takes here.
-func (run *run) speedFactor() float64 {
+// currentSlowdown is the time that one unit of work takes here.
+func (run *run) slowdown() float64 {
 	faults := &run.worker.faults
 	if faults.Hang {
 		return math.Inf(1)
@@ -120,10 +120,10 @@
 	return factor
 }
 
-// saved is the checkpoint that the run's listing shows: its execution's, or the one it was started with.
-func (run *run) saved() string {
-	if run.execution.savedTo != "" {
-		return run.execution.savedTo
+// latestCheckpoint is the checkpoint that the run's listing shows: its execution's, or the one it was started with.
+func (run *run) latestCheckpoint() string {
+	if run.execution.savedCheckpoint != "" {
+		return run.execution.savedCheckpoint
 	}
 	return run.checkpoint
 }
--- a/internal/system/hollow/sockets_test.go
+++ b/internal/system/hollow/sockets_test.go
@@ -24,7 +24,7 @@
 
 	start(t, worker, 0, 0, 1)
 	answer := call(t, worker, "/hold", holdOrder{FenceToken: 1, WaitMs: 2000})
-	require.Equal(t, []string{"done"}, answer.hows())
+	require.Equal(t, []string{"done"}, answer.endReasons())
 
 	response, err := http.Post("http://"+worker.Address()+"/hold", "application/json", strings.NewReader(`{"unknown":1}`))
 	require.NoError(t, err)
--- a/internal/system/hollow/support_test.go
+++ b/internal/system/hollow/support_test.go
@@ -56,8 +56,8 @@
 	return Stage{Count: 1, Need: Resources{CPU: 1000}, Work: work}
 }
 
-// told is an answer as it stands on the wire.
-type told struct {
+// wireAnswer is an answer as it stands on the wire.
+type wireAnswer struct {
 	status   int
 	ClockMs  int64   `json:"clockMs"`
 	Reason   string  `json:"reason"`
@@ -65,35 +65,35 @@
 	Finished [][]any `json:"finished"`
 }
 
-// hows are the ways of the listed ends.
-func (answer told) hows() []string {
-	var hows []string
+// endReasons are the ways of the listed ends.
+func (answer wireAnswer) endReasons() []string {
+	var reasons []string
 	for _, row := range answer.Finished {
-		hows = append(hows, row[3].(string))
+		reasons = append(reasons, row[3].(string))
 	}
-	return hows
+	return reasons
 }
 
-func call(t *testing.T, worker *Worker, path string, order any) told {
+func call(t *testing.T, worker *Worker, path string, order any) wireAnswer {
 	t.Helper()
 	body, err := json.Marshal(order)
 	require.NoError(t, err)
 	request := httptest.NewRequest(http.MethodPost, path, strings.NewReader(string(body)))
 	recorder := httptest.NewRecorder()
 	worker.ServeHTTP(recorder, request)
-	answer := told{status: recorder.Code}
+	answer := wireAnswer{status: recorder.Code}
 	if recorder.Body.Len() > 0 {
 		require.NoError(t, json.Unmarshal(recorder.Body.Bytes(), &answer))
 	}
 	return answer
 }
 
-func start(t *testing.T, worker *Worker, stage, index, attempt int) told {
+func start(t *testing.T, worker *Worker, stage, index, attempt int) wireAnswer {
 	t.Helper()
 	return startWith(t, worker, stage, index, attempt, "")
 }
 
-func startWith(t *testing.T, worker *Worker, stage, index, attempt int, checkpoint string) told {
+func startWith(t *testing.T, worker *Worker, stage, index, attempt int, checkpoint string) wireAnswer {
 	t.Helper()
 	return call(t, worker, "/run-start", startOrder{
 		Task:       TaskName(testJob, 0, stage, index),
@@ -105,19 +105,19 @@
 	})
 }
 
-func stop(t *testing.T, worker *Worker, index, attempt int) told {
+func stop(t *testing.T, worker *Worker, index, attempt int) wireAnswer {
 	t.Helper()
 	return call(t, worker, "/run-stop", stopOrder{Task: TaskName(testJob, 0, 0, index), Attempt: attempt, FenceToken: 1})
 }
 
 // hold renews the hold and reads the lists.
-func hold(t *testing.T, worker *Worker, lastSeen uint64) told {
+func hold(t *testing.T, worker *Worker, lastSeen uint64) wireAnswer {
 	t.Helper()
 	return call(t, worker, "/hold", holdOrder{DueAtMs: farDue, FenceToken: 1, LastSeen: lastSeen})
 }
 
-// run advances the clock in steps of a second and holds the workers at each.
-func (world *testWorld) run(span time.Duration, workers ...*Worker) {
+// advanceHolding advances the clock in steps of a second and holds the workers at each.
+func (world *testWorld) advanceHolding(span time.Duration, workers ...*Worker) {
 	world.t.Helper()
 	const step = time.Second
 	for ; span > 0; span -= step {
--- a/internal/system/hollow/worker.go
+++ b/internal/system/hollow/worker.go
@@ -43,27 +43,27 @@
 // Worker is one hollow worker, an http.Handler.
 type Worker struct {
 	world    *World
-	number   int // its place among the world's workers
+	number   int // its index among the world's workers
 	settings WorkerSettings
 	rack     string
 	address  string
 	server   *server
 
 	// The state of this life.
-	state      workerState
-	instance   string
-	bornAt     time.Duration
-	leavesAt   time.Duration
-	fence      uint64
-	heldUntil  int64 // on its clock, in milliseconds
-	lapse      *event
-	used       Resources
-	runs       map[runKey]*run
-	over       map[string]int // the highest attempt of each task that was stopped or ended here
-	finished   []finishedEnd
-	lastNumber uint64
-	waiters    map[*waiter]struct{}
-	faults     Faults
+	state         workerState
+	instance      string
+	startedAt     time.Duration
+	leavesAt      time.Duration
+	fence         uint64
+	heldUntil     int64 // on its clock, in milliseconds
+	lapse         *event
+	used          Resources
+	runs          map[runKey]*run
+	endedAttempts map[string]int // the highest attempt of each task that was stopped or ended here
+	finished      []finishedEnd
+	lastNumber    uint64
+	waiters       map[*waiter]struct{}
+	faults        Faults
 }
 
 type runKey struct {
@@ -76,51 +76,51 @@
 	number     uint64
 	task       string
 	attempt    int
-	how        how
+	reason     endReason
 	checkpoint string
 	record     *endRecord
 }
 
 // waiter is a hold that waits for an end.
 type waiter struct {
-	wake   chan struct{}
-	awake  bool
-	expiry *event
+	wake      chan struct{}
+	signalled bool
+	expiry    *event
 }
 
-func (waiter *waiter) end() {
-	if !waiter.awake {
-		waiter.awake = true
+func (waiter *waiter) signal() {
+	if !waiter.signalled {
+		waiter.signalled = true
 		close(waiter.wake)
 	}
 }
 
 // NewWorker adds a ready worker to the world. It has no address until Listen or SetAddress.
 func (world *World) NewWorker(settings WorkerSettings) *Worker {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	if settings.ClockRate == 0 {
 		settings.ClockRate = 1
 	}
 	worker := &Worker{world: world, number: len(world.workers), settings: settings, rack: settings.Rack}
-	worker.beginLife()
+	worker.startInstance()
 	world.workers = append(world.workers, worker)
 	worker.publish()
 	return worker
 }
 
-// beginLife makes it a process that has just started.
-func (worker *Worker) beginLife() {
+// startInstance makes it a process that has just started.
+func (worker *Worker) startInstance() {
 	world := worker.world
 	world.instances++
 	worker.instance = fmt.Sprintf("i-%08x", world.instances)
 	worker.state = workerReady
-	worker.bornAt = world.now
+	worker.startedAt = world.now
 	worker.fence = 0
 	worker.heldUntil = 0
 	worker.used = Resources{}
 	worker.runs = make(map[runKey]*run)
-	worker.over = make(map[string]int)
+	worker.endedAttempts = make(map[string]int)
 	worker.finished = nil
 	worker.lastNumber = 0
 	worker.waiters = make(map[*waiter]struct{})
@@ -128,47 +128,47 @@
 
 // Instance returns the id of its present life.
 func (worker *Worker) Instance() string {
-	worker.world.enter()
-	defer worker.world.leave()
+	worker.world.lock()
+	defer worker.world.unlock()
 	return worker.instance
 }
 
 // Address returns where it listens.
 func (worker *Worker) Address() string {
-	worker.world.enter()
-	defer worker.world.leave()
+	worker.world.lock()
+	defer worker.world.unlock()
 	return worker.address
 }
 
 // SetAddress gives it the address that the platform's list shows.
 func (worker *Worker) SetAddress(address string) {
-	worker.world.enter()
-	defer worker.world.leave()
+	worker.world.lock()
+	defer worker.world.unlock()
 	worker.address = address
 	worker.publish()
 }
 
 // SetFaults changes what is wrong with it, at once also for what runs.
 func (worker *Worker) SetFaults(faults Faults) {
-	worker.world.enter()
-	defer worker.world.leave()
+	worker.world.lock()
+	defer worker.world.unlock()
 	worker.faults = faults
 	for _, run := range worker.runs {
-		run.execution.respeed()
+		run.execution.updateSpeed()
 	}
 }
 
 // Crash ends this life: everything running is gone without an end, calls break off, and after down another life is there.
 func (worker *Worker) Crash(down time.Duration) {
-	worker.world.enter()
-	defer worker.world.leave()
+	worker.world.lock()
+	defer worker.world.unlock()
 	if !worker.alive() {
 		return
 	}
-	worker.die(workerDown)
+	worker.stopProcess(workerDown)
 	worker.world.after(down, func() {
 		if worker.state == workerDown {
-			worker.beginLife()
+			worker.startInstance()
 			worker.publish()
 		}
 	})
@@ -176,8 +176,8 @@
 
 // Drain has the platform show it as draining; it leaves after remaining, and what still runs then dies.
 func (worker *Worker) Drain(remaining time.Duration) {
-	worker.world.enter()
-	defer worker.world.leave()
+	worker.world.lock()
+	defer worker.world.unlock()
 	if worker.state != workerReady {
 		return
 	}
@@ -187,7 +187,7 @@
 	worker.publish()
 	worker.world.after(remaining, func() {
 		if worker.instance == instance {
-			worker.die(workerGone)
+			worker.stopProcess(workerGone)
 			worker.publish()
 		}
 	})
@@ -195,18 +195,18 @@
 
 // Lose ends it for good, without a notice.
 func (worker *Worker) Lose() {
-	worker.world.enter()
-	defer worker.world.leave()
-	worker.die(workerGone)
+	worker.world.lock()
+	defer worker.world.unlock()
+	worker.stopProcess(workerGone)
 	worker.publish()
 }
 
-func (worker *Worker) die(state workerState) {
+func (worker *Worker) stopProcess(state workerState) {
 	worker.state = state
 	worker.lapse.cancel()
 	worker.lapse = nil
 	for _, run := range worker.sortedRuns() {
-		run.end(howCrashed)
+		run.end(endCrashed)
 	}
 	worker.voidEnds()
 	worker.wakeAll()
@@ -234,9 +234,9 @@
 func (worker *Worker) countStage(counted *task) int {
 	count := 0
 	for _, run := range worker.runs {
-		place := run.task.place
-		place.index = counted.place.index
-		if place == counted.place {
+		key := run.task.key
+		key.index = counted.key.index
+		if key == counted.key {
 			count++
 		}
 	}
@@ -250,15 +250,15 @@
 		runs = append(runs, run)
 	}
 	slices.SortFunc(runs, func(a, b *run) int {
-		if a.present != b.present {
-			return int(a.present - b.present)
+		if a.startedAt != b.startedAt {
+			return int(a.startedAt - b.startedAt)
 		}
-		return compareKeys(a, b)
+		return compareRuns(a, b)
 	})
 	return runs
 }
 
-func compareKeys(a, b *run) int {
+func compareRuns(a, b *run) int {
 	if a.task.name == b.task.name {
 		return a.attempt - b.attempt
 	}
--- a/internal/system/hollow/worker_test.go
+++ b/internal/system/hollow/worker_test.go
@@ -90,7 +90,7 @@
 	world.clock.Advance(6122 * time.Millisecond)
 	require.Len(t, call(t, worker, "/hold", holdOrder{FenceToken: 1}).Running, 1)
 	world.clock.Advance(2 * time.Millisecond)
-	require.Equal(t, []string{"lapsed"}, hold(t, worker, 0).hows())
+	require.Equal(t, []string{"lapsed"}, hold(t, worker, 0).endReasons())
 }
 
 func TestDueTimeIsNeverShortened(t *testing.T) {
@@ -100,7 +100,7 @@
 	start(t, worker, 0, 0, 1)
 	call(t, worker, "/hold", holdOrder{DueAtMs: 10_500, FenceToken: 1})
 	world.clock.Advance(5 * time.Second)
-	require.Equal(t, []string{"done"}, hold(t, worker, 0).hows())
+	require.Equal(t, []string{"done"}, hold(t, worker, 0).endReasons())
 }
 
 func TestRefusedStartRenewsTheHold(t *testing.T) {
@@ -111,10 +111,10 @@
 	world.clock.Advance(4 * time.Second)
 	require.Equal(t, "room", start(t, worker, 1, 0, 1).Reason)
 	world.clock.Advance(4 * time.Second)
-	require.Equal(t, []string{"done"}, hold(t, worker, 0).hows())
+	require.Equal(t, []string{"done"}, hold(t, worker, 0).endReasons())
 }
 
-func TestStopTakesItsTimeAndItsRoom(t *testing.T) {
+func TestStoppingRunKeepsItsCapacity(t *testing.T) {
 	world := newTestWorld(t)
 	worker := world.worker()
 	world.job(Stage{Count: 2, Need: Resources{CPU: 3000}, Work: time.Minute, Checkpoints: true})
@@ -125,7 +125,7 @@
 
 	world.clock.Advance(400 * time.Millisecond)
 	answer := hold(t, worker, 0)
-	require.Equal(t, []string{"stopped"}, answer.hows())
+	require.Equal(t, []string{"stopped"}, answer.endReasons())
 	checkpoint := answer.Finished[0][4].(string)
 	require.Equal(t, "000005dc", checkpoint[:8], "1.5 s of work are saved")
 	require.Zero(t, world.Stats().WastedCPU)
@@ -148,11 +148,11 @@
 	world.clock.Advance(1599 * time.Millisecond)
 	require.Empty(t, hold(t, second, 0).Finished)
 	world.clock.Advance(time.Millisecond)
-	require.Equal(t, []string{"done"}, hold(t, second, 0).hows())
+	require.Equal(t, []string{"done"}, hold(t, second, 0).endReasons())
 	world.requireRules()
 }
 
-func TestCrashIsAnotherLife(t *testing.T) {
+func TestRestartAfterCrashIsANewInstance(t *testing.T) {
 	world := newTestWorld(t)
 	worker := world.worker()
 	world.job(oneTask(time.Minute))
@@ -168,7 +168,7 @@
 	require.Empty(t, answer.Finished)
 }
 
-func TestFinishedComesInPortions(t *testing.T) {
+func TestFinishedListIsBounded(t *testing.T) {
 	world := newTestWorld(t)
 	worker := world.worker()
 	world.job(Stage{Count: 600, Work: time.Second})
@@ -186,7 +186,7 @@
 	worker := world.worker()
 	world.job(oneTask(time.Second))
 	start(t, worker, 0, 0, 1)
-	answers := make(chan told)
+	answers := make(chan wireAnswer)
 	wait := func(lastSeen uint64) {
 		answers <- call(t, worker, "/hold", holdOrder{FenceToken: 1, LastSeen: lastSeen, WaitMs: 1500})
 	}
@@ -195,7 +195,7 @@
 	world.AwaitWaiting(1)
 	world.clock.Advance(time.Second)
 	answer := <-answers
-	require.Equal(t, []string{"done"}, answer.hows())
+	require.Equal(t, []string{"done"}, answer.endReasons())
 	require.EqualValues(t, 11_000, answer.ClockMs)
 
 	go wait(1)
@@ -225,25 +225,25 @@
 			worker.SetFaults(test.faults)
 			start(t, worker, 0, 0, 1)
 			world.clock.Advance(2 * time.Second)
-			require.Equal(t, test.ends, hold(t, worker, 0).hows())
+			require.Equal(t, test.ends, hold(t, worker, 0).endReasons())
 			worker.SetFaults(Faults{})
 			world.clock.Advance(2 * time.Second)
-			require.NotEmpty(t, hold(t, worker, 0).hows(), "a worker that is sound again goes on")
+			require.NotEmpty(t, hold(t, worker, 0).endReasons(), "a worker that is sound again goes on")
 		})
 	}
 }
 
-func TestOwnFaultFailsSoManyTimes(t *testing.T) {
+func TestOwnFailuresAreLimited(t *testing.T) {
 	world := newTestWorld(t)
 	worker := world.worker()
 	stage := oneTask(2 * time.Second)
 	stage.OwnFailures = 1
 	world.job(stage)
 	start(t, worker, 0, 0, 1)
-	world.run(2*time.Second, worker)
+	world.advanceHolding(2*time.Second, worker)
 	start(t, worker, 0, 0, 2)
-	world.run(2*time.Second, worker)
-	require.Equal(t, []string{"failed", "done"}, hold(t, worker, 0).hows())
+	world.advanceHolding(2*time.Second, worker)
+	require.Equal(t, []string{"failed", "done"}, hold(t, worker, 0).endReasons())
 	world.requireRules()
 }
 
@@ -255,20 +255,20 @@
 	start(t, near, 0, 0, 1)
 	start(t, far, 0, 1, 1)
 	world.clock.Advance(time.Second)
-	require.Equal(t, []string{"done"}, hold(t, near, 0).hows())
-	require.Empty(t, hold(t, far, 0).hows())
+	require.Equal(t, []string{"done"}, hold(t, near, 0).endReasons())
+	require.Empty(t, hold(t, far, 0).endReasons())
 	world.clock.Advance(2 * time.Second)
-	require.Equal(t, []string{"done"}, hold(t, far, 0).hows())
+	require.Equal(t, []string{"done"}, hold(t, far, 0).endReasons())
 }
 
-func TestLastingTaskRunsUntilStopped(t *testing.T) {
+func TestLongRunningTaskRunsUntilStopped(t *testing.T) {
 	world := newTestWorld(t)
 	worker := world.worker()
 	world.job(Stage{Count: 1, Need: Resources{CPU: 1000}, LongRunning: true})
 	start(t, worker, 0, 0, 1)
-	world.run(time.Minute, worker)
+	world.advanceHolding(time.Minute, worker)
 	require.Len(t, hold(t, worker, 0).Running, 1)
 	stop(t, worker, 0, 1)
-	world.run(time.Second, worker)
-	require.Equal(t, []string{"stopped"}, hold(t, worker, 0).hows())
+	world.advanceHolding(time.Second, worker)
+	require.Equal(t, []string{"stopped"}, hold(t, worker, 0).endReasons())
 }
--- a/internal/system/hollow/world.go
+++ b/internal/system/hollow/world.go
@@ -42,25 +42,25 @@
 	settings Settings
 	clock    Clock
 
-	mutex       sync.Mutex
-	now         time.Duration
-	events      eventQueue
-	alarmAt     time.Duration
-	alarmNumber uint64 // of the alarm that is set last
-	cancelAlarm func()
-	random      *rand.Rand
-	workers     []*Worker
-	instances   int
-	jobs        map[string]*job
-	gangs       map[gangKey]*execution
-	platforms   []*Platform
-	checker     checker
-	trouble     time.Duration // how much longer than in calm what was cancelled may run
-	stats       Stats
-	waiting     int // holds that wait for an end
-	unanswered  int // calls that are kept without an answer
-	waitChanged *sync.Cond
-	closed      chan struct{}
+	mutex           sync.Mutex
+	now             time.Duration
+	events          eventQueue
+	alarmAt         time.Duration
+	alarmNumber     uint64 // of the alarm that is set last
+	cancelAlarm     func()
+	random          *rand.Rand
+	workers         []*Worker
+	instances       int
+	jobs            map[string]*job
+	gangs           map[gangKey]*execution
+	platforms       []*Platform
+	checker         checker
+	cancelAllowance time.Duration // how much longer than in calm what was cancelled may run
+	stats           Stats
+	waitingHolds    int // holds that wait for an end
+	unansweredCalls int // calls that are kept without an answer
+	waitChanged     *sync.Cond
+	closed          chan struct{}
 }
 
 // NewWorld returns a world without workers and jobs.
@@ -94,19 +94,19 @@
 	world.waitChanged.Broadcast()
 }
 
-// enter locks the world and brings it up to its clock.
-func (world *World) enter() {
+// lock locks the world and brings it up to its clock.
+func (world *World) lock() {
 	world.mutex.Lock()
 	now := world.clock.Now()
-	for due := world.events.take(now); due != nil; due = world.events.take(now) {
+	for due := world.events.popDue(now); due != nil; due = world.events.popDue(now) {
 		world.now = max(world.now, due.at)
-		due.act()
+		due.action()
 	}
 	world.now = max(world.now, now)
 }
 
-// leave sets the alarm for the next event and unlocks the world.
-func (world *World) leave() {
+// unlock sets the alarm for the next event and unlocks the world.
+func (world *World) unlock() {
 	world.setAlarm()
 	world.mutex.Unlock()
 }
@@ -125,16 +125,16 @@
 	world.alarmAt = first.at
 	world.alarmNumber++
 	number := world.alarmNumber
-	world.cancelAlarm = world.clock.Alarm(first.at, func() { world.ring(number) })
+	world.cancelAlarm = world.clock.Alarm(first.at, func() { world.handleAlarm(number) })
 }
 
-// ring is called by the clock; an alarm that was cancelled too late to be kept from ringing is not the present one.
-func (world *World) ring(number uint64) {
-	world.enter()
+// handleAlarm is called by the clock; an alarm that was cancelled too late to be kept from ringing is not the present one.
+func (world *World) handleAlarm(number uint64) {
+	world.lock()
 	if number == world.alarmNumber {
 		world.cancelAlarm = nil
 	}
-	world.leave()
+	world.unlock()
 }
 
 func (world *World) isClosed() bool {
@@ -146,36 +146,36 @@
 	}
 }
 
-// after has act done once span has passed.
-func (world *World) after(span time.Duration, act func()) *event {
-	return world.events.add(world.now+span, act)
+// after has action done once span has passed.
+func (world *World) after(span time.Duration, action func()) *event {
+	return world.events.add(world.now+span, action)
 }
 
 // AddJob makes a job known: from now on its tasks may be started.
 func (world *World) AddJob(added Job) {
-	world.enter()
-	defer world.leave()
-	world.jobs[added.ID] = &job{Job: added, tasks: make(map[taskPlace]*task), added: world.now}
+	world.lock()
+	defer world.unlock()
+	world.jobs[added.ID] = &job{Job: added, tasks: make(map[taskKey]*task), added: world.now}
 }
 
 // CancelJob notes that a job's cancelling was acknowledged.
 func (world *World) CancelJob(id string) {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	job := world.jobs[id]
 	if job == nil || job.cancelled {
 		return
 	}
 	job.cancelled = true
 	job.cancelledAt = world.now
-	world.after(world.settings.Cancel+world.settings.Stop+world.trouble, func() { world.checkCancelled(job) })
+	world.after(world.settings.Cancel+world.settings.Stop+world.cancelAllowance, func() { world.checkCancelled(job) })
 }
 
 // SetTrouble tells how much longer than in calm what is cancelled from now on may run: in trouble a run may last until its hold is over.
 func (world *World) SetTrouble(longer time.Duration) {
-	world.enter()
-	defer world.leave()
-	world.trouble = longer
+	world.lock()
+	defer world.unlock()
+	world.cancelAllowance = longer
 }
 
 // Now is what the world's clock shows.
@@ -183,8 +183,8 @@
 
 // RefuseJob notes that every try to hand a job in was refused: from now on each start of it is a finding.
 func (world *World) RefuseJob(id string) {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	if job := world.jobs[id]; job != nil {
 		job.refused = true
 	}
@@ -194,7 +194,7 @@
 func (world *World) AwaitWaiting(count int) {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	for world.waiting < count && !world.isClosed() {
+	for world.waitingHolds < count && !world.isClosed() {
 		world.waitChanged.Wait()
 	}
 }
@@ -203,22 +203,22 @@
 func (world *World) AwaitUnanswered(count int) {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	for world.unanswered < count && !world.isClosed() {
+	for world.unansweredCalls < count && !world.isClosed() {
 		world.waitChanged.Wait()
 	}
 }
 
-func (world *World) changeUnanswered(by int) {
+func (world *World) addUnanswered(by int) {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	world.unanswered += by
+	world.unansweredCalls += by
 	world.waitChanged.Broadcast()
 }
 
 // Stats returns what was counted so far.
 func (world *World) Stats() Stats {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	return world.stats
 }
 
@@ -233,9 +233,9 @@
 	Stops        int
 	Holds        int
 	OtherLife    int
-	Ends         [howCount]int // by How
-	WastedCPU    time.Duration // core time of work that was lost
-	GangWaitCPU  time.Duration // core time that gangs waited
+	Ends         [endReasonCount]int // by How
+	WastedCPU    time.Duration       // core time of work that was lost
+	GangWaitCPU  time.Duration       // core time that gangs waited
 	ListCalls    int
 	ListRejected int
 }
