--- a/internal/system/hollow/audit.go
+++ b/internal/system/hollow/audit.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// checkCancelled looks whether something of a cancelled job still runs.
+// checkCancelled reports the tasks of a cancelled job that are still running.
 func (world *World) checkCancelled(job *job) {
 	for _, task := range job.tasks {
 		if task.running > 0 {
-			world.checker.report(world, RuleUnasked, task.name, "", "still runs after the cancelling")
+			world.checker.report(world, RuleUnasked, task.name, "", "still running after the cancellation")
 		}
 	}
 }
 
-// Violations returns all findings so far, in the order of their time.
+// Violations returns all violations so far, in the order of their time.
 func (world *World) Violations() []Violation {
 	world.lock()
 	defer world.unlock()
 	return slices.Clone(world.checker.violations)
 }
 
-// JobDone tells whether every task of the job has ended done.
+// JobDone reports whether every task of the job has ended done.
 func (world *World) JobDone(id string) bool {
 	world.lock()
 	defer world.unlock()
@@ -35,7 +35,7 @@
 	return done
 }
 
-// JobHopeless tells whether a task of the job has failed as often as its queue allows, so that the job may be shown as failed.
+// JobHopeless reports whether a task of the job has failed as often as its queue allows, so that the job may be shown as failed.
 func (world *World) JobHopeless(id string) bool {
 	world.lock()
 	defer world.unlock()
@@ -43,8 +43,8 @@
 	return job != nil && job.retriesExhausted()
 }
 
-// Unfinished returns the names of all tasks that aren't done, of jobs that could be: neither cancelled nor hopeless nor
-// running until they are cancelled.
+// Unfinished returns the names of all tasks that are not done and could be. It omits long-running tasks and jobs that are cancelled,
+// refused or out of retries.
 func (world *World) Unfinished() []string {
 	world.lock()
 	defer world.unlock()
@@ -58,8 +58,8 @@
 	return names
 }
 
-// Lost returns a finding for each job that has had a task whose turn has come and that nothing has run of for longer than
-// span, while nothing else of the job runs.
+// Lost returns a violation for each job with a task that is ready and has not run for longer than span, while no other task of the job
+// runs.
 func (world *World) Lost(span time.Duration) []Violation {
 	world.lock()
 	defer world.unlock()
@@ -77,7 +77,7 @@
 	var lost []Violation
 	for job, task := range idle {
 		if !busy[job] {
-			lost = append(lost, Violation{world.now, RuleLost, task.name, "", "nothing of the job runs"})
+			lost = append(lost, Violation{world.now, RuleLost, task.name, "", "no task of the job is running"})
 		}
 	}
 	slices.SortFunc(lost, func(a, b Violation) int { return strings.Compare(a.Task, b.Task) })
--- a/internal/system/hollow/checker.go
+++ b/internal/system/hollow/checker.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Rule names what an order broke.
+// Rule is the name of a rule for orders.
 type Rule string
 
 // The rules that a world checks.
 const (
-	RuleTwice      Rule = "TWICE"      // two runs of a task at once, or a start after a noted done end
-	RuleLimit      Rule = "LIMIT"      // a start over an unguarded worker's room
-	RuleOrder      Rule = "ORDER"      // a start before its dependencies are done or its time has come
-	RuleRoute      Rule = "ROUTE"      // a wrong service, label, or too many on one worker
-	RuleBudget     Rule = "BUDGET"     // a start once the retries are used up
-	RuleUnasked    Rule = "UNASKED"    // an unknown task, another spec, or after a cancelling
-	RuleCheckpoint Rule = "CHECKPOINT" // a checkpoint that isn't the task's
-	RuleAlone      Rule = "ALONE"      // a gang's member that waited in vain
-	RuleRefused    Rule = "REFUSED"    // a start though every try to hand the job in was refused
-	RuleLost       Rule = "LOST"       // an unfinished job with nothing running though its turn has come
+	RuleTwice      Rule = "TWICE"      // two runs of a task at once, or a start after an acknowledged done end
+	RuleLimit      Rule = "LIMIT"      // a start beyond the capacity of an unguarded worker
+	RuleOrder      Rule = "ORDER"      // a start before its dependencies are done or before it is due
+	RuleRoute      Rule = "ROUTE"      // a wrong service or label, or too many tasks on one worker
+	RuleBudget     Rule = "BUDGET"     // a start after the retries were used up
+	RuleUnasked    Rule = "UNASKED"    // an unknown task, a wrong spec, or a start after the cancellation
+	RuleCheckpoint Rule = "CHECKPOINT" // a checkpoint that is not the task's
+	RuleAlone      Rule = "ALONE"      // a gang member whose gang did not become complete in time
+	RuleRefused    Rule = "REFUSED"    // a start although every attempt to submit the job was refused
+	RuleLost       Rule = "LOST"       // an unfinished job with nothing running although a task is ready
 )
 
 // Violation is one broken rule.
@@ -28,26 +28,26 @@
 	At     time.Duration
 	Rule   Rule
 	Task   string
-	Worker string // its instance
+	Worker string // instance ID
 	Detail string
 }
 
-// String tells the violation in one line.
+// String returns the violation as one line.
 func (violation Violation) String() string {
 	return fmt.Sprintf("%v %s %s on %s: %s", violation.At, violation.Rule, violation.Task, violation.Worker, violation.Detail)
 }
 
-// checker collects what orders broke. All its methods need the world's lock.
+// checker collects the violations. All its methods require the world's lock.
 type checker struct {
 	violations []Violation
-	saved      map[string]time.Duration // the furthest checkpoint of each group
+	saved      map[string]time.Duration // furthest checkpoint of each group
 }
 
 func (checker *checker) report(world *World, rule Rule, task, worker, detail string) {
 	checker.violations = append(checker.violations, Violation{world.now, rule, task, worker, detail})
 }
 
-// recordCheckpoint remembers that a checkpoint of the group reached so far.
+// recordCheckpoint records the progress of a checkpoint of the group.
 func (checker *checker) recordCheckpoint(group string, progress time.Duration) {
 	if checker.saved == nil {
 		checker.saved = make(map[string]time.Duration)
@@ -55,7 +55,7 @@
 	checker.saved[group] = max(checker.saved[group], progress)
 }
 
-// checkStart looks at a run that is about to begin on its worker.
+// checkStart checks a run that is about to start against the rules.
 func (checker *checker) checkStart(world *World, started *run, spec string) {
 	report := func(rule Rule, detail string) {
 		checker.report(world, rule, started.task.name, started.worker.instance, detail)
@@ -71,24 +71,24 @@
 func checkRequested(world *World, started *run, spec string, report func(Rule, string)) {
 	job := started.task.job
 	if spec != job.Spec {
-		report(RuleUnasked, "another spec")
+		report(RuleUnasked, "wrong spec")
 	}
 	if job.refused {
-		report(RuleRefused, "nobody took the job")
+		report(RuleRefused, "every attempt to submit the job was refused")
 	}
 	if job.cancelled && world.now > job.cancelledAt+world.settings.Cancel {
-		report(RuleUnasked, "after the cancelling")
+		report(RuleUnasked, "started after the cancellation")
 	}
 }
 
 func checkOrder(world *World, started *run, report func(Rule, string)) {
 	task := started.task
 	if world.now < task.job.due(task.key.repetition)-world.settings.Early {
-		report(RuleOrder, "ahead of its time")
+		report(RuleOrder, "started before its due time")
 	}
 	for _, earlier := range task.stage.DependsOn {
 		if !task.job.stageDone(task.key.repetition, earlier) {
-			report(RuleOrder, fmt.Sprintf("step %d isn't done", earlier))
+			report(RuleOrder, fmt.Sprintf("step %d is not done", earlier))
 		}
 	}
 }
@@ -97,26 +97,26 @@
 	stage := started.task.stage
 	worker := started.worker
 	if !slices.Contains(started.task.job.Backends, worker.settings.Backend) {
-		report(RuleRoute, "service "+worker.settings.Backend)
+		report(RuleRoute, "wrong service "+worker.settings.Backend)
 	}
 	if stage.Requirement != "" && !worker.hasLabel(stage.Requirement) {
-		report(RuleRoute, "without label "+stage.Requirement)
+		report(RuleRoute, "worker lacks label "+stage.Requirement)
 	}
 	if stage.AntiAffinity > 0 && worker.countStage(started.task) >= stage.AntiAffinity {
-		report(RuleRoute, "too many of the step on the worker")
+		report(RuleRoute, "too many tasks of the step on the worker")
 	}
 	if !started.task.stage.Need.fitsInto(worker.free()) {
-		report(RuleLimit, "over the worker's room")
+		report(RuleLimit, "exceeds the worker's capacity")
 	}
 }
 
 func checkReruns(started *run, report func(Rule, string)) {
 	task := started.task
 	if !task.stage.Speculative && task.running > 0 {
-		report(RuleTwice, "another run is present")
+		report(RuleTwice, "another run of the task is present")
 	}
 	if !task.stage.Speculative && task.hasAcknowledgedDone() {
-		report(RuleTwice, "after a noted end done")
+		report(RuleTwice, "started after an acknowledged done end")
 	}
 	if limit := task.job.MaxRetries; limit > 0 && !task.stage.LongRunning && task.acknowledgedFailures(len(task.failedEnds)) >= limit {
 		report(RuleBudget, "retries are used up")
@@ -134,7 +134,7 @@
 	}
 }
 
-// hasAcknowledgedDone tells whether an end done is noted, for a gang that of any member.
+// hasAcknowledgedDone reports whether a done end of the task, or of any member of its gang, is acknowledged.
 func (task *task) hasAcknowledgedDone() bool {
 	noted := func(end *endRecord) bool { return end.acknowledged && !end.void }
 	if !task.stage.Gang {
@@ -148,7 +148,7 @@
 	return false
 }
 
-// acknowledgedFailures counts the noted ones among the first ends that failed.
+// acknowledgedFailures returns how many of the first failed ends are acknowledged.
 func (task *task) acknowledgedFailures(first int) int {
 	count := 0
 	for _, end := range task.failedEnds[:first] {
@@ -159,7 +159,7 @@
 	return count
 }
 
-// recordStart remembers a start, as ends before it may be noted later.
+// recordStart records a start with the earlier ends, because these may be acknowledged later.
 func (task *task) recordStart(now time.Duration, worker string) {
 	start := startRecord{at: now, worker: worker, failed: len(task.failedEnds)}
 	addStart(task.failedEnds, start)
@@ -174,7 +174,7 @@
 	task.running++
 }
 
-// addStart keeps a start with each of the ends before it that may still be noted.
+// addStart adds a start to each of the ends that may still be acknowledged.
 func addStart(ends []*endRecord, start startRecord) {
 	for _, end := range ends {
 		if !end.acknowledged && !end.void {
@@ -183,7 +183,7 @@
 	}
 }
 
-// recordEnd remembers an end; a done one of a gang counts for all of it.
+// recordEnd records the end of a run. A done end of a gang member counts for the whole gang.
 func (checker *checker) recordEnd(world *World, ended *run, reason endReason) {
 	task := ended.task
 	task.running--
@@ -201,14 +201,14 @@
 	}
 }
 
-// reportIncompleteGang reports a member that waited in vain, unless its job is cancelled.
+// reportIncompleteGang reports a member whose gang did not become complete, unless its job is cancelled.
 func (checker *checker) reportIncompleteGang(world *World, ended *run) {
 	if !ended.task.job.cancelled {
-		checker.report(world, RuleAlone, ended.task.name, ended.worker.instance, "the gang isn't whole")
+		checker.report(world, RuleAlone, ended.task.name, ended.worker.instance, "the gang is incomplete")
 	}
 }
 
-// recordEnd returns what is remembered of a listed end, or nil if no rule asks for it.
+// recordEnd adds the record of a listed end and returns it, or returns nil if no rule needs one.
 func (task *task) recordEnd(reason endReason) *endRecord {
 	record := &endRecord{task: task, reason: reason}
 	switch reason {
@@ -222,7 +222,7 @@
 	return record
 }
 
-// acknowledgeEnd follows an acknowledgement of an end: starts after it that were harmless until now may be findings.
+// acknowledgeEnd handles the acknowledgement of an end. Starts after the end that broke no rule until now may become violations.
 func (checker *checker) acknowledgeEnd(world *World, end *endRecord) {
 	if end == nil || end.acknowledged || end.void {
 		return
@@ -233,9 +233,9 @@
 		limit := task.job.MaxRetries
 		switch {
 		case end.reason == endDone && !task.stage.Speculative:
-			checker.report(world, RuleTwice, task.name, start.worker, "had ended done before, noted later")
+			checker.report(world, RuleTwice, task.name, start.worker, "task had ended done before the start, acknowledged later")
 		case end.reason == endFailed && limit > 0 && !task.stage.LongRunning && task.acknowledgedFailures(start.failed) == limit:
-			checker.report(world, RuleBudget, task.name, start.worker, "retries were used up, noted later")
+			checker.report(world, RuleBudget, task.name, start.worker, "retries were used up before the start, acknowledged later")
 		}
 	}
 	end.starts = nil
--- a/internal/system/hollow/checker_test.go
+++ b/internal/system/hollow/checker_test.go
@@ -74,7 +74,7 @@
 		start(t, first, 0, 0, attempt)
 		world.advanceHolding(time.Second, first)
 	}
-	require.Empty(t, world.Unfinished(), "a hopeless job isn't lost")
+	require.Empty(t, world.Unfinished(), "a job without retries left is not unfinished")
 	start(t, second, 0, 0, 3)
 	world.requireRules()
 	hold(t, first, 2)
@@ -162,7 +162,7 @@
 	require.Empty(t, world.Lost(2*time.Second))
 	start(t, worker, 0, 0, 1)
 	world.clock.Advance(3 * time.Second)
-	require.Empty(t, world.Lost(2*time.Second), "the second step's turn came 2 s ago")
+	require.Empty(t, world.Lost(2*time.Second), "the second step has been ready for 2 s")
 	require.Equal(t, []string{TaskName(testJob, 0, 1, 0)}, world.Unfinished())
 	world.clock.Advance(time.Second)
 	lost := world.Lost(2 * time.Second)
@@ -170,7 +170,7 @@
 	require.Equal(t, TaskName(testJob, 0, 1, 0), lost[0].Task)
 }
 
-// In trouble, what was cancelled may run for longer, and no longer than told.
+// A cancelled run may continue for the time set by SetTrouble, and no longer.
 func TestCancelAllowanceLetsACancelledRunContinue(t *testing.T) {
 	for _, test := range []struct {
 		longer time.Duration
--- a/internal/system/hollow/checkpoint.go
+++ b/internal/system/hollow/checkpoint.go
@@ -12,12 +12,12 @@
 	progressDigits   = 8
 )
 
-// checkpointText encodes progress in milliseconds and whose it is.
+// checkpointText encodes the progress in milliseconds and a hash of the group.
 func checkpointText(group string, progress time.Duration) string {
 	return fmt.Sprintf("%08x%08x", progress.Milliseconds(), groupHash(group))
 }
 
-// checkpointProgress reads a text that checkpointText wrote for the group.
+// checkpointProgress decodes a text of checkpointText. It reports false if the text is malformed or belongs to another group.
 func checkpointProgress(group, text string) (time.Duration, bool) {
 	if len(text) != checkpointDigits {
 		return 0, false
--- a/internal/system/hollow/clock.go
+++ b/internal/system/hollow/clock.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Clock is a steady clock with alarms. Now counts from the clock's own zero.
+// Clock is a monotonic clock with alarms. Now counts from the clock's own zero.
 type Clock interface {
 	Now() time.Duration
-	// Alarm calls callback once, on any goroutine and never within the call itself, when the clock has reached at.
+	// Alarm calls callback once when the clock has reached at, on any goroutine, but never from within Alarm itself.
 	Alarm(at time.Duration, callback func()) (cancel func())
 }
 
-// SteadyClock is the process's own steady clock.
+// SteadyClock is the monotonic clock of the process.
 type SteadyClock struct {
 	zero time.Time
 }
@@ -33,7 +33,7 @@
 	return func() { timer.Stop() }
 }
 
-// ManualClock stands still until it is advanced.
+// ManualClock advances only by calls of Advance.
 type ManualClock struct {
 	mutex  sync.Mutex
 	now    time.Duration
@@ -45,7 +45,7 @@
 	callback func()
 }
 
-// NewManualClock returns a clock that stands at now.
+// NewManualClock returns a clock that shows now.
 func NewManualClock(now time.Duration) *ManualClock {
 	return &ManualClock{now: now, alarms: make(map[*manualAlarm]struct{})}
 }
@@ -70,7 +70,7 @@
 	}
 }
 
-// Advance moves the clock on by span and rings every alarm on the way at its own time, on the caller's goroutine.
+// Advance moves the clock forward by span. It calls the callback of every alarm on the way at the alarm's time, on the caller's goroutine.
 func (clock *ManualClock) Advance(span time.Duration) {
 	end := clock.Now() + span
 	for {
@@ -82,7 +82,7 @@
 	}
 }
 
-// takeNext moves the clock to the first alarm up to end and takes it away; without one it moves the clock to end.
+// takeNext moves the clock to the first alarm up to end and removes that alarm. Without such an alarm it moves the clock to end.
 func (clock *ManualClock) takeNext(end time.Duration) *manualAlarm {
 	clock.mutex.Lock()
 	defer clock.mutex.Unlock()
--- a/internal/system/hollow/events.go
+++ b/internal/system/hollow/events.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// event is something that the world does at a time of its clock.
+// event is an action that the world executes at a time of its clock.
 type event struct {
 	at        time.Duration
 	sequence  uint64
@@ -13,14 +13,14 @@
 	cancelled bool
 }
 
-// cancel keeps the event from happening; it may be nil.
+// cancel keeps the event from being executed. The event may be nil.
 func (event *event) cancel() {
 	if event != nil {
 		event.cancelled = true
 	}
 }
 
-// eventQueue orders events by time, those of one time by when they were made.
+// eventQueue orders events by time, and events of the same time by the order in which they were added.
 type eventQueue struct {
 	heap     eventHeap
 	sequence uint64
@@ -33,7 +33,7 @@
 	return added
 }
 
-// first returns the earliest event that isn't cancelled, or nil.
+// first returns the earliest event that is not cancelled, or nil.
 func (queue *eventQueue) first() *event {
 	for len(queue.heap) > 0 && queue.heap[0].cancelled {
 		heap.Pop(&queue.heap)
@@ -44,7 +44,7 @@
 	return queue.heap[0]
 }
 
-// popDue removes and returns the earliest event if it is due at now.
+// popDue removes and returns the earliest event if it is due at now, or else returns nil.
 func (queue *eventQueue) popDue(now time.Duration) *event {
 	first := queue.first()
 	if first == nil || first.at > now {
--- a/internal/system/hollow/execution.go
+++ b/internal/system/hollow/execution.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// gangKey names one common run of a gang.
+// gangKey identifies one attempt of a gang.
 type gangKey struct {
 	job        string
 	repetition int
@@ -17,36 +17,36 @@
 type executionState uint8
 
 const (
-	gathering executionState = iota // members are missing
+	gathering executionState = iota // not all members are present
 	restoring                       // the checkpoint is being read
-	working                         // the work goes on
+	working                         // the work is in progress
 	halted                          // a member is being stopped or has ended
 )
 
-// execution is the common work of one run: of a single task, or of all members of a gang.
+// execution is the work of one run: of a single task, or of all members of a gang together.
 type execution struct {
 	world       *World
-	key         gangKey // of a gang
-	group       string  // whose checkpoints serve: the task, or the gang of all attempts
+	key         gangKey // set for a gang only
+	group       string  // checkpoint group: the task, or the gang over all attempts
 	stage       *Stage
 	members     []*run
 	memberCount int
 	state       executionState
 
-	progress        time.Duration // of work, as of since
+	progress        time.Duration // work done at updatedAt
 	updatedAt       time.Duration
-	slowdown        float64 // time that one unit of work takes; +Inf for none
+	slowdown        float64 // time per unit of work; +Inf if the work stands still
 	resumedFrom     time.Duration
 	saved           time.Duration
 	savedCheckpoint string
-	failAt          time.Duration // progress at which it fails; negative for never
+	failAt          time.Duration // progress at which it fails; negative if it does not
 	failingMember   *run
 	next            *event
 }
 
 const neverFails = time.Duration(-1)
 
-// executionFor returns the common run that a run of the task belongs to: a new one unless a gang is still gathering.
+// executionFor returns the execution for a run of the task: that of its gang if it is still gathering, else a new one.
 func (world *World) executionFor(task *task, attempt int) *execution {
 	if !task.stage.Gang {
 		return world.newExecution(task, gangKey{})
@@ -75,7 +75,7 @@
 	return created
 }
 
-// join adds a member and begins the work if it is the last.
+// join adds a member, and starts the execution once all members are present.
 func (execution *execution) join(member *run) {
 	execution.members = append(execution.members, member)
 	member.execution = execution
@@ -88,7 +88,7 @@
 	}
 }
 
-// begin ends the gathering.
+// begin ends the gathering and starts the restore or the work.
 func (execution *execution) begin() {
 	world := execution.world
 	for _, member := range execution.members {
@@ -103,7 +103,7 @@
 	execution.next = world.after(world.settings.Restore, execution.startWork)
 }
 
-// startWork begins the work itself.
+// startWork starts the work at the checkpoint.
 func (execution *execution) startWork() {
 	execution.state = working
 	execution.progress = execution.saved
@@ -113,7 +113,7 @@
 	execution.schedule()
 }
 
-// drawFailure decides whether and where this execution fails.
+// drawFailure decides whether this execution fails, and at which progress.
 func (execution *execution) drawFailure() {
 	if execution.stage.FailAfter > 0 {
 		execution.failAt = execution.saved + execution.stage.FailAfter
@@ -128,7 +128,7 @@
 	}
 }
 
-// currentSlowdown is that of the slowest member.
+// currentSlowdown returns the slowdown of the slowest member, times that of a gang spread over several racks.
 func (execution *execution) currentSlowdown() float64 {
 	factor := 1.0
 	for _, member := range execution.members {
@@ -148,7 +148,7 @@
 	return len(racks)
 }
 
-// updateProgress brings the progress up to now.
+// updateProgress sets the progress as of now.
 func (execution *execution) updateProgress() {
 	now := execution.world.now
 	if execution.state == working {
@@ -157,7 +157,7 @@
 	execution.updatedAt = now
 }
 
-// updateSpeed follows a change of a member's speed.
+// updateSpeed applies a change of a member's speed.
 func (execution *execution) updateSpeed() {
 	if execution.state != working {
 		return
@@ -167,7 +167,7 @@
 	execution.schedule()
 }
 
-// schedule sets the event for the next point of the work at which something happens.
+// schedule sets the event for the next progress at which something happens.
 func (execution *execution) schedule() {
 	execution.next.cancel()
 	execution.next = nil
@@ -193,7 +193,7 @@
 	return target, target != math.MaxInt64
 }
 
-// handlePoint does what is due at a point of the work.
+// handlePoint handles the scheduled progress: a failure, the completion or a checkpoint.
 func (execution *execution) handlePoint(target time.Duration) {
 	execution.updateProgress()
 	execution.progress = target
@@ -208,7 +208,7 @@
 	}
 }
 
-// complete ends all members done, together.
+// complete ends all members as done.
 func (execution *execution) complete() {
 	execution.halt()
 	execution.saved = execution.progress
@@ -217,7 +217,7 @@
 	}
 }
 
-// save makes the progress so far the checkpoint.
+// save stores a checkpoint of the present progress.
 func (execution *execution) save() {
 	if !execution.stage.Checkpoints || execution.progress <= execution.saved {
 		return
@@ -227,7 +227,7 @@
 	execution.world.checker.recordCheckpoint(execution.group, execution.progress)
 }
 
-// halt stops the work for good.
+// halt stops the work. It is not resumed.
 func (execution *execution) halt() {
 	execution.updateProgress()
 	execution.state = halted
@@ -235,7 +235,7 @@
 	execution.next = nil
 }
 
-// memberEnded follows the end of one member: what had begun together ends together.
+// memberEnded handles the end of one member. Once the work has started, the end of one member ends all.
 func (execution *execution) memberEnded(ended *run) {
 	if execution.state == gathering {
 		execution.removeMember(ended)
@@ -261,7 +261,7 @@
 	}
 }
 
-// unregister takes a gang's run that is over from the world's table.
+// unregister removes the execution from the world's table of gangs.
 func (execution *execution) unregister() {
 	if execution.world.gangs[execution.key] == execution {
 		delete(execution.world.gangs, execution.key)
@@ -275,7 +275,7 @@
 	return members
 }
 
-// percent is the progress as workers list it.
+// percent returns the progress as workers list it.
 func (execution *execution) percent() int {
 	if execution.state == working {
 		execution.updateProgress()
@@ -286,11 +286,12 @@
 	return int(min(100*execution.progress/execution.stage.Work, 100))
 }
 
-// unsaved is the work that a run loses if it ends now.
+// unsaved returns the work that is lost if the execution ends now.
 func (execution *execution) unsaved() time.Duration {
 	return max(execution.progress-max(execution.saved, execution.resumedFrom), 0)
 }
 
+// coreTime returns the core time of a run; one GPU counts as 8 cores.
 func coreTime(need Resources, span time.Duration) time.Duration {
 	const gpuCores = 8
 	return span * time.Duration(need.CPU+gpuCores*1000*need.GPUs) / 1000
--- a/internal/system/hollow/gang_test.go
+++ b/internal/system/hollow/gang_test.go
@@ -36,7 +36,7 @@
 	world.requireRules(RuleAlone)
 	start(t, worker, 0, 1, 1)
 	world.clock.Advance(time.Second)
-	require.Len(t, hold(t, worker, 0).Running, 1, "the member that left isn't counted any more")
+	require.Len(t, hold(t, worker, 0).Running, 1, "the member that timed out does not count any more")
 }
 
 func TestGangMembersEndTogether(t *testing.T) {
--- a/internal/system/hollow/handler.go
+++ b/internal/system/hollow/handler.go
@@ -13,7 +13,7 @@
 	maxOrderBytes        = 64 << 10
 )
 
-// ServeHTTP implements the worker's side of the wire.
+// ServeHTTP implements the worker's side of the protocol.
 func (worker *Worker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, maxOrderBytes))
 	if err != nil {
@@ -39,7 +39,7 @@
 	reply.write(writer)
 }
 
-// checkCall tells what becomes of a call before its body counts: nil if it is to be carried out.
+// checkCall decides, before the body is read, whether a call is refused or aborted. It returns nil and false if the call is to be executed.
 func (worker *Worker) checkCall(request *http.Request) (refusal *answer, abort bool) {
 	if !worker.alive() {
 		return nil, true
@@ -56,7 +56,7 @@
 	return nil, false
 }
 
-// handleOrder carries out a start or a stop, late and unanswered if the worker does so.
+// handleOrder executes a start or a stop. With the fault LateBy it executes the order later and gives no answer.
 func handleOrder[Order any](worker *Worker, request *http.Request, body []byte, execute func(*Order) answer) (answer, bool) {
 	world := worker.world
 	world.lock()
@@ -85,7 +85,7 @@
 	return execute(order), true
 }
 
-// executeLater does it after a while, if this life lasts so long.
+// executeLater executes an order after the delay LateBy, unless the instance has ended by then.
 func (worker *Worker) executeLater(execute func()) {
 	instance := worker.instance
 	worker.world.after(worker.faults.LateBy, func() {
@@ -95,7 +95,7 @@
 	})
 }
 
-// withholdAnswer holds a call until its caller has reply up.
+// withholdAnswer blocks a call until its caller gives up or the world is closed.
 func (worker *Worker) withholdAnswer(request *http.Request) {
 	worker.world.addUnanswered(1)
 	defer worker.world.addUnanswered(-1)
@@ -122,7 +122,7 @@
 	return worker.finishHold(request, waiting)
 }
 
-// beginHold carries a hold out and either has its answer or waits for an end.
+// beginHold executes a hold. It returns either the answer or a waiter for the next end.
 func (worker *Worker) beginHold(request *http.Request, body []byte, order *holdOrder) (reply answer, answered bool, waiting *waiter) {
 	world := worker.world
 	world.lock()
@@ -147,7 +147,7 @@
 	return answer{}, false, worker.wait(order.WaitMs)
 }
 
-// finishHold answers a hold that has waited; a worker that has become silent or another life doesn't.
+// finishHold answers a hold that has waited. It gives no answer if the worker has become silent, is down or refuses the call.
 func (worker *Worker) finishHold(request *http.Request, waiting *waiter) (answer, bool) {
 	worker.world.lock()
 	worker.endWait(waiting)
@@ -186,7 +186,7 @@
 	return answer{status: http.StatusOK, bodyless: true}, true
 }
 
-// decodeOrder reads a body; fields that the contract doesn't know are an error, so that tests find them.
+// decodeOrder decodes a body. Fields that are not part of the protocol are an error, so that tests find them.
 func decodeOrder(body []byte, order any) bool {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
--- a/internal/system/hollow/job.go
+++ b/internal/system/hollow/job.go
@@ -25,16 +25,16 @@
 	return resources.CPU <= capacity.CPU && resources.MemoryMB <= capacity.MemoryMB && resources.GPUs <= capacity.GPUs
 }
 
-// Job is what the world knows of one job: what a client handed in, and what its work is in truth.
+// Job describes a submitted job: what its client submitted and how its tasks really behave.
 type Job struct {
 	ID         string
 	Spec       string
-	Backends   []string // services that the queue is sent to
+	Backends   []string // names of the services whose workers may run the job
 	MaxRetries int      // 0: no limit
 	Stages     []Stage
 
-	Repetitions int           // above 0: the stages are run that many times
-	FirstDue    time.Duration // on the world's clock
+	Repetitions int           // if above 0, the stages run that many times
+	FirstDue    time.Duration // time on the world's clock
 	Interval    time.Duration
 }
 
@@ -42,7 +42,7 @@
 type Stage struct {
 	Count        int
 	Need         Resources
-	Work         time.Duration // on a sound worker near its data
+	Work         time.Duration // run time on a healthy worker near its data
 	DependsOn    []int
 	Checkpoints  bool
 	Gang         bool
@@ -53,16 +53,16 @@
 	Colocation   string
 	AntiAffinity int
 
-	OwnFailures int           // so many runs of each task fail by its own fault, half way
-	FailAfter   time.Duration // above 0: each run fails after that much work
+	OwnFailures int           // number of runs of each task that fail half way, whatever worker they run on
+	FailAfter   time.Duration // if above 0, each run fails after that much work
 }
 
-// TaskName returns the name of a task on the wire.
+// TaskName returns the name of a task in the worker protocol.
 func TaskName(job string, repetition, stage, index int) string {
 	return job + "." + strconv.Itoa(repetition) + "." + strconv.Itoa(stage) + "." + strconv.Itoa(index)
 }
 
-// taskKey is a task's name in parts.
+// taskKey identifies a task: the parts of its name.
 type taskKey struct {
 	job        string
 	repetition int
@@ -86,25 +86,25 @@
 	return taskKey{parts[0], numbers[0], numbers[1], numbers[2]}, true
 }
 
-// job is a job with what has become of it.
+// job is a job and its state.
 type job struct {
 	Job
 	tasks       map[taskKey]*task
 	added       time.Duration
-	lastDone    time.Duration // when a task of it last ended done
+	lastDone    time.Duration // when one of its tasks last ended done
 	cancelled   bool
 	cancelledAt time.Duration
-	refused     bool // nobody has it in custody
-	// gangFailures are the attempts of each gang, by the key of its first task, in which a member has failed.
+	refused     bool // every attempt to submit it was refused
+	// gangFailures holds the attempts of each gang in which a member failed, by the key of the gang's first task.
 	gangFailures map[taskKey]map[int]bool
 }
 
-// repetitions returns how often the stages run.
+// repetitions returns how many times the stages run.
 func (job *job) repetitions() int {
 	return max(job.Repetitions, 1)
 }
 
-// task returns the task at the key, or nil if the job has none there.
+// task returns the task with the key, or nil if the job has no such task. It creates the record on first use.
 func (job *job) task(key taskKey) *task {
 	if key.job != job.ID {
 		return nil
@@ -136,7 +136,7 @@
 	}
 }
 
-// retriesExhausted tells whether a task, or a gang, has failed as often as the queue allows.
+// retriesExhausted reports whether a task or a gang of the job has failed as often as its queue allows.
 func (job *job) retriesExhausted() bool {
 	for _, attempts := range job.gangFailures {
 		if job.MaxRetries > 0 && len(attempts) >= job.MaxRetries {
@@ -151,7 +151,7 @@
 	return false
 }
 
-// stageDone tells whether every task of the stage has ended done.
+// stageDone reports whether every task of the stage has ended done.
 func (job *job) stageDone(repetition, stage int) bool {
 	for index := range job.Stages[stage].Count {
 		key := taskKey{job.ID, repetition, stage, index}
@@ -163,7 +163,7 @@
 	return true
 }
 
-// due returns when the repetition falls due; 0 for a job without times.
+// due returns the due time of the repetition, or 0 for a job without a schedule.
 func (job *job) due(repetition int) time.Duration {
 	if job.Repetitions == 0 {
 		return 0
@@ -171,7 +171,7 @@
 	return job.FirstDue + time.Duration(repetition)*job.Interval
 }
 
-// ready tells whether the stage's turn has come at now.
+// ready reports whether the repetition is due at now and the stage's dependencies are done.
 func (job *job) ready(repetition, stage int, now time.Duration) bool {
 	if now < job.due(repetition) {
 		return false
--- a/internal/system/hollow/life.go
+++ b/internal/system/hollow/life.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// lapseStep is how soon a hold is looked at again that hasn't quite run out by the worker's clock.
+// lapseStep is the shortest wait before the next check of a hold that has not quite lapsed by the worker's clock.
 const lapseStep = time.Microsecond
 
-// clockMs is what the worker's own clock shows.
+// clockMs returns the reading of the worker's own clock in milliseconds.
 func (worker *Worker) clockMs() int64 {
 	lived := float64(worker.world.now-worker.startedAt) * worker.settings.ClockRate
 	shown := worker.settings.ClockZero + time.Duration(lived)
 	return shown.Milliseconds()
 }
 
-// worldTime returns when the worker's clock shows so many milliseconds.
+// worldTime returns the world's time at which the worker's clock shows the given milliseconds.
 func (worker *Worker) worldTime(milliseconds int64) time.Duration {
 	shown := time.Duration(milliseconds)*time.Millisecond - worker.settings.ClockZero
 	return worker.startedAt + time.Duration(math.Ceil(float64(shown)/worker.settings.ClockRate))
 }
 
-// renew lengthens the hold of all that runs; it never shortens it.
+// renew extends the hold of all present runs. It never shortens it.
 func (worker *Worker) renew(dueAtMs int64) {
 	furthest := worker.clockMs() + worker.world.settings.MaxHold.Milliseconds()
 	due := min(dueAtMs, furthest)
@@ -41,7 +41,7 @@
 	worker.lapse = worker.world.events.add(at, worker.checkLapse)
 }
 
-// checkLapse kills everything once the hold has run out; a hold renewed since is looked at again later.
+// checkLapse ends all runs once the hold has lapsed. If the hold was renewed, it schedules another check.
 func (worker *Worker) checkLapse() {
 	worker.lapse = nil
 	if worker.clockMs() < worker.heldUntil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// voidEnds notes that ends which weren't taken note of until now never count.
+// voidEnds marks the ends that were not acknowledged as void: they are never counted.
 func (worker *Worker) voidEnds() {
 	for i := range worker.finished {
 		if record := worker.finished[i].record; record != nil && !record.acknowledged {
@@ -64,19 +64,19 @@
 	}
 }
 
-// remove frees a run's room and remembers its attempt.
+// remove frees the capacity of a run and records its attempt.
 func (worker *Worker) remove(run *run) {
 	delete(worker.runs, runKey{run.task.name, run.attempt})
 	worker.used = worker.used.minus(run.task.stage.Need)
 	worker.rejectAttemptsUpTo(run.task.name, run.attempt)
 }
 
-// rejectAttemptsUpTo remembers that no attempt of the task up to this one starts here any more.
+// rejectAttemptsUpTo makes the worker refuse starts of the task up to this attempt.
 func (worker *Worker) rejectAttemptsUpTo(task string, attempt int) {
 	worker.endedAttempts[task] = max(worker.endedAttempts[task], attempt)
 }
 
-// listEnd adds an end to the list and wakes the holds that wait for one.
+// listEnd adds an end to the list and wakes the waiting holds.
 func (worker *Worker) listEnd(run *run, reason endReason) {
 	if !worker.alive() {
 		return
@@ -97,7 +97,7 @@
 	worker.wakeAll()
 }
 
-// acknowledgeEnds forgets the ends that the caller has seen.
+// acknowledgeEnds removes the ends up to lastSeen, which the caller has seen, from the list.
 func (worker *Worker) acknowledgeEnds(lastSeen uint64) {
 	seen := 0
 	for seen < len(worker.finished) && worker.finished[seen].number <= lastSeen {
--- a/internal/system/hollow/orders.go
+++ b/internal/system/hollow/orders.go
@@ -10,7 +10,7 @@
 	maxWait     = 2 * time.Second
 )
 
-// startOrder, stopOrder and holdOrder are the bodies of the worker's calls.
+// startOrder, stopOrder and holdOrder are the request bodies of the worker protocol.
 type startOrder struct {
 	Task       string `json:"task"`
 	Attempt    int    `json:"attempt"`
@@ -33,7 +33,7 @@
 	WaitMs     int64  `json:"waitMs"`
 }
 
-// answer is a status and a body.
+// answer is the response to a call: a status and, unless bodyless, a JSON body.
 type answer struct {
 	status   int
 	bodyless bool
@@ -51,7 +51,7 @@
 	return answer{status: http.StatusConflict, ClockMs: worker.clockMs(), Reason: reason}
 }
 
-// raiseFence tells whether an order with this token may be acted on.
+// raiseFence reports whether an order with this fencing token is accepted, and remembers the token. A token lower than one seen is rejected.
 func (worker *Worker) raiseFence(token uint64) bool {
 	if token < worker.fence {
 		return false
@@ -60,7 +60,7 @@
 	return true
 }
 
-// start carries out a start.
+// start executes a start order.
 func (worker *Worker) start(order *startOrder) answer {
 	world := worker.world
 	if !worker.raiseFence(order.FenceToken) {
@@ -93,7 +93,7 @@
 	return worker.accept()
 }
 
-// startRun makes a run present.
+// startRun adds a run to the worker and to its execution.
 func (worker *Worker) startRun(task *task, order *startOrder) {
 	world := worker.world
 	started := &run{
@@ -112,7 +112,7 @@
 	execution.join(started)
 }
 
-// stop carries out a stop.
+// stop executes a stop order.
 func (worker *Worker) stop(order *stopOrder) answer {
 	if !worker.raiseFence(order.FenceToken) {
 		return worker.refuse("fence")
@@ -126,7 +126,7 @@
 	return worker.accept()
 }
 
-// hold renews the hold, forgets what was seen, and tells whether its answer has an end to list.
+// hold executes a hold order: it renews the hold and drops the acknowledged ends. It reports whether there are ends to list.
 func (worker *Worker) hold(order *holdOrder) (refused *answer, ended bool) {
 	if !worker.raiseFence(order.FenceToken) {
 		refusal := worker.refuse("fence")
@@ -138,7 +138,7 @@
 	return nil, len(worker.finished) > 0
 }
 
-// listRuns is the answer to a hold.
+// listRuns returns the answer to a hold: the present runs and the first maxFinished ends.
 func (worker *Worker) listRuns() answer {
 	answer := worker.accept()
 	for _, run := range worker.sortedRuns() {
@@ -152,7 +152,7 @@
 	return answer
 }
 
-// wait adds a hold that waits for an end, for the time wanted.
+// wait registers a hold that waits for an end, for at most the given time and maxWait.
 func (worker *Worker) wait(milliseconds int64) *waiter {
 	world := worker.world
 	added := &waiter{wake: make(chan struct{})}
@@ -170,7 +170,7 @@
 	worker.world.waitingHolds--
 }
 
-// findTask returns the task with this name, or nil if no job has it.
+// findTask returns the task with this name, or nil if no job has such a task.
 func (world *World) findTask(name string) *task {
 	key, valid := parseTaskKey(name)
 	if !valid {
@@ -183,7 +183,8 @@
 	return job.task(key)
 }
 
-// resumeFrom takes over a checkpoint that a member was started with.
+// resumeFrom sets the checkpoint from the start order of a member. If it is invalid or the members of a gang differ, the execution
+// starts from the beginning.
 func (execution *execution) resumeFrom(checkpoint string) {
 	progress, valid := checkpointProgress(execution.group, checkpoint)
 	if valid && len(execution.members) == 0 {
--- a/internal/system/hollow/platform.go
+++ b/internal/system/hollow/platform.go
@@ -10,25 +10,25 @@
 
 const pageTokenPrefix = "p-"
 
-// PlatformSettings describe a platform. With a zero RatePerS it accepts every call; a zero PageSize is 50.
+// PlatformSettings describe a platform. If RatePerS is 0, it accepts every call. A PageSize of 0 means 50.
 type PlatformSettings struct {
-	Lag      time.Duration // the list trails by this much
+	Lag      time.Duration // delay of changes in the list
 	RatePerS float64
 	PageSize int
 }
 
-// Platform is the list of a world's workers, an http.Handler.
+// Platform lists the workers of a world. It is an http.Handler.
 type Platform struct {
 	world    *World
 	settings PlatformSettings
 	server   *server
 
-	entries    []*listEntry // by the worker's number, as of Lag ago; nil for those not on the list
+	entries    []*listEntry // by worker number, as of Lag ago; nil for workers not listed
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// listEntry is one worker on the list.
+// listEntry is one worker in the list.
 type listEntry struct {
 	Backend         string        `json:"backend"`
 	Address         string        `json:"address"`
@@ -55,7 +55,7 @@
 	NextPageToken *string     `json:"nextPageToken"`
 }
 
-// NewPlatform adds a list of the world's workers.
+// NewPlatform adds a platform that lists the world's workers.
 func (world *World) NewPlatform(settings PlatformSettings) *Platform {
 	world.lock()
 	defer world.unlock()
@@ -70,7 +70,7 @@
 	return platform
 }
 
-// publish has every list show the worker, after its lag, as it is now.
+// publish updates the worker's entry in every platform's list, after the platform's lag.
 func (worker *Worker) publish() {
 	entry := worker.publishedEntry()
 	for _, platform := range worker.world.platforms {
@@ -82,7 +82,7 @@
 	}
 }
 
-// setEntry puts a worker's entry on the list; nil takes it away.
+// setEntry sets a worker's entry in the list; nil removes it.
 func (platform *Platform) setEntry(number int, entry *listEntry) {
 	if missing := number + 1 - len(platform.entries); missing > 0 {
 		platform.entries = append(platform.entries, make([]*listEntry, missing)...)
@@ -90,7 +90,8 @@
 	platform.entries[number] = entry
 }
 
-// publishedEntry is the worker's entry, nil if it is gone or listens nowhere; one that is down still shows its last life.
+// publishedEntry returns the worker's entry, or nil if the worker is gone or has no address. A worker that is down still shows its last
+// instance.
 func (worker *Worker) publishedEntry() *listEntry {
 	if worker.state == workerGone || worker.address == "" {
 		return nil
@@ -119,7 +120,7 @@
 	return entry
 }
 
-// ServeHTTP implements the platform's side of the wire.
+// ServeHTTP implements the platform's side of the protocol.
 func (platform *Platform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.Method != http.MethodGet || request.URL.Path != "/instances" {
 		writer.WriteHeader(http.StatusNotFound)
@@ -166,7 +167,7 @@
 	return page, http.StatusOK
 }
 
-// entriesInZone returns a copy of the list, with the times that drain as of now.
+// entriesInZone returns a copy of the entries in a zone, or of all if zone is empty, with the remaining drain times as of now.
 func (platform *Platform) entriesInZone(zone string) []listEntry {
 	entries := make([]listEntry, 0, len(platform.entries))
 	for _, shown := range platform.entries {
@@ -182,7 +183,7 @@
 	return entries
 }
 
-// takeToken tells whether the rate allows one more call.
+// takeToken reports whether the rate limit allows one more call.
 func (platform *Platform) takeToken() bool {
 	rate := platform.settings.RatePerS
 	if rate <= 0 {
--- a/internal/system/hollow/random_test.go
+++ b/internal/system/hollow/random_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// requireConsistent checks what must hold of a worker at any time.
+// requireConsistent checks the invariants of a worker.
 func requireConsistent(t *rapid.T, worker *Worker) {
 	var used Resources
 	for key, run := range worker.runs {
 		require.False(t, run.ended)
 		require.Equal(t, runKey{run.task.name, run.attempt}, key)
 		require.Contains(t, run.execution.members, run)
-		require.NotEqual(t, run.attempt, worker.endedAttempts[run.task.name], "a run that ended here is present")
+		require.NotEqual(t, run.attempt, worker.endedAttempts[run.task.name], "a run that ended here is still present")
 		used = used.plus(run.task.stage.Need)
 	}
 	require.Equal(t, used, worker.used)
@@ -27,7 +27,7 @@
 		require.Equal(t, worker.finished[0].number+uint64(i), end.number)
 	}
 	if len(worker.runs) > 0 {
-		require.Less(t, worker.clockMs(), worker.heldUntil, "nothing runs unheld")
+		require.Less(t, worker.clockMs(), worker.heldUntil, "a run is present without a hold")
 	}
 }
 
@@ -40,7 +40,7 @@
 	requireTasksConsistent(t, world)
 }
 
-// requireTasksConsistent checks that each task's count of runs is that of the workers.
+// requireTasksConsistent checks that each task's count of runs equals the runs present on the workers.
 func requireTasksConsistent(t *rapid.T, world *World) {
 	running := make(map[string]int)
 	for _, worker := range world.workers {
--- a/internal/system/hollow/run.go
+++ b/internal/system/hollow/run.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// endReason is the way a run ended, as an index of Stats.Ends.
+// endReason is why a run ended. It is the index of Stats.Ends.
 type endReason uint8
 
 const (
@@ -21,7 +21,7 @@
 
 var endReasonNames = [endReasonCount]string{"done", "failed", "stopped", "lapsed", "broken", "alone", "crashed"}
 
-// run is one run of a task that is present on a worker.
+// run is one run of a task on a worker, from its start to its end.
 type run struct {
 	worker     *Worker
 	task       *task
@@ -33,7 +33,7 @@
 	execution  *execution
 }
 
-// recordGangFailure remembers that this common run of a gang has failed.
+// recordGangFailure records that this attempt of the gang has failed.
 func (run *run) recordGangFailure() {
 	if !run.task.stage.Gang {
 		return
@@ -50,7 +50,7 @@
 	job.gangFailures[key][run.attempt] = true
 }
 
-// timeOutGathering ends a member of a gang that still isn't whole.
+// timeOutGathering ends a member whose gang is still incomplete.
 func (run *run) timeOutGathering() {
 	if run.ended || run.execution.state != gathering {
 		return
@@ -61,7 +61,7 @@
 	run.end(endGangIncomplete)
 }
 
-// stop begins the end of a run; its room stays taken until the stop is over.
+// stop starts the stop of a run. The run keeps its capacity until the stop is complete.
 func (run *run) stop() {
 	if run.ended || run.stopping {
 		return
@@ -74,7 +74,7 @@
 	run.worker.world.after(run.worker.world.settings.Stop, func() { run.end(endStopped) })
 }
 
-// end ends the run and, if their work had begun, the other members of its gang.
+// end ends the run and, if the work had started, the other members of its gang.
 func (run *run) end(reason endReason) {
 	if run.ended {
 		return
@@ -86,7 +86,7 @@
 	run.execution.memberEnded(run)
 }
 
-// finish takes the run off its worker and lists its end.
+// finish removes the run from its worker and lists its end.
 func (run *run) finish(reason endReason) {
 	if run.ended {
 		return
@@ -106,7 +106,7 @@
 	run.worker.listEnd(run, reason)
 }
 
-// currentSlowdown is the time that one unit of work takes here.
+// slowdown returns the time per unit of work on this worker.
 func (run *run) slowdown() float64 {
 	faults := &run.worker.faults
 	if faults.Hang {
@@ -120,7 +120,7 @@
 	return factor
 }
 
-// latestCheckpoint is the checkpoint that the run's listing shows: its execution's, or the one it was started with.
+// latestCheckpoint returns the checkpoint that the worker lists: the execution's, or the one that the run was started with.
 func (run *run) latestCheckpoint() string {
 	if run.execution.savedCheckpoint != "" {
 		return run.execution.savedCheckpoint
--- a/internal/system/hollow/server.go
+++ b/internal/system/hollow/server.go
@@ -8,7 +8,7 @@
 	"net/http"
 )
 
-// server is one listener on loopback.
+// server is an HTTP server with its listener on loopback.
 type server struct {
 	http     *http.Server
 	listener net.Listener
@@ -29,13 +29,13 @@
 	return created, nil
 }
 
-// close ends the listener and its connections. The listener is closed here besides: the server doesn't know it before it serves.
+// close closes the listener and its connections. It closes the listener itself, because the server does not know it before Serve runs.
 func (s *server) close() {
 	_ = s.listener.Close()
 	_ = s.http.Close()
 }
 
-// Listen opens the worker's listener on a free port of loopback; Close ends it.
+// Listen opens the worker's listener on a free port of loopback. Close closes it.
 func (worker *Worker) Listen() error {
 	opened, err := serve(worker)
 	if err != nil {
@@ -46,14 +46,14 @@
 	return nil
 }
 
-// Close ends the worker's listener and its connections.
+// Close closes the worker's listener and its connections.
 func (worker *Worker) Close() {
 	if worker.server != nil {
 		worker.server.close()
 	}
 }
 
-// Listen opens the platform's listener on a free port of loopback and returns its address; Close ends it.
+// Listen opens the platform's listener on a free port of loopback and returns its address. Close closes it.
 func (platform *Platform) Listen() (string, error) {
 	opened, err := serve(platform)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return opened.address, nil
 }
 
-// Close ends the platform's listener and its connections.
+// Close closes the platform's listener and its connections.
 func (platform *Platform) Close() {
 	if platform.server != nil {
 		platform.server.close()
--- a/internal/system/hollow/support_test.go
+++ b/internal/system/hollow/support_test.go
@@ -15,10 +15,10 @@
 	testBackend = "farm"
 	testSpec    = "(text)"
 	testJob     = "5c0e7a21d94b36f8"
-	farDue      = 1_000_000 // beyond every hold: workers cut it
+	farDue      = 1_000_000 // later than any hold; workers reduce it to their longest
 )
 
-// testWorld is a world with a clock of its own and workers that are called without sockets.
+// testWorld is a world with a manual clock and workers that are called without sockets.
 type testWorld struct {
 	*World
 	t     *testing.T
@@ -47,7 +47,7 @@
 	return world.NewWorker(settings)
 }
 
-// job adds the test's job with these stages.
+// job adds the test's job with the given stages.
 func (world *testWorld) job(stages ...Stage) {
 	world.AddJob(Job{ID: testJob, Spec: testSpec, Backends: []string{testBackend}, MaxRetries: 2, Stages: stages})
 }
@@ -56,7 +56,7 @@
 	return Stage{Count: 1, Need: Resources{CPU: 1000}, Work: work}
 }
 
-// wireAnswer is an answer as it stands on the wire.
+// wireAnswer is a decoded answer of a worker.
 type wireAnswer struct {
 	status   int
 	ClockMs  int64   `json:"clockMs"`
@@ -65,7 +65,7 @@
 	Finished [][]any `json:"finished"`
 }
 
-// endReasons are the ways of the listed ends.
+// endReasons returns the reasons of the listed ends.
 func (answer wireAnswer) endReasons() []string {
 	var reasons []string
 	for _, row := range answer.Finished {
@@ -110,13 +110,13 @@
 	return call(t, worker, "/run-stop", stopOrder{Task: TaskName(testJob, 0, 0, index), Attempt: attempt, FenceToken: 1})
 }
 
-// hold renews the hold and reads the lists.
+// hold renews the hold and returns the listed runs and ends.
 func hold(t *testing.T, worker *Worker, lastSeen uint64) wireAnswer {
 	t.Helper()
 	return call(t, worker, "/hold", holdOrder{DueAtMs: farDue, FenceToken: 1, LastSeen: lastSeen})
 }
 
-// advanceHolding advances the clock in steps of a second and holds the workers at each.
+// advanceHolding advances the clock in steps of one second and renews the hold of the workers after each.
 func (world *testWorld) advanceHolding(span time.Duration, workers ...*Worker) {
 	world.t.Helper()
 	const step = time.Second
@@ -128,7 +128,7 @@
 	}
 }
 
-// requireRules checks which rules were found broken, in the order of their time.
+// requireRules checks which rules were violated, in the order of their time.
 func (world *testWorld) requireRules(expected ...Rule) {
 	world.t.Helper()
 	var found []Rule
--- a/internal/system/hollow/task.go
+++ b/internal/system/hollow/task.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// task is a task with what the checker remembers of it.
+// task is a task with the state that the checker needs.
 type task struct {
 	job        *job
 	stage      *Stage
@@ -16,26 +16,26 @@
 	doneEnds   []*endRecord
 	failedEnds []*endRecord
 	running    int
-	lastEnd    time.Duration // since when nothing of it runs
+	lastEnd    time.Duration // when a run of it last ended
 }
 
-// endRecord is one end and whether its worker was told that it is known.
+// endRecord is one end of a run. It records whether a hold has acknowledged the end.
 type endRecord struct {
 	task         *task
 	reason       endReason
 	acknowledged bool
-	void         bool          // the worker's hold lapsed before it was noted
-	starts       []startRecord // starts after this end
+	void         bool          // the worker's hold lapsed before the end was acknowledged
+	starts       []startRecord // starts between this end and its acknowledgement
 }
 
-// startRecord is one start, for a finding that may turn out later.
+// startRecord is one start. The acknowledgement of an earlier end may show later that it broke a rule.
 type startRecord struct {
 	at     time.Duration
 	worker string
-	failed int // failed ends before it
+	failed int // number of failed ends before it
 }
 
-// checkpointGroup names whose checkpoints serve the task: its own, or those of its gang.
+// checkpointGroup returns the name under which the task's checkpoints are stored: the task's own, or that of its gang.
 func (task *task) checkpointGroup() string {
 	if !task.stage.Gang {
 		return task.name
@@ -44,7 +44,7 @@
 	return key.job + "." + strconv.Itoa(key.repetition) + "." + strconv.Itoa(key.stage)
 }
 
-// siblings returns the known tasks of the same step and repetition.
+// siblings returns the known tasks of the same stage and repetition, the task itself included.
 func (task *task) siblings() (known []*task) {
 	for index := range task.stage.Count {
 		key := task.key
@@ -56,12 +56,13 @@
 	return known
 }
 
-// idleSince returns since when nothing of the task runs, though its job was known and its time had come.
+// idleSince returns the time since which the task could have run and did not: its job was known, it was due, and the job made no
+// progress.
 func (task *task) idleSince() time.Duration {
 	return max(task.lastEnd, task.job.added, task.job.due(task.key.repetition), task.job.lastDone)
 }
 
-// retriesExhausted tells whether the task has failed as often as its queue allows.
+// retriesExhausted reports whether the task has failed as often as its queue allows.
 func (task *task) retriesExhausted() bool {
 	limit := task.job.MaxRetries
 	return limit > 0 && !task.stage.LongRunning && task.failures >= limit
--- a/internal/system/hollow/worker.go
+++ b/internal/system/hollow/worker.go
@@ -13,11 +13,11 @@
 	Version     string
 	Capacity    int
 	Allocatable Resources
-	Guarded     bool   // it refuses what doesn't fit
+	Guarded     bool   // refuses starts that do not fit
 	Kind        string // a label
 	Rack        string // a label
 	ClockRate   float64
-	ClockZero   time.Duration // what its clock shows at its start
+	ClockZero   time.Duration // reading of its clock at its start
 }
 
 // workerState is the state of a worker.
@@ -26,18 +26,18 @@
 const (
 	workerReady workerState = iota
 	workerDraining
-	workerDown // crashed, not yet back
-	workerGone // drained and taken away, or lost
+	workerDown // crashed, not yet restarted
+	workerGone // drained and removed, or lost
 )
 
-// Faults are what is wrong with a worker.
+// Faults are the injected faults of a worker.
 type Faults struct {
-	FailShare float64       // the share of starts that fail by the worker's fault
-	Hang      bool          // tasks stand still
-	Slow      float64       // how many times as long work takes, from 1
-	Silent    bool          // calls get no answer; what runs, runs on
-	LateBy    time.Duration // starts and stops get no answer and are carried out so much later
-	Busy      bool          // 503 to every order
+	FailShare float64       // share of starts that fail because of the worker
+	Hang      bool          // runs make no progress
+	Slow      float64       // factor on the time of work, at least 1
+	Silent    bool          // calls get no answer; runs continue
+	LateBy    time.Duration // starts and stops get no answer and are executed after this delay
+	Busy      bool          // every order gets status 503
 }
 
 // Worker is one hollow worker, an http.Handler.
@@ -49,7 +49,7 @@
 	address  string
 	server   *server
 
-	// The state of this life.
+	// State of the present instance.
 	state         workerState
 	instance      string
 	startedAt     time.Duration
@@ -59,7 +59,7 @@
 	lapse         *event
 	used          Resources
 	runs          map[runKey]*run
-	endedAttempts map[string]int // the highest attempt of each task that was stopped or ended here
+	endedAttempts map[string]int // highest attempt of each task that was stopped or ended here
 	finished      []finishedEnd
 	lastNumber    uint64
 	waiters       map[*waiter]struct{}
@@ -71,7 +71,7 @@
 	attempt int
 }
 
-// finishedEnd is one entry of the list of ends.
+// finishedEnd is one entry of the list of ended runs.
 type finishedEnd struct {
 	number     uint64
 	task       string
@@ -81,7 +81,7 @@
 	record     *endRecord
 }
 
-// waiter is a hold that waits for an end.
+// waiter is a hold that waits for the end of a run.
 type waiter struct {
 	wake      chan struct{}
 	signalled bool
@@ -109,7 +109,7 @@
 	return worker
 }
 
-// startInstance makes it a process that has just started.
+// startInstance resets the worker to a newly started process.
 func (worker *Worker) startInstance() {
 	world := worker.world
 	world.instances++
@@ -126,21 +126,21 @@
 	worker.waiters = make(map[*waiter]struct{})
 }
 
-// Instance returns the id of its present life.
+// Instance returns the ID of the present instance.
 func (worker *Worker) Instance() string {
 	worker.world.lock()
 	defer worker.world.unlock()
 	return worker.instance
 }
 
-// Address returns where it listens.
+// Address returns the address that the platform lists.
 func (worker *Worker) Address() string {
 	worker.world.lock()
 	defer worker.world.unlock()
 	return worker.address
 }
 
-// SetAddress gives it the address that the platform's list shows.
+// SetAddress sets the address that the platform lists.
 func (worker *Worker) SetAddress(address string) {
 	worker.world.lock()
 	defer worker.world.unlock()
@@ -148,7 +148,7 @@
 	worker.publish()
 }
 
-// SetFaults changes what is wrong with it, at once also for what runs.
+// SetFaults replaces the injected faults. They apply at once, also to present runs.
 func (worker *Worker) SetFaults(faults Faults) {
 	worker.world.lock()
 	defer worker.world.unlock()
@@ -158,7 +158,8 @@
 	}
 }
 
-// Crash ends this life: everything running is gone without an end, calls break off, and after down another life is there.
+// Crash ends the present instance: its runs are lost without a listed end, and calls in progress are aborted. A new instance starts
+// after down.
 func (worker *Worker) Crash(down time.Duration) {
 	worker.world.lock()
 	defer worker.world.unlock()
@@ -174,7 +175,7 @@
 	})
 }
 
-// Drain has the platform show it as draining; it leaves after remaining, and what still runs then dies.
+// Drain makes the platform list the worker as draining. The worker leaves after remaining, and the runs that are left are lost.
 func (worker *Worker) Drain(remaining time.Duration) {
 	worker.world.lock()
 	defer worker.world.unlock()
@@ -193,7 +194,7 @@
 	})
 }
 
-// Lose ends it for good, without a notice.
+// Lose removes the worker for good, without notice.
 func (worker *Worker) Lose() {
 	worker.world.lock()
 	defer worker.world.unlock()
@@ -212,7 +213,7 @@
 	worker.wakeAll()
 }
 
-// alive tells whether the process runs.
+// alive reports whether the process is running.
 func (worker *Worker) alive() bool {
 	return worker.state == workerReady || worker.state == workerDraining
 }
@@ -230,7 +231,7 @@
 	return worker.settings.Allocatable.minus(worker.used)
 }
 
-// countStage counts the present runs of the task's step and repetition.
+// countStage returns the number of present runs of the task's stage and repetition.
 func (worker *Worker) countStage(counted *task) int {
 	count := 0
 	for _, run := range worker.runs {
@@ -243,7 +244,7 @@
 	return count
 }
 
-// sortedRuns returns what runs in the order of its arrival, so that a world with a seed always does the same.
+// sortedRuns returns the present runs in the order of their start, so that a world with a given seed always behaves the same.
 func (worker *Worker) sortedRuns() []*run {
 	runs := make([]*run, 0, len(worker.runs))
 	for _, run := range worker.runs {
--- a/internal/system/hollow/worker_test.go
+++ b/internal/system/hollow/worker_test.go
@@ -86,7 +86,7 @@
 	start(t, worker, 0, 0, 1)
 
 	world.clock.Advance(6 * time.Second)
-	require.Len(t, hold(t, worker, 0).Running, 1, "its clock is slow, and the hold is renewed")
+	require.Len(t, hold(t, worker, 0).Running, 1, "its clock is slow, so the hold has not lapsed")
 	world.clock.Advance(6122 * time.Millisecond)
 	require.Len(t, call(t, worker, "/hold", holdOrder{FenceToken: 1}).Running, 1)
 	world.clock.Advance(2 * time.Millisecond)
@@ -127,7 +127,7 @@
 	answer := hold(t, worker, 0)
 	require.Equal(t, []string{"stopped"}, answer.endReasons())
 	checkpoint := answer.Finished[0][4].(string)
-	require.Equal(t, "000005dc", checkpoint[:8], "1.5 s of work are saved")
+	require.Equal(t, "000005dc", checkpoint[:8], "the checkpoint holds 1.5 s of work")
 	require.Zero(t, world.Stats().WastedCPU)
 	require.Equal(t, http.StatusOK, start(t, worker, 0, 1, 1).status)
 	world.requireRules()
@@ -163,7 +163,7 @@
 	world.clock.Advance(time.Second)
 	require.NotEqual(t, before, worker.Instance())
 	answer := call(t, worker, "/hold", holdOrder{})
-	require.Equal(t, http.StatusOK, answer.status, "no token was seen by this life")
+	require.Equal(t, http.StatusOK, answer.status, "the new instance has seen no token")
 	require.Empty(t, answer.Running)
 	require.Empty(t, answer.Finished)
 }
@@ -228,7 +228,7 @@
 			require.Equal(t, test.ends, hold(t, worker, 0).endReasons())
 			worker.SetFaults(Faults{})
 			world.clock.Advance(2 * time.Second)
-			require.NotEmpty(t, hold(t, worker, 0).endReasons(), "a worker that is sound again goes on")
+			require.NotEmpty(t, hold(t, worker, 0).endReasons(), "a worker without faults continues")
 		})
 	}
 }
--- a/internal/system/hollow/world.go
+++ b/internal/system/hollow/world.go
@@ -1,6 +1,6 @@
-// Package hollow is a stand-in for the workers and the platform: workers that keep the wire contract but run no work, any
-// number of them to a process, and the platform's list of them. They share a World, which keeps the clock, the jobs, the
-// gangs, and the checker of the rules that orders must keep. It serves tests (with a ManualClock) and scale runs.
+// Package hollow simulates the workers and the platform. Hollow workers implement the worker protocol but run no real work; one
+// process can hold any number of them. The platform lists them. They share a World, which holds the clock, the jobs, the gangs and the
+// checker of the rules for orders. Tests use it with a ManualClock, scale runs with a SteadyClock.
 package hollow
 
 import (
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Settings are the bounds of a world.
+// Settings are the time limits and other parameters of a world.
 type Settings struct {
-	MaxHold time.Duration // the longest hold that workers grant
-	Stop    time.Duration // what a stop lasts
-	Gang    time.Duration // what a member waits for the others
+	MaxHold time.Duration // longest hold that workers grant
+	Stop    time.Duration // duration of a stop
+	Gang    time.Duration // how long a gang member waits for the others
 	Save    time.Duration // work between two checkpoints
-	Restore time.Duration // what a start from a checkpoint takes
-	Cancel  time.Duration // after a cancelling nothing starts later than that
-	Early   time.Duration // how far ahead of its due time a task may start
-	Far     float64       // how many times as long work takes far from its data
-	Seed    uint64        // of the failures that workers draw
+	Restore time.Duration // duration of a restore from a checkpoint
+	Cancel  time.Duration // no task of a job may start later than this after its cancellation
+	Early   time.Duration // how long before its due time a task may start
+	Far     float64       // slowdown of work far from its data
+	Seed    uint64        // seed of the random failures of workers
 }
 
-// DefaultSettings returns bounds like those of the ordinary sites.
+// DefaultSettings returns limits like those of a usual site.
 func DefaultSettings() Settings {
 	return Settings{
 		MaxHold: 6 * time.Second,
@@ -37,7 +37,7 @@
 	}
 }
 
-// World is what all hollow workers and platforms of a run share. It is safe for concurrent use.
+// World is the state that all hollow workers and platforms of a run share. It is safe for concurrent use.
 type World struct {
 	settings Settings
 	clock    Clock
@@ -46,7 +46,7 @@
 	now             time.Duration
 	events          eventQueue
 	alarmAt         time.Duration
-	alarmNumber     uint64 // of the alarm that is set last
+	alarmNumber     uint64 // number of the latest alarm
 	cancelAlarm     func()
 	random          *rand.Rand
 	workers         []*Worker
@@ -55,10 +55,10 @@
 	gangs           map[gangKey]*execution
 	platforms       []*Platform
 	checker         checker
-	cancelAllowance time.Duration // how much longer than in calm what was cancelled may run
+	cancelAllowance time.Duration // how much longer than usual a cancelled run may continue
 	stats           Stats
-	waitingHolds    int // holds that wait for an end
-	unansweredCalls int // calls that are kept without an answer
+	waitingHolds    int // number of holds that wait for an end
+	unansweredCalls int // number of calls in progress that get no answer
 	waitChanged     *sync.Cond
 	closed          chan struct{}
 }
@@ -77,7 +77,7 @@
 	return world
 }
 
-// Close frees every call that waits and ends the world's alarms. Servers are closed by whoever opened them.
+// Close releases every waiting call and cancels the world's alarm. It does not close the servers of workers and platforms.
 func (world *World) Close() {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
@@ -94,7 +94,7 @@
 	world.waitChanged.Broadcast()
 }
 
-// lock locks the world and brings it up to its clock.
+// lock locks the world and executes the events that are due by its clock.
 func (world *World) lock() {
 	world.mutex.Lock()
 	now := world.clock.Now()
@@ -128,7 +128,7 @@
 	world.cancelAlarm = world.clock.Alarm(first.at, func() { world.handleAlarm(number) })
 }
 
-// handleAlarm is called by the clock; an alarm that was cancelled too late to be kept from ringing is not the present one.
+// handleAlarm is called by the clock. An alarm whose cancellation came too late has an old number.
 func (world *World) handleAlarm(number uint64) {
 	world.lock()
 	if number == world.alarmNumber {
@@ -146,19 +146,19 @@
 	}
 }
 
-// after has action done once span has passed.
+// after schedules action to run once span has passed.
 func (world *World) after(span time.Duration, action func()) *event {
 	return world.events.add(world.now+span, action)
 }
 
-// AddJob makes a job known: from now on its tasks may be started.
+// AddJob adds a job. From now on its tasks may be started.
 func (world *World) AddJob(added Job) {
 	world.lock()
 	defer world.unlock()
 	world.jobs[added.ID] = &job{Job: added, tasks: make(map[taskKey]*task), added: world.now}
 }
 
-// CancelJob notes that a job's cancelling was acknowledged.
+// CancelJob records that the cancellation of a job was acknowledged.
 func (world *World) CancelJob(id string) {
 	world.lock()
 	defer world.unlock()
@@ -171,17 +171,18 @@
 	world.after(world.settings.Cancel+world.settings.Stop+world.cancelAllowance, func() { world.checkCancelled(job) })
 }
 
-// SetTrouble tells how much longer than in calm what is cancelled from now on may run: in trouble a run may last until its hold is over.
+// SetTrouble sets how much longer than usual a run may continue after a cancellation from now on. During faults a run may continue until
+// its hold lapses.
 func (world *World) SetTrouble(longer time.Duration) {
 	world.lock()
 	defer world.unlock()
 	world.cancelAllowance = longer
 }
 
-// Now is what the world's clock shows.
+// Now returns the time of the world's clock.
 func (world *World) Now() time.Duration { return world.clock.Now() }
 
-// RefuseJob notes that every try to hand a job in was refused: from now on each start of it is a finding.
+// RefuseJob records that every attempt to submit a job was refused. From now on each start of it is a violation.
 func (world *World) RefuseJob(id string) {
 	world.lock()
 	defer world.unlock()
@@ -199,7 +200,7 @@
 	}
 }
 
-// AwaitUnanswered blocks until at least count calls are kept without an answer, or the world is closed.
+// AwaitUnanswered blocks until at least count calls are held without an answer, or the world is closed.
 func (world *World) AwaitUnanswered(count int) {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
@@ -215,17 +216,17 @@
 	world.waitChanged.Broadcast()
 }
 
-// Stats returns what was counted so far.
+// Stats returns the counters so far.
 func (world *World) Stats() Stats {
 	world.lock()
 	defer world.unlock()
 	return world.stats
 }
 
-// Stats count what workers were told and what became of it.
+// Stats count the orders to the workers and their outcomes.
 type Stats struct {
-	Starts       int // runs begun to be present
-	Busy         int // calls refused as unhealthy
+	Starts       int // runs started
+	Busy         int // calls refused with status 503
 	StartsFence  int
 	StartsOld    int
 	StartsLate   int
@@ -233,9 +234,9 @@
 	Stops        int
 	Holds        int
 	OtherLife    int
-	Ends         [endReasonCount]int // by How
-	WastedCPU    time.Duration       // core time of work that was lost
-	GangWaitCPU  time.Duration       // core time that gangs waited
+	Ends         [endReasonCount]int // by endReason
+	WastedCPU    time.Duration       // core time of lost work
+	GangWaitCPU  time.Duration       // core time that gang members spent waiting
 	ListCalls    int
 	ListRejected int
 }
