--- a/internal/system/hollow/checker.go
+++ b/internal/system/hollow/checker.go
@@ -136,12 +136,12 @@
 
 // hasAcknowledgedDone reports whether a done end of the task, or of any member of its gang, is acknowledged.
 func (task *task) hasAcknowledgedDone() bool {
-	noted := func(end *endRecord) bool { return end.acknowledged && !end.void }
+	acknowledged := func(end *endRecord) bool { return end.acknowledged && !end.void }
 	if !task.stage.Gang {
-		return slices.ContainsFunc(task.doneEnds, noted)
+		return slices.ContainsFunc(task.doneEnds, acknowledged)
 	}
 	for _, sibling := range task.siblings() {
-		if slices.ContainsFunc(sibling.doneEnds, noted) {
+		if slices.ContainsFunc(sibling.doneEnds, acknowledged) {
 			return true
 		}
 	}
--- a/internal/system/simworld/cancel_test.go
+++ b/internal/system/simworld/cancel_test.go
@@ -15,10 +15,10 @@
 	"gaugeslip/internal/system/nodesettings"
 )
 
-// silence ends before holds do: what runs on a worker that can't be told to stop ends with its hold.
-const silence = 1500 * time.Millisecond
+// silenceDuration is shorter than a hold: a run on a worker that cannot be reached to stop it ends when its hold lapses.
+const silenceDuration = 1500 * time.Millisecond
 
-// disturbances are what may be wrong while the core is stable.
+// disturbances are faults that leave the core stable.
 var disturbances = []struct {
 	name  string
 	begin func(w *world)
@@ -38,11 +38,11 @@
 	{"workers that say nothing for a while", func(w *world) {
 		for _, worker := range w.farm.workers {
 			worker.SetFaults(hollow.Faults{Silent: true})
-			time.AfterFunc(silence, func() { worker.SetFaults(hollow.Faults{}) })
+			time.AfterFunc(silenceDuration, func() { worker.SetFaults(hollow.Faults{}) })
 		}
 	}},
 	{"connections that end at any byte", func(w *world) {
-		w.net.SetPlan(audible(breaking(w.seed, 4, 3000)))
+		w.net.SetPlan(withoutClientSilence(connectionBreaks(w.seed, 4, 3000)))
 		for _, open := range w.net.Conns() {
 			open.Abort()
 		}
@@ -51,15 +51,16 @@
 		w.net.SetUsualLatency(20*time.Millisecond, 60*time.Millisecond)
 	}},
 	{"a head that is new", func(w *world) {
-		w.replicas[w.holder(roleHead)].kill()
+		w.replicas[w.replicaWithRole(roleHead)].kill()
 		w.awaitHead(2)
 		bounds := nodesettings.DefaultBounds()
 		time.Sleep(bounds.Contact())
 	}},
 }
 
-// audible is a plan that has no client's connection fall silent: how long a client waits then is its own affair.
-func audible(plan simnet.Plan) simnet.Plan {
+// withoutClientSilence changes a plan so that clients' connections are reset instead of falling silent: how long a client waits then
+// depends on the client alone.
+func withoutClientSilence(plan simnet.Plan) simnet.Plan {
 	return func(from, to string, nth int) simnet.Fate {
 		fate := plan(from, to, nth)
 		if strings.HasPrefix(from, "10.0.5.") {
@@ -73,12 +74,12 @@
 	}
 }
 
-// Every cancelling has its 2xx or 410 within the bound of acknowledgements while the core is stable, whatever else is wrong.
+// Every cancellation gets a 2xx or 410 response within the acknowledgement time-out while the core is stable, whatever else fails.
 func TestCancelsAreAcknowledgedInTime(t *testing.T) {
 	bounds := nodesettings.DefaultBounds()
 	for i, disturbance := range disturbances {
 		t.Run(disturbance.name, func(t *testing.T) {
-			play(t, uint64(i)+1, options{replicas: 3, tolerance: 1, dispatchers: 2, workers: 4}, func(w *world) {
+			runInWorld(t, uint64(i)+1, options{replicas: 3, tolerance: 1, dispatchers: 2, workers: 4}, func(w *world) {
 				w.configure()
 				var clients sync.WaitGroup
 				var mutex sync.Mutex
@@ -89,7 +90,7 @@
 					clients.Go(func() {
 						var made []*job
 						for range 4 {
-							made = append(made, c.newJob(long()))
+							made = append(made, c.newJob(endlessStage()))
 							c.submit(made[len(made)-1])
 						}
 						<-disturbed
--- a/internal/system/simworld/client_test.go
+++ b/internal/system/simworld/client_test.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// clientDeadline is what clients say that they wait for an answer, clientPatience what they wait.
+	// clientDeadline is the deadline that clients send with a request. clientTimeout is how long they wait for the response.
 	clientDeadline = 2 * time.Second
-	clientPatience = 2200 * time.Millisecond
-	// submitPatience is how long a client sends a job again.
-	submitPatience = 20 * time.Second
+	clientTimeout  = 2200 * time.Millisecond
+	// submitTimeout is how long a client retries a submission.
+	submitTimeout = 20 * time.Second
 )
 
-// job is one job of a client, with what its client knows of it.
+// job is one job and what its client knows of it.
 type job struct {
 	id        string
 	stage     hollow.Stage
-	accepted  bool // a 2xx
-	unclear   bool // a try without a clear answer
+	accepted  bool // a submission got a 2xx response
+	unclear   bool // a submission got no definite answer
 	cancelled bool // a DELETE was sent
 }
 
-// client hands jobs in from a host of its own.
+// client submits jobs from a host of its own.
 type client struct {
 	world  *world
 	http   *http.Transport
@@ -48,7 +48,7 @@
 	return made
 }
 
-// newJob makes a job known to the workers.
+// newJob creates a job and adds it to the workers' world.
 func (c *client) newJob(stage hollow.Stage) *job {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -63,21 +63,21 @@
 		j.stage.Need.CPU, j.stage.Need.MemoryMB, j.stage.Work.Milliseconds(), j.stage.LongRunning)
 }
 
-// call sends one request about a job to a dispatcher; without a whole answer the status is unclear.
+// call sends one request about a job to a dispatcher. Without a complete response the status is unclear.
 func (c *client) call(dispatcher int, method, id, body string) (status int, answer string) {
 	return c.request("http://"+frontendAddress(dispatcher)+"/barn/"+id, method, body)
 }
 
 func (c *client) request(location, method, body string) (status int, answer string) {
-	ctx, cancel := context.WithTimeout(context.Background(), clientPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
 	made, _ := http.NewRequestWithContext(ctx, method, location, strings.NewReader(body))
 	made.Host = "farm.example"
-	made.GetBody = nil // a client that sends again does so itself
+	made.GetBody = nil // the client itself retries
 	made.Header.Set("X-Gaugeslip-Deadline", fmt.Sprint(clientDeadline.Milliseconds()))
 	response, err := c.http.RoundTrip(made)
 	if err != nil {
-		c.world.note("client: %s %s: %v", method, location, err)
+		c.world.logf("client: %s %s: %v", method, location, err)
 		return unclear, ""
 	}
 	defer response.Body.Close()
@@ -85,14 +85,14 @@
 	if err != nil {
 		return unclear, ""
 	}
-	c.world.note("client: %s %s: %d %s", method, location, response.StatusCode, read)
+	c.world.logf("client: %s %s: %d %s", method, location, response.StatusCode, read)
 	return response.StatusCode, string(read)
 }
 
-// submit hands a job in at one dispatcher after the other, until it is taken or the patience is over.
+// submit submits a job to one dispatcher after the other, until it is accepted or submitTimeout has passed.
 func (c *client) submit(made *job) {
 	turn := c.number
-	for limit := time.Now().Add(submitPatience); time.Now().Before(limit); turn++ {
+	for limit := time.Now().Add(submitTimeout); time.Now().Before(limit); turn++ {
 		status, _ := c.call(turn%len(c.world.dispatchers), http.MethodPost, made.id, made.body())
 		switch status {
 		case http.StatusOK:
@@ -105,15 +105,15 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	if !made.unclear {
-		c.world.farm.CancelJob(made.id) // all tries were refused: it never runs
+		c.world.farm.CancelJob(made.id) // every attempt was refused, so the job must never run
 	}
 }
 
-// cancel sends a DELETE until it is acknowledged, and tells how long that took.
+// cancel sends a DELETE until it is acknowledged, and returns how long that took.
 func (c *client) cancel(made *job) time.Duration {
 	made.cancelled = true
 	began := time.Now()
-	for turn := c.number; time.Since(began) < submitPatience; turn++ {
+	for turn := c.number; time.Since(began) < submitTimeout; turn++ {
 		status, _ := c.call(turn%len(c.world.dispatchers), http.MethodDelete, made.id, "")
 		if status == http.StatusOK || status == http.StatusGone {
 			c.world.farm.CancelJob(made.id)
@@ -124,7 +124,7 @@
 	return time.Since(began)
 }
 
-// state asks for a job's state until there is a clear answer.
+// state queries a job's state until there is a definite answer.
 func (c *client) state(made *job) (status int, state string) {
 	for try := range 10 {
 		var text string
@@ -139,34 +139,34 @@
 	return status, ""
 }
 
-// short is a job of a few short tasks.
-func (w *world) short() hollow.Stage {
+// shortStage returns a stage of a few short tasks.
+func (w *world) shortStage() hollow.Stage {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return hollow.Stage{Count: 1 + w.random.IntN(3), Need: hollow.Resources{CPU: 500, MemoryMB: 64},
 		Work: time.Duration(100+w.random.IntN(400)) * time.Millisecond}
 }
 
-// long is a job that runs until it is cancelled.
-func long() hollow.Stage {
+// endlessStage returns a stage that runs until its job is cancelled.
+func endlessStage() hollow.Stage {
 	return hollow.Stage{Count: 1, Need: hollow.Resources{CPU: 100, MemoryMB: 16}, Work: time.Hour, LongRunning: true}
 }
 
-// requireJobs waits for all accepted jobs, and checks that each ran as often as it may.
+// requireJobs waits for all accepted jobs and checks that no rule was violated.
 func (w *world) requireJobs(patience time.Duration) {
 	w.t.Helper()
 	for limit := time.Now().Add(patience); len(w.openJobs()) > 0 && time.Now().Before(limit); {
 		time.Sleep(200 * time.Millisecond)
 	}
 	for _, open := range w.openJobs() {
-		assert.Fail(w.t, "an accepted job isn't done", "seed %d, job %s", w.seed, open.id)
+		assert.Fail(w.t, "an accepted job is not done", "seed %d, job %s", w.seed, open.id)
 	}
 	for _, violation := range w.farm.Violations() {
-		assert.Fail(w.t, "a rule is broken", "seed %d: %v", w.seed, violation)
+		assert.Fail(w.t, "a rule is violated", "seed %d: %v", w.seed, violation)
 	}
 }
 
-// openJobs are those that were accepted, run to their end by themselves, and haven't.
+// openJobs returns the accepted jobs that end by themselves and have not.
 func (w *world) openJobs() []*job {
 	var open []*job
 	for _, c := range w.clients {
--- a/internal/system/simworld/cut_test.go
+++ b/internal/system/simworld/cut_test.go
@@ -10,31 +10,32 @@
 	"github.com/stretchr/testify/require"
 )
 
-// moving is an operator that puts one configuration after the other in force, at whoever it is told to, until it is stopped.
-type moving struct {
-	world    *world
-	operator *operator
-	at       func() int
-	pause    time.Duration
-	first    int // its marks begin here
-	taken    int // orders that were acknowledged
-	stopped  chan struct{}
-	ended    sync.WaitGroup
+// sequentialWriter is an operator that replaces the configuration again and again until it is stopped.
+type sequentialWriter struct {
+	world        *world
+	operator     *operator
+	target       func() int
+	pause        time.Duration
+	firstMark    int // mark of its first order
+	acknowledged int // number of acknowledged orders
+	stopped      chan struct{}
+	ended        sync.WaitGroup
 }
 
-// move has an operator replace the configuration again and again: each time it reads, and builds on what it has read.
-func (w *world) move(number, firstMark int, pause time.Duration, at func() int) *moving {
-	m := &moving{world: w, operator: w.newOperator(number), at: at, pause: pause, first: firstMark, stopped: make(chan struct{})}
+// startReplacing starts a sequentialWriter. For each order it reads the configuration and sends one that is based on it, to the replicas
+// that target returns.
+func (w *world) startReplacing(number, firstMark int, pause time.Duration, target func() int) *sequentialWriter {
+	m := &sequentialWriter{world: w, operator: w.newOperator(number), target: target, pause: pause, firstMark: firstMark, stopped: make(chan struct{})}
 	m.ended.Go(m.run)
 	return m
 }
 
-func (m *moving) run() {
-	for mark := m.first; ; mark++ {
-		if read := m.operator.read(m.at()); read.status == http.StatusOK || read.status == http.StatusNotFound {
+func (m *sequentialWriter) run() {
+	for mark := m.firstMark; ; mark++ {
+		if read := m.operator.read(m.target()); read.status == http.StatusOK || read.status == http.StatusNotFound {
 			asked := order{base: read.version, version: read.version + 1, mark: mark}
-			if m.operator.replace(m.at(), asked).status == http.StatusOK {
-				m.taken++
+			if m.operator.replace(m.target(), asked).status == http.StatusOK {
+				m.acknowledged++
 			}
 		}
 		select {
@@ -45,12 +46,12 @@
 	}
 }
 
-func (m *moving) stop() {
+func (m *sequentialWriter) stop() {
 	close(m.stopped)
 	m.ended.Wait()
 }
 
-// role is a place in the chain.
+// role is a position in the chain.
 type role string
 
 const (
@@ -59,8 +60,8 @@
 	roleTail   role = "tail"
 )
 
-// holder is the number of the replica that has the role in a whole chain.
-func (w *world) holder(wanted role) int {
+// replicaWithRole waits for the full chain and returns the number of the replica with the role.
+func (w *world) replicaWithRole(wanted role) int {
 	reply, ok := w.overview(w.awaitHead(len(w.replicas)))
 	require.True(w.t, ok)
 	chain := reply.View.Chain
@@ -73,8 +74,8 @@
 	return w.numberOf(chain[1].Address)
 }
 
-// otherThan is any replica but that one, in turn.
-func (w *world) otherThan(number int) func() int {
+// allExcept returns a function that returns the other replicas' numbers in turn.
+func (w *world) allExcept(number int) func() int {
 	turn := number
 	return func() int {
 		turn = (turn + 1) % len(w.replicas)
@@ -85,17 +86,17 @@
 	}
 }
 
-func at(number int) func() int { return func() int { return number } }
+func only(number int) func() int { return func() int { return number } }
 
-// one way, and both.
+// Directions in which a replica can be isolated.
 const (
 	bothWays = "both ways"
 	outward  = "what it sends"
 	inward   = "what it is sent"
 )
 
-func (w *world) cut(number int, way string) {
-	w.note("cut off: %d, %s", number, way)
+func (w *world) isolate(number int, way string) {
+	w.logf("cut off: %d, %s", number, way)
 	for other := range w.replicas {
 		if other == number {
 			continue
@@ -109,9 +110,9 @@
 	}
 }
 
-// A replica is cut off while orders are taken on the majority's side, and operators read and replace at it the whole time: what it
-// answers has to fit into the one history. Afterwards it answers again.
-func TestACutOffReplicaKeepsToTheOneHistory(t *testing.T) {
+// A replica is isolated while operators write on the majority's side and others read and write at the isolated replica. All answers have
+// to form one linearizable history. Once healed, the replica answers again.
+func TestIsolatedReplicaStaysLinearizable(t *testing.T) {
 	for i, cut := range []struct {
 		role    role
 		way     string
@@ -130,12 +131,12 @@
 		{roleTail, inward, 8 * time.Second, false},
 	} {
 		t.Run(fmt.Sprintf("%s/%s/%v", cut.role, cut.way, cut.length), func(t *testing.T) {
-			play(t, uint64(i)+1, options{replicas: 3, tolerance: 1}, func(w *world) {
-				lost := w.holder(cut.role)
-				majority := w.move(0, 2000, 200*time.Millisecond, w.otherThan(lost))
+			runInWorld(t, uint64(i)+1, options{replicas: 3, tolerance: 1}, func(w *world) {
+				lost := w.replicaWithRole(cut.role)
+				majority := w.startReplacing(0, 2000, 200*time.Millisecond, w.allExcept(lost))
 				time.Sleep(2 * time.Second)
-				stale := w.move(1, 100_000, 100*time.Millisecond, at(lost))
-				w.cut(lost, cut.way)
+				stale := w.startReplacing(1, 100_000, 100*time.Millisecond, only(lost))
+				w.isolate(lost, cut.way)
 				if cut.restart {
 					time.Sleep(cut.length / 2)
 					w.replicas[lost].kill()
@@ -144,14 +145,14 @@
 				} else {
 					time.Sleep(cut.length)
 				}
-				before := majority.taken
-				w.note("healed")
+				before := majority.acknowledged
+				w.logf("healed")
 				w.net.HealAll()
 				time.Sleep(3 * time.Second)
 				majority.stop()
 				stale.stop()
-				require.Greater(t, before, int(cut.length/time.Second), "the majority stood still")
-				require.Equal(t, http.StatusOK, w.newOperator(2).read(lost).status, "it answers again")
+				require.Greater(t, before, int(cut.length/time.Second), "the majority made too little progress")
+				require.Equal(t, http.StatusOK, w.newOperator(2).read(lost).status, "the healed replica answers again")
 				w.requireRegister()
 			})
 		})
--- a/internal/system/simworld/dispatcher_test.go
+++ b/internal/system/simworld/dispatcher_test.go
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("%s:%d", dispatcherHost(number), frontendPort)
 }
 
-// dispatcher is an edge machine and, while it runs, its process.
+// dispatcher is a dispatcher's machine and, while it runs, its process.
 type dispatcher struct {
 	world   *world
 	number  int
@@ -48,12 +48,12 @@
 [bounds]
 gracePeriodS = 1
 `, d.number, d.host, internalPort, internalPort, strings.Join(seeds, `", "`), frontendAddress(d.number), d.host, readinessPort)
-	path := filepath.Join(d.world.folder, fmt.Sprintf("edge-%d.toml", d.number))
+	path := filepath.Join(d.world.dir, fmt.Sprintf("edge-%d.toml", d.number))
 	require.NoError(d.world.t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// start runs a dispatcher that knows these seeds.
+// start starts a dispatcher with these seed nodes.
 func (d *dispatcher) start(seeds []string) {
 	d.process = newProcess(d.world.net, d.host)
 	running, err := dataplane.Start(d.writeSettings(seeds), d.world.logger(fmt.Sprintf("edge-%d", d.number)),
@@ -70,5 +70,5 @@
 	running := d.running
 	d.running = nil
 	d.process.end()
-	d.world.endings.Go(func() { _ = running.Stop() })
+	d.world.background.Go(func() { _ = running.Stop() })
 }
--- a/internal/system/simworld/farm_test.go
+++ b/internal/system/simworld/farm_test.go
@@ -20,7 +20,7 @@
 
 func workerHost(number int) string { return fmt.Sprintf("10.0.2.%d", number+1) }
 
-// farm is the workers and the platform's list of them.
+// farm is the workers and the platform that lists them.
 type farm struct {
 	*hollow.World
 	workers []*hollow.Worker
@@ -48,7 +48,7 @@
 	require.NoError(w.t, err)
 	server := &http.Server{Handler: handler, ErrorLog: log.New(io.Discard, "", 0)}
 	f.servers = append(f.servers, server)
-	w.endings.Go(func() { _ = server.Serve(listener) })
+	w.background.Go(func() { _ = server.Serve(listener) })
 }
 
 func (f *farm) close() {
--- a/internal/system/simworld/jobs_test.go
+++ b/internal/system/simworld/jobs_test.go
@@ -13,33 +13,33 @@
 
 const jobBody = `{"spec":"(text)","stages":[{"count":1,"cpu":500,"memMb":64,"estimatedMs":200}]}`
 
-// callPatience is longer than any replica works for an answer.
-const callPatience = 10 * time.Second
+// callTimeout is longer than any replica works on a call.
+const callTimeout = 10 * time.Second
 
-// submitAt hands a job in at a replica, as a dispatcher does.
+// submitAt submits a job at a replica, as a dispatcher does.
 func (w *world) submitAt(replica int, id uint64, route string) internalapi.JobReply {
 	return w.jobCall(replica, internalapi.MethodSubmit, internalapi.SubmitArgs{ID: id, Route: route, Body: []byte(jobBody)})
 }
 
 func (w *world) jobCall(replica int, method string, args any) internalapi.JobReply {
 	var reply internalapi.JobReply
-	err := w.console.Call(internalAddress(replica), method, args, &reply, callPatience)
+	err := w.console.Call(internalAddress(replica), method, args, &reply, callTimeout)
 	require.NoError(w.t, err, "seed %d: %s at %d", w.seed, method, replica)
 	return reply
 }
 
-// atOnce is how soon a replica says that it can't know.
-const atOnce = 10 * time.Millisecond
+// immediate is the time within which an isolated replica must refuse a call.
+const immediate = 10 * time.Millisecond
 
-// A replica that is cut off decides no job and shows none once its permission is over, whatever its place was: it says so at once.
-func TestACutOffReplicaDecidesNoJob(t *testing.T) {
+// An isolated replica, whatever its role, decides no job and shows none once its lease or read permission has expired. It refuses at once.
+func TestIsolatedReplicaDecidesNoJob(t *testing.T) {
 	for i, struck := range []role{roleHead, roleMiddle, roleTail} {
 		t.Run(string(struck), func(t *testing.T) {
-			play(t, uint64(i)+1, options{replicas: 3, tolerance: 1}, func(w *world) {
+			runInWorld(t, uint64(i)+1, options{replicas: 3, tolerance: 1}, func(w *world) {
 				w.configure()
-				require.Equal(t, internalapi.Done, w.submitAt(w.holder(roleHead), 1, "barn").Verdict)
-				lost := w.holder(struck)
-				w.cut(lost, bothWays)
+				require.Equal(t, internalapi.Done, w.submitAt(w.replicaWithRole(roleHead), 1, "barn").Verdict)
+				lost := w.replicaWithRole(struck)
+				w.isolate(lost, bothWays)
 				time.Sleep(time.Second)
 				for range 20 {
 					began := time.Now()
@@ -55,7 +55,7 @@
 					} {
 						assert.Equal(t, internalapi.NotHead, reply.Verdict)
 					}
-					assert.Less(t, time.Since(began), 8*atOnce)
+					assert.Less(t, time.Since(began), 8*immediate)
 					time.Sleep(300 * time.Millisecond)
 				}
 			})
@@ -63,28 +63,28 @@
 	}
 }
 
-// A job that a head has appended and can't get committed is neither taken nor refused: it may still be in what its successors hold.
-func TestAJobInFlightStaysInDoubt(t *testing.T) {
-	play(t, 1, options{replicas: 3, tolerance: 1}, func(w *world) {
+// A job that a head has appended and cannot commit is neither accepted nor refused: its successors may still commit it.
+func TestUncommittedJobIsInDoubt(t *testing.T) {
+	runInWorld(t, 1, options{replicas: 3, tolerance: 1}, func(w *world) {
 		w.configure()
-		head := w.holder(roleHead)
+		head := w.replicaWithRole(roleHead)
 		for other := range w.replicas {
 			w.net.Cut(replicaHost(other), replicaHost(head))
 		}
-		assert.Equal(t, internalapi.InDoubt, w.submitAt(head, 1, "barn").Verdict, "the successors have it, the head hears nothing")
+		assert.Equal(t, internalapi.InDoubt, w.submitAt(head, 1, "barn").Verdict, "the successors have the job, the head gets no acknowledgement")
 		next := w.awaitHead(2)
 		require.NotEqual(t, head, next)
 		status := w.jobCall(next, internalapi.MethodStatus, internalapi.StatusArgs{ID: 1})
-		assert.Equal(t, internalapi.Done, status.Verdict, "it was taken")
+		assert.Equal(t, internalapi.Done, status.Verdict, "the successors accepted the job")
 	})
 }
 
-// A job that was accepted is accepted again, also when its queue is gone.
-func TestAnAcceptedJobIsAcceptedAgain(t *testing.T) {
-	play(t, 1, options{replicas: 3, tolerance: 1}, func(w *world) {
+// A repeated submission of an accepted job is accepted again, also after its queue was removed.
+func TestRepeatedSubmitIsAcceptedAgain(t *testing.T) {
+	runInWorld(t, 1, options{replicas: 3, tolerance: 1}, func(w *world) {
 		w.configure()
 		operator := w.newOperator(0)
-		head := w.holder(roleHead)
+		head := w.replicaWithRole(roleHead)
 		second := order{base: 1, version: 2, mark: 3000}.withRoute("new")
 		require.Equal(t, http.StatusOK, operator.replace(head, second).status)
 		require.Equal(t, internalapi.Done, w.submitAt(head, 1, "new").Verdict)
@@ -94,12 +94,12 @@
 	})
 }
 
-// What was accepted is known to whoever asks next, at the tail too, which learns last that it is committed.
-func TestAnAcceptedJobIsKnownAtOnce(t *testing.T) {
-	play(t, 1, options{replicas: 3, tolerance: 1}, func(w *world) {
+// An accepted job is visible in the next read, also at the tail, which is the last to learn that it is committed.
+func TestAcceptedJobIsVisibleAtOnce(t *testing.T) {
+	runInWorld(t, 1, options{replicas: 3, tolerance: 1}, func(w *world) {
 		w.configure()
 		time.Sleep(time.Second) // the tail has its permission
-		head, tail := w.holder(roleHead), w.holder(roleTail)
+		head, tail := w.replicaWithRole(roleHead), w.replicaWithRole(roleTail)
 		for id := range uint64(20) {
 			require.Equal(t, internalapi.Done, w.submitAt(head, id+1, "barn").Verdict)
 			status := w.jobCall(tail, internalapi.MethodStatus, internalapi.StatusArgs{ID: id + 1})
@@ -111,12 +111,12 @@
 	})
 }
 
-// A cancel that was answered is in force for whoever asks next.
-func TestACancelledJobIsShownAsSuchAtOnce(t *testing.T) {
-	play(t, 2, options{replicas: 3, tolerance: 1}, func(w *world) {
+// An acknowledged cancellation is visible in the next read.
+func TestCancellationIsVisibleAtOnce(t *testing.T) {
+	runInWorld(t, 2, options{replicas: 3, tolerance: 1}, func(w *world) {
 		w.configure()
 		time.Sleep(time.Second) // the tail has its permission
-		head, tail := w.holder(roleHead), w.holder(roleTail)
+		head, tail := w.replicaWithRole(roleHead), w.replicaWithRole(roleTail)
 		for id := range uint64(20) {
 			require.Equal(t, internalapi.Done, w.submitAt(head, id+1, "barn").Verdict)
 			require.Equal(t, internalapi.Done, w.jobCall(head, internalapi.MethodCancel, internalapi.CancelArgs{ID: id + 1}).Verdict)
@@ -126,15 +126,15 @@
 	})
 }
 
-// A job is shown at once, also while the tail holds what isn't committed yet, unless that may change it.
-func TestAJobWaitsForItsOwnChangesOnly(t *testing.T) {
-	play(t, 3, options{replicas: 3, tolerance: 1}, func(w *world) {
+// The tail answers a read of a job at once, even if it holds uncommitted entries, unless one of these may change the job.
+func TestReadWaitsForChangesOfItsJobOnly(t *testing.T) {
+	runInWorld(t, 3, options{replicas: 3, tolerance: 1}, func(w *world) {
 		w.configure()
 		time.Sleep(time.Second) // the tail has its permission
-		head, middle, tail := w.holder(roleHead), w.holder(roleMiddle), w.holder(roleTail)
+		head, middle, tail := w.replicaWithRole(roleHead), w.replicaWithRole(roleMiddle), w.replicaWithRole(roleTail)
 		require.Equal(t, internalapi.Done, w.submitAt(head, 1, "barn").Verdict)
 		time.Sleep(100 * time.Millisecond)
-		w.net.Cut(replicaHost(tail), replicaHost(middle)) // its acknowledgements are held up
+		w.net.Cut(replicaHost(tail), replicaHost(middle)) // delays its acknowledgements
 		submitted := make(chan internalapi.JobReply, 1)
 		go func() { submitted <- w.submitAt(head, 2, "barn") }()
 		time.Sleep(50 * time.Millisecond)
@@ -146,7 +146,7 @@
 		time.AfterFunc(80*time.Millisecond, w.net.HealAll)
 		status = w.jobCall(tail, internalapi.MethodStatus, internalapi.StatusArgs{ID: 2})
 		assert.Equal(t, internalapi.Done, status.Verdict)
-		assert.GreaterOrEqual(t, time.Since(began), 80*time.Millisecond, "it wasn't known to be taken before")
+		assert.GreaterOrEqual(t, time.Since(began), 80*time.Millisecond, "the tail could not know earlier that the job is committed")
 		assert.Equal(t, internalapi.Done, (<-submitted).Verdict)
 	})
 }
--- a/internal/system/simworld/once_test.go
+++ b/internal/system/simworld/once_test.go
@@ -13,12 +13,12 @@
 	"gaugeslip/internal/simnet"
 )
 
-// configure puts a first configuration in force and waits until every dispatcher has it.
+// configure applies a first configuration and waits until every dispatcher has it.
 func (w *world) configure() {
 	w.t.Helper()
 	operator := w.newOperator(9)
 	for try := 0; operator.replace(try%len(w.replicas), order{version: 1, mark: 2000}).status != http.StatusOK; try++ {
-		require.Less(w.t, try, 50, "seed %d: no configuration is taken", w.seed)
+		require.Less(w.t, try, 50, "seed %d: no configuration was accepted", w.seed)
 		time.Sleep(100 * time.Millisecond)
 	}
 	asking := w.newClient(200)
@@ -33,11 +33,11 @@
 	}
 }
 
-// visible is how long after a task's end its job's state may be told as before.
-const visible = 3 * time.Second
+// stateDelay is how long after the end of a task its job may still be shown in its earlier state.
+const stateDelay = 3 * time.Second
 
-// breaking is a plan under which every share-th connection ends at a byte that is drawn: by a reset, an early end, or in silence.
-func breaking(seed uint64, share, mostBytes int) simnet.Plan {
+// connectionBreaks is a plan in which one in share connections ends at a random byte: by a reset, an early end, or in silence.
+func connectionBreaks(seed uint64, share, mostBytes int) simnet.Plan {
 	random := rand.New(rand.NewPCG(seed, 5))
 	limit := func() simnet.Limit {
 		if random.IntN(share) > 0 {
@@ -48,19 +48,19 @@
 	return func(string, string, int) simnet.Fate { return simnet.Fate{Out: limit(), Back: limit()} }
 }
 
-// Connections of all kinds end at any byte of questions and answers: each accepted job runs to its end, none twice at once, and none
-// that was refused.
-func TestJobsUnderResetsEverywhere(t *testing.T) {
-	for _, seed := range seedsToPlay(t, 3) {
-		play(t, seed, options{replicas: 3, tolerance: 1, dispatchers: 2, workers: 4}, func(w *world) {
+// Connections of all kinds end at any byte of requests and responses. Each accepted job completes, no task runs twice at once, and no
+// refused job runs.
+func TestJobsRunOnceDespiteBrokenConnections(t *testing.T) {
+	for _, seed := range testSeeds(t, 3) {
+		runInWorld(t, seed, options{replicas: 3, tolerance: 1, dispatchers: 2, workers: 4}, func(w *world) {
 			w.configure()
-			w.net.SetPlan(breaking(seed, 3, 6000))
+			w.net.SetPlan(connectionBreaks(seed, 3, 6000))
 			var clients sync.WaitGroup
 			for number := range 4 {
 				c := w.newClient(number)
 				clients.Go(func() {
 					for range 12 {
-						c.submit(c.newJob(w.short()))
+						c.submit(c.newJob(w.shortStage()))
 						time.Sleep(150 * time.Millisecond)
 					}
 				})
@@ -68,13 +68,13 @@
 			clients.Wait()
 			w.net.SetPlan(nil)
 			w.requireJobs(20 * time.Second)
-			time.Sleep(visible)
+			time.Sleep(stateDelay)
 			require.Greater(t, w.requireStates(), 36, "seed %d", seed)
 		})
 	}
 }
 
-// requireStates asks for the state of every job that was accepted, and tells how many those are.
+// requireStates checks the state of every accepted job that was not cancelled, and returns their number.
 func (w *world) requireStates() int {
 	accepted := 0
 	for _, c := range w.clients {
--- a/internal/system/simworld/operator_test.go
+++ b/internal/system/simworld/operator_test.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	// tryPatience is how long an operator waits for one machine's answer, as a rule.
-	tryPatience = time.Second
-	unclear     = 0
-	configText  = `{"version":%d,"routes":[{"name":"barn","host":"farm.example","pathPrefix":"/barn/","type":"idempotent",` +
+	// attemptTimeout is how long an operator usually waits for one machine's response.
+	attemptTimeout = time.Second
+	unclear        = 0
+	configFormat   = `{"version":%d,"routes":[{"name":"barn","host":"farm.example","pathPrefix":"/barn/","type":"idempotent",` +
 		`"timeoutMs":%d,"targetLatencyMs":500,"backend":"farm","maxRetries":40,"extension":2}%s],"services":[{"name":"farm"}]}`
-	moreRoute = `,{"name":%q,"host":"farm.example","pathPrefix":"/%s/","type":"idempotent","timeoutMs":2000,"targetLatencyMs":500,` +
+	extraRouteFormat = `,{"name":%q,"host":"farm.example","pathPrefix":"/%s/","type":"idempotent","timeoutMs":2000,"targetLatencyMs":500,` +
 		`"backend":"farm","maxRetries":40,"extension":2}`
 )
 
-// order is what an operator asks for: a configuration, told from others of its number by its mark, on top of a base. A read has none.
+// order is an operator's request: a read, or a configuration that replaces the one with version base. The mark distinguishes
+// configurations of the same version.
 type order struct {
 	read          bool
 	base, version uint64
 	mark          int
-	route         string // one more than the others have; empty: none
+	route         string // an additional route; empty for none
 }
 
 func (o order) withRoute(name string) order {
@@ -38,31 +39,31 @@
 	return o
 }
 
-// body is the configuration of the order; its mark is its route's time-out in milliseconds.
+// body returns the configuration of the order. Its mark is the time-out of its route in milliseconds.
 func (o order) body() string {
 	more := ""
 	if o.route != "" {
-		more = fmt.Sprintf(moreRoute, o.route, o.route)
+		more = fmt.Sprintf(extraRouteFormat, o.route, o.route)
 	}
-	return fmt.Sprintf(configText, o.version, o.mark, more)
+	return fmt.Sprintf(configFormat, o.version, o.mark, more)
 }
 
-// answered is what came back, with the version and the mark of a read. The status of no clear answer is unclear.
-type answered struct {
+// callResult is the outcome of a call, for a read with the version and the mark. Without a definite answer the status is unclear.
+type callResult struct {
 	status  int
 	version uint64
 	mark    int
 	took    time.Duration
 }
 
-// history collects the operators' calls with their order in time.
+// history records the operators' calls with their order in time.
 type history struct {
 	clock atomic.Int64
 	mutex sync.Mutex
 	calls []porcupine.Operation
 }
 
-func (h *history) record(call order, make func() answered) answered {
+func (h *history) record(call order, make func() callResult) callResult {
 	began := h.clock.Add(1)
 	answer := make()
 	ended := h.clock.Add(1)
@@ -72,49 +73,49 @@
 	return answer
 }
 
-// operator calls machines by HTTP from a host of its own.
+// operator calls replicas by HTTP from a host of its own.
 type operator struct {
-	world    *world
-	http     *http.Transport
-	patience time.Duration // for one machine's answer
+	world   *world
+	http    *http.Transport
+	timeout time.Duration // for one machine's response
 }
 
 func (w *world) newOperator(number int) *operator {
 	dial := w.net.Dialer(fmt.Sprintf("10.0.4.%d", number+1))
-	return &operator{world: w, http: &http.Transport{DialContext: dial, DisableKeepAlives: true}, patience: tryPatience}
+	return &operator{world: w, http: &http.Transport{DialContext: dial, DisableKeepAlives: true}, timeout: attemptTimeout}
 }
 
-// read asks a replica for the configuration.
-func (o *operator) read(replica int) answered {
-	return o.world.history.record(order{read: true}, func() answered { return o.send(replica, order{read: true}) })
+// read reads the configuration from a replica.
+func (o *operator) read(replica int) callResult {
+	return o.world.history.record(order{read: true}, func() callResult { return o.send(replica, order{read: true}) })
 }
 
-// replace gives a replica an order.
-func (o *operator) replace(replica int, asked order) answered {
-	return o.world.history.record(asked, func() answered { return o.send(replica, asked) })
+// replace sends a configuration to a replica.
+func (o *operator) replace(replica int, asked order) callResult {
+	return o.world.history.record(asked, func() callResult { return o.send(replica, asked) })
 }
 
-func (o *operator) send(replica int, asked order) answered {
-	ctx, cancel := context.WithTimeout(context.Background(), o.patience)
+func (o *operator) send(replica int, asked order) callResult {
+	ctx, cancel := context.WithTimeout(context.Background(), o.timeout)
 	defer cancel()
 	began := time.Now()
 	answer := o.exchange(ctx, replica, asked)
 	answer.took = time.Since(began)
-	o.world.note("operator: %+v at %d: %+v", asked, replica, answer)
+	o.world.logf("operator: %+v at %d: %+v", asked, replica, answer)
 	return answer
 }
 
-func (o *operator) exchange(ctx context.Context, replica int, asked order) answered {
+func (o *operator) exchange(ctx context.Context, replica int, asked order) callResult {
 	response, err := o.http.RoundTrip(request(ctx, replica, asked))
 	if err != nil {
-		return answered{status: unclear}
+		return callResult{status: unclear}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return answered{status: unclear}
+		return callResult{status: unclear}
 	}
-	answer := answered{status: response.StatusCode}
+	answer := callResult{status: response.StatusCode}
 	if asked.read && response.StatusCode == http.StatusOK {
 		answer.version, answer.mark = versionAndMark(body)
 	}
--- a/internal/system/simworld/process_test.go
+++ b/internal/system/simworld/process_test.go
@@ -13,24 +13,24 @@
 	"gaugeslip/internal/simnet"
 )
 
-var errEnded = errors.New("the process has ended")
+var errEnded = errors.New("process has ended")
 
-// process is one life of a program on a host: its way to the network and its clock. Once it has ended, nothing that its goroutines
-// still do is seen outside.
+// process is one incarnation of a program on a host: its access to the network and its clock. Once it has ended, nothing that its
+// goroutines still do is visible outside.
 type process struct {
 	net   *simnet.Network
 	host  string
 	ended atomic.Bool
 
-	mutex    sync.Mutex
-	moved    *sync.Cond
-	frozen   bool
-	readings int // of the clock, down to a freeze; 0: none is planned
+	mutex        sync.Mutex
+	thawed       *sync.Cond
+	frozen       bool
+	readingsLeft int // clock readings until the process freezes; 0 if no freeze is planned
 }
 
 func newProcess(network *simnet.Network, host string) *process {
 	p := &process{net: network, host: host}
-	p.moved = sync.NewCond(&p.mutex)
+	p.thawed = sync.NewCond(&p.mutex)
 	return p
 }
 
@@ -58,21 +58,22 @@
 	return conn, nil
 }
 
-// now is the process's clock. A frozen process's loop has its reading after the freeze, as a thread that was stopped just before it.
-// Other goroutines may hold a mutex as they read, so they go on to where they read or send, and wait there.
+// now is the process's clock. While the process is frozen, the loop of a replica gets its reading after the freeze, like a thread that
+// was stopped just before reading. Other goroutines may hold a mutex while they read the clock, so they continue until they use the
+// network, and wait there.
 func (p *process) now() time.Time {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if (p.frozen || p.readings > 0) && calledByLoop() {
-		p.countDown()
+	if (p.frozen || p.readingsLeft > 0) && calledByLoop() {
+		p.countReading()
 		for p.frozen {
-			p.moved.Wait()
+			p.thawed.Wait()
 		}
 	}
 	return time.Now()
 }
 
-// calledByLoop tells whether the goroutine is the loop of a replica.
+// calledByLoop reports whether the goroutine is the loop of a replica.
 func calledByLoop() bool {
 	var callers [64]uintptr
 	frames := runtime.CallersFrames(callers[:runtime.Callers(2, callers[:])])
@@ -87,19 +88,19 @@
 	}
 }
 
-func (p *process) countDown() {
-	if p.readings == 0 {
+func (p *process) countReading() {
+	if p.readingsLeft == 0 {
 		return
 	}
-	p.readings--
-	if p.readings == 0 {
+	p.readingsLeft--
+	if p.readingsLeft == 0 {
 		p.frozen = true
 		time.AfterFunc(loopLag, p.stopIfFrozen)
 	}
 }
 
-// loopLag is by how much the loop stands still before the rest of the process: what comes in that time waits in the loop's queue, and is
-// the first that it works on after the freeze.
+// loopLag is how long the loop stands still before the rest of the process. Messages that arrive in that time wait in the loop's queue
+// and are processed first after the freeze.
 const loopLag = 5 * time.Millisecond
 
 func (p *process) stopIfFrozen() {
@@ -110,20 +111,20 @@
 	}
 }
 
-// freezeIn freezes the process at that reading of its clock from now on.
-func (p *process) freezeIn(readings int) {
+// freezeAfterReadings freezes the process at the given reading of its clock, counted from now.
+func (p *process) freezeAfterReadings(readings int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.readings = readings
+	p.readingsLeft = readings
 }
 
-// freeze stops the process: what it sends and reads from the network waits, and so does whoever reads its clock.
+// freeze stops the process: its network traffic waits, and so does its loop when it reads the clock.
 func (p *process) freeze() {
 	p.setFrozen(true)
 	p.net.Stop(p.host)
 }
 
-// thaw ends a freeze; the loop is the last to go on, so that what has come meanwhile waits for it.
+// thaw ends a freeze. The loop continues last, so that messages that arrived meanwhile are in its queue.
 func (p *process) thaw() {
 	p.net.Resume(p.host)
 	time.Sleep(loopLag)
@@ -134,11 +135,11 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.frozen = frozen
-	p.readings = 0
-	p.moved.Broadcast()
+	p.readingsLeft = 0
+	p.thawed.Broadcast()
 }
 
-// end cuts the process off from everything; its goroutines are then free to end.
+// end disconnects the process from the network; its goroutines can then end.
 func (p *process) end() {
 	p.ended.Store(true)
 	p.net.Kill(p.host)
--- a/internal/system/simworld/register_test.go
+++ b/internal/system/simworld/register_test.go
@@ -11,34 +11,34 @@
 	"github.com/stretchr/testify/require"
 )
 
-// registerState is all that was ever in force, the newest last, as text; the newest's number stands apart.
+// registerState is the register: the newest version and, as text, all configurations that were applied, the newest last.
 type registerState struct {
 	version uint64
-	taken   string
+	applied string
 }
 
 func (o order) text() string { return fmt.Sprintf("/%d:%d/", o.version, o.mark) }
 
-// register is the operators' API as one register with conditional writes, that answers the same order alike for ever.
+// register models the operators' API as one register with conditional writes. A repeated order always gets the same answer.
 func register() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return registerState{} },
 		Step: func(state, input, output any) (bool, any) {
-			return step(state.(registerState), input.(order), output.(answered))
+			return step(state.(registerState), input.(order), output.(callResult))
 		},
 		DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v: %+v", input, output) },
 	}
 }
 
-func step(now registerState, asked order, answer answered) (bool, registerState) {
+func step(now registerState, asked order, answer callResult) (bool, registerState) {
 	if asked.read {
 		if answer.status == http.StatusNotFound {
 			return now.version == 0, now
 		}
 		read := order{version: answer.version, mark: answer.mark}
-		return now.version == answer.version && strings.HasSuffix(now.taken, read.text()), now
+		return now.version == answer.version && strings.HasSuffix(now.applied, read.text()), now
 	}
-	known := strings.Contains(now.taken, asked.text())
+	known := strings.Contains(now.applied, asked.text())
 	fits := asked.base == now.version && asked.version > now.version
 	switch {
 	case answer.status == http.StatusOK && known:
@@ -49,17 +49,17 @@
 		return !known && asked.base != now.version, now
 	case answer.status == http.StatusBadRequest:
 		return !known && asked.version <= now.version, now
-	case fits && !known: // an order without a clear answer is taken where it fits, at the end of time if nowhere else
+	case fits && !known: // an order without a definite answer applies where it fits, at the latest at the end
 		return true, now.with(asked)
 	}
 	return true, now
 }
 
 func (s registerState) with(taken order) registerState {
-	return registerState{version: taken.version, taken: s.taken + taken.text()}
+	return registerState{version: taken.version, applied: s.applied + taken.text()}
 }
 
-func clear(answer answered) bool {
+func isDefinite(answer callResult) bool {
 	switch answer.status {
 	case http.StatusOK, http.StatusPreconditionFailed, http.StatusBadRequest, http.StatusNotFound:
 		return true
@@ -67,62 +67,62 @@
 	return false
 }
 
-// judged is the history for the checker: reads without an answer are left out, and so are orders without one that nothing builds on;
-// the other unclear ones last to the end.
-func (h *history) judged() []porcupine.Operation {
+// checkableOperations returns the history for the checker. It omits reads without an answer, and writes without one that no other
+// operation depends on. The other writes without a definite answer last to the end.
+func (h *history) checkableOperations() []porcupine.Operation {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	taken := h.ancestors()
+	taken := h.possiblyApplied()
 	end := h.clock.Add(1)
-	var judged []porcupine.Operation
+	var operations []porcupine.Operation
 	for _, operation := range h.calls {
-		asked, answer := operation.Input.(order), operation.Output.(answered)
-		if !clear(answer) {
-			if asked.read || !taken.mayHold(asked) {
+		asked, answer := operation.Input.(order), operation.Output.(callResult)
+		if !isDefinite(answer) {
+			if asked.read || !taken.includes(asked) {
 				continue
 			}
 			operation.Return = end
 		}
-		operation.ClientId = len(judged)
-		judged = append(judged, operation)
+		operation.ClientId = len(operations)
+		operations = append(operations, operation)
 	}
-	return slices.DeleteFunc(slices.Clone(judged), func(call porcupine.Operation) bool { return implied(call, judged, taken) })
+	return slices.DeleteFunc(slices.Clone(operations), func(call porcupine.Operation) bool { return isImplied(call, operations, taken) })
 }
 
-// implied tells whether a call that changes nothing fits wherever another fits that lies within its time: a read of the same, or for a
-// refusal a call that shows another number in force. Without those the checker has far less to try.
-func implied(call porcupine.Operation, judged []porcupine.Operation, taken known) bool {
-	asked, answer := call.Input.(order), call.Output.(answered)
-	var shows func(answered) bool
+// isImplied reports whether a call that changes nothing is valid wherever another call within its time is: a read of the same
+// configuration or, for a refusal, a read of another version. Omitting these calls greatly reduces the checker's search.
+func isImplied(call porcupine.Operation, operations []porcupine.Operation, taken mayHaveApplied) bool {
+	asked, answer := call.Input.(order), call.Output.(callResult)
+	var shows func(callResult) bool
 	switch {
 	case asked.read && answer.status == http.StatusOK:
-		shows = func(other answered) bool { return other.version == answer.version && other.mark == answer.mark }
-	case answer.status == http.StatusPreconditionFailed && !taken.mayHold(asked):
-		shows = func(other answered) bool { return other.version != asked.base }
+		shows = func(other callResult) bool { return other.version == answer.version && other.mark == answer.mark }
+	case answer.status == http.StatusPreconditionFailed && !taken.includes(asked):
+		shows = func(other callResult) bool { return other.version != asked.base }
 	default:
 		return false
 	}
-	return slices.ContainsFunc(judged, func(other porcupine.Operation) bool {
+	return slices.ContainsFunc(operations, func(other porcupine.Operation) bool {
 		within := other.Call > call.Call && other.Return < call.Return
-		read := other.Input.(order).read && other.Output.(answered).status == http.StatusOK
-		return within && read && shows(other.Output.(answered))
+		read := other.Input.(order).read && other.Output.(callResult).status == http.StatusOK
+		return within && read && shows(other.Output.(callResult))
 	})
 }
 
-// known is what may have been in force: each number with its mark, or with 0 where none is known.
-type known map[uint64]int
+// mayHaveApplied maps each version that may have been in force to its mark, or to 0 if the mark is not known.
+type mayHaveApplied map[uint64]int
 
-// mayHold tells whether the order may have been in force.
-func (k known) mayHold(asked order) bool {
+// includes reports whether the order may have been in force.
+func (k mayHaveApplied) includes(asked order) bool {
 	mark, found := k[asked.version]
 	return found && (mark == 0 || mark == asked.mark)
 }
 
-// ancestors are the configurations that were read or acknowledged, and the numbers that they build on.
-func (h *history) ancestors() known {
-	taken := known{}
+// possiblyApplied returns the configurations that were read or acknowledged, and the versions that they are based on.
+func (h *history) possiblyApplied() mayHaveApplied {
+	taken := mayHaveApplied{}
 	for _, operation := range h.calls {
-		asked, answer := operation.Input.(order), operation.Output.(answered)
+		asked, answer := operation.Input.(order), operation.Output.(callResult)
 		if answer.status == http.StatusOK {
 			taken[max(asked.version, answer.version)] = max(asked.mark, answer.mark)
 		}
@@ -131,7 +131,7 @@
 		grown = false
 		for _, operation := range h.calls {
 			asked := operation.Input.(order)
-			if _, found := taken[asked.base]; !asked.read && !found && taken.mayHold(asked) {
+			if _, found := taken[asked.base]; !asked.read && !found && taken.includes(asked) {
 				taken[asked.base], grown = 0, true
 			}
 		}
@@ -139,84 +139,84 @@
 	return taken
 }
 
-// requireRegister fails the test if the operators' histories aren't those of one register.
+// requireRegister fails the test if the operators' histories are not linearizable as one register.
 func (w *world) requireRegister() {
 	w.t.Helper()
-	judged := w.history.judged()
-	w.requireOrder(judged)
-	if porcupine.CheckOperations(register(), judged) {
+	operations := w.history.checkableOperations()
+	w.requireOrder(operations)
+	if porcupine.CheckOperations(register(), operations) {
 		return
 	}
-	_, info := porcupine.CheckOperationsVerbose(register(), judged, 0)
+	_, info := porcupine.CheckOperationsVerbose(register(), operations, 0)
 	var longest []porcupine.Operation
 	for _, found := range info.PartialLinearizationsOperations()[0] {
 		if len(found) > len(longest) {
 			longest = found
 		}
 	}
-	left := slices.DeleteFunc(slices.Clone(judged), func(call porcupine.Operation) bool {
+	left := slices.DeleteFunc(slices.Clone(operations), func(call porcupine.Operation) bool {
 		return slices.ContainsFunc(longest, func(fits porcupine.Operation) bool { return fits.ClientId == call.ClientId })
 	})
 	slices.SortFunc(left, func(a, b porcupine.Operation) int { return int(a.Call - b.Call) })
 	var lines strings.Builder
-	fmt.Fprintf(&lines, "the longest beginning that is:\n")
-	for _, operation := range longest[max(0, len(longest)-shownCalls):] {
-		show(&lines, operation)
+	fmt.Fprintf(&lines, "the end of the longest linearizable prefix:\n")
+	for _, operation := range longest[max(0, len(longest)-maxShownCalls):] {
+		writeOperation(&lines, operation)
 	}
-	fmt.Fprintf(&lines, "what doesn't fit any more, first:\n")
-	for _, operation := range left[:min(len(left), shownCalls)] {
-		show(&lines, operation)
+	fmt.Fprintf(&lines, "the first operations after it:\n")
+	for _, operation := range left[:min(len(left), maxShownCalls)] {
+		writeOperation(&lines, operation)
 	}
-	require.FailNow(w.t, "the operators' histories aren't those of one register", "seed %d\n%s", w.seed, lines.String())
+	require.FailNow(w.t, "the operators' histories are not linearizable", "seed %d\n%s", w.seed, lines.String())
 }
 
-// requireOrder fails the test where a call shows an older configuration than one that had ended before it began: porcupine would find
-// that too, after a long search.
-func (w *world) requireOrder(judged []porcupine.Operation) {
+// requireOrder fails the test if a call returns an older configuration than a call that had ended before it began. Porcupine would find
+// that too, but after a long search.
+func (w *world) requireOrder(operations []porcupine.Operation) {
 	w.t.Helper()
 	shown := func(operation porcupine.Operation) uint64 {
-		if answer := operation.Output.(answered); answer.status == http.StatusOK {
+		if answer := operation.Output.(callResult); answer.status == http.StatusOK {
 			return answer.version
 		}
 		return 0
 	}
-	for _, later := range judged {
+	for _, later := range operations {
 		if shown(later) == 0 {
 			continue
 		}
-		for _, earlier := range judged {
-			if earlier.Return < later.Call && newest(earlier) > shown(later) {
+		for _, earlier := range operations {
+			if earlier.Return < later.Call && newestVersion(earlier) > shown(later) {
 				var lines strings.Builder
-				show(&lines, earlier)
-				show(&lines, later)
-				require.FailNow(w.t, "a read shows what is older", "seed %d\n%s", w.seed, lines.String())
+				writeOperation(&lines, earlier)
+				writeOperation(&lines, later)
+				require.FailNow(w.t, "a call returns an older configuration than an earlier call", "seed %d\n%s", w.seed, lines.String())
 			}
 		}
 	}
 }
 
-// newest is the number that was in force for sure when the call ended; 0: it doesn't tell.
-func newest(operation porcupine.Operation) uint64 {
-	asked, answer := operation.Input.(order), operation.Output.(answered)
+// newestVersion returns the version that was certainly in force when the call ended, or 0 if the call does not show one.
+func newestVersion(operation porcupine.Operation) uint64 {
+	asked, answer := operation.Input.(order), operation.Output.(callResult)
 	if answer.status != http.StatusOK {
 		return 0
 	}
 	return max(asked.version, answer.version)
 }
 
-// shownCalls is how many calls before and after the first that doesn't fit are shown.
-const shownCalls = 8
+// maxShownCalls limits the calls printed before and after the first one that is not linearizable.
+const maxShownCalls = 8
 
-func show(lines *strings.Builder, operation porcupine.Operation) {
+func writeOperation(lines *strings.Builder, operation porcupine.Operation) {
 	fmt.Fprintf(lines, "%d to %d: %+v: %+v\n", operation.Call, operation.Return, operation.Input, operation.Output)
 }
 
-func TestTheRegisterModel(t *testing.T) {
+func TestRegisterModel(t *testing.T) {
 	read := func(version uint64, mark int) porcupine.Operation {
-		return porcupine.Operation{Input: order{read: true}, Output: answered{status: 200, version: version, mark: mark}}
+		return porcupine.Operation{Input: order{read: true}, Output: callResult{status: 200, version: version, mark: mark}}
 	}
 	write := func(base, version uint64, mark, status int) porcupine.Operation {
-		return porcupine.Operation{Input: order{base: base, version: version, mark: mark}, Output: answered{status: status}}
+		return porcupine.Operation{Input: order{base: base, version: version, mark: mark}, Output: callResult{status: status}}
 	}
 	for name, test := range map[string]struct {
 		sound bool
@@ -240,6 +240,6 @@
 			h.calls = append(h.calls, call)
 			h.clock.Store(int64(2*i + 2))
 		}
-		require.Equal(t, test.sound, porcupine.CheckOperations(register(), h.judged()), name)
+		require.Equal(t, test.sound, porcupine.CheckOperations(register(), h.checkableOperations()), name)
 	}
 }
--- a/internal/system/simworld/repeats_test.go
+++ b/internal/system/simworld/repeats_test.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// copies is how many operators' calls may be under way at once.
-	copies = 8
-	// callsEnd is longer than a replica works on an order whose caller has gone.
-	callsEnd = 5 * time.Second
+	// concurrentCopies is the number of copies of an order that are sent at once, which is the limit of operators' concurrent calls.
+	concurrentCopies = 8
+	// abandonedCallTime is longer than a replica works on an order whose caller has disconnected.
+	abandonedCallTime = 5 * time.Second
 )
 
-// atOnce sends copies of an order to all replicas at once.
-func (w *world) atOnce(o *operator, asked order) []answered {
-	answers := make([]answered, copies)
+// replaceConcurrently sends copies of an order to all replicas at once.
+func (w *world) replaceConcurrently(o *operator, asked order) []callResult {
+	answers := make([]callResult, concurrentCopies)
 	var all sync.WaitGroup
 	for i := range answers {
 		all.Go(func() { answers[i] = o.replace(i%len(w.replicas), asked) })
@@ -32,10 +32,10 @@
 	return answers
 }
 
-// until sends an order to one replica after the other until there is a clear answer.
-func (w *world) until(o *operator, asked order) int {
+// replaceUntilAnswered sends an order to one replica after the other until there is a definite answer.
+func (w *world) replaceUntilAnswered(o *operator, asked order) int {
 	for i := range 100 {
-		if answer := o.replace(i%len(w.replicas), asked); clear(answer) {
+		if answer := o.replace(i%len(w.replicas), asked); isDefinite(answer) {
 			return answer.status
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -43,10 +43,10 @@
 	return unclear
 }
 
-// requestHead is more than the head of an operator's request has: one whose stream ends in there is refused by net/http.
-const requestHead = 250
+// maxRequestHeader is larger than the header of an operator's request. net/http refuses a request whose stream ends in the header.
+const maxRequestHeader = 250
 
-// loseAnswers has every other connection of operators to replicas, and of replicas to each other, end at a drawn byte.
+// loseAnswers ends every other connection at a random byte, both of operators to replicas and between replicas.
 func (w *world) loseAnswers() {
 	random := rand.New(rand.NewPCG(w.seed, 77))
 	var mutex sync.Mutex
@@ -60,7 +60,7 @@
 			return simnet.Fate{Back: limit}
 		case 1:
 			if limit.Then == simnet.Finish {
-				limit.Bytes += requestHead
+				limit.Bytes += maxRequestHeader
 			}
 			return simnet.Fate{Out: limit}
 		}
@@ -68,22 +68,22 @@
 	})
 }
 
-// Operators race under the same numbers, send eight copies at once and old orders again, while connections end within the order or its
-// answer and the head hands over, ends and loses its power. Each order that was taken is confirmed to the end.
-func TestOrdersWhoseAnswersAreLostAreConfirmedAnew(t *testing.T) {
-	for _, seed := range seedsToPlay(t, 3) {
-		play(t, seed, options{replicas: 3, tolerance: 1}, func(w *world) {
-			defer time.Sleep(callsEnd)
+// Operators write concurrently with the same versions, send eight copies at once and repeat old orders. Meanwhile connections end within
+// the order or its answer, and the head hands over, is killed or loses power. Every acknowledged order is confirmed whenever repeated.
+func TestRepeatedReplaceIsConfirmedAfterLostAnswers(t *testing.T) {
+	for _, seed := range testSeeds(t, 3) {
+		runInWorld(t, seed, options{replicas: 3, tolerance: 1}, func(w *world) {
+			defer time.Sleep(abandonedCallTime)
 			w.awaitHead(3)
 			o := w.newOperator(0)
-			require.Equal(t, http.StatusOK, w.until(o, order{version: 1, mark: 1}))
+			require.Equal(t, http.StatusOK, w.replaceUntilAnswered(o, order{version: 1, mark: 1}))
 			w.loseAnswers()
-			race := w.race(3, 500*time.Millisecond)
+			race := w.startConcurrentWriters(3, 500*time.Millisecond)
 			for round := range 5 {
-				read := o.read(w.draw(3))
+				read := o.read(w.randomIntN(3))
 				asked := order{base: read.version, version: read.version + 1, mark: 100 + round}
 				var sent sync.WaitGroup
-				sent.Go(func() { w.atOnce(o, asked) })
+				sent.Go(func() { w.replaceConcurrently(o, asked) })
 				w.changeHead(round)
 				sent.Wait()
 				time.Sleep(time.Second)
@@ -91,16 +91,16 @@
 			w.net.SetPlan(nil)
 			race.stop()
 			w.awaitHead(3)
-			for _, taken := range race.taken {
-				assert.Equal(t, http.StatusOK, w.until(o, taken), "seed %d: %+v", seed, taken)
+			for _, taken := range race.acknowledged {
+				assert.Equal(t, http.StatusOK, w.replaceUntilAnswered(o, taken), "seed %d: %+v", seed, taken)
 			}
-			require.Greater(t, len(race.taken), 4, "seed %d", seed)
+			require.Greater(t, len(race.acknowledged), 4, "seed %d", seed)
 			w.requireRegister()
 		})
 	}
 }
 
-// changeHead takes the head's place away from whoever has it.
+// changeHead makes the present head lose its role, in the given way.
 func (w *world) changeHead(way int) {
 	head := w.awaitHead(0)
 	switch way % 4 {
--- a/internal/system/simworld/replica_test.go
+++ b/internal/system/simworld/replica_test.go
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("%s:%d", replicaHost(number), internalPort)
 }
 
-// replica is a core machine with its disk and, while it runs, its process.
+// replica is a replica's machine with its disk and, while it runs, its process.
 type replica struct {
 	world   *world
 	number  int
@@ -58,18 +58,18 @@
 		Clock: r.process.now})
 	require.NoError(r.world.t, err, "seed %d", r.world.seed)
 	r.node = node
-	r.world.watch(r, node)
+	r.world.watchInvariants(r, node)
 }
 
 func (r *replica) up() bool { return r.node != nil }
 
-// kill ends the process; what was written to the disk stays.
+// kill ends the process. The data written to the disk remains.
 func (r *replica) kill() { r.endWith(r.disk.Restart) }
 
-// losePower ends the process; of what wasn't synced any part is lost.
+// losePower ends the process. Any part of the unsynced data is lost.
 func (r *replica) losePower() { r.endWith(r.disk.PowerLoss) }
 
-// loseDisk ends the process, and an empty disk takes the place of its own.
+// loseDisk ends the process and replaces the disk by an empty one.
 func (r *replica) loseDisk() { r.endWith(r.disk.Wipe) }
 
 func (r *replica) endWith(end func()) {
@@ -80,12 +80,12 @@
 	r.node = nil
 	end()
 	r.process.end()
-	r.world.endings.Go(node.Close)
+	r.world.background.Go(node.Close)
 }
 
 func (r *replica) freeze() { r.process.freeze() }
 
-// freezeWithin freezes the process just before so many more readings of its clock.
-func (r *replica) freezeWithin(readings int) { r.process.freezeIn(readings) }
+// freezeAfterReadings freezes the process just before the given reading of its clock, counted from now.
+func (r *replica) freezeAfterReadings(readings int) { r.process.freezeAfterReadings(readings) }
 
 func (r *replica) thaw() { r.process.thaw() }
--- a/internal/system/simworld/trouble_test.go
+++ b/internal/system/simworld/trouble_test.go
@@ -8,21 +8,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// troubles are the faults that the random runs draw from. Each has a replica and ends itself.
-var troubles = []struct {
+// faultKinds are the faults that the random runs draw from. Each hits one replica and ends by itself.
+var faultKinds = []struct {
 	name string
 	act  func(w *world, r *replica, length time.Duration)
 }{
-	{"cut both ways", func(w *world, r *replica, length time.Duration) { w.cutFor(r, bothWays, length) }},
-	{"cut what it sends", func(w *world, r *replica, length time.Duration) { w.cutFor(r, outward, length) }},
-	{"cut what it is sent", func(w *world, r *replica, length time.Duration) { w.cutFor(r, inward, length) }},
+	{"cut both ways", func(w *world, r *replica, length time.Duration) { w.isolateFor(r, bothWays, length) }},
+	{"cut what it sends", func(w *world, r *replica, length time.Duration) { w.isolateFor(r, outward, length) }},
+	{"cut what it is sent", func(w *world, r *replica, length time.Duration) { w.isolateFor(r, inward, length) }},
 	{"freeze", func(w *world, r *replica, length time.Duration) {
 		r.freeze()
 		time.Sleep(length)
 		r.thaw()
 	}},
 	{"freeze within", func(w *world, r *replica, length time.Duration) {
-		r.freezeWithin(1 + w.draw(40))
+		r.freezeAfterReadings(1 + w.randomIntN(40))
 		time.Sleep(length)
 		r.thaw()
 	}},
@@ -30,7 +30,7 @@
 	{"power loss", func(w *world, r *replica, length time.Duration) { w.downFor(r, r.losePower, length) }},
 	{"disk loss", func(w *world, r *replica, length time.Duration) { w.downFor(r, r.loseDisk, length) }},
 	{"cut and restart", func(w *world, r *replica, length time.Duration) {
-		w.cut(r.number, bothWays)
+		w.isolate(r.number, bothWays)
 		time.Sleep(length / 2)
 		w.downFor(r, r.kill, length/4)
 		time.Sleep(length / 4)
@@ -46,8 +46,8 @@
 	}},
 }
 
-func (w *world) cutFor(r *replica, way string, length time.Duration) {
-	w.cut(r.number, way)
+func (w *world) isolateFor(r *replica, way string, length time.Duration) {
+	w.isolate(r.number, way)
 	time.Sleep(length)
 	w.net.HealAll()
 }
@@ -58,43 +58,43 @@
 	r.start(false)
 }
 
-func (w *world) draw(below int) int {
+func (w *world) randomIntN(below int) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.random.IntN(below)
 }
 
-// plague brings so many faults about, one after the other, each once the chain is whole again.
-func (w *world) plague(faults int) {
+// injectFaults injects the given number of random faults. Each starts once the chain is complete again.
+func (w *world) injectFaults(faults int) {
 	for range faults {
-		chosen := troubles[w.draw(len(troubles))]
-		struck := w.replicas[w.draw(len(w.replicas))]
-		length := time.Duration(200+w.draw(5000)) * time.Millisecond
-		w.note("%s of %d for %v", chosen.name, struck.number, length)
+		chosen := faultKinds[w.randomIntN(len(faultKinds))]
+		struck := w.replicas[w.randomIntN(len(w.replicas))]
+		length := time.Duration(200+w.randomIntN(5000)) * time.Millisecond
+		w.logf("%s of %d for %v", chosen.name, struck.number, length)
 		chosen.act(w, struck, length)
 		w.awaitHead(len(w.replicas))
-		time.Sleep(time.Duration(w.draw(1500)) * time.Millisecond)
+		time.Sleep(time.Duration(w.randomIntN(1500)) * time.Millisecond)
 	}
 }
 
-// Faults of every kind come one after the other, while operators race, clients hand jobs in and cancel others.
-func TestRandomTroubles(t *testing.T) {
-	for _, seed := range seedsToPlay(t, 4) {
-		play(t, seed, options{replicas: 3, tolerance: 1, dispatchers: 2, workers: 4}, func(w *world) {
+// Random faults occur one after the other while operators write concurrently and clients submit and cancel jobs.
+func TestRandomFaults(t *testing.T) {
+	for _, seed := range testSeeds(t, 4) {
+		runInWorld(t, seed, options{replicas: 3, tolerance: 1, dispatchers: 2, workers: 4}, func(w *world) {
 			w.configure()
-			race := w.race(4, 600*time.Millisecond)
+			race := w.startConcurrentWriters(4, 600*time.Millisecond)
 			stop := make(chan struct{})
 			var clients sync.WaitGroup
 			for number := range 3 {
 				c := w.newClient(number)
-				clients.Go(func() { c.work(stop) })
+				clients.Go(func() { c.submitAndCancel(stop) })
 			}
-			w.plague(6)
+			w.injectFaults(6)
 			close(stop)
 			clients.Wait()
 			taken := race.stop()
 			w.requireJobs(30 * time.Second)
-			time.Sleep(visible)
+			time.Sleep(stateDelay)
 			w.requireStates()
 			w.newOperator(0).read(w.tail())
 			require.Greater(t, taken, 10, "seed %d", seed)
@@ -103,16 +103,16 @@
 	}
 }
 
-// work hands jobs in until it is stopped, and cancels some.
-func (c *client) work(stop <-chan struct{}) {
+// submitAndCancel submits jobs until it is stopped, and cancels some.
+func (c *client) submitAndCancel(stop <-chan struct{}) {
 	for number := 0; ; number++ {
 		if number%5 == 4 {
-			endless := c.newJob(long())
+			endless := c.newJob(endlessStage())
 			c.submit(endless)
 			time.Sleep(300 * time.Millisecond)
 			c.cancel(endless)
 		} else {
-			c.submit(c.newJob(c.world.short()))
+			c.submit(c.newJob(c.world.shortStage()))
 		}
 		select {
 		case <-stop:
--- a/internal/system/simworld/whole_test.go
+++ b/internal/system/simworld/whole_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var small = options{replicas: 3, tolerance: 1, dispatchers: 1, workers: 2}
+var smallWorld = options{replicas: 3, tolerance: 1, dispatchers: 1, workers: 2}
 
-func TestAWorldTakesAConfiguration(t *testing.T) {
-	play(t, 1, small, func(w *world) {
+func TestConfigurationIsReplaced(t *testing.T) {
+	runInWorld(t, 1, smallWorld, func(w *world) {
 		operator := w.newOperator(0)
 		require.Equal(t, 200, operator.replace(w.awaitHead(3), order{version: 1, mark: 2000}).status)
 		time.Sleep(time.Second)
--- a/internal/system/simworld/world_test.go
+++ b/internal/system/simworld/world_test.go
@@ -21,60 +21,61 @@
 )
 
 const (
-	// seedVariable has the random runs play that one seed only, roundsVariable as many seeds as it says.
+	// seedVariable names the environment variable that limits the random runs to one seed. roundsVariable names the one that sets the
+	// number of seeds.
 	seedVariable   = "SIMWORLD_SEED"
 	roundsVariable = "SIMWORLD_ROUNDS"
-	// logVariable names a file to which the processes of a failed world write what they have logged.
+	// logVariable names the environment variable with the file that receives the log of a failed test.
 	logVariable = "SIMWORLD_LOG"
 
 	consoleHost = "10.0.6.1"
 )
 
-// options say how large a world is.
+// options are the size of a world.
 type options struct {
 	replicas, tolerance  int
 	dispatchers, workers int
 }
 
-// world is all the machines of one run.
+// world is all machines of one test run.
 type world struct {
-	t       *testing.T
-	seed    uint64
-	options options
-	random  *rand.Rand
-	net     *simnet.Network
-	folder  string
-	began   time.Time
+	t         *testing.T
+	seed      uint64
+	options   options
+	random    *rand.Rand
+	net       *simnet.Network
+	dir       string
+	startedAt time.Time
 
 	replicas    []*replica
 	dispatchers []*dispatcher
 	farm        *farm
-	console     *transport.Client // an operator's command line
+	console     *transport.Client // the transport of an operator's command line
 	history     history
 	clients     []*client
-	// endings are the ends of processes that were killed, and the servers of the farm.
-	endings sync.WaitGroup
+	// background counts the goroutines that stop killed processes, serve the farm and watch replicas.
+	background sync.WaitGroup
 
 	mutex sync.Mutex
 	logs  bytes.Buffer
 	stop  chan struct{}
 }
 
-// play runs a body in a world of its own, inside a bubble. The world is whole and has its head when the body begins.
-func play(t *testing.T, seed uint64, options options, body func(w *world)) {
+// runInWorld runs body in a new world inside a bubble. The world has a head when body starts.
+func runInWorld(t *testing.T, seed uint64, options options, body func(w *world)) {
 	t.Helper()
-	folder := t.TempDir()
+	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, seed, options, folder)
-		defer w.close()
+		w := newWorld(t, seed, options, dir)
+		defer w.shutDown()
 		w.awaitHead(0)
 		body(w)
 	})
 }
 
-func newWorld(t *testing.T, seed uint64, options options, folder string) *world {
-	w := &world{t: t, seed: seed, options: options, random: rand.New(rand.NewPCG(seed, 11)), net: simnet.New(seed), folder: folder,
-		began: time.Now(), stop: make(chan struct{})}
+func newWorld(t *testing.T, seed uint64, options options, dir string) *world {
+	w := &world{t: t, seed: seed, options: options, random: rand.New(rand.NewPCG(seed, 11)), net: simnet.New(seed), dir: dir,
+		startedAt: time.Now(), stop: make(chan struct{})}
 	w.console = transport.NewClient(transport.Options{Dial: w.net.Dialer(consoleHost)})
 	w.farm = w.newFarm(options.workers)
 	for number := range options.replicas {
@@ -91,8 +92,8 @@
 	return w
 }
 
-// close ends everything, so that no goroutine is left in the bubble.
-func (w *world) close() {
+// shutDown stops everything, so that no goroutine is left in the bubble.
+func (w *world) shutDown() {
 	close(w.stop)
 	w.net.HealAll()
 	w.net.SetPlan(nil)
@@ -107,8 +108,8 @@
 	}
 	w.farm.close()
 	_ = w.console.Close()
-	time.Sleep(callPatience) // until handlers that nobody waits for have ended
-	w.endings.Wait()
+	time.Sleep(callTimeout) // until the handlers of abandoned calls have returned
+	w.background.Wait()
 	if path := os.Getenv(logVariable); path != "" && w.t.Failed() {
 		require.NoError(w.t, os.WriteFile(path, w.logs.Bytes(), 0o600))
 	}
@@ -122,12 +123,12 @@
 	return seeds
 }
 
-// logger notes what a process logs, with the time since the world's beginning.
+// logger returns a logger that writes to the world's log, with the time since the start of the world.
 func (w *world) logger(name string) *log.Logger {
 	return log.NewWithOptions(&worldLog{world: w, name: name}, log.Options{})
 }
 
-// worldLog is one process's part of the world's log.
+// worldLog writes the lines of one process to the world's log.
 type worldLog struct {
 	world *world
 	name  string
@@ -137,40 +138,40 @@
 func (l *worldLog) Write(line []byte) (int, error) {
 	l.world.mutex.Lock()
 	defer l.world.mutex.Unlock()
-	fmt.Fprintf(&l.world.logs, "%10.3f %s ", time.Since(l.world.began).Seconds(), l.name)
+	fmt.Fprintf(&l.world.logs, "%10.3f %s ", time.Since(l.world.startedAt).Seconds(), l.name)
 	return l.world.logs.Write(line)
 }
 
-// note writes what the test does into the log.
-func (w *world) note(format string, arguments ...any) {
+// logf writes an action of the test to the log.
+func (w *world) logf(format string, arguments ...any) {
 	fmt.Fprintf(&worldLog{world: w, name: "TEST"}, format+"\n", arguments...)
 }
 
-// watch fails the test when a replica finds an invariant broken.
-func (w *world) watch(r *replica, node *control.Node) {
-	w.endings.Go(func() {
+// watchInvariants fails the test when a replica reports a violated invariant.
+func (w *world) watchInvariants(r *replica, node *control.Node) {
+	w.background.Go(func() {
 		select {
 		case err := <-node.Failed():
-			w.t.Errorf("seed %d: replica %d has found an invariant broken: %v", w.seed, r.number, err)
+			w.t.Errorf("seed %d: replica %d reports a violated invariant: %v", w.seed, r.number, err)
 		case <-w.stop:
 		}
 	})
 }
 
-// overview asks a replica what it knows, as an operator's command does.
+// overview returns a replica's overview, as an operator's command gets it.
 func (w *world) overview(number int) (internalapi.OverviewReply, bool) {
 	var reply internalapi.OverviewReply
 	err := w.console.Call(internalAddress(number), internalapi.MethodOverview, internalapi.OverviewArgs{}, &reply, time.Second)
 	return reply, err == nil
 }
 
-// headPatience bounds every wait for a head, in the bubble's time.
-const headPatience = 30 * time.Second
+// headTimeout limits every wait for a head, in the bubble's time.
+const headTimeout = 30 * time.Second
 
-// awaitHead waits for a replica that acts as the head of a chain of at least that length, and gives its number.
+// awaitHead waits for a replica that acts as the head of a chain of at least the given length, and returns its number.
 func (w *world) awaitHead(chain int) int {
 	w.t.Helper()
-	for limit := time.Now().Add(headPatience); time.Now().Before(limit); time.Sleep(50 * time.Millisecond) {
+	for limit := time.Now().Add(headTimeout); time.Now().Before(limit); time.Sleep(50 * time.Millisecond) {
 		for number, r := range w.replicas {
 			if !r.up() {
 				continue
@@ -184,7 +185,7 @@
 	return -1
 }
 
-// tail is the number of the tail, as the head knows it.
+// tail returns the number of the tail in the head's view.
 func (w *world) tail() int {
 	reply, ok := w.overview(w.awaitHead(0))
 	require.True(w.t, ok)
@@ -200,7 +201,7 @@
 	return -1
 }
 
-// seedsToPlay are the seeds of a random run: one from the environment, or as many as are asked for.
-func seedsToPlay(t *testing.T, rounds int) []uint64 {
+// testSeeds returns the seeds of a random run: the one in the environment, or the given number of seeds.
+func testSeeds(t *testing.T, rounds int) []uint64 {
 	return seeds.List(t, seedVariable, roundsVariable, 1, rounds)
 }
