--- a/internal/system/decisionlab/agent.go
+++ b/internal/system/decisionlab/agent.go
@@ -10,24 +10,24 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// clockAhead is by how much the workers' clocks are ahead of the day's.
-const clockAhead = 5 * time.Second
+// workerClockOffset is how far the workers' clocks are ahead of the world's time.
+const workerClockOffset = 5 * time.Second
 
-// stopLasts is how long a stop takes.
-const stopLasts = 50 * time.Millisecond
+// stopDuration is how long a stop takes.
+const stopDuration = 50 * time.Millisecond
 
-// agent is what a worker shows to a scheduler: it takes starts, stops and holds as the protocol says, and lists what runs and what has ended.
+// agent is a worker's side of the protocol with a scheduler. It executes starts, stops and holds, and lists the present and the ended runs.
 type agent struct {
-	worker    *worker
-	life      int
-	heldUntil time.Duration
-	finished  []workerapi.FinishedTask
-	number    uint64
-	highest   map[string]int // attempts that have ended, by task
-	waiting   []waitingHold
+	worker        *worker
+	incarnation   int
+	heldUntil     time.Duration
+	finished      []workerapi.FinishedTask
+	lastNumber    uint64
+	endedAttempts map[string]int // highest ended attempt of each task
+	waiting       []waitingHold
 }
 
-// waitingHold is a hold that waits for an end.
+// waitingHold is a hold that waits for the end of a run.
 type waitingHold struct {
 	reply    func(workerapi.HoldReply)
 	answered *bool
@@ -35,32 +35,34 @@
 
 func newAgent(w *worker) *agent {
 	a := &agent{worker: w}
-	a.renew()
+	a.reset()
 	return a
 }
 
-// renew begins the agent of a new life.
-func (a *agent) renew() {
-	a.life, a.heldUntil, a.finished, a.number, a.waiting = a.worker.life, 0, nil, 0, nil
-	a.highest = map[string]int{}
+// reset initializes the agent for the worker's present incarnation.
+func (a *agent) reset() {
+	a.incarnation, a.heldUntil, a.finished, a.lastNumber, a.waiting = a.worker.incarnation, 0, nil, 0, nil
+	a.endedAttempts = map[string]int{}
 }
 
-// instance names the worker's present life.
-func (a *agent) instance() string { return fmt.Sprintf("w%04d-%d", a.worker.index, a.worker.life) }
+// instance returns the ID of the worker's present instance.
+func (a *agent) instance() string {
+	return fmt.Sprintf("w%04d-%d", a.worker.index, a.worker.incarnation)
+}
 
-// listed is the worker as the platform lists it.
-func (a *agent) listed() workerapi.Instance {
+// listEntry returns the worker's entry in the platform's list.
+func (a *agent) listEntry() workerapi.Instance {
 	spec := a.worker.spec
 	return workerapi.Instance{ID: a.instance(), Backend: service, Address: fmt.Sprintf("w%04d", a.worker.index), State: workerapi.StateReady,
 		Labels: spec.Labels, Allocatable: workerapi.Allocatable{CPU: int(spec.Room.CPU), MemoryMB: int(spec.Room.MemoryMb)}}
 }
 
-func (a *agent) clockMs() int64 { return (a.worker.world.now + clockAhead).Milliseconds() }
+func (a *agent) clockMs() int64 { return (a.worker.world.now + workerClockOffset).Milliseconds() }
 
-// handle carries a call out that has arrived.
+// handle executes a call that has arrived.
 func (a *agent) handle(call *scheduler.Call, reply func(workerapi.HoldReply)) {
-	if a.life != a.worker.life {
-		a.renew()
+	if a.incarnation != a.worker.incarnation {
+		a.reset()
 	}
 	if call.Worker.Instance != a.instance() {
 		reply(workerapi.HoldReply{Outcome: workerapi.OtherLife})
@@ -80,31 +82,31 @@
 	if a.find(order.Task, order.Attempt) != nil {
 		return workerapi.Done
 	}
-	name, ok := a.worker.world.find(order.Task)
+	name, ok := a.worker.world.findTask(order.Task)
 	switch {
 	case !ok:
 		return workerapi.BadRequest
-	case order.Attempt <= a.highest[order.Task]:
+	case order.Attempt <= a.endedAttempts[order.Task]:
 		return workerapi.RefusedOld
 	case a.clockMs() > order.DueAtMs:
 		return workerapi.RefusedLate
-	case !name.job.Steps[name.step].Need.fits(a.worker.free):
+	case !name.job.Steps[name.step].Need.fitsIn(a.worker.free):
 		return workerapi.RefusedRoom
 	}
-	a.holdUntil(order.DueAtMs)
-	a.worker.start(name, order.Attempt, func(r *run, how workerapi.How) { a.ended(order.Task, r, how) })
+	a.renewHold(order.DueAtMs)
+	a.worker.start(name, order.Attempt, func(r *run, reason workerapi.How) { a.listEnd(order.Task, r, reason) })
 	return workerapi.Done
 }
 
-// ended lists an end and answers the holds that wait for one.
-func (a *agent) ended(task string, r *run, how workerapi.How) {
-	a.highest[task] = max(a.highest[task], r.attempt)
-	a.number++
-	a.finished = append(a.finished, workerapi.FinishedTask{N: a.number, Task: task, Attempt: r.attempt, How: how})
+// listEnd lists an end and answers the holds that wait for one.
+func (a *agent) listEnd(task string, r *run, reason workerapi.How) {
+	a.endedAttempts[task] = max(a.endedAttempts[task], r.attempt)
+	a.lastNumber++
+	a.finished = append(a.finished, workerapi.FinishedTask{N: a.lastNumber, Task: task, Attempt: r.attempt, How: reason})
 	waiting := a.waiting
 	a.waiting = nil
 	for _, hold := range waiting {
-		a.answer(hold)
+		a.answerHold(hold)
 	}
 }
 
@@ -122,75 +124,75 @@
 	if r == nil {
 		return workerapi.RefusedOld
 	}
-	a.worker.world.after(stopLasts, func() { a.worker.end(r, workerapi.HowStopped) })
+	a.worker.world.after(stopDuration, func() { a.worker.end(r, workerapi.HowStopped) })
 	return workerapi.Done
 }
 
-// hold renews the hold, forgets ends that are taken note of, and answers once there is an end or the wait is over.
+// hold renews the hold and removes the acknowledged ends. It answers once there is an end or the wait time has passed.
 func (a *agent) hold(order *workerapi.HoldOrder, reply func(workerapi.HoldReply)) {
-	a.holdUntil(order.DueAtMs)
+	a.renewHold(order.DueAtMs)
 	a.finished = slices.DeleteFunc(a.finished, func(end workerapi.FinishedTask) bool { return end.N <= order.LastSeen })
 	waiting := waitingHold{reply: reply, answered: new(bool)}
 	if order.WaitMs == 0 || len(a.finished) > 0 {
-		a.answer(waiting)
+		a.answerHold(waiting)
 		return
 	}
 	a.waiting = append(a.waiting, waiting)
-	life := a.life
+	incarnation := a.incarnation
 	a.worker.world.after(time.Duration(order.WaitMs)*time.Millisecond, func() {
-		if a.life == life {
-			a.answer(waiting)
+		if a.incarnation == incarnation {
+			a.answerHold(waiting)
 		}
 	})
 }
 
-func (a *agent) answer(hold waitingHold) {
+func (a *agent) answerHold(hold waitingHold) {
 	if *hold.answered {
 		return
 	}
 	*hold.answered = true
 	reply := workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: a.clockMs(), Finished: slices.Clone(a.finished)}
 	for _, r := range a.worker.runs {
-		done := float64(a.worker.world.now-r.began) / float64(max(r.lasts, 1))
+		done := float64(a.worker.world.now-r.startedAt) / float64(max(r.duration, 1))
 		reply.Running = append(reply.Running, workerapi.RunningTask{Task: r.name.String(), Attempt: r.attempt, Percent: min(99, int(100*done))})
 	}
 	hold.reply(reply)
 }
 
-// holdUntil renews the hold of all that runs, and ends it all once no renewal has come.
-func (a *agent) holdUntil(dueAtMs int64) {
+// renewHold extends the hold of all present runs, and ends them if the hold lapses.
+func (a *agent) renewHold(dueAtMs int64) {
 	if dueAtMs == 0 {
 		return
 	}
 	world := a.worker.world
-	due := min(time.Duration(dueAtMs)*time.Millisecond-clockAhead, world.now+world.bounds.MaxHold())
+	due := min(time.Duration(dueAtMs)*time.Millisecond-workerClockOffset, world.now+world.bounds.MaxHold())
 	if due <= a.heldUntil {
 		return
 	}
 	a.heldUntil = due
-	life := a.life
-	world.at(due+time.Millisecond, func() {
-		if a.life == life && world.now > a.heldUntil {
+	incarnation := a.incarnation
+	world.schedule(due+time.Millisecond, func() {
+		if a.incarnation == incarnation && world.now > a.heldUntil {
 			a.worker.endAll(workerapi.HowLapsed)
 		}
 	})
 }
 
-// String is the task's name on the wire.
-func (n taskName) String() string {
+// String returns the task's name in the protocol.
+func (n taskID) String() string {
 	return jobspec.Task{Job: n.job.ID, Step: uint32(n.step), Index: uint32(n.task)}.String()
 }
 
-// find gives the task of that name.
-func (w *world) find(text string) (taskName, bool) {
+// findTask returns the task with that name.
+func (w *world) findTask(text string) (taskID, bool) {
 	name, ok := jobspec.ParseTask(text)
 	index := int(name.Job) - 1
 	if !ok || index < 0 || index >= len(w.day.Jobs) {
-		return taskName{}, false
+		return taskID{}, false
 	}
 	job := w.day.Jobs[index]
 	if int(name.Step) >= len(job.Steps) || int(name.Index) >= len(job.Steps[name.Step].Tasks) {
-		return taskName{}, false
+		return taskID{}, false
 	}
-	return taskName{job, int(name.Step), int(name.Index)}, true
+	return taskID{job, int(name.Step), int(name.Index)}, true
 }
--- a/internal/system/decisionlab/bound.go
+++ b/internal/system/decisionlab/bound.go
@@ -6,35 +6,37 @@
 	"time"
 )
 
-// Bound is a part of what is owed that no policy can pass, whatever it knows: it knows how long each task takes and which runs fail. It relaxes all but
-// one thing: work that is to end by some moment takes cores up to then. Tasks may be split over all workers, start before their job has
-// come, never fail, and call and commit take no time. What a job earns in time and what it earns late are bounded apart from each other.
+// Bound returns an upper bound on the fraction of the owed worth that any policy can earn. It knows how long each task takes and which runs
+// fail. It keeps only one constraint: work that is to end by some time takes cores up to then. Tasks may be split over all workers, start
+// before their job has arrived and never fail, and calls and commits take no time. What jobs earn in time and what they earn late are
+// bounded separately.
 func Bound(day *Day) float64 {
 	cores, owed := day.cores(), 0.0
-	var inTime, late []portion
+	var inTime, late []earnable
 	for _, job := range day.Jobs {
 		owed += job.Worth
 		work, lateWorth := job.work(), job.Worth*job.Class.LateWorth
-		inTime = append(inTime, portion{job.Worth - lateWorth, work, job.At + job.Objective})
-		late = append(late, portion{lateWorth, work, job.At + lateObjectives*job.Objective})
+		inTime = append(inTime, earnable{job.Worth - lateWorth, work, job.At + job.Objective})
+		late = append(late, earnable{lateWorth, work, job.At + maxLateObjectives*job.Objective})
 	}
-	return (most(inTime, cores) + most(late, cores)) / owed
+	return (maxWorth(inTime, cores) + maxWorth(late, cores)) / owed
 }
 
-// portion is worth that is earned with work that is done by a moment.
-type portion struct {
+// earnable is worth that is earned by work that is done by a deadline.
+type earnable struct {
 	worth, work float64
-	by          time.Duration
+	deadline    time.Duration
 }
 
-// most is the highest sum of worth whose work can be done in time, parts of portions included: the work that is due by any moment is at most what
-// all cores do up to then. Taking portions by their worth a core-second, each as far as that allows, is the best for such bounds.
-func most(portions []portion, cores float64) float64 {
+// maxWorth returns the largest sum of worth whose work can be done in time, including parts of portions: the work due by any time is at most
+// what all cores do up to then. Taking portions in order of worth per core-second, each as far as the constraints allow, is optimal for
+// such constraints.
+func maxWorth(portions []earnable, cores float64) float64 {
 	byMoment := slices.Clone(portions)
-	slices.SortFunc(byMoment, func(a, b portion) int { return cmp.Compare(a.by, b.by) })
+	slices.SortFunc(byMoment, func(a, b earnable) int { return cmp.Compare(a.deadline, b.deadline) })
 	left := make([]float64, len(byMoment)) // work that can still be added by each moment
 	for i := range byMoment {
-		left[i] = cores * byMoment[i].by.Seconds()
+		left[i] = cores * byMoment[i].deadline.Seconds()
 	}
 	order := make([]int, len(byMoment))
 	for i := range order {
--- a/internal/system/decisionlab/day.go
+++ b/internal/system/decisionlab/day.go
@@ -12,7 +12,8 @@
 	"gaugeslip/internal/system/state"
 )
 
-// Day is what happens whatever is decided: the jobs, with what is true of them and what their clients say, the workers and the troubles.
+// Day is everything that does not depend on decisions: the jobs with their real behaviour and their clients' estimates, the workers and the
+// faults.
 type Day struct {
 	Deployment *Deployment
 	Seed       uint64
@@ -27,30 +28,30 @@
 	Class *JobClass
 	At    time.Duration
 	Steps []Step
-	Spec  *jobspec.Spec // what its client says
+	Spec  *jobspec.Spec // as submitted by the client
 	Worth float64
-	// Objective is how long it may take: its target and its longest chain of steps, as long as that truly takes.
+	// Objective is how long the job may take: its target plus the extension times its critical path with real task times.
 	Objective time.Duration
 }
 
-// Step is what is true of one step of a job.
+// Step describes the real behaviour of one step of a job.
 type Step struct {
-	Tasks     []time.Duration // how long each takes on a worker of speed 1 near its data
+	Tasks     []time.Duration // run time of each task on a worker of speed 1 near its data
 	DependsOn []int
 	Need      Need
 	Rack      string
 	Label     string
-	// Fails tells how many runs of each task fail before one doesn't.
+	// Fails holds how many runs of each task fail before one succeeds.
 	Fails []int
 }
 
-// Need is the room that a task takes.
+// Need is the capacity that a task requires.
 type Need struct {
 	CPU      int64 // thousandths of a core
 	MemoryMb int64
 }
 
-// WorkerSpec is one worker as it is at the begin of a day.
+// WorkerSpec describes one worker at the start of a day.
 type WorkerSpec struct {
 	Room   Need
 	Rack   string
@@ -58,7 +59,7 @@
 	Speed  float64
 }
 
-// DrawnTrouble is a trouble with the workers that it hits.
+// DrawnTrouble is a fault with the workers that it affects.
 type DrawnTrouble struct {
 	Kind     TroubleKind
 	From, To time.Duration
@@ -66,7 +67,7 @@
 	Factor   float64
 }
 
-// Draw makes the day of a seed.
+// Draw generates the day of a seed.
 func (d *Deployment) Draw(seed uint64) *Day {
 	random := rand.New(rand.NewPCG(seed, 0x64617973))
 	day := &Day{Deployment: d, Seed: seed}
@@ -98,7 +99,7 @@
 	}
 }
 
-// cores is how many cores all workers have, by their speed.
+// cores returns the number of cores of all workers, weighted by their speed.
 func (day *Day) cores() float64 {
 	all := 0.0
 	for _, w := range day.Workers {
@@ -107,7 +108,7 @@
 	return all
 }
 
-// drawJobs draws jobs until their work is the load that is wanted; they are spread evenly over the day then.
+// drawJobs draws jobs until their work reaches the load, and spreads their arrivals evenly over the day.
 func (day *Day) drawJobs(random *rand.Rand) {
 	wanted := day.Deployment.Load * day.cores() * day.Deployment.Seconds
 	for work := 0.0; work < wanted; {
@@ -122,11 +123,11 @@
 	for i, job := range day.Jobs {
 		job.ID = state.JobID(i + 1)
 	}
-	day.weigh()
+	day.assignWorths()
 }
 
-// weigh tells what each job is worth: more the more work it is, within its class.
-func (day *Day) weigh() {
+// assignWorths sets the worth of each job. Within a class it grows with the job's work.
+func (day *Day) assignWorths() {
 	sum, count := map[*JobClass]float64{}, map[*JobClass]float64{}
 	for _, job := range day.Jobs {
 		sum[job.Class] += job.work()
@@ -154,45 +155,45 @@
 	return &classes[len(classes)-1]
 }
 
-// around draws a factor with that standard deviation of its logarithm, and a mean of 1.
-func around(random *rand.Rand, spread float64) float64 {
+// logNormalFactor draws a factor with the given standard deviation of its logarithm and a mean of 1.
+func logNormalFactor(random *rand.Rand, spread float64) float64 {
 	return math.Exp(spread*random.NormFloat64() - spread*spread/2)
 }
 
-// countAround draws a count of 1 at least with that mean.
-func countAround(random *rand.Rand, mean, spread float64) int {
-	return max(1, int(math.Round(mean*around(random, spread))))
+// drawCount draws a count of at least 1 with the given mean.
+func drawCount(random *rand.Rand, mean, spread float64) int {
+	return max(1, int(math.Round(mean*logNormalFactor(random, spread))))
 }
 
 const (
 	stepsSpread = 0.4
 	widthSpread = 0.7
 	needSpread  = 0.4
-	// leastTask is the shortest task.
-	leastTask = 20 * time.Millisecond
+	// minTaskTime is the run time of the shortest tasks.
+	minTaskTime = 20 * time.Millisecond
 )
 
 func (day *Day) drawJob(random *rand.Rand) *Job {
 	class := day.drawClass(random)
 	job := &Job{Class: class, Spec: &jobspec.Spec{Text: class.Name}}
-	for number := range countAround(random, max(class.Steps, 1), stepsSpread) {
+	for number := range drawCount(random, max(class.Steps, 1), stepsSpread) {
 		step, stage := day.drawStep(random, class, number)
 		job.Steps = append(job.Steps, step)
 		job.Spec.Stages = append(job.Spec.Stages, stage)
 	}
 	extension := max(class.Extension, 1)
-	job.Objective = milliseconds(class.TargetMs) + time.Duration(extension*float64(job.chain()))
+	job.Objective = milliseconds(class.TargetMs) + time.Duration(extension*float64(job.criticalPath()))
 	return job
 }
 
 func (day *Day) drawStep(random *rand.Rand, class *JobClass, number int) (Step, jobspec.Stage) {
-	need := Need{CPU: max(100, int64(1000*class.Cores*around(random, needSpread))),
-		MemoryMb: max(64, int64(1024*class.MemoryGB*around(random, needSpread)))}
-	need = day.atMost(need)
-	size := class.Seconds * around(random, class.Spread)
+	need := Need{CPU: max(100, int64(1000*class.Cores*logNormalFactor(random, needSpread))),
+		MemoryMb: max(64, int64(1024*class.MemoryGB*logNormalFactor(random, needSpread)))}
+	need = day.limitNeed(need)
+	size := class.Seconds * logNormalFactor(random, class.Spread)
 	step := Step{Need: need}
-	for range countAround(random, max(class.Width, 1), widthSpread) {
-		step.Tasks = append(step.Tasks, max(leastTask, seconds(size*around(random, class.Uneven))))
+	for range drawCount(random, max(class.Width, 1), widthSpread) {
+		step.Tasks = append(step.Tasks, max(minTaskTime, seconds(size*logNormalFactor(random, class.Uneven))))
 		fails := 0
 		for random.Float64() < class.Fails {
 			fails++
@@ -200,7 +201,7 @@
 		step.Fails = append(step.Fails, fails)
 	}
 	stage := jobspec.Stage{Count: len(step.Tasks), CPU: need.CPU, MemoryMb: need.MemoryMb,
-		Estimated: max(time.Millisecond, seconds(size*around(random, class.HintError)).Truncate(time.Millisecond))}
+		Estimated: max(time.Millisecond, seconds(size*logNormalFactor(random, class.HintError)).Truncate(time.Millisecond))}
 	if number > 0 {
 		step.DependsOn = []int{number - 1}
 		stage.DependsOn = step.DependsOn
@@ -210,20 +211,20 @@
 	return step, stage
 }
 
-// drawPlace draws where a step's tasks may or should run.
+// drawPlace draws a step's preferred rack and required label.
 func (day *Day) drawPlace(random *rand.Rand, class *JobClass, step *Step, stage *jobspec.Stage) {
-	like := &day.Workers[random.IntN(len(day.Workers))]
-	if random.Float64() < class.Near && like.Rack != "" {
-		step.Rack, stage.Colocation = like.Rack, like.Rack
+	similar := &day.Workers[random.IntN(len(day.Workers))]
+	if random.Float64() < class.Near && similar.Rack != "" {
+		step.Rack, stage.Colocation = similar.Rack, similar.Rack
 	}
-	if random.Float64() < class.Labelled && len(like.Labels) > 1 && step.Need.fits(like.Room) {
-		step.Label = like.Labels[len(like.Labels)-1]
+	if random.Float64() < class.Labelled && len(similar.Labels) > 1 && step.Need.fitsIn(similar.Room) {
+		step.Label = similar.Labels[len(similar.Labels)-1]
 		stage.Requirements = []string{step.Label}
 	}
 }
 
-// atMost is a need that fits the largest worker.
-func (day *Day) atMost(need Need) Need {
+// limitNeed reduces a need so that it fits the largest worker.
+func (day *Day) limitNeed(need Need) Need {
 	largest := Need{}
 	for _, w := range day.Workers {
 		largest.CPU, largest.MemoryMb = max(largest.CPU, w.Room.CPU), max(largest.MemoryMb, w.Room.MemoryMb)
@@ -231,7 +232,9 @@
 	return Need{CPU: min(need.CPU, largest.CPU), MemoryMb: min(need.MemoryMb, largest.MemoryMb)}
 }
 
-func (n Need) fits(room Need) bool { return n.CPU <= room.CPU && n.MemoryMb <= room.MemoryMb }
+func (n Need) fitsIn(capacity Need) bool {
+	return n.CPU <= capacity.CPU && n.MemoryMb <= capacity.MemoryMb
+}
 
 func (n Need) plus(other Need) Need {
 	return Need{CPU: n.CPU + other.CPU, MemoryMb: n.MemoryMb + other.MemoryMb}
@@ -241,7 +244,7 @@
 	return Need{CPU: n.CPU - other.CPU, MemoryMb: n.MemoryMb - other.MemoryMb}
 }
 
-// work is a job's core-seconds.
+// work returns a job's core-seconds.
 func (j *Job) work() float64 {
 	work := 0.0
 	for i := range j.Steps {
@@ -252,8 +255,8 @@
 	return work
 }
 
-// chain is how long the job takes at least, with all workers that it could want.
-func (j *Job) chain() time.Duration {
+// criticalPath returns the shortest time in which the job can complete, with unlimited workers.
+func (j *Job) criticalPath() time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	longest := time.Duration(0)
 	for i := range j.Steps {
@@ -267,12 +270,12 @@
 	return longest
 }
 
-// earns is what a job earns that has taken so long.
-func (j *Job) earns(took time.Duration) float64 {
+// earned returns what the job earns if it takes the given time.
+func (j *Job) earned(took time.Duration) float64 {
 	switch {
 	case took <= j.Objective:
 		return j.Worth
-	case took <= lateObjectives*j.Objective:
+	case took <= maxLateObjectives*j.Objective:
 		return j.Worth * j.Class.LateWorth
 	}
 	return 0
--- a/internal/system/decisionlab/decode.go
+++ b/internal/system/decisionlab/decode.go
@@ -7,8 +7,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// detailed tells where a text can't be read.
-func detailed(err error) error {
+// decodeError adds the position or the unknown keys to an error of the decoder.
+func decodeError(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
 		return fmt.Errorf("unknown keys:\n%s", unknown.String())
--- a/internal/system/decisionlab/deployment.go
+++ b/internal/system/decisionlab/deployment.go
@@ -10,12 +10,12 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Deployment says which workers there are, which jobs come, and what goes wrong.
+// Deployment describes the workers, the jobs that arrive, and the faults.
 type Deployment struct {
 	Name string `toml:"name"`
-	// Seconds is for how long jobs are handed in.
+	// Seconds is the time during which jobs are submitted.
 	Seconds float64 `toml:"seconds"`
-	// Load is the work that is handed in as a part of what all workers' cores can do in that time.
+	// Load is the submitted work as a fraction of what all workers' cores can do in that time.
 	Load     float64       `toml:"load"`
 	Workers  []WorkerClass `toml:"workers"`
 	Jobs     []JobClass    `toml:"jobs"`
@@ -23,78 +23,78 @@
 	Troubles []Trouble     `toml:"troubles"`
 }
 
-// WorkerClass is workers that are alike.
+// WorkerClass describes a number of identical workers.
 type WorkerClass struct {
 	Count    int     `toml:"count"`
 	Cores    float64 `toml:"cores"`
 	MemoryGB float64 `toml:"memory_gb"`
 	Racks    int     `toml:"racks"`
 	Label    string  `toml:"label"`
-	// Speed is how fast work is done there; 1 if it isn't told.
+	// Speed is the relative speed of work there; 0 means 1.
 	Speed float64 `toml:"speed"`
 }
 
-// JobClass is jobs of one queue. Spreads are standard deviations of logarithms.
+// JobClass describes the jobs of one queue. Spread, Uneven and HintError are standard deviations of logarithms.
 type JobClass struct {
 	Name      string  `toml:"name"`
 	Share     float64 `toml:"share"` // of all jobs
 	Priority  int     `toml:"priority"`
 	Worth     float64 `toml:"worth"`
-	LateWorth float64 `toml:"late_worth"` // of a job that misses its objective, up to three of them
+	LateWorth float64 `toml:"late_worth"` // fraction of the worth for a job that takes up to three objectives
 	TargetMs  float64 `toml:"target_ms"`
-	Extension float64 `toml:"extension"` // how many times its longest chain of steps a job may take besides
+	Extension float64 `toml:"extension"` // factor on the job's critical path, which is added to the target
 	Steps     float64 `toml:"steps"`
-	Width     float64 `toml:"width"` // tasks of a step
+	Width     float64 `toml:"width"` // tasks per step
 	Seconds   float64 `toml:"seconds"`
 	Spread    float64 `toml:"spread"`      // of a step's task time
 	Uneven    float64 `toml:"uneven"`      // between the tasks of a step
-	HintError float64 `toml:"hint_error"`  // of what clients say of a step's task time
+	HintError float64 `toml:"hint_error"`  // of the clients' estimates of a step's task time
 	Cores     float64 `toml:"cores"`       // of a task, in the mean
 	MemoryGB  float64 `toml:"memory_gb"`   // of a task, in the mean
-	Near      float64 `toml:"near"`        // share of steps whose data lie in a rack
-	Labelled  float64 `toml:"labelled"`    // share of steps that want a label
-	Copies    float64 `toml:"speculative"` // share of steps whose tasks may run twice
-	Fails     float64 `toml:"fails"`       // share of runs that fail of themselves
+	Near      float64 `toml:"near"`        // share of steps whose data are in one rack
+	Labelled  float64 `toml:"labelled"`    // share of steps that require a label
+	Copies    float64 `toml:"speculative"` // share of steps whose tasks may run speculatively
+	Fails     float64 `toml:"fails"`       // share of runs that fail because of the task
 	Retries   int     `toml:"retries"`
 }
 
-// Delays are how long things take on the control side.
+// Delays are the mean durations on the control side.
 type Delays struct {
 	CommitMs float64 `toml:"commit_ms"`
 	CallMs   float64 `toml:"call_ms"` // one way
 	Spread   float64 `toml:"spread"`  // standard deviation of the logarithm
-	// LostAnswers is the share of calls whose answer doesn't come.
+	// LostAnswers is the share of calls whose answer is lost.
 	LostAnswers float64 `toml:"lost_answers"`
 }
 
-// TroubleKind tells what a trouble does.
+// TroubleKind is the kind of a fault.
 type TroubleKind string
 
 // The kinds of trouble.
 const (
-	// TroubleCut keeps workers from hearing and being heard; what runs there goes on until its hold is over.
+	// TroubleCut isolates workers. Their runs continue until the hold lapses.
 	TroubleCut TroubleKind = "cut"
-	// TroubleCrash ends workers; they come back empty, as new lives.
+	// TroubleCrash stops workers. They restart without runs, as new instances.
 	TroubleCrash TroubleKind = "crash"
-	// TroubleGrey has all runs on some workers fail.
+	// TroubleGrey makes all runs on some workers fail.
 	TroubleGrey TroubleKind = "grey"
 	// TroubleSlow divides the speed of workers by Factor.
 	TroubleSlow TroubleKind = "slow"
-	// TroubleHead takes the head away; a new one rebuilds its state.
+	// TroubleHead stops the head. A new head rebuilds its state.
 	TroubleHead TroubleKind = "head"
 )
 
-// Trouble is something that goes wrong for a while.
+// Trouble is a fault that lasts for a while.
 type Trouble struct {
 	Kind    TroubleKind `toml:"kind"`
 	At      float64     `toml:"at"`      // seconds
-	Seconds float64     `toml:"seconds"` // how long
+	Seconds float64     `toml:"seconds"` // duration
 	Share   float64     `toml:"share"`   // of the workers
 	Factor  float64     `toml:"factor"`
 }
 
-// lateObjectives is how many objectives after its begin a job still earns something.
-const lateObjectives = 3
+// maxLateObjectives is the number of objectives within which a late job still earns LateWorth.
+const maxLateObjectives = 3
 
 // Load reads a deployment from a file and checks it.
 func Load(path string) (*Deployment, error) {
@@ -105,13 +105,13 @@
 	return Parse(path, text)
 }
 
-// Parse reads a deployment from a text; the name stands in errors.
+// Parse reads a deployment from a text. Errors contain the name.
 func Parse(name string, text []byte) (*Deployment, error) {
 	var d Deployment
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&d); err != nil {
-		return nil, fmt.Errorf("deployment %s: %w", name, detailed(err))
+		return nil, fmt.Errorf("deployment %s: %w", name, decodeError(err))
 	}
 	if err := d.check(); err != nil {
 		return nil, fmt.Errorf("deployment %s:\n%w", name, err)
@@ -119,7 +119,7 @@
 	return &d, nil
 }
 
-// check finds all that can't be played.
+// check returns an error with everything in the deployment that is invalid.
 func (d *Deployment) check() error {
 	var found []error
 	wrong := func(format string, arguments ...any) { found = append(found, fmt.Errorf(format, arguments...)) }
@@ -156,14 +156,14 @@
 	return errors.Join(found...)
 }
 
-// WithLoad is the same deployment with another load.
+// WithLoad returns a copy of the deployment with another load.
 func (d *Deployment) WithLoad(load float64) *Deployment {
 	other := *d
 	other.Load = load
 	return &other
 }
 
-// WithoutTroubles is the same deployment on a calm day.
+// WithoutTroubles returns a copy of the deployment without faults.
 func (d *Deployment) WithoutTroubles() *Deployment {
 	other := *d
 	other.Troubles = nil
--- a/internal/system/decisionlab/doc.go
+++ b/internal/system/decisionlab/doc.go
@@ -1,9 +1,12 @@
-// Package decisionlab plays the scheduler's decisions in virtual time: the project's own scheduler, with its calls and commits delayed as in
-// service, over modelled workers, and beside it plain policies and a bound that knows everything, on the same days.
+// Package decisionlab runs the scheduler's decisions in virtual time. It runs the project's own scheduler over modelled workers, with
+// calls and commits delayed as in production. On the same days it runs simple baseline policies and computes a bound that assumes full
+// knowledge.
 //
-// A day follows from a Deployment and a seed: which jobs come when, how long their tasks truly take, and what goes wrong. How long calls and
-// commits take is drawn from another seed, so that the same day can be played with other luck: that is the noise by which a difference is judged.
+// A Deployment and a seed determine a day: which jobs arrive when, how long their tasks really take, and which faults occur. Another seed
+// determines the durations of calls and commits, so that the same day can be played with other delays. The spread between such plays is the
+// noise against which a difference is judged.
 //
-// What it leaves out: accelerators and gangs, timed and lasting jobs, checkpoints, drains, tenants, the processor time of the head, and the
-// dispatchers. It has no I/O besides reading deployments, and starts goroutines only in PlayAll, one for each day that is played at the same time.
+// The model omits accelerators and gangs, scheduled and long-running jobs, checkpoints, drains, tenants, the processor time of the head, and
+// the dispatchers. The package has no I/O besides reading deployments. It starts goroutines only in PlayAll, one for each day that is played
+// concurrently.
 package decisionlab
--- a/internal/system/decisionlab/head.go
+++ b/internal/system/decisionlab/head.go
@@ -9,90 +9,90 @@
 )
 
 const (
-	// service is the one that all workers serve.
+	// service is the name of the service of all workers.
 	service = "service"
-	// unixZeroMs is the time of day at the begin.
-	unixZeroMs = 1_700_000_000_000
-	listEvery  = 900 * time.Millisecond
-	clockEvery = time.Second
-	// submitAgain is how soon a client tries again while there is no head.
-	submitAgain = 200 * time.Millisecond
-	// callsAtOnce bounds the calls on workers that are out.
-	callsAtOnce = 4096
+	// unixZeroMs is the Unix time at time 0 of the world, in milliseconds.
+	unixZeroMs    = 1_700_000_000_000
+	listInterval  = 900 * time.Millisecond
+	clockInterval = time.Second
+	// submitRetryDelay is how long a client waits before it submits again while there is no head.
+	submitRetryDelay = 200 * time.Millisecond
+	// maxCalls limits the pending calls to workers.
+	maxCalls = 4096
 )
 
-// head plays the project's scheduler: its commands are committed and its calls carried out after delays.
-type head struct {
+// simulatedHead runs the project's scheduler. It commits the commands and executes the calls after delays.
+type simulatedHead struct {
 	*world
-	machine *state.Machine
-	sched   *scheduler.Scheduler
-	token   uint64
-	// committedAt is when the last command on its way is committed; they keep their order.
-	committedAt time.Duration
-	wakeAt      time.Duration
+	machine   *state.Machine
+	scheduler *scheduler.Scheduler
+	token     uint64
+	// lastCommit is the commit time of the last pending command. Commands are committed in order.
+	lastCommit time.Duration
+	wakeAt     time.Duration
 }
 
-// playScheduler plays a day with the scheduler.
-func playScheduler(day *Day, luck uint64) Result {
-	h := &head{world: newWorld(day, luck), machine: state.New()}
+// playScheduler plays a day with the project's scheduler.
+func playScheduler(day *Day, delaySeed uint64) Result {
+	h := &simulatedHead{world: newWorld(day, delaySeed), machine: state.New()}
 	for _, w := range h.workers {
 		w.agent = newAgent(w)
 	}
-	h.elect()
+	h.startHead()
 	for _, job := range day.Jobs {
-		h.at(begin+job.At, func() { h.after(h.callDelay(), func() { h.submit(job) }) })
+		h.schedule(dayStart+job.At, func() { h.after(h.callDelay(), func() { h.submitJob(job) }) })
 	}
-	h.trouble(h.lose)
-	h.play()
+	h.scheduleTroubles(h.setHeadDown)
+	h.run()
 	return h.result
 }
 
-// elect makes a new scheduler from the replicated state.
-func (h *head) elect() {
+// startHead creates a scheduler from the replicated state.
+func (h *simulatedHead) startHead() {
 	h.token++
-	h.sched = scheduler.New(scheduler.Options{Token: h.token, Machine: h.machine, MaxCalls: callsAtOnce, Bounds: h.bounds}, h.now)
-	h.committedAt, h.wakeAt = h.now, 0
-	h.readClock(h.sched)
-	h.readList(h.sched)
+	h.scheduler = scheduler.New(scheduler.Options{Token: h.token, Machine: h.machine, MaxCalls: maxCalls, Bounds: h.bounds}, h.now)
+	h.lastCommit, h.wakeAt = h.now, 0
+	h.readClock(h.scheduler)
+	h.readList(h.scheduler)
 }
 
-// lose takes the head away, or brings the next one.
-func (h *head) lose(gone bool) {
-	if gone {
-		h.sched = nil
+// setHeadDown stops the head or starts the next one.
+func (h *simulatedHead) setHeadDown(down bool) {
+	if down {
+		h.scheduler = nil
 		return
 	}
-	h.elect()
+	h.startHead()
 }
 
-func (h *head) readClock(from *scheduler.Scheduler) {
-	if h.sched != from {
+func (h *simulatedHead) readClock(from *scheduler.Scheduler) {
+	if h.scheduler != from {
 		return
 	}
-	h.sched.WallClock(h.now, unixZeroMs+h.now.Milliseconds())
+	h.scheduler.WallClock(h.now, unixZeroMs+h.now.Milliseconds())
 	h.drain()
-	h.after(clockEvery, func() { h.readClock(from) })
+	h.after(clockInterval, func() { h.readClock(from) })
 }
 
-func (h *head) readList(from *scheduler.Scheduler) {
-	if h.sched != from {
+func (h *simulatedHead) readList(from *scheduler.Scheduler) {
+	if h.scheduler != from {
 		return
 	}
 	var list []workerapi.Instance
 	for _, w := range h.workers {
 		if w.up {
-			list = append(list, w.agent.listed())
+			list = append(list, w.agent.listEntry())
 		}
 	}
-	h.sched.Listed(h.now, list)
+	h.scheduler.Listed(h.now, list)
 	h.drain()
-	h.after(listEvery, func() { h.readList(from) })
+	h.after(listInterval, func() { h.readList(from) })
 }
 
-// submit hands a job in; without a head its client tries again.
-func (h *head) submit(job *Job) {
-	if h.sched == nil {
-		h.after(submitAgain, func() { h.submit(job) })
+// submitJob submits a job. Without a head the client retries.
+func (h *simulatedHead) submitJob(job *Job) {
+	if h.scheduler == nil {
+		h.after(submitRetryDelay, func() { h.submitJob(job) })
 		return
 	}
 	body, err := job.Spec.Encode()
@@ -105,26 +105,26 @@
 		AcceptedMs: unixZeroMs + h.now.Milliseconds(), Body: body}})
 }
 
-// commit has a command applied once it is committed. One whose head is gone by then never is, and a client hands its job in again.
-func (h *head) commit(command state.Command) {
-	from := h.sched
-	h.committedAt = max(h.committedAt, h.now+h.commitDelay())
-	h.at(h.committedAt, func() {
-		if h.sched != from {
+// commit applies a command once it is committed. If its head is gone by then, the command is dropped, and a client submits its job again.
+func (h *simulatedHead) commit(command state.Command) {
+	from := h.scheduler
+	h.lastCommit = max(h.lastCommit, h.now+h.commitDelay())
+	h.schedule(h.lastCommit, func() {
+		if h.scheduler != from {
 			if accepted := command.JobAccepted; accepted != nil {
-				h.submit(h.day.Jobs[accepted.ID-1])
+				h.submitJob(h.day.Jobs[accepted.ID-1])
 			}
 			return
 		}
 		result := h.machine.Apply(command)
-		h.note(&result)
-		h.sched.Applied(h.now, result)
+		h.recordFinished(&result)
+		h.scheduler.Applied(h.now, result)
 		h.drain()
 	})
 }
 
-// note takes note of jobs that are over.
-func (h *head) note(result *state.Result) {
+// recordFinished records the jobs that have finished.
+func (h *simulatedHead) recordFinished(result *state.Result) {
 	for _, finished := range result.Finished {
 		job := h.day.Jobs[finished.ID-1]
 		if finished.State == state.Completed {
@@ -135,9 +135,9 @@
 	}
 }
 
-// drain carries out what the scheduler wants done.
-func (h *head) drain() {
-	output := h.sched.Drain()
+// drain executes the scheduler's output.
+func (h *simulatedHead) drain() {
+	output := h.scheduler.Drain()
 	for _, command := range output.Commands {
 		h.commit(command)
 	}
@@ -150,31 +150,31 @@
 	h.wake(output.Wake)
 }
 
-// wake has the scheduler ticked when it wants to be.
-func (h *head) wake(at time.Duration) {
+// wake schedules a tick of the scheduler at the time that it requested.
+func (h *simulatedHead) wake(at time.Duration) {
 	if at <= 0 || at == h.wakeAt {
 		return
 	}
 	h.wakeAt = at
-	from := h.sched
-	h.at(max(at, h.now+time.Millisecond), func() {
-		if h.sched == from && h.wakeAt == at {
+	from := h.scheduler
+	h.schedule(max(at, h.now+time.Millisecond), func() {
+		if h.scheduler == from && h.wakeAt == at {
 			h.wakeAt = 0
-			h.sched.Tick(h.now)
+			h.scheduler.Tick(h.now)
 			h.drain()
 		}
 	})
 }
 
-// call makes a call; it ends with its answer, or with its time.
-func (h *head) call(call *scheduler.Call) {
-	from, ended := h.sched, false
+// call makes a call. It ends with its answer or its time-out.
+func (h *simulatedHead) call(call *scheduler.Call) {
+	from, ended := h.scheduler, false
 	end := func(reply workerapi.HoldReply) {
-		if ended || h.sched != from {
+		if ended || h.scheduler != from {
 			return
 		}
 		ended = true
-		h.sched.CallEnded(h.now, scheduler.CallResult{ID: call.ID, Reply: reply})
+		h.scheduler.CallEnded(h.now, scheduler.CallResult{ID: call.ID, Reply: reply})
 		h.drain()
 	}
 	h.after(call.Timeout, func() { end(workerapi.HoldReply{Outcome: workerapi.Unknown}) })
@@ -196,8 +196,8 @@
 	})
 }
 
-// workerAt gives the worker at an address.
-func (h *head) workerAt(address string) *worker {
+// workerAt returns the worker with the address.
+func (h *simulatedHead) workerAt(address string) *worker {
 	index := 0
 	for _, digit := range address[1:] {
 		index = index*10 + int(digit-'0')
--- a/internal/system/decisionlab/lab_test.go
+++ b/internal/system/decisionlab/lab_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func deployments(t *testing.T) []*Deployment {
+func loadDeployments(t *testing.T) []*Deployment {
 	t.Helper()
 	files, err := filepath.Glob("../../../scenarios/decisions/*.toml")
 	require.NoError(t, err)
@@ -24,9 +24,9 @@
 	return all
 }
 
-// No policy, ours included, earns more than the bound, at any load, whatever goes wrong.
-func TestNoPolicyPassesTheBound(t *testing.T) {
-	for _, d := range deployments(t) {
+// No policy, the project's scheduler included, earns more than the bound, at any load and with any faults.
+func TestNoPolicyExceedsTheBound(t *testing.T) {
+	for _, d := range loadDeployments(t) {
 		for _, load := range []float64{0.3, 0.9, 1.6} {
 			plan := Plan{Deployment: d.WithLoad(load), Policies: Policies(), FirstSeed: 1, Days: 4, Draws: 1}
 			days, err := PlayAll(context.Background(), plan)
@@ -42,9 +42,9 @@
 	}
 }
 
-// A day is the same whenever it is played with the same seeds, and another with other delays.
-func TestADayRepeats(t *testing.T) {
-	for _, d := range deployments(t) {
+// A day with the same seeds always has the same result, and another day has another.
+func TestPlayIsDeterministic(t *testing.T) {
+	for _, d := range loadDeployments(t) {
 		for _, policy := range Policies() {
 			first, again := Play(d.Draw(7), policy, 1), Play(d.Draw(7), policy, 1)
 			assert.Equal(t, first, again, "%s", policy)
@@ -53,17 +53,17 @@
 	}
 }
 
-// On a calm day with room to spare nearly all is earned.
-func TestACalmDayIsEarned(t *testing.T) {
-	for _, d := range deployments(t) {
+// On a day without faults and with spare capacity nearly all worth is earned.
+func TestCalmDayEarnsNearlyAll(t *testing.T) {
+	for _, d := range loadDeployments(t) {
 		result := Play(d.WithoutTroubles().WithLoad(0.2).Draw(3), Scheduler, 1)
 		assert.Greater(t, result.Worth(), 0.9, "%s", d.Name)
 		assert.Equal(t, result.Jobs, result.Completed, "%s: all jobs end", d.Name)
 	}
 }
 
-// What can't be played is told, all of it.
-func TestAWrongDeploymentIsRefused(t *testing.T) {
+// The error for an invalid deployment names everything that is wrong.
+func TestInvalidDeploymentIsRejected(t *testing.T) {
 	_, err := Parse("wrong", []byte("name = \"x\"\nload = -1\n[[workers]]\ncount = 0\n[[jobs]]\nname = \"j\"\nfails = 1\n[[troubles]]\nkind = \"flood\"\n"))
 	require.Error(t, err)
 	for _, part := range []string{"seconds and load", "workers[0]", "jobs[0] j: share", "fails", `unknown kind "flood"`} {
--- a/internal/system/decisionlab/plain.go
+++ b/internal/system/decisionlab/plain.go
@@ -8,84 +8,86 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// plainRule is a plain policy: in which order tasks are placed, and where.
-type plainRule struct {
-	// before orders tasks; those that it takes for equal stay in the order in which their turn came.
-	before func(a, b *plainTask) int
-	// choose picks one of the workers that have room, of which there is one at least.
-	choose func(p *plain, t *plainTask, able []*worker) *worker
-}
-
-// plain plays a plain policy. Its starts and the word of ends take as long as the scheduler's; beside that it is better off: it knows at once which
-// workers are cut off or have crashed, and no answer of it gets lost. It keeps each task for a worker with room, and moves and copies nothing.
-type plain struct {
+// baselineRule defines a baseline policy: the order in which tasks are placed, and the worker for each.
+type baselineRule struct {
+	// before compares tasks. Equal ones stay in the order in which they became ready.
+	before func(a, b *baselineTask) int
+	// choose picks one of the workers that have capacity, of which there is at least one.
+	choose func(p *baseline, t *baselineTask, able []*worker) *worker
+}
+
+// baseline plays a baseline policy. Its starts and the reports of ends take as long as the scheduler's. Otherwise it has advantages: it knows
+// at once which workers are isolated or have crashed, and none of its answers is lost. It keeps each task for a worker with capacity, and
+// neither moves nor copies tasks.
+type baseline struct {
 	*world
-	rule    plainRule
-	queue   []*plainTask
-	turns   int
-	claimed map[*worker]Need // room of starts that are on their way
-	open    map[*Job][]int   // tasks of each step that aren't done
-	out     map[*worker][]*plainTask
-	gone    bool // there is no head
-	asleep  bool // a dispatch is on its way
-}
-
-// plainTask is a task whose turn has come.
-type plainTask struct {
-	name     taskName
-	turn     int
-	deadline time.Duration // by what its client says
+	rule            baselineRule
+	queue           []*baselineTask
+	lastSequence    int
+	reserved        map[*worker]Need // capacity for pending starts
+	remaining       map[*Job][]int   // number of tasks of each step that are not done
+	assigned        map[*worker][]*baselineTask
+	headDown        bool
+	dispatchPending bool
+}
+
+// baselineTask is a task that is ready.
+type baselineTask struct {
+	name     taskID
+	sequence int
+	deadline time.Duration // by the client's estimates
 	attempt  int
 	failures int
 	done     bool
 }
 
-func playPlain(day *Day, luck uint64, rule plainRule) Result {
-	p := &plain{world: newWorld(day, luck), rule: rule, claimed: map[*worker]Need{}, open: map[*Job][]int{}, out: map[*worker][]*plainTask{}}
+func playBaseline(day *Day, delaySeed uint64, rule baselineRule) Result {
+	p := &baseline{world: newWorld(day, delaySeed), rule: rule, reserved: map[*worker]Need{},
+		remaining: map[*Job][]int{}, assigned: map[*worker][]*baselineTask{}}
 	for _, w := range p.workers {
-		w.onDown = func() { p.lostAll(w) }
+		w.onDown = func() { p.requeueAll(w) }
 	}
 	for _, job := range day.Jobs {
-		p.at(begin+job.At, func() { p.after(p.callDelay()+p.commitDelay(), func() { p.accept(job) }) })
+		p.schedule(dayStart+job.At, func() { p.after(p.callDelay()+p.commitDelay(), func() { p.accept(job) }) })
 	}
-	p.trouble(func(gone bool) {
-		p.gone = gone
-		p.dispatchSoon()
+	p.scheduleTroubles(func(down bool) {
+		p.headDown = down
+		p.scheduleDispatch()
 	})
 	for i := range day.Troubles {
 		if t := &day.Troubles[i]; t.Kind == TroubleCut && t.To-t.From > p.bounds.MaxHold() {
-			p.at(begin+t.From+p.bounds.MaxHold(), func() { p.lapse(t) })
+			p.schedule(dayStart+t.From+p.bounds.MaxHold(), func() { p.expireHolds(t) })
 		}
 	}
-	p.play()
+	p.run()
 	return p.result
 }
 
-func (p *plain) accept(job *Job) {
+func (p *baseline) accept(job *Job) {
 	for i := range job.Steps {
-		p.open[job] = append(p.open[job], len(job.Steps[i].Tasks))
+		p.remaining[job] = append(p.remaining[job], len(job.Steps[i].Tasks))
 	}
-	p.openReady(job, -1)
+	p.enqueueReadySteps(job, -1)
 }
 
-// openReady lets the tasks of those steps wait for room whose turn has come by the end of another, -1 at the begin.
-func (p *plain) openReady(job *Job, ended int) {
+// enqueueReadySteps queues the tasks of the steps that have become ready by the end of step ended, or at the job's arrival if ended is -1.
+func (p *baseline) enqueueReadySteps(job *Job, ended int) {
 	for i := range job.Steps {
 		depends := job.Steps[i].DependsOn
-		ready := !slices.ContainsFunc(depends, func(earlier int) bool { return p.open[job][earlier] > 0 })
+		ready := !slices.ContainsFunc(depends, func(earlier int) bool { return p.remaining[job][earlier] > 0 })
 		if !ready || ended >= 0 && !slices.Contains(depends, ended) || ended < 0 && len(depends) > 0 {
 			continue
 		}
 		for task := range job.Steps[i].Tasks {
-			p.turns++
-			p.queue = append(p.queue, &plainTask{name: taskName{job, i, task}, turn: p.turns, deadline: job.said(i)})
+			p.lastSequence++
+			p.queue = append(p.queue, &baselineTask{name: taskID{job, i, task}, sequence: p.lastSequence, deadline: job.estimatedDeadline(i)})
 		}
 	}
-	p.dispatchSoon()
+	p.scheduleDispatch()
 }
 
-// said is when a step's tasks are to have ended, by what the job's client says.
-func (j *Job) said(step int) time.Duration {
+// estimatedDeadline returns the time by which a step's tasks should have ended, by the client's estimates.
+func (j *Job) estimatedDeadline(step int) time.Duration {
 	chain, behind := time.Duration(0), time.Duration(0)
 	for i := range j.Spec.Stages {
 		chain += j.Spec.Stages[i].Estimated
@@ -96,30 +98,30 @@
 	return j.At + milliseconds(j.Class.TargetMs) + time.Duration(max(j.Class.Extension, 1)*float64(chain)) - behind
 }
 
-// dispatchSoon places what can be placed once all that happens at this moment has happened.
-func (p *plain) dispatchSoon() {
-	if p.asleep {
+// scheduleDispatch schedules a dispatch after the other events of the present time.
+func (p *baseline) scheduleDispatch() {
+	if p.dispatchPending {
 		return
 	}
-	p.asleep = true
-	p.at(p.now, func() {
-		p.asleep = false
+	p.dispatchPending = true
+	p.schedule(p.now, func() {
+		p.dispatchPending = false
 		p.dispatch()
 	})
 }
 
-func (p *plain) dispatch() {
-	if p.gone {
+func (p *baseline) dispatch() {
+	if p.headDown {
 		return
 	}
-	slices.SortStableFunc(p.queue, func(a, b *plainTask) int { return cmp.Or(p.rule.before(a, b), cmp.Compare(a.turn, b.turn)) })
+	slices.SortStableFunc(p.queue, func(a, b *baselineTask) int { return cmp.Or(p.rule.before(a, b), cmp.Compare(a.sequence, b.sequence)) })
 	full := map[*Step]bool{}
-	p.queue = slices.DeleteFunc(p.queue, func(t *plainTask) bool {
+	p.queue = slices.DeleteFunc(p.queue, func(t *baselineTask) bool {
 		step := &t.name.job.Steps[t.name.step]
 		if full[step] {
 			return false
 		}
-		able := p.able(step)
+		able := p.candidates(step)
 		if len(able) == 0 {
 			full[step] = true
 			return false
@@ -129,11 +131,11 @@
 	})
 }
 
-// able are the workers that have room for a task of a step: near its data, or else anywhere.
-func (p *plain) able(step *Step) []*worker {
+// candidates returns the workers with capacity for a task of a step: those near its data or, if there are none, all.
+func (p *baseline) candidates(step *Step) []*worker {
 	var near, all []*worker
 	for _, w := range p.workers {
-		if !w.reachable() || !w.suits(step) || !step.Need.fits(w.free.minus(p.claimed[w])) {
+		if !w.reachable() || !w.matchesLabel(step) || !step.Need.fitsIn(w.free.minus(p.reserved[w])) {
 			continue
 		}
 		all = append(all, w)
@@ -147,97 +149,97 @@
 	return all
 }
 
-func (p *plain) start(t *plainTask, w *worker) {
+func (p *baseline) start(t *baselineTask, w *worker) {
 	need := t.name.job.Steps[t.name.step].Need
-	p.claimed[w] = p.claimed[w].plus(need)
+	p.reserved[w] = p.reserved[w].plus(need)
 	t.attempt++
 	attempt := t.attempt
-	p.out[w] = append(p.out[w], t)
+	p.assigned[w] = append(p.assigned[w], t)
 	p.after(p.commitDelay()+p.callDelay(), func() {
-		p.claimed[w] = p.claimed[w].minus(need)
+		p.reserved[w] = p.reserved[w].minus(need)
 		if t.attempt != attempt {
 			return
 		}
-		if !w.reachable() || !need.fits(w.free) {
-			p.again(t, w)
+		if !w.reachable() || !need.fitsIn(w.free) {
+			p.requeue(t, w)
 			return
 		}
-		w.start(t.name, attempt, func(r *run, how workerapi.How) { p.heard(t, w, attempt, how) })
+		w.start(t.name, attempt, func(r *run, reason workerapi.How) { p.reportEnd(t, w, attempt, reason) })
 	})
 }
 
-// heard takes the word of an end once the worker can be heard.
-func (p *plain) heard(t *plainTask, w *worker, attempt int, how workerapi.How) {
+// reportEnd reports the end of a run after a delay, once the worker is not isolated.
+func (p *baseline) reportEnd(t *baselineTask, w *worker, attempt int, reason workerapi.How) {
 	if w.cut {
-		p.after(100*time.Millisecond, func() { p.heard(t, w, attempt, how) })
+		p.after(100*time.Millisecond, func() { p.reportEnd(t, w, attempt, reason) })
 		return
 	}
 	p.after(p.callDelay()+p.commitDelay(), func() {
 		if t.attempt == attempt && !t.done {
-			p.ended(t, w, how)
+			p.handleEnd(t, w, reason)
 		}
 	})
 }
 
-func (p *plain) ended(t *plainTask, w *worker, how workerapi.How) {
+func (p *baseline) handleEnd(t *baselineTask, w *worker, reason workerapi.How) {
 	job := t.name.job
-	if how == workerapi.HowFailed {
+	if reason == workerapi.HowFailed {
 		t.failures++
 	}
 	switch {
-	case p.over[job]:
-		p.forget(t, w)
-	case how == workerapi.HowDone:
-		p.forget(t, w)
+	case p.finished[job]:
+		p.unassign(t, w)
+	case reason == workerapi.HowDone:
+		p.unassign(t, w)
 		t.done = true
 		p.taskDone(t)
 	case t.failures >= job.Class.Retries:
-		p.forget(t, w)
+		p.unassign(t, w)
 		p.failed(job)
-		p.queue = slices.DeleteFunc(p.queue, func(other *plainTask) bool { return other.name.job == job })
+		p.queue = slices.DeleteFunc(p.queue, func(other *baselineTask) bool { return other.name.job == job })
 	default:
-		p.again(t, w)
+		p.requeue(t, w)
 	}
-	p.dispatchSoon()
+	p.scheduleDispatch()
 }
 
-func (p *plain) taskDone(t *plainTask) {
+func (p *baseline) taskDone(t *baselineTask) {
 	job, step := t.name.job, t.name.step
-	p.open[job][step]--
-	if p.open[job][step] > 0 {
+	p.remaining[job][step]--
+	if p.remaining[job][step] > 0 {
 		return
 	}
-	if !slices.ContainsFunc(p.open[job], func(left int) bool { return left > 0 }) {
+	if !slices.ContainsFunc(p.remaining[job], func(left int) bool { return left > 0 }) {
 		p.completed(job)
 		return
 	}
-	p.openReady(job, step)
+	p.enqueueReadySteps(job, step)
 }
 
-// again has a task wait once more.
-func (p *plain) again(t *plainTask, w *worker) {
-	p.forget(t, w)
-	t.attempt++ // whatever is still heard of the run doesn't count
+// requeue puts a task back into the queue.
+func (p *baseline) requeue(t *baselineTask, w *worker) {
+	p.unassign(t, w)
+	t.attempt++ // ignore later reports of the run
 	p.queue = append(p.queue, t)
-	p.dispatchSoon()
+	p.scheduleDispatch()
 }
 
-func (p *plain) forget(t *plainTask, w *worker) {
-	p.out[w] = slices.DeleteFunc(p.out[w], func(other *plainTask) bool { return other == t })
+func (p *baseline) unassign(t *baselineTask, w *worker) {
+	p.assigned[w] = slices.DeleteFunc(p.assigned[w], func(other *baselineTask) bool { return other == t })
 }
 
-// lostAll has all that ran on a worker wait once more.
-func (p *plain) lostAll(w *worker) {
-	for _, t := range slices.Clone(p.out[w]) {
-		p.again(t, w)
+// requeueAll puts all tasks of a worker back into the queue.
+func (p *baseline) requeueAll(w *worker) {
+	for _, t := range slices.Clone(p.assigned[w]) {
+		p.requeue(t, w)
 	}
 }
 
-// lapse gives up what runs on workers that have been cut off for as long as a hold lasts.
-func (p *plain) lapse(t *DrawnTrouble) {
+// expireHolds ends the runs of workers that have been isolated for as long as a hold lasts.
+func (p *baseline) expireHolds(t *DrawnTrouble) {
 	for _, index := range t.Workers {
 		w := p.workers[index]
 		w.endAll(workerapi.HowLapsed)
-		p.lostAll(w)
+		p.requeueAll(w)
 	}
 }
--- a/internal/system/decisionlab/play.go
+++ b/internal/system/decisionlab/play.go
@@ -6,23 +6,23 @@
 	"sync"
 )
 
-// Plan says which days are played, with which policies.
+// Plan selects the days and the policies to play.
 type Plan struct {
 	Deployment *Deployment
 	Policies   []Policy
-	// Days is how many days are drawn, from FirstSeed on; Draws how often each is played with other delays.
+	// Days is the number of days, with seeds from FirstSeed on. Draws is how often each is played with different delays.
 	FirstSeed   uint64
 	Days, Draws int
 }
 
-// Played is one day's worth by policy and draw, and its bound.
+// Played holds the results of one day by policy and draw, and the day's bound.
 type Played struct {
 	Seed    uint64
 	Bound   float64
 	Results map[Policy][]Result
 }
 
-// PlayAll plays all days of a plan, as many at the same time as there are processors; what becomes of each depends on its seeds alone.
+// PlayAll plays all days of a plan, as many concurrently as GOMAXPROCS. The result of each day depends on its seeds only.
 func PlayAll(ctx context.Context, plan Plan) ([]Played, error) {
 	played := make([]Played, plan.Days)
 	var group sync.WaitGroup
--- a/internal/system/decisionlab/policies.go
+++ b/internal/system/decisionlab/policies.go
@@ -7,29 +7,29 @@
 	"strings"
 )
 
-// Policy is what decides on a day.
+// Policy is the name of a scheduling policy.
 type Policy string
 
 // The policies.
 const (
-	// Scheduler is the project's own.
+	// Scheduler is the project's own scheduler.
 	Scheduler Policy = "scheduler"
-	// FirstCome places tasks in the order in which their turn comes, on the first worker that has room.
+	// FirstCome places tasks in the order in which they become ready, on the first worker with capacity.
 	FirstCome Policy = "first-come"
-	// EarliestDeadline places them by deadline, without ranges by size, on the worker that they fill best.
+	// EarliestDeadline places tasks by deadline, without ranges by size, on the worker with the least free capacity that fits.
 	EarliestDeadline Policy = "earliest-deadline"
-	// LeastLoaded places them in the order in which their turn comes, on the worker that has most room.
+	// LeastLoaded places tasks in the order in which they become ready, on the worker with the most free capacity.
 	LeastLoaded Policy = "least-loaded"
-	// RandomOfTwo places them in that order on the emptier of two workers drawn at random.
+	// RandomOfTwo places tasks in that order on the less loaded of two random workers.
 	RandomOfTwo Policy = "random-of-two"
 )
 
-// Policies are all of them, the project's own first.
+// Policies returns all policies, the project's own first.
 func Policies() []Policy {
 	return []Policy{Scheduler, FirstCome, EarliestDeadline, LeastLoaded, RandomOfTwo}
 }
 
-// ParsePolicies reads names that commas separate.
+// ParsePolicies parses a comma-separated list of policy names.
 func ParsePolicies(text string) ([]Policy, error) {
 	var list []Policy
 	for _, name := range strings.Split(text, ",") {
@@ -42,41 +42,41 @@
 	return list, nil
 }
 
-// Play plays a day with a policy. Luck is the seed of delays and of lost answers.
-func Play(day *Day, policy Policy, luck uint64) Result {
+// Play plays a day with a policy. delaySeed is the seed of the delays and the lost answers.
+func Play(day *Day, policy Policy, delaySeed uint64) Result {
 	switch policy {
 	case FirstCome:
-		return playPlain(day, luck, plainRule{before: byTurn, choose: first})
+		return playBaseline(day, delaySeed, baselineRule{before: bySequence, choose: firstFit})
 	case EarliestDeadline:
-		return playPlain(day, luck, plainRule{before: byDeadline, choose: fullest})
+		return playBaseline(day, delaySeed, baselineRule{before: byDeadline, choose: bestFit})
 	case LeastLoaded:
-		return playPlain(day, luck, plainRule{before: byTurn, choose: emptiest})
+		return playBaseline(day, delaySeed, baselineRule{before: bySequence, choose: mostFree})
 	case RandomOfTwo:
-		return playPlain(day, luck, plainRule{before: byTurn, choose: emptierOfTwo})
+		return playBaseline(day, delaySeed, baselineRule{before: bySequence, choose: randomOfTwo})
 	}
-	return playScheduler(day, luck)
+	return playScheduler(day, delaySeed)
 }
 
-func byTurn(a, b *plainTask) int { return 0 }
+func bySequence(a, b *baselineTask) int { return 0 }
 
-func byDeadline(a, b *plainTask) int { return cmp.Compare(a.deadline, b.deadline) }
+func byDeadline(a, b *baselineTask) int { return cmp.Compare(a.deadline, b.deadline) }
 
-func first(_ *plain, _ *plainTask, able []*worker) *worker { return able[0] }
+func firstFit(_ *baseline, _ *baselineTask, able []*worker) *worker { return able[0] }
 
-func fullest(p *plain, _ *plainTask, able []*worker) *worker {
-	return slices.MinFunc(able, func(a, b *worker) int { return cmp.Compare(p.emptiness(a), p.emptiness(b)) })
+func bestFit(p *baseline, _ *baselineTask, able []*worker) *worker {
+	return slices.MinFunc(able, func(a, b *worker) int { return cmp.Compare(p.freeShare(a), p.freeShare(b)) })
 }
 
-func emptiest(p *plain, _ *plainTask, able []*worker) *worker {
-	return slices.MaxFunc(able, func(a, b *worker) int { return cmp.Compare(p.emptiness(a), p.emptiness(b)) })
+func mostFree(p *baseline, _ *baselineTask, able []*worker) *worker {
+	return slices.MaxFunc(able, func(a, b *worker) int { return cmp.Compare(p.freeShare(a), p.freeShare(b)) })
 }
 
-func emptierOfTwo(p *plain, t *plainTask, able []*worker) *worker {
-	pair := []*worker{able[p.luck.IntN(len(able))], able[p.luck.IntN(len(able))]}
-	return emptiest(p, t, pair)
+func randomOfTwo(p *baseline, t *baselineTask, able []*worker) *worker {
+	pair := []*worker{able[p.random.IntN(len(able))], able[p.random.IntN(len(able))]}
+	return mostFree(p, t, pair)
 }
 
-// emptiness is the part of a worker's cores that is free, starts on their way taken off.
-func (p *plain) emptiness(w *worker) float64 {
-	return float64(w.free.minus(p.claimed[w]).CPU) / float64(w.spec.Room.CPU)
+// freeShare returns the fraction of a worker's cores that is free, without those reserved for pending starts.
+func (p *baseline) freeShare(w *worker) float64 {
+	return float64(w.free.minus(p.reserved[w]).CPU) / float64(w.spec.Room.CPU)
 }
--- a/internal/system/decisionlab/summary.go
+++ b/internal/system/decisionlab/summary.go
@@ -7,31 +7,31 @@
 	"gaugeslip/internal/system/scheduler"
 )
 
-// Summary is what a policy made of a deployment's days.
+// Summary is the performance of a policy over the days of a deployment.
 type Summary struct {
 	Deployment string
 	Load       float64
 	Policy     Policy
 	Days       int
-	// Worth is the mean over the days, Error its standard error; Bound the mean of what none can pass.
+	// Worth is the mean over the days and Error its standard error. Bound is the mean of the days' upper bounds.
 	Worth, Error, Bound float64
-	// Less is how much less than the project's scheduler it earns, paired by day, and that difference's standard error.
+	// Less is how much less than the project's scheduler the policy earns, paired by day. LessError is that difference's standard error.
 	Less, LessError float64
 	// Noise is the standard deviation between plays of one day with other delays.
 	Noise   float64
-	InTime  float64 // part of the jobs
-	Starts  float64 // a job
-	Wasted  float64 // core-seconds a job
+	InTime  float64 // fraction of the jobs
+	Starts  float64 // per job
+	Wasted  float64 // core-seconds per job
 	LateFor []LatePart
 }
 
-// LatePart is what late jobs spent on one part of their time, a late job in the mean.
+// LatePart is the mean time that late jobs spent in one part of their time.
 type LatePart struct {
 	Part string
 	Mean time.Duration
 }
 
-// Summarize sums up the days of a plan, a line a policy.
+// Summarize returns a summary of a plan's days for each policy.
 func Summarize(plan Plan, days []Played) []Summary {
 	var all []Summary
 	for _, policy := range plan.Policies {
@@ -47,11 +47,11 @@
 	jobs, inTime, starts, late := 0, 0, 0, 0
 	wasted := 0.0
 	for _, day := range days {
-		draws := worthsOf(day.Results[policy])
+		draws := worthOfEach(day.Results[policy])
 		worths, bounds = append(worths, mean(draws)), append(bounds, day.Bound)
 		variances = append(variances, variance(draws))
 		if own, ok := day.Results[Scheduler]; ok {
-			less = append(less, mean(worthsOf(own))-mean(draws))
+			less = append(less, mean(worthOfEach(own))-mean(draws))
 		}
 		for _, result := range day.Results[policy] {
 			jobs, inTime, starts, late = jobs+result.Jobs, inTime+result.InTime, starts+result.Starts, late+result.Late
@@ -73,7 +73,7 @@
 	return s
 }
 
-func worthsOf(results []Result) []float64 {
+func worthOfEach(results []Result) []float64 {
 	list := make([]float64, len(results))
 	for i := range results {
 		list[i] = results[i].Worth()
@@ -92,7 +92,7 @@
 	return sum / float64(len(values))
 }
 
-// variance is that of the population from which the values were drawn; 0 for fewer than two.
+// variance returns the sample variance of the values, or 0 for fewer than two.
 func variance(values []float64) float64 {
 	if len(values) < 2 {
 		return 0
--- a/internal/system/decisionlab/worker.go
+++ b/internal/system/decisionlab/worker.go
@@ -7,69 +7,69 @@
 	"gaugeslip/internal/system/workerapi"
 )
 
-// taskName names one task of a day.
-type taskName struct {
+// taskID identifies one task of a day.
+type taskID struct {
 	job        *Job
 	step, task int
 }
 
 // run is one run of a task on a modelled worker.
 type run struct {
-	name    taskName
-	attempt int
-	began   time.Duration
-	need    Need
-	lasts   time.Duration
-	// ended is told how it ended; lists of ends are the worker's.
-	ended func(r *run, how workerapi.How)
-	over  bool
+	name      taskID
+	attempt   int
+	startedAt time.Duration
+	need      Need
+	duration  time.Duration
+	// onEnd is called with the reason of the end.
+	onEnd    func(r *run, reason workerapi.How)
+	finished bool
 }
 
-// worker is one modelled worker: it runs what fits, for as long as that truly takes there.
+// worker is one modelled worker. It runs what fits, for as long as the work really takes there.
 type worker struct {
-	world  *world
-	index  int
-	spec   *WorkerSpec
-	life   int
-	up     bool
-	cut    bool
-	grey   bool
-	slow   float64
-	free   Need
-	runs   []*run
-	agent  *agent // what it shows to a scheduler
-	onDown func()
+	world       *world
+	index       int
+	spec        *WorkerSpec
+	incarnation int
+	up          bool
+	cut         bool
+	grey        bool
+	slow        float64
+	free        Need
+	runs        []*run
+	agent       *agent // its side of the protocol with a scheduler
+	onDown      func()
 }
 
-// greyPart is the part of its time after which a run fails on a grey worker.
-const greyPart = 0.3
+// greyFailurePoint is the fraction of its duration after which a run fails on a grey worker.
+const greyFailurePoint = 0.3
 
 func newWorker(w *world, index int) *worker {
 	spec := &w.day.Workers[index]
 	return &worker{world: w, index: index, spec: spec, up: true, slow: 1, free: spec.Room}
 }
 
-// start begins a run; the caller has seen that it fits.
-func (w *worker) start(name taskName, attempt int, ended func(*run, workerapi.How)) *run {
+// start starts a run. The caller has checked that it fits.
+func (w *worker) start(name taskID, attempt int, ended func(*run, workerapi.How)) *run {
 	step := &name.job.Steps[name.step]
-	r := &run{name: name, attempt: attempt, began: w.world.now, need: step.Need, lasts: w.duration(name), ended: ended}
+	r := &run{name: name, attempt: attempt, startedAt: w.world.now, need: step.Need, duration: w.duration(name), onEnd: ended}
 	w.runs = append(w.runs, r)
 	w.free = w.free.minus(r.need)
 	w.world.result.Starts++
-	how, lasts := workerapi.HowDone, r.lasts
+	reason, lasts := workerapi.HowDone, r.duration
 	switch {
 	case w.grey:
-		how, lasts = workerapi.HowFailed, time.Duration(greyPart*float64(lasts))
+		reason, lasts = workerapi.HowFailed, time.Duration(greyFailurePoint*float64(lasts))
 	case w.world.failsLeft[name] > 0:
 		w.world.failsLeft[name]--
-		how = workerapi.HowFailed
+		reason = workerapi.HowFailed
 	}
-	w.world.after(lasts, func() { w.end(r, how) })
+	w.world.after(lasts, func() { w.end(r, reason) })
 	return r
 }
 
-// duration is how long a task takes here.
-func (w *worker) duration(name taskName) time.Duration {
+// duration returns how long a task takes on this worker.
+func (w *worker) duration(name taskID) time.Duration {
 	step := &name.job.Steps[name.step]
 	lasts := float64(step.Tasks[name.task]) / w.spec.Speed * w.slow
 	if step.Rack != "" && step.Rack != w.spec.Rack {
@@ -78,36 +78,36 @@
 	return time.Duration(lasts)
 }
 
-// end ends a run that isn't over yet.
-func (w *worker) end(r *run, how workerapi.How) {
-	if r.over {
+// end ends a run unless it has already ended.
+func (w *worker) end(r *run, reason workerapi.How) {
+	if r.finished {
 		return
 	}
-	r.over = true
+	r.finished = true
 	w.runs = slices.DeleteFunc(w.runs, func(other *run) bool { return other == r })
 	w.free = w.free.plus(r.need)
-	if how != workerapi.HowDone {
-		w.world.wasted(r)
+	if reason != workerapi.HowDone {
+		w.world.addWaste(r)
 	}
-	r.ended(r, how)
+	r.onEnd(r, reason)
 }
 
-// wasted takes note of a run's work that was of no use.
-func (w *world) wasted(r *run) {
-	w.result.WastedCoreSeconds += (w.now - r.began).Seconds() * float64(r.need.CPU) / 1000
+// addWaste counts a run's work as wasted.
+func (w *world) addWaste(r *run) {
+	w.result.WastedCoreSeconds += (w.now - r.startedAt).Seconds() * float64(r.need.CPU) / 1000
 }
 
-// endAll ends all runs in one way.
-func (w *worker) endAll(how workerapi.How) {
+// endAll ends all runs with the given reason.
+func (w *worker) endAll(reason workerapi.How) {
 	for _, r := range slices.Clone(w.runs) {
-		w.end(r, how)
+		w.end(r, reason)
 	}
 }
 
-// setCut begins or ends a cut.
+// setCut isolates the worker or ends its isolation.
 func (w *worker) setCut(cut bool) { w.cut = cut }
 
-// setSlow begins or ends slowness; what runs goes on as it is.
+// setSlow starts or ends a slowdown. Present runs keep their duration.
 func (w *worker) setSlow(slow bool, factor float64) {
 	w.slow = 1
 	if slow {
@@ -115,19 +115,19 @@
 	}
 }
 
-// setUp ends the worker with all that it runs, or begins its next life.
+// setUp stops the worker with all its runs, or starts its next incarnation.
 func (w *worker) setUp(up bool) {
 	if up == w.up {
 		return
 	}
 	w.up = up
 	if up {
-		w.life++
+		w.incarnation++
 		return
 	}
 	for _, r := range w.runs {
-		r.over = true
-		w.world.wasted(r)
+		r.finished = true
+		w.world.addWaste(r)
 	}
 	w.runs, w.free = nil, w.spec.Room
 	if w.onDown != nil {
@@ -135,10 +135,10 @@
 	}
 }
 
-// reachable tells whether the worker hears and is heard.
+// reachable reports whether the worker is up and not isolated.
 func (w *worker) reachable() bool { return w.up && !w.cut }
 
-// suits tells whether a task may run here, room apart.
-func (w *worker) suits(step *Step) bool {
+// matchesLabel reports whether the worker has the label that the step requires, if any.
+func (w *worker) matchesLabel(step *Step) bool {
 	return step.Label == "" || slices.Contains(w.spec.Labels, step.Label)
 }
--- a/internal/system/decisionlab/world.go
+++ b/internal/system/decisionlab/world.go
@@ -8,27 +8,27 @@
 	"gaugeslip/internal/system/nodesettings"
 )
 
-// afterDay bounds how long a day goes on once no more jobs are handed in.
-const afterDay = 90 * time.Second
+// maxOvertime limits how long a day continues after the last submission.
+const maxOvertime = 90 * time.Second
 
-// world is the virtual time of one play, the modelled workers and what becomes of the jobs.
+// world holds the virtual time of one play, the modelled workers and the outcomes of the jobs.
 type world struct {
 	day     *Day
 	bounds  nodesettings.Bounds
-	luck    *rand.Rand // of delays and lost answers
+	random  *rand.Rand // for delays and lost answers
 	now     time.Duration
 	order   uint64
 	events  eventQueue
 	workers []*worker
-	// failsLeft are the runs of each task that are still to fail.
-	failsLeft map[taskName]int
-	over      map[*Job]bool
+	// failsLeft is the number of runs of each task that have yet to fail.
+	failsLeft map[taskID]int
+	finished  map[*Job]bool
 	result    Result
 }
 
-func newWorld(day *Day, luck uint64) *world {
-	w := &world{day: day, bounds: nodesettings.DefaultBounds(), luck: rand.New(rand.NewPCG(day.Seed, luck)), now: time.Second,
-		failsLeft: map[taskName]int{}, over: map[*Job]bool{}}
+func newWorld(day *Day, delaySeed uint64) *world {
+	w := &world{day: day, bounds: nodesettings.DefaultBounds(), random: rand.New(rand.NewPCG(day.Seed, delaySeed)), now: time.Second,
+		failsLeft: map[taskID]int{}, finished: map[*Job]bool{}}
 	for i := range day.Workers {
 		w.workers = append(w.workers, newWorker(w, i))
 	}
@@ -36,7 +36,7 @@
 		w.result.Owed += job.Worth
 		for step := range job.Steps {
 			for task, fails := range job.Steps[step].Fails {
-				w.failsLeft[taskName{job, step, task}] = fails
+				w.failsLeft[taskID{job, step, task}] = fails
 			}
 		}
 	}
@@ -44,40 +44,40 @@
 	return w
 }
 
-// begin is the moment of the day's second 0.
-const begin = time.Second
+// dayStart is the world's time at second 0 of the day.
+const dayStart = time.Second
 
-// at has something done at a moment, after what was asked for before at the same one.
-func (w *world) at(moment time.Duration, do func()) {
+// schedule schedules an action at a time. Actions at the same time are executed in the order of these calls.
+func (w *world) schedule(moment time.Duration, action func()) {
 	w.order++
-	heap.Push(&w.events, event{at: max(moment, w.now), order: w.order, do: do})
+	heap.Push(&w.events, event{at: max(moment, w.now), order: w.order, action: action})
 }
 
-func (w *world) after(span time.Duration, do func()) { w.at(w.now+span, do) }
+func (w *world) after(span time.Duration, action func()) { w.schedule(w.now+span, action) }
 
-// play lets time pass until all jobs are over, or the day has ended for long.
-func (w *world) play() {
-	until := begin + seconds(w.day.Deployment.Seconds) + afterDay
-	for len(w.events) > 0 && len(w.over) < len(w.day.Jobs) {
+// run executes events until all jobs have finished or maxOvertime has passed.
+func (w *world) run() {
+	until := dayStart + seconds(w.day.Deployment.Seconds) + maxOvertime
+	for len(w.events) > 0 && len(w.finished) < len(w.day.Jobs) {
 		next := heap.Pop(&w.events).(event)
 		if next.at > until {
 			return
 		}
 		w.now = next.at
-		next.do()
+		next.action()
 	}
 }
 
-// trouble brings the day's troubles about; head is told of what the head bears.
-func (w *world) trouble(head func(gone bool)) {
+// scheduleTroubles schedules the day's faults. It calls head for the faults of the head.
+func (w *world) scheduleTroubles(head func(down bool)) {
 	for i := range w.day.Troubles {
 		t := &w.day.Troubles[i]
-		w.at(begin+t.From, func() { w.hit(t, true, head) })
-		w.at(begin+t.To, func() { w.hit(t, false, head) })
+		w.schedule(dayStart+t.From, func() { w.applyTrouble(t, true, head) })
+		w.schedule(dayStart+t.To, func() { w.applyTrouble(t, false, head) })
 	}
 }
 
-func (w *world) hit(t *DrawnTrouble, begins bool, head func(gone bool)) {
+func (w *world) applyTrouble(t *DrawnTrouble, begins bool, head func(down bool)) {
 	if t.Kind == TroubleHead {
 		head(begins)
 		return
@@ -97,43 +97,43 @@
 	}
 }
 
-// completed takes note of a job that has been seen to be done.
+// completed records that a job is known to have completed.
 func (w *world) completed(job *Job) {
-	if w.over[job] {
+	if w.finished[job] {
 		return
 	}
-	w.over[job] = true
-	took := w.now - begin - job.At
-	w.result.Earned += job.earns(took)
+	w.finished[job] = true
+	took := w.now - dayStart - job.At
+	w.result.Earned += job.earned(took)
 	w.result.Completed++
 	if took <= job.Objective {
 		w.result.InTime++
 	}
 }
 
-// failed takes note of a job that has failed for good.
-func (w *world) failed(job *Job) { w.over[job] = true }
+// failed records that a job has failed for good.
+func (w *world) failed(job *Job) { w.finished[job] = true }
 
-// callDelay draws how long a call takes one way.
+// callDelay draws the one-way duration of a call.
 func (w *world) callDelay() time.Duration { return w.delay(w.day.Deployment.Delays.CallMs) }
 
-// commitDelay draws how long a command takes until it is committed.
+// commitDelay draws the time until a command is committed.
 func (w *world) commitDelay() time.Duration { return w.delay(w.day.Deployment.Delays.CommitMs) }
 
 func (w *world) delay(mean float64) time.Duration {
-	return milliseconds(mean * around(w.luck, w.day.Deployment.Delays.Spread))
+	return milliseconds(mean * logNormalFactor(w.random, w.day.Deployment.Delays.Spread))
 }
 
-// answerLost draws whether an answer doesn't come.
-func (w *world) answerLost() bool { return w.luck.Float64() < w.day.Deployment.Delays.LostAnswers }
+// answerLost draws whether an answer is lost.
+func (w *world) answerLost() bool { return w.random.Float64() < w.day.Deployment.Delays.LostAnswers }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at     time.Duration
+	order  uint64
+	action func()
 }
 
-// eventQueue is a heap of events, by time and then by the order in which they were asked for.
+// eventQueue is a heap of events, by time and then by the order in which they were scheduled.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
