--- a/internal/system/simworld/cancel_test.go
+++ b/internal/system/simworld/cancel_test.go
@@ -88,13 +88,13 @@
 				for number := range 6 {
 					c := w.newClient(number)
 					clients.Go(func() {
-						var made []*job
+						var endlessJobs []*job
 						for range 4 {
-							made = append(made, c.newJob(endlessStage()))
-							c.submit(made[len(made)-1])
+							endlessJobs = append(endlessJobs, c.newJob(endlessStage()))
+							c.submit(endlessJobs[len(endlessJobs)-1])
 						}
 						<-disturbed
-						for _, endless := range made {
+						for _, endless := range endlessJobs {
 							span := c.cancel(endless)
 							mutex.Lock()
 							took = append(took, span)
--- a/internal/system/simworld/client_test.go
+++ b/internal/system/simworld/client_test.go
@@ -43,19 +43,19 @@
 
 func (w *world) newClient(number int) *client {
 	dial := w.net.Dialer(fmt.Sprintf("10.0.5.%d", number+1))
-	made := &client{world: w, http: &http.Transport{DialContext: dial}, number: number}
-	w.clients = append(w.clients, made)
-	return made
+	created := &client{world: w, http: &http.Transport{DialContext: dial}, number: number}
+	w.clients = append(w.clients, created)
+	return created
 }
 
 // newJob creates a job and adds it to the workers' world.
 func (c *client) newJob(stage hollow.Stage) *job {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	made := &job{id: fmt.Sprintf("%08x%08x", c.number+1, len(c.jobs)+1), stage: stage}
-	c.jobs = append(c.jobs, made)
-	c.world.farm.AddJob(hollow.Job{ID: made.id, Spec: "(text)", Backends: []string{service}, MaxRetries: 40, Stages: []hollow.Stage{stage}})
-	return made
+	created := &job{id: fmt.Sprintf("%08x%08x", c.number+1, len(c.jobs)+1), stage: stage}
+	c.jobs = append(c.jobs, created)
+	c.world.farm.AddJob(hollow.Job{ID: created.id, Spec: "(text)", Backends: []string{service}, MaxRetries: 40, Stages: []hollow.Stage{stage}})
+	return created
 }
 
 func (j *job) body() string {
@@ -71,11 +71,11 @@
 func (c *client) request(location, method, body string) (status int, answer string) {
 	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
-	made, _ := http.NewRequestWithContext(ctx, method, location, strings.NewReader(body))
-	made.Host = "farm.example"
-	made.GetBody = nil // the client itself retries
-	made.Header.Set("X-Gaugeslip-Deadline", fmt.Sprint(clientDeadline.Milliseconds()))
-	response, err := c.http.RoundTrip(made)
+	httpRequest, _ := http.NewRequestWithContext(ctx, method, location, strings.NewReader(body))
+	httpRequest.Host = "farm.example"
+	httpRequest.GetBody = nil // the client itself retries
+	httpRequest.Header.Set("X-Gaugeslip-Deadline", fmt.Sprint(clientDeadline.Milliseconds()))
+	response, err := c.http.RoundTrip(httpRequest)
 	if err != nil {
 		c.world.logf("client: %s %s: %v", method, location, err)
 		return unclear, ""
@@ -90,33 +90,33 @@
 }
 
 // submit submits a job to one dispatcher after the other, until it is accepted or submitTimeout has passed.
-func (c *client) submit(made *job) {
+func (c *client) submit(submitted *job) {
 	turn := c.number
 	for limit := time.Now().Add(submitTimeout); time.Now().Before(limit); turn++ {
-		status, _ := c.call(turn%len(c.world.dispatchers), http.MethodPost, made.id, made.body())
+		status, _ := c.call(turn%len(c.world.dispatchers), http.MethodPost, submitted.id, submitted.body())
 		switch status {
 		case http.StatusOK:
-			made.accepted = true
+			submitted.accepted = true
 			return
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		default:
-			made.unclear = true
+			submitted.unclear = true
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	if !made.unclear {
-		c.world.farm.CancelJob(made.id) // every attempt was refused, so the job must never run
+	if !submitted.unclear {
+		c.world.farm.CancelJob(submitted.id) // every attempt was refused, so the job must never run
 	}
 }
 
 // cancel sends a DELETE until it is acknowledged, and returns how long that took.
-func (c *client) cancel(made *job) time.Duration {
-	made.cancelled = true
+func (c *client) cancel(submitted *job) time.Duration {
+	submitted.cancelled = true
 	began := time.Now()
 	for turn := c.number; time.Since(began) < submitTimeout; turn++ {
-		status, _ := c.call(turn%len(c.world.dispatchers), http.MethodDelete, made.id, "")
+		status, _ := c.call(turn%len(c.world.dispatchers), http.MethodDelete, submitted.id, "")
 		if status == http.StatusOK || status == http.StatusGone {
-			c.world.farm.CancelJob(made.id)
+			c.world.farm.CancelJob(submitted.id)
 			break
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -125,10 +125,10 @@
 }
 
 // state queries a job's state until there is a definite answer.
-func (c *client) state(made *job) (status int, state string) {
+func (c *client) state(submitted *job) (status int, state string) {
 	for try := range 10 {
 		var text string
-		status, text = c.call((c.number+try)%len(c.world.dispatchers), http.MethodGet, made.id, "")
+		status, text = c.call((c.number+try)%len(c.world.dispatchers), http.MethodGet, submitted.id, "")
 		var answer struct{ State string }
 		_ = json.Unmarshal([]byte(text), &answer)
 		if status == http.StatusOK || status == http.StatusGone {
@@ -153,9 +153,9 @@
 }
 
 // requireJobs waits for all accepted jobs and checks that no rule was violated.
-func (w *world) requireJobs(patience time.Duration) {
+func (w *world) requireJobs(timeout time.Duration) {
 	w.t.Helper()
-	for limit := time.Now().Add(patience); len(w.openJobs()) > 0 && time.Now().Before(limit); {
+	for limit := time.Now().Add(timeout); len(w.openJobs()) > 0 && time.Now().Before(limit); {
 		time.Sleep(200 * time.Millisecond)
 	}
 	for _, open := range w.openJobs() {
@@ -170,9 +170,9 @@
 func (w *world) openJobs() []*job {
 	var open []*job
 	for _, c := range w.clients {
-		for _, made := range c.jobs {
-			if made.accepted && !made.cancelled && !made.stage.LongRunning && !w.farm.JobDone(made.id) {
-				open = append(open, made)
+		for _, submitted := range c.jobs {
+			if submitted.accepted && !submitted.cancelled && !submitted.stage.LongRunning && !w.farm.JobDone(submitted.id) {
+				open = append(open, submitted)
 			}
 		}
 	}
--- a/internal/system/simworld/cut_test.go
+++ b/internal/system/simworld/cut_test.go
@@ -33,8 +33,8 @@
 func (m *sequentialWriter) run() {
 	for mark := m.firstMark; ; mark++ {
 		if read := m.operator.read(m.target()); read.status == http.StatusOK || read.status == http.StatusNotFound {
-			asked := order{base: read.version, version: read.version + 1, mark: mark}
-			if m.operator.replace(m.target(), asked).status == http.StatusOK {
+			newOrder := order{base: read.version, version: read.version + 1, mark: mark}
+			if m.operator.replace(m.target(), newOrder).status == http.StatusOK {
 				m.acknowledged++
 			}
 		}
@@ -132,15 +132,15 @@
 	} {
 		t.Run(fmt.Sprintf("%s/%s/%v", cut.role, cut.way, cut.length), func(t *testing.T) {
 			runInWorld(t, uint64(i)+1, options{replicas: 3, tolerance: 1}, func(w *world) {
-				lost := w.replicaWithRole(cut.role)
-				majority := w.startReplacing(0, 2000, 200*time.Millisecond, w.allExcept(lost))
+				isolated := w.replicaWithRole(cut.role)
+				majority := w.startReplacing(0, 2000, 200*time.Millisecond, w.allExcept(isolated))
 				time.Sleep(2 * time.Second)
-				stale := w.startReplacing(1, 100_000, 100*time.Millisecond, only(lost))
-				w.isolate(lost, cut.way)
+				stale := w.startReplacing(1, 100_000, 100*time.Millisecond, only(isolated))
+				w.isolate(isolated, cut.way)
 				if cut.restart {
 					time.Sleep(cut.length / 2)
-					w.replicas[lost].kill()
-					w.replicas[lost].start(false)
+					w.replicas[isolated].kill()
+					w.replicas[isolated].start(false)
 					time.Sleep(cut.length / 2)
 				} else {
 					time.Sleep(cut.length)
@@ -152,7 +152,7 @@
 				majority.stop()
 				stale.stop()
 				require.Greater(t, before, int(cut.length/time.Second), "the majority made too little progress")
-				require.Equal(t, http.StatusOK, w.newOperator(2).read(lost).status, "the healed replica answers again")
+				require.Equal(t, http.StatusOK, w.newOperator(2).read(isolated).status, "the healed replica answers again")
 				w.requireRegister()
 			})
 		})
--- a/internal/system/simworld/elsewhere_test.go
+++ b/internal/system/simworld/elsewhere_test.go
@@ -13,20 +13,20 @@
 
 // An isolated replica refuses operators' calls before their attempt times out, so that they can try another replica.
 func TestIsolatedReplicaRefusesSoon(t *testing.T) {
-	for i, struck := range []role{roleHead, roleMiddle, roleTail} {
-		t.Run(string(struck), func(t *testing.T) {
+	for i, affected := range []role{roleHead, roleMiddle, roleTail} {
+		t.Run(string(affected), func(t *testing.T) {
 			runInWorld(t, uint64(i)+1, options{replicas: 3, tolerance: 1}, func(w *world) {
 				w.configure()
-				lost := w.replicaWithRole(struck)
-				w.isolate(lost, bothWays)
+				isolated := w.replicaWithRole(affected)
+				w.isolate(isolated, bothWays)
 				time.Sleep(time.Second)
 				o := w.newOperator(0)
 				o.timeout = callTimeout
 				var longest time.Duration
 				for try := range 20 {
-					read := o.read(lost)
+					read := o.read(isolated)
 					assert.Equal(t, http.StatusServiceUnavailable, read.status)
-					replaced := o.replace(lost, order{base: 1, version: 2, mark: 3000 + try})
+					replaced := o.replace(isolated, order{base: 1, version: 2, mark: 3000 + try})
 					assert.Contains(t, []int{http.StatusServiceUnavailable, http.StatusGatewayTimeout}, replaced.status)
 					longest = max(longest, read.took, replaced.took)
 				}
--- a/internal/system/simworld/freeze_test.go
+++ b/internal/system/simworld/freeze_test.go
@@ -21,11 +21,11 @@
 // its proposal, or anywhere else. Its operators wait. Its answers after the freeze, to earlier and later calls, have to fit into one
 // linearizable history.
 func TestFrozenReplicaStaysLinearizable(t *testing.T) {
-	for _, struck := range []role{roleHead, roleMiddle, roleTail} {
+	for _, affected := range []role{roleHead, roleMiddle, roleTail} {
 		for readings := 1; readings <= 36; readings += 3 {
-			t.Run(fmt.Sprint(struck, " before reading ", readings), func(t *testing.T) {
+			t.Run(fmt.Sprint(affected, " before reading ", readings), func(t *testing.T) {
 				runInWorld(t, uint64(readings), options{replicas: 3, tolerance: 1}, func(w *world) {
-					frozen := w.replicaWithRole(struck)
+					frozen := w.replicaWithRole(affected)
 					majority := w.startReplacing(0, 2000, 100*time.Millisecond, w.allExcept(frozen))
 					time.Sleep(500 * time.Millisecond)
 					var asking sync.WaitGroup
--- a/internal/system/simworld/jobs_test.go
+++ b/internal/system/simworld/jobs_test.go
@@ -33,25 +33,25 @@
 
 // An isolated replica, whatever its role, decides no job and shows none once its lease or read permission has expired. It refuses at once.
 func TestIsolatedReplicaDecidesNoJob(t *testing.T) {
-	for i, struck := range []role{roleHead, roleMiddle, roleTail} {
-		t.Run(string(struck), func(t *testing.T) {
+	for i, affected := range []role{roleHead, roleMiddle, roleTail} {
+		t.Run(string(affected), func(t *testing.T) {
 			runInWorld(t, uint64(i)+1, options{replicas: 3, tolerance: 1}, func(w *world) {
 				w.configure()
 				require.Equal(t, internalapi.Done, w.submitAt(w.replicaWithRole(roleHead), 1, "barn").Verdict)
-				lost := w.replicaWithRole(struck)
-				w.isolate(lost, bothWays)
+				isolated := w.replicaWithRole(affected)
+				w.isolate(isolated, bothWays)
 				time.Sleep(time.Second)
 				for range 20 {
 					began := time.Now()
 					for _, reply := range []internalapi.JobReply{
-						w.submitAt(lost, 1, "barn"),
-						w.submitAt(lost, 2, "barn"),
-						w.submitAt(lost, 3, "new"),
-						w.jobCall(lost, internalapi.MethodCancel, internalapi.CancelArgs{ID: 1}),
-						w.jobCall(lost, internalapi.MethodCancel, internalapi.CancelArgs{ID: 9}),
-						w.jobCall(lost, internalapi.MethodStatus, internalapi.StatusArgs{ID: 1}),
-						w.jobCall(lost, internalapi.MethodStatus, internalapi.StatusArgs{ID: 9}),
-						w.jobCall(lost, internalapi.MethodCount, internalapi.CountArgs{Route: "barn"}),
+						w.submitAt(isolated, 1, "barn"),
+						w.submitAt(isolated, 2, "barn"),
+						w.submitAt(isolated, 3, "new"),
+						w.jobCall(isolated, internalapi.MethodCancel, internalapi.CancelArgs{ID: 1}),
+						w.jobCall(isolated, internalapi.MethodCancel, internalapi.CancelArgs{ID: 9}),
+						w.jobCall(isolated, internalapi.MethodStatus, internalapi.StatusArgs{ID: 1}),
+						w.jobCall(isolated, internalapi.MethodStatus, internalapi.StatusArgs{ID: 9}),
+						w.jobCall(isolated, internalapi.MethodCount, internalapi.CountArgs{Route: "barn"}),
 					} {
 						assert.Equal(t, internalapi.NotHead, reply.Verdict)
 					}
--- a/internal/system/simworld/once_test.go
+++ b/internal/system/simworld/once_test.go
@@ -78,13 +78,13 @@
 func (w *world) requireStates() int {
 	accepted := 0
 	for _, c := range w.clients {
-		for _, made := range c.jobs {
-			if !made.accepted || made.cancelled {
+		for _, submitted := range c.jobs {
+			if !submitted.accepted || submitted.cancelled {
 				continue
 			}
 			accepted++
-			status, state := c.state(made)
-			assert.Equal(w.t, "completed", state, "seed %d, job %s: %d", w.seed, made.id, status)
+			status, state := c.state(submitted)
+			assert.Equal(w.t, "completed", state, "seed %d, job %s: %d", w.seed, submitted.id, status)
 		}
 	}
 	return accepted
--- a/internal/system/simworld/operator_test.go
+++ b/internal/system/simworld/operator_test.go
@@ -91,22 +91,22 @@
 }
 
 // replace sends a configuration to a replica.
-func (o *operator) replace(replica int, asked order) callResult {
-	return o.world.history.record(asked, func() callResult { return o.send(replica, asked) })
+func (o *operator) replace(replica int, newOrder order) callResult {
+	return o.world.history.record(newOrder, func() callResult { return o.send(replica, newOrder) })
 }
 
-func (o *operator) send(replica int, asked order) callResult {
+func (o *operator) send(replica int, newOrder order) callResult {
 	ctx, cancel := context.WithTimeout(context.Background(), o.timeout)
 	defer cancel()
 	began := time.Now()
-	answer := o.exchange(ctx, replica, asked)
+	answer := o.exchange(ctx, replica, newOrder)
 	answer.took = time.Since(began)
-	o.world.logf("operator: %+v at %d: %+v", asked, replica, answer)
+	o.world.logf("operator: %+v at %d: %+v", newOrder, replica, answer)
 	return answer
 }
 
-func (o *operator) exchange(ctx context.Context, replica int, asked order) callResult {
-	response, err := o.http.RoundTrip(request(ctx, replica, asked))
+func (o *operator) exchange(ctx context.Context, replica int, newOrder order) callResult {
+	response, err := o.http.RoundTrip(request(ctx, replica, newOrder))
 	if err != nil {
 		return callResult{status: unclear}
 	}
@@ -116,21 +116,21 @@
 		return callResult{status: unclear}
 	}
 	answer := callResult{status: response.StatusCode}
-	if asked.read && response.StatusCode == http.StatusOK {
+	if newOrder.read && response.StatusCode == http.StatusOK {
 		answer.version, answer.mark = versionAndMark(body)
 	}
 	return answer
 }
 
-func request(ctx context.Context, replica int, asked order) *http.Request {
+func request(ctx context.Context, replica int, newOrder order) *http.Request {
 	location := "http://" + controlAddress(replica)
-	if asked.read {
-		made, _ := http.NewRequestWithContext(ctx, http.MethodGet, location+"/Config.Read", http.NoBody)
-		return made
+	if newOrder.read {
+		httpRequest, _ := http.NewRequestWithContext(ctx, http.MethodGet, location+"/Config.Read", http.NoBody)
+		return httpRequest
 	}
-	made, _ := http.NewRequestWithContext(ctx, http.MethodPost, location+"/Config.Replace", strings.NewReader(asked.body()))
-	made.Header.Set("X-Gaugeslip-Base-Version", strconv.FormatUint(asked.base, 10))
-	return made
+	httpRequest, _ := http.NewRequestWithContext(ctx, http.MethodPost, location+"/Config.Replace", strings.NewReader(newOrder.body()))
+	httpRequest.Header.Set("X-Gaugeslip-Base-Version", strconv.FormatUint(newOrder.base, 10))
+	return httpRequest
 }
 
 func versionAndMark(body []byte) (uint64, int) {
--- a/internal/system/simworld/race_test.go
+++ b/internal/system/simworld/race_test.go
@@ -45,12 +45,12 @@
 const maxAttempts = 6
 
 // replaceWithRetries sends an order until there is a definite answer, maxAttempts is reached or the writers are stopped.
-func (r *concurrentWriters) replaceWithRetries(o *operator, random *rand.Rand, asked order) {
+func (r *concurrentWriters) replaceWithRetries(o *operator, random *rand.Rand, newOrder order) {
 	for range maxAttempts {
-		answer := o.replace(random.IntN(len(r.world.replicas)), asked)
+		answer := o.replace(random.IntN(len(r.world.replicas)), newOrder)
 		if answer.status == http.StatusOK {
 			r.mutex.Lock()
-			r.acknowledged = append(r.acknowledged, asked)
+			r.acknowledged = append(r.acknowledged, newOrder)
 			r.mutex.Unlock()
 		}
 		if isDefinite(answer) || !r.sleepUnlessStopped(100*time.Millisecond) {
--- a/internal/system/simworld/register_test.go
+++ b/internal/system/simworld/register_test.go
@@ -30,33 +30,33 @@
 	}
 }
 
-func step(now registerState, asked order, answer callResult) (bool, registerState) {
-	if asked.read {
+func step(now registerState, input order, answer callResult) (bool, registerState) {
+	if input.read {
 		if answer.status == http.StatusNotFound {
 			return now.version == 0, now
 		}
 		read := order{version: answer.version, mark: answer.mark}
 		return now.version == answer.version && strings.HasSuffix(now.applied, read.text()), now
 	}
-	known := strings.Contains(now.applied, asked.text())
-	fits := asked.base == now.version && asked.version > now.version
+	known := strings.Contains(now.applied, input.text())
+	fits := input.base == now.version && input.version > now.version
 	switch {
 	case answer.status == http.StatusOK && known:
 		return true, now
 	case answer.status == http.StatusOK:
-		return fits, now.with(asked)
+		return fits, now.with(input)
 	case answer.status == http.StatusPreconditionFailed:
-		return !known && asked.base != now.version, now
+		return !known && input.base != now.version, now
 	case answer.status == http.StatusBadRequest:
-		return !known && asked.version <= now.version, now
+		return !known && input.version <= now.version, now
 	case fits && !known: // an order without a definite answer applies where it fits, at the latest at the end
-		return true, now.with(asked)
+		return true, now.with(input)
 	}
 	return true, now
 }
 
-func (s registerState) with(taken order) registerState {
-	return registerState{version: taken.version, applied: s.applied + taken.text()}
+func (s registerState) with(applied order) registerState {
+	return registerState{version: applied.version, applied: s.applied + applied.text()}
 }
 
 func isDefinite(answer callResult) bool {
@@ -72,13 +72,13 @@
 func (h *history) checkableOperations() []porcupine.Operation {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	taken := h.possiblyApplied()
+	applied := h.possiblyApplied()
 	end := h.clock.Add(1)
 	var operations []porcupine.Operation
 	for _, operation := range h.calls {
-		asked, answer := operation.Input.(order), operation.Output.(callResult)
+		input, answer := operation.Input.(order), operation.Output.(callResult)
 		if !isDefinite(answer) {
-			if asked.read || !taken.includes(asked) {
+			if input.read || !applied.includes(input) {
 				continue
 			}
 			operation.Return = end
@@ -86,19 +86,19 @@
 		operation.ClientId = len(operations)
 		operations = append(operations, operation)
 	}
-	return slices.DeleteFunc(slices.Clone(operations), func(call porcupine.Operation) bool { return isImplied(call, operations, taken) })
+	return slices.DeleteFunc(slices.Clone(operations), func(call porcupine.Operation) bool { return isImplied(call, operations, applied) })
 }
 
 // isImplied reports whether a call that changes nothing is valid wherever another call within its time is: a read of the same
 // configuration or, for a refusal, a read of another version. Omitting these calls greatly reduces the checker's search.
-func isImplied(call porcupine.Operation, operations []porcupine.Operation, taken mayHaveApplied) bool {
-	asked, answer := call.Input.(order), call.Output.(callResult)
+func isImplied(call porcupine.Operation, operations []porcupine.Operation, applied mayHaveApplied) bool {
+	input, answer := call.Input.(order), call.Output.(callResult)
 	var shows func(callResult) bool
 	switch {
-	case asked.read && answer.status == http.StatusOK:
+	case input.read && answer.status == http.StatusOK:
 		shows = func(other callResult) bool { return other.version == answer.version && other.mark == answer.mark }
-	case answer.status == http.StatusPreconditionFailed && !taken.includes(asked):
-		shows = func(other callResult) bool { return other.version != asked.base }
+	case answer.status == http.StatusPreconditionFailed && !applied.includes(input):
+		shows = func(other callResult) bool { return other.version != input.base }
 	default:
 		return false
 	}
@@ -113,30 +113,30 @@
 type mayHaveApplied map[uint64]int
 
 // includes reports whether the order may have been in force.
-func (k mayHaveApplied) includes(asked order) bool {
-	mark, found := k[asked.version]
-	return found && (mark == 0 || mark == asked.mark)
+func (k mayHaveApplied) includes(input order) bool {
+	mark, found := k[input.version]
+	return found && (mark == 0 || mark == input.mark)
 }
 
 // possiblyApplied returns the configurations that were read or acknowledged, and the versions that they are based on.
 func (h *history) possiblyApplied() mayHaveApplied {
-	taken := mayHaveApplied{}
+	applied := mayHaveApplied{}
 	for _, operation := range h.calls {
-		asked, answer := operation.Input.(order), operation.Output.(callResult)
+		input, answer := operation.Input.(order), operation.Output.(callResult)
 		if answer.status == http.StatusOK {
-			taken[max(asked.version, answer.version)] = max(asked.mark, answer.mark)
+			applied[max(input.version, answer.version)] = max(input.mark, answer.mark)
 		}
 	}
 	for grown := true; grown; {
 		grown = false
 		for _, operation := range h.calls {
-			asked := operation.Input.(order)
-			if _, found := taken[asked.base]; !asked.read && !found && taken.includes(asked) {
-				taken[asked.base], grown = 0, true
+			input := operation.Input.(order)
+			if _, found := applied[input.base]; !input.read && !found && applied.includes(input) {
+				applied[input.base], grown = 0, true
 			}
 		}
 	}
-	return taken
+	return applied
 }
 
 // requireRegister fails the test if the operators' histories are not linearizable as one register.
@@ -197,11 +197,11 @@
 
 // newestVersion returns the version that was certainly in force when the call ended, or 0 if the call does not show one.
 func newestVersion(operation porcupine.Operation) uint64 {
-	asked, answer := operation.Input.(order), operation.Output.(callResult)
+	input, answer := operation.Input.(order), operation.Output.(callResult)
 	if answer.status != http.StatusOK {
 		return 0
 	}
-	return max(asked.version, answer.version)
+	return max(input.version, answer.version)
 }
 
 // maxShownCalls limits the calls printed before and after the first one that is not linearizable.
@@ -229,8 +229,8 @@
 		"the same order refused":                 {false, []porcupine.Operation{write(0, 1, 1, 200), write(1, 2, 2, 200), write(0, 1, 1, 412)}},
 		"a refusal of an order that fits":        {false, []porcupine.Operation{write(0, 1, 1, 200), write(1, 2, 2, 412)}},
 		"on top of an older one":                 {false, []porcupine.Operation{write(0, 1, 1, 200), write(1, 2, 2, 200), write(1, 3, 3, 200)}},
-		"an unclear one that was taken":          {true, []porcupine.Operation{write(0, 1, 1, 200), write(1, 2, 2, unclear), read(2, 2)}},
-		"an unclear one, and taken only later":   {true, []porcupine.Operation{write(0, 1, 1, 200), write(1, 2, 2, unclear), read(1, 1), read(2, 2)}},
+		"an unclear one that was applied":        {true, []porcupine.Operation{write(0, 1, 1, 200), write(1, 2, 2, unclear), read(2, 2)}},
+		"an unclear one, and applied only later": {true, []porcupine.Operation{write(0, 1, 1, 200), write(1, 2, 2, unclear), read(1, 1), read(2, 2)}},
 		"an unclear one that comes and goes":     {false, []porcupine.Operation{write(0, 1, 1, 200), write(1, 2, 2, unclear), read(2, 2), read(1, 1)}},
 		"unclear ones that nothing was built on": {true, []porcupine.Operation{write(0, 1, 1, 200), write(1, 2, 2, 503), write(1, 2, 3, 503), read(1, 1)}},
 	} {
--- a/internal/system/simworld/repeats_test.go
+++ b/internal/system/simworld/repeats_test.go
@@ -22,20 +22,20 @@
 )
 
 // replaceConcurrently sends copies of an order to all replicas at once.
-func (w *world) replaceConcurrently(o *operator, asked order) []callResult {
+func (w *world) replaceConcurrently(o *operator, newOrder order) []callResult {
 	answers := make([]callResult, concurrentCopies)
 	var all sync.WaitGroup
 	for i := range answers {
-		all.Go(func() { answers[i] = o.replace(i%len(w.replicas), asked) })
+		all.Go(func() { answers[i] = o.replace(i%len(w.replicas), newOrder) })
 	}
 	all.Wait()
 	return answers
 }
 
 // replaceUntilAnswered sends an order to one replica after the other until there is a definite answer.
-func (w *world) replaceUntilAnswered(o *operator, asked order) int {
+func (w *world) replaceUntilAnswered(o *operator, newOrder order) int {
 	for i := range 100 {
-		if answer := o.replace(i%len(w.replicas), asked); isDefinite(answer) {
+		if answer := o.replace(i%len(w.replicas), newOrder); isDefinite(answer) {
 			return answer.status
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -81,9 +81,9 @@
 			race := w.startConcurrentWriters(3, 500*time.Millisecond)
 			for round := range 5 {
 				read := o.read(w.randomIntN(3))
-				asked := order{base: read.version, version: read.version + 1, mark: 100 + round}
+				newOrder := order{base: read.version, version: read.version + 1, mark: 100 + round}
 				var sent sync.WaitGroup
-				sent.Go(func() { w.replaceConcurrently(o, asked) })
+				sent.Go(func() { w.replaceConcurrently(o, newOrder) })
 				w.changeHead(round)
 				sent.Wait()
 				time.Sleep(time.Second)
@@ -91,8 +91,8 @@
 			w.net.SetPlan(nil)
 			race.stop()
 			w.awaitHead(3)
-			for _, taken := range race.acknowledged {
-				assert.Equal(t, http.StatusOK, w.replaceUntilAnswered(o, taken), "seed %d: %+v", seed, taken)
+			for _, confirmed := range race.acknowledged {
+				assert.Equal(t, http.StatusOK, w.replaceUntilAnswered(o, confirmed), "seed %d: %+v", seed, confirmed)
 			}
 			require.Greater(t, len(race.acknowledged), 4, "seed %d", seed)
 			w.requireRegister()
--- a/internal/system/simworld/trouble_test.go
+++ b/internal/system/simworld/trouble_test.go
@@ -68,10 +68,10 @@
 func (w *world) injectFaults(faults int) {
 	for range faults {
 		chosen := faultKinds[w.randomIntN(len(faultKinds))]
-		struck := w.replicas[w.randomIntN(len(w.replicas))]
+		affected := w.replicas[w.randomIntN(len(w.replicas))]
 		length := time.Duration(200+w.randomIntN(5000)) * time.Millisecond
-		w.logf("%s of %d for %v", chosen.name, struck.number, length)
-		chosen.act(w, struck, length)
+		w.logf("%s of %d for %v", chosen.name, affected.number, length)
+		chosen.act(w, affected, length)
 		w.awaitHead(len(w.replicas))
 		time.Sleep(time.Duration(w.randomIntN(1500)) * time.Millisecond)
 	}
@@ -92,12 +92,12 @@
 			w.injectFaults(6)
 			close(stop)
 			clients.Wait()
-			taken := race.stop()
+			acknowledged := race.stop()
 			w.requireJobs(30 * time.Second)
 			time.Sleep(stateDelay)
 			w.requireStates()
 			w.newOperator(0).read(w.tail())
-			require.Greater(t, taken, 10, "seed %d", seed)
+			require.Greater(t, acknowledged, 10, "seed %d", seed)
 			w.requireRegister()
 		})
 	}
