--- a/cmd/controlplane/logs.go
+++ b/cmd/controlplane/logs.go
@@ -37,14 +37,14 @@
 	if err != nil {
 		return err
 	}
-	lines := lastOf(linesFrom(logfile.Lines(reading.Records), c.From), c.Limit)
+	lines := lastOf(linesFrom(logfile.Describe(reading.Records), c.From), c.Limit)
 	return c.printer(printer).Print(lines, func(t *console.Table) {
 		t.Row("RECORD", "TYPE", "INDEX", "EPOCH", "KIND", "BYTES", "SUMMARY")
 		for i := range lines {
 			lineRow(t, &lines[i])
 		}
 		if reading.Torn {
-			t.Gap()
+			t.BlankLine()
 			t.Row("the file ends in something that is no record: an append was under way, or was cut off")
 		}
 	})
@@ -84,7 +84,7 @@
 		return err
 	}
 	report, err := logfile.Check(reading)
-	if errors.Is(err, logfile.ErrBroken) {
+	if errors.Is(err, logfile.ErrCorrupt) {
 		return findings.Findings{{Place: reading.File, Text: err.Error()}}
 	}
 	if err != nil {
@@ -110,7 +110,7 @@
 
 func (c *logRestoreCommand) Run(printer *console.Printer) error {
 	restored, err := logfile.Restore(c.Folder, control.LogName, c.Target)
-	if errors.Is(err, logfile.ErrBroken) {
+	if errors.Is(err, logfile.ErrCorrupt) {
 		return findings.Findings{{Place: c.Folder, Text: err.Error()}}
 	}
 	if err != nil {
@@ -124,7 +124,7 @@
 		t.Row("last index", restored.LastIndex)
 		t.Row("configuration", restored.ConfigVersion)
 		t.Row("jobs", restored.Jobs)
-		t.Gap()
+		t.BlankLine()
 		t.Row("start that member alone with this folder as its dataDir, then the others with empty ones and bootstrap false")
 	})
 }
--- a/cmd/controlplane/logs_test.go
+++ b/cmd/controlplane/logs_test.go
@@ -76,7 +76,7 @@
 	_, err := execute(t, "log", "restore", prepared(t, identity, agreed, entry), target)
 	assert.ErrorContains(t, err, "isn't empty")
 	_, err = execute(t, "log", "restore", prepared(t, identity, entry), filepath.Join(t.TempDir(), "new"))
-	assert.ErrorIs(t, err, logfile.ErrNotWhole)
+	assert.ErrorIs(t, err, logfile.ErrIncomplete)
 	_, err = execute(t, "log", "restore", prepared(t, identity, agreed, entry, gap), filepath.Join(t.TempDir(), "new"))
 	assert.Equal(t, console.ExitFindings, exitCode(err))
 }
--- a/cmd/controlplane/run.go
+++ b/cmd/controlplane/run.go
@@ -19,7 +19,7 @@
 }
 
 func (c *runCommand) Run() error {
-	taken := console.TakeSignals() // before anything that takes time
+	taken := console.NotifySignals() // before anything that takes time
 	settings, err := loadSettings(c.Settings)
 	if err != nil {
 		return err
@@ -38,7 +38,7 @@
 func serve(node *control.Node, path string, logger *log.Logger, taken console.Signals) error {
 	for {
 		select {
-		case <-taken.End:
+		case <-taken.Terminate:
 			node.Leave()
 			return nil
 		case <-taken.Reload:
--- a/cmd/dataplane/signals_test.go
+++ b/cmd/dataplane/signals_test.go
@@ -9,4 +9,4 @@
 func TestMain(m *testing.M) { programtest.Main(m, programName, main) }
 
 // A SIGHUP that comes while the program starts doesn't end it.
-func TestAHangUpDuringTheStart(t *testing.T) { programtest.HangUpDuringTheStart(t) }
+func TestAHangUpDuringTheStart(t *testing.T) { programtest.CheckSIGHUPDuringStart(t) }
--- a/cmd/gaugelab/system.go
+++ b/cmd/gaugelab/system.go
@@ -34,13 +34,13 @@
 	flags.IntVar(&f.options.Replicas, "replicas", 3, "control plane processes")
 	flags.IntVar(&f.options.Dispatchers, "dispatchers", 3, "data plane processes")
 	flags.Uint64Var(&f.options.Seed, "seed", 0, "seed of jobs and their times; 0: drawn, and printed")
-	flags.DurationVar(&f.options.Patience, "patience", 20*time.Second, "how long the end waits for jobs that aren't over")
+	flags.DurationVar(&f.options.DrainTimeout, "patience", 20*time.Second, "how long the end waits for jobs that aren't over")
 	flags.StringVar(&f.options.ConfigurationFile, "configuration", "", "the operator's configuration (JSON); a built-in one where it is empty")
-	flags.StringVar(&f.options.Programs, "programs", "", "folder of the programs controlplane and dataplane; built from this module where it is empty")
-	flags.StringVar(&f.options.Folder, "folder", "", "folder for settings, disks and logs; a temporary one, removed at the end, where it is empty")
-	flags.StringVar(&f.options.Profiles, "profiles", "", "folder for processor and heap profiles of the replicas; none where it is empty")
+	flags.StringVar(&f.options.ProgramDir, "programs", "", "folder of the programs controlplane and dataplane; built from this module where it is empty")
+	flags.StringVar(&f.options.Dir, "folder", "", "folder for settings, disks and logs; a temporary one, removed at the end, where it is empty")
+	flags.StringVar(&f.options.ProfileDir, "profiles", "", "folder for processor and heap profiles of the replicas; none where it is empty")
 	flags.Float64Var(&f.options.ReplicaMemoryMb, "replica-memory", 0, "megabytes that replicas are told they have; 0: those of a core machine")
-	flags.IntVar(&f.options.ReplicaFiles, "replica-files", 0, "descriptors that replicas are told they have; 0: those of a core machine")
+	flags.IntVar(&f.options.ReplicaMaxOpenFiles, "replica-files", 0, "descriptors that replicas are told they have; 0: those of a core machine")
 	flags.Float64Var(&f.options.ListRate, "list-rate", 30, "calls a second that the platform's list takes")
 	flags.IntVar(&f.options.ListPage, "list-page", 50, "workers on a page of the platform's list")
 	flags.BoolVar(&f.asJSON, "json", false, "print the report as JSON")
@@ -53,15 +53,15 @@
 		f.options.Seed = uint64(time.Now().UnixNano())
 	}
 	fmt.Fprintf(cmd.ErrOrStderr(), "seed %d\n", f.options.Seed)
-	if f.options.Self, err = os.Executable(); err != nil {
+	if f.options.GaugelabPath, err = os.Executable(); err != nil {
 		return cleanUp, err
 	}
-	if f.options.Profiles != "" {
-		if err := os.MkdirAll(f.options.Profiles, 0o755); err != nil {
+	if f.options.ProfileDir != "" {
+		if err := os.MkdirAll(f.options.ProfileDir, 0o755); err != nil {
 			return cleanUp, err
 		}
 	}
-	if f.options.Programs != "" {
+	if f.options.ProgramDir != "" {
 		return cleanUp, nil
 	}
 	folder, err := os.MkdirTemp("", "gaugeslip-programs-")
@@ -69,7 +69,7 @@
 		return cleanUp, err
 	}
 	cleanUp = func() { _ = os.RemoveAll(folder) }
-	f.options.Programs = folder
+	f.options.ProgramDir = folder
 	return cleanUp, localcluster.Build(cmd.Context(), folder)
 }
 
@@ -97,7 +97,7 @@
 	f.common(c)
 	c.Flags().IntVar(&f.options.Workers, "workers", 12, "hollow workers")
 	c.Flags().Float64Var(&f.options.Rate, "rate", 5, "jobs a second")
-	c.Flags().DurationVar(&f.options.For, "for", 15*time.Second, "how long clients hand jobs in")
+	c.Flags().DurationVar(&f.options.LoadDuration, "for", 15*time.Second, "how long clients hand jobs in")
 	c.Flags().StringArrayVar(&troubles, "trouble", nil, `a trouble, "KIND TARGET AT [FOR]", such as "kill head 5s 3s", "freeze replica:1 4s", `+
 		`"restart dispatchers 6s 1s", "wipe tail 5s", "kill worker:3 5s" or "reconfigure 4s"; may be given again`)
 	c.Flags().StringVar(&scenario, "scenario", "", "a scenario file (HCL), such as scenarios/localcluster/kill-head.hcl")
@@ -125,12 +125,12 @@
 func printReport(cmd *cobra.Command, report *localcluster.Report, asJSON bool) error {
 	show := report.Print
 	if asJSON {
-		show = report.JSON
+		show = report.WriteJSON
 	}
 	if err := show(cmd.OutOrStdout()); err != nil {
 		return err
 	}
-	if !report.Sound() {
+	if !report.Passed() {
 		return errUnsound
 	}
 	return nil
--- a/cmd/gaugelab/system_scale.go
+++ b/cmd/gaugelab/system_scale.go
@@ -59,12 +59,12 @@
 // playSizes plays one size after the other; what is measured is kept also when a later size fails.
 func playSizes(cmd *cobra.Command, options localcluster.ScaleOptions, counts []int, out string, asJSON bool) error {
 	var reports []*localcluster.SizeReport
-	folder := options.Folder
+	folder := options.Dir
 	for _, count := range counts {
 		fmt.Fprintf(cmd.ErrOrStderr(), "%d workers\n", count)
 		options.Workers = count
 		if folder != "" {
-			options.Folder = filepath.Join(folder, fmt.Sprintf("workers-%d", count))
+			options.Dir = filepath.Join(folder, fmt.Sprintf("workers-%d", count))
 		}
 		report, err := localcluster.RunSize(cmd.Context(), options)
 		if err != nil {
--- a/cmd/gaugelab/system_soak.go
+++ b/cmd/gaugelab/system_soak.go
@@ -47,27 +47,27 @@
 	flags := c.Flags()
 	flags.Uint64Var(&first, "seed", 1, "the first seed")
 	flags.IntVar(&seeds, "seeds", 1, "how many seeds are played")
-	flags.DurationVar(&options.For, "for", 15*time.Second, "how long troubles last in each run")
-	flags.IntVar(&options.Tracks, "tracks", 3, "how many troubles there may be at a time")
+	flags.DurationVar(&options.TroubleDuration, "for", 15*time.Second, "how long troubles last in each run")
+	flags.IntVar(&options.ConcurrentTroubles, "tracks", 3, "how many troubles there may be at a time")
 	flags.IntVar(&options.Replicas, "replicas", 3, "control plane processes")
 	flags.IntVar(&options.Dispatchers, "dispatchers", 3, "data plane processes")
 	flags.IntVar(&options.Workers, "workers", 12, "hollow workers")
 	flags.Float64Var(&options.Rate, "rate", 8, "jobs a second")
-	flags.StringVar(&options.Programs, "programs", "", "folder of the program relayednode; built from this module where it is empty")
-	flags.StringVar(&options.Folder, "folder", "", "folder for settings, disks and logs of one run; a temporary one, kept where something was found, where it is empty")
+	flags.StringVar(&options.ProgramDir, "programs", "", "folder of the program relayednode; built from this module where it is empty")
+	flags.StringVar(&options.Dir, "folder", "", "folder for settings, disks and logs of one run; a temporary one, kept where something was found, where it is empty")
 	flags.BoolVar(&verbose, "verbose", false, "tell each trouble")
 	return c
 }
 
 // soakPrograms builds what a soak run needs, unless that is there; the caller has to clean up.
 func soakPrograms(cmd *cobra.Command, options *localcluster.SoakOptions) (cleanUp func(), err error) {
-	if options.Programs != "" {
+	if options.ProgramDir != "" {
 		return func() {}, nil
 	}
 	folder, err := os.MkdirTemp("", "gaugeslip-programs-")
 	if err != nil {
 		return func() {}, err
 	}
-	options.Programs = folder
+	options.ProgramDir = folder
 	return func() { _ = os.RemoveAll(folder) }, localcluster.BuildRelayed(cmd.Context(), folder)
 }
--- a/internal/budget/model_test.go
+++ b/internal/budget/model_test.go
@@ -92,7 +92,7 @@
 	}
 	put(int64(s.tick), int64(s.faults), int64(s.incarnations))
 	for i, n := range s.nodes {
-		put(int64(s.clock[i]), int64(s.paused[i]), int64(s.seen[i]), int64(n.cfg.Life), int64(n.startedAt), int64(n.now), int64(n.acceptedUntil), int64(n.maxBallotNumber),
+		put(int64(s.clock[i]), int64(s.paused[i]), int64(s.seen[i]), int64(n.cfg.Incarnation), int64(n.startedAt), int64(n.now), int64(n.acceptedUntil), int64(n.maxBallotNumber),
 			int64(n.attemptStart), int64(n.phase), int64(n.votes), int64(n.retryAt), int64(n.leadUntil), int64(n.epoch), int64(n.dividedAt), int64(n.seq),
 			int64(n.nextRequestAt), int64(n.leader), int64(n.unanswered), int64(n.lastGrantAt), int64(n.grant.Epoch), int64(n.grantEnd), int64(n.grantsTaken))
 		ballot(n.promised)
@@ -164,7 +164,7 @@
 
 // modelNode starts a member.
 func modelNode(i int, incarnation uint64, now time.Duration, mut *mutant) *Node {
-	c := Config{Self: i, Members: 3, Voters: 3, Budgets: 2, Floor: Whole / 16, LeaseTime: 60, RequestInterval: 20, Drift: 0.2, Life: incarnation}
+	c := Config{Self: i, Members: 3, Voters: 3, Budgets: 2, Floor: Whole / 16, LeaseTime: 60, RequestInterval: 20, Drift: 0.2, Incarnation: incarnation}
 	if mut.drift >= 0 {
 		c.Drift = mut.drift
 	}
--- a/internal/budget/node.go
+++ b/internal/budget/node.go
@@ -69,7 +69,7 @@
 	LeaseTime       time.Duration // of the leader lease, and the longest of a grant
 	RequestInterval time.Duration // between two requests of a member
 	Drift           float64       // largest deviation of any clock from real time, as a share
-	Life            uint64        // differs for each start of a process; not 0
+	Incarnation     uint64        // differs for each start of a process; not 0
 }
 
 // Timing returns RequestInterval and LeaseTime for a number of members. The leader gets a request from each of them once per interval.
@@ -158,7 +158,7 @@
 // NewNode returns a member that starts at a time.
 func NewNode(c Config, now time.Duration) *Node {
 	n := &Node{cfg: c, startedAt: now, now: now, leader: -1, lastGrantAt: now, demand: make([]Units, c.Budgets),
-		nextRequestAt: now + time.Duration(float64(c.RequestInterval)*jitter(c.Life, 0))}
+		nextRequestAt: now + time.Duration(float64(c.RequestInterval)*jitter(c.Incarnation, 0))}
 	n.retryAt = now + c.LeaseTime
 	return n
 }
@@ -192,7 +192,7 @@
 
 // send queues a message.
 func (n *Node) send(m Message) {
-	if m.From, m.Incarnation = n.cfg.Self, n.cfg.Life; m.To == n.cfg.Self {
+	if m.From, m.Incarnation = n.cfg.Self, n.cfg.Incarnation; m.To == n.cfg.Self {
 		n.selfMessages = append(n.selfMessages, m)
 	} else {
 		n.outbox = append(n.outbox, m)
@@ -293,12 +293,12 @@
 		return
 	}
 	n.maxBallotNumber++
-	n.ballot = Ballot{N: n.maxBallotNumber, Proposer: uint16(n.cfg.Self), Incarnation: n.cfg.Life}
+	n.ballot = Ballot{N: n.maxBallotNumber, Proposer: uint16(n.cfg.Self), Incarnation: n.cfg.Incarnation}
 	// The lease counts from here, before any voter has the message: voters count from later.
 	n.attemptStart, n.phase, n.votes = n.now, Prepare, 0
 	n.retryAt = n.now + n.cfg.RequestInterval
 	if n.now >= n.leadUntil { // random delay, since other voters may try at the same time
-		n.retryAt += time.Duration(float64(n.cfg.LeaseTime) * jitter(n.cfg.Life, n.maxBallotNumber))
+		n.retryAt += time.Duration(float64(n.cfg.LeaseTime) * jitter(n.cfg.Incarnation, n.maxBallotNumber))
 	}
 	for v := range n.cfg.Voters {
 		n.send(Message{Kind: Prepare, To: v, Ballot: n.ballot})
@@ -461,7 +461,7 @@
 // handleGrant processes the answer to a request.
 func (n *Node) handleGrant(m *Message) {
 	at := n.requests[m.Seq%uint32(len(n.requests))]
-	if m.Requester != n.cfg.Life || at.seq != m.Seq || m.Seq == 0 || m.TTL <= 0 || m.TTL > n.cfg.LeaseTime {
+	if m.Requester != n.cfg.Incarnation || at.seq != m.Seq || m.Seq == 0 || m.TTL <= 0 || m.TTL > n.cfg.LeaseTime {
 		return
 	}
 	n.leader, n.unanswered, n.lastGrantAt, n.maxBallotNumber = m.From, 0, n.now, max(n.maxBallotNumber, m.Ballot.N)
--- a/internal/budget/purse_test.go
+++ b/internal/budget/purse_test.go
@@ -199,7 +199,7 @@
 		if err != nil {
 			return
 		}
-		n := NewNode(Config{Self: m.To % 3, Members: 3, Voters: 3, Budgets: 1, Floor: Whole / 4, LeaseTime: time.Second, RequestInterval: 200 * ms, Drift: 0.01, Life: 9}, 0)
+		n := NewNode(Config{Self: m.To % 3, Members: 3, Voters: 3, Budgets: 1, Floor: Whole / 4, LeaseTime: time.Second, RequestInterval: 200 * ms, Drift: 0.01, Incarnation: 9}, 0)
 		n.Step(10*time.Second, nil)
 		n.Step(10*time.Second, []Message{m})
 		if u := n.Share(0).At(10 * time.Second); u > Whole {
--- a/internal/lab/shares/world.go
+++ b/internal/lab/shares/world.go
@@ -167,7 +167,7 @@
 		return
 	}
 	c := p.cfg
-	c.Self, c.Life = i, x.life
+	c.Self, c.Incarnation = i, x.life
 	x.node = budget.NewNode(c, x.offset)
 	x.rate.SetShare(x.offset, x.node.Share(0))
 	p.step(x, nil)
--- a/internal/net/peers/talk.go
+++ b/internal/net/peers/talk.go
@@ -43,7 +43,7 @@
 	accounts := p.cfg.Ledger.Accounts()
 	every, term := budget.Timing(len(p.cfg.Members))
 	node := budget.NewNode(budget.Config{Self: p.cfg.Self, Members: len(p.cfg.Members), Voters: p.cfg.Voters, Budgets: accounts,
-		Floor: p.cfg.Floor, LeaseTime: term, RequestInterval: every, Drift: p.cfg.Drift, Life: p.cfg.Life}, p.cfg.Now())
+		Floor: p.cfg.Floor, LeaseTime: term, RequestInterval: every, Drift: p.cfg.Drift, Incarnation: p.cfg.Life}, p.cfg.Now())
 	want := make([]budget.Units, accounts)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/system/console/console.go
+++ b/internal/system/console/console.go
@@ -106,8 +106,8 @@
 	_, _ = fmt.Fprintln(t.writer, line)
 }
 
-// Gap writes an empty line, after which columns align anew.
-func (t *Table) Gap() {
+// BlankLine writes an empty line, after which columns align anew.
+func (t *Table) BlankLine() {
 	_, _ = fmt.Fprintln(t.writer)
 	_ = t.writer.Flush()
 }
@@ -128,16 +128,16 @@
 	return text
 }
 
-// Milliseconds is how tables show a length of time; a negative one isn't known.
-func Milliseconds(ms int64) string {
+// FormatMilliseconds is how tables show a length of time; a negative one isn't known.
+func FormatMilliseconds(ms int64) string {
 	if ms < 0 {
 		return "-"
 	}
 	return (time.Duration(ms) * time.Millisecond).String()
 }
 
-// Moment is how tables show a time of day in milliseconds since 1970; 0 is none.
-func Moment(unixMs int64) string {
+// FormatTime is how tables show a time of day in milliseconds since 1970; 0 is none.
+func FormatTime(unixMs int64) string {
 	if unixMs == 0 {
 		return "-"
 	}
--- a/internal/system/console/programtest/programtest.go
+++ b/internal/system/console/programtest/programtest.go
@@ -27,9 +27,9 @@
 	os.Exit(m.Run())
 }
 
-// HangUpDuringTheStart holds that a SIGHUP which comes while the program starts doesn't end it: it tells the program to read its settings, which
+// CheckSIGHUPDuringStart holds that a SIGHUP which comes while the program starts doesn't end it: it tells the program to read its settings, which
 // it is about to do. The settings file is a pipe, so that the program certainly stands where it reads them.
-func HangUpDuringTheStart(t *testing.T) {
+func CheckSIGHUPDuringStart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	require.NoError(t, syscall.Mkfifo(path, 0o600))
 	program := exec.Command(os.Args[0])
--- a/internal/system/console/signals.go
+++ b/internal/system/console/signals.go
@@ -7,12 +7,12 @@
 )
 
 // Signals are those that a process takes. Each kind has a place of its own: reloads that wait can't crowd out the order to end.
-type Signals struct{ End, Reload <-chan os.Signal }
+type Signals struct{ Terminate, Reload <-chan os.Signal }
 
-// TakeSignals has the process take signals from now on; those that come before it serves wait. Till then a SIGHUP ends it.
-func TakeSignals() Signals {
+// NotifySignals has the process take signals from now on; those that come before it serves wait. Till then a SIGHUP ends it.
+func NotifySignals() Signals {
 	end, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reload, syscall.SIGHUP)
-	return Signals{End: end, Reload: reload}
+	return Signals{Terminate: end, Reload: reload}
 }
--- a/internal/system/decisionlab/agent.go
+++ b/internal/system/decisionlab/agent.go
@@ -65,7 +65,7 @@
 		a.reset()
 	}
 	if call.Worker.Instance != a.instance() {
-		reply(workerapi.HoldReply{Outcome: workerapi.OtherLife})
+		reply(workerapi.HoldReply{Outcome: workerapi.OtherInstance})
 		return
 	}
 	switch call.Kind {
@@ -87,19 +87,19 @@
 	case !ok:
 		return workerapi.BadRequest
 	case order.Attempt <= a.endedAttempts[order.Task]:
-		return workerapi.RefusedOld
+		return workerapi.RefusedStale
 	case a.clockMs() > order.DueAtMs:
 		return workerapi.RefusedLate
 	case !name.job.Steps[name.step].Need.fitsIn(a.worker.free):
-		return workerapi.RefusedRoom
+		return workerapi.RefusedCapacity
 	}
 	a.renewHold(order.DueAtMs)
-	a.worker.start(name, order.Attempt, func(r *run, reason workerapi.How) { a.listEnd(order.Task, r, reason) })
+	a.worker.start(name, order.Attempt, func(r *run, reason workerapi.EndReason) { a.listEnd(order.Task, r, reason) })
 	return workerapi.Done
 }
 
 // listEnd lists an end and answers the holds that wait for one.
-func (a *agent) listEnd(task string, r *run, reason workerapi.How) {
+func (a *agent) listEnd(task string, r *run, reason workerapi.EndReason) {
 	a.endedAttempts[task] = max(a.endedAttempts[task], r.attempt)
 	a.lastNumber++
 	a.finished = append(a.finished, workerapi.FinishedTask{N: a.lastNumber, Task: task, Attempt: r.attempt, How: reason})
@@ -122,9 +122,9 @@
 func (a *agent) stop(order *workerapi.StopOrder) workerapi.Outcome {
 	r := a.find(order.Task, order.Attempt)
 	if r == nil {
-		return workerapi.RefusedOld
+		return workerapi.RefusedStale
 	}
-	a.worker.world.after(stopDuration, func() { a.worker.end(r, workerapi.HowStopped) })
+	a.worker.world.after(stopDuration, func() { a.worker.end(r, workerapi.EndStopped) })
 	return workerapi.Done
 }
 
@@ -173,7 +173,7 @@
 	incarnation := a.incarnation
 	world.schedule(due+time.Millisecond, func() {
 		if a.incarnation == incarnation && world.now > a.heldUntil {
-			a.worker.endAll(workerapi.HowLapsed)
+			a.worker.endAll(workerapi.EndLapsed)
 		}
 	})
 }
--- a/internal/system/decisionlab/plain.go
+++ b/internal/system/decisionlab/plain.go
@@ -164,12 +164,12 @@
 			p.requeue(t, w)
 			return
 		}
-		w.start(t.name, attempt, func(r *run, reason workerapi.How) { p.reportEnd(t, w, attempt, reason) })
+		w.start(t.name, attempt, func(r *run, reason workerapi.EndReason) { p.reportEnd(t, w, attempt, reason) })
 	})
 }
 
 // reportEnd reports the end of a run after a delay, once the worker is not isolated.
-func (p *baseline) reportEnd(t *baselineTask, w *worker, attempt int, reason workerapi.How) {
+func (p *baseline) reportEnd(t *baselineTask, w *worker, attempt int, reason workerapi.EndReason) {
 	if w.cut {
 		p.after(100*time.Millisecond, func() { p.reportEnd(t, w, attempt, reason) })
 		return
@@ -181,15 +181,15 @@
 	})
 }
 
-func (p *baseline) handleEnd(t *baselineTask, w *worker, reason workerapi.How) {
+func (p *baseline) handleEnd(t *baselineTask, w *worker, reason workerapi.EndReason) {
 	job := t.name.job
-	if reason == workerapi.HowFailed {
+	if reason == workerapi.EndFailed {
 		t.failures++
 	}
 	switch {
 	case p.finished[job]:
 		p.unassign(t, w)
-	case reason == workerapi.HowDone:
+	case reason == workerapi.EndDone:
 		p.unassign(t, w)
 		t.done = true
 		p.taskDone(t)
@@ -239,7 +239,7 @@
 func (p *baseline) expireHolds(t *DrawnTrouble) {
 	for _, index := range t.Workers {
 		w := p.workers[index]
-		w.endAll(workerapi.HowLapsed)
+		w.endAll(workerapi.EndLapsed)
 		p.requeueAll(w)
 	}
 }
--- a/internal/system/decisionlab/worker.go
+++ b/internal/system/decisionlab/worker.go
@@ -21,7 +21,7 @@
 	need      Need
 	duration  time.Duration
 	// onEnd is called with the reason of the end.
-	onEnd    func(r *run, reason workerapi.How)
+	onEnd    func(r *run, reason workerapi.EndReason)
 	finished bool
 }
 
@@ -50,19 +50,19 @@
 }
 
 // start starts a run. The caller has checked that it fits.
-func (w *worker) start(name taskID, attempt int, ended func(*run, workerapi.How)) *run {
+func (w *worker) start(name taskID, attempt int, ended func(*run, workerapi.EndReason)) *run {
 	step := &name.job.Steps[name.step]
 	r := &run{name: name, attempt: attempt, startedAt: w.world.now, need: step.Need, duration: w.duration(name), onEnd: ended}
 	w.runs = append(w.runs, r)
 	w.free = w.free.minus(r.need)
 	w.world.result.Starts++
-	reason, lasts := workerapi.HowDone, r.duration
+	reason, lasts := workerapi.EndDone, r.duration
 	switch {
 	case w.grey:
-		reason, lasts = workerapi.HowFailed, time.Duration(greyFailurePoint*float64(lasts))
+		reason, lasts = workerapi.EndFailed, time.Duration(greyFailurePoint*float64(lasts))
 	case w.world.failsLeft[name] > 0:
 		w.world.failsLeft[name]--
-		reason = workerapi.HowFailed
+		reason = workerapi.EndFailed
 	}
 	w.world.after(lasts, func() { w.end(r, reason) })
 	return r
@@ -79,14 +79,14 @@
 }
 
 // end ends a run unless it has already ended.
-func (w *worker) end(r *run, reason workerapi.How) {
+func (w *worker) end(r *run, reason workerapi.EndReason) {
 	if r.finished {
 		return
 	}
 	r.finished = true
 	w.runs = slices.DeleteFunc(w.runs, func(other *run) bool { return other == r })
 	w.free = w.free.plus(r.need)
-	if reason != workerapi.HowDone {
+	if reason != workerapi.EndDone {
 		w.world.addWaste(r)
 	}
 	r.onEnd(r, reason)
@@ -98,7 +98,7 @@
 }
 
 // endAll ends all runs with the given reason.
-func (w *worker) endAll(reason workerapi.How) {
+func (w *worker) endAll(reason workerapi.EndReason) {
 	for _, r := range slices.Clone(w.runs) {
 		w.end(r, reason)
 	}
--- a/internal/system/logfile/logfile.go
+++ b/internal/system/logfile/logfile.go
@@ -11,8 +11,8 @@
 	"gaugeslip/internal/system/state"
 )
 
-// ErrBroken says that a log can't have been written by a sound replica.
-var ErrBroken = errors.New("log broken")
+// ErrCorrupt says that a log can't have been written by a sound replica.
+var ErrCorrupt = errors.New("log broken")
 
 // Line is one record of the log.
 type Line struct {
@@ -51,8 +51,8 @@
 	return wal.Read(disk, name)
 }
 
-// Lines describes each record.
-func Lines(records []wal.Record) []Line {
+// Describe describes each record.
+func Describe(records []wal.Record) []Line {
 	lines := make([]Line, len(records))
 	for i, record := range records {
 		lines[i] = describe(record)
--- a/internal/system/logfile/restore.go
+++ b/internal/system/logfile/restore.go
@@ -13,8 +13,8 @@
 // restoreLeap is by how much the restored epoch is above the last one on the disk: above all that the others may have agreed on since.
 const restoreLeap = 1000
 
-// ErrNotWhole says that a log can't be the start of a restored system.
-var ErrNotWhole = errors.New("this disk may lack what was committed")
+// ErrIncomplete says that a log can't be the start of a restored system.
+var ErrIncomplete = errors.New("this disk may lack what was committed")
 
 // Restored is what a restored log holds.
 type Restored struct {
@@ -25,7 +25,7 @@
 
 // Restore writes a new log that holds everything the log of that name in a folder does, under a view whose only voter and member is the
 // replica of that disk. It is for the loss of more disks than are borne: without a majority of the voters nothing goes on by itself. The
-// old folder isn't changed; the new one must be empty or missing. The error wraps ErrNotWhole if the replica wasn't in the chain.
+// old folder isn't changed; the new one must be empty or missing. The error wraps ErrIncomplete if the replica wasn't in the chain.
 func Restore(folder, name, target string) (Restored, error) {
 	reading, err := Read(folder, name)
 	if err != nil {
@@ -55,12 +55,12 @@
 	}
 	persisted, err := replica.Restore(converted)
 	if err != nil {
-		return view.View{}, view.Member{}, fmt.Errorf("%w: %w", ErrBroken, err)
+		return view.View{}, view.Member{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	at := persisted.View.Position(persisted.Identity)
 	if at < 0 {
 		return view.View{}, view.Member{}, fmt.Errorf("%w: %s isn't in the chain of its newest view, epoch %d; take the disk of one that is",
-			ErrNotWhole, persisted.Identity, persisted.View.Epoch)
+			ErrIncomplete, persisted.Identity, persisted.View.Epoch)
 	}
 	member := persisted.View.Chain[at]
 	only := []view.Member{member}
--- a/internal/system/memorybudget/memorybudget.go
+++ b/internal/system/memorybudget/memorybudget.go
@@ -34,8 +34,8 @@
 	held   int64
 }
 
-// Lease begins with nothing.
-func (b *Budget) Lease() *Lease { return &Lease{budget: b} }
+// NewLease begins with nothing.
+func (b *Budget) NewLease() *Lease { return &Lease{budget: b} }
 
 // Release gives all of it back; what was held may not be used after that.
 func (l *Lease) Release() {
--- a/internal/system/network/bound.go
+++ b/internal/system/network/bound.go
@@ -11,8 +11,8 @@
 // NewSlots are that many.
 func NewSlots(most int) Slots { return make(Slots, most) }
 
-// Hold has a connection give back, when it is closed, the slot that was taken for it.
-func (s Slots) Hold(conn net.Conn) net.Conn { return &slotted{Conn: conn, slots: s} }
+// ReleaseOnClose has a connection give back, when it is closed, the slot that was taken for it.
+func (s Slots) ReleaseOnClose(conn net.Conn) net.Conn { return &slotted{Conn: conn, slots: s} }
 
 // slotted is a connection that gives its slot back when it is closed.
 type slotted struct {
@@ -26,9 +26,9 @@
 	return s.Conn.Close()
 }
 
-// Bound has a listener accept at most so many connections at a time; further ones wait, as the operating system has them wait, until one is
+// LimitListener has a listener accept at most so many connections at a time; further ones wait, as the operating system has them wait, until one is
 // closed.
-func Bound(listener net.Listener, most int) net.Listener {
+func LimitListener(listener net.Listener, most int) net.Listener {
 	return &bounded{Listener: listener, slots: NewSlots(most), closed: make(chan struct{})}
 }
 
@@ -50,7 +50,7 @@
 		<-b.slots
 		return nil, err
 	}
-	return b.slots.Hold(conn), nil
+	return b.slots.ReleaseOnClose(conn), nil
 }
 
 func (b *bounded) Close() error {
--- a/internal/system/network/bound_test.go
+++ b/internal/system/network/bound_test.go
@@ -23,7 +23,7 @@
 		simulated := simnet.New(1)
 		inner, err := simulated.Listen(server)
 		require.NoError(t, err)
-		listener := Bound(inner, most)
+		listener := LimitListener(inner, most)
 		accepted, ended := make(chan net.Conn, 2*most), make(chan error, 1)
 		go func() {
 			for {
--- a/internal/system/network/network.go
+++ b/internal/system/network/network.go
@@ -30,8 +30,8 @@
 	return listener, nil
 }
 
-// Sockets listens with the options that package net has of itself.
-func Sockets(address string) (net.Listener, error) { return net.Listen("tcp", address) }
+// ListenTCP listens with the options that package net has of itself.
+func ListenTCP(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
 // ListenForPeers returns the server of the address for calls of other machines.
 func ListenForPeers(network Network, address string) (*transport.Server, error) {
@@ -45,8 +45,8 @@
 	return transport.NewServer(listener), nil
 }
 
-// DialOf gives the network's dial, and nil for a nil network, which clients take for the operating system's sockets.
-func DialOf(network Network) func(ctx context.Context, network, address string) (net.Conn, error) {
+// DialFunc gives the network's dial, and nil for a nil network, which clients take for the operating system's sockets.
+func DialFunc(network Network) func(ctx context.Context, network, address string) (net.Conn, error) {
 	if network == nil {
 		return nil
 	}
--- a/internal/system/requestbody/requestbody_test.go
+++ b/internal/system/requestbody/requestbody_test.go
@@ -29,7 +29,7 @@
 	for _, length := range []int{0, 1, firstUntold - 1, firstUntold, firstUntold + 1, mostAtOnce, mostAtOnce + 1, most - 1, most} {
 		for _, told := range []int64{int64(length), -1} {
 			budget := memorybudget.NewBudget(2 * most)
-			lease := budget.Lease()
+			lease := budget.NewLease()
 			body, err := Read(request(length, told), most, lease)
 			require.NoError(t, err, "%d told as %d", length, told)
 			assert.Len(t, body, length)
@@ -54,7 +54,7 @@
 		"broken off":                 {httptest.NewRequest(http.MethodPost, "/", iotest.ErrReader(io.ErrClosedPipe)), most, io.ErrClosedPipe},
 	} {
 		budget := memorybudget.NewBudget(test.budget)
-		lease := budget.Lease()
+		lease := budget.NewLease()
 		_, err := Read(test.request, most, lease)
 		assert.ErrorIs(t, err, test.want, name)
 		lease.Release()
@@ -73,7 +73,7 @@
 			for range 200 {
 				length := random.IntN(most)
 				told := []int64{int64(length), -1}[random.IntN(2)]
-				lease := budget.Lease()
+				lease := budget.NewLease()
 				body, err := Read(request(length, told), most, lease)
 				assert.LessOrEqual(t, budget.Held(), int64(3*most))
 				if err == nil {
@@ -92,7 +92,7 @@
 // A body of which nothing arrives holds little, whatever length it tells.
 func TestAToldLengthTakesNoMemory(t *testing.T) {
 	budget := memorybudget.NewBudget(2 * most)
-	lease := budget.Lease()
+	lease := budget.NewLease()
 	_, err := Read(request(0, most), most, lease)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	assert.LessOrEqual(t, budget.Held(), int64(mostAtOnce))
--- a/internal/system/workerapi/call.go
+++ b/internal/system/workerapi/call.go
@@ -37,7 +37,7 @@
 	}
 	buffer := acquireAnswerBuffer()
 	defer releaseAnswerBuffer(buffer)
-	lease := client.answers.Lease()
+	lease := client.answers.NewLease()
 	defer lease.Release()
 	if err := readAnswer(response, buffer, lease); err != nil {
 		return Unknown, fmt.Errorf("%w: %w", ErrUnanswered, err)
@@ -111,7 +111,7 @@
 		return BadRequest, nil
 	case http.StatusMisdirectedRequest:
 		*answer = wireAnswer{} // what it tells belongs to the other life
-		return OtherLife, nil
+		return OtherInstance, nil
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return Busy, nil
 	}
--- a/internal/system/workerapi/list.go
+++ b/internal/system/workerapi/list.go
@@ -129,7 +129,7 @@
 	}
 	buffer := acquireAnswerBuffer()
 	defer releaseAnswerBuffer(buffer)
-	lease := client.answers.Lease()
+	lease := client.answers.NewLease()
 	defer lease.Release()
 	if err := readAnswer(response, buffer, lease); err != nil {
 		return listPage{}, fmt.Errorf("%w: %w", ErrUnanswered, err)
--- a/internal/system/workerapi/outcome.go
+++ b/internal/system/workerapi/outcome.go
@@ -26,34 +26,34 @@
 	Done
 	// RefusedFence: the worker has seen a higher fencing token.
 	RefusedFence
-	// RefusedOld: the worker has stopped or ended this run or a later one of the task.
-	RefusedOld
+	// RefusedStale: the worker has stopped or ended this run or a later one of the task.
+	RefusedStale
 	// RefusedLate: the order's due time was over on the worker's clock.
 	RefusedLate
-	// RefusedRoom: the task doesn't fit into what is free on the worker.
-	RefusedRoom
+	// RefusedCapacity: the task doesn't fit into what is free on the worker.
+	RefusedCapacity
 	// BadRequest: the worker can't read the order or doesn't accept its form.
 	BadRequest
 	// Busy: an unhealthy worker refused the call and has done nothing.
 	Busy
-	// OtherLife: another life of the process is at that address; the one that was meant is over.
-	OtherLife
+	// OtherInstance: another life of the process is at that address; the one that was meant is over.
+	OtherInstance
 	// NotSent: the call didn't reach the worker in full; surely nothing was done.
 	NotSent
 	outcomeCount
 )
 
 var outcomeNames = [outcomeCount]string{
-	Unknown:      "unknown",
-	Done:         "done",
-	RefusedFence: "refused: fence",
-	RefusedOld:   "refused: old",
-	RefusedLate:  "refused: late",
-	RefusedRoom:  "refused: room",
-	BadRequest:   "bad request",
-	Busy:         "busy",
-	OtherLife:    "other life",
-	NotSent:      "not sent",
+	Unknown:         "unknown",
+	Done:            "done",
+	RefusedFence:    "refused: fence",
+	RefusedStale:    "refused: old",
+	RefusedLate:     "refused: late",
+	RefusedCapacity: "refused: room",
+	BadRequest:      "bad request",
+	Busy:            "busy",
+	OtherInstance:   "other life",
+	NotSent:         "not sent",
 }
 
 // String names the outcome for logs.
@@ -70,55 +70,55 @@
 }
 
 // CertainlyNotDone tells whether this very call started and stopped nothing, and never will. It says nothing of earlier
-// calls of the same order: after an Unknown start, RefusedOld may mean that the first one has run and ended.
+// calls of the same order: after an Unknown start, RefusedStale may mean that the first one has run and ended.
 func (outcome Outcome) CertainlyNotDone() bool {
 	return outcome != Unknown && outcome != Done
 }
 
-// How is the way in which a run ended, as the worker lists it.
-type How uint8
+// EndReason is the way in which a run ended, as the worker lists it.
+type EndReason uint8
 
 const (
-	// HowUnknown is a word that the contract doesn't know.
-	HowUnknown How = iota
-	// HowDone: the work is done.
-	HowDone
-	// HowFailed: by the task's own fault or by the worker's.
-	HowFailed
-	// HowStopped: by an order.
-	HowStopped
-	// HowLapsed: the hold ran out.
-	HowLapsed
-	// HowBroken: another member of the gang ended.
-	HowBroken
-	// HowAlone: it waited too long for the other members of the gang.
-	HowAlone
-	howCount
+	// EndUnknown is a word that the contract doesn't know.
+	EndUnknown EndReason = iota
+	// EndDone: the work is done.
+	EndDone
+	// EndFailed: by the task's own fault or by the worker's.
+	EndFailed
+	// EndStopped: by an order.
+	EndStopped
+	// EndLapsed: the hold ran out.
+	EndLapsed
+	// EndGangBroken: another member of the gang ended.
+	EndGangBroken
+	// EndGangIncomplete: it waited too long for the other members of the gang.
+	EndGangIncomplete
+	endReasonCount
 )
 
-var howNames = [howCount]string{
-	HowUnknown: "unknown",
-	HowDone:    "done",
-	HowFailed:  "failed",
-	HowStopped: "stopped",
-	HowLapsed:  "lapsed",
-	HowBroken:  "broken",
-	HowAlone:   "alone",
+var endReasonNames = [endReasonCount]string{
+	EndUnknown:        "unknown",
+	EndDone:           "done",
+	EndFailed:         "failed",
+	EndStopped:        "stopped",
+	EndLapsed:         "lapsed",
+	EndGangBroken:     "broken",
+	EndGangIncomplete: "alone",
 }
 
 // String is the word on the wire.
-func (how How) String() string {
-	if how >= howCount {
-		return howNames[HowUnknown]
+func (how EndReason) String() string {
+	if how >= endReasonCount {
+		return endReasonNames[EndUnknown]
 	}
-	return howNames[how]
+	return endReasonNames[how]
 }
 
-func howOf(word string) How {
-	for how := HowDone; how < howCount; how++ {
-		if howNames[how] == word {
+func howOf(word string) EndReason {
+	for how := EndDone; how < endReasonCount; how++ {
+		if endReasonNames[how] == word {
 			return how
 		}
 	}
-	return HowUnknown
+	return EndUnknown
 }
