--- a/internal/system/hollow/checker_test.go
+++ b/internal/system/hollow/checker_test.go
@@ -26,11 +26,11 @@
 	start(t, first, 0, 0, 1)
 	start(t, second, 0, 0, 2)
 	world.clock.Advance(time.Second)
-	require.Equal(t, []string{"done"}, hold(t, second, 0).hows())
+	require.Equal(t, []string{"done"}, hold(t, second, 0).endReasons())
 	world.requireRules()
 }
 
-func TestStartAfterANotedEnd(t *testing.T) {
+func TestStartAfterAnAcknowledgedEnd(t *testing.T) {
 	world := newTestWorld(t)
 	worker := world.worker()
 	world.job(oneTask(time.Second))
@@ -41,7 +41,7 @@
 	world.requireRules(RuleTwice)
 }
 
-func TestStartAfterAnEndThatIsNotedLater(t *testing.T) {
+func TestStartBeforeTheEndIsAcknowledged(t *testing.T) {
 	world := newTestWorld(t)
 	first, second := world.worker(), world.worker()
 	world.job(oneTask(time.Second))
@@ -72,9 +72,9 @@
 	world.job(stage)
 	for attempt := 1; attempt <= 2; attempt++ {
 		start(t, first, 0, 0, attempt)
-		world.run(time.Second, first)
+		world.advanceHolding(time.Second, first)
 	}
-	require.Empty(t, world.Unfinished(), "a hopeless job isn't lost")
+	require.Empty(t, world.Unfinished(), "a job without retries left is not unfinished")
 	start(t, second, 0, 0, 3)
 	world.requireRules()
 	hold(t, first, 2)
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestTimedJobStartsAheadOfItsTime(t *testing.T) {
+func TestScheduledJobStartsAheadOfItsDueTime(t *testing.T) {
 	world := newTestWorld(t)
 	worker := world.worker()
 	world.AddJob(Job{
@@ -162,7 +162,7 @@
 	require.Empty(t, world.Lost(2*time.Second))
 	start(t, worker, 0, 0, 1)
 	world.clock.Advance(3 * time.Second)
-	require.Empty(t, world.Lost(2*time.Second), "the second step's turn came 2 s ago")
+	require.Empty(t, world.Lost(2*time.Second), "the second step has been ready for 2 s")
 	require.Equal(t, []string{TaskName(testJob, 0, 1, 0)}, world.Unfinished())
 	world.clock.Advance(time.Second)
 	lost := world.Lost(2 * time.Second)
@@ -170,8 +170,8 @@
 	require.Equal(t, TaskName(testJob, 0, 1, 0), lost[0].Task)
 }
 
-// In trouble, what was cancelled may run for longer, and no longer than told.
-func TestInTroubleACancelledRunMayLast(t *testing.T) {
+// A cancelled run may continue for the time set by SetTrouble, and no longer.
+func TestCancelAllowanceLetsACancelledRunContinue(t *testing.T) {
 	for _, test := range []struct {
 		longer time.Duration
 		want   int
--- a/internal/system/hollow/clock.go
+++ b/internal/system/hollow/clock.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Clock is a steady clock with alarms. Now counts from the clock's own zero.
+// Clock is a monotonic clock with alarms. Now counts from the clock's own zero.
 type Clock interface {
 	Now() time.Duration
-	// Alarm calls ring once, on any goroutine and never within the call itself, when the clock has reached at.
-	Alarm(at time.Duration, ring func()) (cancel func())
+	// Alarm calls callback once when the clock has reached at, on any goroutine, but never from within Alarm itself.
+	Alarm(at time.Duration, callback func()) (cancel func())
 }
 
-// SteadyClock is the process's own steady clock.
+// SteadyClock is the monotonic clock of the process.
 type SteadyClock struct {
 	zero time.Time
 }
@@ -28,12 +28,12 @@
 }
 
 // Alarm implements Clock.
-func (clock *SteadyClock) Alarm(at time.Duration, ring func()) func() {
-	timer := time.AfterFunc(at-clock.Now(), ring)
+func (clock *SteadyClock) Alarm(at time.Duration, callback func()) func() {
+	timer := time.AfterFunc(at-clock.Now(), callback)
 	return func() { timer.Stop() }
 }
 
-// ManualClock stands still until it is advanced.
+// ManualClock advances only by calls of Advance.
 type ManualClock struct {
 	mutex  sync.Mutex
 	now    time.Duration
@@ -41,11 +41,11 @@
 }
 
 type manualAlarm struct {
-	at   time.Duration
-	ring func()
+	at       time.Duration
+	callback func()
 }
 
-// NewManualClock returns a clock that stands at now.
+// NewManualClock returns a clock that shows now.
 func NewManualClock(now time.Duration) *ManualClock {
 	return &ManualClock{now: now, alarms: make(map[*manualAlarm]struct{})}
 }
@@ -58,10 +58,10 @@
 }
 
 // Alarm implements Clock.
-func (clock *ManualClock) Alarm(at time.Duration, ring func()) func() {
+func (clock *ManualClock) Alarm(at time.Duration, callback func()) func() {
 	clock.mutex.Lock()
 	defer clock.mutex.Unlock()
-	alarm := &manualAlarm{at: at, ring: ring}
+	alarm := &manualAlarm{at: at, callback: callback}
 	clock.alarms[alarm] = struct{}{}
 	return func() {
 		clock.mutex.Lock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// Advance moves the clock on by span and rings every alarm on the way at its own time, on the caller's goroutine.
+// Advance moves the clock forward by span. It calls the callback of every alarm on the way at the alarm's time, on the caller's goroutine.
 func (clock *ManualClock) Advance(span time.Duration) {
 	end := clock.Now() + span
 	for {
@@ -78,11 +78,11 @@
 		if alarm == nil {
 			return
 		}
-		alarm.ring()
+		alarm.callback()
 	}
 }
 
-// takeNext moves the clock to the first alarm up to end and takes it away; without one it moves the clock to end.
+// takeNext moves the clock to the first alarm up to end and removes that alarm. Without such an alarm it moves the clock to end.
 func (clock *ManualClock) takeNext(end time.Duration) *manualAlarm {
 	clock.mutex.Lock()
 	defer clock.mutex.Unlock()
--- a/internal/system/hollow/orders.go
+++ b/internal/system/hollow/orders.go
@@ -10,7 +10,7 @@
 	maxWait     = 2 * time.Second
 )
 
-// startOrder, stopOrder and holdOrder are the bodies of the worker's calls.
+// startOrder, stopOrder and holdOrder are the request bodies of the worker protocol.
 type startOrder struct {
 	Task       string `json:"task"`
 	Attempt    int    `json:"attempt"`
@@ -33,7 +33,7 @@
 	WaitMs     int64  `json:"waitMs"`
 }
 
-// answer is a status and a body.
+// answer is the response to a call: a status and, unless bodyless, a JSON body.
 type answer struct {
 	status   int
 	bodyless bool
@@ -51,7 +51,7 @@
 	return answer{status: http.StatusConflict, ClockMs: worker.clockMs(), Reason: reason}
 }
 
-// raiseFence tells whether an order with this token may be acted on.
+// raiseFence reports whether an order with this fencing token is accepted, and remembers the token. A token lower than one seen is rejected.
 func (worker *Worker) raiseFence(token uint64) bool {
 	if token < worker.fence {
 		return false
@@ -60,7 +60,7 @@
 	return true
 }
 
-// start carries out a start.
+// start executes a start order.
 func (worker *Worker) start(order *startOrder) answer {
 	world := worker.world
 	if !worker.raiseFence(order.FenceToken) {
@@ -76,7 +76,7 @@
 		return worker.refuse("late")
 	}
 	worker.renew(order.DueAtMs)
-	if order.Attempt <= worker.over[order.Task] {
+	if order.Attempt <= worker.endedAttempts[order.Task] {
 		world.stats.StartsOld++
 		return worker.refuse("old")
 	}
@@ -89,19 +89,19 @@
 		world.stats.StartsRoom++
 		return worker.refuse("room")
 	}
-	worker.begin(task, order)
+	worker.startRun(task, order)
 	return worker.accept()
 }
 
-// begin makes a run present.
-func (worker *Worker) begin(task *task, order *startOrder) {
+// startRun adds a run to the worker and to its execution.
+func (worker *Worker) startRun(task *task, order *startOrder) {
 	world := worker.world
 	started := &run{
 		worker:     worker,
 		task:       task,
 		attempt:    order.Attempt,
 		checkpoint: order.Checkpoint,
-		present:    world.now,
+		startedAt:  world.now,
 	}
 	world.checker.checkStart(world, started, order.Spec)
 	world.stats.Starts++
@@ -112,7 +112,7 @@
 	execution.join(started)
 }
 
-// stop carries out a stop.
+// stop executes a stop order.
 func (worker *Worker) stop(order *stopOrder) answer {
 	if !worker.raiseFence(order.FenceToken) {
 		return worker.refuse("fence")
@@ -122,11 +122,11 @@
 		run.stop()
 		return worker.accept()
 	}
-	worker.bury(order.Task, order.Attempt)
+	worker.rejectAttemptsUpTo(order.Task, order.Attempt)
 	return worker.accept()
 }
 
-// hold renews the hold, forgets what was seen, and tells whether its answer has an end to list.
+// hold executes a hold order: it renews the hold and drops the acknowledged ends. It reports whether there are ends to list.
 func (worker *Worker) hold(order *holdOrder) (refused *answer, ended bool) {
 	if !worker.raiseFence(order.FenceToken) {
 		refusal := worker.refuse("fence")
@@ -134,32 +134,32 @@
 	}
 	worker.world.stats.Holds++
 	worker.renew(order.DueAtMs)
-	worker.see(order.LastSeen)
+	worker.acknowledgeEnds(order.LastSeen)
 	return nil, len(worker.finished) > 0
 }
 
-// lists is the answer to a hold.
-func (worker *Worker) lists() answer {
+// listRuns returns the answer to a hold: the present runs and the first maxFinished ends.
+func (worker *Worker) listRuns() answer {
 	answer := worker.accept()
 	for _, run := range worker.sortedRuns() {
-		row := [4]any{run.task.name, run.attempt, run.saved(), run.execution.percent()}
+		row := [4]any{run.task.name, run.attempt, run.latestCheckpoint(), run.execution.percent()}
 		answer.Running = append(answer.Running, row)
 	}
 	for _, end := range worker.finished[:min(len(worker.finished), maxFinished)] {
-		row := [5]any{end.number, end.task, end.attempt, howWords[end.how], end.checkpoint}
+		row := [5]any{end.number, end.task, end.attempt, endReasonNames[end.reason], end.checkpoint}
 		answer.Finished = append(answer.Finished, row)
 	}
 	return answer
 }
 
-// wait adds a hold that waits for an end, for the time wanted.
+// wait registers a hold that waits for an end, for at most the given time and maxWait.
 func (worker *Worker) wait(milliseconds int64) *waiter {
 	world := worker.world
 	added := &waiter{wake: make(chan struct{})}
 	worker.waiters[added] = struct{}{}
 	span := min(time.Duration(milliseconds)*time.Millisecond, maxWait)
-	added.expiry = world.after(span, added.end)
-	world.waiting++
+	added.expiry = world.after(span, added.signal)
+	world.waitingHolds++
 	world.waitChanged.Broadcast()
 	return added
 }
@@ -167,31 +167,32 @@
 func (worker *Worker) endWait(waiter *waiter) {
 	delete(worker.waiters, waiter)
 	waiter.expiry.cancel()
-	worker.world.waiting--
+	worker.world.waitingHolds--
 }
 
-// findTask returns the task with this name, or nil if no job has it.
+// findTask returns the task with this name, or nil if no job has such a task.
 func (world *World) findTask(name string) *task {
-	place, valid := parseTaskName(name)
+	key, valid := parseTaskKey(name)
 	if !valid {
 		return nil
 	}
-	job := world.jobs[place.job]
+	job := world.jobs[key.job]
 	if job == nil {
 		return nil
 	}
-	return job.task(place)
+	return job.task(key)
 }
 
-// resumeFrom takes over a checkpoint that a member was started with.
+// resumeFrom sets the checkpoint from the start order of a member. If it is invalid or the members of a gang differ, the execution
+// starts from the beginning.
 func (execution *execution) resumeFrom(checkpoint string) {
 	progress, valid := checkpointProgress(execution.group, checkpoint)
 	if valid && len(execution.members) == 0 {
 		execution.saved = progress
-		execution.savedTo = checkpoint
+		execution.savedCheckpoint = checkpoint
 	}
-	if execution.savedTo != checkpoint {
+	if execution.savedCheckpoint != checkpoint {
 		execution.saved = 0
-		execution.savedTo = ""
+		execution.savedCheckpoint = ""
 	}
 }
--- a/internal/system/hollow/random_test.go
+++ b/internal/system/hollow/random_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// requireConsistent checks what must hold of a worker at any time.
+// requireConsistent checks the invariants of a worker.
 func requireConsistent(t *rapid.T, worker *Worker) {
 	var used Resources
 	for key, run := range worker.runs {
-		require.False(t, run.over)
+		require.False(t, run.ended)
 		require.Equal(t, runKey{run.task.name, run.attempt}, key)
 		require.Contains(t, run.execution.members, run)
-		require.NotEqual(t, run.attempt, worker.over[run.task.name], "a run that ended here is present")
+		require.NotEqual(t, run.attempt, worker.endedAttempts[run.task.name], "a run that ended here is still present")
 		used = used.plus(run.task.stage.Need)
 	}
 	require.Equal(t, used, worker.used)
@@ -27,20 +27,20 @@
 		require.Equal(t, worker.finished[0].number+uint64(i), end.number)
 	}
 	if len(worker.runs) > 0 {
-		require.Less(t, worker.clockMs(), worker.heldUntil, "nothing runs unheld")
+		require.Less(t, worker.clockMs(), worker.heldUntil, "a run is present without a hold")
 	}
 }
 
 func requireWorldConsistent(t *rapid.T, world *World) {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	for _, worker := range world.workers {
 		requireConsistent(t, worker)
 	}
 	requireTasksConsistent(t, world)
 }
 
-// requireTasksConsistent checks that each task's count of runs is that of the workers.
+// requireTasksConsistent checks that each task's count of runs equals the runs present on the workers.
 func requireTasksConsistent(t *rapid.T, world *World) {
 	running := make(map[string]int)
 	for _, worker := range world.workers {
@@ -117,8 +117,8 @@
 		clock.Advance(time.Duration(rapid.IntRange(0, 3000).Draw(t, "span")) * time.Millisecond)
 		return
 	}
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	if !worker.alive() {
 		return
 	}
@@ -131,6 +131,6 @@
 	default:
 		lastSeen := worker.lastNumber - min(worker.lastNumber, uint64(rapid.IntRange(0, 2).Draw(t, "unseen")))
 		worker.hold(&holdOrder{DueAtMs: due, LastSeen: lastSeen})
-		worker.lists()
+		worker.listRuns()
 	}
 }
--- a/internal/system/hollow/worker.go
+++ b/internal/system/hollow/worker.go
@@ -13,11 +13,11 @@
 	Version     string
 	Capacity    int
 	Allocatable Resources
-	Guarded     bool   // it refuses what doesn't fit
+	Guarded     bool   // refuses starts that do not fit
 	Kind        string // a label
 	Rack        string // a label
 	ClockRate   float64
-	ClockZero   time.Duration // what its clock shows at its start
+	ClockZero   time.Duration // reading of its clock at its start
 }
 
 // workerState is the state of a worker.
@@ -26,44 +26,44 @@
 const (
 	workerReady workerState = iota
 	workerDraining
-	workerDown // crashed, not yet back
-	workerGone // drained and taken away, or lost
+	workerDown // crashed, not yet restarted
+	workerGone // drained and removed, or lost
 )
 
-// Faults are what is wrong with a worker.
+// Faults are the injected faults of a worker.
 type Faults struct {
-	FailShare float64       // the share of starts that fail by the worker's fault
-	Hang      bool          // tasks stand still
-	Slow      float64       // how many times as long work takes, from 1
-	Silent    bool          // calls get no answer; what runs, runs on
-	LateBy    time.Duration // starts and stops get no answer and are carried out so much later
-	Busy      bool          // 503 to every order
+	FailShare float64       // share of starts that fail because of the worker
+	Hang      bool          // runs make no progress
+	Slow      float64       // factor on the time of work, at least 1
+	Silent    bool          // calls get no answer; runs continue
+	LateBy    time.Duration // starts and stops get no answer and are executed after this delay
+	Busy      bool          // every order gets status 503
 }
 
 // Worker is one hollow worker, an http.Handler.
 type Worker struct {
 	world    *World
-	number   int // its place among the world's workers
+	number   int // its index among the world's workers
 	settings WorkerSettings
 	rack     string
 	address  string
 	server   *server
 
-	// The state of this life.
-	state      workerState
-	instance   string
-	bornAt     time.Duration
-	leavesAt   time.Duration
-	fence      uint64
-	heldUntil  int64 // on its clock, in milliseconds
-	lapse      *event
-	used       Resources
-	runs       map[runKey]*run
-	over       map[string]int // the highest attempt of each task that was stopped or ended here
-	finished   []finishedEnd
-	lastNumber uint64
-	waiters    map[*waiter]struct{}
-	faults     Faults
+	// State of the present instance.
+	state         workerState
+	instance      string
+	startedAt     time.Duration
+	leavesAt      time.Duration
+	fence         uint64
+	heldUntil     int64 // on its clock, in milliseconds
+	lapse         *event
+	used          Resources
+	runs          map[runKey]*run
+	endedAttempts map[string]int // highest attempt of each task that was stopped or ended here
+	finished      []finishedEnd
+	lastNumber    uint64
+	waiters       map[*waiter]struct{}
+	faults        Faults
 }
 
 type runKey struct {
@@ -71,113 +71,114 @@
 	attempt int
 }
 
-// finishedEnd is one entry of the list of ends.
+// finishedEnd is one entry of the list of ended runs.
 type finishedEnd struct {
 	number     uint64
 	task       string
 	attempt    int
-	how        how
+	reason     endReason
 	checkpoint string
 	record     *endRecord
 }
 
-// waiter is a hold that waits for an end.
+// waiter is a hold that waits for the end of a run.
 type waiter struct {
-	wake   chan struct{}
-	awake  bool
-	expiry *event
+	wake      chan struct{}
+	signalled bool
+	expiry    *event
 }
 
-func (waiter *waiter) end() {
-	if !waiter.awake {
-		waiter.awake = true
+func (waiter *waiter) signal() {
+	if !waiter.signalled {
+		waiter.signalled = true
 		close(waiter.wake)
 	}
 }
 
 // NewWorker adds a ready worker to the world. It has no address until Listen or SetAddress.
 func (world *World) NewWorker(settings WorkerSettings) *Worker {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	if settings.ClockRate == 0 {
 		settings.ClockRate = 1
 	}
 	worker := &Worker{world: world, number: len(world.workers), settings: settings, rack: settings.Rack}
-	worker.beginLife()
+	worker.startInstance()
 	world.workers = append(world.workers, worker)
 	worker.publish()
 	return worker
 }
 
-// beginLife makes it a process that has just started.
-func (worker *Worker) beginLife() {
+// startInstance resets the worker to a newly started process.
+func (worker *Worker) startInstance() {
 	world := worker.world
 	world.instances++
 	worker.instance = fmt.Sprintf("i-%08x", world.instances)
 	worker.state = workerReady
-	worker.bornAt = world.now
+	worker.startedAt = world.now
 	worker.fence = 0
 	worker.heldUntil = 0
 	worker.used = Resources{}
 	worker.runs = make(map[runKey]*run)
-	worker.over = make(map[string]int)
+	worker.endedAttempts = make(map[string]int)
 	worker.finished = nil
 	worker.lastNumber = 0
 	worker.waiters = make(map[*waiter]struct{})
 }
 
-// Instance returns the id of its present life.
+// Instance returns the ID of the present instance.
 func (worker *Worker) Instance() string {
-	worker.world.enter()
-	defer worker.world.leave()
+	worker.world.lock()
+	defer worker.world.unlock()
 	return worker.instance
 }
 
-// Address returns where it listens.
+// Address returns the address that the platform lists.
 func (worker *Worker) Address() string {
-	worker.world.enter()
-	defer worker.world.leave()
+	worker.world.lock()
+	defer worker.world.unlock()
 	return worker.address
 }
 
-// SetAddress gives it the address that the platform's list shows.
+// SetAddress sets the address that the platform lists.
 func (worker *Worker) SetAddress(address string) {
-	worker.world.enter()
-	defer worker.world.leave()
+	worker.world.lock()
+	defer worker.world.unlock()
 	worker.address = address
 	worker.publish()
 }
 
-// SetFaults changes what is wrong with it, at once also for what runs.
+// SetFaults replaces the injected faults. They apply at once, also to present runs.
 func (worker *Worker) SetFaults(faults Faults) {
-	worker.world.enter()
-	defer worker.world.leave()
+	worker.world.lock()
+	defer worker.world.unlock()
 	worker.faults = faults
 	for _, run := range worker.runs {
-		run.execution.respeed()
+		run.execution.updateSpeed()
 	}
 }
 
-// Crash ends this life: everything running is gone without an end, calls break off, and after down another life is there.
+// Crash ends the present instance: its runs are lost without a listed end, and calls in progress are aborted. A new instance starts
+// after down.
 func (worker *Worker) Crash(down time.Duration) {
-	worker.world.enter()
-	defer worker.world.leave()
+	worker.world.lock()
+	defer worker.world.unlock()
 	if !worker.alive() {
 		return
 	}
-	worker.die(workerDown)
+	worker.stopProcess(workerDown)
 	worker.world.after(down, func() {
 		if worker.state == workerDown {
-			worker.beginLife()
+			worker.startInstance()
 			worker.publish()
 		}
 	})
 }
 
-// Drain has the platform show it as draining; it leaves after remaining, and what still runs then dies.
+// Drain makes the platform list the worker as draining. The worker leaves after remaining, and the runs that are left are lost.
 func (worker *Worker) Drain(remaining time.Duration) {
-	worker.world.enter()
-	defer worker.world.leave()
+	worker.world.lock()
+	defer worker.world.unlock()
 	if worker.state != workerReady {
 		return
 	}
@@ -187,32 +188,32 @@
 	worker.publish()
 	worker.world.after(remaining, func() {
 		if worker.instance == instance {
-			worker.die(workerGone)
+			worker.stopProcess(workerGone)
 			worker.publish()
 		}
 	})
 }
 
-// Lose ends it for good, without a notice.
+// Lose removes the worker for good, without notice.
 func (worker *Worker) Lose() {
-	worker.world.enter()
-	defer worker.world.leave()
-	worker.die(workerGone)
+	worker.world.lock()
+	defer worker.world.unlock()
+	worker.stopProcess(workerGone)
 	worker.publish()
 }
 
-func (worker *Worker) die(state workerState) {
+func (worker *Worker) stopProcess(state workerState) {
 	worker.state = state
 	worker.lapse.cancel()
 	worker.lapse = nil
 	for _, run := range worker.sortedRuns() {
-		run.end(howCrashed)
+		run.end(endCrashed)
 	}
 	worker.voidEnds()
 	worker.wakeAll()
 }
 
-// alive tells whether the process runs.
+// alive reports whether the process is running.
 func (worker *Worker) alive() bool {
 	return worker.state == workerReady || worker.state == workerDraining
 }
@@ -230,35 +231,35 @@
 	return worker.settings.Allocatable.minus(worker.used)
 }
 
-// countStage counts the present runs of the task's step and repetition.
+// countStage returns the number of present runs of the task's stage and repetition.
 func (worker *Worker) countStage(counted *task) int {
 	count := 0
 	for _, run := range worker.runs {
-		place := run.task.place
-		place.index = counted.place.index
-		if place == counted.place {
+		key := run.task.key
+		key.index = counted.key.index
+		if key == counted.key {
 			count++
 		}
 	}
 	return count
 }
 
-// sortedRuns returns what runs in the order of its arrival, so that a world with a seed always does the same.
+// sortedRuns returns the present runs in the order of their start, so that a world with a given seed always behaves the same.
 func (worker *Worker) sortedRuns() []*run {
 	runs := make([]*run, 0, len(worker.runs))
 	for _, run := range worker.runs {
 		runs = append(runs, run)
 	}
 	slices.SortFunc(runs, func(a, b *run) int {
-		if a.present != b.present {
-			return int(a.present - b.present)
+		if a.startedAt != b.startedAt {
+			return int(a.startedAt - b.startedAt)
 		}
-		return compareKeys(a, b)
+		return compareRuns(a, b)
 	})
 	return runs
 }
 
-func compareKeys(a, b *run) int {
+func compareRuns(a, b *run) int {
 	if a.task.name == b.task.name {
 		return a.attempt - b.attempt
 	}
--- a/internal/system/hollow/world.go
+++ b/internal/system/hollow/world.go
@@ -1,6 +1,6 @@
-// Package hollow is a stand-in for the workers and the platform: workers that keep the wire contract but run no work, any
-// number of them to a process, and the platform's list of them. They share a World, which keeps the clock, the jobs, the
-// gangs, and the checker of the rules that orders must keep. It serves tests (with a ManualClock) and scale runs.
+// Package hollow simulates the workers and the platform. Hollow workers implement the worker protocol but run no real work; one
+// process can hold any number of them. The platform lists them. They share a World, which holds the clock, the jobs, the gangs and the
+// checker of the rules for orders. Tests use it with a ManualClock, scale runs with a SteadyClock.
 package hollow
 
 import (
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Settings are the bounds of a world.
+// Settings are the time limits and other parameters of a world.
 type Settings struct {
-	MaxHold time.Duration // the longest hold that workers grant
-	Stop    time.Duration // what a stop lasts
-	Gang    time.Duration // what a member waits for the others
+	MaxHold time.Duration // longest hold that workers grant
+	Stop    time.Duration // duration of a stop
+	Gang    time.Duration // how long a gang member waits for the others
 	Save    time.Duration // work between two checkpoints
-	Restore time.Duration // what a start from a checkpoint takes
-	Cancel  time.Duration // after a cancelling nothing starts later than that
-	Early   time.Duration // how far ahead of its due time a task may start
-	Far     float64       // how many times as long work takes far from its data
-	Seed    uint64        // of the failures that workers draw
+	Restore time.Duration // duration of a restore from a checkpoint
+	Cancel  time.Duration // no task of a job may start later than this after its cancellation
+	Early   time.Duration // how long before its due time a task may start
+	Far     float64       // slowdown of work far from its data
+	Seed    uint64        // seed of the random failures of workers
 }
 
-// DefaultSettings returns bounds like those of the ordinary sites.
+// DefaultSettings returns limits like those of a usual site.
 func DefaultSettings() Settings {
 	return Settings{
 		MaxHold: 6 * time.Second,
@@ -37,30 +37,30 @@
 	}
 }
 
-// World is what all hollow workers and platforms of a run share. It is safe for concurrent use.
+// World is the state that all hollow workers and platforms of a run share. It is safe for concurrent use.
 type World struct {
 	settings Settings
 	clock    Clock
 
-	mutex       sync.Mutex
-	now         time.Duration
-	events      eventQueue
-	alarmAt     time.Duration
-	alarmNumber uint64 // of the alarm that is set last
-	cancelAlarm func()
-	random      *rand.Rand
-	workers     []*Worker
-	instances   int
-	jobs        map[string]*job
-	gangs       map[gangKey]*execution
-	platforms   []*Platform
-	checker     checker
-	trouble     time.Duration // how much longer than in calm what was cancelled may run
-	stats       Stats
-	waiting     int // holds that wait for an end
-	unanswered  int // calls that are kept without an answer
-	waitChanged *sync.Cond
-	closed      chan struct{}
+	mutex           sync.Mutex
+	now             time.Duration
+	events          eventQueue
+	alarmAt         time.Duration
+	alarmNumber     uint64 // number of the latest alarm
+	cancelAlarm     func()
+	random          *rand.Rand
+	workers         []*Worker
+	instances       int
+	jobs            map[string]*job
+	gangs           map[gangKey]*execution
+	platforms       []*Platform
+	checker         checker
+	cancelAllowance time.Duration // how much longer than usual a cancelled run may continue
+	stats           Stats
+	waitingHolds    int // number of holds that wait for an end
+	unansweredCalls int // number of calls in progress that get no answer
+	waitChanged     *sync.Cond
+	closed          chan struct{}
 }
 
 // NewWorld returns a world without workers and jobs.
@@ -77,7 +77,7 @@
 	return world
 }
 
-// Close frees every call that waits and ends the world's alarms. Servers are closed by whoever opened them.
+// Close releases every waiting call and cancels the world's alarm. It does not close the servers of workers and platforms.
 func (world *World) Close() {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
@@ -94,19 +94,19 @@
 	world.waitChanged.Broadcast()
 }
 
-// enter locks the world and brings it up to its clock.
-func (world *World) enter() {
+// lock locks the world and executes the events that are due by its clock.
+func (world *World) lock() {
 	world.mutex.Lock()
 	now := world.clock.Now()
-	for due := world.events.take(now); due != nil; due = world.events.take(now) {
+	for due := world.events.popDue(now); due != nil; due = world.events.popDue(now) {
 		world.now = max(world.now, due.at)
-		due.act()
+		due.action()
 	}
 	world.now = max(world.now, now)
 }
 
-// leave sets the alarm for the next event and unlocks the world.
-func (world *World) leave() {
+// unlock sets the alarm for the next event and unlocks the world.
+func (world *World) unlock() {
 	world.setAlarm()
 	world.mutex.Unlock()
 }
@@ -125,16 +125,16 @@
 	world.alarmAt = first.at
 	world.alarmNumber++
 	number := world.alarmNumber
-	world.cancelAlarm = world.clock.Alarm(first.at, func() { world.ring(number) })
+	world.cancelAlarm = world.clock.Alarm(first.at, func() { world.handleAlarm(number) })
 }
 
-// ring is called by the clock; an alarm that was cancelled too late to be kept from ringing is not the present one.
-func (world *World) ring(number uint64) {
-	world.enter()
+// handleAlarm is called by the clock. An alarm whose cancellation came too late has an old number.
+func (world *World) handleAlarm(number uint64) {
+	world.lock()
 	if number == world.alarmNumber {
 		world.cancelAlarm = nil
 	}
-	world.leave()
+	world.unlock()
 }
 
 func (world *World) isClosed() bool {
@@ -146,45 +146,46 @@
 	}
 }
 
-// after has act done once span has passed.
-func (world *World) after(span time.Duration, act func()) *event {
-	return world.events.add(world.now+span, act)
+// after schedules action to run once span has passed.
+func (world *World) after(span time.Duration, action func()) *event {
+	return world.events.add(world.now+span, action)
 }
 
-// AddJob makes a job known: from now on its tasks may be started.
+// AddJob adds a job. From now on its tasks may be started.
 func (world *World) AddJob(added Job) {
-	world.enter()
-	defer world.leave()
-	world.jobs[added.ID] = &job{Job: added, tasks: make(map[taskPlace]*task), added: world.now}
+	world.lock()
+	defer world.unlock()
+	world.jobs[added.ID] = &job{Job: added, tasks: make(map[taskKey]*task), added: world.now}
 }
 
-// CancelJob notes that a job's cancelling was acknowledged.
+// CancelJob records that the cancellation of a job was acknowledged.
 func (world *World) CancelJob(id string) {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	job := world.jobs[id]
 	if job == nil || job.cancelled {
 		return
 	}
 	job.cancelled = true
 	job.cancelledAt = world.now
-	world.after(world.settings.Cancel+world.settings.Stop+world.trouble, func() { world.checkCancelled(job) })
+	world.after(world.settings.Cancel+world.settings.Stop+world.cancelAllowance, func() { world.checkCancelled(job) })
 }
 
-// SetTrouble tells how much longer than in calm what is cancelled from now on may run: in trouble a run may last until its hold is over.
+// SetTrouble sets how much longer than usual a run may continue after a cancellation from now on. During faults a run may continue until
+// its hold lapses.
 func (world *World) SetTrouble(longer time.Duration) {
-	world.enter()
-	defer world.leave()
-	world.trouble = longer
+	world.lock()
+	defer world.unlock()
+	world.cancelAllowance = longer
 }
 
-// Now is what the world's clock shows.
+// Now returns the time of the world's clock.
 func (world *World) Now() time.Duration { return world.clock.Now() }
 
-// RefuseJob notes that every try to hand a job in was refused: from now on each start of it is a finding.
+// RefuseJob records that every attempt to submit a job was refused. From now on each start of it is a violation.
 func (world *World) RefuseJob(id string) {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	if job := world.jobs[id]; job != nil {
 		job.refused = true
 	}
@@ -194,38 +195,38 @@
 func (world *World) AwaitWaiting(count int) {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	for world.waiting < count && !world.isClosed() {
+	for world.waitingHolds < count && !world.isClosed() {
 		world.waitChanged.Wait()
 	}
 }
 
-// AwaitUnanswered blocks until at least count calls are kept without an answer, or the world is closed.
+// AwaitUnanswered blocks until at least count calls are held without an answer, or the world is closed.
 func (world *World) AwaitUnanswered(count int) {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	for world.unanswered < count && !world.isClosed() {
+	for world.unansweredCalls < count && !world.isClosed() {
 		world.waitChanged.Wait()
 	}
 }
 
-func (world *World) changeUnanswered(by int) {
+func (world *World) addUnanswered(by int) {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	world.unanswered += by
+	world.unansweredCalls += by
 	world.waitChanged.Broadcast()
 }
 
-// Stats returns what was counted so far.
+// Stats returns the counters so far.
 func (world *World) Stats() Stats {
-	world.enter()
-	defer world.leave()
+	world.lock()
+	defer world.unlock()
 	return world.stats
 }
 
-// Stats count what workers were told and what became of it.
+// Stats count the orders to the workers and their outcomes.
 type Stats struct {
-	Starts       int // runs begun to be present
-	Busy         int // calls refused as unhealthy
+	Starts       int // runs started
+	Busy         int // calls refused with status 503
 	StartsFence  int
 	StartsOld    int
 	StartsLate   int
@@ -233,9 +234,9 @@
 	Stops        int
 	Holds        int
 	OtherLife    int
-	Ends         [howCount]int // by How
-	WastedCPU    time.Duration // core time of work that was lost
-	GangWaitCPU  time.Duration // core time that gangs waited
+	Ends         [endReasonCount]int // by endReason
+	WastedCPU    time.Duration       // core time of lost work
+	GangWaitCPU  time.Duration       // core time that gang members spent waiting
 	ListCalls    int
 	ListRejected int
 }
