--- a/internal/tools/experiment/compare.go
+++ b/internal/tools/experiment/compare.go
@@ -8,30 +8,30 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// result is what a variant is worth on one site: its plays less the base's of the same day and seed.
+// result is the effect of a variant on one site: the worth of its trials less that of the base's trials of the same day and seed.
 type result struct {
 	variant   string
 	mechanism string
 	site      string
 	pairs     int
-	// mean is the mean difference, deviation its standard error.
-	mean, deviation float64
-	// worst is the lowest difference, worstDay its day and seed.
-	worst    float64
-	worstDay string
-	// broken is how many of its plays broke a rule, failed how many came to nothing on either side.
-	broken, failed int
+	// mean is the mean difference, standardError its standard error.
+	mean, standardError float64
+	// worst is the lowest difference, worstTrial the day and seed of that pair.
+	worst      float64
+	worstTrial string
+	// violated counts the variant's trials that broke a rule. failed counts the pairs of which either trial has no result.
+	violated, failed int
 }
 
-// pairKey names what two plays have in common.
+// pairKey identifies the two trials of a pair: one of a variant and one of the base.
 type pairKey struct {
 	site, day string
 	seed      uint64
 }
 
-func (p play) pair() pairKey { return pairKey{p.site, p.day, p.seed} }
+func (t trial) key() pairKey { return pairKey{t.site, t.day, t.seed} }
 
-// compare pairs all outcomes with the base's.
+// compare pairs the outcomes of each variant with those of the base.
 func compare(variants []variant, outcomes []outcome) []result {
 	base := make(map[pairKey]*outcome)
 	var sites []string
@@ -39,7 +39,7 @@
 		if outcomes[i].variant != baseName {
 			continue
 		}
-		base[outcomes[i].pair()] = &outcomes[i]
+		base[outcomes[i].key()] = &outcomes[i]
 		if len(sites) == 0 || sites[len(sites)-1] != outcomes[i].site {
 			sites = append(sites, outcomes[i].site)
 		}
@@ -47,24 +47,24 @@
 	var results []result
 	for i := range variants {
 		for _, site := range sites {
-			results = append(results, compareOn(&variants[i], site, base, outcomes))
+			results = append(results, compareOnSite(&variants[i], site, base, outcomes))
 		}
 	}
 	return results
 }
 
-func compareOn(v *variant, site string, base map[pairKey]*outcome, outcomes []outcome) result {
-	r := result{variant: v.Name, mechanism: v.Mechanism, site: label(site), worst: math.Inf(1)}
+func compareOnSite(v *variant, site string, base map[pairKey]*outcome, outcomes []outcome) result {
+	r := result{variant: v.Name, mechanism: v.Mechanism, site: baseLabel(site), worst: math.Inf(1)}
 	var differences []float64
 	for i := range outcomes {
 		o := &outcomes[i]
 		if o.variant != v.Name || o.site != site {
 			continue
 		}
-		if o.broken {
-			r.broken++
+		if o.violated {
+			r.violated++
 		}
-		before := base[o.pair()]
+		before := base[o.key()]
 		if o.err != nil || before == nil || before.err != nil {
 			r.failed++
 			continue
@@ -72,7 +72,7 @@
 		difference := o.worth - before.worth
 		differences = append(differences, difference)
 		if difference < r.worst {
-			r.worst, r.worstDay = difference, fmt.Sprintf("%s/%d", label(o.day), o.seed)
+			r.worst, r.worstTrial = difference, fmt.Sprintf("%s/%d", baseLabel(o.day), o.seed)
 		}
 	}
 	r.pairs = len(differences)
@@ -80,15 +80,15 @@
 		r.mean = stat.Mean(differences, nil)
 	}
 	if r.pairs > 1 {
-		r.deviation = stat.StdErr(stat.StdDev(differences, nil), float64(r.pairs))
+		r.standardError = stat.StdErr(stat.StdDev(differences, nil), float64(r.pairs))
 	}
 	return r
 }
 
-// beyondNoise tells whether the difference is more than twice its standard error.
-func (r *result) beyondNoise() bool { return r.pairs > 1 && math.Abs(r.mean) > 2*r.deviation }
+// beyondNoise reports whether the difference is more than twice its standard error.
+func (r *result) beyondNoise() bool { return r.pairs > 1 && math.Abs(r.mean) > 2*r.standardError }
 
-// printResults prints a Markdown table.
+// printResults prints the results as a Markdown table.
 func printResults(out io.Writer, results []result) {
 	fmt.Fprintln(out, "| variant | mechanism | site | pairs | mean | standard error | beyond twice that | worst | broken | failed |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -100,17 +100,17 @@
 		}
 		worst := "none"
 		if r.pairs > 0 {
-			worst = fmt.Sprintf("%+.3f %s", r.worst, r.worstDay)
+			worst = fmt.Sprintf("%+.3f %s", r.worst, r.worstTrial)
 		}
 		fmt.Fprintf(out, "| %s | %s | %s | %d | %+.4f | %.4f | %s | %s | %d | %d |\n", r.variant, r.mechanism, r.site, r.pairs, r.mean,
-			r.deviation, verdict, worst, r.broken, r.failed)
+			r.standardError, verdict, worst, r.violated, r.failed)
 	}
 }
 
-// allSound tells whether all plays came to something and broke no rule.
-func allSound(outcomes []outcome) bool {
+// allPassed reports whether all trials have a result and none broke a rule.
+func allPassed(outcomes []outcome) bool {
 	for i := range outcomes {
-		if outcomes[i].err != nil || outcomes[i].broken {
+		if outcomes[i].err != nil || outcomes[i].violated {
 			return false
 		}
 	}
--- a/internal/tools/experiment/main.go
+++ b/internal/tools/experiment/main.go
@@ -1,11 +1,11 @@
-// Command experiment plays variants of the sources against the sources as they are, paired by site, day and seed, and says what each
-// variant's change is worth.
+// Command experiment runs variants of the sources against the unmodified sources, paired by site, day and seed, and reports how much worth
+// each variant's change gains or loses.
 //
 //	go run ./internal/tools/experiment --play 'BENCH run {site} {day} --seed {seed} --no-cpu' --site /path/a.toml --day quiet --day storm --seeds 3
 //
-// BENCH is any program that plays a day of a deployment on the checkout in which it is started, and prints the day's worth. Each variant of
-// the table is built and played in a scratch clone of the last commit; the sources and their journal stay as they are, but for the journal's
-// new entries, which are copied over. The exit code is 1 if a play failed or broke a rule.
+// BENCH is any program that simulates a day of a deployment on the checkout in which it is started, and prints the day's worth. Each variant
+// of the table is built and run in a scratch clone of the last commit. The sources are not modified. New journal entries are copied from the
+// clones to the sources' journal. The exit code is 1 if a trial failed or broke a rule.
 package main
 
 import (
@@ -18,26 +18,26 @@
 )
 
 type commandLine struct {
-	Names   []string `arg:"" optional:"" help:"Variants to play; all if none are named."`
-	Play    string   `required:"" help:"Command line of one play; {site}, {day} and {seed} are filled in."`
-	Site    []string `required:"" help:"Sites, as the command takes them."`
-	Day     []string `required:"" help:"Days, as the command takes them."`
-	Seeds   int      `default:"2" help:"How many seeds each day is played with."`
+	Names   []string `arg:"" optional:"" help:"Variants to run; all if none are named."`
+	Play    string   `required:"" help:"Command line of one trial; {site}, {day} and {seed} are replaced."`
+	Site    []string `required:"" help:"Sites, in the form that the command of --play expects."`
+	Day     []string `required:"" help:"Days, in the form that the command of --play expects."`
+	Seeds   int      `default:"2" help:"Number of seeds for each day."`
 	Seed    uint64   `default:"7001" help:"The first seed."`
-	Jobs    int      `default:"4" help:"Plays at the same time."`
-	Worth   string   `default:"(?m)^worth ([0-9.]+)" help:"Where a play's output tells its worth."`
-	Broken  string   `default:"(?mi)^.*rule.* broken" help:"What a play's output tells of a broken rule."`
-	Root    string   `default:"." type:"existingdir" help:"The module's folder."`
-	Table   string   `default:"internal/tools/experiment/variants.toml" help:"The table of variants, below the module's folder."`
-	Journal string   `default:"journal" help:"Folder of which new files are copied from the scratch clones, below the module's folder."`
-	Work    string   `help:"Folder for the scratch clones and the plays' output; a temporary one if empty."`
+	Jobs    int      `default:"4" help:"Number of concurrent trials."`
+	Worth   string   `default:"(?m)^worth ([0-9.]+)" help:"Regular expression whose one group matches the worth in a trial's output."`
+	Broken  string   `default:"(?mi)^.*rule.* broken" help:"Regular expression that matches a trial's output if a rule is broken."`
+	Root    string   `default:"." type:"existingdir" help:"Root directory of the module."`
+	Table   string   `default:"internal/tools/experiment/variants.toml" help:"Table of variants, relative to the module's root."`
+	Journal string   `default:"journal" help:"Directory whose new files are copied from the scratch clones, relative to the module's root."`
+	Work    string   `help:"Directory for the scratch clones and the trials' output; a temporary one if empty."`
 	Plot    string   `help:"File for a plot of the result (.svg or .png)."`
-	List    bool     `help:"Print the table of variants without playing."`
+	List    bool     `help:"Print the table of variants without running them."`
 }
 
 func main() {
 	var line commandLine
-	kong.Parse(&line, kong.Name("experiment"), kong.Description("Plays variants of the sources and says what each change is worth."))
+	kong.Parse(&line, kong.Name("experiment"), kong.Description("Runs variants of the sources and reports what each change gains or loses."))
 	sound, err := run(&line)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "experiment:", err)
@@ -48,13 +48,13 @@
 	}
 }
 
-// run plays what the command line asks for and tells whether all plays were sound.
+// run carries out the command line and reports whether all trials succeeded and broke no rule.
 func run(line *commandLine) (bool, error) {
 	variants, err := loadVariants(line.Root, line.Table)
 	if err != nil {
 		return false, err
 	}
-	if variants, err = chooseVariants(variants, line.Names); err != nil {
+	if variants, err = selectVariants(variants, line.Names); err != nil {
 		return false, err
 	}
 	if line.List {
@@ -63,11 +63,11 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	p, err := newPlayer(line, os.Stderr)
+	r, err := newRunner(line, os.Stderr)
 	if err != nil {
 		return false, err
 	}
-	outcomes, err := p.playAll(ctx, variants)
+	outcomes, err := r.runAll(ctx, variants)
 	if err != nil {
 		return false, err
 	}
@@ -78,5 +78,5 @@
 			return false, err
 		}
 	}
-	return allSound(outcomes), nil
+	return allPassed(outcomes), nil
 }
--- a/internal/tools/experiment/play.go
+++ b/internal/tools/experiment/play.go
@@ -15,65 +15,65 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// play is one day of one site with one seed, played on one variant.
-type play struct {
+// trial is one run of a variant: one day of one site with one seed.
+type trial struct {
 	variant string
 	site    string
 	day     string
 	seed    uint64
 }
 
-// outcome is what a play came to.
+// outcome is the result of a trial.
 type outcome struct {
-	play
-	worth  float64
-	broken bool
-	err    error
+	trial
+	worth    float64
+	violated bool
+	err      error
 }
 
-// player plays days on scratch clones of the sources.
-type player struct {
-	line   *commandLine
-	work   string
-	worth  *regexp.Regexp
-	broken *regexp.Regexp
+// runner runs trials on scratch clones of the sources.
+type runner struct {
+	options          *commandLine
+	workDir          string
+	worthPattern     *regexp.Regexp
+	violationPattern *regexp.Regexp
 
 	mutex sync.Mutex
 	out   io.Writer
 }
 
-func newPlayer(line *commandLine, out io.Writer) (*player, error) {
-	p := &player{line: line, work: line.Work, out: out}
+func newRunner(line *commandLine, out io.Writer) (*runner, error) {
+	r := &runner{options: line, workDir: line.Work, out: out}
 	var err error
-	if p.worth, err = regexp.Compile(line.Worth); err != nil {
+	if r.worthPattern, err = regexp.Compile(line.Worth); err != nil {
 		return nil, fmt.Errorf("--worth: %w", err)
 	}
-	if p.worth.NumSubexp() != 1 {
-		return nil, fmt.Errorf("--worth: want one group, for the figure")
+	if r.worthPattern.NumSubexp() != 1 {
+		return nil, fmt.Errorf("--worth: want exactly one group, which matches the worth")
 	}
-	if p.broken, err = regexp.Compile(line.Broken); err != nil {
+	if r.violationPattern, err = regexp.Compile(line.Broken); err != nil {
 		return nil, fmt.Errorf("--broken: %w", err)
 	}
-	if p.work == "" {
-		if p.work, err = os.MkdirTemp("", "experiment"); err != nil {
+	if r.workDir == "" {
+		if r.workDir, err = os.MkdirTemp("", "experiment"); err != nil {
 			return nil, err
 		}
 	}
-	return p, os.MkdirAll(p.work, 0o755)
+	return r, os.MkdirAll(r.workDir, 0o755)
 }
 
-// plays are all plays of the variants and of the base, those of one day and seed next to each other.
-func (p *player) plays(variants []variant) []play {
+// trials returns all trials of the base and the variants. Those of the same site, day and seed are adjacent.
+func (r *runner) trials(variants []variant) []trial {
 	names := []string{baseName}
 	for i := range variants {
 		names = append(names, variants[i].Name)
 	}
-	var list []play
-	for _, site := range p.line.Site {
-		for _, day := range p.line.Day {
-			for seed := range uint64(p.line.Seeds) {
+	var list []trial
+	for _, site := range r.options.Site {
+		for _, day := range r.options.Day {
+			for seed := range uint64(r.options.Seeds) {
 				for _, name := range names {
-					list = append(list, play{variant: name, site: site, day: day, seed: p.line.Seed + seed})
+					list = append(list, trial{variant: name, site: site, day: day, seed: r.options.Seed + seed})
 				}
 			}
 		}
@@ -81,129 +81,129 @@
 	return list
 }
 
-// playAll plays all days on all variants, some at the same time.
-func (p *player) playAll(ctx context.Context, variants []variant) ([]outcome, error) {
-	if err := p.prepare(ctx, variants); err != nil {
+// runAll runs all trials, several concurrently, and copies the new journal entries.
+func (r *runner) runAll(ctx context.Context, variants []variant) ([]outcome, error) {
+	if err := r.prepare(ctx, variants); err != nil {
 		return nil, err
 	}
-	plays := p.plays(variants)
-	outcomes := make([]outcome, len(plays))
+	trials := r.trials(variants)
+	outcomes := make([]outcome, len(trials))
 	var group errgroup.Group
-	group.SetLimit(p.line.Jobs)
-	for i := range plays {
+	group.SetLimit(r.options.Jobs)
+	for i := range trials {
 		group.Go(func() error {
-			outcomes[i] = p.play(ctx, plays[i])
-			p.tell(&outcomes[i])
+			outcomes[i] = r.runTrial(ctx, trials[i])
+			r.printOutcome(&outcomes[i])
 			return nil
 		})
 	}
 	_ = group.Wait()
-	return outcomes, p.keepJournals(variants)
+	return outcomes, r.copyJournals(variants)
 }
 
-// prepare makes the clones, of which each but the base's has its variant's change.
-func (p *player) prepare(ctx context.Context, variants []variant) error {
-	if err := p.clone(ctx, baseName, nil); err != nil {
+// prepare creates one clone for the base and one for each variant, and applies the variant's edits to it.
+func (r *runner) prepare(ctx context.Context, variants []variant) error {
+	if err := r.clone(ctx, baseName, nil); err != nil {
 		return err
 	}
 	for i := range variants {
-		changed, err := variants[i].files(p.line.Root)
+		changed, err := variants[i].changedFiles(r.options.Root)
 		if err != nil {
 			return fmt.Errorf("%s: %w", variants[i].Name, err)
 		}
-		if err := p.clone(ctx, variants[i].Name, changed); err != nil {
+		if err := r.clone(ctx, variants[i].Name, changed); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *player) folder(name string) string { return filepath.Join(p.work, name) }
+func (r *runner) cloneDir(name string) string { return filepath.Join(r.workDir, name) }
 
-func (p *player) clone(ctx context.Context, name string, changed map[string][]byte) error {
-	command := exec.CommandContext(ctx, "git", "clone", "--quiet", p.line.Root, p.folder(name))
+func (r *runner) clone(ctx context.Context, name string, changed map[string][]byte) error {
+	command := exec.CommandContext(ctx, "git", "clone", "--quiet", r.options.Root, r.cloneDir(name))
 	if output, err := command.CombinedOutput(); err != nil {
 		return fmt.Errorf("clone for %s: %w: %s", name, err, output)
 	}
 	for file, source := range changed {
-		if err := os.WriteFile(filepath.Join(p.folder(name), file), source, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(r.cloneDir(name), file), source, 0o600); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// play plays one day and keeps what it prints.
-func (p *player) play(ctx context.Context, one play) outcome {
-	arguments := strings.Fields(p.line.Play)
+// runTrial runs one trial and saves its output.
+func (r *runner) runTrial(ctx context.Context, one trial) outcome {
+	arguments := strings.Fields(r.options.Play)
 	fill := strings.NewReplacer("{site}", one.site, "{day}", one.day, "{seed}", strconv.FormatUint(one.seed, 10))
 	for i := range arguments {
 		arguments[i] = fill.Replace(arguments[i])
 	}
 	command := exec.CommandContext(ctx, arguments[0], arguments[1:]...)
-	command.Dir = p.folder(one.variant)
+	command.Dir = r.cloneDir(one.variant)
 	output, failure := command.CombinedOutput()
-	name := fmt.Sprintf("%s-%s-%s-%d.txt", one.variant, label(one.site), label(one.day), one.seed)
-	if err := os.WriteFile(p.folder(name), output, 0o600); err != nil {
-		return outcome{play: one, err: err}
+	name := fmt.Sprintf("%s-%s-%s-%d.txt", one.variant, baseLabel(one.site), baseLabel(one.day), one.seed)
+	if err := os.WriteFile(r.cloneDir(name), output, 0o600); err != nil {
+		return outcome{trial: one, err: err}
 	}
-	return p.read(one, output, failure)
+	return r.parseOutput(one, output, failure)
 }
 
-// label is a path's name without its folder and ending.
-func label(path string) string {
+// baseLabel returns the base name of a path without its extension.
+func baseLabel(path string) string {
 	return strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 }
 
-// read takes a play's worth from what it has printed.
-func (p *player) read(one play, output []byte, failure error) outcome {
-	result := outcome{play: one, broken: p.broken.Match(output)}
-	found := p.worth.FindSubmatch(output)
+// parseOutput reads a trial's worth from its output, and whether a rule was broken.
+func (r *runner) parseOutput(one trial, output []byte, failure error) outcome {
+	result := outcome{trial: one, violated: r.violationPattern.Match(output)}
+	found := r.worthPattern.FindSubmatch(output)
 	if found == nil {
-		result.err = fmt.Errorf("its output tells no worth (%w)", orNone(failure))
+		result.err = fmt.Errorf("no worth found in the output (%w)", errorOrPlaceholder(failure))
 		return result
 	}
 	result.worth, result.err = strconv.ParseFloat(string(found[1]), 64)
 	return result
 }
 
-// orNone names the absence of a failure.
-func orNone(err error) error {
+// errorOrPlaceholder returns err, or an error that states that the command succeeded if err is nil.
+func errorOrPlaceholder(err error) error {
 	if err == nil {
-		return fmt.Errorf("it ended without a failure")
+		return fmt.Errorf("the command exited successfully")
 	}
 	return err
 }
 
-func (p *player) tell(o *outcome) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+func (r *runner) printOutcome(o *outcome) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	switch {
 	case o.err != nil:
-		fmt.Fprintf(p.out, "%s %s %s %d: %v\n", o.variant, label(o.site), label(o.day), o.seed, o.err)
-	case o.broken:
-		fmt.Fprintf(p.out, "%s %s %s %d: %.3f, A RULE IS BROKEN\n", o.variant, label(o.site), label(o.day), o.seed, o.worth)
+		fmt.Fprintf(r.out, "%s %s %s %d: %v\n", o.variant, baseLabel(o.site), baseLabel(o.day), o.seed, o.err)
+	case o.violated:
+		fmt.Fprintf(r.out, "%s %s %s %d: %.3f, A RULE IS BROKEN\n", o.variant, baseLabel(o.site), baseLabel(o.day), o.seed, o.worth)
 	default:
-		fmt.Fprintf(p.out, "%s %s %s %d: %.3f\n", o.variant, label(o.site), label(o.day), o.seed, o.worth)
+		fmt.Fprintf(r.out, "%s %s %s %d: %.3f\n", o.variant, baseLabel(o.site), baseLabel(o.day), o.seed, o.worth)
 	}
 }
 
-// keepJournals copies the clones' new journal entries.
-func (p *player) keepJournals(variants []variant) error {
+// copyJournals copies the new journal entries of the clones to the module's journal.
+func (r *runner) copyJournals(variants []variant) error {
 	names := []string{baseName}
 	for i := range variants {
 		names = append(names, variants[i].Name)
 	}
 	for _, name := range names {
-		if err := copyNew(filepath.Join(p.folder(name), p.line.Journal), filepath.Join(p.line.Root, p.line.Journal)); err != nil {
+		if err := copyMissingFiles(filepath.Join(r.cloneDir(name), r.options.Journal), filepath.Join(r.options.Root, r.options.Journal)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// copyNew copies the regular files of a folder that another one lacks.
-func copyNew(from, to string) error {
+// copyMissingFiles copies those regular files of directory from that directory to lacks. It does nothing if from does not exist.
+func copyMissingFiles(from, to string) error {
 	entries, err := os.ReadDir(from)
 	if os.IsNotExist(err) {
 		return nil
--- a/internal/tools/experiment/plot.go
+++ b/internal/tools/experiment/plot.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	plotWidth    = 22 * vg.Centimeter
-	plotARow     = 0.7 * vg.Centimeter
-	plotBesides  = 2.5 * vg.Centimeter
-	errorsShown  = 2 // standard errors on either side
-	leastPlotted = 1
+	plotWidth     = 22 * vg.Centimeter
+	plotRowHeight = 0.7 * vg.Centimeter
+	plotMargin    = 2.5 * vg.Centimeter
+	errorBarWidth = 2 // in standard errors, on either side of the mean
+	minPlotted    = 1
 )
 
-// bars are mean differences with twice their standard errors, one below the other.
+// bars are mean differences with twice their standard errors, one row for each result.
 type bars struct {
 	plotter.XYs
 	plotter.XErrors
@@ -24,7 +24,7 @@
 
 // plotResults draws the mean differences with twice their standard errors.
 func plotResults(file string, results []result) error {
-	if len(results) < leastPlotted {
+	if len(results) < minPlotted {
 		return nil
 	}
 	drawing := plot.New()
@@ -35,7 +35,7 @@
 	for i := range results {
 		r := &results[len(results)-1-i]
 		drawn.XYs = append(drawn.XYs, plotter.XY{X: r.mean, Y: float64(i)})
-		drawn.XErrors = append(drawn.XErrors, struct{ Low, High float64 }{errorsShown * r.deviation, errorsShown * r.deviation})
+		drawn.XErrors = append(drawn.XErrors, struct{ Low, High float64 }{errorBarWidth * r.standardError, errorBarWidth * r.standardError})
 		names = append(names, fmt.Sprintf("%s, %s", r.variant, r.site))
 	}
 	points, err := plotter.NewScatter(drawn)
@@ -48,5 +48,5 @@
 	}
 	drawing.Add(plotter.NewGrid(), points, spread)
 	drawing.NominalY(names...)
-	return drawing.Save(plotWidth, plotBesides+plotARow*vg.Length(len(results)), file)
+	return drawing.Save(plotWidth, plotMargin+plotRowHeight*vg.Length(len(results)), file)
 }
--- a/internal/tools/experiment/variants.go
+++ b/internal/tools/experiment/variants.go
@@ -14,10 +14,10 @@
 	"gaugeslip/internal/tools/sourceedit"
 )
 
-// baseName is the variant without a change, against which all others are paired.
+// baseName names the unmodified sources, with which all variants are compared.
 const baseName = "base"
 
-// variant is one mechanism switched off or altered by the smallest change that does so.
+// variant disables or alters one mechanism by the smallest edits that do so.
 type variant struct {
 	Name      string            `toml:"name"`
 	Mechanism string            `toml:"mechanism"`
@@ -28,7 +28,7 @@
 	Variants []variant `toml:"variant"`
 }
 
-// loadVariants reads the table and checks each variant against the sources. All findings come together.
+// loadVariants reads the table and checks each variant against the sources. The error joins all findings.
 func loadVariants(root, file string) ([]variant, error) {
 	data, err := os.ReadFile(filepath.Join(root, file))
 	if err != nil {
@@ -52,15 +52,15 @@
 			findings = append(findings, fmt.Errorf("%s: the name is taken", v.Name))
 		}
 		names[v.Name] = true
-		if _, err := v.files(root); err != nil {
+		if _, err := v.changedFiles(root); err != nil {
 			findings = append(findings, fmt.Errorf("%s: %w", v.Name, err))
 		}
 	}
 	return errors.Join(findings...)
 }
 
-// files are the changed files of a variant by their paths. A file has one edit at most.
-func (v *variant) files(root string) (map[string][]byte, error) {
+// changedFiles returns the contents of a variant's changed files by path. A file may have one edit at most.
+func (v *variant) changedFiles(root string) (map[string][]byte, error) {
 	if v.Name == "" || v.Mechanism == "" || len(v.Edits) == 0 {
 		return nil, errors.New("name, mechanism and an edit are all needed")
 	}
@@ -78,8 +78,8 @@
 	return changed, nil
 }
 
-// chooseVariants gives the variants with these names, or all.
-func chooseVariants(all []variant, names []string) ([]variant, error) {
+// selectVariants returns the variants with the given names, or all if there are no names.
+func selectVariants(all []variant, names []string) ([]variant, error) {
 	if len(names) == 0 {
 		return all, nil
 	}
--- a/internal/tools/mutants/main.go
+++ b/internal/tools/mutants/main.go
@@ -1,12 +1,13 @@
-// Command mutants takes the guards on which safety stands out of the code, one at a time, and says whether a test notices.
+// Command mutants does mutation testing: it removes the conditions on which safety depends (guards) from the code, one at a time, and reports
+// whether a test fails.
 //
-//	go run ./internal/tools/mutants                  play all guards of the tables under internal/tools/mutants/guards
-//	go run ./internal/tools/mutants NAME...          play these
-//	go run ./internal/tools/mutants --point 3        play those of one point
-//	go run ./internal/tools/mutants --list           print the table without playing
+//	go run ./internal/tools/mutants                  test all guards of the tables under internal/tools/mutants/guards
+//	go run ./internal/tools/mutants NAME...          test these guards
+//	go run ./internal/tools/mutants --point 3        test the guards of one point
+//	go run ./internal/tools/mutants --list           print the table without running tests
 //
-// The sources aren't touched: a changed copy of one file is given to `go test -overlay`. A guard counts as seen if its named test
-// passes on the code as it is and fails without the guard. The exit code is 1 if the loss of any guard goes unseen.
+// The sources are not modified: the command passes a changed copy of one file to `go test -overlay`. A guard counts as seen if its test
+// passes on the unmodified code and fails without the guard. The exit code is 1 if the removal of any guard is not detected.
 package main
 
 import (
@@ -19,18 +20,18 @@
 )
 
 type commandLine struct {
-	Names  []string `arg:"" optional:"" help:"Guards to play; all if none are named."`
-	Point  int      `help:"Play the guards of one point only (1 to 5)."`
-	Jobs   int      `default:"3" help:"Guards that are played at the same time."`
-	Root   string   `default:"." type:"existingdir" help:"The module's folder."`
-	Guards string   `default:"internal/tools/mutants/guards" help:"Folder of the tables, below the module's folder."`
-	List   bool     `help:"Print the table as Markdown, without playing."`
-	Trust  bool     `help:"Don't play the tests on the code as it is first."`
+	Names  []string `arg:"" optional:"" help:"Guards to test; all if none are named."`
+	Point  int      `help:"Test only the guards of this point (1 to 5)."`
+	Jobs   int      `default:"3" help:"Number of guards tested concurrently."`
+	Root   string   `default:"." type:"existingdir" help:"Root directory of the module."`
+	Guards string   `default:"internal/tools/mutants/guards" help:"Directory of the tables, relative to the module's root."`
+	List   bool     `help:"Print the table as Markdown without running tests."`
+	Trust  bool     `help:"Skip the test run on the unmodified code."`
 }
 
 func main() {
 	var line commandLine
-	kong.Parse(&line, kong.Name("mutants"), kong.Description("Takes guards out of the code, one at a time, and says whether a test notices."))
+	kong.Parse(&line, kong.Name("mutants"), kong.Description("Removes guards from the code, one at a time, and reports whether a test fails."))
 	seen, err := run(&line)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "mutants:", err)
@@ -41,13 +42,13 @@
 	}
 }
 
-// run plays what the command line asks for and tells whether the loss of each guard was seen.
+// run carries out the command line and reports whether a test detected the removal of each guard.
 func run(line *commandLine) (bool, error) {
 	all, err := loadTables(line.Root, line.Guards)
 	if err != nil {
 		return false, err
 	}
-	chosen, err := choose(all, line.Names, line.Point)
+	chosen, err := selectGuards(all, line.Names, line.Point)
 	if err != nil {
 		return false, err
 	}
@@ -57,11 +58,11 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	p := &player{root: line.Root, out: os.Stdout}
+	r := &runner{root: line.Root, out: os.Stdout}
 	if !line.Trust {
-		if err := p.baseline(ctx, chosen, line.Jobs); err != nil {
+		if err := r.runBaseline(ctx, chosen, line.Jobs); err != nil {
 			return false, err
 		}
 	}
-	return p.playAll(ctx, chosen, line.Jobs), nil
+	return r.runAll(ctx, chosen, line.Jobs), nil
 }
--- a/internal/tools/mutants/mutants_test.go
+++ b/internal/tools/mutants/mutants_test.go
@@ -12,27 +12,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// moduleRoot is the module's folder, seen from this package.
+// moduleRoot is the module's root directory, relative to this package.
 const moduleRoot = "../../.."
 
-// Every row of the tables is whole, its text stands in the sources, and its tests exist: what is left for the command is to play them.
-func TestTables(t *testing.T) {
+// Every row of the tables is complete, its old text is in the sources, and its tests exist. The test does not run the mutants.
+func TestGuardTablesMatchSources(t *testing.T) {
 	guards, err := loadTables(moduleRoot, "internal/tools/mutants/guards")
 	require.NoError(t, err)
 	for i := range guards {
 		g := &guards[i]
-		assert.NotEmpty(t, testsNamed(t, g), "%s: no test's name begins with what %q asks for", g.Name, g.Test)
+		assert.NotEmpty(t, matchingTests(t, g), "%s: no test matches %q", g.Name, g.Test)
 	}
 }
 
-// testsNamed are the tests in the guard's packages that `go test -run` would take for its expression.
-func testsNamed(t *testing.T, g *guard) []string {
+// matchingTests returns the tests in the guard's packages that `go test -run` selects by its expression.
+func matchingTests(t *testing.T, g *guard) []string {
 	top, _, _ := strings.Cut(g.Test, "/")
 	wanted, err := regexp.Compile(top)
 	require.NoError(t, err, g.Name)
 	var found []string
-	for _, folder := range g.Packages {
-		files, err := filepath.Glob(filepath.Join(moduleRoot, folder, "*_test.go"))
+	for _, dir := range g.Packages {
+		files, err := filepath.Glob(filepath.Join(moduleRoot, dir, "*_test.go"))
 		require.NoError(t, err)
 		for _, file := range files {
 			data, err := os.ReadFile(file)
@@ -81,8 +81,8 @@
 func TestNothing(t *testing.T) {}
 `
 
-// small is a module with one guard, two tests, and only one of them that sees the guard.
-func small(t *testing.T) string {
+// newSmallModule creates a module with one guard and two tests, of which only one detects the guard's removal.
+func newSmallModule(t *testing.T) string {
 	root := t.TempDir()
 	for name, text := range map[string]string{"go.mod": smallModule, "small.go": smallSource, "small_test.go": smallTest} {
 		require.NoError(t, os.WriteFile(filepath.Join(root, name), []byte(text), 0o600))
@@ -90,34 +90,34 @@
 	return root
 }
 
-func bound(test string) guard {
+func boundGuard(test string) guard {
 	return guard{Name: "bound", Point: 1, File: "small.go", Function: "counter.add", Old: "c.n >= c.most", New: "c.n > c.most",
 		Packages: []string{"."}, Test: test, What: "The counter's bound."}
 }
 
 func TestVerdicts(t *testing.T) {
-	root := small(t)
+	root := newSmallModule(t)
 	var out strings.Builder
-	p := &player{root: root, out: &out}
-	seen, unseen, broken, missing := bound("^TestBound$"), bound("^TestNothing$"), bound("^TestBound$"), bound("^TestOther$")
+	r := &runner{root: root, out: &out}
+	seen, unseen, broken, missing := boundGuard("^TestBound$"), boundGuard("^TestNothing$"), boundGuard("^TestBound$"), boundGuard("^TestOther$")
 	broken.New = "c.n >= c.none"
 	for _, g := range []*guard{&seen, &unseen, &broken, &missing} {
 		require.NoError(t, g.check(root))
 	}
 	ctx := context.Background()
-	assert.Equal(t, killed, p.play(ctx, &seen))
-	assert.Equal(t, survived, p.play(ctx, &unseen))
-	assert.Equal(t, invalid, p.play(ctx, &broken))
-	assert.Equal(t, invalid, p.play(ctx, &missing))
-	assert.NoError(t, p.baseline(ctx, []guard{seen, unseen}, 2))
-	assert.False(t, p.playAll(ctx, []guard{seen, unseen}, 2))
+	assert.Equal(t, killed, r.runMutant(ctx, &seen))
+	assert.Equal(t, survived, r.runMutant(ctx, &unseen))
+	assert.Equal(t, invalid, r.runMutant(ctx, &broken))
+	assert.Equal(t, invalid, r.runMutant(ctx, &missing))
+	assert.NoError(t, r.runBaseline(ctx, []guard{seen, unseen}, 2))
+	assert.False(t, r.runAll(ctx, []guard{seen, unseen}, 2))
 	source, err := os.ReadFile(filepath.Join(root, "small.go"))
 	require.NoError(t, err)
-	assert.Equal(t, smallSource, string(source), "the sources aren't touched")
+	assert.Equal(t, smallSource, string(source), "the sources must not be modified")
 }
 
-func TestFindings(t *testing.T) {
-	root := small(t)
+func TestInvalidGuardsAreReported(t *testing.T) {
+	root := newSmallModule(t)
 	for name, spoil := range map[string]func(*guard){
 		"want 1 to 5":          func(g *guard) { g.Point = 9 },
 		"the same":             func(g *guard) { g.New = g.Old },
@@ -131,23 +131,23 @@
 		"want once":            func(g *guard) { g.Old = "c" },
 		"small.go: no such fu": func(g *guard) { g.Function = "gone" },
 	} {
-		g := bound("^TestBound$")
+		g := boundGuard("^TestBound$")
 		spoil(&g)
 		assert.ErrorContains(t, g.check(root), name)
 	}
-	twice := checkGuards(root, []guard{bound("^TestBound$"), bound("^TestBound$")})
+	twice := checkGuards(root, []guard{boundGuard("^TestBound$"), boundGuard("^TestBound$")})
 	require.Len(t, twice, 1)
 	assert.ErrorContains(t, twice[0], "stands twice")
 }
 
-func TestChoose(t *testing.T) {
+func TestSelectGuards(t *testing.T) {
 	all := []guard{{Name: "a", Point: 1}, {Name: "b", Point: 2}, {Name: "c", Point: 2}}
-	chosen, err := choose(all, nil, 2)
+	chosen, err := selectGuards(all, nil, 2)
 	require.NoError(t, err)
 	assert.Len(t, chosen, 2)
-	chosen, err = choose(all, []string{"a"}, 0)
+	chosen, err = selectGuards(all, []string{"a"}, 0)
 	require.NoError(t, err)
 	assert.Equal(t, "a", chosen[0].Name)
-	_, err = choose(all, []string{"d"}, 0)
+	_, err = selectGuards(all, []string{"d"}, 0)
 	assert.ErrorContains(t, err, "no guard")
 }
--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -14,7 +14,7 @@
 	"gaugeslip/internal/tools/sourceedit"
 )
 
-// guard is one condition on which safety stands, with the smallest change that breaks it and the test that sees this.
+// guard is one condition on which safety depends, with the smallest edit that breaks it and the test that must then fail.
 type guard struct {
 	Name     string   `toml:"name"`
 	Point    int      `toml:"point"`
@@ -31,12 +31,12 @@
 	Guards []guard `toml:"guard"`
 }
 
-// points is how many points the guards are sorted under.
-const points = 5
+// maxPoint is the highest point number. Guards are grouped by points 1 to maxPoint.
+const maxPoint = 5
 
-// loadTables reads all tables of a folder and checks each guard against the sources. All findings come together.
-func loadTables(root, folder string) ([]guard, error) {
-	files, err := filepath.Glob(filepath.Join(root, folder, "*.toml"))
+// loadTables reads all tables of a directory and checks each guard against the sources. The error joins all findings.
+func loadTables(root, dir string) ([]guard, error) {
+	files, err := filepath.Glob(filepath.Join(root, dir, "*.toml"))
 	if err != nil {
 		return nil, err
 	}
@@ -84,27 +84,27 @@
 	return findings
 }
 
-// check tells whether the guard is described in full and found in the sources.
+// check returns an error if a field is missing or invalid, or if the edit does not fit the sources.
 func (g *guard) check(root string) error {
 	switch {
 	case g.Name == "" || g.File == "" || g.Old == "" || g.Test == "" || len(g.Packages) == 0 || g.What == "":
 		return errors.New("name, file, old, packages, test and what are all needed")
-	case g.Point < 1 || g.Point > points:
-		return fmt.Errorf("point %d: want 1 to %d", g.Point, points)
+	case g.Point < 1 || g.Point > maxPoint:
+		return fmt.Errorf("point %d: want 1 to %d", g.Point, maxPoint)
 	case g.Old == g.New:
 		return errors.New("old and new are the same")
 	}
-	_, err := g.mutated(root)
+	_, err := g.mutatedSource(root)
 	return err
 }
 
-// mutated is the guard's file with the guard taken out.
-func (g *guard) mutated(root string) ([]byte, error) {
+// mutatedSource returns the content of the guard's file with the guard removed.
+func (g *guard) mutatedSource(root string) ([]byte, error) {
 	return sourceedit.Edit{File: g.File, Function: g.Function, Old: g.Old, New: g.New}.Apply(root)
 }
 
-// choose gives the guards with these names, or all, and of them those of one point, if one is given.
-func choose(all []guard, names []string, point int) ([]guard, error) {
+// selectGuards returns the guards with the given names, or all guards if there are none. A point other than 0 limits them to that point.
+func selectGuards(all []guard, names []string, point int) ([]guard, error) {
 	for _, name := range names {
 		if !slices.ContainsFunc(all, func(g guard) bool { return g.Name == name }) {
 			return nil, fmt.Errorf("no guard %q", name)
--- a/internal/tools/sourceedit/sourceedit.go
+++ b/internal/tools/sourceedit/sourceedit.go
@@ -1,4 +1,5 @@
-// Package sourceedit makes small changes to Go sources, each of one text in one function, for tools that build and play changed copies.
+// Package sourceedit applies small edits to Go sources, each of which replaces one text in one function. Tools use it to build and run modified
+// copies of the sources.
 package sourceedit
 
 import (
@@ -15,23 +16,24 @@
 
 var errNoFunction = errors.New("no such function")
 
-// Edit is one change: a text that stands once in a function, and what comes in its place.
+// Edit replaces a text that occurs exactly once in a function.
 type Edit struct {
-	// File is the file's path below the module's folder.
+	// File is the path relative to the module's root directory.
 	File string `toml:"file"`
-	// Function limits the change to one function or method; empty: anywhere in the file.
+	// Function limits the edit to one function or method. If it is empty, the text may be anywhere in the file.
 	Function string `toml:"function"`
 	Old      string `toml:"old"`
 	New      string `toml:"new"`
 }
 
-// Apply is the edit's file with the change made. The old text must stand once in the function, and the file must still parse.
+// Apply returns the content of the edited file and leaves the file itself as it is. It fails unless the old text occurs exactly once in the
+// function and the result parses.
 func (e Edit) Apply(root string) ([]byte, error) {
 	source, err := os.ReadFile(filepath.Join(root, e.File))
 	if err != nil {
 		return nil, err
 	}
-	from, to, err := extent(source, e.Function)
+	from, to, err := functionRange(source, e.Function)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", e.File, err)
 	}
@@ -47,9 +49,9 @@
 	return edited, nil
 }
 
-// extent is where a function or method stands in a file: from its first byte to after its last. `Type.Method` names a method
-// where the name alone stands for several. Without a name it is the whole file.
-func extent(source []byte, name string) (from, to int, err error) {
+// functionRange returns the byte offsets of a function or method in a file: of its first byte and after its last one. `Type.Method`
+// selects one of several methods of the same name. For an empty name it returns the range of the whole file.
+func functionRange(source []byte, name string) (from, to int, err error) {
 	if name == "" {
 		return 0, len(source), nil
 	}
@@ -64,15 +66,15 @@
 	}
 	for _, declaration := range file.Decls {
 		function, ok := declaration.(*ast.FuncDecl)
-		if ok && function.Name.Name == method && (receiver == "" || receiver == receiverOf(function)) {
+		if ok && function.Name.Name == method && (receiver == "" || receiver == receiverTypeName(function)) {
 			return set.Position(function.Pos()).Offset, set.Position(function.End()).Offset, nil
 		}
 	}
 	return 0, 0, fmt.Errorf("%w: %s", errNoFunction, name)
 }
 
-// receiverOf is the name of a method's type, empty for a function.
-func receiverOf(function *ast.FuncDecl) string {
+// receiverTypeName returns the name of a method's receiver type, or an empty string for a function.
+func receiverTypeName(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
 	}
