--- a/cmd/gaugelab/agree_test.go
+++ b/cmd/gaugelab/agree_test.go
@@ -16,7 +16,7 @@
 // The model against the emulator's sockets: the same deployment, loads and figures. The table is in docs/design/lab.md.
 //
 //	AGREE=1 go test ./cmd/gaugelab -run Agree -v -timeout 20m
-func TestAgree(t *testing.T) {
+func TestModelAgreesWithEmulator(t *testing.T) {
 	if os.Getenv("AGREE") == "" {
 		t.Skip("a measurement in real time: AGREE=1 runs it")
 	}
@@ -29,7 +29,7 @@
 		all, err := lab.Load(scenarios + "demo.hcl")
 		require.NoError(t, err)
 		all[0].Load = load
-		reports, err := play(t.Context(), all[0], 1, seeds, false, nil)
+		reports, err := runSeeds(t.Context(), all[0], 1, seeds, false, nil)
 		require.NoError(t, err)
 		figures := map[string][2][]float64{}
 		add := func(side int, name string, v float64) {
@@ -45,12 +45,12 @@
 			add(0, "refused a job", float64(r.Refused)/float64(r.Jobs))
 		}
 		for i := range runs {
-			specs, p := deployment(10)
+			specs, p := fleetSpec(10)
 			f, err := emulator.Start(specs, p, uint64(i), nil)
 			require.NoError(t, err)
-			addr, stop, err := dispatcher(t.Context(), f)
+			addr, stop, err := startDispatcher(t.Context(), f)
 			require.NoError(t, err)
-			kinds, work := classes()
+			kinds, work := loadClasses()
 			l := &emulator.Load{Addr: addr, Rate: load * 21.25 / work, Length: 12 * time.Second, Classes: kinds, Seed: uint64(i), MaxOpen: 1000}
 			res := l.Run(t.Context())
 			add(1, "service", res.Service())
--- a/cmd/gaugelab/budgets.go
+++ b/cmd/gaugelab/budgets.go
@@ -17,24 +17,24 @@
 	"gaugeslip/internal/lab/shares"
 )
 
-// budgetsCommand plays members that divide a budget in virtual time.
+// budgetsCommand simulates members that divide a budget among them, in virtual time.
 func budgetsCommand() *cobra.Command {
-	c := &cobra.Command{Use: "budgets", Short: "Play members that divide a budget among them, in virtual time",
+	c := &cobra.Command{Use: "budgets", Short: "Simulate members that divide a budget among them, in virtual time",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return usageError{errors.New("budgets: draw or sizes is wanted")}
 		}}
-	c.AddCommand(budgetsDraw(), budgetsSizes())
+	c.AddCommand(budgetsDrawCommand(), budgetsSizesCommand())
 	return c
 }
 
-func budgetsDraw() *cobra.Command {
+func budgetsDrawCommand() *cobra.Command {
 	var first uint64
 	var seeds int
-	c := &cobra.Command{Use: "draw", Short: "Play hard histories that are drawn by seeds, and check that no sum passes the whole",
+	c := &cobra.Command{Use: "draw", Short: "Run random fault histories and check that the sum of the shares never exceeds the budget",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 			var mu sync.Mutex
 			broken, used := 0, 0
-			eachOf(seeds, func(i int) {
+			forEachParallel(seeds, func(i int) {
 				if cmd.Context().Err() != nil {
 					return
 				}
@@ -51,38 +51,38 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d histories, %d uses, the sum passed the whole in %d\n", seeds, used, broken)
-			return unmet(broken)
+			return unmetError(broken)
 		}}
 	c.Flags().Uint64Var(&first, "seed", 1, "the first seed")
-	c.Flags().IntVar(&seeds, "seeds", 1000, "how many seeds")
+	c.Flags().IntVar(&seeds, "seeds", 1000, "number of seeds")
 	return c
 }
 
-// DividedFleet is what a fleet of one size made of a budget.
-type DividedFleet struct {
+// BudgetResult holds the use and the cost of a divided budget at one fleet size.
+type BudgetResult struct {
 	Members   int     `json:"members"`
-	Static    float64 `json:"static"`    // share of the whole that is used where a tenth of the members is asked for as much as the whole
-	Talk      float64 `json:"talk"`      // the same, with talk
-	Death     float64 `json:"death_s"`   // seconds until 0.9 is used again after a member's death, the one who leads
-	Healed    float64 `json:"healed_s"`  // after two islands are one again
-	Messages  float64 `json:"messages"`  // a second and member
-	Bytes     float64 `json:"bytes"`     // a second and member
-	LeaderMsg float64 `json:"at_leader"` // messages a second at the one who leads
+	Static    float64 `json:"static"`    // used share of the budget, divided statically, if a tenth of the members demands as much as the whole
+	Talk      float64 `json:"talk"`      // the same, divided by leases that members exchange
+	Death     float64 `json:"death_s"`   // seconds after the leader's death until 0.9 of the budget is used again
+	Healed    float64 `json:"healed_s"`  // the same after the end of a partition into two groups
+	Messages  float64 `json:"messages"`  // per second and member
+	Bytes     float64 `json:"bytes"`     // per second and member
+	LeaderMsg float64 `json:"at_leader"` // messages per second at the leader
 }
 
-func budgetsSizes() *cobra.Command {
+func budgetsSizesCommand() *cobra.Command {
 	var text, out string
 	var seeds int
 	var asJSON bool
-	c := &cobra.Command{Use: "sizes", Short: "Say what static and talk make of a budget over the fleet's size, and what talk costs",
+	c := &cobra.Command{Use: "sizes", Short: "Compare static and talk by the used share of a budget over the fleet size, and measure the cost of talk",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			var all []DividedFleet
+			var all []BudgetResult
 			for _, part := range strings.Split(text, ",") {
 				n, err := strconv.Atoi(strings.TrimSpace(part))
 				if err != nil || n < 1 || n > 5000 {
 					return usageError{fmt.Errorf("budgets sizes: --sizes: %q is no size", part)}
 				}
-				all = append(all, divided(n, seeds))
+				all = append(all, measureBudget(n, seeds))
 				fmt.Fprintf(cmd.ErrOrStderr(), "  %d members: %+v\n", n, all[len(all)-1])
 			}
 			if out != "" {
@@ -101,15 +101,15 @@
 			return w.Flush()
 		}}
 	c.Flags().StringVar(&text, "sizes", "3,10,30,100,300,1000", "numbers of members")
-	c.Flags().IntVar(&seeds, "seeds", 3, "how many seeds")
-	c.Flags().StringVar(&out, "out", "", "folder for a plot of messages; none where it is empty")
+	c.Flags().IntVar(&seeds, "seeds", 3, "number of seeds")
+	c.Flags().StringVar(&out, "out", "", "directory for a plot of messages; no plot if empty")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
 
-// divided plays a fleet of one size over some seeds.
-func divided(n, seeds int) DividedFleet {
-	x := DividedFleet{Members: n}
+// measureBudget simulates a fleet of n members on the given number of seeds and returns the means.
+func measureBudget(n, seeds int) BudgetResult {
+	x := BudgetResult{Members: n}
 	mean := func(all []float64) (m float64) {
 		all = all[len(all)/2:]
 		for _, v := range all {
@@ -135,8 +135,8 @@
 	return x
 }
 
-// plotMessages draws what talk costs over the fleet's size.
-func plotMessages(all []DividedFleet, out string) error {
+// plotMessages plots the messages per second that talk costs over the fleet size.
+func plotMessages(all []BudgetResult, out string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "What talk costs", "members", "messages a second"
 	p.X.Scale, p.X.Tick.Marker, p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}, plot.LogScale{}, plot.LogTicks{Prec: -1}
--- a/cmd/gaugelab/demo.go
+++ b/cmd/gaugelab/demo.go
@@ -23,9 +23,9 @@
 	"gaugeslip/internal/node"
 )
 
-// deployment is the fleet that demo and emulate put on sockets: five hosts of each kind, as in scenarios/calm-friday.hcl, ten
+// fleetSpec is the fleet that demo and emulate put on sockets: five hosts of each kind, as in scenarios/calm-friday.hcl, ten
 // times as fast.
-func deployment(hosts int) (specs []emulator.Spec, p fleet.Params) {
+func fleetSpec(hosts int) (specs []emulator.Spec, p fleet.Params) {
 	for i := range hosts {
 		s := emulator.Spec{Kind: "small-box", Room: "bole-room", Lanes: 2, Speed: 1}
 		if i%2 == 1 {
@@ -37,8 +37,8 @@
 		ReportEvery: 50 * time.Millisecond, Progress: time.Second, ProbeWork: 75 * time.Microsecond}
 }
 
-// settings is what the demo's dispatcher is told, in the platform's form.
-const settings = `{"family-info":{"class-stretch":[1.75,2.0],"report-x0":"free slots","tells-start":true,"progress":1000.0},
+// dispatcherSettings is what the demo's dispatcher is told, in the platform's form.
+const dispatcherSettings = `{"family-info":{"class-stretch":[1.75,2.0],"report-x0":"free slots","tells-start":true,"progress":1000.0},
 "kinds":["small-box","wide-box"],"limits":{"cancel":true,"conn-idle":30000.0,"connect-timeout":250.0,"max-attempts":6,
 "max-retry-after":2000.0,"most-held":20000,"probes":true,"retry-after":true},"localities":["bole-room"],"locality":"bole-room",
 "ordinal":0,"replicas-of-me":1,"prices":{"probe":0.002,"waste":0.02},"profiles":[
@@ -47,8 +47,8 @@
 "registry-mode":"ask","report":{"fields":["q","rif","x0"],"how":"pull"},"rules":{"cold-from":0.12,"warm-up":5000.0,
 "tip-multiple":3.0,"overload-for":2000.0,"drain-grace":3000.0},"value-by":"work"}`
 
-// classes are the jobs that are sent, and meanWork the mean work of one, in seconds.
-func classes() ([]emulator.LoadClass, float64) {
+// loadClasses are the jobs that are sent, and meanWork the mean work of one, in seconds.
+func loadClasses() ([]emulator.LoadClass, float64) {
 	return []emulator.LoadClass{
 		{Name: "plot-load", Part: 0.62, Mean: 70 * time.Millisecond, Sigma: 0.4, OnTime: 200 * time.Millisecond, Stretch: 1.75,
 			Patience: 4 * time.Second, Worth: 5},
@@ -56,8 +56,8 @@
 			Patience: 8 * time.Second, Worth: 10}}, 0.62*0.07 + 0.38*0.4
 }
 
-// dispatcher starts a real one on a free loopback address, inside this process. stop ends it as SIGTERM would, and waits.
-func dispatcher(ctx context.Context, f *emulator.Fleet) (addr string, stop func() error, err error) {
+// startDispatcher starts a real one on a free loopback address, inside this process. stop ends it as SIGTERM would, and waits.
+func startDispatcher(ctx context.Context, f *emulator.Fleet) (addr string, stop func() error, err error) {
 	reserved, err := freeport.Reserve()
 	if err != nil {
 		return "", nil, err
@@ -70,7 +70,7 @@
 	}
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": addr, "discovery": f.Discovery, "seed": "1",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": json.RawMessage(f.List()),
-		"settings": json.RawMessage(settings)})
+		"settings": json.RawMessage(dispatcherSettings)})
 	if err == nil {
 		err = os.WriteFile(filepath.Join(dir, "config.json"), text, 0o600)
 	}
@@ -97,43 +97,43 @@
 	return addr, stop, nil
 }
 
-// witness feeds the checker with what hosts ran and clients heard. On sockets only what both tell can be seen: one answer to each
+// observer feeds the checker with what hosts ran and clients heard. On sockets only what both tell can be seen: one answer to each
 // job, and one run of each that must not run twice.
-type witness struct {
-	mu   sync.Mutex
-	c    *check.Checker
-	ids  map[string]uint64
-	t0   time.Time
-	next uint64
+type observer struct {
+	mu      sync.Mutex
+	checker *check.Checker
+	ids     map[string]uint64
+	started time.Time
+	lastID  uint64
 }
 
-func newWitness() *witness {
-	return &witness{c: check.New(check.Rules{AnswerGrace: time.Second}), ids: map[string]uint64{}, t0: time.Now()}
+func newObserver() *observer {
+	return &observer{checker: check.New(check.Rules{AnswerGrace: time.Second}), ids: map[string]uint64{}, started: time.Now()}
 }
 
-// see books an event about a job now; the first to see a job has it taken. The lock is held.
-func (w *witness) see(id string, e check.Event) {
-	e.At = time.Since(w.t0)
+// record books an event about a job now; the first to see a job has it taken. The lock is held.
+func (w *observer) record(id string, e check.Event) {
+	e.At = time.Since(w.started)
 	if w.ids[id] == 0 {
-		w.next++
-		w.ids[id] = w.next
-		w.c.See(check.Event{Kind: check.Taken, At: e.At, Job: w.next, Deadline: e.At + 10*time.Second,
+		w.lastID++
+		w.ids[id] = w.lastID
+		w.checker.See(check.Event{Kind: check.Taken, At: e.At, Job: w.lastID, Deadline: e.At + 10*time.Second,
 			Unsafe: strings.HasPrefix(id, "harvest-sale")}) // a Load's ids begin with their class
 	}
 	e.Job = w.ids[id]
-	w.c.See(e)
+	w.checker.See(e)
 }
 
-func (w *witness) ran(s emulator.Sight) {
+func (w *observer) jobRan(s emulator.Sight) {
 	if s.Kind != emulator.Ran {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.see(s.Job, check.Event{Kind: check.Ran})
+	w.record(s.Job, check.Event{Kind: check.Ran})
 }
 
-func (w *witness) seen(id, _ string, status int) {
+func (w *observer) jobAnswered(id, _ string, status int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	answer := check.Failed
@@ -143,7 +143,7 @@
 	case 429, 503:
 		answer = check.Refused
 	}
-	w.see(id, check.Event{Kind: check.Answered, Answer: answer})
+	w.record(id, check.Event{Kind: check.Answered, Answer: answer})
 }
 
 func demoCommand() *cobra.Command {
@@ -155,25 +155,25 @@
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 			slog.SetDefault(slog.New(slog.DiscardHandler))                 // the view speaks for the dispatcher
 			ctx, out := cmd.Context(), &lockedWriter{w: cmd.OutOrStdout()} // the load and the troubles both print
-			specs, p := deployment(hosts)
-			w := newWitness()
-			f, err := emulator.Start(specs, p, 1, w.ran)
+			specs, p := fleetSpec(hosts)
+			w := newObserver()
+			f, err := emulator.Start(specs, p, 1, w.jobRan)
 			if err != nil {
 				return err
 			}
 			defer f.Close()
-			addr, stop, err := dispatcher(ctx, f)
+			addr, stop, err := startDispatcher(ctx, f)
 			if err != nil {
 				return err
 			}
-			kinds, work := classes()
+			kinds, work := loadClasses()
 			lanes := 0.0
 			for _, s := range specs {
 				lanes += float64(s.Lanes) * s.Speed
 			}
 			fmt.Fprintf(out, "%d game workers, discovery at %s, a dispatcher at %s; %.0f jobs a second for %v\n", hosts, f.Discovery, addr,
 				rate*lanes/work, length)
-			l := &emulator.Load{Addr: addr, Rate: rate * lanes / work, Length: length, Classes: kinds, Seed: 1, MaxOpen: 500, Seen: w.seen,
+			l := &emulator.Load{Addr: addr, Rate: rate * lanes / work, Length: length, Classes: kinds, Seed: 1, MaxOpen: 500, Seen: w.jobAnswered,
 				Progress: func(r *emulator.Result) { r.Print(out) }}
 			troubles, ended := context.WithCancel(ctx)
 			done := make(chan struct{})
@@ -194,7 +194,7 @@
 						select {
 						case <-troubles.Done():
 							return
-						case <-time.After(time.Until(w.t0.Add(x.at))):
+						case <-time.After(time.Until(w.started.Add(x.at))):
 							fmt.Fprintln(out, "-- "+x.what)
 							x.do()
 						}
@@ -209,8 +209,8 @@
 			err = stop()
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			fmt.Fprintf(out, "%d jobs checked, %d broken rules\n", w.c.Checked(), len(w.c.Breaches()))
-			for _, b := range w.c.Breaches() {
+			fmt.Fprintf(out, "%d jobs checked, %d broken rules\n", w.checker.Checked(), len(w.checker.Breaches()))
+			for _, b := range w.checker.Breaches() {
 				fmt.Fprintln(out, "  ", b)
 			}
 			return err
@@ -227,7 +227,7 @@
 	var length time.Duration
 	c := &cobra.Command{Use: "emulate", Short: "Put game workers and discovery on loopback until interrupted", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			specs, p := deployment(hosts)
+			specs, p := fleetSpec(hosts)
 			f, err := emulator.Start(specs, p, 1, nil)
 			if err != nil {
 				return err
@@ -259,7 +259,7 @@
 			if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
 				return usageError{fmt.Errorf("load: --addr: %q is no loopback address", addr)}
 			}
-			kinds, _ := classes()
+			kinds, _ := loadClasses()
 			l := &emulator.Load{Addr: addr, Rate: rate, Length: length, Classes: kinds, Seed: seed, MaxOpen: 2000,
 				Progress: func(r *emulator.Result) {
 					fmt.Fprintf(cmd.ErrOrStderr(), "%.0f s, service %.3f\n", r.Elapsed.Seconds(), r.Service())
--- a/cmd/gaugelab/harm.go
+++ b/cmd/gaugelab/harm.go
@@ -15,14 +15,14 @@
 	"gaugeslip/internal/lab"
 )
 
-// Harm is a fleet at one size and load, and where its hosts' work went.
-type Harm struct {
+// WorkBreakdown reports how the hosts of a fleet spent their capacity at one fleet size and load.
+type WorkBreakdown struct {
 	Hosts       int      `json:"hosts"`
 	Dispatchers int      `json:"dispatchers"`
 	Load        float64  `json:"load"`
 	Service     float64  `json:"service"`
-	Goodput     float64  `json:"goodput"` // work served in time, as a share of what the hosts could do
-	Ideal       float64  `json:"ideal"`   // service of one decision that sees all, on the same seeds
+	Goodput     float64  `json:"goodput"` // work served in time, as a share of the hosts' capacity
+	Ideal       float64  `json:"ideal"`   // service of a scheduler with complete knowledge on the same seeds
 	Work        lab.Work `json:"work"`
 	ProbesAJob  float64  `json:"probes_a_job"`
 	ProbesAHost float64  `json:"probes_a_host_and_second"`
@@ -30,9 +30,9 @@
 	Refused     float64  `json:"refused_a_job"`
 }
 
-// harm plays a scenario at one size and load.
-func harm(cmd *cobra.Command, path string, x *Harm, seeds int, length time.Duration) error {
-	reports, ideal, err := resized(cmd, path, x.Hosts, x.Dispatchers, x.Load, length, seeds)
+// measureWork runs a scenario at the size and load in x and adds the means over the seeds to x.
+func measureWork(cmd *cobra.Command, path string, x *WorkBreakdown, seeds int, length time.Duration) error {
+	reports, ideal, err := runResized(cmd, path, x.Hosts, x.Dispatchers, x.Load, length, seeds)
 	if err != nil {
 		return err
 	}
@@ -54,21 +54,21 @@
 	var seeds int
 	var length time.Duration
 	var asJSON bool
-	c := &cobra.Command{Use: "harm SCENARIO.hcl", Short: "Say where the hosts' work goes over load and size of the fleet, beside an ideal that sees all",
+	c := &cobra.Command{Use: "harm SCENARIO.hcl", Short: "Report how hosts spend their capacity by load and fleet size, compared with a scheduler of complete knowledge",
 		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			fleets, err := sizes(text)
+			fleets, err := parseSizes(text)
 			if err != nil {
 				return err
 			}
-			var all []Harm
+			var all []WorkBreakdown
 			for _, f := range fleets {
 				for _, part := range strings.Split(loads, ",") {
 					load, err := strconv.ParseFloat(strings.TrimSpace(part), 64)
 					if err != nil || load <= 0 {
 						return usageError{fmt.Errorf("harm: --loads: %q is no load", part)}
 					}
-					x := Harm{Hosts: f.Hosts, Dispatchers: f.Dispatchers, Load: load}
-					if err := harm(cmd, args[0], &x, seeds, length); err != nil {
+					x := WorkBreakdown{Hosts: f.Hosts, Dispatchers: f.Dispatchers, Load: load}
+					if err := measureWork(cmd, args[0], &x, seeds, length); err != nil {
 						return err
 					}
 					fmt.Fprintf(cmd.ErrOrStderr(), "  %dx%d at %.2f: service %.3f, ideal %.3f\n", x.Hosts, x.Dispatchers, load, x.Service, x.Ideal)
@@ -93,20 +93,20 @@
 			return w.Flush()
 		}}
 	c.Flags().StringVar(&text, "sizes", "60x3,60x30,60x100", "fleets, as HOSTSxDISPATCHERS")
-	c.Flags().StringVar(&loads, "loads", "0.8,1,1.3,2,3,5", "offered work, as shares of what the fleet can do")
-	c.Flags().IntVar(&seeds, "seeds", 3, "how many seeds")
-	c.Flags().DurationVar(&length, "length", 20*time.Second, "of the day")
-	c.Flags().StringVar(&out, "out", "", "folder for a plot of goodput over load; none where it is empty")
+	c.Flags().StringVar(&loads, "loads", "0.8,1,1.3,2,3,5", "offered work, as shares of the fleet's capacity")
+	c.Flags().IntVar(&seeds, "seeds", 3, "number of seeds")
+	c.Flags().DurationVar(&length, "length", 20*time.Second, "simulated time of each run")
+	c.Flags().StringVar(&out, "out", "", "directory for a plot of goodput over load; no plot if empty")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
 
-// plotHarm draws goodput over load.
-func plotHarm(all []Harm, out string) error {
+// plotHarm plots goodput over load.
+func plotHarm(all []WorkBreakdown, out string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Goodput", "offered work, of what the hosts can do", "worth served in time, of what the hosts can do"
 	p.Y.Min = 0
-	return plotByDispatchers(p, all, out+"/goodput.png", func(x Harm) (int, plotter.XY) {
+	return plotByDispatchers(p, all, out+"/goodput.png", func(x WorkBreakdown) (int, plotter.XY) {
 		return x.Dispatchers, plotter.XY{X: x.Load, Y: x.Goodput}
 	})
 }
--- a/cmd/gaugelab/main.go
+++ b/cmd/gaugelab/main.go
@@ -1,5 +1,5 @@
-// Command gaugelab tries gaugeslip on models: it plays scenarios in virtual time, compares and plots them, emulates a fleet on
-// loopback sockets and sends it load. It is no part of a dispatcher.
+// Command gaugelab tests gaugeslip on models: it simulates scenarios in virtual time, compares and plots them, emulates a fleet on
+// loopback sockets and sends it load. It is not part of a deployed dispatcher.
 package main
 
 import (
@@ -27,12 +27,12 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// usageError is a command line that can't be carried out.
+// usageError marks an invalid command line. It leads to exit code exitUsage.
 type usageError struct{ error }
 
 // run carries out one command line and returns the exit code.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
-	root := &cobra.Command{Use: "gaugelab", Short: "Try gaugeslip on models", SilenceErrors: true, SilenceUsage: true}
+	root := &cobra.Command{Use: "gaugelab", Short: "Test gaugeslip on models", SilenceErrors: true, SilenceUsage: true}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.AddCommand(runCommand(), compareCommand(), replayCommand(), plotCommand(), demoCommand(), emulateCommand(), loadCommand(),
 		watchCommand(), scaleCommand(), harmCommand(), processesCommand(), budgetsCommand(), planCommand(), systemCommand())
--- a/cmd/gaugelab/main_test.go
+++ b/cmd/gaugelab/main_test.go
@@ -16,7 +16,7 @@
 	"gaugeslip/internal/net/nettest"
 )
 
-func call(ctx context.Context, args ...string) (code int, out, errs string) {
+func runCommandLine(ctx context.Context, args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
 	code = run(ctx, args, &o, &e)
 	return code, o.String(), e.String()
@@ -56,7 +56,7 @@
 		{[]string{"processes", "replay", "x", hard}, exitUsage, "", "no seed"},
 		{[]string{"load", "--addr", "192.0.2.1:80"}, exitUsage, "", "no loopback address"},
 	} {
-		code, out, errs := call(t.Context(), c.args...)
+		code, out, errs := runCommandLine(t.Context(), c.args...)
 		assert.Equal(t, c.code, code, "%v: %s", c.args, errs)
 		assert.Contains(t, out, c.out, c.args)
 		assert.Contains(t, errs, c.errs, c.args)
@@ -64,13 +64,13 @@
 }
 
 func TestJSONAndPlots(t *testing.T) {
-	code, out, errs := call(t.Context(), "run", scenarios+"costly-bursts.hcl", "--seeds", "1", "--json")
+	code, out, errs := runCommandLine(t.Context(), "run", scenarios+"costly-bursts.hcl", "--seeds", "1", "--json")
 	require.Equal(t, exitOK, code, errs)
 	var r lab.Report
 	require.NoError(t, json.Unmarshal([]byte(out), &r))
 	assert.Equal(t, "costly-bursts", r.Scenario)
 	dir := t.TempDir()
-	code, _, errs = call(t.Context(), "plot", scenarios+"costly-bursts.hcl", "--out", dir)
+	code, _, errs = runCommandLine(t.Context(), "plot", scenarios+"costly-bursts.hcl", "--out", dir)
 	require.Equal(t, exitOK, code, errs)
 	for _, name := range []string{"service.png", "service.svg", "latency.png", "latency.svg"} {
 		info, err := os.Stat(filepath.Join(dir, name))
@@ -101,7 +101,7 @@
 func TestIdealAndWatch(t *testing.T) {
 	var service [2]float64
 	for i, flag := range []string{"--ideal=false", "--ideal"} {
-		_, out, errs := call(t.Context(), "run", scenarios+"harvest-rush.hcl", "--seeds", "1", "--json", flag)
+		_, out, errs := runCommandLine(t.Context(), "run", scenarios+"harvest-rush.hcl", "--seeds", "1", "--json", flag)
 		var r lab.Report
 		require.NoError(t, json.Unmarshal([]byte(out), &r), errs)
 		service[i] = r.Service
@@ -115,11 +115,11 @@
 	cmd := watchCommand()
 	cmd.SetContext(t.Context())
 	w := &watcher{run: l, cmd: cmd, name: "x", speed: 100}
-	for w.at < 25*time.Second {
+	for w.elapsed < 25*time.Second {
 		w.Update(tick{})
 	}
 	assert.Regexp(t, `s-[0-9a-f]{8}  \[#*\.*\] =* +silent`, w.render())
-	for !w.over {
+	for !w.finished {
 		w.Update(tick{})
 	}
 	require.NoError(t, w.err)
@@ -128,7 +128,7 @@
 
 // The demo on real sockets: jobs are served through a silence, a kill, a drain and two cold starts, and no rule is broken.
 func TestDemo(t *testing.T) {
-	code, out, errs := call(t.Context(), "demo", "--for", "4s", "--load", "0.4")
+	code, out, errs := runCommandLine(t.Context(), "demo", "--for", "4s", "--load", "0.4")
 	require.Equal(t, exitOK, code, errs)
 	assert.Contains(t, out, "goes silent")
 	assert.Contains(t, out, " 0 broken rules", out)
@@ -141,7 +141,7 @@
 	time.AfterFunc(1500*time.Millisecond, cancel)
 	done := make(chan string, 1)
 	go func() {
-		_, out, _ := call(ctx, "demo", "--for", "10m", "--calm", "--load", "0.3")
+		_, out, _ := runCommandLine(ctx, "demo", "--for", "10m", "--calm", "--load", "0.3")
 		done <- out
 	}()
 	assert.Contains(t, nettest.Wait(t, done), "== report")
@@ -149,17 +149,17 @@
 
 // The same scenario at two sizes, beside the ideal; a size that can't be read is named.
 func TestScale(t *testing.T) {
-	code, out, errs := call(t.Context(), "scale", scenarios+"calm-friday.hcl", "--sizes", "10x3,20x3", "--length", "5s", "--seeds", "1",
+	code, out, errs := runCommandLine(t.Context(), "scale", scenarios+"calm-friday.hcl", "--sizes", "10x3,20x3", "--length", "5s", "--seeds", "1",
 		"--json", "--out", t.TempDir())
 	require.Equal(t, exitOK, code, errs)
-	var all []Size
+	var all []SizeResult
 	require.NoError(t, json.Unmarshal([]byte(out), &all))
 	require.Len(t, all, 2)
 	for _, x := range all {
 		assert.GreaterOrEqual(t, x.Ideal, x.Service)
 		assert.Positive(t, x.JobsASecond)
 	}
-	code, _, errs = call(t.Context(), "scale", scenarios+"calm-friday.hcl", "--sizes", "10")
+	code, _, errs = runCommandLine(t.Context(), "scale", scenarios+"calm-friday.hcl", "--sizes", "10")
 	assert.Equal(t, exitUsage, code)
 	assert.Contains(t, errs, `"10" is no HOSTSxDISPATCHERS`)
 }
--- a/cmd/gaugelab/plot.go
+++ b/cmd/gaugelab/plot.go
@@ -39,7 +39,7 @@
 			late.Add(plotter.NewGrid())
 			n := 0
 			for i, sc := range all {
-				reports, err := play(cmd.Context(), sc, seed, 1, false, nil)
+				reports, err := runSeeds(cmd.Context(), sc, seed, 1, false, nil)
 				if err != nil {
 					return err
 				}
@@ -49,7 +49,7 @@
 						points = append(points, plotter.XY{X: float64(k*5) + 2.5, Y: s})
 					}
 				}
-				if err := line(over, sc.Name, points, plotutil.Color(i), 0); err != nil {
+				if err := addLine(over, sc.Name, points, plotutil.Color(i), 0); err != nil {
 					return err
 				}
 				for k, class := range sc.Classes {
@@ -63,7 +63,7 @@
 					if len(points) == 0 {
 						continue
 					}
-					if err := line(late, sc.Name+" "+class.Name, points, plotutil.Color(i), k); err != nil {
+					if err := addLine(late, sc.Name+" "+class.Name, points, plotutil.Color(i), k); err != nil {
 						return err
 					}
 					n++
@@ -86,12 +86,12 @@
 			return nil
 		}}
 	c.Flags().Uint64Var(&seed, "seed", 1, "the seed")
-	c.Flags().StringVar(&out, "out", "plots", "folder for the pictures")
+	c.Flags().StringVar(&out, "out", "plots", "directory for the plots")
 	return c
 }
 
-// line adds a curve with its name.
-func line(p *plot.Plot, name string, points plotter.XYs, c color.Color, dash int) error {
+// addLine adds a curve and its legend entry to a plot.
+func addLine(p *plot.Plot, name string, points plotter.XYs, c color.Color, dash int) error {
 	l, err := plotter.NewLine(points)
 	if err != nil {
 		return fmt.Errorf("plot: %w", err)
--- a/cmd/gaugelab/plot_decide.go
+++ b/cmd/gaugelab/plot_decide.go
@@ -11,19 +11,19 @@
 	"gaugeslip/internal/system/decisionlab"
 )
 
-// The size of a drawing of worth by load.
+// Size of the plot of worth by load.
 const (
 	decidePlotWidth  = 7 * vg.Inch
 	decidePlotHeight = 5 * vg.Inch
 )
 
-// worthByLoad is one line of the drawing: points with twice their standard error.
+// worthByLoad is one line of the plot: points with error bars of twice their standard error.
 type worthByLoad struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// plotDecisions draws worth by load, a line for each deployment and policy, and the bound.
+// plotDecisions plots worth by load: a line for each deployment and policy, and one for each deployment's upper bound.
 func plotDecisions(file string, all []decisionlab.Summary) error {
 	drawing := plot.New()
 	drawing.X.Label.Text, drawing.Y.Label.Text = "load", "worth earned of worth owed, with twice the standard error"
--- a/cmd/gaugelab/processes.go
+++ b/cmd/gaugelab/processes.go
@@ -13,25 +13,25 @@
 // processesCommand plays scenarios on real dispatchers, each a process of its own.
 func processesCommand() *cobra.Command {
 	c := &cobra.Command{Use: "processes", Short: "Play scenarios on real dispatchers, each a process, with faults between them"}
-	c.AddCommand(processesRun(), processesReplay())
+	c.AddCommand(processesRunCommand(), processesReplayCommand())
 	return c
 }
 
-// playing is what run and replay have in common.
-type playing struct {
+// processFlags is what run and replay have in common.
+type processFlags struct {
 	program, site, record string
 	asJSON                bool
 }
 
-func (p *playing) flags(c *cobra.Command) {
+func (p *processFlags) register(c *cobra.Command) {
 	c.Flags().StringVar(&p.program, "program", "", "the dispatcher's program; built from this module where it is empty")
 	c.Flags().StringVar(&p.site, "site", "", "a settings file of our own for every dispatcher")
 	c.Flags().StringVar(&p.record, "record", "", "file for the record of what was seen, JSON lines")
 	c.Flags().BoolVar(&p.asJSON, "json", false, "print one JSON object a run")
 }
 
-// play plays one seed, prints its report and returns what was missed.
-func (p *playing) play(cmd *cobra.Command, sc *rig.Scenario, seed uint64) (missed int, err error) {
+// runSeed plays one seed, prints its report and returns what was missed.
+func (p *processFlags) runSeed(cmd *cobra.Command, sc *rig.Scenario, seed uint64) (missed int, err error) {
 	opt := rig.Options{Program: p.program, Site: p.site,
 		Progress: func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), "  "+line) }}
 	if p.record != "" {
@@ -59,8 +59,8 @@
 	return missed, err
 }
 
-// days plays so many seeds of the scenarios of files, those of one name where only is not empty.
-func (p *playing) days(cmd *cobra.Command, files []string, only string, first uint64, seeds int) error {
+// runScenarios plays so many seeds of the scenarios of files, those of one name where only is not empty.
+func (p *processFlags) runScenarios(cmd *cobra.Command, files []string, only string, first uint64, seeds int) error {
 	all, err := rig.Load(files...)
 	if err != nil {
 		return err
@@ -72,17 +72,17 @@
 		}
 		fmt.Fprintf(cmd.ErrOrStderr(), "%s: %s\n", sc.Name, sc.About)
 		for i := range seeds {
-			n, err := p.play(cmd, sc, first+uint64(i))
+			n, err := p.runSeed(cmd, sc, first+uint64(i))
 			if missed += n; err != nil {
 				return err
 			}
 		}
 	}
-	return unmet(missed)
+	return unmetError(missed)
 }
 
-func processesRun() *cobra.Command {
-	var p playing
+func processesRunCommand() *cobra.Command {
+	var p processFlags
 	var first uint64
 	var seeds int
 	var dir, only string
@@ -93,9 +93,9 @@
 			if err != nil {
 				return err
 			}
-			return p.days(cmd, files, only, first, seeds)
+			return p.runScenarios(cmd, files, only, first, seeds)
 		}}
-	p.flags(c)
+	p.register(c)
 	c.Flags().Uint64Var(&first, "seed", 1, "the first seed")
 	c.Flags().IntVar(&seeds, "seeds", 1, "how many seeds")
 	c.Flags().BoolVar(&everything, "all", false, "play every scenario of a folder")
@@ -104,16 +104,16 @@
 	return c
 }
 
-func processesReplay() *cobra.Command {
-	var p playing
+func processesReplayCommand() *cobra.Command {
+	var p processFlags
 	c := &cobra.Command{Use: "replay SEED SCENARIO.hcl", Short: "Play one seed again: the same arrivals and troubles, in real time",
 		Args: cobra.ExactArgs(2), RunE: func(cmd *cobra.Command, args []string) error {
 			seed, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil {
 				return usageError{fmt.Errorf("processes replay: %q is no seed", args[0])}
 			}
-			return p.days(cmd, args[1:], "", seed, 1)
+			return p.runScenarios(cmd, args[1:], "", seed, 1)
 		}}
-	p.flags(c)
+	p.register(c)
 	return c
 }
--- a/cmd/gaugelab/run.go
+++ b/cmd/gaugelab/run.go
@@ -19,17 +19,18 @@
 	"gaugeslip/internal/lab"
 )
 
-// play runs a scenario on seeds, as many at a time as there are cores, and gives the reports in the order of the seeds.
-func play(ctx context.Context, sc *lab.Scenario, first uint64, seeds int, checked bool, done func(*lab.Report)) ([]*lab.Report, error) {
-	return playOn(ctx, first, seeds, done, func(seed uint64) (*lab.Lab, error) { return lab.New(sc, seed, checked) })
+// runSeeds runs a scenario on consecutive seeds, as many concurrently as there are cores, and returns the reports in the order of the seeds.
+// It calls done, if not nil, for one finished run at a time.
+func runSeeds(ctx context.Context, sc *lab.Scenario, first uint64, seeds int, checked bool, done func(*lab.Report)) ([]*lab.Report, error) {
+	return runSeedsWith(ctx, first, seeds, done, func(seed uint64) (*lab.Lab, error) { return lab.New(sc, seed, checked) })
 }
 
-// playOn runs what start gives for each seed.
-func playOn(ctx context.Context, first uint64, seeds int, done func(*lab.Report), start func(seed uint64) (*lab.Lab, error)) (
+// runSeedsWith is runSeeds with the run of each seed created by start. The report of a failed run is nil.
+func runSeedsWith(ctx context.Context, first uint64, seeds int, done func(*lab.Report), start func(seed uint64) (*lab.Lab, error)) (
 	[]*lab.Report, error) {
 	reports, errs := make([]*lab.Report, seeds), make([]error, seeds)
 	var mu sync.Mutex
-	eachOf(seeds, func(i int) {
+	forEachParallel(seeds, func(i int) {
 		l, err := start(first + uint64(i))
 		if err == nil {
 			reports[i], err = l.Run(ctx)
@@ -43,8 +44,8 @@
 	return reports, errors.Join(errs...)
 }
 
-// eachOf does something for each number below n, as many at a time as there are cores.
-func eachOf(n int, do func(i int)) {
+// forEachParallel calls do for each number from 0 to n-1, as many concurrently as there are cores, and waits for all calls.
+func forEachParallel(n int, do func(i int)) {
 	free := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var all sync.WaitGroup
 	for i := range n {
@@ -57,7 +58,7 @@
 	all.Wait()
 }
 
-// scenarioFiles are those that a command names, and with --all those of a folder.
+// scenarioFiles returns the scenario files that are given as arguments, followed by those in dir if all is set (--all).
 func scenarioFiles(command string, args []string, all bool, dir string) ([]string, error) {
 	if all {
 		found, err := filepath.Glob(filepath.Join(dir, "*.hcl"))
@@ -72,8 +73,8 @@
 	return args, nil
 }
 
-// unmet is the error of a command whose scenarios missed so many expectations; nil: none.
-func unmet(n int) error {
+// unmetError returns the error of a command whose scenarios missed n expectations, or nil if n is 0.
+func unmetError(n int) error {
 	if n == 0 {
 		return nil
 	}
@@ -85,7 +86,7 @@
 	var first uint64
 	var dir string
 	var asJSON, everything, fast, ideal bool
-	c := &cobra.Command{Use: "run [SCENARIO.hcl ...]", Short: "Play scenarios in virtual time and say whether they keep what they expect",
+	c := &cobra.Command{Use: "run [SCENARIO.hcl ...]", Short: "Simulate scenarios in virtual time and check their expectations",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			files, err := scenarioFiles("run", args, everything, dir)
 			if err != nil {
@@ -104,7 +105,7 @@
 				if ideal {
 					start = func(seed uint64) (*lab.Lab, error) { return lab.NewIdeal(sc, seed) }
 				}
-				reports, err := playOn(cmd.Context(), first, seeds, func(r *lab.Report) {
+				reports, err := runSeedsWith(cmd.Context(), first, seeds, func(r *lab.Report) {
 					fmt.Fprintf(cmd.ErrOrStderr(), "  seed %d done, service %.3f, %.1f s\n", r.Seed, r.Service, r.Wall)
 				}, start)
 				for _, r := range reports {
@@ -126,21 +127,21 @@
 					return err
 				}
 			}
-			return unmet(missed)
+			return unmetError(missed)
 		}}
-	c.Flags().IntVar(&seeds, "seeds", 3, "how many seeds")
+	c.Flags().IntVar(&seeds, "seeds", 3, "number of seeds")
 	c.Flags().Uint64Var(&first, "seed", 1, "the first seed")
-	c.Flags().StringVar(&dir, "dir", "scenarios", "with --all: where the scenarios are")
-	c.Flags().BoolVar(&everything, "all", false, "play every scenario of a folder")
-	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object a run")
-	c.Flags().BoolVar(&ideal, "ideal", false, "no dispatchers: one decision that sees all")
-	c.Flags().BoolVar(&fast, "fast", false, "do not check the rules")
+	c.Flags().StringVar(&dir, "dir", "scenarios", "with --all: directory of the scenarios")
+	c.Flags().BoolVar(&everything, "all", false, "run every scenario of the directory")
+	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object for each run")
+	c.Flags().BoolVar(&ideal, "ideal", false, "replace the dispatchers by one scheduler with complete knowledge")
+	c.Flags().BoolVar(&fast, "fast", false, "do not check the invariants")
 	return c
 }
 
 func replayCommand() *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{Use: "replay SEED SCENARIO.hcl", Short: "Play one seed of a scenario again, and say whether its digest is the same twice",
+	c := &cobra.Command{Use: "replay SEED SCENARIO.hcl", Short: "Run one seed of a scenario twice and check that both runs have the same digest",
 		Args: cobra.ExactArgs(2), RunE: func(cmd *cobra.Command, args []string) error {
 			seed, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil {
@@ -153,7 +154,7 @@
 			for _, sc := range all {
 				var first *lab.Report
 				for range 2 {
-					reports, err := play(cmd.Context(), sc, seed, 1, true, nil)
+					reports, err := runSeeds(cmd.Context(), sc, seed, 1, true, nil)
 					if err != nil {
 						return err
 					}
@@ -174,18 +175,19 @@
 	return c
 }
 
-// Comparison is what came of two scenarios on the same seeds.
+// Comparison is the result of two scenarios on the same seeds.
 type Comparison struct {
 	A       float64 `json:"a"`
 	B       float64 `json:"b"`
-	Diff    float64 `json:"difference"` // B less A, mean over the seeds
-	Low     float64 `json:"low"`        // of its interval of 95 %
+	Diff    float64 `json:"difference"` // B minus A, mean over the seeds
+	Low     float64 `json:"low"`        // lower bound of the 95 % confidence interval of the difference
 	High    float64 `json:"high"`
 	Seeds   int     `json:"seeds"`
 	Verdict string  `json:"verdict"`
 }
 
-// compare weighs paired figures: the mean of their differences with Student's interval of 95 %.
+// compare compares paired values by the mean of their differences and its 95 % confidence interval by Student's t distribution. The interval
+// of a single pair is infinite.
 func compare(a, b []float64) Comparison {
 	diff := make([]float64, len(a))
 	for i := range a {
@@ -208,7 +210,7 @@
 	return c
 }
 
-// Print writes it for people.
+// Print writes the comparison as text.
 func (c *Comparison) Print(w io.Writer) {
 	fmt.Fprintf(w, "A %.4f, B %.4f: difference %+.4f, 95 %% of it within %+.4f to %+.4f, %d seeds: %s\n", c.A, c.B, c.Diff, c.Low,
 		c.High, c.Seeds, c.Verdict)
@@ -229,7 +231,7 @@
 				if len(all) != 1 {
 					return usageError{fmt.Errorf("compare: %s holds %d scenarios, one is wanted", p, len(all))}
 				}
-				reports, err := play(cmd.Context(), all[0], first, seeds, false, func(r *lab.Report) {
+				reports, err := runSeeds(cmd.Context(), all[0], first, seeds, false, func(r *lab.Report) {
 					fmt.Fprintf(cmd.ErrOrStderr(), "  %s, seed %d: service %.3f\n", r.Scenario, r.Seed, r.Service)
 				})
 				if err != nil {
@@ -246,7 +248,7 @@
 			x.Print(cmd.OutOrStdout())
 			return nil
 		}}
-	c.Flags().IntVar(&seeds, "seeds", 10, "how many seeds")
+	c.Flags().IntVar(&seeds, "seeds", 10, "number of seeds")
 	c.Flags().Uint64Var(&first, "seed", 1, "the first seed")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
--- a/cmd/gaugelab/scale.go
+++ b/cmd/gaugelab/scale.go
@@ -19,20 +19,20 @@
 	"gaugeslip/internal/lab"
 )
 
-// Size is a fleet at one size, and what came of it.
-type Size struct {
+// SizeResult holds the size of a fleet and the results of its runs.
+type SizeResult struct {
 	Hosts       int     `json:"hosts"`
 	Dispatchers int     `json:"dispatchers"`
 	Service     float64 `json:"service"`
-	Ideal       float64 `json:"ideal"` // of one decision that sees all, on the same seeds
+	Ideal       float64 `json:"ideal"` // service of a scheduler with complete knowledge on the same seeds
 	Refused     float64 `json:"refused"`
-	Crossed     float64 `json:"crossed"` // sends to another room, of all
-	Probes      float64 `json:"probes"`  // a job
+	Crossed     float64 `json:"crossed"` // share of sends that go to another room
+	Probes      float64 `json:"probes"`  // per job
 	JobsASecond float64 `json:"jobs_a_second"`
 }
 
-// sizes reads "10x3,100x30".
-func sizes(text string) (all []Size, err error) {
+// parseSizes parses a list of HOSTSxDISPATCHERS such as "10x3,100x30".
+func parseSizes(text string) (all []SizeResult, err error) {
 	for _, part := range strings.Split(text, ",") {
 		h, d, ok := strings.Cut(strings.TrimSpace(part), "x")
 		hosts, err1 := strconv.Atoi(h)
@@ -40,25 +40,25 @@
 		if !ok || err1 != nil || err2 != nil || hosts < 1 || nodes < 1 {
 			return nil, usageError{fmt.Errorf("scale: --sizes: %q is no HOSTSxDISPATCHERS", part)}
 		}
-		all = append(all, Size{Hosts: hosts, Dispatchers: nodes})
+		all = append(all, SizeResult{Hosts: hosts, Dispatchers: nodes})
 	}
 	return all, nil
 }
 
-// resized plays a file's one scenario at a size and load, and the ideal on the same seeds.
-func resized(cmd *cobra.Command, path string, hosts, dispatchers int, load float64, length time.Duration, seeds int) (
+// runResized runs a file's one scenario at the given size, load and length, and the ideal scheduler on the same seeds.
+func runResized(cmd *cobra.Command, path string, hosts, dispatchers int, load float64, length time.Duration, seeds int) (
 	real, ideal []*lab.Report, err error) {
-	sc, err := one(path)
+	sc, err := loadSingleScenario(path)
 	if err != nil {
 		return nil, nil, err
 	}
 	if err := sc.Resize(hosts, dispatchers, load, length); err != nil {
 		return nil, nil, usageError{fmt.Errorf("%s: %w", cmd.Name(), err)}
 	}
-	if real, err = play(cmd.Context(), sc, 1, seeds, false, nil); err != nil {
+	if real, err = runSeeds(cmd.Context(), sc, 1, seeds, false, nil); err != nil {
 		return nil, nil, err
 	}
-	ideal, err = playOn(cmd.Context(), 1, seeds, nil, func(seed uint64) (*lab.Lab, error) { return lab.NewIdeal(sc, seed) })
+	ideal, err = runSeedsWith(cmd.Context(), 1, seeds, nil, func(seed uint64) (*lab.Lab, error) { return lab.NewIdeal(sc, seed) })
 	return real, ideal, err
 }
 
@@ -68,15 +68,15 @@
 	var load float64
 	var length time.Duration
 	var asJSON bool
-	c := &cobra.Command{Use: "scale SCENARIO.hcl", Short: "Play a scenario at several sizes of its fleet, beside an ideal that sees all",
+	c := &cobra.Command{Use: "scale SCENARIO.hcl", Short: "Run a scenario at several fleet sizes and compare it with a scheduler of complete knowledge",
 		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			all, err := sizes(text)
+			all, err := parseSizes(text)
 			if err != nil {
 				return err
 			}
 			for i := range all {
 				x := &all[i]
-				real, ideal, err := resized(cmd, args[0], x.Hosts, x.Dispatchers, load, length, seeds)
+				real, ideal, err := runResized(cmd, args[0], x.Hosts, x.Dispatchers, load, length, seeds)
 				if err != nil {
 					return err
 				}
@@ -108,25 +108,25 @@
 			return w.Flush()
 		}}
 	c.Flags().StringVar(&text, "sizes", "10x3,100x3,100x30,1000x30,1000x100", "fleets, as HOSTSxDISPATCHERS")
-	c.Flags().IntVar(&seeds, "seeds", 3, "how many seeds")
-	c.Flags().Float64Var(&load, "load", 0.95, "offered work, as a share of what the fleet can do")
-	c.Flags().DurationVar(&length, "length", 20*time.Second, "of the day")
-	c.Flags().StringVar(&out, "out", "", "folder for a plot of jobs a second; none where it is empty")
+	c.Flags().IntVar(&seeds, "seeds", 3, "number of seeds")
+	c.Flags().Float64Var(&load, "load", 0.95, "offered work, as a share of the fleet's capacity")
+	c.Flags().DurationVar(&length, "length", 20*time.Second, "simulated time of each run")
+	c.Flags().StringVar(&out, "out", "", "directory for a plot of jobs per second; no plot if empty")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
 
-// plotSizes draws the lab's own pace over the size of the fleet.
-func plotSizes(all []Size, out string) error {
+// plotSizes plots the simulator's speed, in jobs per second of wall time, over the fleet size.
+func plotSizes(all []SizeResult, out string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "The lab's pace", "game workers", "jobs a second of wall time, one core a run"
 	p.X.Scale, p.X.Tick.Marker, p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}, plot.LogScale{}, plot.LogTicks{Prec: -1}
-	return plotByDispatchers(p, all, out+"/scale.png", func(x Size) (int, plotter.XY) {
+	return plotByDispatchers(p, all, out+"/scale.png", func(x SizeResult) (int, plotter.XY) {
 		return x.Dispatchers, plotter.XY{X: float64(x.Hosts), Y: x.JobsASecond}
 	})
 }
 
-// plotByDispatchers draws a curve for each number of dispatchers, in the order in which they come, and saves the plot.
+// plotByDispatchers plots one curve for each number of dispatchers, in order of first occurrence, and saves the plot.
 func plotByDispatchers[T any](p *plot.Plot, all []T, path string, point func(T) (dispatchers int, at plotter.XY)) error {
 	return plotLines(p, all, path, func(x T) (string, plotter.XY) {
 		n, at := point(x)
@@ -134,7 +134,7 @@
 	})
 }
 
-// plotLines draws a curve for each name, in the order in which they come, and saves the plot.
+// plotLines plots one curve for each name, in order of first occurrence, and saves the plot. It creates the directory of path.
 func plotLines[T any](p *plot.Plot, all []T, path string, point func(T) (line string, at plotter.XY)) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
--- a/cmd/gaugelab/system.go
+++ b/cmd/gaugelab/system.go
@@ -17,11 +17,11 @@
 		RunE: func(*cobra.Command, []string) error {
 			return usageError{errors.New("system: run or scale is wanted, or soak or decide")}
 		}}
-	c.AddCommand(systemRun(), systemScale(), systemSoak(), systemDecide(), systemProcess())
+	c.AddCommand(systemRunCommand(), systemScaleCommand(), systemSoakCommand(), systemDecideCommand(), systemProcessCommand())
 	return c
 }
 
-var errUnsound = errors.New("system: jobs were lost, rules broken or processes ended by themselves; the report tells")
+var errViolations = errors.New("system: jobs were lost, rules broken or processes ended by themselves; the report tells")
 
 // systemFlags are what run and scale have in common.
 type systemFlags struct {
@@ -29,7 +29,7 @@
 	asJSON  bool
 }
 
-func (f *systemFlags) common(c *cobra.Command) {
+func (f *systemFlags) register(c *cobra.Command) {
 	flags := c.Flags()
 	flags.IntVar(&f.options.Replicas, "replicas", 3, "control plane processes")
 	flags.IntVar(&f.options.Dispatchers, "dispatchers", 3, "data plane processes")
@@ -73,13 +73,13 @@
 	return cleanUp, localcluster.Build(cmd.Context(), folder)
 }
 
-func systemRun() *cobra.Command {
+func systemRunCommand() *cobra.Command {
 	var f systemFlags
 	var troubles []string
 	var scenario string
 	c := &cobra.Command{Use: "run", Short: "Run a local cluster with clients and troubles, and check that nothing is lost and nothing runs twice",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := readTroubles(&f, troubles, scenario); err != nil {
+			if err := addTroubles(&f, troubles, scenario); err != nil {
 				return usageError{err}
 			}
 			cleanUp, err := f.prepare(cmd)
@@ -94,7 +94,7 @@
 			}
 			return printReport(cmd, report, f.asJSON)
 		}}
-	f.common(c)
+	f.register(c)
 	c.Flags().IntVar(&f.options.Workers, "workers", 12, "hollow workers")
 	c.Flags().Float64Var(&f.options.Rate, "rate", 5, "jobs a second")
 	c.Flags().DurationVar(&f.options.For, "for", 15*time.Second, "how long clients hand jobs in")
@@ -104,7 +104,7 @@
 	return c
 }
 
-func readTroubles(f *systemFlags, troubles []string, scenario string) error {
+func addTroubles(f *systemFlags, troubles []string, scenario string) error {
 	if scenario != "" {
 		read, err := localcluster.LoadScenario(scenario)
 		if err != nil {
@@ -131,7 +131,7 @@
 		return err
 	}
 	if !report.Sound() {
-		return errUnsound
+		return errViolations
 	}
 	return nil
 }
--- a/cmd/gaugelab/system_decide.go
+++ b/cmd/gaugelab/system_decide.go
@@ -24,8 +24,8 @@
 	plot        string
 }
 
-// systemDecide plays the scheduler's decisions in virtual time.
-func systemDecide() *cobra.Command {
+// systemDecideCommand plays the scheduler's decisions in virtual time.
+func systemDecideCommand() *cobra.Command {
 	var f decideFlags
 	c := &cobra.Command{Use: "decide DEPLOYMENT.toml ...", Short: "Play the scheduler's decisions in virtual time, beside plain policies and a bound that none can pass",
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/gaugelab/system_process.go
+++ b/cmd/gaugelab/system_process.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// collectorPercent and memoryShare are as in the programs themselves.
-	collectorPercent = 200
-	memoryShare      = 0.6
+	// gcPercent and memoryLimitShare are as in the programs themselves.
+	gcPercent        = 200
+	memoryLimitShare = 0.6
 	megabyte         = 1 << 20
 )
 
-// systemProcess runs the parts of the two programs in this one: a replica with its profiles, or many dispatchers.
-func systemProcess() *cobra.Command {
+// systemProcessCommand runs the parts of the two programs in this one: a replica with its profiles, or many dispatchers.
+func systemProcessCommand() *cobra.Command {
 	var profile string
 	c := &cobra.Command{Use: "process controlplane|dataplane SETTINGS...", Short: "Run a replica, or many dispatchers in one process, for scale runs",
 		Hidden: true, Args: cobra.MinimumNArgs(2), RunE: func(cmd *cobra.Command, args []string) error {
 			logger := log.NewWithOptions(cmd.ErrOrStderr(), log.Options{ReportTimestamp: true})
-			debug.SetGCPercent(collectorPercent)
+			debug.SetGCPercent(gcPercent)
 			switch args[0] {
 			case string(nodesettings.RoleControlPlane):
-				return profiledReplica(cmd, args[1], profile, logger)
+				return runProfiledReplica(cmd, args[1], profile, logger)
 			case string(nodesettings.RoleDataPlane):
-				return manyDispatchers(cmd, args[1:], logger)
+				return runDispatchers(cmd, args[1:], logger)
 			}
 			return usageError{fmt.Errorf("system process: %q is neither controlplane nor dataplane", args[0])}
 		}}
@@ -41,8 +41,8 @@
 	return c
 }
 
-// manyDispatchers runs a dispatcher by each settings file until it is told to end.
-func manyDispatchers(cmd *cobra.Command, files []string, logger *log.Logger) error {
+// runDispatchers runs a dispatcher by each settings file until it is told to end.
+func runDispatchers(cmd *cobra.Command, files []string, logger *log.Logger) error {
 	logger.SetLevel(log.WarnLevel)
 	for _, file := range files {
 		if _, err := dataplane.Start(file, logger, dataplane.Options{Invariants: dataplane.NewInvariants(logger)}); err != nil {
@@ -53,13 +53,13 @@
 	return nil // all of them end with the process
 }
 
-// profiledReplica runs one replica until it is told to end, and then writes what it spent its time and memory on.
-func profiledReplica(cmd *cobra.Command, file, prefix string, logger *log.Logger) error {
+// runProfiledReplica runs one replica until it is told to end, and then writes what it spent its time and memory on.
+func runProfiledReplica(cmd *cobra.Command, file, prefix string, logger *log.Logger) error {
 	settings, err := nodesettings.Load(file)
 	if err != nil {
 		return err
 	}
-	debug.SetMemoryLimit(int64(settings.Limits.MemoryMb * memoryShare * megabyte))
+	debug.SetMemoryLimit(int64(settings.Limits.MemoryMb * memoryLimitShare * megabyte))
 	processor, err := os.Create(prefix + ".cpu")
 	if err != nil {
 		return err
@@ -80,10 +80,10 @@
 	if err != nil {
 		return err
 	}
-	return writeHeap(prefix + ".heap")
+	return writeHeapProfile(prefix + ".heap")
 }
 
-func writeHeap(path string) error {
+func writeHeapProfile(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
--- a/cmd/gaugelab/system_scale.go
+++ b/cmd/gaugelab/system_scale.go
@@ -14,7 +14,7 @@
 	"gaugeslip/internal/system/localcluster"
 )
 
-func systemScale() *cobra.Command {
+func systemScaleCommand() *cobra.Command {
 	var f systemFlags
 	var sizes, out string
 	var troubles []string
@@ -25,7 +25,7 @@
 			if err != nil {
 				return err
 			}
-			if err := readTroubles(&f, troubles, ""); err != nil {
+			if err := addTroubles(&f, troubles, ""); err != nil {
 				return usageError{err}
 			}
 			cleanUp, err := f.prepare(cmd)
@@ -34,9 +34,9 @@
 				return err
 			}
 			f.options.Table = cmd.ErrOrStderr()
-			return playSizes(cmd, localcluster.ScaleOptions{Options: f.options, Window: window}, counts, out, f.asJSON)
+			return runSizes(cmd, localcluster.ScaleOptions{Options: f.options, Window: window}, counts, out, f.asJSON)
 		}}
-	f.common(c)
+	f.register(c)
 	c.Flags().StringVar(&sizes, "workers", "30,100,300,1000,2300", "numbers of hollow workers; one dispatcher for each ten, most of them in one process")
 	c.Flags().DurationVar(&window, "window", 15*time.Second, "how long the steady load of each size is measured")
 	c.Flags().StringArrayVar(&troubles, "trouble", nil, `a trouble while the lasting tasks start, "KIND TARGET AT [FOR]"; may be given again`)
@@ -56,8 +56,8 @@
 	return counts, nil
 }
 
-// playSizes plays one size after the other; what is measured is kept also when a later size fails.
-func playSizes(cmd *cobra.Command, options localcluster.ScaleOptions, counts []int, out string, asJSON bool) error {
+// runSizes plays one size after the other; what is measured is kept also when a later size fails.
+func runSizes(cmd *cobra.Command, options localcluster.ScaleOptions, counts []int, out string, asJSON bool) error {
 	var reports []*localcluster.SizeReport
 	folder := options.Folder
 	for _, count := range counts {
@@ -72,7 +72,7 @@
 			return fmt.Errorf("system scale: %d workers: %w", count, err)
 		}
 		reports = append(reports, report)
-		if err := saveSizes(out, reports); err != nil {
+		if err := saveSizeReports(out, reports); err != nil {
 			return err
 		}
 	}
@@ -82,7 +82,7 @@
 	return localcluster.PrintSizes(cmd.OutOrStdout(), reports)
 }
 
-func saveSizes(path string, reports []*localcluster.SizeReport) error {
+func saveSizeReports(path string, reports []*localcluster.SizeReport) error {
 	if path == "" {
 		return nil
 	}
--- a/cmd/gaugelab/system_soak.go
+++ b/cmd/gaugelab/system_soak.go
@@ -13,15 +13,15 @@
 
 var errFindings = errors.New("system soak: promises were seen broken; the report tells which")
 
-// systemSoak runs local clusters under troubles that overlap, one seed after the other.
-func systemSoak() *cobra.Command {
+// systemSoakCommand runs local clusters under troubles that overlap, one seed after the other.
+func systemSoakCommand() *cobra.Command {
 	var options localcluster.SoakOptions
 	var first uint64
 	var seeds int
 	var verbose bool
 	c := &cobra.Command{Use: "soak", Short: "Run real processes under random troubles that overlap, and check what they promise",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			cleanUp, err := soakPrograms(cmd, &options)
+			cleanUp, err := buildSoakPrograms(cmd, &options)
 			defer cleanUp()
 			if err != nil {
 				return err
@@ -59,8 +59,8 @@
 	return c
 }
 
-// soakPrograms builds what a soak run needs, unless that is there; the caller has to clean up.
-func soakPrograms(cmd *cobra.Command, options *localcluster.SoakOptions) (cleanUp func(), err error) {
+// buildSoakPrograms builds what a soak run needs, unless that is there; the caller has to clean up.
+func buildSoakPrograms(cmd *cobra.Command, options *localcluster.SoakOptions) (cleanUp func(), err error) {
 	if options.Programs != "" {
 		return func() {}, nil
 	}
--- a/cmd/gaugelab/system_test.go
+++ b/cmd/gaugelab/system_test.go
@@ -11,10 +11,10 @@
 	"gaugeslip/internal/system/decisionlab"
 )
 
-// pressDeployment is one that decisions are played on.
-const pressDeployment = "../../scenarios/decisions/press.toml"
+// deploymentFile is one that decisions are played on.
+const deploymentFile = "../../scenarios/decisions/press.toml"
 
-func TestSystemRefusesWhatItCannotRun(t *testing.T) {
+func TestSystemRejectsInvalidArguments(t *testing.T) {
 	for name, arguments := range map[string][]string{
 		"run or scale":              {"system"},
 		"none of kill":              {"system", "run", "--trouble", "burn head 1s"},
@@ -24,9 +24,9 @@
 		"unknown flag: --workforce": {"system", "run", "--workforce", "3"},
 		"a deployment is wanted":    {"system", "decide"},
 		"missing.toml":              {"system", "decide", "missing.toml"},
-		"want some of":              {"system", "decide", "--policies", "guess", pressDeployment},
-		"want 1 at least":           {"system", "decide", "--days", "0", pressDeployment},
-		"want more than 0":          {"system", "decide", "--load", "-1", pressDeployment},
+		"want some of":              {"system", "decide", "--policies", "guess", deploymentFile},
+		"want 1 at least":           {"system", "decide", "--days", "0", deploymentFile},
+		"want more than 0":          {"system", "decide", "--load", "-1", deploymentFile},
 	} {
 		var output, faults bytes.Buffer
 		require.Equal(t, exitUsage, run(t.Context(), arguments, &output, &faults), "%v", arguments)
@@ -34,22 +34,22 @@
 	}
 }
 
-func TestSystemBoundsItsSize(t *testing.T) {
+func TestSystemLimitsWorkerCount(t *testing.T) {
 	var output, faults bytes.Buffer
 	require.Equal(t, exitFailed, run(t.Context(), []string{"system", "run", "--programs", t.TempDir(), "--workers", "1000000"}, &output, &faults))
 	require.Contains(t, faults.String(), "1000000 workers")
 }
 
 // A single line's worth stands by itself, for tools that compare programs; JSON and a drawing are made of the same figures.
-func TestSystemDecideTellsWhatWasEarned(t *testing.T) {
+func TestSystemDecideReportsWorth(t *testing.T) {
 	var output, faults bytes.Buffer
-	require.Equal(t, exitOK, run(t.Context(), []string{"system", "decide", pressDeployment, "--days", "1", "--policies", "scheduler"}, &output, &faults),
+	require.Equal(t, exitOK, run(t.Context(), []string{"system", "decide", deploymentFile, "--days", "1", "--policies", "scheduler"}, &output, &faults),
 		faults.String())
 	require.Regexp(t, `(?m)^worth 0\.\d{4}$`, output.String())
 
 	output.Reset()
 	drawing := filepath.Join(t.TempDir(), "worth.svg")
-	require.Equal(t, exitOK, run(t.Context(), []string{"system", "decide", pressDeployment, "--days", "2", "--load", "0.3,0.6", "--policies",
+	require.Equal(t, exitOK, run(t.Context(), []string{"system", "decide", deploymentFile, "--days", "2", "--load", "0.3,0.6", "--policies",
 		"scheduler,first-come", "--json", "--plot", drawing}, &output, &faults), faults.String())
 	var summaries []decisionlab.Summary
 	require.NoError(t, json.Unmarshal(output.Bytes(), &summaries))
--- a/cmd/gaugelab/watch.go
+++ b/cmd/gaugelab/watch.go
@@ -13,27 +13,27 @@
 
 // watcher is the terminal view of a run: hosts with their lanes and queues, dispatchers, and how service stands.
 type watcher struct {
-	run    *lab.Lab
-	cmd    *cobra.Command
-	name   string
-	speed  float64
-	at     time.Duration
-	view   *lab.View
-	paused bool
-	over   bool
-	err    error
-	rows   int
+	run      *lab.Lab
+	cmd      *cobra.Command
+	name     string
+	speed    float64
+	elapsed  time.Duration
+	view     *lab.View
+	paused   bool
+	finished bool
+	err      error
+	rows     int
 }
 
 // tick is a twentieth of a second.
 type tick struct{}
 
-const frame = 50 * time.Millisecond
+const frameInterval = 50 * time.Millisecond
 
-func again() tea.Cmd { return tea.Tick(frame, func(time.Time) tea.Msg { return tick{} }) }
+func nextTick() tea.Cmd { return tea.Tick(frameInterval, func(time.Time) tea.Msg { return tick{} }) }
 
 // Init is bubbletea's.
-func (w *watcher) Init() tea.Cmd { return again() }
+func (w *watcher) Init() tea.Cmd { return nextTick() }
 
 // Update is bubbletea's: space pauses, + and - change the speed, q ends.
 func (w *watcher) Update(m tea.Msg) (tea.Model, tea.Cmd) {
@@ -55,18 +55,18 @@
 		if !w.paused {
 			w.step()
 		}
-		if w.over {
+		if w.finished {
 			return w, tea.Quit
 		}
-		return w, again()
+		return w, nextTick()
 	}
 	return w, nil
 }
 
 // step plays one frame's worth of the day.
 func (w *watcher) step() {
-	w.at += time.Duration(float64(frame) * w.speed)
-	w.over, w.err = w.run.Advance(w.cmd.Context(), w.at)
+	w.elapsed += time.Duration(float64(frameInterval) * w.speed)
+	w.finished, w.err = w.run.Advance(w.cmd.Context(), w.elapsed)
 	w.view = w.run.View()
 }
 
@@ -81,7 +81,7 @@
 		return w.name + "\n"
 	}
 	fmt.Fprintf(&b, "%s  %6.1f s at %gx  service %.3f (last 5 s %s)  %d served, %d refused, %d failed, %d rules broken\n", w.name,
-		v.At.Seconds(), w.speed, v.Service, part(v.LastFiveSecs), v.Served, v.Refused, v.Failed, v.BrokenRules)
+		v.At.Seconds(), w.speed, v.Service, formatShare(v.LastFiveSecs), v.Served, v.Refused, v.Failed, v.BrokenRules)
 	fmt.Fprintf(&b, "lanes %d of %d busy, %d jobs wait at hosts; held by dispatchers:", v.FleetsBusy, v.FleetsLanes, v.FleetsWaiting)
 	for i, n := range v.Open {
 		if i == 20 {
@@ -110,7 +110,7 @@
 	return b.String()
 }
 
-func part(x float64) string {
+func formatShare(x float64) string {
 	if x < 0 {
 		return "none"
 	}
