--- a/cmd/gaugelab/agree_test.go
+++ b/cmd/gaugelab/agree_test.go
@@ -13,12 +13,12 @@
 	"gaugeslip/internal/lab"
 )
 
-// The model against the emulator's sockets: the same deployment, loads and figures. The table is in docs/design/lab.md.
+// Compares the model with the emulator on sockets: the same deployment, loads and metrics. The table is in docs/design/lab.md.
 //
 //	AGREE=1 go test ./cmd/gaugelab -run Agree -v -timeout 20m
 func TestModelAgreesWithEmulator(t *testing.T) {
 	if os.Getenv("AGREE") == "" {
-		t.Skip("a measurement in real time: AGREE=1 runs it")
+		t.Skip("a measurement in real time; set AGREE=1 to run it")
 	}
 	const runs, seeds = 4, 40
 	show := func(all []float64) string {
--- a/cmd/gaugelab/demo.go
+++ b/cmd/gaugelab/demo.go
@@ -23,8 +23,8 @@
 	"gaugeslip/internal/node"
 )
 
-// fleetSpec is the fleet that demo and emulate put on sockets: five hosts of each kind, as in scenarios/calm-friday.hcl, ten
-// times as fast.
+// fleetSpec returns the fleet that demo and emulate run on sockets: alternating hosts of the two kinds of scenarios/calm-friday.hcl, with
+// times a tenth as long.
 func fleetSpec(hosts int) (specs []emulator.Spec, p fleet.Params) {
 	for i := range hosts {
 		s := emulator.Spec{Kind: "small-box", Room: "bole-room", Lanes: 2, Speed: 1}
@@ -37,7 +37,7 @@
 		ReportEvery: 50 * time.Millisecond, Progress: time.Second, ProbeWork: 75 * time.Microsecond}
 }
 
-// dispatcherSettings is what the demo's dispatcher is told, in the platform's form.
+// dispatcherSettings are the settings of the demo's dispatcher, in the platform's format.
 const dispatcherSettings = `{"family-info":{"class-stretch":[1.75,2.0],"report-x0":"free slots","tells-start":true,"progress":1000.0},
 "kinds":["small-box","wide-box"],"limits":{"cancel":true,"conn-idle":30000.0,"connect-timeout":250.0,"max-attempts":6,
 "max-retry-after":2000.0,"most-held":20000,"probes":true,"retry-after":true},"localities":["bole-room"],"locality":"bole-room",
@@ -47,7 +47,7 @@
 "registry-mode":"ask","report":{"fields":["q","rif","x0"],"how":"pull"},"rules":{"cold-from":0.12,"warm-up":5000.0,
 "tip-multiple":3.0,"overload-for":2000.0,"drain-grace":3000.0},"value-by":"work"}`
 
-// loadClasses are the jobs that are sent, and meanWork the mean work of one, in seconds.
+// loadClasses returns the classes of jobs that the load sends, and the mean work of a job in seconds.
 func loadClasses() ([]emulator.LoadClass, float64) {
 	return []emulator.LoadClass{
 		{Name: "plot-load", Part: 0.62, Mean: 70 * time.Millisecond, Sigma: 0.4, OnTime: 200 * time.Millisecond, Stretch: 1.75,
@@ -56,13 +56,14 @@
 			Patience: 8 * time.Second, Worth: 10}}, 0.62*0.07 + 0.38*0.4
 }
 
-// startDispatcher starts a real one on a free loopback address, inside this process. stop ends it as SIGTERM would, and waits.
+// startDispatcher starts a real dispatcher on a free loopback address inside this process. stop shuts it down in the same way as SIGTERM and
+// waits until it has ended.
 func startDispatcher(ctx context.Context, f *emulator.Fleet) (addr string, stop func() error, err error) {
 	reserved, err := freeport.Reserve()
 	if err != nil {
 		return "", nil, err
 	}
-	defer reserved.Close() // once it listens, or doesn't
+	defer reserved.Close() // after the dispatcher listens, or has failed to
 	addr = reserved.Address()
 	dir, err := os.MkdirTemp("", "gaugelab")
 	if err != nil {
@@ -97,8 +98,8 @@
 	return addr, stop, nil
 }
 
-// observer feeds the checker with what hosts ran and clients heard. On sockets only what both tell can be seen: one answer to each
-// job, and one run of each that must not run twice.
+// observer reports the runs on hosts and the answers to clients to the checker. On sockets only these are observable, so it checks that each
+// job gets one answer and that jobs which must not run twice run once.
 type observer struct {
 	mu      sync.Mutex
 	checker *check.Checker
@@ -111,14 +112,15 @@
 	return &observer{checker: check.New(check.Rules{AnswerGrace: time.Second}), ids: map[string]uint64{}, started: time.Now()}
 }
 
-// record books an event about a job now; the first to see a job has it taken. The lock is held.
+// record reports an event of a job to the checker, with the current time. The first event of a job also records the job as accepted. The
+// caller holds the lock.
 func (w *observer) record(id string, e check.Event) {
 	e.At = time.Since(w.started)
 	if w.ids[id] == 0 {
 		w.lastID++
 		w.ids[id] = w.lastID
 		w.checker.See(check.Event{Kind: check.Taken, At: e.At, Job: w.lastID, Deadline: e.At + 10*time.Second,
-			Unsafe: strings.HasPrefix(id, "harvest-sale")}) // a Load's ids begin with their class
+			Unsafe: strings.HasPrefix(id, "harvest-sale")}) // the job IDs of a Load begin with the class
 	}
 	e.Job = w.ids[id]
 	w.checker.See(e)
@@ -151,10 +153,10 @@
 	var rate float64
 	var hosts int
 	var calm bool
-	c := &cobra.Command{Use: "demo", Short: "Start a fleet, discovery, a dispatcher and load on loopback, break something, and report",
+	c := &cobra.Command{Use: "demo", Short: "Run a fleet, discovery, a dispatcher and load on loopback, inject faults, and report",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			slog.SetDefault(slog.New(slog.DiscardHandler))                 // the view speaks for the dispatcher
-			ctx, out := cmd.Context(), &lockedWriter{w: cmd.OutOrStdout()} // the load and the troubles both print
+			slog.SetDefault(slog.New(slog.DiscardHandler))                 // the demo's output replaces the dispatcher's log
+			ctx, out := cmd.Context(), &lockedWriter{w: cmd.OutOrStdout()} // the load and the fault injection both print
 			specs, p := fleetSpec(hosts)
 			w := newObserver()
 			f, err := emulator.Start(specs, p, 1, w.jobRan)
@@ -215,17 +217,17 @@
 			}
 			return err
 		}}
-	c.Flags().DurationVar(&length, "for", 12*time.Second, "how long")
-	c.Flags().Float64Var(&rate, "load", 0.6, "offered work, as a share of what the fleet can do")
+	c.Flags().DurationVar(&length, "for", 12*time.Second, "duration of the load")
+	c.Flags().Float64Var(&rate, "load", 0.6, "offered work, as a share of the fleet's capacity")
 	c.Flags().IntVar(&hosts, "hosts", 10, "game workers")
-	c.Flags().BoolVar(&calm, "calm", false, "break nothing")
+	c.Flags().BoolVar(&calm, "calm", false, "inject no faults")
 	return c
 }
 
 func emulateCommand() *cobra.Command {
 	var hosts int
 	var length time.Duration
-	c := &cobra.Command{Use: "emulate", Short: "Put game workers and discovery on loopback until interrupted", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "emulate", Short: "Run game workers and discovery on loopback until interrupted", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			specs, p := fleetSpec(hosts)
 			f, err := emulator.Start(specs, p, 1, nil)
@@ -244,7 +246,7 @@
 			return nil
 		}}
 	c.Flags().IntVar(&hosts, "hosts", 10, "game workers")
-	c.Flags().DurationVar(&length, "for", time.Hour, "at most so long")
+	c.Flags().DurationVar(&length, "for", time.Hour, "maximum duration")
 	return c
 }
 
@@ -253,7 +255,7 @@
 	var rate float64
 	var length time.Duration
 	var seed uint64
-	c := &cobra.Command{Use: "load", Short: "Send jobs to a dispatcher at a rate, whatever becomes of those before", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "load", Short: "Send jobs to a dispatcher at a fixed rate, without waiting for earlier jobs (open loop)", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			host, _, err := net.SplitHostPort(addr)
 			if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
@@ -268,13 +270,13 @@
 			return nil
 		}}
 	c.Flags().StringVar(&addr, "addr", "", "the dispatcher's address")
-	c.Flags().Float64Var(&rate, "rate", 50, "jobs a second")
-	c.Flags().DurationVar(&length, "for", 10*time.Second, "how long")
+	c.Flags().Float64Var(&rate, "rate", 50, "jobs per second")
+	c.Flags().DurationVar(&length, "for", 10*time.Second, "duration of the load")
 	c.Flags().Uint64Var(&seed, "seed", 1, "the seed")
 	return c
 }
 
-// lockedWriter lets several goroutines write whole lines to one writer.
+// lockedWriter serializes writes of several goroutines to one writer.
 type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
--- a/cmd/gaugelab/main_test.go
+++ b/cmd/gaugelab/main_test.go
@@ -24,7 +24,7 @@
 
 const scenarios = "../../scenarios/"
 
-// Each command, by what it prints and its exit code.
+// Checks the output and the exit code of each command.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.hcl")
@@ -79,7 +79,7 @@
 	}
 }
 
-// Known differences give known verdicts, and too few or too unlike seeds give none.
+// Known differences give known verdicts. A single seed, or differences that vary too much, give none.
 func TestCompare(t *testing.T) {
 	for name, c := range map[string]struct {
 		a, b []float64
@@ -92,12 +92,12 @@
 	} {
 		assert.Equal(t, c.want, compare(c.a, c.b).Verdict, name)
 	}
-	// By hand: differences 0.1, 0.2, 0.3, mean 0.2, deviation 0.1; Student's quantile for 2 degrees is 4.3027.
+	// Calculated by hand: differences 0.1, 0.2, 0.3, mean 0.2, standard deviation 0.1. Student's quantile for 2 degrees of freedom is 4.3027.
 	c := compare([]float64{0, 0, 0}, []float64{0.1, 0.2, 0.3})
 	assert.InDelta(t, 0.2-4.3027*0.1/1.7320508, c.Low, 1e-4)
 }
 
-// The ideal that sees all does better than any dispatcher, and the terminal view shows what is wrong with a host.
+// The ideal scheduler with complete knowledge achieves a better service than the dispatchers, and the terminal view shows a host's fault.
 func TestIdealAndWatch(t *testing.T) {
 	var service [2]float64
 	for i, flag := range []string{"--ideal=false", "--ideal"} {
@@ -126,7 +126,7 @@
 	assert.Contains(t, w.render(), "0 rules broken")
 }
 
-// The demo on real sockets: jobs are served through a silence, a kill, a drain and two cold starts, and no rule is broken.
+// The demo serves jobs on real sockets while one host goes silent, one is killed, one drains and two restart cold, and breaks no rule.
 func TestDemo(t *testing.T) {
 	code, out, errs := runCommandLine(t.Context(), "demo", "--for", "4s", "--load", "0.4")
 	require.Equal(t, exitOK, code, errs)
@@ -135,7 +135,7 @@
 	assert.Regexp(t, `plot-load +[1-9]\d* sent, [1-9]`, out)
 }
 
-// Interrupted, it says what it has measured and leaves nothing behind.
+// An interrupted demo ends and prints its report.
 func TestDemoInterrupted(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(1500*time.Millisecond, cancel)
@@ -147,7 +147,7 @@
 	assert.Contains(t, nettest.Wait(t, done), "== report")
 }
 
-// The same scenario at two sizes, beside the ideal; a size that can't be read is named.
+// The scale command runs a scenario at two sizes and compares it with the ideal scheduler. The error for an invalid size names it.
 func TestScale(t *testing.T) {
 	code, out, errs := runCommandLine(t.Context(), "scale", scenarios+"calm-friday.hcl", "--sizes", "10x3,20x3", "--length", "5s", "--seeds", "1",
 		"--json", "--out", t.TempDir())
--- a/cmd/gaugelab/processes.go
+++ b/cmd/gaugelab/processes.go
@@ -10,27 +10,27 @@
 	"gaugeslip/internal/rig"
 )
 
-// processesCommand plays scenarios on real dispatchers, each a process of its own.
+// processesCommand runs scenarios on real dispatchers, each of which is a process of its own.
 func processesCommand() *cobra.Command {
-	c := &cobra.Command{Use: "processes", Short: "Play scenarios on real dispatchers, each a process, with faults between them"}
+	c := &cobra.Command{Use: "processes", Short: "Run scenarios on real dispatcher processes with injected faults"}
 	c.AddCommand(processesRunCommand(), processesReplayCommand())
 	return c
 }
 
-// processFlags is what run and replay have in common.
+// processFlags are the flags that run and replay share.
 type processFlags struct {
 	program, site, record string
 	asJSON                bool
 }
 
 func (p *processFlags) register(c *cobra.Command) {
-	c.Flags().StringVar(&p.program, "program", "", "the dispatcher's program; built from this module where it is empty")
-	c.Flags().StringVar(&p.site, "site", "", "a settings file of our own for every dispatcher")
-	c.Flags().StringVar(&p.record, "record", "", "file for the record of what was seen, JSON lines")
-	c.Flags().BoolVar(&p.asJSON, "json", false, "print one JSON object a run")
+	c.Flags().StringVar(&p.program, "program", "", "the dispatcher's program; built from this module if empty")
+	c.Flags().StringVar(&p.site, "site", "", "operator settings file for every dispatcher")
+	c.Flags().StringVar(&p.record, "record", "", "file for the record of observed events, as JSON lines")
+	c.Flags().BoolVar(&p.asJSON, "json", false, "print one JSON object for each run")
 }
 
-// runSeed plays one seed, prints its report and returns what was missed.
+// runSeed runs a scenario on one seed, prints the report and returns the number of missed expectations.
 func (p *processFlags) runSeed(cmd *cobra.Command, sc *rig.Scenario, seed uint64) (missed int, err error) {
 	opt := rig.Options{Program: p.program, Site: p.site,
 		Progress: func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), "  "+line) }}
@@ -59,7 +59,7 @@
 	return missed, err
 }
 
-// runScenarios plays so many seeds of the scenarios of files, those of one name where only is not empty.
+// runScenarios runs the scenarios of the files on consecutive seeds from first on. If only is not empty, it runs only the scenario of that name.
 func (p *processFlags) runScenarios(cmd *cobra.Command, files []string, only string, first uint64, seeds int) error {
 	all, err := rig.Load(files...)
 	if err != nil {
@@ -87,7 +87,7 @@
 	var seeds int
 	var dir, only string
 	var everything bool
-	c := &cobra.Command{Use: "run [SCENARIO.hcl ...]", Short: "Play days on real processes and say whether they keep what they expect",
+	c := &cobra.Command{Use: "run [SCENARIO.hcl ...]", Short: "Run scenarios on real processes and check their expectations",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			files, err := scenarioFiles("processes run", args, everything, dir)
 			if err != nil {
@@ -97,16 +97,16 @@
 		}}
 	p.register(c)
 	c.Flags().Uint64Var(&first, "seed", 1, "the first seed")
-	c.Flags().IntVar(&seeds, "seeds", 1, "how many seeds")
-	c.Flags().BoolVar(&everything, "all", false, "play every scenario of a folder")
-	c.Flags().StringVar(&dir, "dir", "scenarios/processes", "with --all: where they are")
-	c.Flags().StringVar(&only, "only", "", "play the scenario of this name alone")
+	c.Flags().IntVar(&seeds, "seeds", 1, "number of seeds")
+	c.Flags().BoolVar(&everything, "all", false, "run every scenario of the directory")
+	c.Flags().StringVar(&dir, "dir", "scenarios/processes", "with --all: directory of the scenarios")
+	c.Flags().StringVar(&only, "only", "", "run only the scenario of this name")
 	return c
 }
 
 func processesReplayCommand() *cobra.Command {
 	var p processFlags
-	c := &cobra.Command{Use: "replay SEED SCENARIO.hcl", Short: "Play one seed again: the same arrivals and troubles, in real time",
+	c := &cobra.Command{Use: "replay SEED SCENARIO.hcl", Short: "Run one seed again with the same arrivals and faults, in real time",
 		Args: cobra.ExactArgs(2), RunE: func(cmd *cobra.Command, args []string) error {
 			seed, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil {
--- a/cmd/gaugelab/system.go
+++ b/cmd/gaugelab/system.go
@@ -23,7 +23,7 @@
 
 var errViolations = errors.New("system: jobs were lost, rules broken or processes ended by themselves; the report tells")
 
-// systemFlags are what run and scale have in common.
+// systemFlags are the flags that run and scale share.
 type systemFlags struct {
 	options localcluster.Options
 	asJSON  bool
@@ -33,20 +33,21 @@
 	flags := c.Flags()
 	flags.IntVar(&f.options.Replicas, "replicas", 3, "control plane processes")
 	flags.IntVar(&f.options.Dispatchers, "dispatchers", 3, "data plane processes")
-	flags.Uint64Var(&f.options.Seed, "seed", 0, "seed of jobs and their times; 0: drawn, and printed")
-	flags.DurationVar(&f.options.Patience, "patience", 20*time.Second, "how long the end waits for jobs that aren't over")
-	flags.StringVar(&f.options.ConfigurationFile, "configuration", "", "the operator's configuration (JSON); a built-in one where it is empty")
-	flags.StringVar(&f.options.Programs, "programs", "", "folder of the programs controlplane and dataplane; built from this module where it is empty")
-	flags.StringVar(&f.options.Folder, "folder", "", "folder for settings, disks and logs; a temporary one, removed at the end, where it is empty")
-	flags.StringVar(&f.options.Profiles, "profiles", "", "folder for processor and heap profiles of the replicas; none where it is empty")
-	flags.Float64Var(&f.options.ReplicaMemoryMb, "replica-memory", 0, "megabytes that replicas are told they have; 0: those of a core machine")
-	flags.IntVar(&f.options.ReplicaFiles, "replica-files", 0, "descriptors that replicas are told they have; 0: those of a core machine")
-	flags.Float64Var(&f.options.ListRate, "list-rate", 30, "calls a second that the platform's list takes")
+	flags.Uint64Var(&f.options.Seed, "seed", 0, "seed of jobs and their times; 0: a random seed, which is printed")
+	flags.DurationVar(&f.options.Patience, "patience", 20*time.Second, "maximum wait at the end for unfinished jobs")
+	flags.StringVar(&f.options.ConfigurationFile, "configuration", "", "the operator's configuration (JSON); a built-in one if empty")
+	flags.StringVar(&f.options.Programs, "programs", "", "directory of the programs controlplane and dataplane; built from this module if empty")
+	flags.StringVar(&f.options.Folder, "folder", "", "directory for settings, disks and logs; if empty, a temporary one that is removed at the end")
+	flags.StringVar(&f.options.Profiles, "profiles", "", "directory for CPU and heap profiles of the replicas; no profiles if empty")
+	flags.Float64Var(&f.options.ReplicaMemoryMb, "replica-memory", 0, "memory limit in the replicas' settings, in megabytes; 0: that of a core machine")
+	flags.IntVar(&f.options.ReplicaFiles, "replica-files", 0, "limit of open files in the replicas' settings; 0: that of a core machine")
+	flags.Float64Var(&f.options.ListRate, "list-rate", 30, "calls per second that the platform's list accepts")
 	flags.IntVar(&f.options.ListPage, "list-page", 50, "workers on a page of the platform's list")
 	flags.BoolVar(&f.asJSON, "json", false, "print the report as JSON")
 }
 
-// prepare draws a seed, finds this program and builds the others; the caller has to clean up.
+// prepare chooses a seed if none is given, finds the path of this program and builds the others. The caller must call cleanUp, also after an
+// error.
 func (f *systemFlags) prepare(cmd *cobra.Command) (cleanUp func(), err error) {
 	cleanUp = func() {}
 	if f.options.Seed == 0 {
@@ -96,10 +97,10 @@
 		}}
 	f.register(c)
 	c.Flags().IntVar(&f.options.Workers, "workers", 12, "hollow workers")
-	c.Flags().Float64Var(&f.options.Rate, "rate", 5, "jobs a second")
-	c.Flags().DurationVar(&f.options.For, "for", 15*time.Second, "how long clients hand jobs in")
+	c.Flags().Float64Var(&f.options.Rate, "rate", 5, "jobs per second")
+	c.Flags().DurationVar(&f.options.For, "for", 15*time.Second, "how long clients submit jobs")
 	c.Flags().StringArrayVar(&troubles, "trouble", nil, `a trouble, "KIND TARGET AT [FOR]", such as "kill head 5s 3s", "freeze replica:1 4s", `+
-		`"restart dispatchers 6s 1s", "wipe tail 5s", "kill worker:3 5s" or "reconfigure 4s"; may be given again`)
+		`"restart dispatchers 6s 1s", "wipe tail 5s", "kill worker:3 5s" or "reconfigure 4s"; may be repeated`)
 	c.Flags().StringVar(&scenario, "scenario", "", "a scenario file (HCL), such as scenarios/localcluster/kill-head.hcl")
 	return c
 }
--- a/cmd/gaugelab/system_decide.go
+++ b/cmd/gaugelab/system_decide.go
@@ -13,7 +13,7 @@
 	"gaugeslip/internal/system/decisionlab"
 )
 
-// decideFlags say what is played.
+// decideFlags are the flags of decide.
 type decideFlags struct {
 	days, draws int
 	seed        uint64
@@ -24,10 +24,10 @@
 	plot        string
 }
 
-// systemDecideCommand plays the scheduler's decisions in virtual time.
+// systemDecideCommand simulates the scheduler's decisions in virtual time.
 func systemDecideCommand() *cobra.Command {
 	var f decideFlags
-	c := &cobra.Command{Use: "decide DEPLOYMENT.toml ...", Short: "Play the scheduler's decisions in virtual time, beside plain policies and a bound that none can pass",
+	c := &cobra.Command{Use: "decide DEPLOYMENT.toml ...", Short: "Simulate the scheduler's decisions in virtual time, compared with simple policies and an upper bound",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
 				return usageError{errors.New("system decide: a deployment is wanted, such as scenarios/decisions/press.toml")}
@@ -52,18 +52,18 @@
 			return f.print(cmd.OutOrStdout(), all)
 		}}
 	flags := c.Flags()
-	flags.IntVar(&f.days, "days", 50, "days of each deployment and load")
-	flags.IntVar(&f.draws, "draws", 1, "plays of each day with other delays: their spread is the noise")
+	flags.IntVar(&f.days, "days", 50, "number of days for each deployment and load")
+	flags.IntVar(&f.draws, "draws", 1, "runs of each day with different delays; their spread is the noise")
 	flags.Uint64Var(&f.seed, "seed", 1, "seed of the first day; the next day has the next one")
-	flags.Float64SliceVar(&f.loads, "load", nil, "loads to play, as parts of what the workers can do; the deployment's own where none is given")
-	flags.StringVar(&f.policies, "policies", "", "policies to play, the project's scheduler among them; all where it is empty")
-	flags.BoolVar(&f.calm, "calm", false, "leave the deployments' troubles out")
+	flags.Float64SliceVar(&f.loads, "load", nil, "loads, as shares of the workers' capacity; the deployment's own if none is given")
+	flags.StringVar(&f.policies, "policies", "", "policies to run, including the project's scheduler; all if empty")
+	flags.BoolVar(&f.calm, "calm", false, "omit the deployments' troubles")
 	flags.BoolVar(&f.asJSON, "json", false, "print JSON")
-	flags.StringVar(&f.plot, "plot", "", "draw worth by load into this file (SVG or PNG)")
+	flags.StringVar(&f.plot, "plot", "", "file for a plot of worth by load (SVG or PNG)")
 	return c
 }
 
-// plans are the deployments with each load.
+// plans returns one plan for each deployment and load.
 func (f *decideFlags) plans(files []string) ([]decisionlab.Plan, error) {
 	if f.days < 1 || f.draws < 1 {
 		return nil, errors.New("system decide: --days and --draws: want 1 at least")
@@ -99,7 +99,8 @@
 	return plans, nil
 }
 
-// print tells what was played; a single line's worth stands by itself besides, for tools that compare programs.
+// print writes the summaries as JSON or as a table. If there is only one summary, it also prints its worth on a line of its own, for tools that
+// compare programs.
 func (f *decideFlags) print(out io.Writer, all []decisionlab.Summary) error {
 	if f.asJSON {
 		encoder := json.NewEncoder(out)
--- a/cmd/gaugelab/system_process.go
+++ b/cmd/gaugelab/system_process.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// gcPercent and memoryLimitShare are as in the programs themselves.
+	// gcPercent and memoryLimitShare have the same values as in the programs controlplane and dataplane.
 	gcPercent        = 200
 	memoryLimitShare = 0.6
 	megabyte         = 1 << 20
 )
 
-// systemProcessCommand runs the parts of the two programs in this one: a replica with its profiles, or many dispatchers.
+// systemProcessCommand runs parts of the two programs in this process: one replica with profiling, or many dispatchers.
 func systemProcessCommand() *cobra.Command {
 	var profile string
 	c := &cobra.Command{Use: "process controlplane|dataplane SETTINGS...", Short: "Run a replica, or many dispatchers in one process, for scale runs",
@@ -37,11 +37,11 @@
 			}
 			return usageError{fmt.Errorf("system process: %q is neither controlplane nor dataplane", args[0])}
 		}}
-	c.Flags().StringVar(&profile, "profile", "", "prefix of the files for the processor and heap profiles")
+	c.Flags().StringVar(&profile, "profile", "", "prefix of the files for the CPU and heap profiles")
 	return c
 }
 
-// runDispatchers runs a dispatcher by each settings file until it is told to end.
+// runDispatchers runs one dispatcher for each settings file until the command's context is done.
 func runDispatchers(cmd *cobra.Command, files []string, logger *log.Logger) error {
 	logger.SetLevel(log.WarnLevel)
 	for _, file := range files {
@@ -50,10 +50,11 @@
 		}
 	}
 	<-cmd.Context().Done()
-	return nil // all of them end with the process
+	return nil // the dispatchers end with the process
 }
 
-// runProfiledReplica runs one replica until it is told to end, and then writes what it spent its time and memory on.
+// runProfiledReplica runs one replica until the command's context is done or the replica fails, and writes a CPU profile. It writes a heap
+// profile only if the replica has not failed.
 func runProfiledReplica(cmd *cobra.Command, file, prefix string, logger *log.Logger) error {
 	settings, err := nodesettings.Load(file)
 	if err != nil {
--- a/cmd/gaugelab/system_scale.go
+++ b/cmd/gaugelab/system_scale.go
@@ -19,7 +19,7 @@
 	var sizes, out string
 	var troubles []string
 	var window time.Duration
-	c := &cobra.Command{Use: "scale", Short: "Run clusters of growing size, and tell what each role costs",
+	c := &cobra.Command{Use: "scale", Short: "Run clusters of increasing size and report the cost of each role",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 			counts, err := workerCounts(sizes)
 			if err != nil {
@@ -38,9 +38,9 @@
 		}}
 	f.register(c)
 	c.Flags().StringVar(&sizes, "workers", "30,100,300,1000,2300", "numbers of hollow workers; one dispatcher for each ten, most of them in one process")
-	c.Flags().DurationVar(&window, "window", 15*time.Second, "how long the steady load of each size is measured")
-	c.Flags().StringArrayVar(&troubles, "trouble", nil, `a trouble while the lasting tasks start, "KIND TARGET AT [FOR]"; may be given again`)
-	c.Flags().StringVar(&out, "out", "", "file for the reports as JSON, written anew after each size")
+	c.Flags().DurationVar(&window, "window", 15*time.Second, "duration of the measurement under steady load at each size")
+	c.Flags().StringArrayVar(&troubles, "trouble", nil, `a trouble while the long-running tasks start, "KIND TARGET AT [FOR]"; may be repeated`)
+	c.Flags().StringVar(&out, "out", "", "file for the reports as JSON, rewritten after each size")
 	return c
 }
 
@@ -56,7 +56,7 @@
 	return counts, nil
 }
 
-// runSizes plays one size after the other; what is measured is kept also when a later size fails.
+// runSizes runs one size after the other. The reports of earlier sizes are saved to out and printed even if a later size fails.
 func runSizes(cmd *cobra.Command, options localcluster.ScaleOptions, counts []int, out string, asJSON bool) error {
 	var reports []*localcluster.SizeReport
 	folder := options.Folder
--- a/cmd/gaugelab/system_soak.go
+++ b/cmd/gaugelab/system_soak.go
@@ -13,13 +13,13 @@
 
 var errFindings = errors.New("system soak: promises were seen broken; the report tells which")
 
-// systemSoakCommand runs local clusters under troubles that overlap, one seed after the other.
+// systemSoakCommand runs local clusters under overlapping troubles, one seed after the other.
 func systemSoakCommand() *cobra.Command {
 	var options localcluster.SoakOptions
 	var first uint64
 	var seeds int
 	var verbose bool
-	c := &cobra.Command{Use: "soak", Short: "Run real processes under random troubles that overlap, and check what they promise",
+	c := &cobra.Command{Use: "soak", Short: "Run real processes under random overlapping troubles and check the invariants",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 			cleanUp, err := buildSoakPrograms(cmd, &options)
 			defer cleanUp()
@@ -46,20 +46,20 @@
 		}}
 	flags := c.Flags()
 	flags.Uint64Var(&first, "seed", 1, "the first seed")
-	flags.IntVar(&seeds, "seeds", 1, "how many seeds are played")
+	flags.IntVar(&seeds, "seeds", 1, "number of seeds")
 	flags.DurationVar(&options.For, "for", 15*time.Second, "how long troubles last in each run")
-	flags.IntVar(&options.Tracks, "tracks", 3, "how many troubles there may be at a time")
+	flags.IntVar(&options.Tracks, "tracks", 3, "maximum number of concurrent troubles")
 	flags.IntVar(&options.Replicas, "replicas", 3, "control plane processes")
 	flags.IntVar(&options.Dispatchers, "dispatchers", 3, "data plane processes")
 	flags.IntVar(&options.Workers, "workers", 12, "hollow workers")
-	flags.Float64Var(&options.Rate, "rate", 8, "jobs a second")
-	flags.StringVar(&options.Programs, "programs", "", "folder of the program relayednode; built from this module where it is empty")
-	flags.StringVar(&options.Folder, "folder", "", "folder for settings, disks and logs of one run; a temporary one, kept where something was found, where it is empty")
-	flags.BoolVar(&verbose, "verbose", false, "tell each trouble")
+	flags.Float64Var(&options.Rate, "rate", 8, "jobs per second")
+	flags.StringVar(&options.Programs, "programs", "", "directory of the program relayednode; built from this module if empty")
+	flags.StringVar(&options.Folder, "folder", "", "directory for settings, disks and logs of one run; if empty, a temporary one that is kept if there are findings")
+	flags.BoolVar(&verbose, "verbose", false, "print each trouble")
 	return c
 }
 
-// buildSoakPrograms builds what a soak run needs, unless that is there; the caller has to clean up.
+// buildSoakPrograms builds the programs of a soak run unless their directory is given. The caller must call cleanUp, also after an error.
 func buildSoakPrograms(cmd *cobra.Command, options *localcluster.SoakOptions) (cleanUp func(), err error) {
 	if options.Programs != "" {
 		return func() {}, nil
--- a/cmd/gaugelab/system_test.go
+++ b/cmd/gaugelab/system_test.go
@@ -11,7 +11,7 @@
 	"gaugeslip/internal/system/decisionlab"
 )
 
-// deploymentFile is one that decisions are played on.
+// deploymentFile is a deployment for the decide command.
 const deploymentFile = "../../scenarios/decisions/press.toml"
 
 func TestSystemRejectsInvalidArguments(t *testing.T) {
@@ -40,7 +40,8 @@
 	require.Contains(t, faults.String(), "1000000 workers")
 }
 
-// A single line's worth stands by itself, for tools that compare programs; JSON and a drawing are made of the same figures.
+// A single summary's worth is printed on a line of its own, for tools that compare programs. Several summaries are available as JSON and as a
+// plot.
 func TestSystemDecideReportsWorth(t *testing.T) {
 	var output, faults bytes.Buffer
 	require.Equal(t, exitOK, run(t.Context(), []string{"system", "decide", deploymentFile, "--days", "1", "--policies", "scheduler"}, &output, &faults),
--- a/cmd/gaugelab/watch.go
+++ b/cmd/gaugelab/watch.go
@@ -11,7 +11,7 @@
 	"gaugeslip/internal/lab"
 )
 
-// watcher is the terminal view of a run: hosts with their lanes and queues, dispatchers, and how service stands.
+// watcher is the terminal view of a run. It shows hosts with their lanes and queues, dispatchers, and the service so far.
 type watcher struct {
 	run      *lab.Lab
 	cmd      *cobra.Command
@@ -25,17 +25,17 @@
 	rows     int
 }
 
-// tick is a twentieth of a second.
+// tick is the message that advances the view by one frame.
 type tick struct{}
 
 const frameInterval = 50 * time.Millisecond
 
 func nextTick() tea.Cmd { return tea.Tick(frameInterval, func(time.Time) tea.Msg { return tick{} }) }
 
-// Init is bubbletea's.
+// Init implements tea.Model.
 func (w *watcher) Init() tea.Cmd { return nextTick() }
 
-// Update is bubbletea's: space pauses, + and - change the speed, q ends.
+// Update implements tea.Model. The space key pauses, + and - change the speed, q quits.
 func (w *watcher) Update(m tea.Msg) (tea.Model, tea.Cmd) {
 	switch m := m.(type) {
 	case tea.WindowSizeMsg:
@@ -63,17 +63,17 @@
 	return w, nil
 }
 
-// step plays one frame's worth of the day.
+// step advances the run by one frame at the current speed.
 func (w *watcher) step() {
 	w.elapsed += time.Duration(float64(frameInterval) * w.speed)
 	w.finished, w.err = w.run.Advance(w.cmd.Context(), w.elapsed)
 	w.view = w.run.View()
 }
 
-// View is bubbletea's.
+// View implements tea.Model.
 func (w *watcher) View() tea.View { return tea.NewView(w.render()) }
 
-// render draws the screen as text.
+// render returns the screen as text.
 func (w *watcher) render() string {
 	var b strings.Builder
 	v := w.view
@@ -141,6 +141,6 @@
 			return w.err
 		}}
 	c.Flags().Uint64Var(&seed, "seed", 1, "the seed")
-	c.Flags().Float64Var(&speed, "speed", 4, "how many times as fast as the day")
+	c.Flags().Float64Var(&speed, "speed", 4, "speed, as a multiple of real time")
 	return c
 }
