--- a/cmd/gaugelab/agree_test.go
+++ b/cmd/gaugelab/agree_test.go
@@ -31,11 +31,11 @@
 		all[0].Load = load
 		reports, err := runSeeds(t.Context(), all[0], 1, seeds, false, nil)
 		require.NoError(t, err)
-		figures := map[string][2][]float64{}
+		metrics := map[string][2][]float64{}
 		add := func(side int, name string, v float64) {
-			x := figures[name]
+			x := metrics[name]
 			x[side] = append(x[side], v)
-			figures[name] = x
+			metrics[name] = x
 		}
 		for _, r := range reports {
 			add(0, "service", r.Service)
@@ -64,7 +64,7 @@
 			f.Close()
 		}
 		for _, name := range []string{"service", "plot-load p50 ms", "harvest-sale p50 ms", "refused a job"} {
-			t.Logf("load %.1f, %-20s model %s, sockets %s", load, name, show(figures[name][0]), show(figures[name][1]))
+			t.Logf("load %.1f, %-20s model %s, sockets %s", load, name, show(metrics[name][0]), show(metrics[name][1]))
 		}
 	}
 }
--- a/cmd/gaugelab/budgets.go
+++ b/cmd/gaugelab/budgets.go
@@ -71,13 +71,13 @@
 }
 
 func budgetsSizesCommand() *cobra.Command {
-	var text, out string
+	var sizeList, outDir string
 	var seeds int
 	var asJSON bool
 	c := &cobra.Command{Use: "sizes", Short: "Compare static and talk by the used share of a budget over the fleet size, and measure the cost of talk",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 			var all []BudgetResult
-			for _, part := range strings.Split(text, ",") {
+			for _, part := range strings.Split(sizeList, ",") {
 				n, err := strconv.Atoi(strings.TrimSpace(part))
 				if err != nil || n < 1 || n > 5000 {
 					return usageError{fmt.Errorf("budgets sizes: --sizes: %q is no size", part)}
@@ -85,8 +85,8 @@
 				all = append(all, measureBudget(n, seeds))
 				fmt.Fprintf(cmd.ErrOrStderr(), "  %d members: %+v\n", n, all[len(all)-1])
 			}
-			if out != "" {
-				if err := plotMessages(all, out); err != nil {
+			if outDir != "" {
+				if err := plotMessages(all, outDir); err != nil {
 					return err
 				}
 			}
@@ -100,9 +100,9 @@
 			}
 			return w.Flush()
 		}}
-	c.Flags().StringVar(&text, "sizes", "3,10,30,100,300,1000", "numbers of members")
+	c.Flags().StringVar(&sizeList, "sizes", "3,10,30,100,300,1000", "numbers of members")
 	c.Flags().IntVar(&seeds, "seeds", 3, "number of seeds")
-	c.Flags().StringVar(&out, "out", "", "directory for a plot of messages; no plot if empty")
+	c.Flags().StringVar(&outDir, "out", "", "directory for a plot of messages; no plot if empty")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
@@ -136,7 +136,7 @@
 }
 
 // plotMessages plots the messages per second that talk costs over the fleet size.
-func plotMessages(all []BudgetResult, out string) error {
+func plotMessages(all []BudgetResult, outDir string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "What talk costs", "members", "messages a second"
 	p.X.Scale, p.X.Tick.Marker, p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}, plot.LogScale{}, plot.LogTicks{Prec: -1}
@@ -149,5 +149,5 @@
 		points = append(points, point{"of a member", plotter.XY{X: float64(x.Members), Y: x.Messages}},
 			point{"of all", plotter.XY{X: float64(x.Members), Y: x.LeaderMsg}})
 	}
-	return plotLines(p, points, out+"/budgets.png", func(x point) (string, plotter.XY) { return x.line, x.at })
+	return plotLines(p, points, outDir+"/budgets.png", func(x point) (string, plotter.XY) { return x.line, x.at })
 }
--- a/cmd/gaugelab/demo.go
+++ b/cmd/gaugelab/demo.go
@@ -114,30 +114,30 @@
 
 // record reports an event of a job to the checker, with the current time. The first event of a job also records the job as accepted. The
 // caller holds the lock.
-func (w *observer) record(id string, e check.Event) {
-	e.At = time.Since(w.started)
-	if w.ids[id] == 0 {
-		w.lastID++
-		w.ids[id] = w.lastID
-		w.checker.See(check.Event{Kind: check.Taken, At: e.At, Job: w.lastID, Deadline: e.At + 10*time.Second,
+func (o *observer) record(id string, e check.Event) {
+	e.At = time.Since(o.started)
+	if o.ids[id] == 0 {
+		o.lastID++
+		o.ids[id] = o.lastID
+		o.checker.See(check.Event{Kind: check.Taken, At: e.At, Job: o.lastID, Deadline: e.At + 10*time.Second,
 			Unsafe: strings.HasPrefix(id, "harvest-sale")}) // the job IDs of a Load begin with the class
 	}
-	e.Job = w.ids[id]
-	w.checker.See(e)
+	e.Job = o.ids[id]
+	o.checker.See(e)
 }
 
-func (w *observer) jobRan(s emulator.Sight) {
+func (o *observer) jobRan(s emulator.Sight) {
 	if s.Kind != emulator.Ran {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.record(s.Job, check.Event{Kind: check.Ran})
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.record(s.Job, check.Event{Kind: check.Ran})
 }
 
-func (w *observer) jobAnswered(id, _ string, status int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (o *observer) jobAnswered(id, _ string, status int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	answer := check.Failed
 	switch status {
 	case 200:
@@ -145,7 +145,7 @@
 	case 429, 503:
 		answer = check.Refused
 	}
-	w.record(id, check.Event{Kind: check.Answered, Answer: answer})
+	o.record(id, check.Event{Kind: check.Answered, Answer: answer})
 }
 
 func demoCommand() *cobra.Command {
--- a/cmd/gaugelab/harm.go
+++ b/cmd/gaugelab/harm.go
@@ -50,13 +50,13 @@
 }
 
 func harmCommand() *cobra.Command {
-	var text, loads, out string
+	var sizeList, loads, outDir string
 	var seeds int
 	var length time.Duration
 	var asJSON bool
 	c := &cobra.Command{Use: "harm SCENARIO.hcl", Short: "Report how hosts spend their capacity by load and fleet size, compared with a scheduler of complete knowledge",
 		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			fleets, err := parseSizes(text)
+			fleets, err := parseSizes(sizeList)
 			if err != nil {
 				return err
 			}
@@ -75,8 +75,8 @@
 					all = append(all, x)
 				}
 			}
-			if out != "" {
-				if err := plotHarm(all, out); err != nil {
+			if outDir != "" {
+				if err := plotHarm(all, outDir); err != nil {
 					return err
 				}
 			}
@@ -92,21 +92,21 @@
 			}
 			return w.Flush()
 		}}
-	c.Flags().StringVar(&text, "sizes", "60x3,60x30,60x100", "fleets, as HOSTSxDISPATCHERS")
+	c.Flags().StringVar(&sizeList, "sizes", "60x3,60x30,60x100", "fleets, as HOSTSxDISPATCHERS")
 	c.Flags().StringVar(&loads, "loads", "0.8,1,1.3,2,3,5", "offered work, as shares of the fleet's capacity")
 	c.Flags().IntVar(&seeds, "seeds", 3, "number of seeds")
 	c.Flags().DurationVar(&length, "length", 20*time.Second, "simulated time of each run")
-	c.Flags().StringVar(&out, "out", "", "directory for a plot of goodput over load; no plot if empty")
+	c.Flags().StringVar(&outDir, "out", "", "directory for a plot of goodput over load; no plot if empty")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
 
 // plotHarm plots goodput over load.
-func plotHarm(all []WorkBreakdown, out string) error {
+func plotHarm(all []WorkBreakdown, outDir string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Goodput", "offered work, of what the hosts can do", "worth served in time, of what the hosts can do"
 	p.Y.Min = 0
-	return plotByDispatchers(p, all, out+"/goodput.png", func(x WorkBreakdown) (int, plotter.XY) {
+	return plotByDispatchers(p, all, outDir+"/goodput.png", func(x WorkBreakdown) (int, plotter.XY) {
 		return x.Dispatchers, plotter.XY{X: x.Load, Y: x.Goodput}
 	})
 }
--- a/cmd/gaugelab/plan.go
+++ b/cmd/gaugelab/plan.go
@@ -18,22 +18,22 @@
 
 // RoomLoss compares the planned and the simulated loss of one room at one load. Margins (PM) are twice the standard error over seeds.
 type RoomLoss struct {
-	Load            float64     `json:"load"`
-	Lost            string      `json:"lost"`
-	RemainingLoad   float64     `json:"load_left"` // planned load of the remaining rooms
-	AtBest          float64     `json:"at_best"`   // planned share of the work that can be served
-	Planned         float64     `json:"planned"`   // service of an intact fleet at the same relative load for the same time
-	PlannedMargin   float64     `json:"planned_pm"`
-	Served          float64     `json:"played"` // service of the jobs requested from the time that the front end notices the loss until the room returns
-	ServedMargin    float64     `json:"played_pm"`
-	Healthy         float64     `json:"healthy"` // service of the other rooms' own clients in the same time
-	HostsOverloaded float64     `json:"fallen"`  // hosts
-	Breaches        int         `json:"breaches"`
-	Rooms           [][]float64 `json:"rooms"` // service by room and 5 s window, mean over seeds
+	Load             float64     `json:"load"`
+	Lost             string      `json:"lost"`
+	RemainingLoad    float64     `json:"load_left"` // planned load of the remaining rooms
+	AtBest           float64     `json:"at_best"`   // planned share of the work that can be served
+	Planned          float64     `json:"planned"`   // service of an intact fleet at the same relative load for the same time
+	PlannedMargin    float64     `json:"planned_pm"`
+	Served           float64     `json:"played"` // service of the jobs requested from the time that the front end notices the loss until the room returns
+	ServedMargin     float64     `json:"played_pm"`
+	Healthy          float64     `json:"healthy"` // service of the other rooms' own clients in the same time
+	OverloadFailures float64     `json:"fallen"`  // mean number of hosts that failed from overload
+	Breaches         int         `json:"breaches"`
+	Rooms            [][]float64 `json:"rooms"` // service by room and 5 s window, mean over seeds
 }
 
 func planCommand() *cobra.Command {
-	var loads, out string
+	var loads, outDir string
 	var seeds int
 	var asJSON bool
 	c := &cobra.Command{Use: "plan SCENARIO.hcl", Short: "Simulate the loss of each room in turn and compare it with the plan",
@@ -50,8 +50,8 @@
 				}
 				all = append(all, some...)
 			}
-			if out != "" {
-				if err := plotRooms(all, out); err != nil {
+			if outDir != "" {
+				if err := plotRooms(all, outDir); err != nil {
 					return err
 				}
 			}
@@ -62,13 +62,13 @@
 			fmt.Fprintln(w, "load\tlost\tleft is at\tat best\tplanned\tplayed\tother rooms\tfallen\trules broken")
 			for _, x := range all {
 				fmt.Fprintf(w, "%.2f\t%s\t%.2f\t%.3f\t%.3f +- %.3f\t%.3f +- %.3f\t%.3f\t%.2f\t%d\n", x.Load, x.Lost, x.RemainingLoad, x.AtBest, x.Planned, x.PlannedMargin,
-					x.Served, x.ServedMargin, x.Healthy, x.HostsOverloaded, x.Breaches)
+					x.Served, x.ServedMargin, x.Healthy, x.OverloadFailures, x.Breaches)
 			}
 			return w.Flush()
 		}}
 	c.Flags().StringVar(&loads, "loads", "0.5,0.6,0.75,0.9,1.2", "offered work, as shares of the whole fleet's capacity")
 	c.Flags().IntVar(&seeds, "seeds", 8, "number of seeds")
-	c.Flags().StringVar(&out, "out", "", "directory for a plot of service by room over time; no plot if empty")
+	c.Flags().StringVar(&outDir, "out", "", "directory for a plot of service by room over time; no plot if empty")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
@@ -132,7 +132,7 @@
 			return stat.Mean(all, nil)
 		})
 		for _, r := range reports {
-			x.HostsOverloaded += float64(r.Toppled) / float64(len(reports))
+			x.OverloadFailures += float64(r.Toppled) / float64(len(reports))
 			x.Breaches += r.Broken()
 		}
 		x.Rooms = meanServiceByRoom(reports)
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	if len(all) != 1 {
-		return nil, usageError{fmt.Errorf("%s: one scenario is wanted", path)}
+		return nil, usageError{fmt.Errorf("%s: want exactly one scenario", path)}
 	}
 	return all[0], nil
 }
@@ -181,7 +181,7 @@
 }
 
 // plotRooms draws service by room over time, a plot for each load and lost room.
-func plotRooms(all []RoomLoss, out string) error {
+func plotRooms(all []RoomLoss, outDir string) error {
 	for _, x := range all {
 		p := plot.New()
 		p.Title.Text = fmt.Sprintf("%s is lost, load %.2f", x.Lost, x.Load)
@@ -196,7 +196,7 @@
 				points = append(points, point{k, plotter.XY{X: float64(i) * 5, Y: v}})
 			}
 		}
-		name := fmt.Sprintf("%s/plan-%s-%.2f.png", out, x.Lost, x.Load)
+		name := fmt.Sprintf("%s/plan-%s-%.2f.png", outDir, x.Lost, x.Load)
 		if err := plotLines(p, points, name, func(x point) (string, plotter.XY) { return fmt.Sprintf("room %d", x.room+1), x.at }); err != nil {
 			return err
 		}
--- a/cmd/gaugelab/plot.go
+++ b/cmd/gaugelab/plot.go
@@ -17,7 +17,7 @@
 
 func plotCommand() *cobra.Command {
 	var seed uint64
-	var out string
+	var outDir string
 	c := &cobra.Command{Use: "plot SCENARIO.hcl ...", Short: "Plot service over time and latencies of scenarios, as PNG and SVG",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
@@ -27,7 +27,7 @@
 			if err != nil {
 				return err
 			}
-			if err := os.MkdirAll(out, 0o755); err != nil {
+			if err := os.MkdirAll(outDir, 0o755); err != nil {
 				return err
 			}
 			over, late := plot.New(), plot.New()
@@ -76,7 +76,7 @@
 				p.Legend.Left = name == "latency"
 				p.Legend.Top = name == "latency"
 				for _, form := range []string{"png", "svg"} {
-					path := fmt.Sprintf("%s/%s.%s", out, name, form)
+					path := fmt.Sprintf("%s/%s.%s", outDir, name, form)
 					if err := p.Save(18*vg.Centimeter, 11*vg.Centimeter, path); err != nil {
 						return fmt.Errorf("plot: %w", err)
 					}
@@ -86,7 +86,7 @@
 			return nil
 		}}
 	c.Flags().Uint64Var(&seed, "seed", 1, "the seed")
-	c.Flags().StringVar(&out, "out", "plots", "directory for the plots")
+	c.Flags().StringVar(&outDir, "out", "plots", "directory for the plots")
 	return c
 }
 
--- a/cmd/gaugelab/plot_decide.go
+++ b/cmd/gaugelab/plot_decide.go
@@ -25,10 +25,10 @@
 
 // plotDecisions plots worth by load: a line for each deployment and policy, and one for each deployment's upper bound.
 func plotDecisions(file string, all []decisionlab.Summary) error {
-	drawing := plot.New()
-	drawing.X.Label.Text, drawing.Y.Label.Text = "load", "worth earned of worth owed, with twice the standard error"
-	drawing.Legend.Top = true
-	drawing.Add(plotter.NewGrid())
+	p := plot.New()
+	p.X.Label.Text, p.Y.Label.Text = "load", "worth earned of worth owed, with twice the standard error"
+	p.Legend.Top = true
+	p.Add(plotter.NewGrid())
 	lines, order := map[string]*worthByLoad{}, []string{}
 	add := func(name string, load, worth, spread float64) {
 		if lines[name] == nil {
@@ -46,7 +46,7 @@
 		}
 	}
 	for i, name := range order {
-		if err := plotutil.AddLinePoints(drawing, name, lines[name].XYs); err != nil {
+		if err := plotutil.AddLinePoints(p, name, lines[name].XYs); err != nil {
 			return err
 		}
 		bars, err := plotter.NewYErrorBars(lines[name])
@@ -54,7 +54,7 @@
 			return err
 		}
 		bars.Color = plotutil.Color(i)
-		drawing.Add(bars)
+		p.Add(bars)
 	}
-	return drawing.Save(decidePlotWidth, decidePlotHeight, file)
+	return p.Save(decidePlotWidth, decidePlotHeight, file)
 }
--- a/cmd/gaugelab/run.go
+++ b/cmd/gaugelab/run.go
@@ -159,7 +159,7 @@
 						return err
 					}
 					if first != nil && first.Digest != reports[0].Digest {
-						return fmt.Errorf("digests %s and %s of one seed", first.Digest, reports[0].Digest)
+						return fmt.Errorf("two runs of one seed have different digests, %s and %s", first.Digest, reports[0].Digest)
 					}
 					first = reports[0]
 				}
@@ -229,7 +229,7 @@
 					return err
 				}
 				if len(all) != 1 {
-					return usageError{fmt.Errorf("compare: %s holds %d scenarios, one is wanted", p, len(all))}
+					return usageError{fmt.Errorf("compare: %s contains %d scenarios, want 1", p, len(all))}
 				}
 				reports, err := runSeeds(cmd.Context(), all[0], first, seeds, false, func(r *lab.Report) {
 					fmt.Fprintf(cmd.ErrOrStderr(), "  %s, seed %d: service %.3f\n", r.Scenario, r.Seed, r.Service)
--- a/cmd/gaugelab/scale.go
+++ b/cmd/gaugelab/scale.go
@@ -63,7 +63,7 @@
 }
 
 func scaleCommand() *cobra.Command {
-	var text, out string
+	var text, outDir string
 	var seeds int
 	var load float64
 	var length time.Duration
@@ -91,8 +91,8 @@
 				}
 				fmt.Fprintf(cmd.ErrOrStderr(), "  %d hosts, %d dispatchers: service %.3f, ideal %.3f\n", x.Hosts, x.Dispatchers, x.Service, x.Ideal)
 			}
-			if out != "" {
-				if err := plotSizes(all, out); err != nil {
+			if outDir != "" {
+				if err := plotSizes(all, outDir); err != nil {
 					return err
 				}
 			}
@@ -111,17 +111,17 @@
 	c.Flags().IntVar(&seeds, "seeds", 3, "number of seeds")
 	c.Flags().Float64Var(&load, "load", 0.95, "offered work, as a share of the fleet's capacity")
 	c.Flags().DurationVar(&length, "length", 20*time.Second, "simulated time of each run")
-	c.Flags().StringVar(&out, "out", "", "directory for a plot of jobs per second; no plot if empty")
+	c.Flags().StringVar(&outDir, "out", "", "directory for a plot of jobs per second; no plot if empty")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
 
 // plotSizes plots the simulator's speed, in jobs per second of wall time, over the fleet size.
-func plotSizes(all []SizeResult, out string) error {
+func plotSizes(all []SizeResult, outDir string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "The lab's pace", "game workers", "jobs a second of wall time, one core a run"
 	p.X.Scale, p.X.Tick.Marker, p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}, plot.LogScale{}, plot.LogTicks{Prec: -1}
-	return plotByDispatchers(p, all, out+"/scale.png", func(x SizeResult) (int, plotter.XY) {
+	return plotByDispatchers(p, all, outDir+"/scale.png", func(x SizeResult) (int, plotter.XY) {
 		return x.Dispatchers, plotter.XY{X: float64(x.Hosts), Y: x.JobsASecond}
 	})
 }
--- a/cmd/gaugelab/system.go
+++ b/cmd/gaugelab/system.go
@@ -21,7 +21,7 @@
 	return c
 }
 
-var errViolations = errors.New("system: jobs were lost, rules broken or processes ended by themselves; the report tells")
+var errViolations = errors.New("system: jobs were lost, rules were broken or processes exited unexpectedly; see the report")
 
 // systemFlags are the flags that run and scale share.
 type systemFlags struct {
@@ -65,13 +65,13 @@
 	if f.options.Programs != "" {
 		return cleanUp, nil
 	}
-	folder, err := os.MkdirTemp("", "gaugeslip-programs-")
+	dir, err := os.MkdirTemp("", "gaugeslip-programs-")
 	if err != nil {
 		return cleanUp, err
 	}
-	cleanUp = func() { _ = os.RemoveAll(folder) }
-	f.options.Programs = folder
-	return cleanUp, localcluster.Build(cmd.Context(), folder)
+	cleanUp = func() { _ = os.RemoveAll(dir) }
+	f.options.Programs = dir
+	return cleanUp, localcluster.Build(cmd.Context(), dir)
 }
 
 func systemRunCommand() *cobra.Command {
--- a/cmd/gaugelab/system_scale.go
+++ b/cmd/gaugelab/system_scale.go
@@ -16,7 +16,7 @@
 
 func systemScaleCommand() *cobra.Command {
 	var f systemFlags
-	var sizes, out string
+	var sizes, outFile string
 	var troubles []string
 	var window time.Duration
 	c := &cobra.Command{Use: "scale", Short: "Run clusters of increasing size and report the cost of each role",
@@ -34,13 +34,13 @@
 				return err
 			}
 			f.options.Table = cmd.ErrOrStderr()
-			return runSizes(cmd, localcluster.ScaleOptions{Options: f.options, Window: window}, counts, out, f.asJSON)
+			return runSizes(cmd, localcluster.ScaleOptions{Options: f.options, Window: window}, counts, outFile, f.asJSON)
 		}}
 	f.register(c)
 	c.Flags().StringVar(&sizes, "workers", "30,100,300,1000,2300", "numbers of hollow workers; one dispatcher for each ten, most of them in one process")
 	c.Flags().DurationVar(&window, "window", 15*time.Second, "duration of the measurement under steady load at each size")
 	c.Flags().StringArrayVar(&troubles, "trouble", nil, `a trouble while the long-running tasks start, "KIND TARGET AT [FOR]"; may be repeated`)
-	c.Flags().StringVar(&out, "out", "", "file for the reports as JSON, rewritten after each size")
+	c.Flags().StringVar(&outFile, "out", "", "file for the reports as JSON, rewritten after each size")
 	return c
 }
 
@@ -56,15 +56,15 @@
 	return counts, nil
 }
 
-// runSizes runs one size after the other. The reports of earlier sizes are saved to out and printed even if a later size fails.
-func runSizes(cmd *cobra.Command, options localcluster.ScaleOptions, counts []int, out string, asJSON bool) error {
+// runSizes runs one size after the other. The reports of earlier sizes are saved to outFile and printed even if a later size fails.
+func runSizes(cmd *cobra.Command, options localcluster.ScaleOptions, counts []int, outFile string, asJSON bool) error {
 	var reports []*localcluster.SizeReport
-	folder := options.Folder
+	dir := options.Folder
 	for _, count := range counts {
 		fmt.Fprintf(cmd.ErrOrStderr(), "%d workers\n", count)
 		options.Workers = count
-		if folder != "" {
-			options.Folder = filepath.Join(folder, fmt.Sprintf("workers-%d", count))
+		if dir != "" {
+			options.Folder = filepath.Join(dir, fmt.Sprintf("workers-%d", count))
 		}
 		report, err := localcluster.RunSize(cmd.Context(), options)
 		if err != nil {
@@ -72,7 +72,7 @@
 			return fmt.Errorf("system scale: %d workers: %w", count, err)
 		}
 		reports = append(reports, report)
-		if err := saveSizeReports(out, reports); err != nil {
+		if err := saveSizeReports(outFile, reports); err != nil {
 			return err
 		}
 	}
--- a/cmd/gaugelab/system_soak.go
+++ b/cmd/gaugelab/system_soak.go
@@ -11,7 +11,7 @@
 	"gaugeslip/internal/system/localcluster"
 )
 
-var errFindings = errors.New("system soak: promises were seen broken; the report tells which")
+var errFindings = errors.New("system soak: invariants were violated; see the report")
 
 // systemSoakCommand runs local clusters under overlapping troubles, one seed after the other.
 func systemSoakCommand() *cobra.Command {
@@ -64,10 +64,10 @@
 	if options.Programs != "" {
 		return func() {}, nil
 	}
-	folder, err := os.MkdirTemp("", "gaugeslip-programs-")
+	dir, err := os.MkdirTemp("", "gaugeslip-programs-")
 	if err != nil {
 		return func() {}, err
 	}
-	options.Programs = folder
-	return func() { _ = os.RemoveAll(folder) }, localcluster.BuildRelayed(cmd.Context(), folder)
+	options.Programs = dir
+	return func() { _ = os.RemoveAll(dir) }, localcluster.BuildRelayed(cmd.Context(), dir)
 }
--- a/cmd/gaugelab/system_test.go
+++ b/cmd/gaugelab/system_test.go
@@ -28,32 +28,32 @@
 		"want 1 at least":           {"system", "decide", "--days", "0", deploymentFile},
 		"want more than 0":          {"system", "decide", "--load", "-1", deploymentFile},
 	} {
-		var output, faults bytes.Buffer
-		require.Equal(t, exitUsage, run(t.Context(), arguments, &output, &faults), "%v", arguments)
-		require.Contains(t, faults.String(), name)
+		var stdout, stderr bytes.Buffer
+		require.Equal(t, exitUsage, run(t.Context(), arguments, &stdout, &stderr), "%v", arguments)
+		require.Contains(t, stderr.String(), name)
 	}
 }
 
 func TestSystemLimitsWorkerCount(t *testing.T) {
-	var output, faults bytes.Buffer
-	require.Equal(t, exitFailed, run(t.Context(), []string{"system", "run", "--programs", t.TempDir(), "--workers", "1000000"}, &output, &faults))
-	require.Contains(t, faults.String(), "1000000 workers")
+	var stdout, stderr bytes.Buffer
+	require.Equal(t, exitFailed, run(t.Context(), []string{"system", "run", "--programs", t.TempDir(), "--workers", "1000000"}, &stdout, &stderr))
+	require.Contains(t, stderr.String(), "1000000 workers")
 }
 
 // A single summary's worth is printed on a line of its own, for tools that compare programs. Several summaries are available as JSON and as a
 // plot.
 func TestSystemDecideReportsWorth(t *testing.T) {
-	var output, faults bytes.Buffer
-	require.Equal(t, exitOK, run(t.Context(), []string{"system", "decide", deploymentFile, "--days", "1", "--policies", "scheduler"}, &output, &faults),
-		faults.String())
-	require.Regexp(t, `(?m)^worth 0\.\d{4}$`, output.String())
+	var stdout, stderr bytes.Buffer
+	require.Equal(t, exitOK, run(t.Context(), []string{"system", "decide", deploymentFile, "--days", "1", "--policies", "scheduler"}, &stdout, &stderr),
+		stderr.String())
+	require.Regexp(t, `(?m)^worth 0\.\d{4}$`, stdout.String())
 
-	output.Reset()
-	drawing := filepath.Join(t.TempDir(), "worth.svg")
+	stdout.Reset()
+	plotFile := filepath.Join(t.TempDir(), "worth.svg")
 	require.Equal(t, exitOK, run(t.Context(), []string{"system", "decide", deploymentFile, "--days", "2", "--load", "0.3,0.6", "--policies",
-		"scheduler,first-come", "--json", "--plot", drawing}, &output, &faults), faults.String())
+		"scheduler,first-come", "--json", "--plot", plotFile}, &stdout, &stderr), stderr.String())
 	var summaries []decisionlab.Summary
-	require.NoError(t, json.Unmarshal(output.Bytes(), &summaries))
+	require.NoError(t, json.Unmarshal(stdout.Bytes(), &summaries))
 	require.Len(t, summaries, 4)
-	require.FileExists(t, drawing)
+	require.FileExists(t, plotFile)
 }
--- a/cmd/gaugelab/watch.go
+++ b/cmd/gaugelab/watch.go
@@ -127,7 +127,7 @@
 				return err
 			}
 			if len(all) != 1 {
-				return usageError{fmt.Errorf("watch: %s holds %d scenarios, one is wanted", args[0], len(all))}
+				return usageError{fmt.Errorf("watch: %s contains %d scenarios, want 1", args[0], len(all))}
 			}
 			run, err := lab.New(all[0], seed, true)
 			if err != nil {
--- a/internal/tools/experiment/experiment_test.go
+++ b/internal/tools/experiment/experiment_test.go
@@ -115,7 +115,7 @@
 	var table bytes.Buffer
 	printResults(&table, results)
 	assert.Contains(t, table.String(), "| more | the figure | s | 2 | +0.5000 |")
-	drawing := filepath.Join(line.Work, "result.svg")
-	require.NoError(t, plotResults(drawing, results))
-	assert.FileExists(t, drawing)
+	plotFile := filepath.Join(line.Work, "result.svg")
+	require.NoError(t, plotResults(plotFile, results))
+	assert.FileExists(t, plotFile)
 }
--- a/internal/tools/experiment/plot.go
+++ b/internal/tools/experiment/plot.go
@@ -27,9 +27,9 @@
 	if len(results) < minPlotted {
 		return nil
 	}
-	drawing := plot.New()
-	drawing.Title.Text = "Worth gained or lost by each variant"
-	drawing.X.Label.Text = "mean difference in worth, with twice its standard error"
+	p := plot.New()
+	p.Title.Text = "Worth gained or lost by each variant"
+	p.X.Label.Text = "mean difference in worth, with twice its standard error"
 	var drawn bars
 	var names []string
 	for i := range results {
@@ -42,11 +42,11 @@
 	if err != nil {
 		return err
 	}
-	spread, err := plotter.NewXErrorBars(drawn)
+	errorBars, err := plotter.NewXErrorBars(drawn)
 	if err != nil {
 		return err
 	}
-	drawing.Add(plotter.NewGrid(), points, spread)
-	drawing.NominalY(names...)
-	return drawing.Save(plotWidth, plotMargin+plotRowHeight*vg.Length(len(results)), file)
+	p.Add(plotter.NewGrid(), points, errorBars)
+	p.NominalY(names...)
+	return p.Save(plotWidth, plotMargin+plotRowHeight*vg.Length(len(results)), file)
 }
--- a/internal/tools/mutants/mutants_test.go
+++ b/internal/tools/mutants/mutants_test.go
@@ -118,7 +118,7 @@
 
 func TestInvalidGuardsAreReported(t *testing.T) {
 	root := newSmallModule(t)
-	for name, spoil := range map[string]func(*guard){
+	for name, invalidate := range map[string]func(*guard){
 		"want 1 to 5":          func(g *guard) { g.Point = 9 },
 		"the same":             func(g *guard) { g.New = g.Old },
 		"stands 0 times":       func(g *guard) { g.Function = "reset" },
@@ -132,7 +132,7 @@
 		"small.go: no such fu": func(g *guard) { g.Function = "gone" },
 	} {
 		g := boundGuard("^TestBound$")
-		spoil(&g)
+		invalidate(&g)
 		assert.ErrorContains(t, g.check(root), name)
 	}
 	twice := checkGuards(root, []guard{boundGuard("^TestBound$"), boundGuard("^TestBound$")})
