--- a/cmd/gaugelab/budgets.go
+++ b/cmd/gaugelab/budgets.go
@@ -62,7 +62,7 @@
 type BudgetResult struct {
 	Members   int     `json:"members"`
 	Static    float64 `json:"static"`    // used share of the budget, divided statically, if a tenth of the members demands as much as the whole
-	Talk      float64 `json:"talk"`      // the same, divided by leases that members exchange
+	Talk      float64 `json:"talk"`      // the same with leased shares (way "talk")
 	Death     float64 `json:"death_s"`   // seconds after the leader's death until 0.9 of the budget is used again
 	Healed    float64 `json:"healed_s"`  // the same after the end of a partition into two groups
 	Messages  float64 `json:"messages"`  // per second and member
--- a/cmd/gaugelab/demo.go
+++ b/cmd/gaugelab/demo.go
@@ -23,8 +23,8 @@
 	"gaugeslip/internal/node"
 )
 
-// fleetSpec returns the fleet that demo and emulate run on sockets: alternating hosts of the two kinds of scenarios/calm-friday.hcl, with
-// times a tenth as long.
+// fleetSpec returns the fleet that demo and emulate run on sockets: hosts of two kinds in turn, five of each by default, as in
+// scenarios/calm-friday.hcl but ten times as fast.
 func fleetSpec(hosts int) (specs []emulator.Spec, p fleet.Params) {
 	for i := range hosts {
 		s := emulator.Spec{Kind: "small-box", Room: "bole-room", Lanes: 2, Speed: 1}
--- a/cmd/gaugelab/plan.go
+++ b/cmd/gaugelab/plan.go
@@ -16,7 +16,7 @@
 	"gaugeslip/internal/lab"
 )
 
-// RoomLoss compares the planned and the simulated loss of one room at one load. Margins (PM) are twice the standard error over seeds.
+// RoomLoss compares the planned and the simulated loss of one room at one load. The margins ("_pm" in JSON) are twice the standard error over seeds.
 type RoomLoss struct {
 	Load             float64     `json:"load"`
 	Lost             string      `json:"lost"`
--- a/cmd/gaugelab/run.go
+++ b/cmd/gaugelab/run.go
@@ -25,7 +25,7 @@
 	return runSeedsWith(ctx, first, seeds, done, func(seed uint64) (*lab.Lab, error) { return lab.New(sc, seed, checked) })
 }
 
-// runSeedsWith is runSeeds with the run of each seed created by start. The report of a failed run is nil.
+// runSeedsWith is runSeeds with the run of each seed created by start. The report of a run that could not be started is nil.
 func runSeedsWith(ctx context.Context, first uint64, seeds int, done func(*lab.Report), start func(seed uint64) (*lab.Lab, error)) (
 	[]*lab.Report, error) {
 	reports, errs := make([]*lab.Report, seeds), make([]error, seeds)
--- a/cmd/gaugelab/scale.go
+++ b/cmd/gaugelab/scale.go
@@ -32,8 +32,8 @@
 }
 
 // parseSizes parses a list of HOSTSxDISPATCHERS such as "10x3,100x30".
-func parseSizes(text string) (all []SizeResult, err error) {
-	for _, part := range strings.Split(text, ",") {
+func parseSizes(sizeList string) (all []SizeResult, err error) {
+	for _, part := range strings.Split(sizeList, ",") {
 		h, d, ok := strings.Cut(strings.TrimSpace(part), "x")
 		hosts, err1 := strconv.Atoi(h)
 		nodes, err2 := strconv.Atoi(d)
@@ -63,14 +63,14 @@
 }
 
 func scaleCommand() *cobra.Command {
-	var text, outDir string
+	var sizeList, outDir string
 	var seeds int
 	var load float64
 	var length time.Duration
 	var asJSON bool
 	c := &cobra.Command{Use: "scale SCENARIO.hcl", Short: "Run a scenario at several fleet sizes and compare it with a scheduler of complete knowledge",
 		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			all, err := parseSizes(text)
+			all, err := parseSizes(sizeList)
 			if err != nil {
 				return err
 			}
@@ -107,7 +107,7 @@
 			}
 			return w.Flush()
 		}}
-	c.Flags().StringVar(&text, "sizes", "10x3,100x3,100x30,1000x30,1000x100", "fleets, as HOSTSxDISPATCHERS")
+	c.Flags().StringVar(&sizeList, "sizes", "10x3,100x3,100x30,1000x30,1000x100", "fleets, as HOSTSxDISPATCHERS")
 	c.Flags().IntVar(&seeds, "seeds", 3, "number of seeds")
 	c.Flags().Float64Var(&load, "load", 0.95, "offered work, as a share of the fleet's capacity")
 	c.Flags().DurationVar(&length, "length", 20*time.Second, "simulated time of each run")
