--- a/cmd/controlplane/jobs.go
+++ b/cmd/controlplane/jobs.go
@@ -53,10 +53,10 @@
 	t.Row("JOB", "QUEUE", "SERVICE", "STATE", "RUNS", "ACCEPTED", "OVER")
 	for i := range list.Jobs {
 		job := &list.Jobs[i]
-		t.Row(job.ID, job.Route, job.Service, job.State, job.Runs, console.Moment(job.AcceptedMs), console.Moment(job.OverMs))
+		t.Row(job.ID, job.Route, job.Service, job.State, job.Runs, console.FormatTime(job.AcceptedMs), console.FormatTime(job.OverMs))
 	}
 	if left := list.Total - len(list.Jobs); left > 0 {
-		t.Gap()
+		t.BlankLine()
 		t.Row(fmt.Sprintf("%d of %d shown; --limit shows more", len(list.Jobs), list.Total))
 	}
 }
@@ -111,18 +111,18 @@
 	t.Row("state", job.State)
 	t.Row("priority", job.Priority)
 	t.Row("attempts a task", job.MaxRetries)
-	t.Row("accepted", console.Moment(job.AcceptedMs))
-	t.Row("over", console.Moment(job.OverMs))
+	t.Row("accepted", console.FormatTime(job.AcceptedMs))
+	t.Row("over", console.FormatTime(job.OverMs))
 	t.Row("runs", job.Runs)
 }
 
 func tasksTable(t *console.Table, detail *jobDetailOutput) {
 	if len(detail.Tasks) == 0 {
-		t.Gap()
+		t.BlankLine()
 		t.Row("no tasks to show: the job is over, or its time hasn't come")
 		return
 	}
-	t.Gap()
+	t.BlankLine()
 	t.Row("TIME", "STEP", "TASK", "STATE", "ATTEMPT", "FAILURES", "PROGRESS", "DEADLINE", "WORKERS", "SPENT", "WHY")
 	for i := range detail.Tasks {
 		task := &detail.Tasks[i]
@@ -130,7 +130,7 @@
 			console.OrDash(strings.Join(task.Workers, " ")), console.OrDash(task.Spent), task.Why)
 	}
 	if detail.TasksLeftOut > 0 {
-		t.Gap()
+		t.BlankLine()
 		t.Row(fmt.Sprintf("and %d more tasks", detail.TasksLeftOut))
 	}
 }
@@ -148,9 +148,9 @@
 	case !task.HasDeadline:
 		return "-"
 	case task.DeadlineMs < 0:
-		return console.Milliseconds(-task.DeadlineMs) + " ago"
+		return console.FormatMilliseconds(-task.DeadlineMs) + " ago"
 	}
-	return "in " + console.Milliseconds(task.DeadlineMs)
+	return "in " + console.FormatMilliseconds(task.DeadlineMs)
 }
 
 type whyCommand struct {
--- a/cmd/controlplane/logs.go
+++ b/cmd/controlplane/logs.go
@@ -37,14 +37,14 @@
 	if err != nil {
 		return err
 	}
-	lines := lastLines(linesFrom(logfile.Lines(reading.Records), c.From), c.Limit)
+	lines := lastLines(linesFrom(logfile.Describe(reading.Records), c.From), c.Limit)
 	return c.printer(printer).Print(lines, func(t *console.Table) {
 		t.Row("RECORD", "TYPE", "INDEX", "EPOCH", "KIND", "BYTES", "SUMMARY")
 		for i := range lines {
 			lineRow(t, &lines[i])
 		}
 		if reading.Torn {
-			t.Gap()
+			t.BlankLine()
 			t.Row("the file ends in bytes that are no record: an append was in progress, or was interrupted")
 		}
 	})
@@ -84,7 +84,7 @@
 		return err
 	}
 	report, err := logfile.Check(reading)
-	if errors.Is(err, logfile.ErrBroken) {
+	if errors.Is(err, logfile.ErrCorrupt) {
 		return findings.Findings{{Place: reading.File, Text: err.Error()}}
 	}
 	if err != nil {
@@ -110,7 +110,7 @@
 
 func (c *logRestoreCommand) Run(printer *console.Printer) error {
 	restored, err := logfile.Restore(c.Dir, control.LogName, c.Target)
-	if errors.Is(err, logfile.ErrBroken) {
+	if errors.Is(err, logfile.ErrCorrupt) {
 		return findings.Findings{{Place: c.Dir, Text: err.Error()}}
 	}
 	if err != nil {
@@ -124,7 +124,7 @@
 		t.Row("last index", restored.LastIndex)
 		t.Row("configuration", restored.ConfigVersion)
 		t.Row("jobs", restored.Jobs)
-		t.Gap()
+		t.BlankLine()
 		t.Row("start that member alone with this directory as its dataDir, then the others with empty ones and bootstrap false")
 	})
 }
--- a/cmd/controlplane/logs_test.go
+++ b/cmd/controlplane/logs_test.go
@@ -76,7 +76,7 @@
 	_, err := execute(t, "log", "restore", writeTestLog(t, identity, viewRecord, entry), target)
 	assert.ErrorContains(t, err, "isn't empty")
 	_, err = execute(t, "log", "restore", writeTestLog(t, identity, entry), filepath.Join(t.TempDir(), "new"))
-	assert.ErrorIs(t, err, logfile.ErrNotWhole)
+	assert.ErrorIs(t, err, logfile.ErrIncomplete)
 	_, err = execute(t, "log", "restore", writeTestLog(t, identity, viewRecord, entry, gap), filepath.Join(t.TempDir(), "new"))
 	assert.Equal(t, console.ExitFindings, exitCode(err))
 }
--- a/cmd/controlplane/run.go
+++ b/cmd/controlplane/run.go
@@ -20,7 +20,7 @@
 }
 
 func (c *runCommand) Run() error {
-	signals := console.TakeSignals() // before anything that takes time
+	signals := console.NotifySignals() // before anything that takes time
 	settings, err := loadSettings(c.Settings)
 	if err != nil {
 		return err
@@ -39,7 +39,7 @@
 func serve(node *control.Node, path string, logger *log.Logger, signals console.Signals) error {
 	for {
 		select {
-		case <-signals.End:
+		case <-signals.Terminate:
 			node.Leave()
 			return nil
 		case <-signals.Reload:
--- a/cmd/controlplane/signals_test.go
+++ b/cmd/controlplane/signals_test.go
@@ -9,4 +9,4 @@
 func TestMain(m *testing.M) { programtest.Main(m, programName, main) }
 
 // A SIGHUP during the start of the program doesn't end it.
-func TestSIGHUPDuringStart(t *testing.T) { programtest.HangUpDuringTheStart(t) }
+func TestSIGHUPDuringStart(t *testing.T) { programtest.CheckSIGHUPDuringStart(t) }
--- a/cmd/controlplane/status.go
+++ b/cmd/controlplane/status.go
@@ -26,13 +26,13 @@
 	t.Row("zone", console.OrDash(overview.Zone))
 	t.Row("address", overview.Self.Address)
 	t.Row("identity", overview.Self.ID)
-	t.Row("up", console.Milliseconds(overview.UptimeMs))
+	t.Row("up", console.FormatMilliseconds(overview.UptimeMs))
 	t.Row("role", overview.Role)
 	if overview.Leaving {
 		t.Row("leaving", "yes")
 	}
 	t.Row("scheduling", console.YesNo(overview.Scheduling))
-	t.Row("lease left", console.Milliseconds(overview.LeaseMs))
+	t.Row("lease left", console.FormatMilliseconds(overview.LeaseMs))
 	t.Row("epoch", overview.View.Epoch)
 	t.Row("chain", chainText(overview.View))
 	t.Row("loss tolerated", fmt.Sprintf("%d machines (nothing commits under %d in the chain)", overview.Tolerance, overview.Tolerance+1))
@@ -122,22 +122,22 @@
 func viewTable(t *console.Table, overview *internalapi.OverviewReply) {
 	t.Row("epoch", overview.View.Epoch)
 	t.Row("reported by", overview.Self.Address, overview.Role)
-	t.Gap()
+	t.BlankLine()
 	t.Row("PLACE", "ADDRESS", "IDENTITY", "HEARD", "HELD", "ON DISK", "ACKNOWLEDGED", "NOTE")
 	for i := range overview.Members {
 		member := &overview.Members[i]
-		t.Row(positionText(member, len(overview.View.Chain)), member.Member.Address, member.Member.ID, console.Milliseconds(member.HeardMs),
+		t.Row(positionText(member, len(overview.View.Chain)), member.Member.Address, member.Member.ID, console.FormatMilliseconds(member.HeardMs),
 			member.Received, member.Synced, member.Acked, memberNote(member))
 	}
 	if len(overview.Learners) == 0 {
 		return
 	}
-	t.Gap()
+	t.BlankLine()
 	t.Row("CATCHING UP", "IDENTITY", "HEARD", "ON DISK", "BEHIND", "KEPT OUT FOR", "NOTE")
 	for i := range overview.Learners {
 		learner := &overview.Learners[i]
-		t.Row(learner.Member.Address, learner.Member.ID, console.Milliseconds(learner.HeardMs), learner.Acked,
-			behind(overview.Last, learner.Acked), console.Milliseconds(learner.PenaltyMs), learnerNote(learner))
+		t.Row(learner.Member.Address, learner.Member.ID, console.FormatMilliseconds(learner.HeardMs), learner.Acked,
+			behind(overview.Last, learner.Acked), console.FormatMilliseconds(learner.PenaltyMs), learnerNote(learner))
 	}
 }
 
--- a/cmd/controlplane/workers.go
+++ b/cmd/controlplane/workers.go
@@ -44,7 +44,7 @@
 		t.Row(w.Instance, console.OrDash(w.Service), console.OrDash(w.Address), workerState(w), w.Runs, used(w.UsedCPU, w.RoomCPU),
 			used(w.UsedMemoryMb, w.RoomMemoryMb), used(w.UsedGPUs, w.RoomGPUs), w.Withheld, fmt.Sprintf("%.2f", w.Slowness))
 	}
-	t.Gap()
+	t.BlankLine()
 	t.Row("SERVICE", "STEPS HELD")
 	for _, service := range slices.Sorted(maps.Keys(shown.Held)) {
 		t.Row(service, shown.Held[service])
--- a/cmd/dataplane/status.go
+++ b/cmd/dataplane/status.go
@@ -36,7 +36,7 @@
 	t.Row("zone", console.OrDash(overview.Zone))
 	t.Row("address", overview.Address)
 	t.Row("clients at", overview.Frontend)
-	t.Row("up", console.Milliseconds(overview.UptimeMs))
+	t.Row("up", console.FormatMilliseconds(overview.UptimeMs))
 	t.Row("ready", readiness(overview))
 	t.Row("configuration", fmt.Sprintf("%d, %d routes", overview.ConfigVersion, overview.Routes))
 	t.Row("epoch", overview.Epoch)
@@ -44,7 +44,7 @@
 	t.Row("core heard", agoText(overview.CoreMs))
 	t.Row("head heard", agoText(overview.HeadMs))
 	t.Row("peers", len(overview.Peers))
-	t.Gap()
+	t.BlankLine()
 	t.Row("STATUS", "ANSWERS")
 	for _, status := range slices.Sorted(maps.Keys(overview.Answers)) {
 		t.Row(status, overview.Answers[status])
@@ -62,5 +62,5 @@
 	if ms < 0 {
 		return "never"
 	}
-	return console.Milliseconds(ms) + " ago"
+	return console.FormatMilliseconds(ms) + " ago"
 }
--- a/cmd/dataplane/status_test.go
+++ b/cmd/dataplane/status_test.go
@@ -34,7 +34,7 @@
 [bounds]
 gracePeriodS = 1
 `, port, port, freeporttest.Port(t)))
-	process, err := dataplane.Start(file, log.New(io.Discard), dataplane.Options{Announce: time.Millisecond})
+	process, err := dataplane.Start(file, log.New(io.Discard), dataplane.Options{DrainDelay: time.Millisecond})
 	require.NoError(t, err)
 	t.Cleanup(func() { assert.NoError(t, process.Stop()) })
 	return file, fmt.Sprintf("127.0.0.1:%d", port)
--- a/cmd/gaugelab/system.go
+++ b/cmd/gaugelab/system.go
@@ -34,13 +34,13 @@
 	flags.IntVar(&f.options.Replicas, "replicas", 3, "control plane processes")
 	flags.IntVar(&f.options.Dispatchers, "dispatchers", 3, "data plane processes")
 	flags.Uint64Var(&f.options.Seed, "seed", 0, "seed of jobs and their times; 0: a random seed, which is printed")
-	flags.DurationVar(&f.options.Patience, "patience", 20*time.Second, "maximum wait at the end for unfinished jobs")
+	flags.DurationVar(&f.options.DrainTimeout, "patience", 20*time.Second, "maximum wait at the end for unfinished jobs")
 	flags.StringVar(&f.options.ConfigurationFile, "configuration", "", "the operator's configuration (JSON); a built-in one if empty")
-	flags.StringVar(&f.options.Programs, "programs", "", "directory of the programs controlplane and dataplane; built from this module if empty")
-	flags.StringVar(&f.options.Folder, "folder", "", "directory for settings, disks and logs; if empty, a temporary one that is removed at the end")
-	flags.StringVar(&f.options.Profiles, "profiles", "", "directory for CPU and heap profiles of the replicas; no profiles if empty")
+	flags.StringVar(&f.options.ProgramDir, "programs", "", "directory of the programs controlplane and dataplane; built from this module if empty")
+	flags.StringVar(&f.options.Dir, "folder", "", "directory for settings, disks and logs; if empty, a temporary one that is removed at the end")
+	flags.StringVar(&f.options.ProfileDir, "profiles", "", "directory for CPU and heap profiles of the replicas; no profiles if empty")
 	flags.Float64Var(&f.options.ReplicaMemoryMb, "replica-memory", 0, "memory limit in the replicas' settings, in megabytes; 0: that of a core machine")
-	flags.IntVar(&f.options.ReplicaFiles, "replica-files", 0, "limit of open files in the replicas' settings; 0: that of a core machine")
+	flags.IntVar(&f.options.ReplicaMaxOpenFiles, "replica-files", 0, "limit of open files in the replicas' settings; 0: that of a core machine")
 	flags.Float64Var(&f.options.ListRate, "list-rate", 30, "calls per second that the platform's list accepts")
 	flags.IntVar(&f.options.ListPage, "list-page", 50, "workers on a page of the platform's list")
 	flags.BoolVar(&f.asJSON, "json", false, "print the report as JSON")
@@ -54,15 +54,15 @@
 		f.options.Seed = uint64(time.Now().UnixNano())
 	}
 	fmt.Fprintf(cmd.ErrOrStderr(), "seed %d\n", f.options.Seed)
-	if f.options.Self, err = os.Executable(); err != nil {
+	if f.options.GaugelabPath, err = os.Executable(); err != nil {
 		return cleanUp, err
 	}
-	if f.options.Profiles != "" {
-		if err := os.MkdirAll(f.options.Profiles, 0o755); err != nil {
+	if f.options.ProfileDir != "" {
+		if err := os.MkdirAll(f.options.ProfileDir, 0o755); err != nil {
 			return cleanUp, err
 		}
 	}
-	if f.options.Programs != "" {
+	if f.options.ProgramDir != "" {
 		return cleanUp, nil
 	}
 	dir, err := os.MkdirTemp("", "gaugeslip-programs-")
@@ -70,7 +70,7 @@
 		return cleanUp, err
 	}
 	cleanUp = func() { _ = os.RemoveAll(dir) }
-	f.options.Programs = dir
+	f.options.ProgramDir = dir
 	return cleanUp, localcluster.Build(cmd.Context(), dir)
 }
 
@@ -98,7 +98,7 @@
 	f.register(c)
 	c.Flags().IntVar(&f.options.Workers, "workers", 12, "hollow workers")
 	c.Flags().Float64Var(&f.options.Rate, "rate", 5, "jobs per second")
-	c.Flags().DurationVar(&f.options.For, "for", 15*time.Second, "how long clients submit jobs")
+	c.Flags().DurationVar(&f.options.LoadDuration, "for", 15*time.Second, "how long clients submit jobs")
 	c.Flags().StringArrayVar(&troubles, "trouble", nil, `a trouble, "KIND TARGET AT [FOR]", such as "kill head 5s 3s", "freeze replica:1 4s", `+
 		`"restart dispatchers 6s 1s", "wipe tail 5s", "kill worker:3 5s" or "reconfigure 4s"; may be repeated`)
 	c.Flags().StringVar(&scenario, "scenario", "", "a scenario file (HCL), such as scenarios/localcluster/kill-head.hcl")
@@ -126,12 +126,12 @@
 func printReport(cmd *cobra.Command, report *localcluster.Report, asJSON bool) error {
 	show := report.Print
 	if asJSON {
-		show = report.JSON
+		show = report.WriteJSON
 	}
 	if err := show(cmd.OutOrStdout()); err != nil {
 		return err
 	}
-	if !report.Sound() {
+	if !report.Passed() {
 		return errViolations
 	}
 	return nil
--- a/cmd/gaugelab/system_scale.go
+++ b/cmd/gaugelab/system_scale.go
@@ -59,12 +59,12 @@
 // runSizes runs one size after the other. The reports of earlier sizes are saved to outFile and printed even if a later size fails.
 func runSizes(cmd *cobra.Command, options localcluster.ScaleOptions, counts []int, outFile string, asJSON bool) error {
 	var reports []*localcluster.SizeReport
-	dir := options.Folder
+	dir := options.Dir
 	for _, count := range counts {
 		fmt.Fprintf(cmd.ErrOrStderr(), "%d workers\n", count)
 		options.Workers = count
 		if dir != "" {
-			options.Folder = filepath.Join(dir, fmt.Sprintf("workers-%d", count))
+			options.Dir = filepath.Join(dir, fmt.Sprintf("workers-%d", count))
 		}
 		report, err := localcluster.RunSize(cmd.Context(), options)
 		if err != nil {
--- a/cmd/gaugelab/system_soak.go
+++ b/cmd/gaugelab/system_soak.go
@@ -47,27 +47,27 @@
 	flags := c.Flags()
 	flags.Uint64Var(&first, "seed", 1, "the first seed")
 	flags.IntVar(&seeds, "seeds", 1, "number of seeds")
-	flags.DurationVar(&options.For, "for", 15*time.Second, "how long troubles last in each run")
-	flags.IntVar(&options.Tracks, "tracks", 3, "maximum number of concurrent troubles")
+	flags.DurationVar(&options.TroubleDuration, "for", 15*time.Second, "how long troubles last in each run")
+	flags.IntVar(&options.ConcurrentTroubles, "tracks", 3, "maximum number of concurrent troubles")
 	flags.IntVar(&options.Replicas, "replicas", 3, "control plane processes")
 	flags.IntVar(&options.Dispatchers, "dispatchers", 3, "data plane processes")
 	flags.IntVar(&options.Workers, "workers", 12, "hollow workers")
 	flags.Float64Var(&options.Rate, "rate", 8, "jobs per second")
-	flags.StringVar(&options.Programs, "programs", "", "directory of the program relayednode; built from this module if empty")
-	flags.StringVar(&options.Folder, "folder", "", "directory for settings, disks and logs of one run; if empty, a temporary one that is kept if there are findings")
+	flags.StringVar(&options.ProgramDir, "programs", "", "directory of the program relayednode; built from this module if empty")
+	flags.StringVar(&options.Dir, "folder", "", "directory for settings, disks and logs of one run; if empty, a temporary one that is kept if there are findings")
 	flags.BoolVar(&verbose, "verbose", false, "print each trouble")
 	return c
 }
 
 // buildSoakPrograms builds the programs of a soak run unless their directory is given. The caller must call cleanUp, also after an error.
 func buildSoakPrograms(cmd *cobra.Command, options *localcluster.SoakOptions) (cleanUp func(), err error) {
-	if options.Programs != "" {
+	if options.ProgramDir != "" {
 		return func() {}, nil
 	}
 	dir, err := os.MkdirTemp("", "gaugeslip-programs-")
 	if err != nil {
 		return func() {}, err
 	}
-	options.Programs = dir
+	options.ProgramDir = dir
 	return func() { _ = os.RemoveAll(dir) }, localcluster.BuildRelayed(cmd.Context(), dir)
 }
--- a/internal/system/console/console.go
+++ b/internal/system/console/console.go
@@ -106,8 +106,8 @@
 	_, _ = fmt.Fprintln(t.writer, line)
 }
 
-// Gap writes an empty line. The rows after it are aligned separately.
-func (t *Table) Gap() {
+// BlankLine writes an empty line. The rows after it are aligned separately.
+func (t *Table) BlankLine() {
 	_, _ = fmt.Fprintln(t.writer)
 	_ = t.writer.Flush()
 }
@@ -128,16 +128,16 @@
 	return text
 }
 
-// Milliseconds formats a duration for tables. A negative one is unknown and becomes "-".
-func Milliseconds(ms int64) string {
+// FormatMilliseconds formats a duration for tables. A negative one is unknown and becomes "-".
+func FormatMilliseconds(ms int64) string {
 	if ms < 0 {
 		return "-"
 	}
 	return (time.Duration(ms) * time.Millisecond).String()
 }
 
-// Moment formats a Unix time in milliseconds as UTC for tables. 0 means no time and becomes "-".
-func Moment(unixMs int64) string {
+// FormatTime formats a Unix time in milliseconds as UTC for tables. 0 means no time and becomes "-".
+func FormatTime(unixMs int64) string {
 	if unixMs == 0 {
 		return "-"
 	}
--- a/internal/system/console/console_test.go
+++ b/internal/system/console/console_test.go
@@ -67,8 +67,8 @@
 	table := func(t *Table) {
 		t.Row("NAME", "FIGURE")
 		t.Row("a long name", 1)
-		t.Gap()
-		t.Row("b", OrDash(""), YesNo(true), YesNo(false), Milliseconds(-1), Milliseconds(1500), Moment(0), Moment(1000))
+		t.BlankLine()
+		t.Row("b", OrDash(""), YesNo(true), YesNo(false), FormatMilliseconds(-1), FormatMilliseconds(1500), FormatTime(0), FormatTime(1000))
 	}
 	var out bytes.Buffer
 	require.NoError(t, Printer{Out: &out}.Print(nil, table))
--- a/internal/system/console/programtest/programtest.go
+++ b/internal/system/console/programtest/programtest.go
@@ -27,9 +27,9 @@
 	os.Exit(m.Run())
 }
 
-// HangUpDuringTheStart checks that a SIGHUP during the start of the program doesn't end it. The signal asks for a reload of the settings, which
+// CheckSIGHUPDuringStart checks that a SIGHUP during the start of the program doesn't end it. The signal asks for a reload of the settings, which
 // the program is about to read anyway. The settings file is a named pipe, so that the signal certainly arrives while the program reads it.
-func HangUpDuringTheStart(t *testing.T) {
+func CheckSIGHUPDuringStart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	require.NoError(t, syscall.Mkfifo(path, 0o600))
 	program := exec.Command(os.Args[0])
--- a/internal/system/console/signals.go
+++ b/internal/system/console/signals.go
@@ -8,13 +8,13 @@
 
 // Signals delivers the signals that a process handles. Each kind has its own channel, so that pending reloads can't displace a termination
 // request.
-type Signals struct{ End, Reload <-chan os.Signal }
+type Signals struct{ Terminate, Reload <-chan os.Signal }
 
-// TakeSignals starts the handling of signals. Signals that arrive before the process reads the channels wait there. Without this call a
+// NotifySignals starts the handling of signals. Signals that arrive before the process reads the channels wait there. Without this call a
 // SIGHUP ends the process.
-func TakeSignals() Signals {
+func NotifySignals() Signals {
 	end, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reload, syscall.SIGHUP)
-	return Signals{End: end, Reload: reload}
+	return Signals{Terminate: end, Reload: reload}
 }
--- a/internal/system/control/node.go
+++ b/internal/system/control/node.go
@@ -110,7 +110,7 @@
 		n.clock = time.Now
 	}
 	n.started = n.clock()
-	dial := network.DialOf(n.network)
+	dial := network.DialFunc(n.network)
 	n.client = transport.NewClient(transport.Options{Dial: dial})
 	n.forward = n.client.Call
 	n.sender = transport.NewSender[*replica.Message](n.client, chainService+".Receive", transport.SenderOptions{})
--- a/internal/system/control/operator.go
+++ b/internal/system/control/operator.go
@@ -52,7 +52,7 @@
 		http.Error(writer, baseVersionHeader+": "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	lease := o.bodies.Lease()
+	lease := o.bodies.NewLease()
 	defer lease.Release()
 	body, err := requestbody.Read(request, mostConfigBytes, lease)
 	if errors.Is(err, requestbody.ErrTooLarge) {
--- a/internal/system/control/sharesworker_test.go
+++ b/internal/system/control/sharesworker_test.go
@@ -46,7 +46,7 @@
 		return workerapi.HoldReply{Outcome: s.start(&made.Start)}, false
 	case scheduler.CallStop:
 		if run, runs := s.running[made.Stop.Task]; runs && run.Attempt <= made.Stop.Attempt {
-			s.end(run, workerapi.HowStopped)
+			s.end(run, workerapi.EndStopped)
 		}
 		return workerapi.HoldReply{Outcome: workerapi.Done}, false
 	}
@@ -60,11 +60,11 @@
 	task := s.world.tasks[order.Task]
 	switch {
 	case order.Attempt <= s.attempts[order.Task]:
-		return workerapi.RefusedOld
+		return workerapi.RefusedStale
 	case order.DueAtMs < s.clockMs():
 		return workerapi.RefusedLate
 	case s.used()+task.accelerators > acceleratorsEach:
-		return workerapi.RefusedRoom
+		return workerapi.RefusedCapacity
 	}
 	if s.attempts == nil {
 		s.attempts = map[string]int{}
@@ -77,7 +77,7 @@
 		s.world.mutex.Lock()
 		defer s.world.mutex.Unlock()
 		if s.running[order.Task] == run {
-			s.end(run, workerapi.HowDone)
+			s.end(run, workerapi.EndDone)
 		}
 	})
 	return workerapi.Done
@@ -106,7 +106,7 @@
 	}
 }
 
-func (s *shareWorker) end(run workerapi.RunningTask, how workerapi.How) {
+func (s *shareWorker) end(run workerapi.RunningTask, how workerapi.EndReason) {
 	delete(s.running, run.Task)
 	s.ends++
 	s.finished = append(s.finished, workerapi.FinishedTask{N: s.ends, Task: run.Task, Attempt: run.Attempt, How: how})
--- a/internal/system/control/sockets.go
+++ b/internal/system/control/sockets.go
@@ -37,14 +37,14 @@
 }
 
 func (n *Node) listenForOperator() error {
-	listener, err := network.Listen(n.network, n.settings.Bind.ControlPlane, network.Sockets)
+	listener, err := network.Listen(n.network, n.settings.Bind.ControlPlane, network.ListenTCP)
 	if err != nil {
 		return fmt.Errorf("listen for the operator: %w", err)
 	}
 	api := newOperatorAPI(n.settings.Limits.MemoryMb)
 	api.replace, api.read, api.figures = n.replaceAnywhere, n.readAnywhere, n.serveFigures
 	n.operator = operatorServer(api.handler())
-	bounded := network.Bound(listener, mostOperators)
+	bounded := network.LimitListener(listener, mostOperators)
 	go func() { _ = n.operator.Serve(bounded) }()
 	return nil
 }
--- a/internal/system/dataplane/dispatcher.go
+++ b/internal/system/dataplane/dispatcher.go
@@ -66,7 +66,7 @@
 	if request.ContentLength != 0 {
 		boundBody(w, arrived)
 	}
-	lease := d.bodies.Lease()
+	lease := d.bodies.NewLease()
 	defer lease.Release()
 	reply := d.answer(w, request, arrived, lease)
 	if d.draining.Load() {
--- a/internal/system/dataplane/gate.go
+++ b/internal/system/dataplane/gate.go
@@ -39,7 +39,7 @@
 	}
 	conn, err := g.Listener.Accept()
 	if err == nil {
-		return g.slots.Hold(conn), nil
+		return g.slots.ReleaseOnClose(conn), nil
 	}
 	<-g.slots
 	select {
--- a/internal/system/dataplane/options.go
+++ b/internal/system/dataplane/options.go
@@ -31,8 +31,8 @@
 	StaleContact time.Duration
 	// DefaultWait is how long a client waits when neither it nor its route says.
 	DefaultWait time.Duration
-	// Announce is how long a dispatcher that is to end goes on accepting: the platform has to miss two looks, a second apart.
-	Announce time.Duration
+	// DrainDelay is how long a dispatcher that is to end goes on accepting: the platform has to miss two looks, a second apart.
+	DrainDelay time.Duration
 	// BodyMemory is how many bytes the bodies of all requests may take together.
 	BodyMemory int64
 	// Logger is told of requests that weren't served, a few in a second; nil: nobody is.
@@ -56,7 +56,7 @@
 	defaultHeadLife      = 3500 * time.Millisecond
 	defaultStaleContact  = 1500 * time.Millisecond
 	defaultWait          = 3 * time.Second
-	defaultAnnounce      = 2200 * time.Millisecond
+	defaultDrainDelay    = 2200 * time.Millisecond
 	defaultBodyMemory    = 16 << 20
 )
 
@@ -73,7 +73,7 @@
 	orDefault(&o.HeadLife, defaultHeadLife)
 	orDefault(&o.StaleContact, defaultStaleContact)
 	orDefault(&o.DefaultWait, defaultWait)
-	orDefault(&o.Announce, defaultAnnounce)
+	orDefault(&o.DrainDelay, defaultDrainDelay)
 	orDefault(&o.BodyMemory, defaultBodyMemory)
 	return o
 }
--- a/internal/system/dataplane/process.go
+++ b/internal/system/dataplane/process.go
@@ -78,7 +78,7 @@
 		name:      settings.NodeName,
 		zone:      settings.Zone,
 		directory: NewDirectory(),
-		client:    transport.NewClient(transport.Options{Dial: network.DialOf(options.Network)}),
+		client:    transport.NewClient(transport.Options{Dial: network.DialFunc(options.Network)}),
 	}
 	p.options = p.bounded(options)
 	p.options.Logger = logger
@@ -153,7 +153,7 @@
 }
 
 func (p *Process) listenReadiness(quiet *stdlog.Logger) error {
-	listener, err := network.Listen(p.options.Network, p.settings.Bind.Readiness, network.Sockets)
+	listener, err := network.Listen(p.options.Network, p.settings.Bind.Readiness, network.ListenTCP)
 	if err != nil {
 		return fmt.Errorf("readiness: %w", err)
 	}
@@ -165,7 +165,7 @@
 		IdleTimeout:       readinessIdle,
 		ErrorLog:          quiet,
 	}
-	bounded := network.Bound(listener, mostReadinessCallers)
+	bounded := network.LimitListener(listener, mostReadinessCallers)
 	p.group.Go(func() { _ = p.ready.Serve(bounded) }) // it ends at Close
 	return nil
 }
@@ -247,7 +247,7 @@
 	p.readiness.Drain()
 	p.dispatcher.Drain()
 	p.dispatcher.EndBy(limit.Add(-answerMargin))
-	time.Sleep(min(p.options.Announce, time.Until(limit)/2))
+	time.Sleep(min(p.options.DrainDelay, time.Until(limit)/2))
 	ctx, cancel := context.WithDeadline(context.Background(), limit)
 	defer cancel()
 	err := p.frontend.Shutdown(ctx)
--- a/internal/system/dataplane/process_test.go
+++ b/internal/system/dataplane/process_test.go
@@ -166,7 +166,7 @@
 	path := filepath.Join(t.TempDir(), "node.toml")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	logger := newTestLogger()
-	process, err := Start(path, logger, Options{PollInterval: 20 * time.Millisecond, Announce: 20 * time.Millisecond})
+	process, err := Start(path, logger, Options{PollInterval: 20 * time.Millisecond, DrainDelay: 20 * time.Millisecond})
 	require.NoError(t, err)
 	return running{Process: process, path: path, text: text, ready: ready, logger: logger}
 }
--- a/internal/system/decisionlab/agent.go
+++ b/internal/system/decisionlab/agent.go
@@ -63,7 +63,7 @@
 		a.renew()
 	}
 	if call.Worker.Instance != a.instance() {
-		reply(workerapi.HoldReply{Outcome: workerapi.OtherLife})
+		reply(workerapi.HoldReply{Outcome: workerapi.OtherInstance})
 		return
 	}
 	switch call.Kind {
@@ -85,19 +85,19 @@
 	case !ok:
 		return workerapi.BadRequest
 	case order.Attempt <= a.highest[order.Task]:
-		return workerapi.RefusedOld
+		return workerapi.RefusedStale
 	case a.clockMs() > order.DueAtMs:
 		return workerapi.RefusedLate
 	case !name.job.Steps[name.step].Need.fits(a.worker.free):
-		return workerapi.RefusedRoom
+		return workerapi.RefusedCapacity
 	}
 	a.holdUntil(order.DueAtMs)
-	a.worker.start(name, order.Attempt, func(r *run, how workerapi.How) { a.ended(order.Task, r, how) })
+	a.worker.start(name, order.Attempt, func(r *run, how workerapi.EndReason) { a.ended(order.Task, r, how) })
 	return workerapi.Done
 }
 
 // ended lists an end and answers the holds that wait for one.
-func (a *agent) ended(task string, r *run, how workerapi.How) {
+func (a *agent) ended(task string, r *run, how workerapi.EndReason) {
 	a.highest[task] = max(a.highest[task], r.attempt)
 	a.number++
 	a.finished = append(a.finished, workerapi.FinishedTask{N: a.number, Task: task, Attempt: r.attempt, How: how})
@@ -120,9 +120,9 @@
 func (a *agent) stop(order *workerapi.StopOrder) workerapi.Outcome {
 	r := a.find(order.Task, order.Attempt)
 	if r == nil {
-		return workerapi.RefusedOld
+		return workerapi.RefusedStale
 	}
-	a.worker.world.after(stopLasts, func() { a.worker.end(r, workerapi.HowStopped) })
+	a.worker.world.after(stopLasts, func() { a.worker.end(r, workerapi.EndStopped) })
 	return workerapi.Done
 }
 
@@ -171,7 +171,7 @@
 	life := a.life
 	world.at(due+time.Millisecond, func() {
 		if a.life == life && world.now > a.heldUntil {
-			a.worker.endAll(workerapi.HowLapsed)
+			a.worker.endAll(workerapi.EndLapsed)
 		}
 	})
 }
--- a/internal/system/decisionlab/plain.go
+++ b/internal/system/decisionlab/plain.go
@@ -162,12 +162,12 @@
 			p.again(t, w)
 			return
 		}
-		w.start(t.name, attempt, func(r *run, how workerapi.How) { p.heard(t, w, attempt, how) })
+		w.start(t.name, attempt, func(r *run, how workerapi.EndReason) { p.heard(t, w, attempt, how) })
 	})
 }
 
 // heard takes the word of an end once the worker can be heard.
-func (p *plain) heard(t *plainTask, w *worker, attempt int, how workerapi.How) {
+func (p *plain) heard(t *plainTask, w *worker, attempt int, how workerapi.EndReason) {
 	if w.cut {
 		p.after(100*time.Millisecond, func() { p.heard(t, w, attempt, how) })
 		return
@@ -179,15 +179,15 @@
 	})
 }
 
-func (p *plain) ended(t *plainTask, w *worker, how workerapi.How) {
+func (p *plain) ended(t *plainTask, w *worker, how workerapi.EndReason) {
 	job := t.name.job
-	if how == workerapi.HowFailed {
+	if how == workerapi.EndFailed {
 		t.failures++
 	}
 	switch {
 	case p.over[job]:
 		p.forget(t, w)
-	case how == workerapi.HowDone:
+	case how == workerapi.EndDone:
 		p.forget(t, w)
 		t.done = true
 		p.taskDone(t)
@@ -237,7 +237,7 @@
 func (p *plain) lapse(t *DrawnTrouble) {
 	for _, index := range t.Workers {
 		w := p.workers[index]
-		w.endAll(workerapi.HowLapsed)
+		w.endAll(workerapi.EndLapsed)
 		p.lostAll(w)
 	}
 }
--- a/internal/system/decisionlab/worker.go
+++ b/internal/system/decisionlab/worker.go
@@ -21,7 +21,7 @@
 	need    Need
 	lasts   time.Duration
 	// ended is told how it ended; lists of ends are the worker's.
-	ended func(r *run, how workerapi.How)
+	ended func(r *run, how workerapi.EndReason)
 	over  bool
 }
 
@@ -50,19 +50,19 @@
 }
 
 // start begins a run; the caller has seen that it fits.
-func (w *worker) start(name taskName, attempt int, ended func(*run, workerapi.How)) *run {
+func (w *worker) start(name taskName, attempt int, ended func(*run, workerapi.EndReason)) *run {
 	step := &name.job.Steps[name.step]
 	r := &run{name: name, attempt: attempt, began: w.world.now, need: step.Need, lasts: w.duration(name), ended: ended}
 	w.runs = append(w.runs, r)
 	w.free = w.free.minus(r.need)
 	w.world.result.Starts++
-	how, lasts := workerapi.HowDone, r.lasts
+	how, lasts := workerapi.EndDone, r.lasts
 	switch {
 	case w.grey:
-		how, lasts = workerapi.HowFailed, time.Duration(greyPart*float64(lasts))
+		how, lasts = workerapi.EndFailed, time.Duration(greyPart*float64(lasts))
 	case w.world.failsLeft[name] > 0:
 		w.world.failsLeft[name]--
-		how = workerapi.HowFailed
+		how = workerapi.EndFailed
 	}
 	w.world.after(lasts, func() { w.end(r, how) })
 	return r
@@ -79,14 +79,14 @@
 }
 
 // end ends a run that isn't over yet.
-func (w *worker) end(r *run, how workerapi.How) {
+func (w *worker) end(r *run, how workerapi.EndReason) {
 	if r.over {
 		return
 	}
 	r.over = true
 	w.runs = slices.DeleteFunc(w.runs, func(other *run) bool { return other == r })
 	w.free = w.free.plus(r.need)
-	if how != workerapi.HowDone {
+	if how != workerapi.EndDone {
 		w.world.wasted(r)
 	}
 	r.ended(r, how)
@@ -98,7 +98,7 @@
 }
 
 // endAll ends all runs in one way.
-func (w *worker) endAll(how workerapi.How) {
+func (w *worker) endAll(how workerapi.EndReason) {
 	for _, r := range slices.Clone(w.runs) {
 		w.end(r, how)
 	}
--- a/internal/system/localcluster/cluster.go
+++ b/internal/system/localcluster/cluster.go
@@ -69,7 +69,7 @@
 	}
 	c.plan.replicas, c.plan.tolerance = c.options.Replicas, c.options.tolerance()
 	c.plan.memoryMb = c.options.ReplicaMemoryMb
-	c.plan.files = c.options.ReplicaFiles
+	c.plan.files = c.options.ReplicaMaxOpenFiles
 	c.plan.listRate = c.options.ListRate
 	c.plan.worldRules = hollow.DefaultSettings()
 	c.plan.worldRules.Seed = c.options.Seed
@@ -89,7 +89,7 @@
 }
 
 func (c *Cluster) openFolder() error {
-	c.plan.folder = c.options.Folder
+	c.plan.folder = c.options.Dir
 	if c.plan.folder == "" {
 		folder, err := os.MkdirTemp("", "gaugeslip-cluster-")
 		if err != nil {
@@ -149,7 +149,7 @@
 		}
 		arguments = append(arguments, path)
 	}
-	c.hollow = c.child("hollow-dispatchers", "", func() *exec.Cmd { return exec.Command(c.options.Self, arguments...) })
+	c.hollow = c.child("hollow-dispatchers", "", func() *exec.Cmd { return exec.Command(c.options.GaugelabPath, arguments...) })
 	return nil
 }
 
@@ -163,21 +163,21 @@
 
 func (c *Cluster) program(name, settings string) func() *exec.Cmd {
 	if c.options.Relay != "" {
-		path := filepath.Join(c.options.Programs, programRelayed)
+		path := filepath.Join(c.options.ProgramDir, programRelayed)
 		return func() *exec.Cmd { return exec.Command(path, name, c.options.Relay) }
 	}
-	path := filepath.Join(c.options.Programs, name)
+	path := filepath.Join(c.options.ProgramDir, name)
 	return func() *exec.Cmd { return exec.Command(path, "run") }
 }
 
 // replicaCommand runs the replica's program, or this one in its role where a profile is wanted.
 func (c *Cluster) replicaCommand(index int, settings string) func() *exec.Cmd {
-	if c.options.Profiles == "" {
+	if c.options.ProfileDir == "" {
 		return c.program(programReplica, settings)
 	}
-	prefix := filepath.Join(c.options.Profiles, replicaName(index))
+	prefix := filepath.Join(c.options.ProfileDir, replicaName(index))
 	return func() *exec.Cmd {
-		return exec.Command(c.options.Self, "system", "process", programReplica, settings, "--profile", prefix)
+		return exec.Command(c.options.GaugelabPath, "system", "process", programReplica, settings, "--profile", prefix)
 	}
 }
 
@@ -289,7 +289,7 @@
 	for _, child := range children {
 		group.Go(func() {
 			child.thaw()
-			if c.options.Profiles == "" {
+			if c.options.ProfileDir == "" {
 				child.kill()
 				return
 			}
--- a/internal/system/localcluster/options.go
+++ b/internal/system/localcluster/options.go
@@ -14,31 +14,31 @@
 	HollowDispatchers int
 	Workers           int     // 12
 	Rate              float64 // jobs a second, 5 by default
-	// For is how long clients hand jobs in, 15 s by default; Patience is how long the run then waits for what isn't over, 20 s.
-	For, Patience time.Duration
+	// LoadDuration is how long clients hand jobs in, 15 s by default; Patience is how long the run then waits for what isn't over, 20 s.
+	LoadDuration, DrainTimeout time.Duration
 	// Seed is that of the jobs, their times and the troubles' choices.
 	Seed uint64
 	// ConfigurationFile is the operator's configuration; empty for the built-in one.
 	ConfigurationFile string
 	Troubles          []Trouble
-	// Programs is the folder of the programs controlplane and dataplane.
-	Programs string
+	// ProgramDir is the folder of the programs controlplane and dataplane.
+	ProgramDir string
 	// Relay is the address of the relay through which all processes reach each other; empty: directly. The folder of the programs has to
 	// hold relayednode then.
 	Relay string
-	// Self is this module's gaugelab program; it runs hollow dispatchers and profiled replicas. Only they need it.
-	Self string
-	// Profiles is a folder for processor and heap profiles of the replicas; empty: none.
-	Profiles string
+	// GaugelabPath is this module's gaugelab program; it runs hollow dispatchers and profiled replicas. Only they need it.
+	GaugelabPath string
+	// ProfileDir is a folder for processor and heap profiles of the replicas; empty: none.
+	ProfileDir string
 	// ReplicaMemoryMb is what settings give replicas; 0 stands for that of the core machines.
 	ReplicaMemoryMb float64
-	// ReplicaFiles is how many descriptors settings give replicas; 0 stands for those of the core machines.
-	ReplicaFiles int
+	// ReplicaMaxOpenFiles is how many descriptors settings give replicas; 0 stands for those of the core machines.
+	ReplicaMaxOpenFiles int
 	// ListRate is how many calls a second the platform's list takes, 30 by default, and ListPage how many workers a page holds, 50.
 	ListRate float64
 	ListPage int
-	// Folder holds settings, disks and logs; empty for a temporary one that is removed at the end.
-	Folder string
+	// Dir holds settings, disks and logs; empty for a temporary one that is removed at the end.
+	Dir string
 	// Table gets a line a second; nil: none.
 	Table io.Writer
 }
@@ -64,8 +64,8 @@
 	orDefault(&o.Dispatchers, defaultDispatchers)
 	orDefault(&o.Workers, defaultWorkers)
 	orDefault(&o.Rate, defaultRate)
-	orDefault(&o.For, defaultFor)
-	orDefault(&o.Patience, defaultPatience)
+	orDefault(&o.LoadDuration, defaultFor)
+	orDefault(&o.DrainTimeout, defaultPatience)
 	orDefault(&o.ListRate, platformRatePerS)
 	orDefault(&o.ListPage, platformPageSize)
 }
@@ -83,12 +83,12 @@
 		return fmt.Errorf("%d workers: 1 to %d", o.Workers, mostWorkers)
 	case o.Rate < 0 || o.Rate > mostRate:
 		return fmt.Errorf("%v jobs a second: 0 to %d", o.Rate, mostRate)
-	case o.For < 0 || o.For > mostFor:
-		return fmt.Errorf("%v: 0s to %v", o.For, mostFor)
+	case o.LoadDuration < 0 || o.LoadDuration > mostFor:
+		return fmt.Errorf("%v: 0s to %v", o.LoadDuration, mostFor)
 	case o.ListRate <= 0 || o.ListPage <= 0:
 		return fmt.Errorf("list of %v calls a second, pages of %d: more than 0", o.ListRate, o.ListPage)
-	case o.Patience < 0 || o.Patience > mostPatience:
-		return fmt.Errorf("patience of %v: 0s to %v", o.Patience, mostPatience)
+	case o.DrainTimeout < 0 || o.DrainTimeout > mostPatience:
+		return fmt.Errorf("patience of %v: 0s to %v", o.DrainTimeout, mostPatience)
 	}
 	return nil
 }
--- a/internal/system/localcluster/report.go
+++ b/internal/system/localcluster/report.go
@@ -116,11 +116,11 @@
 	}
 }
 
-// Sound tells whether nothing was lost, no rule was broken, and no process ended by itself.
-func (r *Report) Sound() bool { return r.Jobs.Lost == 0 && len(r.Broken) == 0 && r.Crashes == 0 }
+// Passed tells whether nothing was lost, no rule was broken, and no process ended by itself.
+func (r *Report) Passed() bool { return r.Jobs.Lost == 0 && len(r.Broken) == 0 && r.Crashes == 0 }
 
-// JSON writes the report as one object.
-func (r *Report) JSON(out io.Writer) error {
+// WriteJSON writes the report as one object.
+func (r *Report) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(r)
--- a/internal/system/localcluster/report_test.go
+++ b/internal/system/localcluster/report_test.go
@@ -93,11 +93,11 @@
 func TestReportTellsWhatIsUnsound(t *testing.T) {
 	report := &Report{Seed: 7, Orders: Orders{Ends: map[string]int{"done": 2}, Refused: map[string]int{"late": 1}}}
 	report.noteRules(nil)
-	require.True(t, report.Sound())
+	require.True(t, report.Passed())
 	report.noteRules([]hollow.Violation{{Rule: hollow.RuleTwice, Task: "x"}, {Rule: hollow.RuleTwice}, {Rule: hollow.RuleRoute}})
-	require.False(t, report.Sound())
-	require.False(t, (&Report{Jobs: Jobs{Lost: 1}}).Sound())
-	require.False(t, (&Report{Crashes: 1}).Sound())
+	require.False(t, report.Passed())
+	require.False(t, (&Report{Jobs: Jobs{Lost: 1}}).Passed())
+	require.False(t, (&Report{Crashes: 1}).Passed())
 
 	var text bytes.Buffer
 	require.NoError(t, report.Print(&text))
@@ -106,7 +106,7 @@
 	require.Contains(t, text.String(), "ROUTE:1")
 
 	var object bytes.Buffer
-	require.NoError(t, report.JSON(&object))
+	require.NoError(t, report.WriteJSON(&object))
 	var read Report
 	require.NoError(t, json.Unmarshal(object.Bytes(), &read))
 	require.Equal(t, *report, read)
--- a/internal/system/localcluster/run.go
+++ b/internal/system/localcluster/run.go
@@ -93,7 +93,7 @@
 		defer close(troubled)
 		fault = troubles.run(ctx, s.options.Troubles)
 	}()
-	err := s.load(ctx, s.options.Rate, s.options.For, s.mixed)
+	err := s.load(ctx, s.options.Rate, s.options.LoadDuration, s.mixed)
 	<-troubled
 	if err == nil {
 		err = fault
@@ -159,7 +159,7 @@
 
 // awaitJobs waits until every accepted job is over, or patience is.
 func (s *session) awaitJobs(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, s.options.Patience)
+	limited, cancel := context.WithTimeout(ctx, s.options.DrainTimeout)
 	defer cancel()
 	for s.cluster.ledger.waiting() > 0 && pause.For(limited, waitEvery) == nil {
 	}
@@ -202,7 +202,7 @@
 		Replicas:    s.options.Replicas,
 		Dispatchers: s.options.Dispatchers + s.options.HollowDispatchers,
 		Workers:     s.options.Workers,
-		Seconds:     s.options.For.Seconds(),
+		Seconds:     s.options.LoadDuration.Seconds(),
 		Jobs:        c.ledger.count(true),
 		Latencies:   c.ledger.latencies(s.from),
 		Orders:      orders,
--- a/internal/system/localcluster/run_test.go
+++ b/internal/system/localcluster/run_test.go
@@ -22,10 +22,10 @@
 	require.NoError(t, err)
 	var table bytes.Buffer
 	report, err := Run(t.Context(), Options{
-		Programs: programs, Workers: 6, Rate: 4, For: 2 * time.Second, Patience: time.Minute, Seed: 3, Troubles: []Trouble{trouble}, Table: &table,
+		ProgramDir: programs, Workers: 6, Rate: 4, LoadDuration: 2 * time.Second, DrainTimeout: time.Minute, Seed: 3, Troubles: []Trouble{trouble}, Table: &table,
 	})
 	require.NoError(t, err)
-	require.True(t, report.Sound(), "%+v\n%s", report, table.String())
+	require.True(t, report.Passed(), "%+v\n%s", report, table.String())
 	require.Positive(t, report.Jobs.Done)
 	require.Equal(t, report.Jobs.Accepted, report.Jobs.Done)
 	require.NotZero(t, report.Epoch, "the head was lost")
@@ -38,7 +38,7 @@
 func TestStartCleansUpAfterAFault(t *testing.T) {
 	temporary := t.TempDir()
 	t.Setenv("TMPDIR", temporary)
-	_, err := Start(Options{Programs: "/nowhere"})
+	_, err := Start(Options{ProgramDir: "/nowhere"})
 	require.Error(t, err)
 	left, err := os.ReadDir(temporary)
 	require.NoError(t, err)
@@ -48,6 +48,6 @@
 func TestStartLeavesTheFolderOfAnotherCluster(t *testing.T) {
 	folder := t.TempDir()
 	require.NoError(t, os.Mkdir(filepath.Join(folder, replicaName(0)), folderMode))
-	_, err := Start(Options{Programs: "/nowhere", Folder: folder})
+	_, err := Start(Options{ProgramDir: "/nowhere", Dir: folder})
 	require.ErrorIs(t, err, errFolderInUse)
 }
--- a/internal/system/localcluster/scale.go
+++ b/internal/system/localcluster/scale.go
@@ -50,7 +50,7 @@
 // RunSize plays a cluster of the options' number of workers: tasks that outlast the run, then a steady load that is measured.
 func RunSize(ctx context.Context, options ScaleOptions) (*SizeReport, error) {
 	options.Rate = startsASecondPerWorker * float64(options.Workers) / steadyTasks
-	options.For = options.Window
+	options.LoadDuration = options.Window
 	dispatchers := max(leastDispatchers, options.Workers/workersADispatcher)
 	options.withDefaults()
 	options.HollowDispatchers = max(0, dispatchers-options.Dispatchers)
@@ -139,7 +139,7 @@
 	}
 	s.from = s.cluster.ledger.now()
 	before, orders := s.cluster.look(), s.cluster.lookAtOrders()
-	if err := s.load(ctx, s.options.Rate, s.options.For, s.steady); err != nil {
+	if err := s.load(ctx, s.options.Rate, s.options.LoadDuration, s.steady); err != nil {
 		return err
 	}
 	after, orderEnd := s.cluster.look(), s.cluster.lookAtOrders()
--- a/internal/system/localcluster/scenario.go
+++ b/internal/system/localcluster/scenario.go
@@ -168,7 +168,7 @@
 
 // Apply puts what the scenario says into the options.
 func (s *Scenario) Apply(options *Options) {
-	override(&options.For, s.length)
+	override(&options.LoadDuration, s.length)
 	override(&options.Rate, s.Rate)
 	override(&options.Replicas, s.Replicas)
 	override(&options.Dispatchers, s.Dispatchers)
--- a/internal/system/localcluster/scenario_test.go
+++ b/internal/system/localcluster/scenario_test.go
@@ -56,7 +56,7 @@
 		options.withDefaults()
 		require.NoError(t, options.check(), file)
 		require.Len(t, options.Troubles, len(read.Trouble))
-		require.Equal(t, read.length, options.For)
+		require.Equal(t, read.length, options.LoadDuration)
 	}
 }
 
@@ -75,7 +75,7 @@
 		"hollow":      func(o *Options) { o.HollowDispatchers = mostMachines },
 		"workers":     func(o *Options) { o.Workers = mostWorkers + 1 },
 		"jobs":        func(o *Options) { o.Rate = -1 },
-		"patience":    func(o *Options) { o.Patience = -1 },
+		"patience":    func(o *Options) { o.DrainTimeout = -1 },
 	} {
 		var options Options
 		options.withDefaults()
--- a/internal/system/localcluster/soak.go
+++ b/internal/system/localcluster/soak.go
@@ -19,18 +19,18 @@
 
 // SoakOptions say how long a soak run lasts and how much goes wrong in it at a time. Zero values stand for the defaults.
 type SoakOptions struct {
-	Seed        uint64
-	Replicas    int           // 3
-	Dispatchers int           // 3
-	Workers     int           // 12
-	Rate        float64       // jobs a second, 8 by default
-	For         time.Duration // how long troubles last, 15 s by default
-	// Tracks is how many troubles there may be at a time, 3 by default.
-	Tracks int
-	// Programs is the folder that holds relayednode.
-	Programs string
-	// Folder holds settings, disks and logs and has to be empty; a temporary one where it isn't named. It is kept where something was found.
-	Folder string
+	Seed            uint64
+	Replicas        int           // 3
+	Dispatchers     int           // 3
+	Workers         int           // 12
+	Rate            float64       // jobs a second, 8 by default
+	TroubleDuration time.Duration // how long troubles last, 15 s by default
+	// ConcurrentTroubles is how many troubles there may be at a time, 3 by default.
+	ConcurrentTroubles int
+	// ProgramDir is the folder that holds relayednode.
+	ProgramDir string
+	// Dir holds settings, disks and logs and has to be empty; a temporary one where it isn't named. It is kept where something was found.
+	Dir string
 	// Table gets a line for each trouble; nil: none.
 	Table io.Writer
 }
@@ -69,7 +69,7 @@
 	Starts   int // that workers took
 	Epoch    uint64
 	Findings []Finding
-	Folder   string // of settings, disks and logs, where it was kept
+	Dir      string // of settings, disks and logs, where it was kept
 }
 
 // Print writes the report for people.
@@ -79,8 +79,8 @@
 	for _, finding := range r.Findings {
 		fmt.Fprintf(out, "  %8.3f s %s: %s\n", finding.At.Seconds(), finding.Rule, finding.Detail)
 	}
-	if r.Folder != "" {
-		fmt.Fprintf(out, "  logs: %s\n", r.Folder)
+	if r.Dir != "" {
+		fmt.Fprintf(out, "  logs: %s\n", r.Dir)
 	}
 }
 
@@ -109,8 +109,8 @@
 	orDefault(&o.Dispatchers, defaultDispatchers)
 	orDefault(&o.Workers, defaultWorkers)
 	orDefault(&o.Rate, defaultSoakRate)
-	orDefault(&o.For, defaultSoakFor)
-	orDefault(&o.Tracks, defaultSoakTracks)
+	orDefault(&o.TroubleDuration, defaultSoakFor)
+	orDefault(&o.ConcurrentTroubles, defaultSoakTracks)
 }
 
 // Soak runs one cluster of real processes under troubles that overlap, all drawn by the seed, and tells which promises it saw broken. It ends
@@ -122,12 +122,12 @@
 		return nil, err
 	}
 	defer carrier.Close()
-	folder, err := soakFolder(options.Folder)
+	folder, err := soakFolder(options.Dir)
 	if err != nil {
 		return nil, err
 	}
 	cluster, err := Start(Options{Replicas: options.Replicas, Dispatchers: options.Dispatchers, Workers: options.Workers, Seed: options.Seed,
-		Programs: options.Programs, Folder: folder, Relay: carrier.Address()})
+		ProgramDir: options.ProgramDir, Dir: folder, Relay: carrier.Address()})
 	if err != nil {
 		return nil, err
 	}
@@ -218,10 +218,10 @@
 
 // trouble runs the tracks of troubles.
 func (s *soak) trouble(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, s.options.For)
+	limited, cancel := context.WithTimeout(ctx, s.options.TroubleDuration)
 	defer cancel()
 	var group sync.WaitGroup
-	for number := range s.options.Tracks {
+	for number := range s.options.ConcurrentTroubles {
 		random := rand.New(rand.NewPCG(s.options.Seed, uint64(number)+firstTrackStream))
 		group.Go(func() { s.track(limited, random) })
 	}
@@ -242,8 +242,8 @@
 
 // keepOrRemove keeps the folder for whoever looks into a finding.
 func (s *soak) keepOrRemove(report *SoakReport) {
-	if len(report.Findings) > 0 || s.options.Folder != "" {
-		report.Folder = s.cluster.plan.folder
+	if len(report.Findings) > 0 || s.options.Dir != "" {
+		report.Dir = s.cluster.plan.folder
 		return
 	}
 	s.cluster.removeFolder = true
--- a/internal/system/localcluster/soak_test.go
+++ b/internal/system/localcluster/soak_test.go
@@ -26,7 +26,7 @@
 	}
 	for _, seed := range seeds.List(t, "GAUGESLIP_SOAK", "GAUGESLIP_SOAKS", 1, 1) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			options := SoakOptions{Seed: seed, For: length, Programs: programs}
+			options := SoakOptions{Seed: seed, TroubleDuration: length, ProgramDir: programs}
 			if os.Getenv("GAUGESLIP_SOAK_LOG") != "" {
 				options.Table = os.Stderr
 			}
--- a/internal/system/logfile/check.go
+++ b/internal/system/logfile/check.go
@@ -29,7 +29,7 @@
 }
 
 // Check replays the log as a replica does at its start and checks the invariants. It treats all entries as committed, though the last
-// few may not be. The error wraps ErrBroken and names the record or entry.
+// few may not be. The error wraps ErrCorrupt and names the record or entry.
 func Check(reading wal.ReadResult) (Report, error) {
 	records := make([]replica.Record, len(reading.Records))
 	for i, record := range reading.Records {
@@ -37,7 +37,7 @@
 	}
 	persisted, err := replica.Restore(records)
 	if err != nil {
-		return Report{}, fmt.Errorf("%w: %w", ErrBroken, err)
+		return Report{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	report := Report{Identity: persisted.Identity, Epoch: persisted.View.Epoch, Records: len(records), Torn: reading.Torn,
 		LastIndex: persisted.Log.Last()}
@@ -59,13 +59,13 @@
 func checkView(persisted *replica.Persisted) error {
 	switch {
 	case persisted.Identity == "":
-		return fmt.Errorf("%w: the disk has no identity", ErrBroken)
+		return fmt.Errorf("%w: the disk has no identity", ErrCorrupt)
 	case persisted.View.Known() && len(persisted.View.Chain) == 0:
-		return fmt.Errorf("%w: the view of epoch %d has no chain", ErrBroken, persisted.View.Epoch)
+		return fmt.Errorf("%w: the view of epoch %d has no chain", ErrCorrupt, persisted.View.Epoch)
 	}
 	for _, member := range persisted.View.Chain {
 		if !persisted.View.IsVoter(member.ID) {
-			return fmt.Errorf("%w: %s is in the chain of epoch %d but is not a voter", ErrBroken, member.ID, persisted.View.Epoch)
+			return fmt.Errorf("%w: %s is in the chain of epoch %d but is not a voter", ErrCorrupt, member.ID, persisted.View.Epoch)
 		}
 	}
 	return nil
@@ -77,18 +77,18 @@
 	if persisted.Snapshot != nil {
 		report.SnapshotIndex = persisted.Snapshot.Index
 		if err := machine.Restore(persisted.Snapshot.Data); err != nil {
-			return nil, fmt.Errorf("%w: snapshot at %d: %w", ErrBroken, persisted.Snapshot.Index, err)
+			return nil, fmt.Errorf("%w: snapshot at %d: %w", ErrCorrupt, persisted.Snapshot.Index, err)
 		}
 	}
 	if err := machine.Check(); err != nil {
-		return nil, fmt.Errorf("%w: snapshot at %d: %w", ErrBroken, report.SnapshotIndex, err)
+		return nil, fmt.Errorf("%w: snapshot at %d: %w", ErrCorrupt, report.SnapshotIndex, err)
 	}
 	entries, _ := persisted.Log.Slice(persisted.Log.Base()+1, math.MaxInt)
 	report.Entries = len(entries)
 	epoch := uint64(0)
 	for i, entry := range entries {
 		if entry.Epoch < epoch {
-			return nil, fmt.Errorf("%w: entry %d has epoch %d after %d", ErrBroken, entry.Index, entry.Epoch, epoch)
+			return nil, fmt.Errorf("%w: entry %d has epoch %d after %d", ErrCorrupt, entry.Index, entry.Epoch, epoch)
 		}
 		epoch = entry.Epoch
 		if err := apply(machine, entry); err != nil {
@@ -98,7 +98,7 @@
 			continue
 		}
 		if err := machine.Check(); err != nil {
-			return nil, fmt.Errorf("%w: at entry %d: %w", ErrBroken, entry.Index, err)
+			return nil, fmt.Errorf("%w: at entry %d: %w", ErrCorrupt, entry.Index, err)
 		}
 	}
 	return machine, nil
@@ -111,7 +111,7 @@
 	}
 	command, err := state.Decode(entry.Data)
 	if err != nil {
-		return fmt.Errorf("%w: entry %d: %w", ErrBroken, entry.Index, err)
+		return fmt.Errorf("%w: entry %d: %w", ErrCorrupt, entry.Index, err)
 	}
 	machine.Apply(command)
 	return nil
--- a/internal/system/logfile/logfile.go
+++ b/internal/system/logfile/logfile.go
@@ -12,8 +12,8 @@
 	"gaugeslip/internal/system/state"
 )
 
-// ErrBroken means that a correct replica can't have written the log.
-var ErrBroken = errors.New("log broken")
+// ErrCorrupt means that a correct replica can't have written the log.
+var ErrCorrupt = errors.New("log broken")
 
 // Line is one record of the log.
 type Line struct {
@@ -53,8 +53,8 @@
 	return wal.Read(disk, name)
 }
 
-// Lines describes each record.
-func Lines(records []wal.Record) []Line {
+// Describe describes each record.
+func Describe(records []wal.Record) []Line {
 	lines := make([]Line, len(records))
 	for i, record := range records {
 		lines[i] = describe(record)
--- a/internal/system/logfile/logfile_test.go
+++ b/internal/system/logfile/logfile_test.go
@@ -84,7 +84,7 @@
 	require.NoError(t, err)
 	assert.False(t, reading.Torn)
 	kinds := map[string]int{}
-	for _, line := range Lines(reading.Records) {
+	for _, line := range Describe(reading.Records) {
 		assert.Empty(t, line.Problem)
 		assert.NotContains(t, line.Record, "kind-")
 		kinds[line.Record+" "+line.Kind]++
@@ -187,11 +187,11 @@
 	}
 	for name, records := range cases {
 		_, err := Check(wal.ReadResult{Records: records})
-		assert.ErrorIs(t, err, ErrBroken, name)
+		assert.ErrorIs(t, err, ErrCorrupt, name)
 	}
-	lines := Lines(cases["unknown kind of record"])
+	lines := Describe(cases["unknown kind of record"])
 	assert.Equal(t, "kind-200", lines[len(lines)-1].Record)
 	assert.NotEmpty(t, lines[len(lines)-1].Problem)
-	lines = Lines(cases["entry that is no command"])
+	lines = Describe(cases["entry that is no command"])
 	assert.NotEmpty(t, lines[len(lines)-1].Problem)
 }
--- a/internal/system/logfile/restore.go
+++ b/internal/system/logfile/restore.go
@@ -13,8 +13,8 @@
 // restoredEpochIncrement is added to the last epoch on the disk, to exceed any epoch that the other replicas may have agreed on since.
 const restoredEpochIncrement = 1000
 
-// ErrNotWhole means that a system can't be restored from a log, because it may lack committed entries.
-var ErrNotWhole = errors.New("this disk may lack what was committed")
+// ErrIncomplete means that a system can't be restored from a log, because it may lack committed entries.
+var ErrIncomplete = errors.New("this disk may lack what was committed")
 
 // Restored summarizes a restored log.
 type Restored struct {
@@ -25,7 +25,7 @@
 
 // Restore writes a new log to target. It contains all records of the log of that name in dir but those of ballots, and a view whose only voter
 // and member is the replica of that disk. It is for the loss of more disks than the system tolerates: without a majority of the voters the
-// system can't continue by itself. Restore doesn't change dir; target must be empty or missing. The error wraps ErrNotWhole if the replica
+// system can't continue by itself. Restore doesn't change dir; target must be empty or missing. The error wraps ErrIncomplete if the replica
 // wasn't in the chain.
 func Restore(dir, name, target string) (Restored, error) {
 	reading, err := Read(dir, name)
@@ -56,12 +56,12 @@
 	}
 	persisted, err := replica.Restore(converted)
 	if err != nil {
-		return view.View{}, view.Member{}, fmt.Errorf("%w: %w", ErrBroken, err)
+		return view.View{}, view.Member{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	position := persisted.View.Position(persisted.Identity)
 	if position < 0 {
 		return view.View{}, view.Member{}, fmt.Errorf("%w: %s isn't in the chain of its newest view, epoch %d; take the disk of one that is",
-			ErrNotWhole, persisted.Identity, persisted.View.Epoch)
+			ErrIncomplete, persisted.Identity, persisted.View.Epoch)
 	}
 	member := persisted.View.Chain[position]
 	only := []view.Member{member}
--- a/internal/system/logfile/restore_test.go
+++ b/internal/system/logfile/restore_test.go
@@ -47,7 +47,7 @@
 	require.NoError(t, source.log.Append(wal.Record{Kind: replica.KindView, Data: view.AppendView(nil, without)}))
 	target := filepath.Join(t.TempDir(), "new")
 	_, err = Restore(source.dir, logName, target)
-	assert.ErrorIs(t, err, ErrNotWhole)
+	assert.ErrorIs(t, err, ErrIncomplete)
 	_, err = os.Stat(target)
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
--- a/internal/system/memorybudget/memorybudget.go
+++ b/internal/system/memorybudget/memorybudget.go
@@ -34,8 +34,8 @@
 	held   int64
 }
 
-// Lease returns a lease that reserves nothing yet.
-func (b *Budget) Lease() *Lease { return &Lease{budget: b} }
+// NewLease returns a lease that reserves nothing yet.
+func (b *Budget) NewLease() *Lease { return &Lease{budget: b} }
 
 // Release returns all reserved bytes to the budget. The memory they stand for must not be used after that.
 func (l *Lease) Release() {
--- a/internal/system/network/bound.go
+++ b/internal/system/network/bound.go
@@ -11,8 +11,8 @@
 // NewSlots returns slots for limit connections.
 func NewSlots(limit int) Slots { return make(Slots, limit) }
 
-// Hold returns a connection that releases one slot when it is closed. The caller has taken the slot.
-func (s Slots) Hold(conn net.Conn) net.Conn { return &slotConn{Conn: conn, slots: s} }
+// ReleaseOnClose returns a connection that releases one slot when it is closed. The caller has taken the slot.
+func (s Slots) ReleaseOnClose(conn net.Conn) net.Conn { return &slotConn{Conn: conn, slots: s} }
 
 // slotConn releases its slot on the first Close.
 type slotConn struct {
@@ -26,9 +26,9 @@
 	return s.Conn.Close()
 }
 
-// Bound returns a listener that has at most limit accepted connections open at a time. Further connections wait in the operating system's
+// LimitListener returns a listener that has at most limit accepted connections open at a time. Further connections wait in the operating system's
 // backlog until one is closed.
-func Bound(listener net.Listener, limit int) net.Listener {
+func LimitListener(listener net.Listener, limit int) net.Listener {
 	return &limitListener{Listener: listener, slots: NewSlots(limit), closed: make(chan struct{})}
 }
 
@@ -50,7 +50,7 @@
 		<-b.slots
 		return nil, err
 	}
-	return b.slots.Hold(conn), nil
+	return b.slots.ReleaseOnClose(conn), nil
 }
 
 func (b *limitListener) Close() error {
--- a/internal/system/network/bound_test.go
+++ b/internal/system/network/bound_test.go
@@ -23,7 +23,7 @@
 		simulated := simnet.New(1)
 		inner, err := simulated.Listen(server)
 		require.NoError(t, err)
-		listener := Bound(inner, limit)
+		listener := LimitListener(inner, limit)
 		accepted, ended := make(chan net.Conn, 2*limit), make(chan error, 1)
 		go func() {
 			for {
--- a/internal/system/network/network.go
+++ b/internal/system/network/network.go
@@ -30,8 +30,8 @@
 	return listener, nil
 }
 
-// Sockets listens with the default options of package net.
-func Sockets(address string) (net.Listener, error) { return net.Listen("tcp", address) }
+// ListenTCP listens with the default options of package net.
+func ListenTCP(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
 // ListenForPeers returns a server that listens on the address for calls from other machines.
 func ListenForPeers(network Network, address string) (*transport.Server, error) {
@@ -45,8 +45,8 @@
 	return transport.NewServer(listener), nil
 }
 
-// DialOf returns the network's dial function. It returns nil for a nil network, for which clients use the operating system's sockets.
-func DialOf(network Network) func(ctx context.Context, network, address string) (net.Conn, error) {
+// DialFunc returns the network's dial function. It returns nil for a nil network, for which clients use the operating system's sockets.
+func DialFunc(network Network) func(ctx context.Context, network, address string) (net.Conn, error) {
 	if network == nil {
 		return nil
 	}
--- a/internal/system/requestbody/requestbody_test.go
+++ b/internal/system/requestbody/requestbody_test.go
@@ -29,7 +29,7 @@
 	for _, length := range []int{0, 1, initialUnknownLength - 1, initialUnknownLength, initialUnknownLength + 1, initialKnownLength, initialKnownLength + 1, maxBody - 1, maxBody} {
 		for _, declared := range []int64{int64(length), -1} {
 			budget := memorybudget.NewBudget(2 * maxBody)
-			lease := budget.Lease()
+			lease := budget.NewLease()
 			body, err := Read(newRequest(length, declared), maxBody, lease)
 			require.NoError(t, err, "%d declared as %d", length, declared)
 			assert.Len(t, body, length)
@@ -54,7 +54,7 @@
 		"read error":             {httptest.NewRequest(http.MethodPost, "/", iotest.ErrReader(io.ErrClosedPipe)), maxBody, io.ErrClosedPipe},
 	} {
 		budget := memorybudget.NewBudget(test.budget)
-		lease := budget.Lease()
+		lease := budget.NewLease()
 		_, err := Read(test.request, maxBody, lease)
 		assert.ErrorIs(t, err, test.want, name)
 		lease.Release()
@@ -73,7 +73,7 @@
 			for range 200 {
 				length := random.IntN(maxBody)
 				declared := []int64{int64(length), -1}[random.IntN(2)]
-				lease := budget.Lease()
+				lease := budget.NewLease()
 				body, err := Read(newRequest(length, declared), maxBody, lease)
 				assert.LessOrEqual(t, budget.Held(), int64(3*maxBody))
 				if err == nil {
@@ -92,7 +92,7 @@
 // A body of which nothing arrives reserves little memory, whatever length it declares.
 func TestDeclaredLengthReservesLittleMemory(t *testing.T) {
 	budget := memorybudget.NewBudget(2 * maxBody)
-	lease := budget.Lease()
+	lease := budget.NewLease()
 	_, err := Read(newRequest(0, maxBody), maxBody, lease)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	assert.LessOrEqual(t, budget.Held(), int64(initialKnownLength))
--- a/internal/system/scheduler/callends_test.go
+++ b/internal/system/scheduler/callends_test.go
@@ -18,7 +18,7 @@
 	first := h.mustTakeCall(CallStart, "w")
 	h.advance(100 * time.Millisecond)
 	second := h.mustTakeCall(CallStart, "w")
-	h.answerCall(first, workerapi.RefusedRoom)
+	h.answerCall(first, workerapi.RefusedCapacity)
 	h.drain()
 	require.Empty(t, h.commands, "nothing is voided while the second sending is in flight")
 	require.Equal(t, int64(4000), h.sched.workers["w"].used.CPU)
--- a/internal/system/scheduler/desk_test.go
+++ b/internal/system/scheduler/desk_test.go
@@ -148,7 +148,7 @@
 	return []workerapi.RunningTask{{Task: call.Start.Task, Attempt: call.Start.Attempt, Percent: percent}}
 }
 
-func finished(n uint64, call Call, how workerapi.How) []workerapi.FinishedTask {
+func finished(n uint64, call Call, how workerapi.EndReason) []workerapi.FinishedTask {
 	return []workerapi.FinishedTask{{N: n, Task: call.Start.Task, Attempt: call.Start.Attempt, How: how}}
 }
 
--- a/internal/system/scheduler/guards_test.go
+++ b/internal/system/scheduler/guards_test.go
@@ -131,7 +131,7 @@
 	var ends []workerapi.FinishedTask
 	for n := range workerapi.MaxFinished {
 		task := fmt.Sprintf("00000000000000ff.0.0.%d", n)
-		ends = append(ends, workerapi.FinishedTask{N: uint64(n + 1), Task: task, Attempt: 1, How: workerapi.HowStopped})
+		ends = append(ends, workerapi.FinishedTask{N: uint64(n + 1), Task: task, Attempt: 1, How: workerapi.EndStopped})
 	}
 	for range 5 {
 		h.advance(time.Second)
@@ -152,7 +152,7 @@
 	require.Equal(t, 2, h.countCalls(CallHold))
 	older := h.clockMs()
 	h.advance(earlyAnswer)
-	h.answerHoldIfOut("w", nil, finished(1, call, workerapi.HowDone))
+	h.answerHoldIfOut("w", nil, finished(1, call, workerapi.EndDone))
 	h.commit()
 	h.endCall(h.mustTakeCall(CallHold, "w"), workerapi.HoldReply{Outcome: workerapi.Done, ClockMs: older, Running: running(call, 1)})
 	require.Empty(t, h.sched.workers["w"].runs)
@@ -180,7 +180,7 @@
 	h.startGangOnTwo()
 	h.acceptStart("w1")
 	h.acceptStart("w2")
-	h.answerCall(h.mustTakeCall(CallHold, "w2"), workerapi.OtherLife)
+	h.answerCall(h.mustTakeCall(CallHold, "w2"), workerapi.OtherInstance)
 	h.commit()
 	h.mustTakeCall(CallStop, "w1")
 	require.Zero(t, h.countProposed(state.KindTasksStarting))
@@ -226,7 +226,7 @@
 	h.commit()
 	require.Equal(t, 2, h.countCalls(CallStart))
 	first := h.acceptStart("w")
-	h.answerHoldIfOut("w", nil, finished(1, first, workerapi.HowDone))
+	h.answerHoldIfOut("w", nil, finished(1, first, workerapi.EndDone))
 	h.drain()
 	require.Equal(t, 1, h.countProposed(state.KindTasksEnded))
 	command := h.commands[0]
@@ -254,7 +254,7 @@
 	h := newHarness(t)
 	h.list(listEntry("w", 4000))
 	h.advance(time.Second)
-	h.answerCall(h.mustTakeCall(CallHold, "w"), workerapi.OtherLife)
+	h.answerCall(h.mustTakeCall(CallHold, "w"), workerapi.OtherInstance)
 	h.advance(10 * time.Second)
 	require.Zero(t, h.countCalls(CallHold))
 }
--- a/internal/system/scheduler/holdrules_test.go
+++ b/internal/system/scheduler/holdrules_test.go
@@ -27,10 +27,10 @@
 	h.submit(stage(1, 1000, time.Second))
 	h.commit()
 	call := h.acceptStart("w")
-	h.answerHold("w", nil, finished(1, call, workerapi.HowDone))
+	h.answerHold("w", nil, finished(1, call, workerapi.EndDone))
 	require.Zero(t, h.countCalls(CallHold), "the next hold waits for the commit")
 	h.advance(commitWait)
-	again := h.answerHold("w", nil, finished(1, call, workerapi.HowDone))
+	again := h.answerHold("w", nil, finished(1, call, workerapi.EndDone))
 	require.Zero(t, again.Hold.LastSeen)
 	require.Len(t, h.commands, 1, "proposed once")
 	h.commit()
@@ -45,7 +45,7 @@
 	h.submit(stage(2, 4000, time.Second))
 	h.commit()
 	call := h.acceptStart("w")
-	h.answerHold("w", nil, finished(1, call, workerapi.HowDone))
+	h.answerHold("w", nil, finished(1, call, workerapi.EndDone))
 	kinds := []state.Kind{}
 	for _, command := range h.commands {
 		kinds = append(kinds, command.Kind)
@@ -84,7 +84,7 @@
 	h.submit(stage(1, 1000, 10*time.Second))
 	h.commit()
 	h.acceptStart("w2")
-	h.answerCall(h.mustTakeCall(CallHold, "w2"), workerapi.OtherLife)
+	h.answerCall(h.mustTakeCall(CallHold, "w2"), workerapi.OtherInstance)
 	h.commit()
 	require.Equal(t, 2, h.mustTakeCall(CallStart, "w1").Start.Attempt)
 }
@@ -124,7 +124,7 @@
 	h.commit()
 	require.Zero(t, h.countCalls(CallStart))
 	h.advance(earlyAnswerPause)
-	h.answerHold("w", nil, finished(1, foreignStart, workerapi.HowStopped))
+	h.answerHold("w", nil, finished(1, foreignStart, workerapi.EndStopped))
 	h.commit()
 	require.Equal(t, 1, h.countCalls(CallStart))
 }
--- a/internal/system/scheduler/holds.go
+++ b/internal/system/scheduler/holds.go
@@ -164,7 +164,7 @@
 	switch reply.Outcome {
 	case workerapi.Done:
 		s.holdAnswered(w, ended, reply)
-	case workerapi.OtherLife:
+	case workerapi.OtherInstance:
 		s.instanceEnded(w)
 	default:
 		w.clock.observe(reply.ClockMs, s.now)
@@ -184,7 +184,7 @@
 			return
 		}
 		s.scheduleHold(w, s.now)
-	case workerapi.OtherLife:
+	case workerapi.OtherInstance:
 		s.instanceEnded(w)
 	}
 }
--- a/internal/system/scheduler/jobrules_test.go
+++ b/internal/system/scheduler/jobrules_test.go
@@ -20,7 +20,7 @@
 	h.answerCall(h.mustTakeCall(CallStop, "w"), workerapi.Unknown)
 	h.advance(maxRetry)
 	h.answerCall(h.mustTakeCall(CallStop, "w"), workerapi.Done)
-	h.answerHold("w", nil, finished(1, call, workerapi.HowStopped))
+	h.answerHold("w", nil, finished(1, call, workerapi.EndStopped))
 	h.commit()
 	h.advance(2 * time.Second)
 	require.Zero(t, h.countCalls(CallStop))
@@ -55,7 +55,7 @@
 	call := h.mustTakeCall(CallStop, "w1")
 	require.Equal(t, first.Start.Task, call.Stop.Task)
 	require.Zero(t, h.countCalls(CallStop), "the short run ends in time")
-	end := workerapi.FinishedTask{N: 1, Task: first.Start.Task, Attempt: 1, How: workerapi.HowStopped, Checkpoint: "saved"}
+	end := workerapi.FinishedTask{N: 1, Task: first.Start.Task, Attempt: 1, How: workerapi.EndStopped, Checkpoint: "saved"}
 	h.answerHold("w1", nil, []workerapi.FinishedTask{end})
 	h.commit()
 	again := h.mustTakeCall(CallStart, "w2")
@@ -71,10 +71,10 @@
 	h.submit(stage(2, 1000, time.Second), later)
 	h.commit()
 	first, second := h.acceptStart("w"), h.acceptStart("w")
-	h.answerHold("w", running(second, 5), finished(1, first, workerapi.HowDone))
+	h.answerHold("w", running(second, 5), finished(1, first, workerapi.EndDone))
 	h.commit()
 	require.Zero(t, h.countCalls(CallStart))
-	h.answerHold("w", nil, finished(2, second, workerapi.HowDone))
+	h.answerHold("w", nil, finished(2, second, workerapi.EndDone))
 	h.commit()
 	require.Equal(t, "0000000000000001.0.1.0", h.mustTakeCall(CallStart, "w").Start.Task)
 }
@@ -106,7 +106,7 @@
 		h.commit()
 		call := h.acceptStart("w")
 		require.Equal(t, int(n+1), call.Start.Attempt)
-		h.answerHold("w", nil, finished(n+1, call, workerapi.HowFailed))
+		h.answerHold("w", nil, finished(n+1, call, workerapi.EndFailed))
 		h.commit()
 		h.advance(1100 * time.Millisecond)
 	}
--- a/internal/system/scheduler/lists.go
+++ b/internal/system/scheduler/lists.go
@@ -76,17 +76,17 @@
 }
 
 // endHow converts the way in which a run ended. An unknown one counts as stopped, which uses up no attempt.
-func endHow(how workerapi.How) state.EndReason {
+func endHow(how workerapi.EndReason) state.EndReason {
 	switch how {
-	case workerapi.HowDone:
+	case workerapi.EndDone:
 		return state.Done
-	case workerapi.HowFailed:
+	case workerapi.EndFailed:
 		return state.Failed
-	case workerapi.HowLapsed:
+	case workerapi.EndLapsed:
 		return state.Lapsed
-	case workerapi.HowBroken:
+	case workerapi.EndGangBroken:
 		return state.GangBroken
-	case workerapi.HowAlone:
+	case workerapi.EndGangIncomplete:
 		return state.GangIncomplete
 	}
 	return state.Stopped
--- a/internal/system/scheduler/load_test.go
+++ b/internal/system/scheduler/load_test.go
@@ -148,7 +148,7 @@
 func (r *loadCluster) finish(worker *loadWorker, task string) {
 	delete(worker.running, task)
 	worker.number++
-	worker.finished = append(worker.finished, workerapi.FinishedTask{N: worker.number, Task: task, Attempt: 1, How: workerapi.HowDone})
+	worker.finished = append(worker.finished, workerapi.FinishedTask{N: worker.number, Task: task, Attempt: 1, How: workerapi.EndDone})
 	if worker.hold != nil {
 		r.answer(worker)
 	}
--- a/internal/system/scheduler/lyingworkers_test.go
+++ b/internal/system/scheduler/lyingworkers_test.go
@@ -47,8 +47,8 @@
 
 func (l *randomReplies) reply(now int64) workerapi.HoldReply {
 	reply := workerapi.HoldReply{
-		Outcome: pick(l.random, workerapi.Done, workerapi.Done, workerapi.Done, workerapi.Unknown, workerapi.Busy, workerapi.RefusedFence, workerapi.RefusedOld,
-			workerapi.RefusedLate, workerapi.RefusedRoom, workerapi.BadRequest, workerapi.OtherLife, workerapi.NotSent),
+		Outcome: pick(l.random, workerapi.Done, workerapi.Done, workerapi.Done, workerapi.Unknown, workerapi.Busy, workerapi.RefusedFence, workerapi.RefusedStale,
+			workerapi.RefusedLate, workerapi.RefusedCapacity, workerapi.BadRequest, workerapi.OtherInstance, workerapi.NotSent),
 		ClockMs: l.clock(now), RemainingMs: pick(l.random, int64(0), 0, 1000, -5, math.MaxInt64),
 	}
 	for range l.random.IntN(4) {
@@ -57,8 +57,8 @@
 	for range l.random.IntN(4) {
 		reply.Finished = append(reply.Finished, workerapi.FinishedTask{
 			N: pick(l.random, 0, 1, 2, l.random.Uint64N(50), math.MaxUint64), Task: l.task(), Attempt: l.attempt(), Checkpoint: l.checkpoint(),
-			How: pick(l.random, workerapi.HowDone, workerapi.HowFailed, workerapi.HowStopped, workerapi.HowLapsed, workerapi.HowBroken,
-				workerapi.HowAlone),
+			How: pick(l.random, workerapi.EndDone, workerapi.EndFailed, workerapi.EndStopped, workerapi.EndLapsed, workerapi.EndGangBroken,
+				workerapi.EndGangIncomplete),
 		})
 	}
 	return reply
--- a/internal/system/scheduler/rules_test.go
+++ b/internal/system/scheduler/rules_test.go
@@ -48,7 +48,7 @@
 	h.advance(100 * time.Millisecond)
 	second := h.mustTakeCall(CallStart, "w")
 	h.answerCall(first, workerapi.Unknown)
-	h.answerCall(second, workerapi.RefusedRoom)
+	h.answerCall(second, workerapi.RefusedCapacity)
 	h.commit()
 	require.Zero(t, h.countCalls(CallStart), "the first sending may still be carried out")
 	require.Equal(t, int64(4000), h.sched.workers["w"].used.CPU)
@@ -185,14 +185,14 @@
 	h.answerHold("w", running(call, 50), nil)
 	h.commit()
 	require.Zero(t, h.countCalls(CallStart))
-	h.answerHold("w", nil, finished(1, call, workerapi.HowDone))
+	h.answerHold("w", nil, finished(1, call, workerapi.EndDone))
 	h.commit()
 	require.Equal(t, state.Completed, h.machine.Job(1).State)
 }
 
 func TestRefusedStartsAreVoidedAtOnce(t *testing.T) {
 	for _, outcome := range []workerapi.Outcome{
-		workerapi.RefusedRoom, workerapi.RefusedOld, workerapi.RefusedLate, workerapi.Busy, workerapi.NotSent, workerapi.BadRequest,
+		workerapi.RefusedCapacity, workerapi.RefusedStale, workerapi.RefusedLate, workerapi.Busy, workerapi.NotSent, workerapi.BadRequest,
 	} {
 		t.Run(outcome.String(), func(t *testing.T) {
 			h := newHarness(t)
@@ -215,10 +215,10 @@
 	first := h.acceptStart("w")
 	h.acceptStart("w")
 	h.acceptStart("w")
-	h.answerCall(h.mustTakeCall(CallStart, "w"), workerapi.RefusedRoom)
+	h.answerCall(h.mustTakeCall(CallStart, "w"), workerapi.RefusedCapacity)
 	h.commit()
 	require.Equal(t, int64(0), h.sched.workers["w"].free().CPU)
-	h.answerHold("w", nil, finished(1, first, workerapi.HowDone))
+	h.answerHold("w", nil, finished(1, first, workerapi.EndDone))
 	h.advance(2 * time.Second)
 	h.commit()
 	require.Equal(t, 2, h.mustTakeCall(CallStart, "w").Start.Attempt)
@@ -233,11 +233,11 @@
 	first := h.acceptStart("w1")
 	h.submit(stage(1, 3000, time.Second))
 	h.commit()
-	h.answerCall(h.mustTakeCall(CallStart, "w1"), workerapi.RefusedRoom)
+	h.answerCall(h.mustTakeCall(CallStart, "w1"), workerapi.RefusedCapacity)
 	h.commit()
 	require.Zero(t, h.countCalls(CallStart), "the refused task's capacity is withheld")
 	h.cancel(cancelled)
-	h.answerHold("w1", nil, finished(1, first, workerapi.HowStopped))
+	h.answerHold("w1", nil, finished(1, first, workerapi.EndStopped))
 	h.commit()
 	h.advance(restrictFor)
 	h.commit()
--- a/internal/system/scheduler/runs.go
+++ b/internal/system/scheduler/runs.go
@@ -184,7 +184,7 @@
 	r.stopInFlight = false
 	w.clock.observe(reply.ClockMs, s.now)
 	switch reply.Outcome {
-	case workerapi.OtherLife:
+	case workerapi.OtherInstance:
 		s.instanceEnded(w)
 	case workerapi.Done:
 		r.stopAnswered, r.stopAnsweredAt = true, s.now
--- a/internal/system/scheduler/simchecks_test.go
+++ b/internal/system/scheduler/simchecks_test.go
@@ -21,7 +21,7 @@
 	for _, task := range j.tasks {
 		failed := 0
 		for _, end := range task.ends {
-			if end.how == workerapi.HowFailed {
+			if end.how == workerapi.EndFailed {
 				failed++
 			}
 		}
@@ -48,7 +48,7 @@
 func (w *simCluster) checkBudget(task *simTask) {
 	var noted []time.Duration
 	for _, end := range task.ends {
-		if end.how == workerapi.HowFailed && end.acknowledged && !end.lapsed {
+		if end.how == workerapi.EndFailed && end.acknowledged && !end.lapsed {
 			noted = append(noted, end.at)
 		}
 	}
@@ -83,7 +83,7 @@
 	}
 	task.starts = append(task.starts, w.now)
 	for _, end := range task.ends {
-		if end.how == workerapi.HowDone && end.acknowledged && !end.lapsed && !stage.LongRunning && !stage.Speculative {
+		if end.how == workerapi.EndDone && end.acknowledged && !end.lapsed && !stage.LongRunning && !stage.Speculative {
 			w.violated("TWICE", "%v was started after it ended as done", r.name)
 		}
 	}
--- a/internal/system/scheduler/simjobs_test.go
+++ b/internal/system/scheduler/simjobs_test.go
@@ -124,7 +124,7 @@
 	task := end.task
 	task.ends = append(task.ends, end)
 	switch end.how {
-	case workerapi.HowDone:
+	case workerapi.EndDone:
 		task.done = true
 		if task.stage.spec.Gang {
 			for name, other := range task.job.tasks {
@@ -133,7 +133,7 @@
 				}
 			}
 		}
-	case workerapi.HowFailed:
+	case workerapi.EndFailed:
 		task.failed++
 		task.step.failed++
 	}
@@ -145,14 +145,14 @@
 	if end.lapsed || task.stage.spec.Speculative || task.stage.spec.LongRunning {
 		return
 	}
-	if end.how == workerapi.HowDone {
+	if end.how == workerapi.EndDone {
 		for _, at := range task.starts {
 			if at > end.at {
 				w.violated("TWICE", "%v was started after its end", task.name)
 			}
 		}
 	}
-	if end.how == workerapi.HowFailed && !task.stage.spec.Gang {
+	if end.how == workerapi.EndFailed && !task.stage.spec.Gang {
 		w.checkBudget(task)
 	}
 }
--- a/internal/system/scheduler/simrun_test.go
+++ b/internal/system/scheduler/simrun_test.go
@@ -89,7 +89,7 @@
 					w.violated("GANG", "%v waits for its gang alone", r.name)
 				}
 				w.stats.gangsAlone++
-				r.end(workerapi.HowAlone)
+				r.end(workerapi.EndGangIncomplete)
 			}
 		})
 		return
@@ -195,11 +195,11 @@
 	g.progress = max(g.progress, target)
 	switch {
 	case g.failAt > 0 && g.progress >= g.failAt:
-		g.members[0].end(workerapi.HowFailed)
+		g.members[0].end(workerapi.EndFailed)
 	case !g.stage.spec.LongRunning && g.progress >= g.stage.work:
 		g.halt()
 		for _, r := range slices.Clone(g.members) {
-			r.end(workerapi.HowDone)
+			r.end(workerapi.EndDone)
 		}
 	default:
 		g.save()
@@ -232,12 +232,12 @@
 	g.settle()
 	g.halt()
 	for _, r := range slices.Clone(g.members) {
-		r.end(workerapi.HowBroken)
+		r.end(workerapi.EndGangBroken)
 	}
 }
 
 // end ends a run and lists the end.
-func (r *simRun) end(how workerapi.How) {
+func (r *simRun) end(how workerapi.EndReason) {
 	if r.over || r.worker.runs[r.name] != r {
 		return
 	}
@@ -252,7 +252,7 @@
 	}
 	r.worker.finished = append(r.worker.finished, end)
 	w.recordEnd(end, r)
-	if how == workerapi.HowDone {
+	if how == workerapi.EndDone {
 		r.gang.members = slices.DeleteFunc(r.gang.members, func(m *simRun) bool { return m == r })
 		r.task.running = slices.DeleteFunc(r.task.running, func(m *simRun) bool { return m == r })
 	} else {
--- a/internal/system/scheduler/simworker_test.go
+++ b/internal/system/scheduler/simworker_test.go
@@ -48,7 +48,7 @@
 type simEnd struct {
 	number       uint64
 	run          state.Run
-	how          workerapi.How
+	how          workerapi.EndReason
 	checkpoint   string
 	task         *simTask
 	at           time.Duration
@@ -121,7 +121,7 @@
 	case !worker.up():
 		return
 	case call.Worker.Instance != worker.instance:
-		reply(workerapi.HoldReply{Outcome: workerapi.OtherLife})
+		reply(workerapi.HoldReply{Outcome: workerapi.OtherInstance})
 		return
 	case worker.busy && call.Kind == CallStart:
 		reply(workerapi.HoldReply{Outcome: workerapi.Busy})
@@ -161,7 +161,7 @@
 
 func (worker *simWorker) lapseRuns() {
 	for _, r := range worker.sorted() {
-		r.end(workerapi.HowLapsed)
+		r.end(workerapi.EndLapsed)
 	}
 	for _, end := range worker.finished {
 		end.lapsed = true
@@ -179,7 +179,7 @@
 	}
 	worker.renew(order.DueAtMs)
 	if key.Attempt <= worker.over[name] {
-		return workerapi.RefusedOld
+		return workerapi.RefusedStale
 	}
 	task := worker.world.findTask(name)
 	if task == nil {
@@ -187,7 +187,7 @@
 		return workerapi.BadRequest
 	}
 	if worker.guarded && !task.stage.need.fitsInto(worker.capacity.minus(worker.used())) {
-		return workerapi.RefusedRoom
+		return workerapi.RefusedCapacity
 	}
 	worker.world.begin(worker, task, key, order)
 	return workerapi.Done
@@ -213,7 +213,7 @@
 	r.gang.settle()
 	r.gang.halt()
 	r.gang.save()
-	worker.world.schedule(worker.world.between(0, worker.world.bounds.Stop()), func() { r.end(workerapi.HowStopped) })
+	worker.world.schedule(worker.world.between(0, worker.world.bounds.Stop()), func() { r.end(workerapi.EndStopped) })
 }
 
 // crash ends this instance. A new one starts after a while, unless the worker is gone for good.
--- a/internal/system/scheduler/startorders.go
+++ b/internal/system/scheduler/startorders.go
@@ -82,7 +82,7 @@
 	r, w := ended.run, ended.worker
 	r.startsInFlight--
 	w.clock.observe(reply.ClockMs, s.now)
-	if reply.Outcome == workerapi.OtherLife {
+	if reply.Outcome == workerapi.OtherInstance {
 		s.instanceEnded(w)
 		return
 	}
@@ -97,7 +97,7 @@
 	case workerapi.Unknown:
 		s.markDoubtful(r)
 	case workerapi.RefusedFence:
-	case workerapi.RefusedRoom:
+	case workerapi.RefusedCapacity:
 		s.withholdCapacity(w, r.need)
 		s.startRefused(r, reply.Outcome)
 	case workerapi.Busy:
--- a/internal/system/scheduler/trials_test.go
+++ b/internal/system/scheduler/trials_test.go
@@ -52,7 +52,7 @@
 	id := h.submit(stage(1, 1000, time.Second))
 	h.commit()
 	call := h.acceptStart("w1")
-	h.answerHold("w1", nil, finished(1, call, workerapi.HowFailed))
+	h.answerHold("w1", nil, finished(1, call, workerapi.EndFailed))
 	h.commit()
 	require.EqualValues(t, 1, h.machine.Job(id).Task(state.TaskName{Job: id}).Failures)
 	h.calls = nil
--- a/internal/system/simworld/dispatcher_test.go
+++ b/internal/system/simworld/dispatcher_test.go
@@ -57,7 +57,7 @@
 func (d *dispatcher) start(seeds []string) {
 	d.process = newProcess(d.world.net, d.host)
 	running, err := dataplane.Start(d.writeSettings(seeds), d.world.logger(fmt.Sprintf("edge-%d", d.number)),
-		dataplane.Options{Network: d.process, Announce: time.Millisecond})
+		dataplane.Options{Network: d.process, DrainDelay: time.Millisecond})
 	require.NoError(d.world.t, err, "seed %d", d.world.seed)
 	d.running = running
 }
--- a/internal/system/workerapi/call.go
+++ b/internal/system/workerapi/call.go
@@ -37,7 +37,7 @@
 	}
 	buffer := acquireAnswerBuffer()
 	defer releaseAnswerBuffer(buffer)
-	lease := client.answerMemory.Lease()
+	lease := client.answerMemory.NewLease()
 	defer lease.Release()
 	if err := readAnswer(response, buffer, lease); err != nil {
 		return Unknown, fmt.Errorf("%w: %w", ErrUnanswered, err)
@@ -113,7 +113,7 @@
 		return BadRequest, nil
 	case http.StatusMisdirectedRequest:
 		*answer = wireAnswer{} // the answer describes the other instance
-		return OtherLife, nil
+		return OtherInstance, nil
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return Busy, nil
 	}
--- a/internal/system/workerapi/client_test.go
+++ b/internal/system/workerapi/client_test.go
@@ -109,7 +109,7 @@
 	require.Equal(t, "000007d0", lists.Running[0].Checkpoint[:8])
 	require.Len(t, lists.Finished, 1)
 	require.EqualValues(t, 1, lists.Finished[0].N)
-	require.Equal(t, HowStopped, lists.Finished[0].How)
+	require.Equal(t, EndStopped, lists.Finished[0].How)
 
 	lists = fixture.hold(HoldOrder{DueAtMs: farDue, FenceToken: 1, LastSeen: 1})
 	require.Empty(t, lists.Finished)
@@ -129,9 +129,9 @@
 		{"old", func(fixture *fixture, order *StartOrder) {
 			_, err := fixture.client.Stop(fixture.t.Context(), fixture.target(), StopOrder{Task: order.Task, Attempt: 1, FenceToken: 5})
 			require.NoError(fixture.t, err)
-		}, RefusedOld, 10_000},
+		}, RefusedStale, 10_000},
 		{"late", func(fixture *fixture, order *StartOrder) { order.DueAtMs = 9_999 }, RefusedLate, 10_000},
-		{"room", func(fixture *fixture, order *StartOrder) { order.Task = hollow.TaskName(testJob, 0, 1, 0) }, RefusedRoom, 10_000},
+		{"room", func(fixture *fixture, order *StartOrder) { order.Task = hollow.TaskName(testJob, 0, 1, 0) }, RefusedCapacity, 10_000},
 		{"bad", func(fixture *fixture, order *StartOrder) { order.Task = "x" }, BadRequest, 10_000},
 		{"busy", func(fixture *fixture, order *StartOrder) { fixture.worker.SetFaults(hollow.Faults{Busy: true}) }, Busy, 0},
 	}
@@ -155,7 +155,7 @@
 	fixture.clock.Advance(0)
 	reply, err := fixture.client.Hold(t.Context(), before, HoldOrder{FenceToken: 1})
 	require.NoError(t, err)
-	require.Equal(t, HoldReply{Outcome: OtherLife}, reply)
+	require.Equal(t, HoldReply{Outcome: OtherInstance}, reply)
 }
 
 func TestNoListenerMeansNotSent(t *testing.T) {
--- a/internal/system/workerapi/codec_test.go
+++ b/internal/system/workerapi/codec_test.go
@@ -42,7 +42,7 @@
 			running = append(running, []any{task.Task, task.Attempt, task.Checkpoint, task.Percent})
 		}
 		for range rapid.IntRange(0, 5).Draw(t, "finished") {
-			how := How(rapid.IntRange(1, int(howCount)-1).Draw(t, "how"))
+			how := EndReason(rapid.IntRange(1, int(endReasonCount)-1).Draw(t, "how"))
 			task := FinishedTask{rapid.Uint64Range(1, 1<<50).Draw(t, "number"), rapid.String().Draw(t, "task"), rapid.IntRange(1, 99).Draw(t, "attempt"), how, rapid.String().Draw(t, "saved")}
 			expected.finished = append(expected.finished, task)
 			finished = append(finished, []any{task.N, task.Task, task.Attempt, how.String(), task.Checkpoint})
@@ -61,7 +61,7 @@
 	var answer wireAnswer
 	require.NoError(t, answer.decode([]byte(`{"running":[["a",1],["b",2,null,41.7,{"more":[1]}]],"finished":[[58,"c",1,"odd"]],"remainingMs":2999.9}`)))
 	require.Equal(t, []RunningTask{{"a", 1, "", 0}, {"b", 2, "", 41}}, answer.running)
-	require.Equal(t, []FinishedTask{{58, "c", 1, HowUnknown, ""}}, answer.finished)
+	require.Equal(t, []FinishedTask{{58, "c", 1, EndUnknown, ""}}, answer.finished)
 	require.EqualValues(t, 2999, answer.remainingMs)
 }
 
@@ -89,7 +89,7 @@
 	require.False(t, Done.CertainlyNotDone())
 	require.True(t, NotSent.CertainlyNotDone())
 	require.False(t, NotSent.Answered())
-	require.True(t, RefusedRoom.Answered())
+	require.True(t, RefusedCapacity.Answered())
 }
 
 var holdAnswer = []byte(`{"clockMs":482113,"running":[` +
--- a/internal/system/workerapi/decode.go
+++ b/internal/system/workerapi/decode.go
@@ -59,11 +59,11 @@
 	case "fence":
 		return RefusedFence
 	case "old":
-		return RefusedOld
+		return RefusedStale
 	case "late":
 		return RefusedLate
 	case "room":
-		return RefusedRoom
+		return RefusedCapacity
 	}
 	return Unknown
 }
--- a/internal/system/workerapi/list.go
+++ b/internal/system/workerapi/list.go
@@ -129,7 +129,7 @@
 	}
 	buffer := acquireAnswerBuffer()
 	defer releaseAnswerBuffer(buffer)
-	lease := client.answerMemory.Lease()
+	lease := client.answerMemory.NewLease()
 	defer lease.Release()
 	if err := readAnswer(response, buffer, lease); err != nil {
 		return listPage{}, fmt.Errorf("%w: %w", ErrUnanswered, err)
--- a/internal/system/workerapi/messages.go
+++ b/internal/system/workerapi/messages.go
@@ -72,6 +72,6 @@
 	N          uint64
 	Task       string
 	Attempt    int
-	How        How
+	How        EndReason
 	Checkpoint string
 }
--- a/internal/system/workerapi/outcome.go
+++ b/internal/system/workerapi/outcome.go
@@ -26,34 +26,34 @@
 	Done
 	// RefusedFence: the worker has seen a higher fencing token.
 	RefusedFence
-	// RefusedOld: the worker has stopped or ended this run or a later one of the task.
-	RefusedOld
+	// RefusedStale: the worker has stopped or ended this run or a later one of the task.
+	RefusedStale
 	// RefusedLate: the order's due time had passed on the worker's clock.
 	RefusedLate
-	// RefusedRoom: the worker lacks the free capacity for the task.
-	RefusedRoom
+	// RefusedCapacity: the worker lacks the free capacity for the task.
+	RefusedCapacity
 	// BadRequest: the worker can't decode the order or rejects its format.
 	BadRequest
 	// Busy: an unhealthy worker refused the call and did nothing.
 	Busy
-	// OtherLife: another instance of the process listens at that address; the intended one has ended.
-	OtherLife
+	// OtherInstance: another instance of the process listens at that address; the intended one has ended.
+	OtherInstance
 	// NotSent: the call didn't reach the worker in full, so it certainly had no effect.
 	NotSent
 	outcomeCount
 )
 
 var outcomeNames = [outcomeCount]string{
-	Unknown:      "unknown",
-	Done:         "done",
-	RefusedFence: "refused: fence",
-	RefusedOld:   "refused: old",
-	RefusedLate:  "refused: late",
-	RefusedRoom:  "refused: room",
-	BadRequest:   "bad request",
-	Busy:         "busy",
-	OtherLife:    "other life",
-	NotSent:      "not sent",
+	Unknown:         "unknown",
+	Done:            "done",
+	RefusedFence:    "refused: fence",
+	RefusedStale:    "refused: old",
+	RefusedLate:     "refused: late",
+	RefusedCapacity: "refused: room",
+	BadRequest:      "bad request",
+	Busy:            "busy",
+	OtherInstance:   "other life",
+	NotSent:         "not sent",
 }
 
 // String returns the outcome's name for logs.
@@ -70,55 +70,55 @@
 }
 
 // CertainlyNotDone reports whether this call started and stopped nothing, and never will. It says nothing about earlier
-// calls with the same order: after an Unknown start, RefusedOld may mean that the first start has run and ended.
+// calls with the same order: after an Unknown start, RefusedStale may mean that the first start has run and ended.
 func (outcome Outcome) CertainlyNotDone() bool {
 	return outcome != Unknown && outcome != Done
 }
 
-// How is the reason why a run ended, as the worker lists it.
-type How uint8
+// EndReason is the reason why a run ended, as the worker lists it.
+type EndReason uint8
 
 const (
-	// HowUnknown: the worker sent a word that the contract doesn't define.
-	HowUnknown How = iota
-	// HowDone: the task completed.
-	HowDone
-	// HowFailed: the task or the worker failed.
-	HowFailed
-	// HowStopped: a stop order ended the run.
-	HowStopped
-	// HowLapsed: the hold expired.
-	HowLapsed
-	// HowBroken: another member of the gang ended.
-	HowBroken
-	// HowAlone: the run waited too long for the other members of the gang.
-	HowAlone
-	howCount
+	// EndUnknown: the worker sent a word that the contract doesn't define.
+	EndUnknown EndReason = iota
+	// EndDone: the task completed.
+	EndDone
+	// EndFailed: the task or the worker failed.
+	EndFailed
+	// EndStopped: a stop order ended the run.
+	EndStopped
+	// EndLapsed: the hold expired.
+	EndLapsed
+	// EndGangBroken: another member of the gang ended.
+	EndGangBroken
+	// EndGangIncomplete: the run waited too long for the other members of the gang.
+	EndGangIncomplete
+	endReasonCount
 )
 
-var howNames = [howCount]string{
-	HowUnknown: "unknown",
-	HowDone:    "done",
-	HowFailed:  "failed",
-	HowStopped: "stopped",
-	HowLapsed:  "lapsed",
-	HowBroken:  "broken",
-	HowAlone:   "alone",
+var endReasonNames = [endReasonCount]string{
+	EndUnknown:        "unknown",
+	EndDone:           "done",
+	EndFailed:         "failed",
+	EndStopped:        "stopped",
+	EndLapsed:         "lapsed",
+	EndGangBroken:     "broken",
+	EndGangIncomplete: "alone",
 }
 
 // String returns the word used on the wire.
-func (how How) String() string {
-	if how >= howCount {
-		return howNames[HowUnknown]
+func (how EndReason) String() string {
+	if how >= endReasonCount {
+		return endReasonNames[EndUnknown]
 	}
-	return howNames[how]
+	return endReasonNames[how]
 }
 
-func parseEndReason(word string) How {
-	for how := HowDone; how < howCount; how++ {
-		if howNames[how] == word {
+func parseEndReason(word string) EndReason {
+	for how := EndDone; how < endReasonCount; how++ {
+		if endReasonNames[how] == word {
 			return how
 		}
 	}
-	return HowUnknown
+	return EndUnknown
 }
--- a/internal/tools/relayednode/main.go
+++ b/internal/tools/relayednode/main.go
@@ -36,7 +36,7 @@
 	if len(arguments) != 2 {
 		return errUsage
 	}
-	taken := console.TakeSignals()
+	taken := console.NotifySignals()
 	path := os.Getenv(nodesettings.FileVariable)
 	settings, err := nodesettings.Load(path)
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 	for {
 		select {
-		case <-taken.End:
+		case <-taken.Terminate:
 			node.Leave()
 			return nil
 		case <-taken.Reload:
@@ -88,7 +88,7 @@
 	}
 	ending, end := context.WithCancel(context.Background())
 	go func() {
-		<-taken.End
+		<-taken.Terminate
 		end()
 	}()
 	reload := make(chan struct{})
