--- a/cmd/gaugelab/agree_test.go
+++ b/cmd/gaugelab/agree_test.go
@@ -13,12 +13,12 @@
 	"gaugeslip/internal/lab"
 )
 
-// The model against the emulator's sockets: the same deployment, loads and figures. The table is in docs/design/lab.md.
+// Compares the model with the emulator on sockets: the same deployment, loads and metrics. The table is in docs/design/lab.md.
 //
 //	AGREE=1 go test ./cmd/gaugelab -run Agree -v -timeout 20m
-func TestAgree(t *testing.T) {
+func TestModelAgreesWithEmulator(t *testing.T) {
 	if os.Getenv("AGREE") == "" {
-		t.Skip("a measurement in real time: AGREE=1 runs it")
+		t.Skip("a measurement in real time; set AGREE=1 to run it")
 	}
 	const runs, seeds = 4, 40
 	show := func(all []float64) string {
@@ -29,13 +29,13 @@
 		all, err := lab.Load(scenarios + "demo.hcl")
 		require.NoError(t, err)
 		all[0].Load = load
-		reports, err := play(t.Context(), all[0], 1, seeds, false, nil)
+		reports, err := runSeeds(t.Context(), all[0], 1, seeds, false, nil)
 		require.NoError(t, err)
-		figures := map[string][2][]float64{}
+		metrics := map[string][2][]float64{}
 		add := func(side int, name string, v float64) {
-			x := figures[name]
+			x := metrics[name]
 			x[side] = append(x[side], v)
-			figures[name] = x
+			metrics[name] = x
 		}
 		for _, r := range reports {
 			add(0, "service", r.Service)
@@ -45,12 +45,12 @@
 			add(0, "refused a job", float64(r.Refused)/float64(r.Jobs))
 		}
 		for i := range runs {
-			specs, p := deployment(10)
+			specs, p := fleetSpec(10)
 			f, err := emulator.Start(specs, p, uint64(i), nil)
 			require.NoError(t, err)
-			addr, stop, err := dispatcher(t.Context(), f)
+			addr, stop, err := startDispatcher(t.Context(), f)
 			require.NoError(t, err)
-			kinds, work := classes()
+			kinds, work := loadClasses()
 			l := &emulator.Load{Addr: addr, Rate: load * 21.25 / work, Length: 12 * time.Second, Classes: kinds, Seed: uint64(i), MaxOpen: 1000}
 			res := l.Run(t.Context())
 			add(1, "service", res.Service())
@@ -64,7 +64,7 @@
 			f.Close()
 		}
 		for _, name := range []string{"service", "plot-load p50 ms", "harvest-sale p50 ms", "refused a job"} {
-			t.Logf("load %.1f, %-20s model %s, sockets %s", load, name, show(figures[name][0]), show(figures[name][1]))
+			t.Logf("load %.1f, %-20s model %s, sockets %s", load, name, show(metrics[name][0]), show(metrics[name][1]))
 		}
 	}
 }
--- a/cmd/gaugelab/demo.go
+++ b/cmd/gaugelab/demo.go
@@ -23,9 +23,9 @@
 	"gaugeslip/internal/node"
 )
 
-// deployment is the fleet that demo and emulate put on sockets: five hosts of each kind, as in scenarios/calm-friday.hcl, ten
-// times as fast.
-func deployment(hosts int) (specs []emulator.Spec, p fleet.Params) {
+// fleetSpec returns the fleet that demo and emulate run on sockets: hosts of two kinds in turn, five of each by default, as in
+// scenarios/calm-friday.hcl but ten times as fast.
+func fleetSpec(hosts int) (specs []emulator.Spec, p fleet.Params) {
 	for i := range hosts {
 		s := emulator.Spec{Kind: "small-box", Room: "bole-room", Lanes: 2, Speed: 1}
 		if i%2 == 1 {
@@ -37,8 +37,8 @@
 		ReportEvery: 50 * time.Millisecond, Progress: time.Second, ProbeWork: 75 * time.Microsecond}
 }
 
-// settings is what the demo's dispatcher is told, in the platform's form.
-const settings = `{"family-info":{"class-stretch":[1.75,2.0],"report-x0":"free slots","tells-start":true,"progress":1000.0},
+// dispatcherSettings are the settings of the demo's dispatcher, in the platform's format.
+const dispatcherSettings = `{"family-info":{"class-stretch":[1.75,2.0],"report-x0":"free slots","tells-start":true,"progress":1000.0},
 "kinds":["small-box","wide-box"],"limits":{"cancel":true,"conn-idle":30000.0,"connect-timeout":250.0,"max-attempts":6,
 "max-retry-after":2000.0,"most-held":20000,"probes":true,"retry-after":true},"localities":["bole-room"],"locality":"bole-room",
 "ordinal":0,"replicas-of-me":1,"prices":{"probe":0.002,"waste":0.02},"profiles":[
@@ -47,8 +47,8 @@
 "registry-mode":"ask","report":{"fields":["q","rif","x0"],"how":"pull"},"rules":{"cold-from":0.12,"warm-up":5000.0,
 "tip-multiple":3.0,"overload-for":2000.0,"drain-grace":3000.0},"value-by":"work"}`
 
-// classes are the jobs that are sent, and meanWork the mean work of one, in seconds.
-func classes() ([]emulator.LoadClass, float64) {
+// loadClasses returns the classes of jobs that the load sends, and the mean work of a job in seconds.
+func loadClasses() ([]emulator.LoadClass, float64) {
 	return []emulator.LoadClass{
 		{Name: "plot-load", Part: 0.62, Mean: 70 * time.Millisecond, Sigma: 0.4, OnTime: 200 * time.Millisecond, Stretch: 1.75,
 			Patience: 4 * time.Second, Worth: 5},
@@ -56,13 +56,14 @@
 			Patience: 8 * time.Second, Worth: 10}}, 0.62*0.07 + 0.38*0.4
 }
 
-// dispatcher starts a real one on a free loopback address, inside this process. stop ends it as SIGTERM would, and waits.
-func dispatcher(ctx context.Context, f *emulator.Fleet) (addr string, stop func() error, err error) {
+// startDispatcher starts a real dispatcher on a free loopback address inside this process. stop shuts it down in the same way as SIGTERM and
+// waits until it has ended.
+func startDispatcher(ctx context.Context, f *emulator.Fleet) (addr string, stop func() error, err error) {
 	reserved, err := freeport.Reserve()
 	if err != nil {
 		return "", nil, err
 	}
-	defer reserved.Close() // once it listens, or doesn't
+	defer reserved.Close() // after the dispatcher listens, or has failed to
 	addr = reserved.Address()
 	dir, err := os.MkdirTemp("", "gaugelab")
 	if err != nil {
@@ -70,7 +71,7 @@
 	}
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": addr, "discovery": f.Discovery, "seed": "1",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": json.RawMessage(f.List()),
-		"settings": json.RawMessage(settings)})
+		"settings": json.RawMessage(dispatcherSettings)})
 	if err == nil {
 		err = os.WriteFile(filepath.Join(dir, "config.json"), text, 0o600)
 	}
@@ -97,45 +98,46 @@
 	return addr, stop, nil
 }
 
-// witness feeds the checker with what hosts ran and clients heard. On sockets only what both tell can be seen: one answer to each
-// job, and one run of each that must not run twice.
-type witness struct {
-	mu   sync.Mutex
-	c    *check.Checker
-	ids  map[string]uint64
-	t0   time.Time
-	next uint64
+// observer reports the runs on hosts and the answers to clients to the checker. On sockets only these are observable, so it checks that each
+// job gets one answer and that jobs which must not run twice run once.
+type observer struct {
+	mu      sync.Mutex
+	checker *check.Checker
+	ids     map[string]uint64
+	started time.Time
+	lastID  uint64
 }
 
-func newWitness() *witness {
-	return &witness{c: check.New(check.Rules{AnswerGrace: time.Second}), ids: map[string]uint64{}, t0: time.Now()}
+func newObserver() *observer {
+	return &observer{checker: check.New(check.Rules{AnswerGrace: time.Second}), ids: map[string]uint64{}, started: time.Now()}
 }
 
-// see books an event about a job now; the first to see a job has it taken. The lock is held.
-func (w *witness) see(id string, e check.Event) {
-	e.At = time.Since(w.t0)
-	if w.ids[id] == 0 {
-		w.next++
-		w.ids[id] = w.next
-		w.c.See(check.Event{Kind: check.Taken, At: e.At, Job: w.next, Deadline: e.At + 10*time.Second,
-			Unsafe: strings.HasPrefix(id, "harvest-sale")}) // a Load's ids begin with their class
+// record reports an event of a job to the checker, with the current time. The first event of a job also records the job as accepted. The
+// caller holds the lock.
+func (o *observer) record(id string, e check.Event) {
+	e.At = time.Since(o.started)
+	if o.ids[id] == 0 {
+		o.lastID++
+		o.ids[id] = o.lastID
+		o.checker.See(check.Event{Kind: check.Taken, At: e.At, Job: o.lastID, Deadline: e.At + 10*time.Second,
+			Unsafe: strings.HasPrefix(id, "harvest-sale")}) // the job IDs of a Load begin with the class
 	}
-	e.Job = w.ids[id]
-	w.c.See(e)
+	e.Job = o.ids[id]
+	o.checker.See(e)
 }
 
-func (w *witness) ran(s emulator.Sight) {
+func (o *observer) jobRan(s emulator.Sight) {
 	if s.Kind != emulator.Ran {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.see(s.Job, check.Event{Kind: check.Ran})
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.record(s.Job, check.Event{Kind: check.Ran})
 }
 
-func (w *witness) seen(id, _ string, status int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (o *observer) jobAnswered(id, _ string, status int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	answer := check.Failed
 	switch status {
 	case 200:
@@ -143,7 +145,7 @@
 	case 429, 503:
 		answer = check.Refused
 	}
-	w.see(id, check.Event{Kind: check.Answered, Answer: answer})
+	o.record(id, check.Event{Kind: check.Answered, Answer: answer})
 }
 
 func demoCommand() *cobra.Command {
@@ -151,29 +153,29 @@
 	var rate float64
 	var hosts int
 	var calm bool
-	c := &cobra.Command{Use: "demo", Short: "Start a fleet, discovery, a dispatcher and load on loopback, break something, and report",
+	c := &cobra.Command{Use: "demo", Short: "Run a fleet, discovery, a dispatcher and load on loopback, inject faults, and report",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			slog.SetDefault(slog.New(slog.DiscardHandler))                 // the view speaks for the dispatcher
-			ctx, out := cmd.Context(), &lockedWriter{w: cmd.OutOrStdout()} // the load and the troubles both print
-			specs, p := deployment(hosts)
-			w := newWitness()
-			f, err := emulator.Start(specs, p, 1, w.ran)
+			slog.SetDefault(slog.New(slog.DiscardHandler))                 // the demo's output replaces the dispatcher's log
+			ctx, out := cmd.Context(), &lockedWriter{w: cmd.OutOrStdout()} // the load and the fault injection both print
+			specs, p := fleetSpec(hosts)
+			w := newObserver()
+			f, err := emulator.Start(specs, p, 1, w.jobRan)
 			if err != nil {
 				return err
 			}
 			defer f.Close()
-			addr, stop, err := dispatcher(ctx, f)
+			addr, stop, err := startDispatcher(ctx, f)
 			if err != nil {
 				return err
 			}
-			kinds, work := classes()
+			kinds, work := loadClasses()
 			lanes := 0.0
 			for _, s := range specs {
 				lanes += float64(s.Lanes) * s.Speed
 			}
 			fmt.Fprintf(out, "%d game workers, discovery at %s, a dispatcher at %s; %.0f jobs a second for %v\n", hosts, f.Discovery, addr,
 				rate*lanes/work, length)
-			l := &emulator.Load{Addr: addr, Rate: rate * lanes / work, Length: length, Classes: kinds, Seed: 1, MaxOpen: 500, Seen: w.seen,
+			l := &emulator.Load{Addr: addr, Rate: rate * lanes / work, Length: length, Classes: kinds, Seed: 1, MaxOpen: 500, Seen: w.jobAnswered,
 				Progress: func(r *emulator.Result) { r.Print(out) }}
 			troubles, ended := context.WithCancel(ctx)
 			done := make(chan struct{})
@@ -194,7 +196,7 @@
 						select {
 						case <-troubles.Done():
 							return
-						case <-time.After(time.Until(w.t0.Add(x.at))):
+						case <-time.After(time.Until(w.started.Add(x.at))):
 							fmt.Fprintln(out, "-- "+x.what)
 							x.do()
 						}
@@ -209,25 +211,25 @@
 			err = stop()
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			fmt.Fprintf(out, "%d jobs checked, %d broken rules\n", w.c.Checked(), len(w.c.Breaches()))
-			for _, b := range w.c.Breaches() {
+			fmt.Fprintf(out, "%d jobs checked, %d broken rules\n", w.checker.Checked(), len(w.checker.Breaches()))
+			for _, b := range w.checker.Breaches() {
 				fmt.Fprintln(out, "  ", b)
 			}
 			return err
 		}}
-	c.Flags().DurationVar(&length, "for", 12*time.Second, "how long")
-	c.Flags().Float64Var(&rate, "load", 0.6, "offered work, as a share of what the fleet can do")
+	c.Flags().DurationVar(&length, "for", 12*time.Second, "duration of the load")
+	c.Flags().Float64Var(&rate, "load", 0.6, "offered work, as a share of the fleet's capacity")
 	c.Flags().IntVar(&hosts, "hosts", 10, "game workers")
-	c.Flags().BoolVar(&calm, "calm", false, "break nothing")
+	c.Flags().BoolVar(&calm, "calm", false, "inject no faults")
 	return c
 }
 
 func emulateCommand() *cobra.Command {
 	var hosts int
 	var length time.Duration
-	c := &cobra.Command{Use: "emulate", Short: "Put game workers and discovery on loopback until interrupted", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "emulate", Short: "Run game workers and discovery on loopback until interrupted", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			specs, p := deployment(hosts)
+			specs, p := fleetSpec(hosts)
 			f, err := emulator.Start(specs, p, 1, nil)
 			if err != nil {
 				return err
@@ -244,7 +246,7 @@
 			return nil
 		}}
 	c.Flags().IntVar(&hosts, "hosts", 10, "game workers")
-	c.Flags().DurationVar(&length, "for", time.Hour, "at most so long")
+	c.Flags().DurationVar(&length, "for", time.Hour, "maximum duration")
 	return c
 }
 
@@ -253,13 +255,13 @@
 	var rate float64
 	var length time.Duration
 	var seed uint64
-	c := &cobra.Command{Use: "load", Short: "Send jobs to a dispatcher at a rate, whatever becomes of those before", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "load", Short: "Send jobs to a dispatcher at a fixed rate, without waiting for earlier jobs (open loop)", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			host, _, err := net.SplitHostPort(addr)
 			if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
 				return usageError{fmt.Errorf("load: --addr: %q is no loopback address", addr)}
 			}
-			kinds, _ := classes()
+			kinds, _ := loadClasses()
 			l := &emulator.Load{Addr: addr, Rate: rate, Length: length, Classes: kinds, Seed: seed, MaxOpen: 2000,
 				Progress: func(r *emulator.Result) {
 					fmt.Fprintf(cmd.ErrOrStderr(), "%.0f s, service %.3f\n", r.Elapsed.Seconds(), r.Service())
@@ -268,13 +270,13 @@
 			return nil
 		}}
 	c.Flags().StringVar(&addr, "addr", "", "the dispatcher's address")
-	c.Flags().Float64Var(&rate, "rate", 50, "jobs a second")
-	c.Flags().DurationVar(&length, "for", 10*time.Second, "how long")
+	c.Flags().Float64Var(&rate, "rate", 50, "jobs per second")
+	c.Flags().DurationVar(&length, "for", 10*time.Second, "duration of the load")
 	c.Flags().Uint64Var(&seed, "seed", 1, "the seed")
 	return c
 }
 
-// lockedWriter lets several goroutines write whole lines to one writer.
+// lockedWriter serializes writes of several goroutines to one writer.
 type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
--- a/cmd/gaugelab/main_test.go
+++ b/cmd/gaugelab/main_test.go
@@ -16,7 +16,7 @@
 	"gaugeslip/internal/net/nettest"
 )
 
-func call(ctx context.Context, args ...string) (code int, out, errs string) {
+func runCommandLine(ctx context.Context, args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
 	code = run(ctx, args, &o, &e)
 	return code, o.String(), e.String()
@@ -24,7 +24,7 @@
 
 const scenarios = "../../scenarios/"
 
-// Each command, by what it prints and its exit code.
+// Checks the output and the exit code of each command.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.hcl")
@@ -56,7 +56,7 @@
 		{[]string{"processes", "replay", "x", hard}, exitUsage, "", "no seed"},
 		{[]string{"load", "--addr", "192.0.2.1:80"}, exitUsage, "", "no loopback address"},
 	} {
-		code, out, errs := call(t.Context(), c.args...)
+		code, out, errs := runCommandLine(t.Context(), c.args...)
 		assert.Equal(t, c.code, code, "%v: %s", c.args, errs)
 		assert.Contains(t, out, c.out, c.args)
 		assert.Contains(t, errs, c.errs, c.args)
@@ -64,13 +64,13 @@
 }
 
 func TestJSONAndPlots(t *testing.T) {
-	code, out, errs := call(t.Context(), "run", scenarios+"costly-bursts.hcl", "--seeds", "1", "--json")
+	code, out, errs := runCommandLine(t.Context(), "run", scenarios+"costly-bursts.hcl", "--seeds", "1", "--json")
 	require.Equal(t, exitOK, code, errs)
 	var r lab.Report
 	require.NoError(t, json.Unmarshal([]byte(out), &r))
 	assert.Equal(t, "costly-bursts", r.Scenario)
 	dir := t.TempDir()
-	code, _, errs = call(t.Context(), "plot", scenarios+"costly-bursts.hcl", "--out", dir)
+	code, _, errs = runCommandLine(t.Context(), "plot", scenarios+"costly-bursts.hcl", "--out", dir)
 	require.Equal(t, exitOK, code, errs)
 	for _, name := range []string{"service.png", "service.svg", "latency.png", "latency.svg"} {
 		info, err := os.Stat(filepath.Join(dir, name))
@@ -79,7 +79,7 @@
 	}
 }
 
-// Known differences give known verdicts, and too few or too unlike seeds give none.
+// Known differences give known verdicts. A single seed, or differences that vary too much, give none.
 func TestCompare(t *testing.T) {
 	for name, c := range map[string]struct {
 		a, b []float64
@@ -92,16 +92,16 @@
 	} {
 		assert.Equal(t, c.want, compare(c.a, c.b).Verdict, name)
 	}
-	// By hand: differences 0.1, 0.2, 0.3, mean 0.2, deviation 0.1; Student's quantile for 2 degrees is 4.3027.
+	// Calculated by hand: differences 0.1, 0.2, 0.3, mean 0.2, standard deviation 0.1. Student's quantile for 2 degrees of freedom is 4.3027.
 	c := compare([]float64{0, 0, 0}, []float64{0.1, 0.2, 0.3})
 	assert.InDelta(t, 0.2-4.3027*0.1/1.7320508, c.Low, 1e-4)
 }
 
-// The ideal that sees all does better than any dispatcher, and the terminal view shows what is wrong with a host.
+// The ideal scheduler with complete knowledge achieves a better service than the dispatchers, and the terminal view shows a host's fault.
 func TestIdealAndWatch(t *testing.T) {
 	var service [2]float64
 	for i, flag := range []string{"--ideal=false", "--ideal"} {
-		_, out, errs := call(t.Context(), "run", scenarios+"harvest-rush.hcl", "--seeds", "1", "--json", flag)
+		_, out, errs := runCommandLine(t.Context(), "run", scenarios+"harvest-rush.hcl", "--seeds", "1", "--json", flag)
 		var r lab.Report
 		require.NoError(t, json.Unmarshal([]byte(out), &r), errs)
 		service[i] = r.Service
@@ -115,51 +115,51 @@
 	cmd := watchCommand()
 	cmd.SetContext(t.Context())
 	w := &watcher{run: l, cmd: cmd, name: "x", speed: 100}
-	for w.at < 25*time.Second {
+	for w.elapsed < 25*time.Second {
 		w.Update(tick{})
 	}
 	assert.Regexp(t, `s-[0-9a-f]{8}  \[#*\.*\] =* +silent`, w.render())
-	for !w.over {
+	for !w.finished {
 		w.Update(tick{})
 	}
 	require.NoError(t, w.err)
 	assert.Contains(t, w.render(), "0 rules broken")
 }
 
-// The demo on real sockets: jobs are served through a silence, a kill, a drain and two cold starts, and no rule is broken.
+// The demo serves jobs on real sockets while one host goes silent, one is killed, one drains and two restart cold, and breaks no rule.
 func TestDemo(t *testing.T) {
-	code, out, errs := call(t.Context(), "demo", "--for", "4s", "--load", "0.4")
+	code, out, errs := runCommandLine(t.Context(), "demo", "--for", "4s", "--load", "0.4")
 	require.Equal(t, exitOK, code, errs)
 	assert.Contains(t, out, "goes silent")
 	assert.Contains(t, out, " 0 broken rules", out)
 	assert.Regexp(t, `plot-load +[1-9]\d* sent, [1-9]`, out)
 }
 
-// Interrupted, it says what it has measured and leaves nothing behind.
+// An interrupted demo ends and prints its report.
 func TestDemoInterrupted(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(1500*time.Millisecond, cancel)
 	done := make(chan string, 1)
 	go func() {
-		_, out, _ := call(ctx, "demo", "--for", "10m", "--calm", "--load", "0.3")
+		_, out, _ := runCommandLine(ctx, "demo", "--for", "10m", "--calm", "--load", "0.3")
 		done <- out
 	}()
 	assert.Contains(t, nettest.Wait(t, done), "== report")
 }
 
-// The same scenario at two sizes, beside the ideal; a size that can't be read is named.
+// The scale command runs a scenario at two sizes and compares it with the ideal scheduler. The error for an invalid size names it.
 func TestScale(t *testing.T) {
-	code, out, errs := call(t.Context(), "scale", scenarios+"calm-friday.hcl", "--sizes", "10x3,20x3", "--length", "5s", "--seeds", "1",
+	code, out, errs := runCommandLine(t.Context(), "scale", scenarios+"calm-friday.hcl", "--sizes", "10x3,20x3", "--length", "5s", "--seeds", "1",
 		"--json", "--out", t.TempDir())
 	require.Equal(t, exitOK, code, errs)
-	var all []Size
+	var all []SizeResult
 	require.NoError(t, json.Unmarshal([]byte(out), &all))
 	require.Len(t, all, 2)
 	for _, x := range all {
 		assert.GreaterOrEqual(t, x.Ideal, x.Service)
 		assert.Positive(t, x.JobsASecond)
 	}
-	code, _, errs = call(t.Context(), "scale", scenarios+"calm-friday.hcl", "--sizes", "10")
+	code, _, errs = runCommandLine(t.Context(), "scale", scenarios+"calm-friday.hcl", "--sizes", "10")
 	assert.Equal(t, exitUsage, code)
 	assert.Contains(t, errs, `"10" is no HOSTSxDISPATCHERS`)
 }
--- a/cmd/gaugelab/system_scale.go
+++ b/cmd/gaugelab/system_scale.go
@@ -14,18 +14,18 @@
 	"gaugeslip/internal/system/localcluster"
 )
 
-func systemScale() *cobra.Command {
+func systemScaleCommand() *cobra.Command {
 	var f systemFlags
-	var sizes, out string
+	var sizes, outFile string
 	var troubles []string
 	var window time.Duration
-	c := &cobra.Command{Use: "scale", Short: "Run clusters of growing size, and tell what each role costs",
+	c := &cobra.Command{Use: "scale", Short: "Run clusters of increasing size and report the cost of each role",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 			counts, err := workerCounts(sizes)
 			if err != nil {
 				return err
 			}
-			if err := readTroubles(&f, troubles, ""); err != nil {
+			if err := addTroubles(&f, troubles, ""); err != nil {
 				return usageError{err}
 			}
 			cleanUp, err := f.prepare(cmd)
@@ -34,13 +34,13 @@
 				return err
 			}
 			f.options.Table = cmd.ErrOrStderr()
-			return playSizes(cmd, localcluster.ScaleOptions{Options: f.options, Window: window}, counts, out, f.asJSON)
+			return runSizes(cmd, localcluster.ScaleOptions{Options: f.options, Window: window}, counts, outFile, f.asJSON)
 		}}
-	f.common(c)
+	f.register(c)
 	c.Flags().StringVar(&sizes, "workers", "30,100,300,1000,2300", "numbers of hollow workers; one dispatcher for each ten, most of them in one process")
-	c.Flags().DurationVar(&window, "window", 15*time.Second, "how long the steady load of each size is measured")
-	c.Flags().StringArrayVar(&troubles, "trouble", nil, `a trouble while the lasting tasks start, "KIND TARGET AT [FOR]"; may be given again`)
-	c.Flags().StringVar(&out, "out", "", "file for the reports as JSON, written anew after each size")
+	c.Flags().DurationVar(&window, "window", 15*time.Second, "duration of the measurement under steady load at each size")
+	c.Flags().StringArrayVar(&troubles, "trouble", nil, `a trouble while the long-running tasks start, "KIND TARGET AT [FOR]"; may be repeated`)
+	c.Flags().StringVar(&outFile, "out", "", "file for the reports as JSON, rewritten after each size")
 	return c
 }
 
@@ -56,15 +56,15 @@
 	return counts, nil
 }
 
-// playSizes plays one size after the other; what is measured is kept also when a later size fails.
-func playSizes(cmd *cobra.Command, options localcluster.ScaleOptions, counts []int, out string, asJSON bool) error {
+// runSizes runs one size after the other. The reports of earlier sizes are saved to outFile and printed even if a later size fails.
+func runSizes(cmd *cobra.Command, options localcluster.ScaleOptions, counts []int, outFile string, asJSON bool) error {
 	var reports []*localcluster.SizeReport
-	folder := options.Dir
+	dir := options.Dir
 	for _, count := range counts {
 		fmt.Fprintf(cmd.ErrOrStderr(), "%d workers\n", count)
 		options.Workers = count
-		if folder != "" {
-			options.Dir = filepath.Join(folder, fmt.Sprintf("workers-%d", count))
+		if dir != "" {
+			options.Dir = filepath.Join(dir, fmt.Sprintf("workers-%d", count))
 		}
 		report, err := localcluster.RunSize(cmd.Context(), options)
 		if err != nil {
@@ -72,7 +72,7 @@
 			return fmt.Errorf("system scale: %d workers: %w", count, err)
 		}
 		reports = append(reports, report)
-		if err := saveSizes(out, reports); err != nil {
+		if err := saveSizeReports(outFile, reports); err != nil {
 			return err
 		}
 	}
@@ -82,7 +82,7 @@
 	return localcluster.PrintSizes(cmd.OutOrStdout(), reports)
 }
 
-func saveSizes(path string, reports []*localcluster.SizeReport) error {
+func saveSizeReports(path string, reports []*localcluster.SizeReport) error {
 	if path == "" {
 		return nil
 	}
--- a/cmd/gaugelab/system_soak.go
+++ b/cmd/gaugelab/system_soak.go
@@ -11,17 +11,17 @@
 	"gaugeslip/internal/system/localcluster"
 )
 
-var errFindings = errors.New("system soak: promises were seen broken; the report tells which")
+var errFindings = errors.New("system soak: invariants were violated; see the report")
 
-// systemSoak runs local clusters under troubles that overlap, one seed after the other.
-func systemSoak() *cobra.Command {
+// systemSoakCommand runs local clusters under overlapping troubles, one seed after the other.
+func systemSoakCommand() *cobra.Command {
 	var options localcluster.SoakOptions
 	var first uint64
 	var seeds int
 	var verbose bool
-	c := &cobra.Command{Use: "soak", Short: "Run real processes under random troubles that overlap, and check what they promise",
+	c := &cobra.Command{Use: "soak", Short: "Run real processes under random overlapping troubles and check the invariants",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			cleanUp, err := soakPrograms(cmd, &options)
+			cleanUp, err := buildSoakPrograms(cmd, &options)
 			defer cleanUp()
 			if err != nil {
 				return err
@@ -46,28 +46,28 @@
 		}}
 	flags := c.Flags()
 	flags.Uint64Var(&first, "seed", 1, "the first seed")
-	flags.IntVar(&seeds, "seeds", 1, "how many seeds are played")
+	flags.IntVar(&seeds, "seeds", 1, "number of seeds")
 	flags.DurationVar(&options.TroubleDuration, "for", 15*time.Second, "how long troubles last in each run")
-	flags.IntVar(&options.ConcurrentTroubles, "tracks", 3, "how many troubles there may be at a time")
+	flags.IntVar(&options.ConcurrentTroubles, "tracks", 3, "maximum number of concurrent troubles")
 	flags.IntVar(&options.Replicas, "replicas", 3, "control plane processes")
 	flags.IntVar(&options.Dispatchers, "dispatchers", 3, "data plane processes")
 	flags.IntVar(&options.Workers, "workers", 12, "hollow workers")
-	flags.Float64Var(&options.Rate, "rate", 8, "jobs a second")
-	flags.StringVar(&options.ProgramDir, "programs", "", "folder of the program relayednode; built from this module where it is empty")
-	flags.StringVar(&options.Dir, "folder", "", "folder for settings, disks and logs of one run; a temporary one, kept where something was found, where it is empty")
-	flags.BoolVar(&verbose, "verbose", false, "tell each trouble")
+	flags.Float64Var(&options.Rate, "rate", 8, "jobs per second")
+	flags.StringVar(&options.ProgramDir, "programs", "", "directory of the program relayednode; built from this module if empty")
+	flags.StringVar(&options.Dir, "folder", "", "directory for settings, disks and logs of one run; if empty, a temporary one that is kept if there are findings")
+	flags.BoolVar(&verbose, "verbose", false, "print each trouble")
 	return c
 }
 
-// soakPrograms builds what a soak run needs, unless that is there; the caller has to clean up.
-func soakPrograms(cmd *cobra.Command, options *localcluster.SoakOptions) (cleanUp func(), err error) {
+// buildSoakPrograms builds the programs of a soak run unless their directory is given. The caller must call cleanUp, also after an error.
+func buildSoakPrograms(cmd *cobra.Command, options *localcluster.SoakOptions) (cleanUp func(), err error) {
 	if options.ProgramDir != "" {
 		return func() {}, nil
 	}
-	folder, err := os.MkdirTemp("", "gaugeslip-programs-")
+	dir, err := os.MkdirTemp("", "gaugeslip-programs-")
 	if err != nil {
 		return func() {}, err
 	}
-	options.ProgramDir = folder
-	return func() { _ = os.RemoveAll(folder) }, localcluster.BuildRelayed(cmd.Context(), folder)
+	options.ProgramDir = dir
+	return func() { _ = os.RemoveAll(dir) }, localcluster.BuildRelayed(cmd.Context(), dir)
 }
--- a/cmd/gaugelab/watch.go
+++ b/cmd/gaugelab/watch.go
@@ -11,31 +11,31 @@
 	"gaugeslip/internal/lab"
 )
 
-// watcher is the terminal view of a run: hosts with their lanes and queues, dispatchers, and how service stands.
+// watcher is the terminal view of a run. It shows hosts with their lanes and queues, dispatchers, and the service so far.
 type watcher struct {
-	run    *lab.Lab
-	cmd    *cobra.Command
-	name   string
-	speed  float64
-	at     time.Duration
-	view   *lab.View
-	paused bool
-	over   bool
-	err    error
-	rows   int
+	run      *lab.Lab
+	cmd      *cobra.Command
+	name     string
+	speed    float64
+	elapsed  time.Duration
+	view     *lab.View
+	paused   bool
+	finished bool
+	err      error
+	rows     int
 }
 
-// tick is a twentieth of a second.
+// tick is the message that advances the view by one frame.
 type tick struct{}
 
-const frame = 50 * time.Millisecond
+const frameInterval = 50 * time.Millisecond
 
-func again() tea.Cmd { return tea.Tick(frame, func(time.Time) tea.Msg { return tick{} }) }
+func nextTick() tea.Cmd { return tea.Tick(frameInterval, func(time.Time) tea.Msg { return tick{} }) }
 
-// Init is bubbletea's.
-func (w *watcher) Init() tea.Cmd { return again() }
+// Init implements tea.Model.
+func (w *watcher) Init() tea.Cmd { return nextTick() }
 
-// Update is bubbletea's: space pauses, + and - change the speed, q ends.
+// Update implements tea.Model. The space key pauses, + and - change the speed, q quits.
 func (w *watcher) Update(m tea.Msg) (tea.Model, tea.Cmd) {
 	switch m := m.(type) {
 	case tea.WindowSizeMsg:
@@ -55,25 +55,25 @@
 		if !w.paused {
 			w.step()
 		}
-		if w.over {
+		if w.finished {
 			return w, tea.Quit
 		}
-		return w, again()
+		return w, nextTick()
 	}
 	return w, nil
 }
 
-// step plays one frame's worth of the day.
+// step advances the run by one frame at the current speed.
 func (w *watcher) step() {
-	w.at += time.Duration(float64(frame) * w.speed)
-	w.over, w.err = w.run.Advance(w.cmd.Context(), w.at)
+	w.elapsed += time.Duration(float64(frameInterval) * w.speed)
+	w.finished, w.err = w.run.Advance(w.cmd.Context(), w.elapsed)
 	w.view = w.run.View()
 }
 
-// View is bubbletea's.
+// View implements tea.Model.
 func (w *watcher) View() tea.View { return tea.NewView(w.render()) }
 
-// render draws the screen as text.
+// render returns the screen as text.
 func (w *watcher) render() string {
 	var b strings.Builder
 	v := w.view
@@ -81,7 +81,7 @@
 		return w.name + "\n"
 	}
 	fmt.Fprintf(&b, "%s  %6.1f s at %gx  service %.3f (last 5 s %s)  %d served, %d refused, %d failed, %d rules broken\n", w.name,
-		v.At.Seconds(), w.speed, v.Service, part(v.LastFiveSecs), v.Served, v.Refused, v.Failed, v.BrokenRules)
+		v.At.Seconds(), w.speed, v.Service, formatShare(v.LastFiveSecs), v.Served, v.Refused, v.Failed, v.BrokenRules)
 	fmt.Fprintf(&b, "lanes %d of %d busy, %d jobs wait at hosts; held by dispatchers:", v.FleetsBusy, v.FleetsLanes, v.FleetsWaiting)
 	for i, n := range v.Open {
 		if i == 20 {
@@ -110,7 +110,7 @@
 	return b.String()
 }
 
-func part(x float64) string {
+func formatShare(x float64) string {
 	if x < 0 {
 		return "none"
 	}
@@ -127,7 +127,7 @@
 				return err
 			}
 			if len(all) != 1 {
-				return usageError{fmt.Errorf("watch: %s holds %d scenarios, one is wanted", args[0], len(all))}
+				return usageError{fmt.Errorf("watch: %s contains %d scenarios, want 1", args[0], len(all))}
 			}
 			run, err := lab.New(all[0], seed, true)
 			if err != nil {
@@ -141,6 +141,6 @@
 			return w.err
 		}}
 	c.Flags().Uint64Var(&seed, "seed", 1, "the seed")
-	c.Flags().Float64Var(&speed, "speed", 4, "how many times as fast as the day")
+	c.Flags().Float64Var(&speed, "speed", 4, "speed, as a multiple of real time")
 	return c
 }
