--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -95,8 +95,8 @@
 
 func (b Breach) String() string { return fmt.Sprintf("%v: %s: %s", b.At, b.Rule, b.What) }
 
-// job is what is known of one.
-type job struct {
+// jobState is what is known of one.
+type jobState struct {
 	node     int
 	unsafe   bool
 	deadline time.Duration
@@ -114,34 +114,34 @@
 	knew []bool // from a dispatcher that was told of its start
 }
 
-const most = 100 // breaches that are kept; all are counted
+const maxBreaches = 100 // breaches that are kept; all are counted
 
 // Checker reads events. The zero value is of no use, see New.
 type Checker struct {
-	rules    Rules
-	jobs     map[uint64]*job
-	told     map[[2]int]time.Duration
-	knows    map[[2]int]bool
-	cold     map[int]*inflow
-	used     map[[2]int]*uses // by sum and host
-	breaches []Breach
-	counts   map[Rule]int
-	now      time.Duration
-	checked  int
-	firsts   int // sends
-	repeats  int
+	rules         Rules
+	jobs          map[uint64]*jobState
+	drainNotices  map[[2]int]time.Duration
+	knowsStart    map[[2]int]bool
+	coldInflow    map[int]*inflow
+	usage         map[[2]int]*usageWindow // by sum and host
+	breaches      []Breach
+	counts        map[Rule]int
+	now           time.Duration
+	checked       int
+	firstSends    int // sends
+	repeatedSends int
 }
 
 // New makes a Checker.
 func New(r Rules) *Checker {
-	return &Checker{rules: r, jobs: map[uint64]*job{}, told: map[[2]int]time.Duration{},
-		knows: map[[2]int]bool{}, cold: map[int]*inflow{}, used: map[[2]int]*uses{},
+	return &Checker{rules: r, jobs: map[uint64]*jobState{}, drainNotices: map[[2]int]time.Duration{},
+		knowsStart: map[[2]int]bool{}, coldInflow: map[int]*inflow{}, usage: map[[2]int]*usageWindow{},
 		counts: map[Rule]int{}}
 }
 
 func (c *Checker) breach(r Rule, what string, args ...any) {
 	c.counts[r]++
-	if len(c.breaches) < most {
+	if len(c.breaches) < maxBreaches {
 		c.breaches = append(c.breaches, Breach{r, c.now, fmt.Sprintf(what, args...)})
 	}
 }
@@ -159,42 +159,42 @@
 				delete(c.jobs, id)
 			}
 		}
-		for k := range c.told {
+		for k := range c.drainNotices {
 			if k[0] == e.Node {
-				delete(c.told, k)
+				delete(c.drainNotices, k)
 			}
 		}
 		return
 	case Told:
-		if _, ok := c.told[[2]int{e.Node, e.Host}]; !ok {
-			c.told[[2]int{e.Node, e.Host}] = e.At
+		if _, ok := c.drainNotices[[2]int{e.Node, e.Host}]; !ok {
+			c.drainNotices[[2]int{e.Node, e.Host}] = e.At
 		}
 		return
 	case Untold:
-		delete(c.told, [2]int{e.Node, e.Host})
+		delete(c.drainNotices, [2]int{e.Node, e.Host})
 		return
 	case Worked:
-		c.worked(e)
+		c.recordColdWork(e)
 		return
 	case Used:
-		c.use(e)
+		c.recordUse(e)
 		return
 	case Reborn:
-		for k := range c.knows {
+		for k := range c.knowsStart {
 			if k[1] == e.Host {
-				delete(c.knows, k)
+				delete(c.knowsStart, k)
 			}
 		}
-		delete(c.cold, e.Host)
+		delete(c.coldInflow, e.Host)
 		return
 	case Knows:
-		c.knows[[2]int{e.Node, e.Host}] = true
+		c.knowsStart[[2]int{e.Node, e.Host}] = true
 		return
 	case Taken:
 		if c.jobs[e.Job] != nil {
 			c.breach(Unexpected, "job %d is taken twice", e.Job)
 		}
-		c.jobs[e.Job] = &job{node: e.Node, unsafe: e.Unsafe, deadline: e.Deadline}
+		c.jobs[e.Job] = &jobState{node: e.Node, unsafe: e.Unsafe, deadline: e.Deadline}
 		c.checked++
 		return
 	}
@@ -211,18 +211,18 @@
 		j.deadline, j.answered = 0, true
 	case Sent:
 		if e.Attempt == 0 {
-			c.firsts++
-		} else if c.repeats++; c.rules.Repeats > 0 && float64(c.repeats) > c.rules.Repeats*float64(c.firsts) {
-			c.breach(Sums, "%d sends beyond a job's first, after %d first ones", c.repeats, c.firsts)
+			c.firstSends++
+		} else if c.repeatedSends++; c.rules.Repeats > 0 && float64(c.repeatedSends) > c.rules.Repeats*float64(c.firstSends) {
+			c.breach(Sums, "%d sends beyond a job's first, after %d first ones", c.repeatedSends, c.firstSends)
 		}
 		if j.unsafe && j.sends != 0 {
 			c.breach(OneEffect, "job %d is sent again, and may have run", e.Job)
 		}
 		j.sends |= bit
-		if c.knows[[2]int{e.Node, e.Host}] {
+		if c.knowsStart[[2]int{e.Node, e.Host}] {
 			j.knew |= bit
 		}
-		if at, ok := c.told[[2]int{e.Node, e.Host}]; ok && e.At > at+c.rules.DrainGrace {
+		if at, ok := c.drainNotices[[2]int{e.Node, e.Host}]; ok && e.At > at+c.rules.DrainGrace {
 			c.breach(Drains, "node %d sends to host %d, told %v ago", e.Node, e.Host, e.At-at)
 		}
 	case NeverRan:
@@ -235,11 +235,11 @@
 			c.breach(Harmless, "job %d runs, and was refused", e.Job)
 		}
 	case Answered:
-		c.answered(e, j)
+		c.recordAnswer(e, j)
 	}
 }
 
-func (c *Checker) answered(e Event, j *job) {
+func (c *Checker) recordAnswer(e Event, j *jobState) {
 	if j.answered {
 		c.breach(OneAnswer, "job %d has a second answer", e.Job)
 		return
@@ -259,16 +259,16 @@
 	}
 }
 
-// worked counts the budget of a cold host over any window. Whoever could not know that it is cold breaks no rule: the
+// recordColdWork counts the budget of a cold host over any window. Whoever could not know that it is cold breaks no rule: the
 // budget is broken by those who were told, if two thirds of the work is theirs.
-func (c *Checker) worked(e Event) {
-	f := c.cold[e.Host]
+func (c *Checker) recordColdWork(e Event) {
+	f := c.coldInflow[e.Host]
 	if f == nil {
 		f = &inflow{}
-		c.cold[e.Host] = f
+		c.coldInflow[e.Host] = f
 	}
 	f.at, f.work = append(f.at, e.At), append(f.work, e.Work.Seconds())
-	knew := c.knows[[2]int{e.Node, e.Host}]
+	knew := c.knowsStart[[2]int{e.Node, e.Host}]
 	if j := c.jobs[e.Job]; j != nil { // what counts is what was known when it left
 		knew = j.knew&(1<<min(e.Attempt, 63)) != 0
 	}
@@ -286,28 +286,28 @@
 	if c.rules.TipMultiple > 0 && sum > budget*(1+c.rules.Slack) && known*3 >= sum*2 {
 		c.breach(ColdHosts, "host %d was sent %.1f s of work in %v, %.1f s are its budget", e.Host, sum,
 			c.rules.OverloadFor, budget)
-		delete(c.cold, e.Host)
+		delete(c.coldInflow, e.Host)
 	}
 }
 
-// uses is what was used within the window of a sum.
-type uses struct {
+// usageWindow is what was used within the window of a sum.
+type usageWindow struct {
 	at     []time.Duration
 	amount []float64
 	sum    float64
 }
 
-// use counts a sum over any window. After a breach it begins anew, so that one excess is told once a window.
-func (c *Checker) use(e Event) {
+// recordUse counts a sum over any window. After a breach it begins anew, so that one excess is told once a window.
+func (c *Checker) recordUse(e Event) {
 	if e.Sum < 0 || e.Sum >= len(c.rules.Sums) {
 		c.breach(Unexpected, "sum %d is not known", e.Sum)
 		return
 	}
 	s, key := c.rules.Sums[e.Sum], [2]int{e.Sum, e.Host}
-	u := c.used[key]
+	u := c.usage[key]
 	if u == nil {
-		u = &uses{}
-		c.used[key] = u
+		u = &usageWindow{}
+		c.usage[key] = u
 	}
 	u.at, u.amount, u.sum = append(u.at, e.At), append(u.amount, e.Amount), u.sum+e.Amount
 	for u.at[0] <= e.At-s.Window {
@@ -316,7 +316,7 @@
 	}
 	if u.sum > s.Most+1e-9 {
 		c.breach(Sums, "host %d: %g %s in %v, %g are the whole", e.Host, u.sum, s.Name, s.Window, s.Most)
-		delete(c.used, key)
+		delete(c.usage, key)
 	}
 }
 
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -17,7 +17,7 @@
 
 func host(p Params) *Host { return NewHost("h", 0, 0, 2, 1, p, never) }
 
-// kinds lists what is told, as one letter a note.
+// kinds returns one letter for each note.
 func kinds(notes []Note) (s string) {
 	for _, n := range notes {
 		s += string("spdrl"[n.Kind])
@@ -25,8 +25,8 @@
 	return s
 }
 
-// Jobs run in order on as many lanes as there are; the first that waits waits until it fits; beyond the queue they are
-// turned away.
+// Jobs run in order on the available lanes. The first queued job waits until enough lanes are free. Jobs beyond the queue's
+// length are rejected.
 func TestRunsInOrder(t *testing.T) {
 	h := host(Params{Queue: 2})
 	for job, c := range []struct {
@@ -49,7 +49,7 @@
 	}
 }
 
-// A cold host's jobs take as long as its warming says, and what it can do rises evenly.
+// The run time of a cold host's jobs follows its warm-up, and its capacity rises linearly.
 func TestColdStart(t *testing.T) {
 	h := host(Params{Queue: 1, ColdFrom: 0.1, WarmUp: 10 * second})
 	h.Kill(second)
@@ -69,8 +69,8 @@
 	}
 }
 
-// Pushed over: more than three times what it can do, for two seconds, and it stays down.
-func TestFallsOver(t *testing.T) {
+// A cold host that is sent more than three times its capacity for two seconds collapses and stays down.
+func TestColdHostCollapsesUnderOverload(t *testing.T) {
 	h := host(Params{Queue: 1000, ColdFrom: 0.1, WarmUp: 100 * second, TipMultiple: 3, OverloadFor: 2 * second})
 	h.Kill(second)
 	h.Start(second)
@@ -86,15 +86,15 @@
 		t.Errorf("too much: %v", v)
 	}
 	if h.Start(9 * second); h.Up() {
-		t.Error("it came back")
+		t.Error("restarted after a collapse")
 	}
 	if got := kinds(h.Advance(9 * second)); got != "sll" && got != "ssll" {
-		t.Errorf("told %s", got)
+		t.Errorf("notes %s", got)
 	}
 }
 
-// Troubles: silence, errors, a drain, a kill.
-func TestTroubles(t *testing.T) {
+// Behavior under a drain, an unreachable machine, a kill and injected errors.
+func TestSilenceErrorsDrainAndKill(t *testing.T) {
 	h := host(Params{Queue: 4, Progress: 300 * ms})
 	h.Take(0, 1, second, 1)
 	h.Take(0, 2, second, 2)
@@ -110,10 +110,10 @@
 	}
 	h.Vanish(900 * ms)
 	if v := h.Take(900*ms, 4, second, 1); v != Silent || h.Advance(5*second) != nil {
-		t.Error("heard of one that is cut off")
+		t.Error("reply or notes from an unreachable host")
 	}
 	if _, ok := h.Probe(5 * second); ok {
-		t.Error("it answers a probe")
+		t.Error("an unreachable host answers a probe")
 	}
 	h.Kill(6 * second)
 	if v := h.Take(6*second, 5, second, 1); v != Down {
@@ -126,8 +126,8 @@
 	}
 }
 
-// A report is as old as its rate allows, and no older.
-func TestReportsAreLate(t *testing.T) {
+// A load report is reused for ReportEvery and then renewed.
+func TestReportInterval(t *testing.T) {
 	h := host(Params{Queue: 4, ReportEvery: 200 * ms})
 	h.Probe(0)
 	h.Take(0, 1, second, 1)
@@ -139,9 +139,9 @@
 	}
 }
 
-// Whatever comes: each job that is taken starts before it is done, no more lanes are busy than there are, and all the work
-// that was taken ends, since the service clock and its inverse agree.
-func TestWorkIsKept(t *testing.T) {
+// For any sequence of jobs, each accepted job starts before it is done, no more lanes are busy than exist, and all accepted
+// work completes, because the service clock and its inverse agree.
+func TestTakenWorkCompletes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := NewHost("h", 0, 0, rapid.IntRange(1, 4).Draw(t, "lanes"), 0.5+rapid.Float64Range(0, 2).Draw(t, "speed"),
 			Params{Queue: 8, ColdFrom: 0.12, WarmUp: 24 * second, Progress: second}, never)
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -125,12 +125,12 @@
 		if d.Subject != nil {
 			at = *d.Subject
 		}
-		errs = append(errs, fault(at, strings.ToLower(d.Summary), "%s", d.Detail))
+		errs = append(errs, errorAt(at, strings.ToLower(d.Summary), "%s", d.Detail))
 	}
 	return errors.Join(errs...)
 }
 
-func fault(r hcl.Range, key, why string, args ...any) error {
+func errorAt(r hcl.Range, key, why string, args ...any) error {
 	return fmt.Errorf("%s:%d:%d: %s: %s", r.Filename, r.Start.Line, r.Start.Column, key, fmt.Sprintf(why, args...))
 }
 
@@ -140,7 +140,7 @@
 // Want notes a fault of a key unless ok.
 func (c *Checker) Want(ok bool, r hcl.Range, key, why string, args ...any) {
 	if !ok && c.Err == nil {
-		c.Err = fault(r, key, why, args...)
+		c.Err = errorAt(r, key, why, args...)
 	}
 }
 
--- a/internal/siteloss/judge.go
+++ b/internal/siteloss/judge.go
@@ -23,9 +23,9 @@
 	Returning       // the first of its hosts answer again: they are cold, and may go again
 )
 
-var names = [...]string{"serving", "suspect", "lost", "cut off from here", "returning"}
+var stateNames = [...]string{"serving", "suspect", "lost", "cut off from here", "returning"}
 
-func (s State) String() string { return names[s] }
+func (s State) String() string { return stateNames[s] }
 
 // Settings are what a Judge goes by.
 type Settings struct {
@@ -37,35 +37,35 @@
 // What is judged by. A site is noticed Settle after the second of its hosts did not answer, at the latest; a dispatcher that asks
 // few hosts learns as much later as it asks later.
 const (
-	memory  = 4 * time.Second // of a host's last word
-	Settle  = 700 * time.Millisecond
-	least   = 2 // hosts that do not answer, where a site has so many
-	mostOff = time.Minute
+	answerMaxAge   = 4 * time.Second // of a host's last word
+	Settle         = 700 * time.Millisecond
+	minSilentHosts = 2 // hosts that do not answer, where a site has so many
+	maxReturnHold  = time.Minute
 )
 
-// host is the last word of one.
-type host struct {
-	site  int
-	heard bool // it answered
-	at    time.Duration
-	known bool
+// hostStatus is the last word of one.
+type hostStatus struct {
+	site     int
+	answered bool // it answered
+	at       time.Duration
+	known    bool
 }
 
-// site is what is held of one.
-type site struct {
-	state  State
-	since  time.Duration
-	bad    time.Duration // when it began to look bad; 0: it does not
-	hold   time.Duration // a return is held back for so long: doubled by each that failed
-	ground string
+// siteStatus is what is held of one.
+type siteStatus struct {
+	state      State
+	since      time.Duration
+	badSince   time.Duration // when it began to look bad; 0: it does not
+	returnHold time.Duration // a return is held back for so long: doubled by each that failed
+	reason     string
 }
 
 // Judge judges sites. The zero value is of no use, see New.
 type Judge struct {
-	set   Settings
-	hosts map[uint32]*host
-	sites []site
-	count []int // hosts listed, by site
+	settings   Settings
+	hosts      map[uint32]*hostStatus
+	sites      []siteStatus
+	hostCounts []int // hosts listed, by site
 }
 
 // Change is a site's new state, with its ground in words.
@@ -78,27 +78,27 @@
 
 // New makes a Judge that holds all sites to serve.
 func New(set Settings) *Judge {
-	return &Judge{set: set, hosts: map[uint32]*host{}, sites: make([]site, set.Sites), count: make([]int, set.Sites)}
+	return &Judge{settings: set, hosts: map[uint32]*hostStatus{}, sites: make([]siteStatus, set.Sites), hostCounts: make([]int, set.Sites)}
 }
 
 // Listed takes in that a host of a site is on the list, or (gone) no more.
 func (j *Judge) Listed(id uint32, at int, gone bool) {
 	h := j.hosts[id]
 	if h != nil && (gone || h.site != at) {
-		j.count[h.site]--
+		j.hostCounts[h.site]--
 		delete(j.hosts, id)
 		h = nil
 	}
-	if !gone && h == nil && at >= 0 && at < j.set.Sites {
-		j.hosts[id] = &host{site: at}
-		j.count[at]++
+	if !gone && h == nil && at >= 0 && at < j.settings.Sites {
+		j.hosts[id] = &hostStatus{site: at}
+		j.hostCounts[at]++
 	}
 }
 
 // Heard takes in that a host has answered, or has not where it should have: it was silent, or nobody took the connection.
 func (j *Judge) Heard(now time.Duration, id uint32, answered bool) {
 	if h := j.hosts[id]; h != nil {
-		h.heard, h.at, h.known = answered, now, true
+		h.answered, h.at, h.known = answered, now, true
 	}
 }
 
@@ -106,15 +106,15 @@
 func (j *Judge) State(n int) State { return j.sites[n].state }
 
 // Ground: see State.
-func (j *Judge) Ground(n int) string { return j.sites[n].ground }
+func (j *Judge) Ground(n int) string { return j.sites[n].reason }
 
 // Step judges all sites at a time, and gives what has changed.
 func (j *Judge) Step(now time.Duration) (all []Change) {
-	silent, heard := make([]int, j.set.Sites), make([]int, j.set.Sites)
+	silent, heard := make([]int, j.settings.Sites), make([]int, j.settings.Sites)
 	for _, h := range j.hosts {
 		switch {
-		case !h.known || now-h.at > memory:
-		case h.heard:
+		case !h.known || now-h.at > answerMaxAge:
+		case h.answered:
 			heard[h.site]++
 		default:
 			silent[h.site]++
@@ -122,34 +122,34 @@
 	}
 	dark, lit, remote := 0, 0, 0 // other sites without and with an answer, and all of which there is a word
 	for n := range j.sites {
-		if n == j.set.Own || silent[n]+heard[n] == 0 {
+		if n == j.settings.Own || silent[n]+heard[n] == 0 {
 			continue
 		}
 		if remote++; heard[n] > 0 {
 			lit++
-		} else if silent[n] >= min(least, j.count[n]) {
+		} else if silent[n] >= min(minSilentHosts, j.hostCounts[n]) {
 			dark++
 		}
 	}
-	ownLit := j.set.Own >= 0 && heard[j.set.Own] > 0
+	ownLit := j.settings.Own >= 0 && heard[j.settings.Own] > 0
 	for n := range j.sites {
 		s := &j.sites[n]
-		bad := silent[n] >= min(least, max(j.count[n], 1)) && silent[n] > heard[n]
-		if bad && s.bad == 0 {
-			s.bad = now
+		bad := silent[n] >= min(minSilentHosts, max(j.hostCounts[n], 1)) && silent[n] > heard[n]
+		if bad && s.badSince == 0 {
+			s.badSince = now
 		} else if !bad {
-			s.bad = 0
+			s.badSince = 0
 		}
 		to, ground := s.state, ""
 		switch {
-		case bad && heard[n] == 0 && now-s.bad >= Settle:
-			ground = fmt.Sprintf("%d of its %d hosts do not answer, none does", silent[n], j.count[n])
+		case bad && heard[n] == 0 && now-s.badSince >= Settle:
+			ground = fmt.Sprintf("%d of its %d hosts do not answer, none does", silent[n], j.hostCounts[n])
 			switch {
-			case lit == 0 && dark >= 2 && n != j.set.Own: // one place, not each of them: this one
+			case lit == 0 && dark >= 2 && n != j.settings.Own: // one place, not each of them: this one
 				to, ground = CutOff, ground+fmt.Sprintf(", as of %d other sites", dark-1)
-			case n == j.set.Own && lit == 0 && dark > 0:
+			case n == j.settings.Own && lit == 0 && dark > 0:
 				to, ground = CutOff, ground+", nor does any other site"
-			case lit > 0 || ownLit && n != j.set.Own:
+			case lit > 0 || ownLit && n != j.settings.Own:
 				to = Lost
 			default: // nothing else to compare with
 				to = Suspect
@@ -157,21 +157,21 @@
 		case bad && s.state == Serving:
 			to, ground = Suspect, fmt.Sprintf("%d of its hosts do not answer, %d do", silent[n], heard[n])
 		case bad && s.state == Returning:
-			s.hold = min(max(2*s.hold, 4*time.Second), mostOff)
-			to, ground = Suspect, fmt.Sprintf("fell silent while it returned: its next return is held back for %v", s.hold)
+			s.returnHold = min(max(2*s.returnHold, 4*time.Second), maxReturnHold)
+			to, ground = Suspect, fmt.Sprintf("fell silent while it returned: its next return is held back for %v", s.returnHold)
 		case heard[n] > 0 && s.state == Suspect && !bad:
 			to, ground = Serving, fmt.Sprintf("%d of its hosts answer", heard[n])
 		case heard[n] > 0 && s.state == CutOff:
 			to, ground = Serving, fmt.Sprintf("%d of its hosts answer", heard[n])
 		case heard[n] > 0 && s.state == Lost:
 			to, ground = Returning, fmt.Sprintf("%d of its hosts answer", heard[n])
-		case s.state == Returning && now-s.since >= j.set.WarmUp+s.hold:
+		case s.state == Returning && now-s.since >= j.settings.WarmUp+s.returnHold:
 			to, ground = Serving, "warm"
-			s.hold = 0
+			s.returnHold = 0
 		}
 		if to != s.state {
 			all = append(all, Change{n, s.state, to, ground})
-			s.state, s.since, s.ground = to, now, ground
+			s.state, s.since, s.reason = to, now, ground
 		}
 	}
 	return all
--- a/internal/siteloss/plan.go
+++ b/internal/siteloss/plan.go
@@ -119,12 +119,12 @@
 // spare. The fleet must be sound.
 func (f *Fleet) Plan() (all []Loss) {
 	for i := range f.Sites {
-		all = append(all, f.lose(i))
+		all = append(all, f.planLoss(i))
 	}
 	return all
 }
 
-func (f *Fleet) lose(lost int) Loss {
+func (f *Fleet) planLoss(lost int) Loss {
 	l := Loss{Site: f.Sites[lost].Name}
 	left, asked, spare := 0.0, f.Asked(), 0.0
 	for i, s := range f.Sites {
@@ -153,7 +153,7 @@
 	l.Refused += f.Sites[lost].Load - moved
 	l.Load = ratio(asked, left/f.Usable)
 	l.RefusesAt = ratio(left, asked)
-	l.Kept = f.kept(asked, min(left, asked-l.Refused))
+	l.Kept = f.servedByClass(asked, min(left, asked-l.Refused))
 	if f.ColdFrom < 1 {
 		l.Returns = f.WarmUp
 	}
@@ -161,8 +161,8 @@
 	return l
 }
 
-// kept deals what can be done out to the classes: every floor first, in the order of the classes, then the rest likewise.
-func (f *Fleet) kept(asked, can float64) (all []Kept) {
+// servedByClass deals what can be done out to the classes: every floor first, in the order of the classes, then the rest likewise.
+func (f *Fleet) servedByClass(asked, can float64) (all []Kept) {
 	served := make([]float64, len(f.Classes))
 	for _, floor := range []bool{true, false} {
 		for i, c := range f.Classes {
--- a/internal/siteloss/siteloss_test.go
+++ b/internal/siteloss/siteloss_test.go
@@ -11,22 +11,22 @@
 
 const ms = time.Millisecond
 
-// seen is a Judge of a dispatcher in site 0 of three with six hosts each, and what is true of the sites from where it is.
-type seen struct {
+// testSites is a Judge of a dispatcher in site 0 of three with six hosts each, and what is true of the sites from where it is.
+type testSites struct {
 	*Judge
 	now time.Duration
 }
 
-func look(sites int) *seen {
-	s := &seen{Judge: New(Settings{Sites: sites, Own: 0, WarmUp: 10 * time.Second}), now: time.Hour}
+func newTestSites(sites int) *testSites {
+	s := &testSites{Judge: New(Settings{Sites: sites, Own: 0, WarmUp: 10 * time.Second}), now: time.Hour}
 	for id := range uint32(6 * sites) {
 		s.Listed(id, int(id)%sites, false)
 	}
 	return s
 }
 
-// pass lets time pass while every host is asked each 300 ms, and gives the changes. dark tells which sites do not answer.
-func (s *seen) pass(length time.Duration, dark ...int) (all []Change) {
+// run lets time pass while every host is asked each 300 ms, and gives the changes. dark tells which sites do not answer.
+func (s *testSites) run(length time.Duration, dark ...int) (all []Change) {
 	for end := s.now + length; s.now < end; s.now += 50 * ms {
 		for id, h := range s.hosts {
 			if (s.now/(50*ms)+time.Duration(id))%6 == 0 {
@@ -43,7 +43,7 @@
 }
 
 // states are all sites' at once.
-func (s *seen) states() (all []State) {
+func (s *testSites) states() (all []State) {
 	for n := range s.sites {
 		all = append(all, s.State(n))
 	}
@@ -67,18 +67,18 @@
 		{2, []int{1}, []State{Serving, Lost}},          // with one other there is nothing to compare with: its own serves on
 		{4, []int{2, 3}, []State{Serving, Serving, Lost, Lost}},
 	} {
-		s := look(c.sites)
-		require.Empty(t, s.pass(3*time.Second))
-		s.pass(1500*ms, c.dark...)
+		s := newTestSites(c.sites)
+		require.Empty(t, s.run(3*time.Second))
+		s.run(1500*ms, c.dark...)
 		assert.Equal(t, c.want, s.states(), "%+v", c)
-		s.pass(5*time.Second, c.dark...)
+		s.run(5*time.Second, c.dark...)
 		assert.Equal(t, c.want, s.states(), "%+v, later", c)
 	}
 }
 
 // Half of a site is suspect and not lost; a single host that is silent is no site's matter.
 func TestHalfOfASite(t *testing.T) {
-	s := look(3)
+	s := newTestSites(3)
 	half := func(silent uint32, length time.Duration) {
 		for end := s.now + length; s.now < end; s.now += 100 * ms {
 			for id, h := range s.hosts {
@@ -98,29 +98,29 @@
 
 // A site that returns is cold for its warm-up; one that falls silent meanwhile is held back longer each time, up to a bound.
 func TestReturnAndFlap(t *testing.T) {
-	s := look(3)
-	s.pass(2*time.Second, 2)
+	s := newTestSites(3)
+	s.run(2*time.Second, 2)
 	require.Equal(t, Lost, s.State(2))
-	s.pass(time.Second)
+	s.run(time.Second)
 	require.Equal(t, Returning, s.State(2))
-	s.pass(8 * time.Second)
+	s.run(8 * time.Second)
 	assert.Equal(t, Returning, s.State(2))
-	s.pass(3 * time.Second)
+	s.run(3 * time.Second)
 	assert.Equal(t, Serving, s.State(2))
 	before := time.Duration(0)
 	for range 6 {
-		s.pass(6*time.Second, 2)
-		s.pass(time.Second)
+		s.run(6*time.Second, 2)
+		s.run(time.Second)
 		require.Equal(t, Returning, s.State(2))
 		from := s.now
-		s.pass(2*time.Second, 2) // in the middle of its return
-		s.pass(6*time.Second, 2)
+		s.run(2*time.Second, 2) // in the middle of its return
+		s.run(6*time.Second, 2)
 		assert.Equal(t, Lost, s.State(2))
-		assert.GreaterOrEqual(t, s.sites[2].hold, min(2*before, mostOff), from)
-		before = s.sites[2].hold
+		assert.GreaterOrEqual(t, s.sites[2].returnHold, min(2*before, maxReturnHold), from)
+		before = s.sites[2].returnHold
 	}
-	assert.Equal(t, mostOff, before)
-	s.pass(12 * time.Second)
+	assert.Equal(t, maxReturnHold, before)
+	s.run(12 * time.Second)
 	assert.Equal(t, Returning, s.State(2), "held back beyond its warm-up")
 }
 
@@ -128,7 +128,7 @@
 // there are two or more of them, and a host that is on no list counts for nothing.
 func TestNeverAllLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := look(3)
+		s := newTestSites(3)
 		for range rapid.IntRange(10, 200).Draw(t, "steps") {
 			s.now += time.Duration(rapid.IntRange(10, 900).Draw(t, "later")) * ms
 			s.Heard(s.now, uint32(rapid.IntRange(0, 40).Draw(t, "host")), rapid.Bool().Draw(t, "answered"))
