--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -7,7 +7,7 @@
 
 const second = time.Second
 
-// sound is a record in which every rule is kept, and hard.
+// sound returns a record that keeps every rule but comes close to each limit.
 func sound() []Event {
 	return []Event{
 		{Kind: Taken, At: 1 * second, Job: 1, Node: 1, Unsafe: true, Deadline: 10 * second},
@@ -18,7 +18,7 @@
 		{Kind: NeverRan, At: 3 * second, Job: 1},
 		{Kind: Sent, At: 3 * second, Job: 1, Attempt: 1, Node: 1, Host: 8},
 		{Kind: Sent, At: 3 * second, Job: 2, Node: 1, Host: 8},
-		{Kind: Sent, At: 4 * second, Job: 3, Node: 2, Host: 7}, // node 2 was told nothing
+		{Kind: Sent, At: 4 * second, Job: 3, Node: 2, Host: 7}, // node 2 was not informed of the drain
 		{Kind: Ran, At: 4 * second, Job: 1, Attempt: 1, Host: 8},
 		{Kind: Ran, At: 4 * second, Job: 2, Host: 8},
 		{Kind: Answered, At: 5 * second, Job: 2, Answer: Refused},
@@ -28,11 +28,11 @@
 		{Kind: Knows, At: 11 * second, Node: 1, Host: 9},
 		{Kind: Worked, At: 11 * second, Node: 1, Host: 9, Work: 5 * second, Capacity: 1},
 		{Kind: Worked, At: 13 * second, Node: 1, Host: 9, Work: 5 * second, Capacity: 1},
-		{Kind: Worked, At: 13 * second, Node: 1, Host: 10, Work: 50 * second, Capacity: 1}, // it was not told
+		{Kind: Worked, At: 13 * second, Node: 1, Host: 10, Work: 50 * second, Capacity: 1}, // the node was not informed of the start
 		{Kind: Taken, At: 13 * second, Job: 6, Node: 1, Deadline: 14 * second},
 		{Kind: Sent, At: 13 * second, Job: 6, Node: 1, Host: 11},
 		{Kind: Knows, At: 13 * second, Node: 1, Host: 11},
-		{Kind: Worked, At: 13 * second, Job: 6, Node: 1, Host: 11, Work: 50 * second, Capacity: 1}, // it left before that
+		{Kind: Worked, At: 13 * second, Job: 6, Node: 1, Host: 11, Work: 50 * second, Capacity: 1}, // sent before the node was informed
 		{Kind: Answered, At: 13 * second, Job: 6, Answer: Refused},
 		{Kind: Used, At: 13 * second, Host: 1, Amount: 2},
 		{Kind: Used, At: 13 * second, Host: 2, Amount: 1},
@@ -62,7 +62,7 @@
 	}
 }
 
-// Each rule broken on purpose is found, and nothing else with it.
+// Each record that breaks one rule yields exactly one breach, of that rule.
 func TestMutants(t *testing.T) {
 	for name, m := range map[string]struct {
 		change func([]Event) []Event
@@ -93,7 +93,7 @@
 	}
 }
 
-// sorted puts what was moved in time where it belongs.
+// sorted restores the order of time after an event was moved.
 func sorted(e []Event) []Event {
 	for i := range e {
 		for k := i; k > 0 && e[k-1].At > e[k].At; k-- {
--- a/internal/siteloss/judge.go
+++ b/internal/siteloss/judge.go
@@ -1,9 +1,9 @@
-// Package siteloss tells what one dispatcher knows of each site (a server room with its game workers) from its own evidence, and what
-// is planned for the loss of one. It is free of I/O, clocks and goroutines.
+// Package siteloss derives the state of each site (a server room with its game workers) from the evidence of one dispatcher, and
+// plans for the loss of a site. It uses no I/O, clocks or goroutines.
 //
-// A dispatcher sees of a site only whether its hosts answer. That none of a site answers has three explanations: the site is lost,
-// the way there is cut, or the dispatcher itself is cut off. The first two are the same to whoever is on this side of them; the
-// last is not, and is told apart by looking at all sites: see Judge.
+// A dispatcher sees only whether the hosts of a site answer. If none of them answers, there are three explanations: the site is
+// lost, the network path to it is cut, or the dispatcher itself is cut off. The first two look the same from the dispatcher's side.
+// Judge recognizes the last one by comparing all sites.
 package siteloss
 
 import (
@@ -11,56 +11,56 @@
 	"time"
 )
 
-// State is what is held of a site.
+// State is the judged state of a site.
 type State uint8
 
 // The states.
 const (
 	Serving   State = iota
-	Suspect         // most of its hosts that were asked do not answer
-	Lost            // none does, while other sites do
-	CutOff          // none of any other site does, or none at all: it is this dispatcher that has no way there
-	Returning       // the first of its hosts answer again: they are cold, and may go again
+	Suspect         // most of its recently asked hosts do not answer
+	Lost            // no host answers, while other sites do
+	CutOff          // no host of any other site answers, or none at all: this dispatcher is cut off
+	Returning       // the first hosts answer again: they are cold, and may fail again
 )
 
 var stateNames = [...]string{"serving", "suspect", "lost", "cut off from here", "returning"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Settings are what a Judge goes by.
+// Settings are the parameters of a Judge.
 type Settings struct {
 	Sites  int // numbered from 0
-	Own    int // the dispatcher's; -1: none
+	Own    int // site of the dispatcher; -1: none
 	WarmUp time.Duration
 }
 
-// What is judged by. A site is noticed Settle after the second of its hosts did not answer, at the latest; a dispatcher that asks
-// few hosts learns as much later as it asks later.
+// Parameters of the judgment. The loss of a site is noticed at most Settle after the second of its hosts did not answer. A
+// dispatcher that asks hosts less often notices it correspondingly later.
 const (
-	answerMaxAge   = 4 * time.Second // of a host's last word
+	answerMaxAge   = 4 * time.Second // an older result of a host is ignored
 	Settle         = 700 * time.Millisecond
-	minSilentHosts = 2 // hosts that do not answer, where a site has so many
+	minSilentHosts = 2 // silent hosts needed for a judgment; fewer if the site has fewer hosts
 	maxReturnHold  = time.Minute
 )
 
-// hostStatus is the last word of one.
+// hostStatus is the last result of a host.
 type hostStatus struct {
 	site     int
-	answered bool // it answered
+	answered bool // whether the host answered
 	at       time.Duration
 	known    bool
 }
 
-// siteStatus is what is held of one.
+// siteStatus is the judged status of a site.
 type siteStatus struct {
 	state      State
 	since      time.Duration
-	badSince   time.Duration // when it began to look bad; 0: it does not
-	returnHold time.Duration // a return is held back for so long: doubled by each that failed
+	badSince   time.Duration // start of the present silence; 0: not silent
+	returnHold time.Duration // extra time before a return is complete; each failed return doubles it
 	reason     string
 }
 
-// Judge judges sites. The zero value is of no use, see New.
+// Judge derives the states of sites. Use New to create one.
 type Judge struct {
 	settings   Settings
 	hosts      map[uint32]*hostStatus
@@ -68,7 +68,7 @@
 	hostCounts []int // hosts listed, by site
 }
 
-// Change is a site's new state, with its ground in words.
+// Change is a change of a site's state, with its reason as text.
 type Change struct {
 	Site   int
 	From   State
@@ -76,12 +76,12 @@
 	Ground string
 }
 
-// New makes a Judge that holds all sites to serve.
+// New returns a Judge in which all sites are Serving.
 func New(set Settings) *Judge {
 	return &Judge{settings: set, hosts: map[uint32]*hostStatus{}, sites: make([]siteStatus, set.Sites), hostCounts: make([]int, set.Sites)}
 }
 
-// Listed takes in that a host of a site is on the list, or (gone) no more.
+// Listed records that a host of a site is on the list, or, with gone set, that it was removed.
 func (j *Judge) Listed(id uint32, at int, gone bool) {
 	h := j.hosts[id]
 	if h != nil && (gone || h.site != at) {
@@ -95,20 +95,20 @@
 	}
 }
 
-// Heard takes in that a host has answered, or has not where it should have: it was silent, or nobody took the connection.
+// Heard records whether a host has answered. It has not if it stayed silent or did not accept the connection.
 func (j *Judge) Heard(now time.Duration, id uint32, answered bool) {
 	if h := j.hosts[id]; h != nil {
 		h.answered, h.at, h.known = answered, now, true
 	}
 }
 
-// State is that of a site; Ground says why, in words.
+// State returns the state of a site.
 func (j *Judge) State(n int) State { return j.sites[n].state }
 
-// Ground: see State.
+// Ground returns the reason for the state of a site, as text.
 func (j *Judge) Ground(n int) string { return j.sites[n].reason }
 
-// Step judges all sites at a time, and gives what has changed.
+// Step derives the states of all sites at the given time and returns the changes.
 func (j *Judge) Step(now time.Duration) (all []Change) {
 	silent, heard := make([]int, j.settings.Sites), make([]int, j.settings.Sites)
 	for _, h := range j.hosts {
@@ -120,7 +120,7 @@
 			silent[h.site]++
 		}
 	}
-	dark, lit, remote := 0, 0, 0 // other sites without and with an answer, and all of which there is a word
+	dark, lit, remote := 0, 0, 0 // other sites without and with an answer, and all with a recent result
 	for n := range j.sites {
 		if n == j.settings.Own || silent[n]+heard[n] == 0 {
 			continue
@@ -145,13 +145,13 @@
 		case bad && heard[n] == 0 && now-s.badSince >= Settle:
 			ground = fmt.Sprintf("%d of its %d hosts do not answer, none does", silent[n], j.hostCounts[n])
 			switch {
-			case lit == 0 && dark >= 2 && n != j.settings.Own: // one place, not each of them: this one
+			case lit == 0 && dark >= 2 && n != j.settings.Own: // more likely this dispatcher is cut off than every other site
 				to, ground = CutOff, ground+fmt.Sprintf(", as of %d other sites", dark-1)
 			case n == j.settings.Own && lit == 0 && dark > 0:
 				to, ground = CutOff, ground+", nor does any other site"
 			case lit > 0 || ownLit && n != j.settings.Own:
 				to = Lost
-			default: // nothing else to compare with
+			default: // no other site to compare with
 				to = Suspect
 			}
 		case bad && s.state == Serving:
