--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,5 +1,5 @@
-// Package check is the one checker of the rules that every dispatcher has to keep. It reads what was seen, from the lab in
-// virtual time or from the emulator on sockets, and trusts no dispatcher's word: what has run, hosts tell.
+// Package check verifies the rules that every dispatcher must keep. It reads events recorded by the lab in virtual time or by the
+// emulator on sockets. It does not rely on dispatchers to report which jobs have run: hosts report that.
 package check
 
 import (
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Kind says what an Event tells.
+// Kind is the kind of an Event.
 type Kind uint8
 
-// The kinds. The fields in brackets count.
+// The kinds. The fields in parentheses are set.
 const (
-	Taken    Kind = iota // a dispatcher has taken a job (Job, Node, Unsafe, Deadline)
-	Left                 // its client has gone: nothing is owed any more (Job)
-	Sent                 // a send of it begins (Job, Attempt, Node, Host)
-	Ran                  // a host has begun to run it (Job, Attempt, Host)
-	NeverRan             // a send of it is proved not to have run, and its dispatcher knows (Job, Attempt)
-	Answered             // it has an answer (Job, Answer)
-	Killed               // a dispatcher is dead, and what it held is lost (Node)
-	Told                 // a dispatcher was told that a host drains or is gone (Node, Host)
-	Untold               // or that it takes jobs (Node, Host)
-	Worked               // work has come to a host that is cold (Job, Attempt, Node, Host, Work, Capacity)
-	Reborn               // a host has started anew, and nobody knows yet (Host)
-	Knows                // a dispatcher was told of its present start (Node, Host)
-	Used                 // something of which the fleet has only so much was used at a host (Sum, Host, Amount)
+	Taken    Kind = iota // a dispatcher has accepted a job (Job, Node, Unsafe, Deadline)
+	Left                 // the job's client has disconnected: no answer is due (Job)
+	Sent                 // a send of the job begins (Job, Attempt, Node, Host)
+	Ran                  // a host has started the job (Job, Attempt, Host)
+	NeverRan             // a send is proved not to have run, and the dispatcher knows (Job, Attempt)
+	Answered             // the job has an answer (Job, Answer)
+	Killed               // a dispatcher was killed, and its jobs are lost (Node)
+	Told                 // a dispatcher was informed that a host drains or is gone (Node, Host)
+	Untold               // a dispatcher was informed that a host accepts jobs (Node, Host)
+	Worked               // work has arrived at a cold host (Job, Attempt, Node, Host, Work, Capacity)
+	Reborn               // a host has restarted, and no dispatcher knows yet (Host)
+	Knows                // a dispatcher was informed of the host's latest start (Node, Host)
+	Used                 // part of a fleet-wide budget was used at a host (Sum, Host, Amount)
 )
 
-// Answer is what a client has heard.
+// Answer is the final answer to a client.
 type Answer uint8
 
 // The answers.
@@ -37,7 +37,7 @@
 	Failed
 )
 
-// Event is one thing that was seen, at a time. Events come in order of time.
+// Event is one observed event. Events must be passed in order of time.
 type Event struct {
 	Kind     Kind
 	At       time.Duration
@@ -48,28 +48,28 @@
 	Unsafe   bool
 	Deadline time.Duration
 	Answer   Answer
-	Work     time.Duration // of a standard lane
-	Capacity float64       // standard lanes that the host is worth at this moment
-	Sum      int           // its number in Rules.Sums
+	Work     time.Duration // time on a standard lane
+	Capacity float64       // the host's present capacity in standard lanes
+	Sum      int           // index in Rules.Sums
 	Amount   float64
 }
 
-// Sum is a bound on what all dispatchers together use of each host: at most Most in any Window.
+// Sum is a limit on the combined use of each host by all dispatchers: at most Most in any Window.
 type Sum struct {
 	Name   string
 	Window time.Duration
 	Most   float64
 }
 
-// Rules are the figures that the rules are counted by.
+// Rules are the limits that a Checker applies.
 type Rules struct {
-	AnswerGrace time.Duration // after its client's deadline an answer still counts
+	AnswerGrace time.Duration // an answer this long after the client's deadline is still in time
 	DrainGrace  time.Duration
 	TipMultiple float64
 	OverloadFor time.Duration
-	Slack       float64 // of the budget of a cold host, for chance
+	Slack       float64 // tolerated excess, as a share of a cold host's budget, because arrivals are random
 	Sums        []Sum
-	Repeats     float64 // sends beyond a job's first by all dispatchers, for each first one, at most; 0: any
+	Repeats     float64 // maximum ratio of repeated to first sends, over all dispatchers; 0: unlimited
 }
 
 // Rule names a rule.
@@ -86,7 +86,7 @@
 	Sums       Rule = "a sum over the fleet"
 )
 
-// Breach is a rule that was broken.
+// Breach is a violation of a rule.
 type Breach struct {
 	Rule Rule
 	At   time.Duration
@@ -95,44 +95,44 @@
 
 func (b Breach) String() string { return fmt.Sprintf("%v: %s: %s", b.At, b.Rule, b.What) }
 
-// jobState is what is known of one.
+// jobState is the recorded state of a job.
 type jobState struct {
 	node     int
 	unsafe   bool
 	deadline time.Duration
 	answered bool
 	refused  bool
-	sends    uint64 // a bit for each that is not proved never to have run
-	knew     uint64 // a bit for each that left when its dispatcher was told of the host's present start
+	sends    uint64 // bit set of the attempts that may have run
+	knew     uint64 // bit set of the attempts sent while the dispatcher knew of the host's latest start
 	ran      int
 }
 
-// inflow is the work that has come to a cold host within the window.
+// inflow is the work that arrived at a cold host within the window.
 type inflow struct {
 	at   []time.Duration
 	work []float64
-	knew []bool // from a dispatcher that was told of its start
+	knew []bool // sent by a dispatcher that knew of the host's start
 }
 
-const maxBreaches = 100 // breaches that are kept; all are counted
+const maxBreaches = 100 // number of breaches that are stored; all are counted
 
-// Checker reads events. The zero value is of no use, see New.
+// Checker checks a sequence of events against the rules. Use New to create one.
 type Checker struct {
 	rules         Rules
 	jobs          map[uint64]*jobState
 	drainNotices  map[[2]int]time.Duration
 	knowsStart    map[[2]int]bool
 	coldInflow    map[int]*inflow
-	usage         map[[2]int]*usageWindow // by sum and host
+	usage         map[[2]int]*usageWindow // by index of the sum and host
 	breaches      []Breach
 	counts        map[Rule]int
 	now           time.Duration
 	checked       int
-	firstSends    int // sends
+	firstSends    int
 	repeatedSends int
 }
 
-// New makes a Checker.
+// New returns a Checker that applies the given limits.
 func New(r Rules) *Checker {
 	return &Checker{rules: r, jobs: map[uint64]*jobState{}, drainNotices: map[[2]int]time.Duration{},
 		knowsStart: map[[2]int]bool{}, coldInflow: map[int]*inflow{}, usage: map[[2]int]*usageWindow{},
@@ -146,7 +146,7 @@
 	}
 }
 
-// See takes in what was seen.
+// See processes the next event.
 func (c *Checker) See(e Event) {
 	if e.At < c.now {
 		c.breach(Unexpected, "an event at %v after one at %v", e.At, c.now)
@@ -255,12 +255,12 @@
 		c.breach(OneAnswer, "job %d is served and never ran", e.Job)
 	}
 	if !j.unsafe {
-		delete(c.jobs, e.Job) // what else comes of it harms nobody
+		delete(c.jobs, e.Job) // later events of a job that is safe to repeat break no rule
 	}
 }
 
-// recordColdWork counts the budget of a cold host over any window. Whoever could not know that it is cold breaks no rule: the
-// budget is broken by those who were told, if two thirds of the work is theirs.
+// recordColdWork checks the budget of a cold host over a sliding window. A dispatcher that could not know that the host is
+// cold breaks no rule: an excess is a breach only if at least two thirds of the work comes from dispatchers that knew.
 func (c *Checker) recordColdWork(e Event) {
 	f := c.coldInflow[e.Host]
 	if f == nil {
@@ -269,7 +269,7 @@
 	}
 	f.at, f.work = append(f.at, e.At), append(f.work, e.Work.Seconds())
 	knew := c.knowsStart[[2]int{e.Node, e.Host}]
-	if j := c.jobs[e.Job]; j != nil { // what counts is what was known when it left
+	if j := c.jobs[e.Job]; j != nil { // the dispatcher's knowledge at the time of the send decides
 		knew = j.knew&(1<<min(e.Attempt, 63)) != 0
 	}
 	f.knew = append(f.knew, knew)
@@ -290,14 +290,14 @@
 	}
 }
 
-// usageWindow is what was used within the window of a sum.
+// usageWindow is the use within the window of a Sum.
 type usageWindow struct {
 	at     []time.Duration
 	amount []float64
 	sum    float64
 }
 
-// recordUse counts a sum over any window. After a breach it begins anew, so that one excess is told once a window.
+// recordUse checks a Sum over a sliding window. After a breach it starts from zero, so that an excess is reported once per window.
 func (c *Checker) recordUse(e Event) {
 	if e.Sum < 0 || e.Sum >= len(c.rules.Sums) {
 		c.breach(Unexpected, "sum %d is not known", e.Sum)
@@ -320,7 +320,7 @@
 	}
 }
 
-// End tells that all is over at now: whatever has no answer has none.
+// End finishes the check at now and records a breach for each overdue job without an answer.
 func (c *Checker) End(now time.Duration) {
 	c.now = max(c.now, now)
 	for id, j := range c.jobs {
@@ -330,11 +330,11 @@
 	}
 }
 
-// Breaches gives the first of them, Counts all by rule, Checked the jobs that were looked at.
+// Breaches returns the first breaches, at most 100.
 func (c *Checker) Breaches() []Breach { return c.breaches }
 
-// Counts gives the number of breaches of each rule that has any.
+// Counts returns the number of breaches of each rule that has any.
 func (c *Checker) Counts() map[Rule]int { return c.counts }
 
-// Checked is the number of jobs that were taken.
+// Checked returns the number of accepted jobs.
 func (c *Checker) Checked() int { return c.checked }
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -85,7 +85,7 @@
 	random    func() float64
 	now       time.Duration
 	busy      int
-	running   []task // by end
+	running   []task // sorted by end
 	queue     []task
 	notes     []Note
 	report    Load
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario is what the scenario files of the lab and of the rig of processes have in common: reading HCL with errors that
-// name file, line, column and key, and the hosts and classes of jobs of a day.
+// Package scenario holds the common parts of the scenario files of the lab and of the process rig: it reads HCL with errors that name
+// file, line, column and key, and defines the hosts and job classes of a scenario.
 package scenario
 
 import (
@@ -17,36 +17,36 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Hosts is a number of hosts of one kind.
+// Hosts is a group of hosts of one kind.
 type Hosts struct {
 	Kind  string    `hcl:"kind,label"`
 	Count int       `hcl:"count"`
 	Lanes int       `hcl:"lanes"`
-	Speed float64   `hcl:"speed,optional"` // of a lane; 1 where it is not said
+	Speed float64   `hcl:"speed,optional"` // of a lane; default 1
 	Range hcl.Range `hcl:",def_range"`
 }
 
-// Class is a class of jobs. Checker.Classes reads the durations from the texts.
+// Class is a class of jobs. Checker.Classes parses the durations.
 type Class struct {
 	Name     string    `hcl:"name,label"`
-	Part     float64   `hcl:"part"`           // of all jobs
-	Mean     string    `hcl:"mean"`           // work of one, on a standard lane
-	Sigma    float64   `hcl:"sigma,optional"` // of the logarithm of its size
+	Part     float64   `hcl:"part"`           // share of all jobs
+	Mean     string    `hcl:"mean"`           // mean work of a job, on a standard lane
+	Sigma    float64   `hcl:"sigma,optional"` // standard deviation of the logarithm of the size
 	OnTime   string    `hcl:"on_time"`
 	Stretch  float64   `hcl:"stretch,optional"`
 	Patience string    `hcl:"patience"`
 	Worth    float64   `hcl:"worth"`
-	Once     bool      `hcl:"once,optional"` // must never run twice
-	Most     string    `hcl:"most,optional"` // work of the largest; without: any
+	Once     bool      `hcl:"once,optional"` // must not run twice
+	Most     string    `hcl:"most,optional"` // work of the largest job; empty: unlimited
 	Range    hcl.Range `hcl:",def_range"`
 
 	Work    time.Duration // Mean
 	Aim     time.Duration // OnTime
 	Wait    time.Duration // Patience
-	Largest time.Duration // Most; 0: any
+	Largest time.Duration // Most; 0: unlimited
 }
 
-// Size draws the work of a job, in nanoseconds of a standard lane.
+// Size draws the random work of a job, in nanoseconds of a standard lane.
 func (c *Class) Size(src rand.Source) float64 {
 	size := float64(c.Work) * distuv.LogNormal{Mu: -c.Sigma * c.Sigma / 2, Sigma: c.Sigma, Src: src}.Rand()
 	if c.Largest > 0 {
@@ -55,12 +55,12 @@
 	return size
 }
 
-// Within is how long after it was asked for a job of a size is worth anything.
+// Within returns how long after its request a job of the given size still has a value.
 func (c *Class) Within(size time.Duration) time.Duration {
 	return min(c.Aim+time.Duration(c.Stretch*float64(size)), c.Wait)
 }
 
-// Choose gives the number of the class that x, from 0 to 1, falls to by the classes' parts.
+// Choose returns the index of the class for x, a number from 0 to 1, according to the classes' shares.
 func Choose(all []Class, x float64) int {
 	k := 0
 	for k < len(all)-1 && x >= all[k].Part {
@@ -70,7 +70,7 @@
 	return k
 }
 
-// Count is how many hosts there are.
+// Count returns the total number of hosts.
 func Count(all []Hosts) (n int) {
 	for _, h := range all {
 		n += h.Count
@@ -78,7 +78,7 @@
 	return n
 }
 
-// Capacity is what all hosts can do, in standard lanes.
+// Capacity returns the total capacity of all hosts, in standard lanes.
 func Capacity(all []Hosts) (lanes float64) {
 	for _, h := range all {
 		lanes += float64(h.Count*h.Lanes) * h.Speed
@@ -86,7 +86,7 @@
 	return lanes
 }
 
-// MeanWork is the mean work of a job, in seconds of a standard lane.
+// MeanWork returns the mean work of a job, in seconds of a standard lane.
 func MeanWork(all []Class) (work float64) {
 	for _, k := range all {
 		work += k.Part * k.Work.Seconds()
@@ -94,7 +94,7 @@
 	return work
 }
 
-// Load reads files, each by parse.
+// Load reads files and parses each with parse.
 func Load[T any](parse func(text []byte, name string) ([]T, error), files ...string) (all []T, err error) {
 	for _, p := range files {
 		text, err := os.ReadFile(p)
@@ -110,7 +110,7 @@
 	return all, nil
 }
 
-// Decode reads the text of a file into a struct with hcl tags. Errors name file, line, column and key.
+// Decode parses the text of a file into a struct with hcl tags. Errors name file, line, column and key.
 func Decode(text []byte, name string, into any) error {
 	f, diags := hclparse.NewParser().ParseHCL(text, name)
 	if !diags.HasErrors() {
@@ -134,17 +134,17 @@
 	return fmt.Errorf("%s:%d:%d: %s: %s", r.Filename, r.Start.Line, r.Start.Column, key, fmt.Sprintf(why, args...))
 }
 
-// Checker reads texts and keeps the first fault.
+// Checker validates settings and keeps the first error.
 type Checker struct{ Err error }
 
-// Want notes a fault of a key unless ok.
+// Want records an error for a key unless ok is true.
 func (c *Checker) Want(ok bool, r hcl.Range, key, why string, args ...any) {
 	if !ok && c.Err == nil {
 		c.Err = errorAt(r, key, why, args...)
 	}
 }
 
-// Time reads a duration; an empty text is without.
+// Time parses a duration. For an empty text it returns without.
 func (c *Checker) Time(r hcl.Range, key, text string, without time.Duration) time.Duration {
 	if text == "" {
 		return without
@@ -154,7 +154,7 @@
 	return d
 }
 
-// Hosts checks those of a scenario whose own place is r, and fills in what is not said.
+// Hosts validates the hosts of the scenario at r and fills in defaults.
 func (c *Checker) Hosts(all []Hosts, r hcl.Range, most int) {
 	c.Want(len(all) > 0, r, "hosts", "at least one block is needed")
 	for i := range all {
@@ -169,7 +169,7 @@
 	c.Want(Count(all) <= most, r, "hosts", "%d, at most %d", Count(all), most)
 }
 
-// Classes checks those of a scenario whose own place is r, reads their durations and makes their parts sum to 1.
+// Classes validates the job classes of the scenario at r, parses their durations and normalizes their shares to a sum of 1.
 func (c *Checker) Classes(all []Class, r hcl.Range) {
 	c.Want(len(all) > 0, r, "class", "at least one block is needed")
 	parts := 0.0
@@ -189,7 +189,7 @@
 	}
 }
 
-// Loses tells whether the loss of a site takes something with it: its hosts and its dispatchers, where nothing is named.
+// Loses reports whether the loss of a site includes what. If named is empty, the loss includes hosts and dispatchers.
 func Loses(named []string, what string) bool {
 	if len(named) == 0 {
 		return what == "hosts" || what == "dispatchers"
@@ -197,7 +197,7 @@
 	return slices.Contains(named, what)
 }
 
-// Losses checks what the loss of a site is said to take.
+// Losses validates the list of what the loss of a site includes.
 func (c *Checker) Losses(at hcl.Range, named []string) {
 	for _, x := range named {
 		c.Want(slices.Contains([]string{"hosts", "dispatchers", "links", "discovery"}, x), at, "loses",
--- a/internal/siteloss/plan.go
+++ b/internal/siteloss/plan.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// Site is one as a plan sees it. Work is counted in standard lanes: what one such lane can do.
+// Site is the input of a plan for one site. Work is measured in standard lanes: the work that one such lane can do.
 type Site struct {
 	Name     string  `json:"site"`
 	Hosts    int     `json:"hosts"`
 	Capacity float64 `json:"capacity"` // standard lanes
-	Load     float64 `json:"load"`     // that its own clients ask for
+	Load     float64 `json:"load"`     // requested by its own clients
 }
 
-// Class is one as a plan sees it, in the order in which classes are kept: the last is refused first.
+// Class is the input of a plan for one class of jobs. Classes are in order of priority: the last is refused first.
 type Class struct {
 	Name  string  `json:"class"`
 	Share float64 `json:"share"` // of the work that is asked for
-	Floor float64 `json:"floor"` // share of it that is kept before any other class's rest
+	Floor float64 `json:"floor"` // share of the class's work that is served before any class's work above its floor
 }
 
 // Limits are the settings of the block sites.
 type Limits struct {
 	Usable float64       // share of a site's capacity that a plan counts on
-	Notice time.Duration // until the front deals clients of a lost site out elsewhere, at most
+	Notice time.Duration // maximum time until the load balancer in front sends a lost site's clients elsewhere
 }
 
-// Defaults is what an empty block means.
+// Defaults returns the settings of an empty block.
 func Defaults() Limits { return Limits{Usable: 0.95, Notice: 4 * time.Second} }
 
-// Check finds settings that can't be kept. An error begins with the faulty key.
+// Check validates the settings. An error begins with the faulty key.
 func (l *Limits) Check() error {
 	switch {
 	case !(l.Usable > 0 && l.Usable <= 1):
@@ -42,43 +42,43 @@
 	return nil
 }
 
-// Fleet is what a plan is made from.
+// Fleet is the input of a plan.
 type Fleet struct {
 	Sites    []Site
 	Classes  []Class
-	Usable   float64 // share of a site's capacity that may be asked for before the rest waits too long
+	Usable   float64 // share of a site's capacity that can be requested before jobs wait too long
 	ColdFrom float64
 	WarmUp   time.Duration
-	Notice   time.Duration // until clients of a lost site come elsewhere, at most
+	Notice   time.Duration // maximum time until a lost site's clients arrive at other sites
 }
 
-// Spill is what one site takes of a lost one's load.
+// Spill is the part of a lost site's load that another site takes over.
 type Spill struct {
 	Site  string  `json:"site"`
-	Spare float64 `json:"spare"` // beside its own clients' load
+	Spare float64 `json:"spare"` // usable capacity beyond its own clients' load
 	Takes float64 `json:"takes"`
-	Load  float64 `json:"load_then"` // of its capacity
+	Load  float64 `json:"load_then"` // share of its capacity
 }
 
-// Kept is what is served of a class while a site is lost, at best.
+// Kept is the share of a class that can be served while a site is lost.
 type Kept struct {
 	Class  string  `json:"class"`
-	Served float64 `json:"served"` // share of what is asked for, at all sites
+	Served float64 `json:"served"` // share of the requested work, at all sites
 }
 
-// Loss is what is planned for the loss of one site.
+// Loss is the plan for the loss of one site.
 type Loss struct {
 	Site      string        `json:"lost"`
 	Spills    []Spill       `json:"spill"`
-	Refused   float64       `json:"refused"`       // work that nobody takes
+	Refused   float64       `json:"refused"`       // work that no site takes
 	Kept      []Kept        `json:"kept"`          // in the order of classes
-	Load      float64       `json:"load"`          // of all that is left
-	RefusesAt float64       `json:"refuses_from"`  // times the present load: from there on something is refused
-	Returns   time.Duration `json:"returns_in_ns"` // from the first answer until all of it is back
-	Slope     float64       `json:"slope"`         // share of the site's own load that goes back to it in each second of that
+	Load      float64       `json:"load"`          // requested work as a share of the remaining capacity
+	RefusesAt float64       `json:"refuses_from"`  // multiple of the present load from which on work is refused
+	Returns   time.Duration `json:"returns_in_ns"` // from the first answer until full capacity
+	Slope     float64       `json:"slope"`         // share of the site's own load that returns to it per second
 }
 
-// Check finds a fleet that no plan can be made for. An error begins with the faulty key.
+// Check validates the fleet for planning. An error begins with the faulty key.
 func (f *Fleet) Check() error {
 	if len(f.Sites) < 2 {
 		return fmt.Errorf("sites: %d: with fewer than two there is nowhere to go", len(f.Sites))
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// Asked is the work that all clients ask for.
+// Asked returns the work that all clients request.
 func (f *Fleet) Asked() (sum float64) {
 	for _, s := range f.Sites {
 		sum += s.Load
@@ -113,10 +113,10 @@
 	return sum
 }
 
-// Plan says what becomes of each site's load when that site is lost, in the order of the sites. It follows from the fleet alone, so
-// that all who know the same fleet plan the same. A site's own clients keep theirs first; of what is then spare each other site
-// takes its part of the lost one's load, in proportion, so that none is filled before another and the sum is never over what is
-// spare. The fleet must be sound.
+// Plan returns a plan for the loss of each site, in the order of the sites. It depends only on the fleet, so dispatchers with the
+// same fleet make the same plan. Each remaining site serves its own clients first. The lost site's load is spread in proportion to
+// the spare capacity that remains, so that no site fills up before another and the total never exceeds the spare capacity. The
+// fleet must pass Check.
 func (f *Fleet) Plan() (all []Loss) {
 	for i := range f.Sites {
 		all = append(all, f.planLoss(i))
@@ -161,7 +161,7 @@
 	return l
 }
 
-// servedByClass deals what can be done out to the classes: every floor first, in the order of the classes, then the rest likewise.
+// servedByClass distributes the available work over the classes: first all floors, in the order of the classes, then the rest.
 func (f *Fleet) servedByClass(asked, can float64) (all []Kept) {
 	served := make([]float64, len(f.Classes))
 	for _, floor := range []bool{true, false} {
@@ -177,7 +177,7 @@
 	}
 	for i, c := range f.Classes {
 		k := Kept{Class: c.Name, Served: 1}
-		if want := asked * c.Share; want > 0 { // the product of two that are may not be
+		if want := asked * c.Share; want > 0 { // the product of two positive numbers can underflow to 0
 			k.Served = min(1, served[i]/want)
 		}
 		all = append(all, k)
@@ -185,7 +185,7 @@
 	return all
 }
 
-// Back is how much of its own load a site that returns should have again, so long after its first answer: what it can do by then.
+// Back returns the share of its own load that a returning site should carry at a time after its first answer: its capacity by then.
 func (f *Fleet) Back(after time.Duration) float64 {
 	if after < 0 {
 		return 0
--- a/internal/siteloss/siteloss_test.go
+++ b/internal/siteloss/siteloss_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// testSites is a Judge of a dispatcher in site 0 of three with six hosts each, and what is true of the sites from where it is.
+// testSites is a Judge for a dispatcher in site 0, with six hosts per site, and the present time.
 type testSites struct {
 	*Judge
 	now time.Duration
@@ -25,7 +25,7 @@
 	return s
 }
 
-// run lets time pass while every host is asked each 300 ms, and gives the changes. dark tells which sites do not answer.
+// run advances the time while every host is asked once per 300 ms, and returns the changes. dark lists the sites that do not answer.
 func (s *testSites) run(length time.Duration, dark ...int) (all []Change) {
 	for end := s.now + length; s.now < end; s.now += 50 * ms {
 		for id, h := range s.hosts {
@@ -42,7 +42,7 @@
 	return all
 }
 
-// states are all sites' at once.
+// states returns the states of all sites.
 func (s *testSites) states() (all []State) {
 	for n := range s.sites {
 		all = append(all, s.State(n))
@@ -50,8 +50,8 @@
 	return all
 }
 
-// A site that is lost is told from a dispatcher that is cut off, within a second and a half of the first silence; whoever is cut
-// off holds no site for lost, and not its own for bad where that answers.
+// Judge distinguishes a lost site from a dispatcher that is cut off within 1.5 s of the first silence. A dispatcher that is cut off
+// considers no site lost, and its own site stays Serving while its hosts answer.
 func TestLostOrCutOff(t *testing.T) {
 	for _, c := range []struct {
 		sites int
@@ -63,8 +63,8 @@
 		{3, []int{1, 2}, []State{Serving, CutOff, CutOff}},
 		{3, []int{0, 1, 2}, []State{CutOff, CutOff, CutOff}},
 		{3, []int{0}, []State{Lost, Serving, Serving}},
-		{3, []int{0, 2}, []State{Lost, Serving, Lost}}, // two rooms at once
-		{2, []int{1}, []State{Serving, Lost}},          // with one other there is nothing to compare with: its own serves on
+		{3, []int{0, 2}, []State{Lost, Serving, Lost}}, // two sites at once
+		{2, []int{1}, []State{Serving, Lost}},          // with one other site, only the own site is left to compare with
 		{4, []int{2, 3}, []State{Serving, Serving, Lost, Lost}},
 	} {
 		s := newTestSites(c.sites)
@@ -76,7 +76,7 @@
 	}
 }
 
-// Half of a site is suspect and not lost; a single host that is silent is no site's matter.
+// A site of which most hosts are silent is suspect and not lost. A single silent host does not change the site's state.
 func TestHalfOfASite(t *testing.T) {
 	s := newTestSites(3)
 	half := func(silent uint32, length time.Duration) {
@@ -96,7 +96,7 @@
 	assert.Equal(t, Serving, s.State(2))
 }
 
-// A site that returns is cold for its warm-up; one that falls silent meanwhile is held back longer each time, up to a bound.
+// A site is Returning for its warm-up. Each failed return makes the next one take longer, up to a limit.
 func TestReturnAndFlap(t *testing.T) {
 	s := newTestSites(3)
 	s.run(2*time.Second, 2)
@@ -113,7 +113,7 @@
 		s.run(time.Second)
 		require.Equal(t, Returning, s.State(2))
 		from := s.now
-		s.run(2*time.Second, 2) // in the middle of its return
+		s.run(2*time.Second, 2) // fails during its return
 		s.run(6*time.Second, 2)
 		assert.Equal(t, Lost, s.State(2))
 		assert.GreaterOrEqual(t, s.sites[2].returnHold, min(2*before, maxReturnHold), from)
@@ -124,8 +124,7 @@
 	assert.Equal(t, Returning, s.State(2), "held back beyond its warm-up")
 }
 
-// Whatever is heard in whatever order, a dispatcher whose own site answers never holds all other sites for lost at once, where
-// there are two or more of them, and a host that is on no list counts for nothing.
+// For any results in any order, a dispatcher whose own site answers keeps that site Serving. Hosts that are on no list are ignored.
 func TestNeverAllLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newTestSites(3)
@@ -137,7 +136,7 @@
 			}
 			s.Step(s.now)
 			if s.State(0) != Serving {
-				t.Fatalf("its own site is %v", s.State(0))
+				t.Fatalf("the own site is %v", s.State(0))
 			}
 		}
 	})
@@ -148,8 +147,8 @@
 		Classes: []Class{{"sale", 0.78, 0.25}, {"plot", 0.22, 0.25}}, Usable: 1, ColdFrom: 0.12, WarmUp: 24 * time.Second}
 }
 
-// What sites take is never more than their spare, what is taken and refused is all, a site's own clients come first, classes are
-// refused from the last on, and no floor is touched before all rests are gone.
+// Sites take no more than their spare capacity, taken and refused work add up to the whole, a site's own clients come first, classes
+// are refused from the last on, and no floor is cut while work above the floors is served.
 func TestPlanSums(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &Fleet{Usable: rapid.Float64Range(0.5, 1).Draw(t, "usable"), ColdFrom: 0.12, WarmUp: 24 * time.Second}
@@ -204,7 +203,7 @@
 	assert.Equal(t, 1.0, f.Back(time.Minute))
 	f = &Fleet{Sites: []Site{{"a", 1, 1, 5e-23}, {"b", 1, 1, 5e-23}}, Classes: []Class{{"x", 2e-302, 1}, {"y", 1, 1}}, Usable: 1, ColdFrom: 1}
 	require.NoError(t, f.Check())
-	assert.Equal(t, []Kept{{"x", 1}, {"y", 1}}, f.Plan()[0].Kept, "figures whose product is no more than nothing")
+	assert.Equal(t, []Kept{{"x", 1}, {"y", 1}}, f.Plan()[0].Kept, "shares whose product underflows to 0")
 	f.Sites = f.Sites[:1]
 	assert.ErrorContains(t, f.Check(), "sites: ")
 }
