--- a/internal/lab/shares/draw.go
+++ b/internal/lab/shares/draw.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Draw makes a hard world of a seed: some members, clocks that differ by up to 2 %, messages of which up to a third are lost, and
-// one to six troubles that overlap as they fall: kills of single members, of whoever leads, of all voters and of all, pauses
-// across the end of a grant, and partitions of every form, healed and cut again.
+// Draw generates a difficult world from a seed: 3 to 24 members, clocks whose rates are off by up to 2 %, up to 30 % lost
+// messages, and one to six troubles that may overlap: kills and pauses of single members, of all voters or of a random set, and
+// several forms of partitions, which heal.
 func Draw(seed uint64) *World {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	sizes := []int{3, 4, 5, 8, 12, 24}
@@ -24,7 +24,7 @@
 		t := Trouble{At: time.Duration(rng.Float64() * 16 * float64(time.Second)), For: time.Duration(50+rng.IntN(6000)) * time.Millisecond,
 			Kind: []string{"kill", "kill", "pause", "pause", "cut", "mute", "islands"}[rng.IntN(7)], Islands: 2 + rng.IntN(2)}
 		switch rng.IntN(4) {
-		case 0: // all that vote, and who leads with them
+		case 0: // all voters, and so the leader too
 			for i := range w.Voters {
 				t.Members = append(t.Members, i)
 			}
@@ -42,7 +42,7 @@
 	return w
 }
 
-// Uneven is a fleet of which a tenth is asked for as much as the whole, and all others for a fifth of it.
+// Uneven returns a world in which a tenth of the members together get demand for the whole budget, and the others for a fifth of it.
 func Uneven(members int) *World {
 	w := Even(members, 0.2)
 	few := max(1, members/10)
@@ -52,7 +52,7 @@
 	return w
 }
 
-// Even is a fleet of which all are asked for the same, for so many times the whole together.
+// Even returns a world in which all members get equal demand, in total the given multiple of the budget.
 func Even(members int, times float64) *World {
 	w := &World{Members: members, Voters: min(members, 3), Length: 30 * time.Second, Floor: 0.25, Rate: 40 * float64(members), Drift: 0.01,
 		Delay: 2 * time.Millisecond, Demand: make([]float64, members)}
--- a/internal/lab/shares/world.go
+++ b/internal/lab/shares/world.go
@@ -1,5 +1,6 @@
-// Package shares plays the members of internal/budget in virtual time, with clocks that differ, messages that are lost, late and
-// repeated, partitions, pauses and restarts, and checks from outside that the sum is kept. Equal settings and seeds play alike.
+// Package shares simulates the members of internal/budget in virtual time, with clocks of different rates, lost, late and repeated
+// messages, partitions, pauses and restarts, and checks that the total budget is never exceeded. Runs with equal settings and
+// seeds are identical.
 package shares
 
 import (
@@ -13,116 +14,116 @@
 	"gaugeslip/internal/budget"
 )
 
-// World is what is played.
+// World is the configuration of a simulation.
 type World struct {
 	Members, Voters int
 	Length          time.Duration
-	Static          bool    // no talk: equal parts
-	Floor           float64 // of an equal part
-	Rate            float64 // tokens a second, of the whole
+	Static          bool    // fixed equal shares, without messages
+	Floor           float64 // guaranteed part of an equal share
+	Rate            float64 // tokens per second of the whole budget
 	Burst           float64
-	Demand          []float64 // by member, as a share of the whole; shorter lists repeat
-	Drift           float64   // of the clocks, at most, either way
-	Believed        float64   // drift that the members reckon with; 0: as it is
+	Demand          []float64 // by member, as a share of the whole budget; shorter lists repeat
+	Drift           float64   // maximum drift of the clocks, in either direction
+	Believed        float64   // maximum drift that the members assume; 0: Drift
 	Delay           time.Duration
-	Loss, Twice     float64 // share of the messages
-	Late            float64 // share that is a second late
+	Loss, Twice     float64 // share of the messages that are lost, or delivered twice
+	Late            float64 // share of the messages that arrive a second late
 	Troubles        []Trouble
 }
 
-// Trouble is something that goes wrong for a while.
+// Trouble is a fault that lasts for a while.
 type Trouble struct {
-	Kind    string // "kill", "pause", "cut" (the members have no way to the others), "mute" (nor is heard what they say: one way), "islands"
+	Kind    string // "kill", "pause", "cut" (the members and the others are separated), "mute" (the others don't receive the members' messages), "islands"
 	At, For time.Duration
-	Members []int // that it meets; islands: ignored
+	Members []int // affected members; ignored for "islands"
 	Islands int
 }
 
-// Result is what came of it.
+// Result is the result of a simulation.
 type Result struct {
 	Uses      int
 	Refused   int
 	Asked     float64
-	Share     []float64 // of the whole that was used, second by second
-	Messages  float64   // sent, a second and member
+	Share     []float64 // used share of the whole budget, by second
+	Messages  float64   // messages sent, per second and member
 	Bytes     float64
-	Most      budget.Units // that was owned at once
+	Most      budget.Units // maximum owned at one time
 	Breaches  []string
-	Recovered time.Duration // from the last trouble's end until 0.9 of what is used before is used again; -1: never
-	Leaders   int           // how often the lead passed
+	Recovered time.Duration // from the end of the last trouble until use is back at 0.9 of the earlier use; -1: never
+	Leaders   int           // number of changes of the leader
 }
 
-// process is one life of a member.
+// process is one incarnation of a member.
 type process struct {
-	member  int
-	life    uint64
-	node    *budget.Node
-	rate    *budget.TokenBucket
-	drift   float64
-	offset  time.Duration
-	born    time.Duration
-	dead    bool
-	paused  bool
-	waiting []budget.Message
-	wake    time.Duration // real time of the next step that is planned
-	epoch   uint32
-	asked   float64 // tokens, lately
-	askedAt time.Duration
+	member       int
+	incarnation  uint64
+	node         *budget.Node
+	bucket       *budget.TokenBucket
+	drift        float64
+	offset       time.Duration
+	startedAt    time.Duration
+	dead         bool
+	paused       bool
+	pendingInput []budget.Message
+	nextWake     time.Duration // real time of the next scheduled step
+	epoch        uint32
+	recentDemand float64 // tokens requested recently, with exponential decay
+	demandAt     time.Duration
 }
 
-// local is what the process's clock shows.
-func (p *process) local(now time.Duration) time.Duration {
-	return p.offset + time.Duration(float64(now-p.born)*(1+p.drift))
+// localTime returns the reading of the process's clock at a real time.
+func (p *process) localTime(now time.Duration) time.Duration {
+	return p.offset + time.Duration(float64(now-p.startedAt)*(1+p.drift))
 }
 
-// real is when its clock shows a time.
-func (p *process) real(local time.Duration) time.Duration {
-	return p.born + time.Duration(math.Ceil(float64(local-p.offset)/(1+p.drift)))
+// realTime returns the real time at which the process's clock shows a time.
+func (p *process) realTime(local time.Duration) time.Duration {
+	return p.startedAt + time.Duration(math.Ceil(float64(local-p.offset)/(1+p.drift)))
 }
 
 type event struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
-type calendar []event
+type eventQueue []event
 
-func (c calendar) Len() int { return len(c) }
-func (c calendar) Less(i, j int) bool {
+func (c eventQueue) Len() int { return len(c) }
+func (c eventQueue) Less(i, j int) bool {
 	if c[i].at != c[j].at {
 		return c[i].at < c[j].at
 	}
 	return c[i].seq < c[j].seq
 }
-func (c calendar) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
-func (c *calendar) Push(x any)   { *c = append(*c, x.(event)) }
-func (c *calendar) Pop() any {
+func (c eventQueue) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
+func (c *eventQueue) Push(x any)   { *c = append(*c, x.(event)) }
+func (c *eventQueue) Pop() any {
 	n := len(*c) - 1
 	e := (*c)[n]
 	*c = (*c)[:n]
 	return e
 }
 
-type play struct {
-	w      *World
-	rng    *rand.Rand
-	now    time.Duration
-	cal    calendar
-	seq    int
-	all    []*process // every life
-	at     []*process // the present one of each member
-	cut    [][]bool   // by trouble that is on: no way from i to j
-	cfg    budget.Config
-	res    Result
-	uses   []time.Duration
-	led    int
-	second []float64
+type simulation struct {
+	world         *World
+	rng           *rand.Rand
+	now           time.Duration
+	queue         eventQueue
+	seq           int
+	processes     []*process // every live incarnation
+	current       []*process // the present incarnation of each member
+	partitions    [][]bool   // by active trouble: whether messages from i to j are lost
+	cfg           budget.Config
+	result        Result
+	uses          []time.Duration
+	lastLeader    int
+	usesPerSecond []float64
 }
 
-// Play plays a world.
+// Play simulates a world.
 func Play(w *World, seed uint64) *Result {
-	p := &play{w: w, rng: rand.New(rand.NewPCG(seed, 17)), led: -1, second: make([]float64, int(w.Length/time.Second)+1)}
+	p := &simulation{world: w, rng: rand.New(rand.NewPCG(seed, 17)), lastLeader: -1, usesPerSecond: make([]float64, int(w.Length/time.Second)+1)}
 	every, term := budget.Timing(w.Members)
 	believed := w.Believed
 	if believed == 0 {
@@ -130,165 +131,165 @@
 	}
 	lim := budget.Limits{Floor: w.Floor}
 	p.cfg = budget.Config{Members: w.Members, Voters: w.Voters, Budgets: 1, Floor: lim.FloorUnits(w.Members), LeaseTime: term, RequestInterval: every, Drift: believed}
-	p.at = make([]*process, w.Members)
+	p.current = make([]*process, w.Members)
 	for i := range w.Members {
 		p.start(i)
-		p.plan(time.Duration(p.rng.Float64()*float64(time.Second)), func() { p.client(i) })
+		p.schedule(time.Duration(p.rng.Float64()*float64(time.Second)), func() { p.clientRequest(i) })
 	}
 	for i := range w.Troubles {
 		t := &w.Troubles[i]
-		p.plan(t.At, func() { p.trouble(t) })
+		p.schedule(t.At, func() { p.beginTrouble(t) })
 	}
-	for len(p.cal) > 0 && p.cal[0].at <= w.Length {
-		e := heap.Pop(&p.cal).(event)
+	for len(p.queue) > 0 && p.queue[0].at <= w.Length {
+		e := heap.Pop(&p.queue).(event)
 		p.now = e.at
-		e.do()
+		e.run()
 	}
 	p.finish()
-	return &p.res
+	return &p.result
 }
 
-func (p *play) plan(at time.Duration, do func()) {
+func (p *simulation) schedule(at time.Duration, do func()) {
 	p.seq++
-	heap.Push(&p.cal, event{max(at, p.now), p.seq, do})
+	heap.Push(&p.queue, event{max(at, p.now), p.seq, do})
 }
 
-// start begins a new life of a member, unless it has one: the address is taken, and the new process owns nothing.
-func (p *play) start(i int) {
-	if old := p.at[i]; old != nil && !old.dead {
+// start begins a new incarnation of a member, unless the present one is alive, as its address is in use. A new process owns no units.
+func (p *simulation) start(i int) {
+	if old := p.current[i]; old != nil && !old.dead {
 		return
 	}
-	x := &process{member: i, life: uint64(len(p.all) + 1), born: p.now, drift: (2*p.rng.Float64() - 1) * p.w.Drift,
-		offset: time.Duration(p.rng.Float64() * 24 * float64(time.Hour)), rate: &budget.TokenBucket{PerSecond: p.w.Rate / (1 + p.cfg.Drift), Burst: p.w.Burst}}
-	x.askedAt = x.offset
-	p.all, p.at[i] = append(p.all, x), x
-	if p.w.Static {
-		x.rate.SetShare(x.offset, budget.EqualShare(p.w.Members))
+	x := &process{member: i, incarnation: uint64(len(p.processes) + 1), startedAt: p.now, drift: (2*p.rng.Float64() - 1) * p.world.Drift,
+		offset: time.Duration(p.rng.Float64() * 24 * float64(time.Hour)), bucket: &budget.TokenBucket{PerSecond: p.world.Rate / (1 + p.cfg.Drift), Burst: p.world.Burst}}
+	x.demandAt = x.offset
+	p.processes, p.current[i] = append(p.processes, x), x
+	if p.world.Static {
+		x.bucket.SetShare(x.offset, budget.EqualShare(p.world.Members))
 		return
 	}
 	c := p.cfg
-	c.Self, c.Incarnation = i, x.life
+	c.Self, c.Incarnation = i, x.incarnation
 	x.node = budget.NewNode(c, x.offset)
-	x.rate.SetShare(x.offset, x.node.Share(0))
+	x.bucket.SetShare(x.offset, x.node.Share(0))
 	p.step(x, nil)
 }
 
-// step lets a process act.
-func (p *play) step(x *process, in []budget.Message) {
+// step runs one step of a process.
+func (p *simulation) step(x *process, in []budget.Message) {
 	if x.dead || x.node == nil {
 		return
 	}
 	if x.paused {
-		if len(x.waiting) < 1000 {
-			x.waiting = append(x.waiting, in...)
+		if len(x.pendingInput) < 1000 {
+			x.pendingInput = append(x.pendingInput, in...)
 		}
 		return
 	}
-	local := x.local(p.now)
-	f := math.Exp(-float64(local-x.askedAt) / 1e9)
-	x.asked, x.askedAt = x.asked*f, local
-	x.node.SetDemand([]budget.Units{budget.ExtraDemand(x.asked, p.w.Rate, p.cfg.Floor)})
+	local := x.localTime(p.now)
+	f := math.Exp(-float64(local-x.demandAt) / 1e9)
+	x.recentDemand, x.demandAt = x.recentDemand*f, local
+	x.node.SetDemand([]budget.Units{budget.ExtraDemand(x.recentDemand, p.world.Rate, p.cfg.Floor)})
 	for _, m := range x.node.Step(local, in) {
-		p.carry(m)
+		p.deliver(m)
 	}
 	if s := x.node.Share(0); s.Epoch != x.epoch {
 		x.epoch = s.Epoch
-		x.rate.SetShare(local, s)
-		p.sum()
-	}
-	if x.node.IsLeader(local) && p.led != x.member {
-		p.led = x.member
-		p.res.Leaders++
-	}
-	if at := x.real(x.node.Wake()); x.wake <= p.now || at < x.wake {
-		x.wake = max(at, p.now+time.Microsecond)
-		wake := x.wake
-		p.plan(wake, func() {
-			if x.wake == wake {
+		x.bucket.SetShare(local, s)
+		p.checkOwnership()
+	}
+	if x.node.IsLeader(local) && p.lastLeader != x.member {
+		p.lastLeader = x.member
+		p.result.Leaders++
+	}
+	if at := x.realTime(x.node.Wake()); x.nextWake <= p.now || at < x.nextWake {
+		x.nextWake = max(at, p.now+time.Microsecond)
+		wake := x.nextWake
+		p.schedule(wake, func() {
+			if x.nextWake == wake {
 				p.step(x, nil)
 			}
 		})
 	}
 }
 
-// carry brings a message to the present process of a member, or not.
-func (p *play) carry(m budget.Message) {
-	p.res.Messages++
-	p.res.Bytes += float64(len(budget.Append(nil, &m)))
-	for _, c := range p.cut {
-		if c[m.From*p.w.Members+m.To] {
+// deliver delivers a message to the present process of a member, unless it is lost.
+func (p *simulation) deliver(m budget.Message) {
+	p.result.Messages++
+	p.result.Bytes += float64(len(budget.Append(nil, &m)))
+	for _, c := range p.partitions {
+		if c[m.From*p.world.Members+m.To] {
 			return
 		}
 	}
-	if p.rng.Float64() < p.w.Loss {
+	if p.rng.Float64() < p.world.Loss {
 		return
 	}
 	times := 1
-	if p.rng.Float64() < p.w.Twice {
+	if p.rng.Float64() < p.world.Twice {
 		times = 2
 	}
 	for range times {
-		after := time.Duration(p.rng.ExpFloat64() * float64(p.w.Delay))
-		if p.rng.Float64() < p.w.Late {
+		after := time.Duration(p.rng.ExpFloat64() * float64(p.world.Delay))
+		if p.rng.Float64() < p.world.Late {
 			after += time.Second
 		}
-		p.plan(p.now+after, func() { p.step(p.at[m.To], []budget.Message{m}) })
+		p.schedule(p.now+after, func() { p.step(p.current[m.To], []budget.Message{m}) })
 	}
 }
 
-// sum checks what all processes may use at this moment, dead ones left out and paused ones not.
-func (p *play) sum() {
+// checkOwnership checks the total that all processes may use at this moment. Paused processes count, dead ones don't.
+func (p *simulation) checkOwnership() {
 	total := budget.Units(0)
-	live := make([]*process, 0, len(p.at))
-	for _, x := range p.all {
+	live := make([]*process, 0, len(p.current))
+	for _, x := range p.processes {
 		if x.dead {
 			continue
 		}
 		live = append(live, x)
-		total += x.node.Share(0).At(x.local(p.now))
+		total += x.node.Share(0).At(x.localTime(p.now))
 	}
-	p.all = live
-	if p.res.Most = max(p.res.Most, total); total > budget.Whole {
+	p.processes = live
+	if p.result.Most = max(p.result.Most, total); total > budget.Whole {
 		p.breach("%v: %d of %d units are owned", p.now, total, budget.Whole)
 	}
 }
 
-func (p *play) breach(text string, args ...any) {
-	if len(p.res.Breaches) < 10 {
-		p.res.Breaches = append(p.res.Breaches, fmt.Sprintf(text, args...))
+func (p *simulation) breach(text string, args ...any) {
+	if len(p.result.Breaches) < 10 {
+		p.result.Breaches = append(p.result.Breaches, fmt.Sprintf(text, args...))
 	}
 }
 
-// client asks for a token of its member, and plans when it asks next.
-func (p *play) client(i int) {
-	demand := p.w.Rate
-	if n := len(p.w.Demand); n > 0 {
-		demand *= p.w.Demand[i%n]
-	}
-	p.plan(p.now+time.Duration(p.rng.ExpFloat64()/max(demand, 1e-6)*1e9), func() { p.client(i) })
-	x := p.at[i]
+// clientRequest requests a token from the client's member, and schedules the client's next request.
+func (p *simulation) clientRequest(i int) {
+	demand := p.world.Rate
+	if n := len(p.world.Demand); n > 0 {
+		demand *= p.world.Demand[i%n]
+	}
+	p.schedule(p.now+time.Duration(p.rng.ExpFloat64()/max(demand, 1e-6)*1e9), func() { p.clientRequest(i) })
+	x := p.current[i]
 	if x.dead || x.paused {
 		return
 	}
-	p.res.Asked++
-	x.asked++
-	if !x.rate.Take(x.local(p.now), 1) {
-		p.res.Refused++
+	p.result.Asked++
+	x.recentDemand++
+	if !x.bucket.Take(x.localTime(p.now), 1) {
+		p.result.Refused++
 		return
 	}
-	p.res.Uses++
-	p.second[int(p.now/time.Second)]++
+	p.result.Uses++
+	p.usesPerSecond[int(p.now/time.Second)]++
 	p.uses = append(p.uses, p.now)
 }
 
-// trouble begins one, and plans its end.
-func (p *play) trouble(t *Trouble) {
+// beginTrouble begins a trouble and schedules its end.
+func (p *simulation) beginTrouble(t *Trouble) {
 	end := func(do func()) {
 		if t.For > 0 {
-			p.plan(p.now+t.For, do)
+			p.schedule(p.now+t.For, do)
 		}
 	}
-	n := p.w.Members
+	n := p.world.Members
 	cut := func(no func(i, j int) bool) {
 		c := make([]bool, n*n)
 		for i := range n {
@@ -296,24 +297,24 @@
 				c[i*n+j] = no(i, j)
 			}
 		}
-		p.cut = append(p.cut, c)
-		end(func() { p.cut = slices.DeleteFunc(p.cut, func(o []bool) bool { return &o[0] == &c[0] }) })
+		p.partitions = append(p.partitions, c)
+		end(func() { p.partitions = slices.DeleteFunc(p.partitions, func(o []bool) bool { return &o[0] == &c[0] }) })
 	}
 	in := func(i int) bool { return slices.Contains(t.Members, i) }
 	switch t.Kind {
 	case "kill":
 		for _, i := range t.Members {
-			p.at[i].dead = true
+			p.current[i].dead = true
 			end(func() { p.start(i) })
 		}
 	case "pause":
 		for _, i := range t.Members {
-			x := p.at[i]
+			x := p.current[i]
 			x.paused = true
 			end(func() {
 				x.paused = false
-				in := x.waiting
-				x.waiting = nil
+				in := x.pendingInput
+				x.pendingInput = nil
 				p.step(x, in)
 			})
 		}
@@ -326,10 +327,10 @@
 	}
 }
 
-// finish checks the uses over windows of several lengths, and works out the figures.
-func (p *play) finish() {
+// finish checks the uses over windows of several lengths and computes the result.
+func (p *simulation) finish() {
 	for _, length := range []time.Duration{100 * time.Millisecond, time.Second, 5 * time.Second} {
-		most := p.w.Rate*length.Seconds() + p.w.Burst + float64(p.w.Members)
+		most := p.world.Rate*length.Seconds() + p.world.Burst + float64(p.world.Members)
 		first := 0
 		for i, at := range p.uses {
 			for p.uses[first] <= at-length {
@@ -341,20 +342,20 @@
 			}
 		}
 	}
-	seconds := int(p.w.Length / time.Second)
+	seconds := int(p.world.Length / time.Second)
 	for s := range seconds {
-		p.res.Share = append(p.res.Share, p.second[s]/p.w.Rate)
+		p.result.Share = append(p.result.Share, p.usesPerSecond[s]/p.world.Rate)
 	}
-	p.res.Messages /= p.w.Length.Seconds() * float64(p.w.Members)
-	p.res.Bytes /= p.w.Length.Seconds() * float64(p.w.Members)
-	p.res.Recovered = p.recovered()
+	p.result.Messages /= p.world.Length.Seconds() * float64(p.world.Members)
+	p.result.Bytes /= p.world.Length.Seconds() * float64(p.world.Members)
+	p.result.Recovered = p.recoveryTime()
 }
 
-// recovered looks for the first moment after the last trouble from which on, for half a second, 0.9 is used of what was used in
-// the two seconds before the first trouble.
-func (p *play) recovered() time.Duration {
-	begin, end := p.w.Length, time.Duration(0)
-	for _, t := range p.w.Troubles {
+// recoveryTime returns the time from the end of the last trouble to the first half second in which the rate of use is at least 0.9
+// of the rate in the two seconds before the first trouble.
+func (p *simulation) recoveryTime() time.Duration {
+	begin, end := p.world.Length, time.Duration(0)
+	for _, t := range p.world.Troubles {
 		begin, end = min(begin, t.At), max(end, t.At+t.For)
 	}
 	if end == 0 || begin < 2*time.Second {
@@ -366,7 +367,7 @@
 		return float64(j-i) / (to - from).Seconds()
 	}
 	usual := count(begin-2*time.Second, begin)
-	for at := end; at+500*time.Millisecond <= p.w.Length; at += 50 * time.Millisecond {
+	for at := end; at+500*time.Millisecond <= p.world.Length; at += 50 * time.Millisecond {
 		if count(at, at+500*time.Millisecond) >= 0.9*usual {
 			return at - end
 		}
--- a/internal/lab/shares/world_test.go
+++ b/internal/lab/shares/world_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// mean of seconds from one on.
+// mean returns the mean of the values from index from up to, but not including, index to.
 func mean(all []float64, from, to int) (m float64) {
 	for _, x := range all[from:to] {
 		m += x / float64(to-from)
@@ -15,8 +15,8 @@
 	return m
 }
 
-// The sum is kept whatever goes wrong, in what is owned at every instant and in what is used in any window.
-func TestSumIsKept(t *testing.T) {
+// The total budget is never exceeded under any faults, neither by the owned shares at any time nor by the use in any window.
+func TestBudgetIsNeverExceeded(t *testing.T) {
 	seeds := uint64(400)
 	if testing.Short() {
 		seeds = 50
@@ -28,8 +28,8 @@
 	}
 }
 
-// What the members reckon with is needed: with clocks that differ by more than they believe, a share is owned twice.
-func TestDriftMatters(t *testing.T) {
+// The allowance for drift is necessary: if clocks drift by more than the members assume, two members own the same share.
+func TestUnderestimatedDriftBreaksBudget(t *testing.T) {
 	found := 0
 	for seed := range uint64(60) {
 		w := Draw(seed)
@@ -41,8 +41,9 @@
 	assert.Positive(t, found)
 }
 
-// Where few members are asked much, talk uses nine tenths of the whole, of which equal parts must refuse half; a dead member's part, and an island's after it is healed, are back as soon.
-func TestWholeIsUsed(t *testing.T) {
+// With uneven demand, leased shares use 0.9 of the budget where equal shares use less than half. The share of a killed member, and
+// that of a healed partition, are soon in use again.
+func TestLeasedSharesUseWholeBudget(t *testing.T) {
 	for _, n := range []int{3, 30, 100} {
 		w := Uneven(n)
 		r := Play(w, 7)
@@ -67,8 +68,8 @@
 	}
 }
 
-// A leader that dies, and all voters at once, cost the units beyond the floors for a bounded time; the floors go on.
-func TestLeaderAndVotersDie(t *testing.T) {
+// After a kill of the leader, or of all voters at once, units above the floors are unavailable for a bounded time. The floors remain.
+func TestRecoveryAfterLeaderAndVoterKills(t *testing.T) {
 	for _, members := range [][]int{{0}, {0, 1, 2}} {
 		w := Even(12, 2)
 		w.Troubles = []Trouble{{Kind: "kill", At: 10 * time.Second, For: 50 * time.Millisecond, Members: members}}
--- a/internal/siteloss/plan.go
+++ b/internal/siteloss/plan.go
@@ -18,7 +18,7 @@
 // Class is the input of a plan for one class of jobs. Classes are in order of priority: the last is refused first.
 type Class struct {
 	Name  string  `json:"class"`
-	Share float64 `json:"share"` // of the work that is asked for
+	Share float64 `json:"share"` // share of the requested work
 	Floor float64 `json:"floor"` // share of the class's work that is served before any class's work above its floor
 }
 
