--- a/internal/lab/calendar.go
+++ b/internal/lab/calendar.go
@@ -10,22 +10,22 @@
 type eventKind uint8
 
 const (
-	arrives   eventKind = iota // a client of room a has something to do
-	tries                      // try t reaches a dispatcher
-	reaches                    // send s reaches its host
-	hostActs                   // host a has something to tell
-	toNode                     // msg reaches dispatcher a, of its life b
-	comesBack                  // the outcome a of send s
-	givesUp                    // send s has taken too long
-	wakes                      // dispatcher a wants a Step
-	probes                     // dispatcher a's probe reaches host b
-	begins                     // trouble a
-	ends                       // trouble a
-	lists                      // what changed on host a is in the list now
-	stops                      // dispatcher a gets SIGTERM
-	dies                       // dispatcher a is killed
-	returns                    // dispatcher a starts anew
-	readies                    // dispatcher a is dealt out by the front again
+	clientArrival   eventKind = iota // a client of room a has something to do
+	tryArrival                       // try t reaches a dispatcher
+	sendArrival                      // send s reaches its host
+	hostEvent                        // host a has something to tell
+	messageArrival                   // msg reaches dispatcher a, of its life b
+	sendOutcome                      // the outcome a of send s
+	sendTimeout                      // send s has taken too long
+	dispatcherWake                   // dispatcher a wants a Step
+	probeArrival                     // dispatcher a's probe reaches host b
+	troubleBegin                     // trouble a
+	troubleEnd                       // trouble a
+	listUpdate                       // what changed on host a is in the list now
+	dispatcherStop                   // dispatcher a gets SIGTERM
+	dispatcherKill                   // dispatcher a is killed
+	dispatcherStart                  // dispatcher a starts anew
+	dispatcherReady                  // dispatcher a is dealt out by the front again
 )
 
 // event is one thing that happens. Ties in time go by the order in which events were made.
@@ -39,38 +39,38 @@
 	msg  dispatch.Message
 }
 
-// calendar is a binary heap of events.
-type calendar struct {
-	list []event
-	seq  uint64
+// eventQueue is a binary heap of events.
+type eventQueue struct {
+	events []event
+	seq    uint64
 }
 
-func (c *calendar) less(i, j int) bool {
-	a, b := &c.list[i], &c.list[j]
+func (c *eventQueue) less(i, j int) bool {
+	a, b := &c.events[i], &c.events[j]
 	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
 
-func (c *calendar) push(e event) {
+func (c *eventQueue) push(e event) {
 	c.seq++
 	e.seq = c.seq
-	c.list = append(c.list, e)
-	i := len(c.list) - 1
+	c.events = append(c.events, e)
+	i := len(c.events) - 1
 	for i > 0 {
 		p := (i - 1) / 2
 		if !c.less(i, p) {
 			break
 		}
-		c.list[i], c.list[p] = c.list[p], c.list[i]
+		c.events[i], c.events[p] = c.events[p], c.events[i]
 		i = p
 	}
 }
 
-func (c *calendar) pop() event {
-	first := c.list[0]
-	last := len(c.list) - 1
-	c.list[0] = c.list[last]
-	c.list[last] = event{}
-	c.list = c.list[:last]
+func (c *eventQueue) pop() event {
+	first := c.events[0]
+	last := len(c.events) - 1
+	c.events[0] = c.events[last]
+	c.events[last] = event{}
+	c.events = c.events[:last]
 	for i := 0; ; {
 		k := 2*i + 1
 		if k >= last {
@@ -82,7 +82,7 @@
 		if !c.less(k, i) {
 			break
 		}
-		c.list[i], c.list[k] = c.list[k], c.list[i]
+		c.events[i], c.events[k] = c.events[k], c.events[i]
 		i = k
 	}
 	return first
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -11,8 +11,8 @@
 
 // nextArrival plans the next client of a room: a Poisson process, in bursts where the scenario says so.
 func (l *Lab) nextArrival(room int) {
-	rate := l.sc.rate() * l.sc.shareOf(room) * l.surge
-	if b := l.sc.Clients.Burst; b > 1 {
+	rate := l.scenario.rate() * l.scenario.shareOf(room) * l.surge
+	if b := l.scenario.Clients.Burst; b > 1 {
 		if int((l.now-epoch)/time.Second)%10 == 9 {
 			rate *= b
 		} else {
@@ -20,34 +20,34 @@
 		}
 	}
 	at := l.now + time.Duration(l.arrivals.ExpFloat64()/max(rate, 1e-9)*1e9)
-	if at < epoch+l.sc.length {
-		l.cal.push(event{at: at, kind: arrives, a: int32(room)})
+	if at < epoch+l.scenario.length {
+		l.queue.push(event{at: at, kind: clientArrival, a: int32(room)})
 	}
 }
 
 func (l *Lab) arrive(room int) {
 	l.nextArrival(room)
-	o := l.draw(room)
-	o.worth = l.sc.Classes[o.class].Worth * o.size.Seconds()
-	k := &l.cls[o.class]
+	o := l.drawJob(room)
+	o.worth = l.scenario.Classes[o.class].Worth * o.size.Seconds()
+	k := &l.classTallies[o.class]
 	k.asked += o.worth
 	k.jobs++
-	l.book(o, o.worth, 0)
-	l.attempt(o, l.now)
-	if w := l.sc.Waiting; w != nil && l.sizes.Float64() < w.Part {
-		o := l.draw(room)
+	l.addToTallies(o, o.worth, 0)
+	l.scheduleTry(o, l.now)
+	if w := l.scenario.Waiting; w != nil && l.sizes.Float64() < w.Part {
+		o := l.drawJob(room)
 		o.wait = &dispatch.Wait{Detached: true, NotBefore: time.Duration(l.sizes.Float64() * float64(w.delay))}
-		l.rep.Waiting++
-		l.attempt(o, l.now)
+		l.report.Waiting++
+		l.scheduleTry(o, l.now)
 	}
 }
 
-// draw makes an order.
-func (l *Lab) draw(room int) *order {
-	k := scenario.Choose(l.sc.Classes, l.arrivals.Float64())
-	size := l.sc.Classes[k].Size(l.sizes)
-	l.orders++
-	o := &order{key: l.orders, class: k, room: room, first: l.now, size: time.Duration(size)}
+// drawJob makes an order.
+func (l *Lab) drawJob(room int) *clientJob {
+	k := scenario.Choose(l.scenario.Classes, l.arrivals.Float64())
+	size := l.scenario.Classes[k].Size(l.sizes)
+	l.lastJob++
+	o := &clientJob{key: l.lastJob, class: k, room: room, requestedAt: l.now, size: time.Duration(size)}
 	o.hint = time.Duration(size * l.hints.Rand())
 	if t, ok := l.heavy[k]; ok && l.chance.Float64() < t.Share {
 		o.size = time.Duration(float64(o.size) * t.Times)
@@ -56,16 +56,16 @@
 	return o
 }
 
-// attempt sends a client's next try through the front to a dispatcher of its room, or of any where none is there.
-func (l *Lab) attempt(o *order, at time.Duration) {
-	l.next++
-	l.cal.push(event{at: at, kind: tries, try: &try{id: l.next, order: o}})
+// scheduleTry sends a client's next try through the front to a dispatcher of its room, or of any where none is there.
+func (l *Lab) scheduleTry(o *clientJob, at time.Duration) {
+	l.lastTry++
+	l.queue.push(event{at: at, kind: tryArrival, try: &try{id: l.lastTry, job: o}})
 }
 
 func (l *Lab) try(t *try) {
-	o := t.order
+	o := t.job
 	o.tries++
-	c := &l.sc.Classes[o.class]
+	c := &l.scenario.Classes[o.class]
 	if l.ideal != nil {
 		l.assign(o)
 		return
@@ -73,7 +73,7 @@
 	var there []int
 	for _, same := range []bool{true, false} {
 		for i, n := range l.nodes {
-			if n.dealt && (n.room == o.room || !same) {
+			if n.receivesClients && (n.room == o.room || !same) {
 				there = append(there, i)
 			}
 		}
@@ -81,54 +81,54 @@
 			break
 		}
 	}
-	left := o.first + c.Wait - l.now
+	left := o.requestedAt + c.Wait - l.now
 	if len(there) == 0 || left <= 0 {
 		if o.wait != nil {
-			l.rep.WaitingLost++
+			l.report.WaitingLost++
 			return
 		}
-		l.rep.Unreached++
-		l.again(o, 0, true)
+		l.report.Unreached++
+		l.retry(o, 0, true)
 		return
 	}
 	t.node = there[l.arrivals.IntN(len(there))]
 	n := l.nodes[t.node]
 	if !n.up { // the front has not noticed yet
-		l.rep.Unreached++
-		l.again(o, 0, true)
+		l.report.Unreached++
+		l.retry(o, 0, true)
 		return
 	}
-	t.life, t.deadline = n.life, l.now+left
+	t.incarnation, t.deadline = n.incarnation, l.now+left
 	m := dispatch.JobArrived{Job: t.id, Class: o.class, Tenant: -1, At: l.now, Budget: left, Size: o.hint, Slots: 1,
-		Retry: o.tries > 1, Key: o.key, Keyed: !l.sc.Clients.Keyless}
-	if l.sc.Clients.Keyless {
+		Retry: o.tries > 1, Key: o.key, Keyed: !l.scenario.Clients.Keyless}
+	if l.scenario.Clients.Keyless {
 		m.Key = t.id
 	}
-	if l.sc.Waiting != nil {
+	if l.scenario.Waiting != nil {
 		m.Name, m.Wait = strconv.FormatUint(t.id, 16), o.wait
 	}
 	if o.wait != nil { // twice its due time once it may run, and then it runs
-		t.deadline += o.wait.NotBefore + 2*l.sc.Waiting.lim.DefaultDue
+		t.deadline += o.wait.NotBefore + 2*l.scenario.Waiting.lim.DefaultDue
 	}
-	n.open[t.id] = t
-	l.see(check.Event{Kind: check.Taken, Job: t.id, Node: t.node, Unsafe: c.Once, Deadline: t.deadline})
-	l.tell(t.node, m)
+	n.openTries[t.id] = t
+	l.recordEvent(check.Event{Kind: check.Taken, Job: t.id, Node: t.node, Unsafe: c.Once, Deadline: t.deadline})
+	l.enqueue(t.node, m)
 }
 
-// again has a client try once more, where it does so.
-func (l *Lab) again(o *order, advice time.Duration, harmless bool) {
-	cl := l.sc.Clients
-	c := &l.sc.Classes[o.class]
-	if o.over || o.wait != nil || o.tries > cl.Retries || cl.After == "" || cl.After == "none" || c.Once && !harmless {
+// retry has a client try once more, where it does so.
+func (l *Lab) retry(o *clientJob, advice time.Duration, harmless bool) {
+	cl := l.scenario.Clients
+	c := &l.scenario.Classes[o.class]
+	if o.finished || o.wait != nil || o.tries > cl.Retries || cl.After == "" || cl.After == "none" || c.Once && !harmless {
 		return
 	}
 	at := l.now + time.Millisecond
 	if cl.After == "wait" {
 		at = l.now + max(advice, time.Second)
 	}
-	if at < o.first+c.Wait {
-		l.rep.Retries++
-		l.attempt(o, at)
+	if at < o.requestedAt+c.Wait {
+		l.report.Retries++
+		l.scheduleTry(o, at)
 	}
 }
 
@@ -139,29 +139,29 @@
 	}
 	t.answered = true
 	n := l.nodes[t.node]
-	if n.life == t.life {
-		delete(n.open, t.id)
+	if n.incarnation == t.incarnation {
+		delete(n.openTries, t.id)
 	}
-	l.see(check.Event{Kind: check.Answered, Job: t.id, Answer: a})
-	l.note(tries, t.id<<2|uint64(a))
-	if a != check.Served || t.order.over {
+	l.recordEvent(check.Event{Kind: check.Answered, Job: t.id, Answer: a})
+	l.addToDigest(tryArrival, t.id<<2|uint64(a))
+	if a != check.Served || t.job.finished {
 		return
 	}
-	o := t.order
-	o.over = true
+	o := t.job
+	o.finished = true
 	if o.wait != nil {
-		l.rep.WaitingServed++
-		waited := o.sent - o.first - o.wait.NotBefore
-		l.rep.LongestWait = max(l.rep.LongestWait, waited.Seconds()/l.sc.Waiting.lim.DefaultDue.Seconds())
+		l.report.WaitingServed++
+		waited := o.lastSentAt - o.requestedAt - o.wait.NotBefore
+		l.report.LongestWait = max(l.report.LongestWait, waited.Seconds()/l.scenario.Waiting.lim.DefaultDue.Seconds())
 		return
 	}
-	k := &l.cls[o.class]
+	k := &l.classTallies[o.class]
 	k.served++
-	l.rep.Served++
-	l.rep.latency(o.class, l.now-o.first)
-	if l.now <= l.due(o) {
+	l.report.Served++
+	l.report.latency(o.class, l.now-o.requestedAt)
+	if l.now <= l.deadline(o) {
 		k.inTime += o.worth
-		l.book(o, 0, o.worth)
-		l.rep.InTime++
+		l.addToTallies(o, 0, o.worth)
+		l.report.InTime++
 	}
 }
--- a/internal/lab/commands.go
+++ b/internal/lab/commands.go
@@ -9,8 +9,8 @@
 	"gaugeslip/policy"
 )
 
-// carry does what a dispatcher says.
-func (l *Lab) carry(i int, c dispatch.Command) {
+// execute does what a dispatcher says.
+func (l *Lab) execute(i int, c dispatch.Command) {
 	n := l.nodes[i]
 	switch c := c.(type) {
 	case dispatch.Send:
@@ -18,11 +18,11 @@
 	case dispatch.CancelSend:
 		if s := l.sends[sendID(c.Key)]; s != nil && s.node == i {
 			l.hosts[s.host].Drop(l.now, s.id)
-			l.plan(s.host)
-			l.outcome(s, policy.Cancelled)
+			l.scheduleHost(s.host)
+			l.recordOutcome(s, policy.Cancelled)
 		}
 	case dispatch.LocalReply:
-		t := n.open[c.Job]
+		t := n.openTries[c.Job]
 		if t == nil {
 			return
 		}
@@ -31,33 +31,33 @@
 			answer = check.Refused
 		}
 		switch {
-		case t.order.wait != nil:
-			l.rep.WaitingLost++
+		case t.job.wait != nil:
+			l.report.WaitingLost++
 		case c.Refused:
-			l.rep.Refused++
+			l.report.Refused++
 		default:
-			l.rep.Failed++
+			l.report.Failed++
 		}
 		l.answer(t, answer)
-		l.again(t.order, c.RetryAfter, c.Refused)
+		l.retry(t.job, c.RetryAfter, c.Refused)
 	case dispatch.Probe:
-		h := l.byAdr[c.Addr]
-		l.rep.Probes++
-		l.cal.push(event{at: l.now + l.delay(n.room, l.hosts[h].Room), kind: probes, a: int32(i), b: int32(h),
+		h := l.hostByAddr[c.Addr]
+		l.report.Probes++
+		l.queue.push(event{at: l.now + l.delay(n.room, l.hosts[h].Room), kind: probeArrival, a: int32(i), b: int32(h),
 			msg: dispatch.ProbeEnded{Worker: c.Worker, Took: l.now}})
 	case dispatch.Watch:
-		if l.down || l.deaf[n.room] > 0 {
-			l.later(i, 250*time.Millisecond, dispatch.ListLost{})
+		if l.listDown || l.roomsWithoutDiscovery[n.room] > 0 {
+			l.enqueueAfter(i, 250*time.Millisecond, dispatch.ListLost{})
 			return
 		}
 		n.watching = true
-		l.later(i, 2*l.sc.delay+time.Millisecond, dispatch.HostList{Version: l.seq, Whole: true, Hosts: slices.Clone(l.list)})
+		l.enqueueAfter(i, 2*l.scenario.delay+time.Millisecond, dispatch.HostList{Version: l.listVersion, Whole: true, Hosts: slices.Clone(l.hostList)})
 	}
 }
 
-// later delivers a message to a dispatcher after a while, if it still lives.
-func (l *Lab) later(i int, after time.Duration, m dispatch.Message) {
-	l.cal.push(event{at: l.now + after, kind: toNode, a: int32(i), b: int32(l.nodes[i].life), msg: m})
+// enqueueAfter delivers a message to a dispatcher after a while, if it still lives.
+func (l *Lab) enqueueAfter(i int, after time.Duration, m dispatch.Message) {
+	l.queue.push(event{at: l.now + after, kind: messageArrival, a: int32(i), b: int32(l.nodes[i].incarnation), msg: m})
 }
 
 // deliver hands a message over, with what is known only when it comes.
@@ -66,21 +66,21 @@
 	switch m := e.msg.(type) {
 	case dispatch.HostList:
 		if m.Whole {
-			n.known = slices.Clone(m.Hosts)
+			n.knownHosts = slices.Clone(m.Hosts)
 		}
 		for _, h := range m.Hosts {
 			k := check.Untold
 			if h.State != policy.Ready {
 				k = check.Told
 			}
-			l.see(check.Event{Kind: k, Node: i, Host: l.byAdr[h.Addr]})
-			if h.StartedAt == l.hosts[l.byAdr[h.Addr]].Born() {
-				l.see(check.Event{Kind: check.Knows, Node: i, Host: l.byAdr[h.Addr]})
+			l.recordEvent(check.Event{Kind: k, Node: i, Host: l.hostByAddr[h.Addr]})
+			if h.StartedAt == l.hosts[l.hostByAddr[h.Addr]].Born() {
+				l.recordEvent(check.Event{Kind: check.Knows, Node: i, Host: l.hostByAddr[h.Addr]})
 			}
 			if !m.Whole {
-				for j := range n.known {
-					if n.known[j].Name == h.Name {
-						n.known[j] = h
+				for j := range n.knownHosts {
+					if n.knownHosts[j].Name == h.Name {
+						n.knownHosts[j] = h
 					}
 				}
 			}
@@ -88,5 +88,5 @@
 	case dispatch.ListLost:
 		n.watching = false
 	}
-	l.tell(i, e.msg)
+	l.enqueue(i, e.msg)
 }
--- a/internal/lab/ideal.go
+++ b/internal/lab/ideal.go
@@ -12,9 +12,9 @@
 
 // lane is one lane of a host.
 type lane struct {
-	host  *fleet.Host
-	free  time.Duration
-	order *order // that it has taken last
+	host *fleet.Host
+	free time.Duration
+	job  *clientJob // that it has taken last
 }
 
 // NewIdeal prepares a run without dispatchers: a job goes to where it ends first, if it ends in time there, and else is refused.
@@ -32,7 +32,7 @@
 }
 
 // assign decides about one job.
-func (l *Lab) assign(o *order) {
+func (l *Lab) assign(o *clientJob) {
 	var best *lane
 	end := time.Duration(0)
 	for i := range l.ideal {
@@ -45,38 +45,38 @@
 			best, end = x, at
 		}
 	}
-	if best == nil || end > l.due(o) {
-		l.rep.Refused++
-		l.again(o, 0, true)
+	if best == nil || end > l.deadline(o) {
+		l.report.Refused++
+		l.retry(o, 0, true)
 		return
 	}
-	best.free, best.order = end, o
-	o.over = true
-	l.cls[o.class].served++
-	l.cls[o.class].inTime += o.worth
-	l.rep.Served++
-	l.rep.InTime++
-	l.rep.latency(o.class, end-o.first)
-	l.book(o, 0, o.worth)
+	best.free, best.job = end, o
+	o.finished = true
+	l.classTallies[o.class].served++
+	l.classTallies[o.class].inTime += o.worth
+	l.report.Served++
+	l.report.InTime++
+	l.report.latency(o.class, end-o.requestedAt)
+	l.addToTallies(o, 0, o.worth)
 }
 
-// bereave takes back what the ideal has booked on a host that is lost: jobs that run there are lost or, where that is harmless,
+// releaseLostHost takes back what the ideal has booked on a host that is lost: jobs that run there are lost or, where that is harmless,
 // decided about anew, and those that would have waited there were never sent.
-func (l *Lab) bereave(h *fleet.Host) {
+func (l *Lab) releaseLostHost(h *fleet.Host) {
 	for i := range l.ideal {
 		x := &l.ideal[i]
-		o := x.order
+		o := x.job
 		if x.host != h || o == nil || x.free <= l.now {
 			continue
 		}
-		x.order, x.free = nil, l.now
-		o.over = false
-		l.cls[o.class].served--
-		l.cls[o.class].inTime -= o.worth
-		l.rep.Served--
-		l.rep.InTime--
-		l.book(o, 0, -o.worth)
-		if !l.sc.Classes[o.class].Once {
+		x.job, x.free = nil, l.now
+		o.finished = false
+		l.classTallies[o.class].served--
+		l.classTallies[o.class].inTime -= o.worth
+		l.report.Served--
+		l.report.InTime--
+		l.addToTallies(o, 0, -o.worth)
+		if !l.scenario.Classes[o.class].Once {
 			l.assign(o)
 		}
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -12,7 +12,7 @@
 	"gaugeslip/internal/scenario"
 )
 
-func day(t testing.TB, name string) *Scenario {
+func loadScenario(t testing.TB, name string) *Scenario {
 	t.Helper()
 	all, err := Load(filepath.Join("..", "..", "scenarios", name+".hcl"))
 	require.NoError(t, err)
@@ -20,7 +20,7 @@
 	return all[0]
 }
 
-func play(t testing.TB, sc *Scenario, seed uint64, checked bool) *Report {
+func runScenario(t testing.TB, sc *Scenario, seed uint64, checked bool) *Report {
 	t.Helper()
 	l, err := New(sc, seed, checked)
 	require.NoError(t, err)
@@ -32,12 +32,12 @@
 // One scenario and seed, one digest, on any number of threads; another seed, another.
 func TestSameSeedSameDigest(t *testing.T) {
 	for _, name := range []string{"vanish-and-errors", "rolling-restart"} {
-		sc := day(t, name)
-		first := play(t, sc, 7, true)
+		sc := loadScenario(t, name)
+		first := runScenario(t, sc, 7, true)
 		old := runtime.GOMAXPROCS(1)
-		again := play(t, sc, 7, true)
+		again := runScenario(t, sc, 7, true)
 		runtime.GOMAXPROCS(old)
-		other := play(t, sc, 8, true)
+		other := runScenario(t, sc, 8, true)
 		assert.Equal(t, first.Digest, again.Digest, name)
 		assert.NotEqual(t, first.Digest, other.Digest, name)
 		assert.Equal(t, first.Service, again.Service)
@@ -57,7 +57,7 @@
 		require.NoError(t, err)
 		for _, sc := range all {
 			for seed := range uint64(3) {
-				r := play(t, sc, seed+1, true)
+				r := runScenario(t, sc, seed+1, true)
 				assert.Empty(t, sc.Missed(r), "%s, seed %d", sc.Name, seed+1)
 				assert.NotZero(t, r.Jobs)
 			}
@@ -66,9 +66,9 @@
 }
 
 // The conservation of jobs: whoever came was served, refused, failed, cut off, or did not get through.
-func TestNobodyIsLost(t *testing.T) {
+func TestEveryTryHasAnOutcome(t *testing.T) {
 	for _, name := range []string{"calm-friday", "harvest-rush", "silence-and-resets"} {
-		r := play(t, day(t, name), 3, true)
+		r := runScenario(t, loadScenario(t, name), 3, true)
 		assert.Equal(t, r.Jobs+r.Retries, r.Served+r.Refused+r.Failed+r.Cut+r.Unreached, "%s: %+v", name, r)
 	}
 }
@@ -76,9 +76,9 @@
 // The waiting room at every dispatcher, under more fresh work than the fleet can do: each waiting job has its end, none that was
 // served has waited longer than twice its due time, and the rules hold.
 func TestWaitingInTheLab(t *testing.T) {
-	sc := day(t, "season-close")
+	sc := loadScenario(t, "season-close")
 	for seed := range uint64(3) {
-		r := play(t, sc, seed+1, true)
+		r := runScenario(t, sc, seed+1, true)
 		assert.Empty(t, sc.Missed(r), "seed %d", seed+1)
 		assert.Equal(t, r.Waiting, r.WaitingServed+r.WaitingLost, "seed %d", seed+1)
 		assert.LessOrEqual(t, r.LongestWait, 2.0, "seed %d", seed+1)
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	sound := `scenario "a" {
   length = "1s"
   load = 1
@@ -127,10 +127,10 @@
 
 // A room that is lost and comes back cold is not pushed over: on these seeds 28 hosts fell over, and on the 13th the rule
 // was broken.
-func TestRoomLossPushesNobodyOver(t *testing.T) {
-	sc, fell := day(t, "room-loss"), 0
+func TestRoomLossKeepsColdHostsUp(t *testing.T) {
+	sc, fell := loadScenario(t, "room-loss"), 0
 	for seed := uint64(11); seed <= 14; seed++ {
-		r := play(t, sc, seed, true)
+		r := runScenario(t, sc, seed, true)
 		assert.Zero(t, r.Broken(), "seed %d: %v", seed, r.First)
 		fell += r.Toppled
 	}
@@ -139,20 +139,20 @@
 
 // A storm's harm ends with it: 100 dispatchers that retry into one another's queues do not come back by themselves, with
 // the settings for overload they do.
-func TestStormIsOver(t *testing.T) {
+func TestRecoveryFromRetryStorm(t *testing.T) {
 	for _, on := range []bool{true, false} {
-		sc := day(t, "surge")
+		sc := loadScenario(t, "surge")
 		sc.Dispatchers = 100
 		if !on {
 			sc.Overload = nil
 		}
 		for seed := uint64(1); seed <= 3; seed++ {
-			r := play(t, sc, seed, true)
+			r := runScenario(t, sc, seed, true)
 			assert.Zero(t, r.Broken(), "seed %d: %v", seed, r.First)
 			assert.Equal(t, on, r.Recovery >= 0 && r.Recovery <= 16, "seed %d, settings on %v: back after %v s", seed, on, r.Recovery)
 		}
 	}
-	ideal, err := NewIdeal(day(t, "surge"), 1)
+	ideal, err := NewIdeal(loadScenario(t, "surge"), 1)
 	require.NoError(t, err)
 	r, err := ideal.Run(t.Context())
 	require.NoError(t, err)
@@ -161,13 +161,13 @@
 
 // BenchmarkLab is jobs a second of wall time on one core, at 100 workers and 3 dispatchers.
 func BenchmarkLab(b *testing.B) {
-	sc := day(b, "calm-friday")
+	sc := loadScenario(b, "calm-friday")
 	sc.Hosts[0].Count, sc.Hosts[1].Count = 50, 50
 	for _, checked := range []bool{false, true} {
 		b.Run(map[bool]string{false: "plain", true: "checked"}[checked], func(b *testing.B) {
 			jobs := 0
 			for i := range b.N {
-				jobs += play(b, sc, uint64(i), checked).Jobs
+				jobs += runScenario(b, sc, uint64(i), checked).Jobs
 			}
 			b.ReportMetric(float64(jobs)/b.Elapsed().Seconds(), "jobs/s")
 		})
@@ -176,7 +176,7 @@
 
 // A room that is lost with all that is there: its clients come to others once the front has noticed, its hosts and dispatchers come
 // back, and no rule breaks; without its ways to the others its own dispatchers and hosts go on. The ideal feels the loss as well.
-func TestSite(t *testing.T) {
+func TestSiteLoss(t *testing.T) {
 	all, err := Load("../../scenarios/site-loss.hcl")
 	require.NoError(t, err)
 	for _, loses := range [][]string{nil, {"links"}, {"links", "discovery"}, {"hosts"}, {"dispatchers"}} {
@@ -192,7 +192,7 @@
 		assert.Greater(t, r.Rooms[2][11], 0.7, "%v: back at the end", loses)
 		assert.Equal(t, sc.Troubles[0].loses("dispatchers"), r.Cut+r.Unreached > 0, "%v", loses)
 		for i, n := range l.nodes {
-			assert.True(t, n.up && n.dealt, "%v: dispatcher %d", loses, i)
+			assert.True(t, n.up && n.receivesClients, "%v: dispatcher %d", loses, i)
 		}
 		ideal, err := NewIdeal(sc, 5)
 		require.NoError(t, err)
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -103,13 +103,13 @@
 
 // Report tells what came of the run so far.
 func (l *Lab) Report() *Report {
-	r := &l.rep
+	r := &l.report
 	r.Windows, r.Steps, r.First = nil, 0, nil
-	r.Scenario, r.Seed, r.Hosts, r.Dispatchers = l.sc.Name, l.seed, len(l.hosts), len(l.nodes)
+	r.Scenario, r.Seed, r.Hosts, r.Dispatchers = l.scenario.Name, l.seed, len(l.hosts), len(l.nodes)
 	r.Classes, r.P50, r.P99 = map[string]float64{}, map[string]float64{}, map[string]float64{}
 	var asked, inTime float64
-	for i, k := range l.cls {
-		name := l.sc.Classes[i].Name
+	for i, k := range l.classTallies {
+		name := l.scenario.Classes[i].Name
 		asked, inTime, r.Jobs = asked+k.asked, inTime+k.inTime, r.Jobs+k.jobs
 		r.Classes[name] = ratio(k.inTime, k.asked)
 		if h := r.hist[i]; h != nil {
@@ -117,20 +117,20 @@
 		}
 	}
 	r.Service, r.Worst = ratio(inTime, asked), 1
-	for at := 0; at < len(l.secs); at += int(window / time.Second) {
+	for at := 0; at < len(l.perSecond); at += int(reportWindow / time.Second) {
 		x := -1.0
-		if w := over(l.secs, at); w.asked > 0 {
+		if w := windowTotal(l.perSecond, at); w.asked > 0 {
 			x = w.inTime / w.asked
 			r.Worst = min(r.Worst, x)
 		}
 		r.Windows = append(r.Windows, x)
 	}
 	r.Rooms = nil
-	for _, secs := range l.rooms[:len(l.rooms)*min(len(l.rooms)-1, 1)] {
+	for _, secs := range l.perRoom[:len(l.perRoom)*min(len(l.perRoom)-1, 1)] {
 		var all []float64
-		for at := 0; at < len(secs); at += int(window / time.Second) {
+		for at := 0; at < len(secs); at += int(reportWindow / time.Second) {
 			x := -1.0
-			if w := over(secs, at); w.asked > 0 {
+			if w := windowTotal(secs, at); w.asked > 0 {
 				x = w.inTime / w.asked
 			}
 			all = append(all, x)
@@ -142,19 +142,19 @@
 	for _, h := range l.hosts {
 		worked += h.Worked
 	}
-	whole := scenario.Capacity(l.sc.Hosts) * l.sc.length.Seconds()
+	whole := scenario.Capacity(l.scenario.Hosts) * l.scenario.length.Seconds()
 	r.Used, r.Work = worked/whole, Work{}.Plus(l.work, 1/whole)
-	r.Work.Probes, r.Work.Shakes = float64(r.Probes)*probeWork.Seconds()/whole, float64(r.Handshakes)*shakeWork.Seconds()/whole
+	r.Work.Probes, r.Work.Shakes = float64(r.Probes)*probeWork.Seconds()/whole, float64(r.Handshakes)*handshakeWork.Seconds()/whole
 	for _, n := range l.nodes {
 		r.Steps += n.steps
 	}
 	r.Events, r.Digest = l.events, fmt.Sprintf("%016x", l.digest.Sum64())
 	r.Wall = l.wall.Seconds()
 	r.JobsASecond = float64(r.Jobs) / max(r.Wall, 1e-9)
-	if l.check != nil {
-		l.check.End(l.now)
-		r.Breaches = l.check.Counts()
-		for _, b := range l.check.Breaches()[:min(len(l.check.Breaches()), 10)] {
+	if l.checker != nil {
+		l.checker.End(l.now)
+		r.Breaches = l.checker.Counts()
+		for _, b := range l.checker.Breaches()[:min(len(l.checker.Breaches()), 10)] {
 			b.At -= epoch
 			r.First = append(r.First, b.String())
 		}
@@ -164,22 +164,22 @@
 
 // recovery is how many seconds after the last surge's end service is at 0.95 for 5 s; -1: never, or there was no surge.
 func (l *Lab) recovery() float64 {
-	calm := l.sc.calm()
+	calm := l.scenario.lastSurgeEnd()
 	if calm == 0 {
 		return -1
 	}
 	first := int((calm + time.Second - 1) / time.Second)
-	for at := first; at+int(window/time.Second) < len(l.secs); at++ {
-		if w := over(l.secs, at); w.inTime >= 0.95*w.asked {
+	for at := first; at+int(reportWindow/time.Second) < len(l.perSecond); at++ {
+		if w := windowTotal(l.perSecond, at); w.inTime >= 0.95*w.asked {
 			return float64(at - first)
 		}
 	}
 	return -1
 }
 
-// over sums the seconds of the window that begins at one.
-func over(secs []tally, second int) (sum tally) {
-	for _, s := range secs[second:min(second+int(window/time.Second), len(secs))] {
+// windowTotal sums the seconds of the window that begins at one.
+func windowTotal(secs []tally, second int) (sum tally) {
+	for _, s := range secs[second:min(second+int(reportWindow/time.Second), len(secs))] {
 		sum.asked, sum.inTime = sum.asked+s.asked, sum.inTime+s.inTime
 	}
 	return sum
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -110,8 +110,8 @@
 // loses tells whether a site loses something.
 func (t *Trouble) loses(what string) bool { return scenario.Loses(t.Loses, what) }
 
-// partOf is how many of n it strikes: one at least.
-func (t *Trouble) partOf(n int) int { return max(1, int(math.Round(t.Part*float64(n)))) }
+// affectedCount is how many of n it strikes: one at least.
+func (t *Trouble) affectedCount(n int) int { return max(1, int(math.Round(t.Part*float64(n)))) }
 
 // Expect is what has to come of a scenario; what is not said is not looked at.
 type Expect struct {
--- a/internal/lab/scenario_check.go
+++ b/internal/lab/scenario_check.go
@@ -8,7 +8,7 @@
 	"gaugeslip/internal/waiting"
 )
 
-var kinds = map[string]bool{"vanish": true, "errors": true, "heavy": true, "kill": true, "silence": true, "reset": true,
+var troubleKinds = map[string]bool{"vanish": true, "errors": true, "heavy": true, "kill": true, "silence": true, "reset": true,
 	"stale_list": true, "discovery": true, "drain": true, "restart": true,
 	"surge": true, "site": true}
 
@@ -76,7 +76,7 @@
 		t := &s.Troubles[i]
 		t.at = c.Time(t.Range, "at", t.At, 0)
 		t.length = c.Time(t.Range, "for", t.For, 10*time.Second)
-		c.Want(kinds[t.Kind], t.Range, "trouble", "%q is not known", t.Kind)
+		c.Want(troubleKinds[t.Kind], t.Range, "trouble", "%q is not known", t.Kind)
 		c.Want(t.at < s.length, t.Range, "at", "the day is over by then")
 		c.Want(t.Part >= 0 && t.Part <= 1, t.Range, "part", "0 to 1")
 		c.Want(t.Room >= 0 && t.Room <= s.Rooms, t.Range, "room", "1 to the number of rooms")
@@ -99,8 +99,8 @@
 	return c.Err
 }
 
-// calm is when the last surge is over, since the start; 0: there is none.
-func (s *Scenario) calm() (at time.Duration) {
+// lastSurgeEnd is when the last surge is over, since the start; 0: there is none.
+func (s *Scenario) lastSurgeEnd() (at time.Duration) {
 	for _, t := range s.Troubles {
 		if t.Kind == "surge" {
 			at = max(at, t.at+t.length)
--- a/internal/lab/setup.go
+++ b/internal/lab/setup.go
@@ -17,9 +17,9 @@
 
 // New prepares a run; check false leaves the rules unchecked, for speed.
 func New(sc *Scenario, seed uint64, checked bool) (*Lab, error) {
-	l := &Lab{sc: sc, seed: seed, now: epoch, surge: 1, byAdr: map[string]int{}, sends: map[uint64]*send{}, heavy: map[int]Trouble{},
+	l := &Lab{scenario: sc, seed: seed, now: epoch, surge: 1, hostByAddr: map[string]int{}, sends: map[uint64]*send{}, heavy: map[int]Trouble{},
 		arrivals: rand.New(rand.NewPCG(seed, 1)), sizes: rand.New(rand.NewPCG(seed, 2)),
-		chance: rand.New(rand.NewPCG(seed, 3)), digest: xxhash.New(), cls: make([]classTally, len(sc.Classes)), late: sc.World.listLate}
+		chance: rand.New(rand.NewPCG(seed, 3)), digest: xxhash.New(), classTallies: make([]classTally, len(sc.Classes)), listDelay: sc.World.listLate}
 	l.hints = distuv.LogNormal{Sigma: sc.Clients.HintSigma, Src: l.sizes}
 	w := sc.World
 	if checked {
@@ -28,11 +28,11 @@
 		if o := sc.Overload; o != nil {
 			rules.Repeats = o.lim.Repeats
 		}
-		l.check = check.New(rules)
+		l.checker = check.New(rules)
 	}
 	p := fleet.Params{Queue: w.Queue, ColdFrom: w.ColdFrom, WarmUp: w.warmUp, TipMultiple: w.Tip, OverloadFor: w.overloadFor,
 		ReportEvery: w.reportEvery, Progress: w.progress, ProbeWork: probeWork, MaxConns: w.MaxConns,
-		HandshakeOf: shakeWork}
+		HandshakeOf: handshakeWork}
 	for kind, hs := range sc.Hosts {
 		for range hs.Count {
 			i := len(l.hosts)
@@ -44,74 +44,74 @@
 			}
 			l.hosts = append(l.hosts, h)
 			addr := fmt.Sprintf("10.%d.%d.%d:1", i>>16, i>>8&255, i&255)
-			l.byAdr[addr] = i
-			l.list = append(l.list, dispatch.Host{Name: name, Addr: addr, Zone: h.Room, Kind: kind, Scale: float64(hs.Lanes) * hs.Speed,
+			l.hostByAddr[addr] = i
+			l.hostList = append(l.hostList, dispatch.Host{Name: name, Addr: addr, Zone: h.Room, Kind: kind, Scale: float64(hs.Lanes) * hs.Speed,
 				StartedAt: h.Born()})
 		}
 	}
-	l.wake = make([]time.Duration, len(l.hosts))
-	l.seq = 1
+	l.hostWake = make([]time.Duration, len(l.hosts))
+	l.listVersion = 1
 	for i := range sc.Dispatchers {
-		l.nodes = append(l.nodes, &node{room: i % sc.Rooms, known: slices.Clone(l.list), idle: make([]uint16, len(l.hosts))})
-		if err := l.start(i); err != nil {
+		l.nodes = append(l.nodes, &node{room: i % sc.Rooms, knownHosts: slices.Clone(l.hostList), idleConns: make([]uint16, len(l.hosts))})
+		if err := l.startDispatcher(i); err != nil {
 			return nil, err
 		}
-		l.nodes[i].dealt = true
+		l.nodes[i].receivesClients = true
 	}
-	l.hit = make([][]int, len(sc.Troubles))
-	l.cut, l.deaf = make([]int, sc.Rooms), make([]int, sc.Rooms)
+	l.affectedHosts = make([][]int, len(sc.Troubles))
+	l.isolatedRooms, l.roomsWithoutDiscovery = make([]int, sc.Rooms), make([]int, sc.Rooms)
 	for i, t := range sc.Troubles {
-		l.cal.push(event{at: epoch + t.at, kind: begins, a: int32(i)})
-		l.cal.push(event{at: epoch + t.at + t.length, kind: ends, a: int32(i)})
+		l.queue.push(event{at: epoch + t.at, kind: troubleBegin, a: int32(i)})
+		l.queue.push(event{at: epoch + t.at + t.length, kind: troubleEnd, a: int32(i)})
 	}
 	for room := range sc.Rooms {
 		l.nextArrival(room)
 	}
-	l.secs = make([]tally, int(sc.length/time.Second)+1)
+	l.perSecond = make([]tally, int(sc.length/time.Second)+1)
 	for range sc.Rooms {
-		l.rooms = append(l.rooms, make([]tally, len(l.secs)))
+		l.perRoom = append(l.perRoom, make([]tally, len(l.perSecond)))
 	}
 	return l, nil
 }
 
-// start begins a dispatcher's life.
-func (l *Lab) start(i int) error {
+// startDispatcher begins a dispatcher's life.
+func (l *Lab) startDispatcher(i int) error {
 	n := l.nodes[i]
-	core, err := dispatch.New(l.sc.config(i), l.seed<<16+uint64(i)<<8+uint64(n.life))
+	core, err := dispatch.New(l.scenario.config(i), l.seed<<16+uint64(i)<<8+uint64(n.incarnation))
 	if err != nil {
 		return err
 	}
 	var gate *dispatch.WaitingGate
-	if w := l.sc.Waiting; w != nil {
-		gate = dispatch.NewWaitingGate(w.lim, l.sc.config(i))
+	if w := l.scenario.Waiting; w != nil {
+		gate = dispatch.NewWaitingGate(w.lim, l.scenario.config(i))
 	}
 	var shed *dispatch.ShedGate
-	if o := l.sc.Overload; o != nil && o.lim.Shed {
-		if shed, err = dispatch.NewShedGate(o.lim, l.sc.config(i)); err != nil {
+	if o := l.scenario.Overload; o != nil && o.lim.Shed {
+		if shed, err = dispatch.NewShedGate(o.lim, l.scenario.config(i)); err != nil {
 			return err
 		}
 	}
-	n.chain, n.up, n.watching, n.open, n.inbox, n.wakeAt = dispatch.NewChain(core, dispatch.Gates{Waiting: gate, Shed: shed, Sites: l.sitesGate(i)}), true, false, map[uint64]*try{}, nil, 0
+	n.chain, n.up, n.watching, n.openTries, n.inbox, n.wakeAt = dispatch.NewChain(core, dispatch.Gates{Waiting: gate, Shed: shed, Sites: l.sitesGate(i)}), true, false, map[uint64]*try{}, nil, 0
 	n.stopping = 0
-	clear(n.idle)
-	l.tell(i, dispatch.HostList{Version: 0, Whole: true, Stale: true, Hosts: slices.Clone(n.known)})
+	clear(n.idleConns)
+	l.enqueue(i, dispatch.HostList{Version: 0, Whole: true, Stale: true, Hosts: slices.Clone(n.knownHosts)})
 	return nil
 }
 
 // sitesGate is a dispatcher's; nil: the scenario has none.
 func (l *Lab) sitesGate(i int) *dispatch.SitesGate {
-	if !l.sc.Sites {
+	if !l.scenario.Sites {
 		return nil
 	}
 	var order []int
-	for k := range l.sc.Classes {
+	for k := range l.scenario.Classes {
 		order = append(order, k)
 	}
-	return dispatch.NewSitesGate(siteloss.Defaults(), l.sc.config(i), nil, order, 0)
+	return dispatch.NewSitesGate(siteloss.Defaults(), l.scenario.config(i), nil, order, 0)
 }
 
-// tell puts a message into a dispatcher's inbox.
-func (l *Lab) tell(i int, m dispatch.Message) {
+// enqueue puts a message into a dispatcher's inbox.
+func (l *Lab) enqueue(i int, m dispatch.Message) {
 	n := l.nodes[i]
 	if n.inbox = append(n.inbox, m); !n.dirty {
 		n.dirty = true
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -9,77 +9,77 @@
 	"gaugeslip/policy"
 )
 
-// die kills a dispatcher, which starts again at once.
-func (l *Lab) die(i int) {
-	l.fell(i)
-	l.cal.push(event{at: l.now + startsIn, kind: returns, a: int32(i)})
+// killAndRestart kills a dispatcher, which starts again at once.
+func (l *Lab) killAndRestart(i int) {
+	l.kill(i)
+	l.queue.push(event{at: l.now + startDelay, kind: dispatcherStart, a: int32(i)})
 }
 
-// fell ends a dispatcher's life: what it held is lost, and its clients notice.
-func (l *Lab) fell(i int) {
+// kill ends a dispatcher's life: what it held is lost, and its clients notice.
+func (l *Lab) kill(i int) {
 	n := l.nodes[i]
-	n.up, n.dealt = false, false
-	l.see(check.Event{Kind: check.Killed, Node: i})
-	ids := make([]uint64, 0, len(n.open))
-	for id := range n.open {
+	n.up, n.receivesClients = false, false
+	l.recordEvent(check.Event{Kind: check.Killed, Node: i})
+	ids := make([]uint64, 0, len(n.openTries))
+	for id := range n.openTries {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		t := n.open[id]
+		t := n.openTries[id]
 		t.answered = true
-		if t.order.wait != nil { // it lives in memory alone
-			l.rep.WaitingLost++
+		if t.job.wait != nil { // it lives in memory alone
+			l.report.WaitingLost++
 			continue
 		}
-		l.rep.Cut++
-		l.again(t.order, 0, false)
+		l.report.Cut++
+		l.retry(t.job, 0, false)
 	}
-	clear(n.open)
+	clear(n.openTries)
 }
 
-// site takes a room, or gives it back: its dispatchers, which the front goes on dealing out until it notices, its ways to other
+// changeSite takes a room, or gives it back: its dispatchers, which the front goes on dealing out until it notices, its ways to other
 // rooms, its way to discovery. Its hosts are trouble's.
-func (l *Lab) site(t *Trouble, on bool) {
+func (l *Lab) changeSite(t *Trouble, on bool) {
 	room, by := t.Room-1, map[bool]int{true: 1, false: -1}[on]
 	if t.loses("links") {
-		l.cut[room] += by
+		l.isolatedRooms[room] += by
 	}
 	if t.loses("discovery") {
-		l.deaf[room] += by
+		l.roomsWithoutDiscovery[room] += by
 	}
 	for i, n := range l.nodes {
 		switch {
 		case n.room != room:
 		case t.loses("dispatchers") && on && n.up:
-			l.fell(i)
-			n.dealt = true
-			noticed := noticeLeast + time.Duration(l.chance.Int64N(int64(noticeMost-noticeLeast)))
-			l.cal.push(event{at: l.now + noticed, kind: dies, a: int32(i), b: -2})
+			l.kill(i)
+			n.receivesClients = true
+			noticed := minNoticeDelay + time.Duration(l.chance.Int64N(int64(maxNoticeDelay-minNoticeDelay)))
+			l.queue.push(event{at: l.now + noticed, kind: dispatcherKill, a: int32(i), b: -2})
 		case t.loses("dispatchers") && !on && !n.up:
-			l.cal.push(event{at: l.now + startsIn, kind: returns, a: int32(i)})
+			l.queue.push(event{at: l.now + startDelay, kind: dispatcherStart, a: int32(i)})
 		case t.loses("discovery") && on && n.up && n.watching:
-			l.later(i, l.sc.delay, dispatch.ListLost{})
+			l.enqueueAfter(i, l.scenario.delay, dispatch.ListLost{})
 		}
 	}
 }
 
-// change has the list tell of a host after a while.
-func (l *Lab) change(host int, s policy.State) {
-	l.cal.push(event{at: l.now + l.late, kind: lists, a: int32(host), b: int32(s)})
+// scheduleListUpdate has the list tell of a host after a while.
+func (l *Lab) scheduleListUpdate(host int, s policy.State) {
+	l.queue.push(event{at: l.now + l.listDelay, kind: listUpdate, a: int32(host), b: int32(s)})
 }
 
 // publish puts what is true of a host into the list, and tells those who watch.
 func (l *Lab) publish(host int, s policy.State) {
-	l.seq++
-	e := &l.list[host]
+	l.listVersion++
+	e := &l.hostList[host]
 	e.State, e.StartedAt = s, l.hosts[host].Born()
-	if l.down {
+	if l.listDown {
 		return
 	}
 	for i, n := range l.nodes {
-		if n.up && n.watching && l.deaf[n.room] == 0 {
-			l.later(i, l.sc.delay, dispatch.HostList{Version: l.seq, Hosts: []dispatch.Host{*e}})
+		if n.up && n.watching && l.roomsWithoutDiscovery[n.room] == 0 {
+			l.enqueueAfter(i, l.scenario.delay, dispatch.HostList{Version: l.listVersion, Hosts: []dispatch.Host{*e}})
 		}
 	}
 }
@@ -87,26 +87,26 @@
 // restart starts a host anew, cold; the list tells of it late.
 func (l *Lab) restart(h int) {
 	l.hosts[h].Start(l.now)
-	l.see(check.Event{Kind: check.Reborn, Host: h})
-	l.change(h, policy.Ready)
+	l.recordEvent(check.Event{Kind: check.Reborn, Host: h})
+	l.scheduleListUpdate(h, policy.Ready)
 }
 
-// trouble begins or ends one.
-func (l *Lab) trouble(i int, on bool) {
-	t := l.sc.Troubles[i]
+// changeTrouble begins or ends one.
+func (l *Lab) changeTrouble(i int, on bool) {
+	t := l.scenario.Troubles[i]
 	if on && t.Room > 0 {
-		l.hit[i] = l.hit[i][:0]
+		l.affectedHosts[i] = l.affectedHosts[i][:0]
 		for h := range l.hosts {
 			if l.hosts[h].Room == t.Room-1 {
-				l.hit[i] = append(l.hit[i], h)
+				l.affectedHosts[i] = append(l.affectedHosts[i], h)
 			}
 		}
 	} else if on && t.Part > 0 && t.Kind != "heavy" && t.Kind != "restart" {
-		l.hit[i] = l.chance.Perm(len(l.hosts))[:t.partOf(len(l.hosts))]
-		slices.Sort(l.hit[i])
+		l.affectedHosts[i] = l.chance.Perm(len(l.hosts))[:t.affectedCount(len(l.hosts))]
+		slices.Sort(l.affectedHosts[i])
 	}
 	share := map[bool]float64{true: max(t.Share, 0.001), false: 0}[on]
-	for _, h := range l.hit[i] {
+	for _, h := range l.affectedHosts[i] {
 		host := l.hosts[h]
 		switch t.Kind {
 		case "site":
@@ -130,30 +130,30 @@
 		case "kill":
 			if on {
 				host.Kill(l.now)
-				l.change(h, policy.Gone)
+				l.scheduleListUpdate(h, policy.Gone)
 			} else {
 				l.restart(h)
 			}
 		case "drain":
 			if on {
 				host.Drain(l.now)
-				l.change(h, policy.Draining)
+				l.scheduleListUpdate(h, policy.Draining)
 			} else {
 				host.Kill(l.now)
 				l.restart(h)
 			}
 		}
 		if on && l.ideal != nil && !host.Reachable() {
-			l.bereave(host)
+			l.releaseLostHost(host)
 		}
-		l.act(h)
+		l.advanceHost(h)
 	}
 	switch t.Kind {
 	case "site":
-		l.site(&t, on)
+		l.changeSite(&t, on)
 	case "heavy":
-		if delete(l.heavy, l.sc.class(t.Class)); on {
-			l.heavy[l.sc.class(t.Class)] = t
+		if delete(l.heavy, l.scenario.class(t.Class)); on {
+			l.heavy[l.scenario.class(t.Class)] = t
 		}
 	case "surge":
 		if on {
@@ -162,28 +162,28 @@
 			l.surge /= t.Times
 		}
 	case "silence":
-		l.lost = share
+		l.lossProbability = share
 	case "reset":
-		l.reset = share
+		l.resetProbability = share
 	case "stale_list":
-		if l.late = l.sc.World.listLate; on {
-			l.late += t.length
+		if l.listDelay = l.scenario.World.listLate; on {
+			l.listDelay += t.length
 		}
 	case "discovery":
-		l.down = on
+		l.listDown = on
 		for i, n := range l.nodes {
 			if on && n.up && n.watching {
-				l.later(i, l.sc.delay, dispatch.ListLost{})
+				l.enqueueAfter(i, l.scenario.delay, dispatch.ListLost{})
 			}
 		}
 	case "restart":
 		if on { // one after the other, spread over its length
 			n := len(l.nodes)
 			if t.Part > 0 {
-				n = t.partOf(n)
+				n = t.affectedCount(n)
 			}
 			for k := range n {
-				l.cal.push(event{at: l.now + t.length*time.Duration(k)/time.Duration(n), kind: stops, a: int32(k)})
+				l.queue.push(event{at: l.now + t.length*time.Duration(k)/time.Duration(n), kind: dispatcherStop, a: int32(k)})
 			}
 		}
 	}
--- a/internal/lab/view.go
+++ b/internal/lab/view.go
@@ -30,7 +30,7 @@
 	r := l.Report()
 	v := &View{At: l.now - epoch, Service: r.Service, Served: r.Served, Refused: r.Refused, Failed: r.Failed,
 		BrokenRules: r.Broken(), LastFiveSecs: -1}
-	if k := int(v.At/window) - 1; k >= 0 && k < len(r.Windows) {
+	if k := int(v.At/reportWindow) - 1; k >= 0 && k < len(r.Windows) {
 		v.LastFiveSecs = r.Windows[k]
 	}
 	for _, h := range l.hosts {
@@ -57,7 +57,7 @@
 			v.Open = append(v.Open, -1)
 			continue
 		}
-		v.Open = append(v.Open, len(n.open))
+		v.Open = append(v.Open, len(n.openTries))
 	}
 	return v
 }
