--- a/internal/lab/booking.go
+++ b/internal/lab/booking.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// recordCompletedWork books work that has run to its end, by what becomes of it. Its news takes so long to its dispatcher.
+// recordCompletedWork adds the work of a completed job to the total for its outcome. way is the network delay to the dispatcher.
 func (l *Lab) recordCompletedWork(s *send, way time.Duration) {
 	o, w := s.try.job, &l.work
 	sum := &w.InTime
@@ -22,7 +22,7 @@
 	}
 }
 
-// addToTallies adds to the tallies of the second in which an order was asked for, of all and of its room.
+// addToTallies adds to the tallies of the second in which a job was requested, in total and for its room.
 func (l *Lab) addToTallies(o *clientJob, asked, inTime float64) {
 	at := min(int((o.requestedAt-epoch)/time.Second), len(l.perSecond)-1)
 	for _, t := range []*tally{&l.perSecond[at], &l.perRoom[o.room][at]} {
@@ -30,7 +30,7 @@
 	}
 }
 
-// deadline is until when an order is worth anything.
+// deadline returns the time until which a job has a value.
 func (l *Lab) deadline(o *clientJob) time.Duration {
 	return o.requestedAt + l.scenario.Classes[o.class].Within(o.size)
 }
--- a/internal/lab/calendar.go
+++ b/internal/lab/calendar.go
@@ -6,29 +6,29 @@
 	"gaugeslip/internal/dispatch"
 )
 
-// eventKind says what an event does.
+// eventKind is the kind of an event. Its number goes into the digest.
 type eventKind uint8
 
 const (
-	clientArrival   eventKind = iota // a client of room a has something to do
-	tryArrival                       // try t reaches a dispatcher
-	sendArrival                      // send s reaches its host
-	hostEvent                        // host a has something to tell
-	messageArrival                   // msg reaches dispatcher a, of its life b
-	sendOutcome                      // the outcome a of send s
-	sendTimeout                      // send s has taken too long
-	dispatcherWake                   // dispatcher a wants a Step
+	clientArrival   eventKind = iota // a client of room a requests a new job
+	tryArrival                       // a try reaches a dispatcher
+	sendArrival                      // a send reaches its host
+	hostEvent                        // host a has new notes
+	messageArrival                   // msg reaches incarnation b of dispatcher a
+	sendOutcome                      // outcome a of a send reaches its dispatcher
+	sendTimeout                      // the deadline of a send has passed
+	dispatcherWake                   // dispatcher a has reached its wake time
 	probeArrival                     // dispatcher a's probe reaches host b
-	troubleBegin                     // trouble a
-	troubleEnd                       // trouble a
-	listUpdate                       // what changed on host a is in the list now
-	dispatcherStop                   // dispatcher a gets SIGTERM
-	dispatcherKill                   // dispatcher a is killed
-	dispatcherStart                  // dispatcher a starts anew
-	dispatcherReady                  // dispatcher a is dealt out by the front again
+	troubleBegin                     // trouble a begins
+	troubleEnd                       // trouble a ends
+	listUpdate                       // a change of host a appears in the host list
+	dispatcherStop                   // dispatcher a receives SIGTERM
+	dispatcherKill                   // dispatcher a is killed; b < 0: the front notices that it is down
+	dispatcherStart                  // dispatcher a restarts
+	dispatcherReady                  // the front sends clients to dispatcher a again
 )
 
-// event is one thing that happens. Ties in time go by the order in which events were made.
+// event is one scheduled event. Events at the same time are processed in the order in which they were scheduled.
 type event struct {
 	at   time.Duration
 	seq  uint64
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -9,7 +9,7 @@
 	"gaugeslip/internal/scenario"
 )
 
-// nextArrival plans the next client of a room: a Poisson process, in bursts where the scenario says so.
+// nextArrival schedules the next client of a room: a Poisson process, with bursts if the scenario has them.
 func (l *Lab) nextArrival(room int) {
 	rate := l.scenario.rate() * l.scenario.shareOf(room) * l.surge
 	if b := l.scenario.Clients.Burst; b > 1 {
@@ -42,7 +42,7 @@
 	}
 }
 
-// drawJob makes an order.
+// drawJob draws a random job.
 func (l *Lab) drawJob(room int) *clientJob {
 	k := scenario.Choose(l.scenario.Classes, l.arrivals.Float64())
 	size := l.scenario.Classes[k].Size(l.sizes)
@@ -56,7 +56,7 @@
 	return o
 }
 
-// scheduleTry sends a client's next try through the front to a dispatcher of its room, or of any where none is there.
+// scheduleTry schedules a client's next try. The front sends it to a dispatcher of the client's room, or of any room if that has none.
 func (l *Lab) scheduleTry(o *clientJob, at time.Duration) {
 	l.lastTry++
 	l.queue.push(event{at: at, kind: tryArrival, try: &try{id: l.lastTry, job: o}})
@@ -93,7 +93,7 @@
 	}
 	t.node = there[l.arrivals.IntN(len(there))]
 	n := l.nodes[t.node]
-	if !n.up { // the front has not noticed yet
+	if !n.up { // the front has not noticed this yet
 		l.report.Unreached++
 		l.retry(o, 0, true)
 		return
@@ -107,7 +107,7 @@
 	if l.scenario.Waiting != nil {
 		m.Name, m.Wait = strconv.FormatUint(t.id, 16), o.wait
 	}
-	if o.wait != nil { // twice its due time once it may run, and then it runs
+	if o.wait != nil { // a waiting job may start up to twice its due time after NotBefore, and then needs its run time
 		t.deadline += o.wait.NotBefore + 2*l.scenario.Waiting.lim.DefaultDue
 	}
 	n.openTries[t.id] = t
@@ -115,7 +115,7 @@
 	l.enqueue(t.node, m)
 }
 
-// retry has a client try once more, where it does so.
+// retry schedules a client's next try if the client retries in this case.
 func (l *Lab) retry(o *clientJob, advice time.Duration, harmless bool) {
 	cl := l.scenario.Clients
 	c := &l.scenario.Classes[o.class]
@@ -132,7 +132,7 @@
 	}
 }
 
-// answer gives a try its one answer.
+// answer records the answer to a try. Later answers to the same try are ignored.
 func (l *Lab) answer(t *try, a check.Answer) {
 	if t == nil || t.answered {
 		return
--- a/internal/lab/commands.go
+++ b/internal/lab/commands.go
@@ -9,7 +9,7 @@
 	"gaugeslip/policy"
 )
 
-// execute does what a dispatcher says.
+// execute executes a command of a dispatcher.
 func (l *Lab) execute(i int, c dispatch.Command) {
 	n := l.nodes[i]
 	switch c := c.(type) {
@@ -55,12 +55,12 @@
 	}
 }
 
-// enqueueAfter delivers a message to a dispatcher after a while, if it still lives.
+// enqueueAfter schedules the delivery of a message to a dispatcher's present incarnation.
 func (l *Lab) enqueueAfter(i int, after time.Duration, m dispatch.Message) {
 	l.queue.push(event{at: l.now + after, kind: messageArrival, a: int32(i), b: int32(l.nodes[i].incarnation), msg: m})
 }
 
-// deliver hands a message over, with what is known only when it comes.
+// deliver adds a message to a dispatcher's inbox and fills in what is known only at the time of delivery.
 func (l *Lab) deliver(i int, e *event) {
 	n := l.nodes[i]
 	switch m := e.msg.(type) {
--- a/internal/lab/entities.go
+++ b/internal/lab/entities.go
@@ -6,18 +6,18 @@
 	"gaugeslip/internal/dispatch"
 )
 
-// clientJob is what a client wants done; it may take some tries.
+// clientJob is a job that a client requests, with one or more tries.
 type clientJob struct {
-	key         uint64 // of what it concerns
+	key         uint64 // key of the job's subject
 	class, room int
 	size, hint  time.Duration
 	requestedAt time.Duration
 	tries       int
 	finished    bool
 	worth       float64
-	wait        *dispatch.Wait // nil: it is fresh
-	lastSentAt  time.Duration  // its last send
-	completed   bool           // to its end, somewhere
+	wait        *dispatch.Wait // nil: not a waiting job
+	lastSentAt  time.Duration  // time of the last send
+	completed   bool           // has run to its end on some host
 }
 
 // try is one request of a client.
@@ -38,15 +38,15 @@
 	node        int
 	incarnation int
 	host        int
-	ended       bool // its dispatcher has heard its outcome
-	lost        bool // it does not reach its host, or nothing comes back
+	ended       bool // the outcome is recorded
+	lost        bool // the send or its result is lost
 }
 
 // node is one dispatcher.
 type node struct {
 	chain               *dispatch.Chain
-	incarnation         int  // rises with each start
-	up, receivesClients bool // it runs; the front sends clients there
+	incarnation         int  // number of restarts
+	up, receivesClients bool // it runs; the front sends clients to it
 	stopping            time.Duration
 	openTries           map[uint64]*try
 	inbox               []dispatch.Message
@@ -54,8 +54,8 @@
 	wakeAt              time.Duration
 	watching            bool
 	room                int
-	knownHosts          []dispatch.Host // as it last had it
-	idleConns           []uint16        // connections by host
+	knownHosts          []dispatch.Host // last received host list
+	idleConns           []uint16        // idle connections by host
 	steps               int
 }
 
--- a/internal/lab/events.go
+++ b/internal/lab/events.go
@@ -9,13 +9,13 @@
 	"gaugeslip/policy"
 )
 
-// Run plays the day until its end and until all is answered, or until ctx ends.
+// Run runs the scenario to its end and until all jobs are answered, or until ctx ends.
 func (l *Lab) Run(ctx context.Context) (*Report, error) {
 	_, err := l.Advance(ctx, l.scenario.length+24*time.Hour)
 	return l.Report(), err
 }
 
-// Advance plays the day up to a time since its begin. True: all is over. When ctx ends so does it.
+// Advance runs the scenario up to a time since its start. It returns true if the run is over, or if ctx has ended.
 func (l *Lab) Advance(ctx context.Context, to time.Duration) (over bool, err error) {
 	began := time.Now()
 	defer func() { l.wall += time.Since(began) }()
@@ -53,7 +53,7 @@
 	return true, nil
 }
 
-// addToDigest adds to the digest.
+// addToDigest adds an event at the present time to the digest.
 func (l *Lab) addToDigest(kind eventKind, what uint64) {
 	binary.LittleEndian.PutUint64(l.record[:], uint64(l.now))
 	binary.LittleEndian.PutUint64(l.record[8:], uint64(kind))
@@ -86,7 +86,7 @@
 			l.deliver(int(e.a), e)
 		}
 	case sendOutcome:
-		if s := e.send; s.lost || !l.disconnected(l.nodes[s.node].room, l.hosts[s.host].Room) { // else it is never heard
+		if s := e.send; s.lost || !l.disconnected(l.nodes[s.node].room, l.hosts[s.host].Room) { // otherwise the outcome is lost
 			l.recordOutcome(s, policy.Result(e.a))
 		}
 	case sendTimeout:
@@ -111,8 +111,8 @@
 		l.queue.push(event{at: l.now + 300*time.Millisecond, kind: dispatcherKill, a: e.a, b: -1})
 		l.queue.push(event{at: l.now + killDelay, kind: dispatcherKill, a: e.a, b: int32(n.incarnation)})
 	case dispatcherKill:
-		if n := l.nodes[e.a]; e.b < 0 { // clients are dealt to others
-			n.receivesClients = n.receivesClients && e.b == -2 && n.up // it is back before the front has noticed
+		if n := l.nodes[e.a]; e.b < 0 { // the front sends clients to other dispatchers
+			n.receivesClients = n.receivesClients && e.b == -2 && n.up // restarted before the front noticed
 			return nil
 		}
 		l.killAndRestart(int(e.a))
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// stepAll lets all dispatchers that have news, or wanted to wake, decide.
+// stepAll runs one step of each dispatcher that has messages or has reached its wake time.
 func (l *Lab) stepAll() {
 	list := l.dirty
 	l.dirty = nil
--- a/internal/lab/ideal.go
+++ b/internal/lab/ideal.go
@@ -6,18 +6,17 @@
 	"gaugeslip/internal/fleet"
 )
 
-// The ideal sees all: one decision for the whole fleet, which knows each job's true size, when each lane is free and which hosts
-// are lost, and has no way to go. What runs on a host when that is lost is lost with it, as for anyone. It is what misplacement is
-// measured against.
+// An ideal run is the reference for measuring misplacement. One decision maker for the whole fleet knows each job's true size, when
+// each lane is free and which hosts are lost, and has no network delay. As in other runs, jobs on a host are lost with the host.
 
 // lane is one lane of a host.
 type lane struct {
 	host *fleet.Host
 	free time.Duration
-	job  *clientJob // that it has taken last
+	job  *clientJob // the last assigned job
 }
 
-// NewIdeal prepares a run without dispatchers: a job goes to where it ends first, if it ends in time there, and else is refused.
+// NewIdeal prepares a run without dispatchers: a job goes to the lane where it ends first, and is refused if that is too late.
 func NewIdeal(sc *Scenario, seed uint64) (*Lab, error) {
 	l, err := New(sc, seed, false)
 	if err != nil {
@@ -31,7 +30,7 @@
 	return l, nil
 }
 
-// assign decides about one job.
+// assign places or refuses one job.
 func (l *Lab) assign(o *clientJob) {
 	var best *lane
 	end := time.Duration(0)
@@ -60,8 +59,8 @@
 	l.addToTallies(o, 0, o.worth)
 }
 
-// releaseLostHost takes back what the ideal has booked on a host that is lost: jobs that run there are lost or, where that is harmless,
-// decided about anew, and those that would have waited there were never sent.
+// releaseLostHost takes back the last job of each busy lane of a lost host from an ideal run's results. A job that is safe to repeat
+// is assigned again; others are lost.
 func (l *Lab) releaseLostHost(h *fleet.Host) {
 	for i := range l.ideal {
 		x := &l.ideal[i]
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -19,14 +19,14 @@
 	probeTimeout   = 500 * time.Millisecond
 	probeWork      = 75 * time.Microsecond
 	handshakeWork  = time.Millisecond
-	failDelay      = 10 * time.Millisecond // until a host fails a job that it fails at once
+	failDelay      = 10 * time.Millisecond // time until a failing host fails a job
 	served         = 700 * time.Millisecond
-	killDelay      = 3700 * time.Millisecond // of SIGTERM
+	killDelay      = 3700 * time.Millisecond // from SIGTERM to SIGKILL
 	startDelay     = 100 * time.Millisecond
-	minNoticeDelay = 1700 * time.Millisecond // until the front notices that a dispatcher is gone
+	minNoticeDelay = 1700 * time.Millisecond // minimum time until the load balancer in front notices that a dispatcher is down
 	maxNoticeDelay = 3900 * time.Millisecond
-	readyDelay     = 1400 * time.Millisecond // of its start a dispatcher is dealt out again
-	reportWindow   = 5 * time.Second         // of the report
+	readyDelay     = 1400 * time.Millisecond // time from a dispatcher's start until it receives clients
+	reportWindow   = 5 * time.Second         // length of a window in the report
 )
 
 // Lab is one run of a scenario.
@@ -39,23 +39,23 @@
 	hosts                 []*fleet.Host
 	hostByAddr            map[string]int
 	hostList              []dispatch.Host
-	listVersion           uint64 // the list's version
+	listVersion           uint64 // version of the host list
 	hostWake              []time.Duration
 	dirty                 []int
 	sends                 map[uint64]*send
 	lastTry               uint64
 	lastJob               uint64
-	lossProbability       float64 // share of sends that are lost on the way; troubles set it
-	resetProbability      float64 // share that is reset
+	lossProbability       float64 // share of sends that are lost in transit; set by troubles
+	resetProbability      float64 // share of sends whose connection is reset
 	heavy                 map[int]Trouble
-	affectedHosts         [][]int // by trouble, the hosts that it meets
+	affectedHosts         [][]int // by trouble: the affected hosts
 	listDelay             time.Duration
-	listDown              bool      // the list's service is
-	surge                 float64   // of the load, against the scenario's
-	perSecond             []tally   // by the second in which it was asked for
-	perRoom               [][]tally // likewise, by the room of who asked
-	isolatedRooms         []int     // by room: the troubles that leave it no way to others
-	roomsWithoutDiscovery []int     // by room: those that leave it no way to discovery
+	listDown              bool      // the discovery service is down
+	surge                 float64   // load as a multiple of the scenario's
+	perSecond             []tally   // by the second of the request
+	perRoom               [][]tally // likewise, by the client's room
+	isolatedRooms         []int     // by room: number of troubles that cut its links to other rooms
+	roomsWithoutDiscovery []int     // by room: number of troubles that cut its link to discovery
 
 	arrivals, sizes, chance *rand.Rand
 	hints                   distuv.LogNormal
@@ -67,10 +67,10 @@
 	classTallies            []classTally
 	events                  uint64
 	wall                    time.Duration
-	ideal                   []lane // not nil: no dispatcher decides
+	ideal                   []lane // lanes of an ideal run, which has no dispatchers; nil in other runs
 }
 
-// delay is one way between rooms.
+// delay returns the one-way network delay between two rooms.
 func (l *Lab) delay(a, b int) time.Duration {
 	if a == b {
 		return l.scenario.delay / 10
@@ -78,5 +78,5 @@
 	return l.scenario.delay
 }
 
-// disconnected tells whether two rooms have no way to one another.
+// disconnected reports whether the network path between two rooms is cut.
 func (l *Lab) disconnected(a, b int) bool { return a != b && l.isolatedRooms[a]+l.isolatedRooms[b] > 0 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -29,7 +29,7 @@
 	return r
 }
 
-// One scenario and seed, one digest, on any number of threads; another seed, another.
+// The same scenario and seed give the same digest, for any GOMAXPROCS. Another seed gives another digest.
 func TestSameSeedSameDigest(t *testing.T) {
 	for _, name := range []string{"vanish-and-errors", "rolling-restart"} {
 		sc := loadScenario(t, name)
@@ -44,14 +44,14 @@
 	}
 }
 
-// Every small scenario keeps the rules and what it expects, on a few seeds.
+// Every small scenario keeps the rules and meets its expectations, on three seeds.
 func TestScenarios(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join("..", "..", "scenarios", "*.hcl"))
 	require.NoError(t, err)
 	require.NotEmpty(t, paths)
 	for _, p := range paths {
 		if strings.Contains(p, "thousand") {
-			continue // long: gaugelab run --all plays them
+			continue // too long for a test: gaugelab run --all runs them
 		}
 		all, err := Load(p)
 		require.NoError(t, err)
@@ -65,7 +65,7 @@
 	}
 }
 
-// The conservation of jobs: whoever came was served, refused, failed, cut off, or did not get through.
+// Each try is served, refused, failed, cut off or unreached.
 func TestEveryTryHasAnOutcome(t *testing.T) {
 	for _, name := range []string{"calm-friday", "harvest-rush", "silence-and-resets"} {
 		r := runScenario(t, loadScenario(t, name), 3, true)
@@ -73,8 +73,8 @@
 	}
 }
 
-// The waiting room at every dispatcher, under more fresh work than the fleet can do: each waiting job has its end, none that was
-// served has waited longer than twice its due time, and the rules hold.
+// Waiting jobs at every dispatcher, while other jobs exceed the fleet's capacity: each waiting job gets an outcome, no served one has
+// waited longer than twice its due time, and the rules hold.
 func TestWaitingInTheLab(t *testing.T) {
 	sc := loadScenario(t, "season-close")
 	for seed := range uint64(3) {
@@ -125,8 +125,8 @@
 	}
 }
 
-// A room that is lost and comes back cold is not pushed over: on these seeds 28 hosts fell over, and on the 13th the rule
-// was broken.
+// Hosts of a room that returns cold after a loss are not overloaded. Before the fix, 28 hosts collapsed on these seeds, and seed 13
+// broke a rule.
 func TestRoomLossKeepsColdHostsUp(t *testing.T) {
 	sc, fell := loadScenario(t, "room-loss"), 0
 	for seed := uint64(11); seed <= 14; seed++ {
@@ -134,11 +134,11 @@
 		assert.Zero(t, r.Broken(), "seed %d: %v", seed, r.First)
 		fell += r.Toppled
 	}
-	assert.LessOrEqual(t, fell, 5) // whoever asks first may have heard nothing of the room for a minute
+	assert.LessOrEqual(t, fell, 5) // the first dispatcher to send may have had no news of the room for a minute
 }
 
-// A storm's harm ends with it: 100 dispatchers that retry into one another's queues do not come back by themselves, with
-// the settings for overload they do.
+// Service recovers after a surge. With 100 dispatchers that retry into one another's queues it does not recover unless the
+// overload settings are on.
 func TestRecoveryFromRetryStorm(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		sc := loadScenario(t, "surge")
@@ -156,10 +156,10 @@
 	require.NoError(t, err)
 	r, err := ideal.Run(t.Context())
 	require.NoError(t, err)
-	assert.GreaterOrEqual(t, r.Recovery, 0.0, "the ideal is seen to come back too")
+	assert.GreaterOrEqual(t, r.Recovery, 0.0, "the ideal run recovers too")
 }
 
-// BenchmarkLab is jobs a second of wall time on one core, at 100 workers and 3 dispatchers.
+// BenchmarkLab measures simulated jobs per second of wall time on one core, with 100 workers and 3 dispatchers.
 func BenchmarkLab(b *testing.B) {
 	sc := loadScenario(b, "calm-friday")
 	sc.Hosts[0].Count, sc.Hosts[1].Count = 50, 50
@@ -174,8 +174,8 @@
 	}
 }
 
-// A room that is lost with all that is there: its clients come to others once the front has noticed, its hosts and dispatchers come
-// back, and no rule breaks; without its ways to the others its own dispatchers and hosts go on. The ideal feels the loss as well.
+// Loss of a room, in several combinations: its clients reach other rooms once the front has noticed, its hosts and dispatchers come
+// back, and no rule is broken. If only the links are lost, its own dispatchers and hosts continue. The ideal run has the same loss.
 func TestSiteLoss(t *testing.T) {
 	all, err := Load("../../scenarios/site-loss.hcl")
 	require.NoError(t, err)
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -13,18 +13,18 @@
 	"gaugeslip/internal/scenario"
 )
 
-// Work is what hosts did, by what became of it, as shares of what they could have done.
+// Work is the work of the hosts by outcome, as shares of their total capacity.
 type Work struct {
-	InTime    float64 `json:"in_time"`   // its client was served in time, or still would be as it ended
-	Late      float64 `json:"late"`      // it ended after its job was worth anything
-	Abandoned float64 `json:"abandoned"` // nobody waited for it any more
-	Repeated  float64 `json:"repeated"`  // the same order had run to its end before
+	InTime    float64 `json:"in_time"`   // ended early enough to serve its client in time
+	Late      float64 `json:"late"`      // ended after its job had lost its value
+	Abandoned float64 `json:"abandoned"` // the client no longer waited for it
+	Repeated  float64 `json:"repeated"`  // the same job had already run to its end
 	Probes    float64 `json:"probes"`    // answering probes
 	Shakes    float64 `json:"handshakes"`
-	Crossed   float64 `json:"crossed"` // of all the above: done for dispatchers of other rooms
+	Crossed   float64 `json:"crossed"` // part of all the above that was done for dispatchers of other rooms
 }
 
-// Plus adds another's shares, times a factor.
+// Plus returns the sum of w and x, with x multiplied by times.
 func (w Work) Plus(x Work, times float64) Work {
 	w.InTime, w.Late = w.InTime+x.InTime*times, w.Late+x.Late*times
 	w.Abandoned, w.Repeated = w.Abandoned+x.Abandoned*times, w.Repeated+x.Repeated*times
@@ -33,24 +33,24 @@
 	return w
 }
 
-// Report is what came of a run. Service is the worth answered in time over the worth asked for.
+// Report is the result of a run. Service is the ratio of the worth of jobs answered in time to the worth of all requested jobs.
 type Report struct {
 	Scenario    string             `json:"scenario"`
 	Seed        uint64             `json:"seed"`
 	Hosts       int                `json:"hosts"`
 	Dispatchers int                `json:"dispatchers"`
 	Service     float64            `json:"service"`
-	Worst       float64            `json:"worst_window"` // of 5 s
+	Worst       float64            `json:"worst_window"` // lowest service in a window of 5 s
 	Classes     map[string]float64 `json:"classes"`
-	Windows     []float64          `json:"windows"`         // service in each 5 s; -1: nothing was asked for
-	Rooms       [][]float64        `json:"rooms,omitempty"` // likewise by the room of who asked, where there are several
-	Recovery    float64            `json:"recovery"`        // seconds from the last surge's end until service is back; -1: it never is, or no surge
+	Windows     []float64          `json:"windows"`         // service in each window of 5 s; -1: no requests
+	Rooms       [][]float64        `json:"rooms,omitempty"` // likewise by the client's room, if there are several
+	Recovery    float64            `json:"recovery"`        // seconds from the last surge's end until service is back; -1: never, or no surge
 	Jobs        int                `json:"jobs"`
 	Served      int                `json:"served"`
 	InTime      int                `json:"in_time"`
 	Refused     int                `json:"refused"` // tries
 	Failed      int                `json:"failed"`  // tries
-	Cut         int                `json:"cut"`     // tries that a killed dispatcher held
+	Cut         int                `json:"cut"`     // tries that were open at a killed dispatcher
 	Unreached   int                `json:"unreached"`
 	Retries     int                `json:"retries"`
 	Sends       int                `json:"sends"`
@@ -59,12 +59,12 @@
 	Probes      int                `json:"probes"`
 	Toppled     int                `json:"toppled"`
 
-	Waiting       int     `json:"waiting"` // jobs that asked to wait, counted nowhere else
+	Waiting       int     `json:"waiting"` // waiting jobs, not included in the other counts
 	WaitingServed int     `json:"waiting_served"`
-	WaitingLost   int     `json:"waiting_lost"` // refused, failed, or gone with their dispatcher
-	LongestWait   float64 `json:"longest_wait"` // of those served, in due times
+	WaitingLost   int     `json:"waiting_lost"` // refused, failed, or lost with their dispatcher
+	LongestWait   float64 `json:"longest_wait"` // longest wait of those served, as a multiple of the due time
 
-	Used        float64            `json:"used"` // of what the hosts could do
+	Used        float64            `json:"used"` // used share of the hosts' capacity
 	Work        Work               `json:"work"`
 	Steps       int                `json:"steps"`
 	Events      uint64             `json:"events"`
@@ -89,7 +89,7 @@
 	r.hist[class].RecordValue(int64(d / time.Microsecond))
 }
 
-// Curve is the share of a class's served jobs that were answered within a time, for a plot.
+// Curve returns the latency distribution of a class's served jobs, for a plot: times and the share answered within each.
 func (r *Report) Curve(class int) (ms, share []float64) {
 	h := r.hist[class]
 	if h == nil {
@@ -101,7 +101,7 @@
 	return ms, share
 }
 
-// Report tells what came of the run so far.
+// Report returns the result of the run so far.
 func (l *Lab) Report() *Report {
 	r := &l.report
 	r.Windows, r.Steps, r.First = nil, 0, nil
@@ -162,7 +162,7 @@
 	return r
 }
 
-// recovery is how many seconds after the last surge's end service is at 0.95 for 5 s; -1: never, or there was no surge.
+// recovery returns the seconds from the last surge's end until service is at least 0.95 for 5 s; -1: never, or there was no surge.
 func (l *Lab) recovery() float64 {
 	calm := l.scenario.lastSurgeEnd()
 	if calm == 0 {
@@ -177,7 +177,7 @@
 	return -1
 }
 
-// windowTotal sums the seconds of the window that begins at one.
+// windowTotal returns the sum of the tallies in the window that begins at second.
 func windowTotal(secs []tally, second int) (sum tally) {
 	for _, s := range secs[second:min(second+int(reportWindow/time.Second), len(secs))] {
 		sum.asked, sum.inTime = sum.asked+s.asked, sum.inTime+s.inTime
@@ -192,7 +192,7 @@
 	return a / b
 }
 
-// Broken is how many breaches there are in all.
+// Broken returns the total number of breaches.
 func (r *Report) Broken() (n int) {
 	for _, c := range r.Breaches {
 		n += c
@@ -200,7 +200,7 @@
 	return n
 }
 
-// Missed says what of an expectation was not met.
+// Missed returns a description of each expectation that was not met.
 func (sc *Scenario) Missed(r *Report) (all []string) {
 	if n := r.Broken(); n > 0 {
 		all = append(all, fmt.Sprintf("%d rules broken: %v", n, r.First))
@@ -229,7 +229,7 @@
 	return all
 }
 
-// Print writes a report for people.
+// Print writes the report as text.
 func (r *Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "%s, seed %d: %d hosts, %d dispatchers\n", r.Scenario, r.Seed, r.Hosts, r.Dispatchers)
 	fmt.Fprintf(w, "  service %.3f, worst 5 s %.3f", r.Service, r.Worst)
@@ -253,5 +253,5 @@
 	}
 }
 
-// JSON writes it for programs.
+// JSON writes the report as JSON.
 func (r *Report) JSON(w io.Writer) error { return json.NewEncoder(w).Encode(r) }
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -14,17 +14,17 @@
 	"gaugeslip/policy"
 )
 
-// Scenario is one day to be played. Times in it are texts such as "90s".
+// Scenario is the configuration of a run. Durations are texts such as "90s".
 type Scenario struct {
 	Name        string           `hcl:"name,label"`
 	About       string           `hcl:"about,optional"`
 	Length      string           `hcl:"length"`
-	Load        float64          `hcl:"load"` // offered work, as a share of what the hosts can do
+	Load        float64          `hcl:"load"` // offered work, as a share of the hosts' capacity
 	Dispatchers int              `hcl:"dispatchers"`
 	Rooms       int              `hcl:"rooms,optional"`
-	Delay       string           `hcl:"delay,optional"` // one way between rooms; a tenth of it within one
-	Skew        float64          `hcl:"skew,optional"`  // how much more traffic the first room has than its share
-	Sites       bool             `hcl:"sites,optional"` // every dispatcher judges sites
+	Delay       string           `hcl:"delay,optional"` // one-way network delay between rooms; a tenth of it within a room
+	Skew        float64          `hcl:"skew,optional"`  // excess traffic of the first room, relative to an equal share
+	Sites       bool             `hcl:"sites,optional"` // every dispatcher judges the state of sites
 	Hosts       []scenario.Hosts `hcl:"hosts,block"`
 	Classes     []scenario.Class `hcl:"class,block"`
 	Clients     *Clients         `hcl:"clients,block"`
@@ -38,17 +38,17 @@
 	length, delay time.Duration
 }
 
-// Clients is how clients behave.
+// Clients configures the behavior of clients.
 type Clients struct {
 	Retries   int       `hcl:"retries,optional"`
-	After     string    `hcl:"after,optional"` // "none", "now" or "wait": for the advice, else a second
+	After     string    `hcl:"after,optional"` // when to retry: "none", "now", or "wait" for the advised time, at least 1 s
 	HintSigma float64   `hcl:"hint_sigma,optional"`
-	Keyless   bool      `hcl:"keyless,optional"` // their requests do not say what they concern
+	Keyless   bool      `hcl:"keyless,optional"` // requests have no key
 	Burst     float64   `hcl:"burst,optional"`   // in every tenth second the rate is this many times the usual
 	Range     hcl.Range `hcl:",def_range"`
 }
 
-// World is what hosts and lists are like.
+// World configures the hosts and the host list.
 type World struct {
 	Queue       int       `hcl:"queue,optional"`
 	ColdFrom    float64   `hcl:"cold_from,optional"`
@@ -65,19 +65,19 @@
 	warmUp, overloadFor, reportEvery, progress, listLate time.Duration
 }
 
-// Waiting switches the waiting room on at every dispatcher, and says which jobs use it.
+// Waiting enables the queue of waiting jobs at every dispatcher and configures the jobs that use it.
 type Waiting struct {
-	Part  float64   `hcl:"part"`           // jobs that wait, as a share of those that don't
-	Delay string    `hcl:"delay"`          // each has a set time, at most so far ahead
-	Due   string    `hcl:"due"`            // once it may run
-	Share float64   `hcl:"share,optional"` // of the fleet, while fresh jobs are refused
+	Part  float64   `hcl:"part"`           // number of waiting jobs, as a share of the others
+	Delay string    `hcl:"delay"`          // maximum time from the request until the job may run
+	Due   string    `hcl:"due"`            // due time, from when the job may run
+	Share float64   `hcl:"share,optional"` // share of the fleet for waiting jobs while others are refused
 	Range hcl.Range `hcl:",def_range"`
 
 	delay time.Duration
 	lim   waiting.Limits
 }
 
-// Overload switches on at every dispatcher what its settings file sets for times of overload.
+// Overload enables the overload settings at every dispatcher.
 type Overload struct {
 	Questions float64   `hcl:"questions"`
 	KeepLanes bool      `hcl:"keep_lanes,optional"`
@@ -91,35 +91,35 @@
 	lim overload.Limits
 }
 
-// Trouble is something that goes wrong. Troubles may overlap.
+// Trouble is an injected fault. Troubles may overlap.
 type Trouble struct {
 	Kind  string    `hcl:"kind,label"`
 	At    string    `hcl:"at"`
 	For   string    `hcl:"for,optional"`
-	Part  float64   `hcl:"part,optional"`  // of the hosts, of a class's jobs, or (restart; without: all) of the dispatchers
-	Room  int       `hcl:"room,optional"`  // all hosts of this room, counted from 1, in place of a part of all
-	Share float64   `hcl:"share,optional"` // of the jobs or sends that it meets
-	Times float64   `hcl:"times,optional"` // how many times the usual work
+	Part  float64   `hcl:"part,optional"`  // share of the hosts, of a class's jobs, or (restart; default all) of the dispatchers
+	Room  int       `hcl:"room,optional"`  // all hosts of this room, counted from 1, instead of Part
+	Share float64   `hcl:"share,optional"` // affected share of jobs or sends
+	Times float64   `hcl:"times,optional"` // multiple of the usual work or load
 	Class string    `hcl:"class,optional"`
-	Loses []string  `hcl:"loses,optional"` // of a site: "hosts", "dispatchers", "links" to other rooms, "discovery"; all but the last two without
+	Loses []string  `hcl:"loses,optional"` // for a site: "hosts", "dispatchers", "links" to other rooms, "discovery"; default the first two
 	Range hcl.Range `hcl:",def_range"`
 
 	at, length time.Duration
 }
 
-// loses tells whether a site loses something.
+// loses reports whether the loss of a site includes what.
 func (t *Trouble) loses(what string) bool { return scenario.Loses(t.Loses, what) }
 
-// affectedCount is how many of n it strikes: one at least.
+// affectedCount returns how many of n are affected, at least one.
 func (t *Trouble) affectedCount(n int) int { return max(1, int(math.Round(t.Part*float64(n)))) }
 
-// Expect is what has to come of a scenario; what is not said is not looked at.
+// Expect is the expected result of a scenario. Values that are not set are not checked, except Toppled.
 type Expect struct {
-	Service float64   `hcl:"service,optional"` // at least
-	Class   float64   `hcl:"class,optional"`   // of the worst class, at least
-	Refused float64   `hcl:"refused,optional"` // share of the jobs, at most; 0: any
-	Toppled int       `hcl:"toppled,optional"` // hosts, at most
-	Recover string    `hcl:"recover,optional"` // within so long of the last surge's end service is back at 0.95
+	Service float64   `hcl:"service,optional"` // minimum
+	Class   float64   `hcl:"class,optional"`   // minimum service of every class
+	Refused float64   `hcl:"refused,optional"` // maximum ratio of refused tries to jobs; 0: any
+	Toppled int       `hcl:"toppled,optional"` // maximum number of collapsed hosts
+	Recover string    `hcl:"recover,optional"` // maximum time from the last surge's end until service is back at 0.95
 	Range   hcl.Range `hcl:",def_range"`
 
 	recover time.Duration
@@ -129,10 +129,10 @@
 	All []*Scenario `hcl:"scenario,block"`
 }
 
-// Load reads the scenarios of files.
+// Load reads the scenarios from files.
 func Load(files ...string) ([]*Scenario, error) { return scenario.Load(Parse, files...) }
 
-// Parse reads the text of a file. Errors name file, line, column and key.
+// Parse parses the text of a file. Errors name file, line, column and key.
 func Parse(text []byte, name string) ([]*Scenario, error) {
 	var all scenarios
 	if err := scenario.Decode(text, name, &all); err != nil {
@@ -155,12 +155,12 @@
 	return -1
 }
 
-// rate is the jobs a second that are offered.
+// rate returns the number of offered jobs per second.
 func (s *Scenario) rate() float64 {
 	return s.Load * scenario.Capacity(s.Hosts) / scenario.MeanWork(s.Classes)
 }
 
-// config is what dispatcher number n is told.
+// config returns the configuration of dispatcher n.
 func (s *Scenario) config(n int) policy.Config {
 	w := s.World
 	c := policy.Config{Ordinal: n, Replicas: s.Dispatchers, Zone: n % s.Rooms, Zones: s.Rooms, Kinds: len(s.Hosts), Ask: true,
@@ -183,7 +183,7 @@
 	return c
 }
 
-// shareOf is a room's part of the traffic.
+// shareOf returns a room's share of the traffic.
 func (s *Scenario) shareOf(room int) float64 {
 	share := 1 / float64(s.Rooms)
 	if s.Rooms > 1 && s.Skew != 0 {
--- a/internal/lab/scenario_check.go
+++ b/internal/lab/scenario_check.go
@@ -99,7 +99,7 @@
 	return c.Err
 }
 
-// lastSurgeEnd is when the last surge is over, since the start; 0: there is none.
+// lastSurgeEnd returns the time from the start to the end of the last surge, or 0 if there is none.
 func (s *Scenario) lastSurgeEnd() (at time.Duration) {
 	for _, t := range s.Troubles {
 		if t.Kind == "surge" {
--- a/internal/lab/sends.go
+++ b/internal/lab/sends.go
@@ -9,7 +9,7 @@
 	"gaugeslip/policy"
 )
 
-// sendID names a send: a try has few.
+// sendID returns the identifier of a send. It is unique while a try has at most 256 attempts.
 func sendID(k dispatch.Key) uint64 { return k.Job<<8 | uint64(k.Attempt&255) }
 
 func (l *Lab) send(i int, c dispatch.Send) {
@@ -28,13 +28,13 @@
 	apart := l.disconnected(n.room, l.hosts[h].Room)
 	if n.idleConns[h] > 0 {
 		n.idleConns[h]--
-	} else if apart { // it never comes up
+	} else if apart { // the connection is never established
 		s.lost = true
 		l.scheduleOutcome(s, l.scenario.config(i).ConnectTimeout, policy.ConnectFailed)
 		return
 	} else {
 		l.report.Handshakes++
-		way *= 3 // there and back before it can be written
+		way *= 3 // one more round trip for the handshake
 		if l.hosts[h].Up() && !l.hosts[h].Connect(l.now) {
 			s.lost = true
 			l.scheduleOutcome(s, way, policy.ConnectFailed)
@@ -47,12 +47,12 @@
 	l.queue.push(event{at: max(c.Deadline, l.now), kind: sendTimeout, send: s})
 }
 
-// scheduleOutcome brings an outcome to the dispatcher after a while.
+// scheduleOutcome schedules the arrival of an outcome at the dispatcher.
 func (l *Lab) scheduleOutcome(s *send, after time.Duration, r policy.Result) {
 	l.queue.push(event{at: l.now + after, kind: sendOutcome, a: int32(r), send: s})
 }
 
-// recordOutcome tells the one outcome of a send. A later one counts for nothing.
+// recordOutcome records the outcome of a send. Later outcomes of the same send are ignored.
 func (l *Lab) recordOutcome(s *send, r policy.Result) {
 	if s.ended {
 		return
@@ -77,7 +77,7 @@
 	l.enqueue(s.node, dispatch.AttemptEnded{Key: s.key, Result: r})
 }
 
-// deliverSend brings a send to its host.
+// deliverSend delivers a send to its host.
 func (l *Lab) deliverSend(s *send) {
 	h := l.hosts[s.host]
 	way := l.delay(l.nodes[s.node].room, h.Room)
@@ -112,7 +112,7 @@
 	l.advanceHost(s.host)
 }
 
-// advanceHost lets a host tell what it has to, and plans when it will have more.
+// advanceHost processes a host's new notes and schedules its next event.
 func (l *Lab) advanceHost(i int) {
 	h := l.hosts[i]
 	for _, n := range h.Advance(l.now) {
--- a/internal/lab/setup.go
+++ b/internal/lab/setup.go
@@ -15,7 +15,7 @@
 	"gaugeslip/internal/siteloss"
 )
 
-// New prepares a run; check false leaves the rules unchecked, for speed.
+// New prepares a run. If checked is false, the rules are not checked, which is faster.
 func New(sc *Scenario, seed uint64, checked bool) (*Lab, error) {
 	l := &Lab{scenario: sc, seed: seed, now: epoch, surge: 1, hostByAddr: map[string]int{}, sends: map[uint64]*send{}, heavy: map[int]Trouble{},
 		arrivals: rand.New(rand.NewPCG(seed, 1)), sizes: rand.New(rand.NewPCG(seed, 2)),
@@ -74,7 +74,7 @@
 	return l, nil
 }
 
-// startDispatcher begins a dispatcher's life.
+// startDispatcher starts a new incarnation of a dispatcher.
 func (l *Lab) startDispatcher(i int) error {
 	n := l.nodes[i]
 	core, err := dispatch.New(l.scenario.config(i), l.seed<<16+uint64(i)<<8+uint64(n.incarnation))
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// sitesGate is a dispatcher's; nil: the scenario has none.
+// sitesGate returns a new sites gate for a dispatcher, or nil if the scenario has none.
 func (l *Lab) sitesGate(i int) *dispatch.SitesGate {
 	if !l.scenario.Sites {
 		return nil
@@ -110,7 +110,7 @@
 	return dispatch.NewSitesGate(siteloss.Defaults(), l.scenario.config(i), nil, order, 0)
 }
 
-// enqueue puts a message into a dispatcher's inbox.
+// enqueue adds a message to a dispatcher's inbox.
 func (l *Lab) enqueue(i int, m dispatch.Message) {
 	n := l.nodes[i]
 	if n.inbox = append(n.inbox, m); !n.dirty {
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -9,13 +9,13 @@
 	"gaugeslip/policy"
 )
 
-// killAndRestart kills a dispatcher, which starts again at once.
+// killAndRestart kills a dispatcher and schedules its restart after startDelay.
 func (l *Lab) killAndRestart(i int) {
 	l.kill(i)
 	l.queue.push(event{at: l.now + startDelay, kind: dispatcherStart, a: int32(i)})
 }
 
-// kill ends a dispatcher's life: what it held is lost, and its clients notice.
+// kill ends a dispatcher's incarnation: its jobs are lost, and its clients notice.
 func (l *Lab) kill(i int) {
 	n := l.nodes[i]
 	n.up, n.receivesClients = false, false
@@ -28,7 +28,7 @@
 	for _, id := range ids {
 		t := n.openTries[id]
 		t.answered = true
-		if t.job.wait != nil { // it lives in memory alone
+		if t.job.wait != nil { // waiting jobs are held only in memory
 			l.report.WaitingLost++
 			continue
 		}
@@ -38,8 +38,8 @@
 	clear(n.openTries)
 }
 
-// changeSite takes a room, or gives it back: its dispatchers, which the front goes on dealing out until it notices, its ways to other
-// rooms, its way to discovery. Its hosts are trouble's.
+// changeSite begins or ends the loss of a room's dispatchers, its links to other rooms and its link to discovery. The front sends
+// clients to the lost dispatchers until it notices. changeTrouble handles the room's hosts.
 func (l *Lab) changeSite(t *Trouble, on bool) {
 	room, by := t.Room-1, map[bool]int{true: 1, false: -1}[on]
 	if t.loses("links") {
@@ -64,12 +64,12 @@
 	}
 }
 
-// scheduleListUpdate has the list tell of a host after a while.
+// scheduleListUpdate schedules an update of a host in the host list.
 func (l *Lab) scheduleListUpdate(host int, s policy.State) {
 	l.queue.push(event{at: l.now + l.listDelay, kind: listUpdate, a: int32(host), b: int32(s)})
 }
 
-// publish puts what is true of a host into the list, and tells those who watch.
+// publish updates a host in the host list and sends the update to the watching dispatchers.
 func (l *Lab) publish(host int, s policy.State) {
 	l.listVersion++
 	e := &l.hostList[host]
@@ -84,14 +84,14 @@
 	}
 }
 
-// restart starts a host anew, cold; the list tells of it late.
+// restart restarts a host, cold. The host list shows it after a delay.
 func (l *Lab) restart(h int) {
 	l.hosts[h].Start(l.now)
 	l.recordEvent(check.Event{Kind: check.Reborn, Host: h})
 	l.scheduleListUpdate(h, policy.Ready)
 }
 
-// changeTrouble begins or ends one.
+// changeTrouble begins or ends a trouble.
 func (l *Lab) changeTrouble(i int, on bool) {
 	t := l.scenario.Troubles[i]
 	if on && t.Room > 0 {
@@ -177,7 +177,7 @@
 			}
 		}
 	case "restart":
-		if on { // one after the other, spread over its length
+		if on { // one after the other, spread over the trouble's length
 			n := len(l.nodes)
 			if t.Part > 0 {
 				n = t.affectedCount(n)
--- a/internal/lab/variants.go
+++ b/internal/lab/variants.go
@@ -11,7 +11,7 @@
 	"gaugeslip/internal/siteloss"
 )
 
-// Resize makes the fleet one of so many hosts, of its kinds in their proportions, and changes dispatchers, load and length.
+// Resize sets the number of hosts, in the present proportions of their kinds, and the number of dispatchers, the load and the length.
 func (s *Scenario) Resize(hosts, dispatchers int, load float64, length time.Duration) error {
 	total, left := scenario.Count(s.Hosts), hosts
 	for i := range s.Hosts {
@@ -26,13 +26,13 @@
 	return s.check()
 }
 
-// AtLoad changes the load alone.
+// AtLoad changes only the load.
 func (s *Scenario) AtLoad(load float64) error {
 	s.Load = load
 	return s.check()
 }
 
-// LossAt is when the scenario's one loss of a room begins and ends.
+// LossAt returns when the scenario's first loss of a room begins and ends.
 func (s *Scenario) LossAt() (from, to time.Duration, err error) {
 	for _, t := range s.Troubles {
 		if t.Room > 0 {
@@ -42,7 +42,7 @@
 	return 0, 0, errors.New("the scenario loses no room")
 }
 
-// SurgeInPlace has the load rise by so many times where a room would be lost, and the room stay.
+// SurgeInPlace replaces each loss of a room by a surge, which multiplies the load by times.
 func (s *Scenario) SurgeInPlace(times float64) error {
 	s.Troubles = slices.Clone(s.Troubles)
 	for i := range s.Troubles {
@@ -53,7 +53,7 @@
 	return s.check()
 }
 
-// LoseRoom has every trouble of a room strike another one, counted from 1.
+// LoseRoom makes every trouble of a room affect the given room, counted from 1.
 func (s *Scenario) LoseRoom(room int) error {
 	s.Troubles = slices.Clone(s.Troubles)
 	for i := range s.Troubles {
@@ -64,8 +64,8 @@
 	return s.check()
 }
 
-// Fleet is what a plan for the loss of a room is made from, with so much of the rooms' capacity to be counted on. Classes stand in
-// the order of their worth.
+// Fleet returns the input of a plan for the loss of a room, in which the share usable of the rooms' capacity can be used. Classes
+// are in descending order of their worth.
 func (s *Scenario) Fleet(usable float64) *siteloss.Fleet {
 	f := &siteloss.Fleet{Usable: usable, ColdFrom: s.World.ColdFrom, WarmUp: s.World.warmUp}
 	for room := range s.Rooms {
--- a/internal/lab/view.go
+++ b/internal/lab/view.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// HostView is how one host stands.
+// HostView is the present state of a host.
 type HostView struct {
 	Name                 string
 	Lanes, Busy, Waiting int
-	State                string // "" where all is well
+	State                string // "" if the host works normally
 }
 
-// View is how a run stands, for those who watch.
+// View is the present state of a run, for display.
 type View struct {
-	At            time.Duration // since the day's begin
+	At            time.Duration // since the start of the run
 	Hosts         []HostView
-	Open          []int // jobs held, by dispatcher; -1: it is down
+	Open          []int // open jobs by dispatcher; -1: the dispatcher is down
 	Service       float64
 	Served        int
 	Refused       int
 	Failed        int
 	BrokenRules   int
-	LastFiveSecs  float64 // service of the last whole 5 s; -1: none
+	LastFiveSecs  float64 // service in the last complete window of 5 s; -1: none
 	FleetsLanes   int
 	FleetsBusy    int
 	FleetsWaiting int
 }
 
-// View tells how the run stands now.
+// View returns the present state of the run.
 func (l *Lab) View() *View {
 	r := l.Report()
 	v := &View{At: l.now - epoch, Service: r.Service, Served: r.Served, Refused: r.Refused, Failed: r.Failed,
