--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -7,8 +7,8 @@
 
 const second = time.Second
 
-// sound returns a record that keeps every rule but comes close to each limit.
-func sound() []Event {
+// validRecord returns a record that keeps every rule but comes close to each limit.
+func validRecord() []Event {
 	return []Event{
 		{Kind: Taken, At: 1 * second, Job: 1, Node: 1, Unsafe: true, Deadline: 10 * second},
 		{Kind: Taken, At: 1 * second, Job: 2, Node: 1, Deadline: 10 * second},
@@ -47,7 +47,7 @@
 var rules = Rules{AnswerGrace: 10 * time.Millisecond, DrainGrace: 3 * second, TipMultiple: 3, OverloadFor: 2 * second,
 	Sums: []Sum{{"probes", second, 2}}, Repeats: 1}
 
-func verdict(events []Event) *Checker {
+func checkRecord(events []Event) *Checker {
 	c := New(rules)
 	for _, e := range events {
 		c.See(e)
@@ -56,14 +56,14 @@
 	return c
 }
 
-func TestSoundRecord(t *testing.T) {
-	if c := verdict(sound()); len(c.Breaches()) > 0 || c.Checked() != 6 {
+func TestValidRecord(t *testing.T) {
+	if c := checkRecord(validRecord()); len(c.Breaches()) > 0 || c.Checked() != 6 {
 		t.Errorf("%d jobs, %v", c.Checked(), c.Breaches())
 	}
 }
 
 // Each record that breaks one rule yields exactly one breach, of that rule.
-func TestMutants(t *testing.T) {
+func TestEachBreachIsFound(t *testing.T) {
 	for name, m := range map[string]struct {
 		change func([]Event) []Event
 		want   Rule
@@ -86,7 +86,7 @@
 		"too many repeats":     {func(e []Event) []Event { e[7].Attempt = 1; return e }, Sums},
 		"taken twice":          {func(e []Event) []Event { return append(e[:2:2], e[1:]...) }, Unexpected},
 	} {
-		c := verdict(m.change(sound()))
+		c := checkRecord(m.change(validRecord()))
 		if len(c.Counts()) != 1 || c.Counts()[m.want] != 1 {
 			t.Errorf("%s: %v, want one breach of %q", name, c.Breaches(), m.want)
 		}
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -11,7 +11,7 @@
 
 // nextArrival schedules the next client of a room: a Poisson process, with bursts if the scenario has them.
 func (l *Lab) nextArrival(room int) {
-	rate := l.scenario.rate() * l.scenario.shareOf(room) * l.surge
+	rate := l.scenario.rate() * l.scenario.shareOf(room) * l.loadFactor
 	if b := l.scenario.Clients.Burst; b > 1 {
 		if int((l.now-epoch)/time.Second)%10 == 9 {
 			rate *= b
@@ -36,7 +36,7 @@
 	l.scheduleTry(o, l.now)
 	if w := l.scenario.Waiting; w != nil && l.sizes.Float64() < w.Part {
 		o := l.drawJob(room)
-		o.wait = &dispatch.Wait{Detached: true, NotBefore: time.Duration(l.sizes.Float64() * float64(w.delay))}
+		o.waiting = &dispatch.Wait{Detached: true, NotBefore: time.Duration(l.sizes.Float64() * float64(w.delay))}
 		l.report.Waiting++
 		l.scheduleTry(o, l.now)
 	}
@@ -49,7 +49,7 @@
 	l.lastJob++
 	o := &clientJob{key: l.lastJob, class: k, room: room, requestedAt: l.now, size: time.Duration(size)}
 	o.hint = time.Duration(size * l.hints.Rand())
-	if t, ok := l.heavy[k]; ok && l.chance.Float64() < t.Share {
+	if t, ok := l.heavyTroubles[k]; ok && l.chance.Float64() < t.Share {
 		o.size = time.Duration(float64(o.size) * t.Times)
 	}
 	o.size, o.hint = max(o.size, time.Millisecond), max(o.hint, time.Millisecond)
@@ -66,7 +66,7 @@
 	o := t.job
 	o.tries++
 	c := &l.scenario.Classes[o.class]
-	if l.ideal != nil {
+	if l.idealLanes != nil {
 		l.assign(o)
 		return
 	}
@@ -83,7 +83,7 @@
 	}
 	left := o.requestedAt + c.Wait - l.now
 	if len(there) == 0 || left <= 0 {
-		if o.wait != nil {
+		if o.waiting != nil {
 			l.report.WaitingLost++
 			return
 		}
@@ -105,10 +105,10 @@
 		m.Key = t.id
 	}
 	if l.scenario.Waiting != nil {
-		m.Name, m.Wait = strconv.FormatUint(t.id, 16), o.wait
+		m.Name, m.Wait = strconv.FormatUint(t.id, 16), o.waiting
 	}
-	if o.wait != nil { // a waiting job may start up to twice its due time after NotBefore, and then needs its run time
-		t.deadline += o.wait.NotBefore + 2*l.scenario.Waiting.lim.DefaultDue
+	if o.waiting != nil { // a waiting job may start up to twice its due time after NotBefore, and then needs its run time
+		t.deadline += o.waiting.NotBefore + 2*l.scenario.Waiting.lim.DefaultDue
 	}
 	n.openTries[t.id] = t
 	l.recordEvent(check.Event{Kind: check.Taken, Job: t.id, Node: t.node, Unsafe: c.Once, Deadline: t.deadline})
@@ -119,7 +119,7 @@
 func (l *Lab) retry(o *clientJob, advice time.Duration, harmless bool) {
 	cl := l.scenario.Clients
 	c := &l.scenario.Classes[o.class]
-	if o.finished || o.wait != nil || o.tries > cl.Retries || cl.After == "" || cl.After == "none" || c.Once && !harmless {
+	if o.finished || o.waiting != nil || o.tries > cl.Retries || cl.After == "" || cl.After == "none" || c.Once && !harmless {
 		return
 	}
 	at := l.now + time.Millisecond
@@ -149,9 +149,9 @@
 	}
 	o := t.job
 	o.finished = true
-	if o.wait != nil {
+	if o.waiting != nil {
 		l.report.WaitingServed++
-		waited := o.lastSentAt - o.requestedAt - o.wait.NotBefore
+		waited := o.lastSentAt - o.requestedAt - o.waiting.NotBefore
 		l.report.LongestWait = max(l.report.LongestWait, waited.Seconds()/l.scenario.Waiting.lim.DefaultDue.Seconds())
 		return
 	}
--- a/internal/lab/commands.go
+++ b/internal/lab/commands.go
@@ -31,7 +31,7 @@
 			answer = check.Refused
 		}
 		switch {
-		case t.job.wait != nil:
+		case t.job.waiting != nil:
 			l.report.WaitingLost++
 		case c.Refused:
 			l.report.Refused++
--- a/internal/lab/entities.go
+++ b/internal/lab/entities.go
@@ -15,7 +15,7 @@
 	tries       int
 	finished    bool
 	worth       float64
-	wait        *dispatch.Wait // nil: not a waiting job
+	waiting     *dispatch.Wait // nil: not a waiting job
 	lastSentAt  time.Duration  // time of the last send
 	completed   bool           // has run to its end on some host
 }
@@ -47,10 +47,10 @@
 	chain               *dispatch.Chain
 	incarnation         int  // number of restarts
 	up, receivesClients bool // it runs; the front sends clients to it
-	stopping            time.Duration
+	stoppingSince       time.Duration
 	openTries           map[uint64]*try
 	inbox               []dispatch.Message
-	dirty               bool
+	stepPending         bool
 	wakeAt              time.Duration
 	watching            bool
 	room                int
--- a/internal/lab/events.go
+++ b/internal/lab/events.go
@@ -18,7 +18,7 @@
 // Advance runs the scenario up to a time since its start. It returns true if the run is over, or if ctx has ended.
 func (l *Lab) Advance(ctx context.Context, to time.Duration) (over bool, err error) {
 	began := time.Now()
-	defer func() { l.wall += time.Since(began) }()
+	defer func() { l.wallTime += time.Since(began) }()
 	until := epoch + l.scenario.length
 	longest := time.Duration(0)
 	for _, k := range l.scenario.Classes {
@@ -28,11 +28,11 @@
 	if w := l.scenario.Waiting; w != nil {
 		until += w.delay + 2*w.lim.DefaultDue
 	}
-	for n := 0; len(l.queue.events) > 0 || len(l.dirty) > 0; n++ {
+	for n := 0; len(l.queue.events) > 0 || len(l.pendingSteps) > 0; n++ {
 		if n&0xffff == 0 && ctx.Err() != nil {
 			return true, ctx.Err()
 		}
-		if len(l.dirty) > 0 && (len(l.queue.events) == 0 || l.queue.events[0].at > l.now) {
+		if len(l.pendingSteps) > 0 && (len(l.queue.events) == 0 || l.queue.events[0].at > l.now) {
 			l.stepAll()
 			continue
 		}
@@ -94,9 +94,9 @@
 	case dispatcherWake:
 		if n := l.nodes[e.a]; n.up && n.incarnation == int(e.b) && n.wakeAt == e.at {
 			n.wakeAt = 0
-			if !n.dirty {
-				n.dirty = true
-				l.dirty = append(l.dirty, int(e.a))
+			if !n.stepPending {
+				n.stepPending = true
+				l.pendingSteps = append(l.pendingSteps, int(e.a))
 			}
 		}
 	case probeArrival:
@@ -107,7 +107,7 @@
 		l.publish(int(e.a), policy.State(e.b))
 	case dispatcherStop:
 		n := l.nodes[e.a]
-		n.stopping = l.now
+		n.stoppingSince = l.now
 		l.queue.push(event{at: l.now + 300*time.Millisecond, kind: dispatcherKill, a: e.a, b: -1})
 		l.queue.push(event{at: l.now + killDelay, kind: dispatcherKill, a: e.a, b: int32(n.incarnation)})
 	case dispatcherKill:
@@ -128,11 +128,11 @@
 
 // stepAll runs one step of each dispatcher that has messages or has reached its wake time.
 func (l *Lab) stepAll() {
-	list := l.dirty
-	l.dirty = nil
+	list := l.pendingSteps
+	l.pendingSteps = nil
 	for _, i := range list {
 		n := l.nodes[i]
-		n.dirty = false
+		n.stepPending = false
 		if !n.up {
 			continue
 		}
--- a/internal/lab/ideal.go
+++ b/internal/lab/ideal.go
@@ -11,9 +11,9 @@
 
 // lane is one lane of a host.
 type lane struct {
-	host *fleet.Host
-	free time.Duration
-	job  *clientJob // the last assigned job
+	host   *fleet.Host
+	freeAt time.Duration
+	job    *clientJob // the last assigned job
 }
 
 // NewIdeal prepares a run without dispatchers: a job goes to the lane where it ends first, and is refused if that is too late.
@@ -24,7 +24,7 @@
 	}
 	for _, h := range l.hosts {
 		for range h.Lanes {
-			l.ideal = append(l.ideal, lane{host: h, free: epoch})
+			l.idealLanes = append(l.idealLanes, lane{host: h, freeAt: epoch})
 		}
 	}
 	return l, nil
@@ -34,13 +34,13 @@
 func (l *Lab) assign(o *clientJob) {
 	var best *lane
 	end := time.Duration(0)
-	for i := range l.ideal {
-		x := &l.ideal[i]
+	for i := range l.idealLanes {
+		x := &l.idealLanes[i]
 		if !x.host.Reachable() || x.host.Draining() {
 			continue
 		}
 		speed := x.host.Capacity(l.now) / float64(x.host.Lanes)
-		if at := max(x.free, l.now) + time.Duration(float64(o.size)/speed); best == nil || at < end {
+		if at := max(x.freeAt, l.now) + time.Duration(float64(o.size)/speed); best == nil || at < end {
 			best, end = x, at
 		}
 	}
@@ -49,7 +49,7 @@
 		l.retry(o, 0, true)
 		return
 	}
-	best.free, best.job = end, o
+	best.freeAt, best.job = end, o
 	o.finished = true
 	l.classTallies[o.class].served++
 	l.classTallies[o.class].inTime += o.worth
@@ -62,13 +62,13 @@
 // releaseLostHost takes back the last job of each busy lane of a lost host from an ideal run's results. A job that is safe to repeat
 // is assigned again; others are lost.
 func (l *Lab) releaseLostHost(h *fleet.Host) {
-	for i := range l.ideal {
-		x := &l.ideal[i]
+	for i := range l.idealLanes {
+		x := &l.idealLanes[i]
 		o := x.job
-		if x.host != h || o == nil || x.free <= l.now {
+		if x.host != h || o == nil || x.freeAt <= l.now {
 			continue
 		}
-		x.job, x.free = nil, l.now
+		x.job, x.freeAt = nil, l.now
 		o.finished = false
 		l.classTallies[o.class].served--
 		l.classTallies[o.class].inTime -= o.worth
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -41,17 +41,17 @@
 	hostList              []dispatch.Host
 	listVersion           uint64 // version of the host list
 	hostWake              []time.Duration
-	dirty                 []int
+	pendingSteps          []int
 	sends                 map[uint64]*send
 	lastTry               uint64
 	lastJob               uint64
 	lossProbability       float64 // share of sends that are lost in transit; set by troubles
 	resetProbability      float64 // share of sends whose connection is reset
-	heavy                 map[int]Trouble
+	heavyTroubles         map[int]Trouble
 	affectedHosts         [][]int // by trouble: the affected hosts
 	listDelay             time.Duration
 	listDown              bool      // the discovery service is down
-	surge                 float64   // load as a multiple of the scenario's
+	loadFactor            float64   // load as a multiple of the scenario's
 	perSecond             []tally   // by the second of the request
 	perRoom               [][]tally // likewise, by the client's room
 	isolatedRooms         []int     // by room: number of troubles that cut its links to other rooms
@@ -66,8 +66,8 @@
 	work                    Work // in seconds
 	classTallies            []classTally
 	events                  uint64
-	wall                    time.Duration
-	ideal                   []lane // lanes of an ideal run, which has no dispatchers; nil in other runs
+	wallTime                time.Duration
+	idealLanes              []lane // lanes of an ideal run, which has no dispatchers; nil in other runs
 }
 
 // delay returns the one-way network delay between two rooms.
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -149,7 +149,7 @@
 		r.Steps += n.steps
 	}
 	r.Events, r.Digest = l.events, fmt.Sprintf("%016x", l.digest.Sum64())
-	r.Wall = l.wall.Seconds()
+	r.Wall = l.wallTime.Seconds()
 	r.JobsASecond = float64(r.Jobs) / max(r.Wall, 1e-9)
 	if l.checker != nil {
 		l.checker.End(l.now)
--- a/internal/lab/scenario_check.go
+++ b/internal/lab/scenario_check.go
@@ -76,8 +76,8 @@
 		t := &s.Troubles[i]
 		t.at = c.Time(t.Range, "at", t.At, 0)
 		t.length = c.Time(t.Range, "for", t.For, 10*time.Second)
-		c.Want(troubleKinds[t.Kind], t.Range, "trouble", "%q is not known", t.Kind)
-		c.Want(t.at < s.length, t.Range, "at", "the day is over by then")
+		c.Want(troubleKinds[t.Kind], t.Range, "trouble", "unknown kind %q", t.Kind)
+		c.Want(t.at < s.length, t.Range, "at", "after the end of the scenario")
 		c.Want(t.Part >= 0 && t.Part <= 1, t.Range, "part", "0 to 1")
 		c.Want(t.Room >= 0 && t.Room <= s.Rooms, t.Range, "room", "1 to the number of rooms")
 		c.Want(t.Share >= 0 && t.Share <= 1, t.Range, "share", "0 to 1")
@@ -86,7 +86,7 @@
 			c.Want(t.Times > 0, t.Range, "times", "more than 0")
 		}
 		if t.Kind == "site" {
-			c.Want(t.Room > 0, t.Range, "room", "which is lost?")
+			c.Want(t.Room > 0, t.Range, "room", "required for a trouble of kind site")
 			c.Losses(t.Range, t.Loses)
 		}
 		if t.Kind == "surge" {
--- a/internal/lab/setup.go
+++ b/internal/lab/setup.go
@@ -17,7 +17,7 @@
 
 // New prepares a run. If checked is false, the rules are not checked, which is faster.
 func New(sc *Scenario, seed uint64, checked bool) (*Lab, error) {
-	l := &Lab{scenario: sc, seed: seed, now: epoch, surge: 1, hostByAddr: map[string]int{}, sends: map[uint64]*send{}, heavy: map[int]Trouble{},
+	l := &Lab{scenario: sc, seed: seed, now: epoch, loadFactor: 1, hostByAddr: map[string]int{}, sends: map[uint64]*send{}, heavyTroubles: map[int]Trouble{},
 		arrivals: rand.New(rand.NewPCG(seed, 1)), sizes: rand.New(rand.NewPCG(seed, 2)),
 		chance: rand.New(rand.NewPCG(seed, 3)), digest: xxhash.New(), classTallies: make([]classTally, len(sc.Classes)), listDelay: sc.World.listLate}
 	l.hints = distuv.LogNormal{Sigma: sc.Clients.HintSigma, Src: l.sizes}
@@ -92,7 +92,7 @@
 		}
 	}
 	n.chain, n.up, n.watching, n.openTries, n.inbox, n.wakeAt = dispatch.NewChain(core, dispatch.Gates{Waiting: gate, Shed: shed, Sites: l.sitesGate(i)}), true, false, map[uint64]*try{}, nil, 0
-	n.stopping = 0
+	n.stoppingSince = 0
 	clear(n.idleConns)
 	l.enqueue(i, dispatch.HostList{Version: 0, Whole: true, Stale: true, Hosts: slices.Clone(n.knownHosts)})
 	return nil
@@ -113,8 +113,8 @@
 // enqueue adds a message to a dispatcher's inbox.
 func (l *Lab) enqueue(i int, m dispatch.Message) {
 	n := l.nodes[i]
-	if n.inbox = append(n.inbox, m); !n.dirty {
-		n.dirty = true
-		l.dirty = append(l.dirty, i)
+	if n.inbox = append(n.inbox, m); !n.stepPending {
+		n.stepPending = true
+		l.pendingSteps = append(l.pendingSteps, i)
 	}
 }
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -28,7 +28,7 @@
 	for _, id := range ids {
 		t := n.openTries[id]
 		t.answered = true
-		if t.job.wait != nil { // waiting jobs are held only in memory
+		if t.job.waiting != nil { // waiting jobs are held only in memory
 			l.report.WaitingLost++
 			continue
 		}
@@ -143,7 +143,7 @@
 				l.restart(h)
 			}
 		}
-		if on && l.ideal != nil && !host.Reachable() {
+		if on && l.idealLanes != nil && !host.Reachable() {
 			l.releaseLostHost(host)
 		}
 		l.advanceHost(h)
@@ -152,14 +152,14 @@
 	case "site":
 		l.changeSite(&t, on)
 	case "heavy":
-		if delete(l.heavy, l.scenario.class(t.Class)); on {
-			l.heavy[l.scenario.class(t.Class)] = t
+		if delete(l.heavyTroubles, l.scenario.class(t.Class)); on {
+			l.heavyTroubles[l.scenario.class(t.Class)] = t
 		}
 	case "surge":
 		if on {
-			l.surge *= t.Times
+			l.loadFactor *= t.Times
 		} else {
-			l.surge /= t.Times
+			l.loadFactor /= t.Times
 		}
 	case "silence":
 		l.lossProbability = share
--- a/internal/lab/variants.go
+++ b/internal/lab/variants.go
@@ -39,7 +39,7 @@
 			return t.at, t.at + t.length, nil
 		}
 	}
-	return 0, 0, errors.New("the scenario loses no room")
+	return 0, 0, errors.New("no trouble in the scenario affects a room")
 }
 
 // SurgeInPlace replaces each loss of a room by a surge, which multiplies the load by times.
--- a/internal/siteloss/judge.go
+++ b/internal/siteloss/judge.go
@@ -120,18 +120,18 @@
 			silent[h.site]++
 		}
 	}
-	dark, lit, remote := 0, 0, 0 // other sites without and with an answer, and all with a recent result
+	silentSites, answeringSites, judgedSites := 0, 0, 0 // other sites without and with an answer, and all with a recent result
 	for n := range j.sites {
 		if n == j.settings.Own || silent[n]+heard[n] == 0 {
 			continue
 		}
-		if remote++; heard[n] > 0 {
-			lit++
+		if judgedSites++; heard[n] > 0 {
+			answeringSites++
 		} else if silent[n] >= min(minSilentHosts, j.hostCounts[n]) {
-			dark++
+			silentSites++
 		}
 	}
-	ownLit := j.settings.Own >= 0 && heard[j.settings.Own] > 0
+	ownAnswers := j.settings.Own >= 0 && heard[j.settings.Own] > 0
 	for n := range j.sites {
 		s := &j.sites[n]
 		bad := silent[n] >= min(minSilentHosts, max(j.hostCounts[n], 1)) && silent[n] > heard[n]
@@ -145,11 +145,11 @@
 		case bad && heard[n] == 0 && now-s.badSince >= Settle:
 			ground = fmt.Sprintf("%d of its %d hosts do not answer, none does", silent[n], j.hostCounts[n])
 			switch {
-			case lit == 0 && dark >= 2 && n != j.settings.Own: // more likely this dispatcher is cut off than every other site
-				to, ground = CutOff, ground+fmt.Sprintf(", as of %d other sites", dark-1)
-			case n == j.settings.Own && lit == 0 && dark > 0:
+			case answeringSites == 0 && silentSites >= 2 && n != j.settings.Own: // this dispatcher is probably cut off, not every other site
+				to, ground = CutOff, ground+fmt.Sprintf(", as of %d other sites", silentSites-1)
+			case n == j.settings.Own && answeringSites == 0 && silentSites > 0:
 				to, ground = CutOff, ground+", nor does any other site"
-			case lit > 0 || ownLit && n != j.settings.Own:
+			case answeringSites > 0 || ownAnswers && n != j.settings.Own:
 				to = Lost
 			default: // no other site to compare with
 				to = Suspect
--- a/internal/siteloss/plan.go
+++ b/internal/siteloss/plan.go
@@ -81,11 +81,11 @@
 // Check validates the fleet for planning. An error begins with the faulty key.
 func (f *Fleet) Check() error {
 	if len(f.Sites) < 2 {
-		return fmt.Errorf("sites: %d: with fewer than two there is nowhere to go", len(f.Sites))
+		return fmt.Errorf("sites: %d: at least 2 are needed to plan for the loss of one", len(f.Sites))
 	}
 	for _, s := range f.Sites {
 		if !(s.Capacity >= 0) || !(s.Load >= 0) || math.IsInf(s.Capacity+s.Load, 0) {
-			return fmt.Errorf("sites: %s: capacity and load are no such figures", s.Name)
+			return fmt.Errorf("sites: %s: capacity and load must be finite and not negative", s.Name)
 		}
 	}
 	sum := 0.0
@@ -162,7 +162,7 @@
 }
 
 // servedByClass distributes the available work over the classes: first all floors, in the order of the classes, then the rest.
-func (f *Fleet) servedByClass(asked, can float64) (all []Kept) {
+func (f *Fleet) servedByClass(asked, available float64) (all []Kept) {
 	served := make([]float64, len(f.Classes))
 	for _, floor := range []bool{true, false} {
 		for i, c := range f.Classes {
@@ -170,9 +170,9 @@
 			if !floor {
 				want = asked * c.Share * (1 - c.Floor)
 			}
-			x := min(want, max(can, 0))
-			served[i] += x
-			can -= x
+			part := min(want, max(available, 0))
+			served[i] += part
+			available -= part
 		}
 	}
 	for i, c := range f.Classes {
--- a/internal/siteloss/siteloss_test.go
+++ b/internal/siteloss/siteloss_test.go
@@ -25,13 +25,14 @@
 	return s
 }
 
-// run advances the time while every host is asked once per 300 ms, and returns the changes. dark lists the sites that do not answer.
-func (s *testSites) run(length time.Duration, dark ...int) (all []Change) {
+// run advances the time while every host is asked once per 300 ms, and returns the changes. The hosts of
+// silentSites do not answer.
+func (s *testSites) run(length time.Duration, silentSites ...int) (all []Change) {
 	for end := s.now + length; s.now < end; s.now += 50 * ms {
 		for id, h := range s.hosts {
 			if (s.now/(50*ms)+time.Duration(id))%6 == 0 {
 				answered := true
-				for _, d := range dark {
+				for _, d := range silentSites {
 					answered = answered && h.site != d
 				}
 				s.Heard(s.now, id, answered)
@@ -54,9 +55,9 @@
 // considers no site lost, and its own site stays Serving while its hosts answer.
 func TestLostOrCutOff(t *testing.T) {
 	for _, c := range []struct {
-		sites int
-		dark  []int
-		want  []State
+		sites       int
+		silentSites []int
+		want        []State
 	}{
 		{3, nil, []State{Serving, Serving, Serving}},
 		{3, []int{2}, []State{Serving, Serving, Lost}},
@@ -69,9 +70,9 @@
 	} {
 		s := newTestSites(c.sites)
 		require.Empty(t, s.run(3*time.Second))
-		s.run(1500*ms, c.dark...)
+		s.run(1500*ms, c.silentSites...)
 		assert.Equal(t, c.want, s.states(), "%+v", c)
-		s.run(5*time.Second, c.dark...)
+		s.run(5*time.Second, c.silentSites...)
 		assert.Equal(t, c.want, s.states(), "%+v, later", c)
 	}
 }
