--- a/internal/lab/shares/world.go
+++ b/internal/lab/shares/world.go
@@ -33,7 +33,7 @@
 
 // Trouble is a fault that lasts for a while.
 type Trouble struct {
-	Kind    string // "kill", "pause", "cut" (the members and the others are separated), "mute" (the others don't receive the members' messages), "islands"
+	Kind    string // "kill", "pause", "cut" (members and others separated), "mute" (others don't receive the members' messages), "islands"
 	At, For time.Duration
 	Members []int // affected members; ignored for "islands"
 	Islands int
