--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -7,8 +7,8 @@
 
 const second = time.Second
 
-// sound is a record in which every rule is kept, and hard.
-func sound() []Event {
+// validRecord returns a record that keeps every rule but comes close to each limit.
+func validRecord() []Event {
 	return []Event{
 		{Kind: Taken, At: 1 * second, Job: 1, Node: 1, Unsafe: true, Deadline: 10 * second},
 		{Kind: Taken, At: 1 * second, Job: 2, Node: 1, Deadline: 10 * second},
@@ -18,7 +18,7 @@
 		{Kind: NeverRan, At: 3 * second, Job: 1},
 		{Kind: Sent, At: 3 * second, Job: 1, Attempt: 1, Node: 1, Host: 8},
 		{Kind: Sent, At: 3 * second, Job: 2, Node: 1, Host: 8},
-		{Kind: Sent, At: 4 * second, Job: 3, Node: 2, Host: 7}, // node 2 was told nothing
+		{Kind: Sent, At: 4 * second, Job: 3, Node: 2, Host: 7}, // node 2 was not informed of the drain
 		{Kind: Ran, At: 4 * second, Job: 1, Attempt: 1, Host: 8},
 		{Kind: Ran, At: 4 * second, Job: 2, Host: 8},
 		{Kind: Answered, At: 5 * second, Job: 2, Answer: Refused},
@@ -28,11 +28,11 @@
 		{Kind: Knows, At: 11 * second, Node: 1, Host: 9},
 		{Kind: Worked, At: 11 * second, Node: 1, Host: 9, Work: 5 * second, Capacity: 1},
 		{Kind: Worked, At: 13 * second, Node: 1, Host: 9, Work: 5 * second, Capacity: 1},
-		{Kind: Worked, At: 13 * second, Node: 1, Host: 10, Work: 50 * second, Capacity: 1}, // it was not told
+		{Kind: Worked, At: 13 * second, Node: 1, Host: 10, Work: 50 * second, Capacity: 1}, // the node was not informed of the start
 		{Kind: Taken, At: 13 * second, Job: 6, Node: 1, Deadline: 14 * second},
 		{Kind: Sent, At: 13 * second, Job: 6, Node: 1, Host: 11},
 		{Kind: Knows, At: 13 * second, Node: 1, Host: 11},
-		{Kind: Worked, At: 13 * second, Job: 6, Node: 1, Host: 11, Work: 50 * second, Capacity: 1}, // it left before that
+		{Kind: Worked, At: 13 * second, Job: 6, Node: 1, Host: 11, Work: 50 * second, Capacity: 1}, // sent before the node was informed
 		{Kind: Answered, At: 13 * second, Job: 6, Answer: Refused},
 		{Kind: Used, At: 13 * second, Host: 1, Amount: 2},
 		{Kind: Used, At: 13 * second, Host: 2, Amount: 1},
@@ -47,7 +47,7 @@
 var rules = Rules{AnswerGrace: 10 * time.Millisecond, DrainGrace: 3 * second, TipMultiple: 3, OverloadFor: 2 * second,
 	Sums: []Sum{{"probes", second, 2}}, Repeats: 1}
 
-func verdict(events []Event) *Checker {
+func checkRecord(events []Event) *Checker {
 	c := New(rules)
 	for _, e := range events {
 		c.See(e)
@@ -56,14 +56,14 @@
 	return c
 }
 
-func TestSoundRecord(t *testing.T) {
-	if c := verdict(sound()); len(c.Breaches()) > 0 || c.Checked() != 6 {
+func TestValidRecord(t *testing.T) {
+	if c := checkRecord(validRecord()); len(c.Breaches()) > 0 || c.Checked() != 6 {
 		t.Errorf("%d jobs, %v", c.Checked(), c.Breaches())
 	}
 }
 
-// Each rule broken on purpose is found, and nothing else with it.
-func TestMutants(t *testing.T) {
+// Each record that breaks one rule yields exactly one breach, of that rule.
+func TestEachBreachIsFound(t *testing.T) {
 	for name, m := range map[string]struct {
 		change func([]Event) []Event
 		want   Rule
@@ -86,14 +86,14 @@
 		"too many repeats":     {func(e []Event) []Event { e[7].Attempt = 1; return e }, Sums},
 		"taken twice":          {func(e []Event) []Event { return append(e[:2:2], e[1:]...) }, Unexpected},
 	} {
-		c := verdict(m.change(sound()))
+		c := checkRecord(m.change(validRecord()))
 		if len(c.Counts()) != 1 || c.Counts()[m.want] != 1 {
 			t.Errorf("%s: %v, want one breach of %q", name, c.Breaches(), m.want)
 		}
 	}
 }
 
-// sorted puts what was moved in time where it belongs.
+// sorted restores the order of time after an event was moved.
 func sorted(e []Event) []Event {
 	for i := range e {
 		for k := i; k > 0 && e[k-1].At > e[k].At; k-- {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -12,7 +12,7 @@
 	"gaugeslip/internal/scenario"
 )
 
-func day(t testing.TB, name string) *Scenario {
+func loadScenario(t testing.TB, name string) *Scenario {
 	t.Helper()
 	all, err := Load(filepath.Join("..", "..", "scenarios", name+".hcl"))
 	require.NoError(t, err)
@@ -20,7 +20,7 @@
 	return all[0]
 }
 
-func play(t testing.TB, sc *Scenario, seed uint64, checked bool) *Report {
+func runScenario(t testing.TB, sc *Scenario, seed uint64, checked bool) *Report {
 	t.Helper()
 	l, err := New(sc, seed, checked)
 	require.NoError(t, err)
@@ -29,35 +29,35 @@
 	return r
 }
 
-// One scenario and seed, one digest, on any number of threads; another seed, another.
+// The same scenario and seed give the same digest, for any GOMAXPROCS. Another seed gives another digest.
 func TestSameSeedSameDigest(t *testing.T) {
 	for _, name := range []string{"vanish-and-errors", "rolling-restart"} {
-		sc := day(t, name)
-		first := play(t, sc, 7, true)
+		sc := loadScenario(t, name)
+		first := runScenario(t, sc, 7, true)
 		old := runtime.GOMAXPROCS(1)
-		again := play(t, sc, 7, true)
+		again := runScenario(t, sc, 7, true)
 		runtime.GOMAXPROCS(old)
-		other := play(t, sc, 8, true)
+		other := runScenario(t, sc, 8, true)
 		assert.Equal(t, first.Digest, again.Digest, name)
 		assert.NotEqual(t, first.Digest, other.Digest, name)
 		assert.Equal(t, first.Service, again.Service)
 	}
 }
 
-// Every small scenario keeps the rules and what it expects, on a few seeds.
+// Every small scenario keeps the rules and meets its expectations, on three seeds.
 func TestScenarios(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join("..", "..", "scenarios", "*.hcl"))
 	require.NoError(t, err)
 	require.NotEmpty(t, paths)
 	for _, p := range paths {
 		if strings.Contains(p, "thousand") {
-			continue // long: gaugelab run --all plays them
+			continue // too long for a test: gaugelab run --all runs them
 		}
 		all, err := Load(p)
 		require.NoError(t, err)
 		for _, sc := range all {
 			for seed := range uint64(3) {
-				r := play(t, sc, seed+1, true)
+				r := runScenario(t, sc, seed+1, true)
 				assert.Empty(t, sc.Missed(r), "%s, seed %d", sc.Name, seed+1)
 				assert.NotZero(t, r.Jobs)
 			}
@@ -65,20 +65,20 @@
 	}
 }
 
-// The conservation of jobs: whoever came was served, refused, failed, cut off, or did not get through.
-func TestNobodyIsLost(t *testing.T) {
+// Each try is served, refused, failed, cut off or unreached.
+func TestEveryTryHasAnOutcome(t *testing.T) {
 	for _, name := range []string{"calm-friday", "harvest-rush", "silence-and-resets"} {
-		r := play(t, day(t, name), 3, true)
+		r := runScenario(t, loadScenario(t, name), 3, true)
 		assert.Equal(t, r.Jobs+r.Retries, r.Served+r.Refused+r.Failed+r.Cut+r.Unreached, "%s: %+v", name, r)
 	}
 }
 
-// The waiting room at every dispatcher, under more fresh work than the fleet can do: each waiting job has its end, none that was
-// served has waited longer than twice its due time, and the rules hold.
+// Waiting jobs at every dispatcher, while other jobs exceed the fleet's capacity: each waiting job gets an outcome, no served one has
+// waited longer than twice its due time, and the rules hold.
 func TestWaitingInTheLab(t *testing.T) {
-	sc := day(t, "season-close")
+	sc := loadScenario(t, "season-close")
 	for seed := range uint64(3) {
-		r := play(t, sc, seed+1, true)
+		r := runScenario(t, sc, seed+1, true)
 		assert.Empty(t, sc.Missed(r), "seed %d", seed+1)
 		assert.Equal(t, r.Waiting, r.WaitingServed+r.WaitingLost, "seed %d", seed+1)
 		assert.LessOrEqual(t, r.LongestWait, 2.0, "seed %d", seed+1)
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	sound := `scenario "a" {
   length = "1s"
   load = 1
@@ -125,58 +125,58 @@
 	}
 }
 
-// A room that is lost and comes back cold is not pushed over: on these seeds 28 hosts fell over, and on the 13th the rule
-// was broken.
-func TestRoomLossPushesNobodyOver(t *testing.T) {
-	sc, fell := day(t, "room-loss"), 0
+// Hosts of a room that returns cold after a loss are not overloaded. Before the fix, 28 hosts collapsed on these seeds, and seed 13
+// broke a rule.
+func TestRoomLossKeepsColdHostsUp(t *testing.T) {
+	sc, fell := loadScenario(t, "room-loss"), 0
 	for seed := uint64(11); seed <= 14; seed++ {
-		r := play(t, sc, seed, true)
+		r := runScenario(t, sc, seed, true)
 		assert.Zero(t, r.Broken(), "seed %d: %v", seed, r.First)
 		fell += r.Toppled
 	}
-	assert.LessOrEqual(t, fell, 5) // whoever asks first may have heard nothing of the room for a minute
+	assert.LessOrEqual(t, fell, 5) // the first dispatcher to send may have had no news of the room for a minute
 }
 
-// A storm's harm ends with it: 100 dispatchers that retry into one another's queues do not come back by themselves, with
-// the settings for overload they do.
-func TestStormIsOver(t *testing.T) {
+// Service recovers after a surge. With 100 dispatchers that retry into one another's queues it does not recover unless the
+// overload settings are on.
+func TestRecoveryFromRetryStorm(t *testing.T) {
 	for _, on := range []bool{true, false} {
-		sc := day(t, "surge")
+		sc := loadScenario(t, "surge")
 		sc.Dispatchers = 100
 		if !on {
 			sc.Overload = nil
 		}
 		for seed := uint64(1); seed <= 3; seed++ {
-			r := play(t, sc, seed, true)
+			r := runScenario(t, sc, seed, true)
 			assert.Zero(t, r.Broken(), "seed %d: %v", seed, r.First)
 			assert.Equal(t, on, r.Recovery >= 0 && r.Recovery <= 16, "seed %d, settings on %v: back after %v s", seed, on, r.Recovery)
 		}
 	}
-	ideal, err := NewIdeal(day(t, "surge"), 1)
+	ideal, err := NewIdeal(loadScenario(t, "surge"), 1)
 	require.NoError(t, err)
 	r, err := ideal.Run(t.Context())
 	require.NoError(t, err)
-	assert.GreaterOrEqual(t, r.Recovery, 0.0, "the ideal is seen to come back too")
+	assert.GreaterOrEqual(t, r.Recovery, 0.0, "the ideal run recovers too")
 }
 
-// BenchmarkLab is jobs a second of wall time on one core, at 100 workers and 3 dispatchers.
+// BenchmarkLab measures simulated jobs per second of wall time on one core, with 100 workers and 3 dispatchers.
 func BenchmarkLab(b *testing.B) {
-	sc := day(b, "calm-friday")
+	sc := loadScenario(b, "calm-friday")
 	sc.Hosts[0].Count, sc.Hosts[1].Count = 50, 50
 	for _, checked := range []bool{false, true} {
 		b.Run(map[bool]string{false: "plain", true: "checked"}[checked], func(b *testing.B) {
 			jobs := 0
 			for i := range b.N {
-				jobs += play(b, sc, uint64(i), checked).Jobs
+				jobs += runScenario(b, sc, uint64(i), checked).Jobs
 			}
 			b.ReportMetric(float64(jobs)/b.Elapsed().Seconds(), "jobs/s")
 		})
 	}
 }
 
-// A room that is lost with all that is there: its clients come to others once the front has noticed, its hosts and dispatchers come
-// back, and no rule breaks; without its ways to the others its own dispatchers and hosts go on. The ideal feels the loss as well.
-func TestSite(t *testing.T) {
+// Loss of a room, in several combinations: its clients reach other rooms once the front has noticed, its hosts and dispatchers come
+// back, and no rule is broken. If only the links are lost, its own dispatchers and hosts continue. The ideal run has the same loss.
+func TestSiteLoss(t *testing.T) {
 	all, err := Load("../../scenarios/site-loss.hcl")
 	require.NoError(t, err)
 	for _, loses := range [][]string{nil, {"links"}, {"links", "discovery"}, {"hosts"}, {"dispatchers"}} {
@@ -192,7 +192,7 @@
 		assert.Greater(t, r.Rooms[2][11], 0.7, "%v: back at the end", loses)
 		assert.Equal(t, sc.Troubles[0].loses("dispatchers"), r.Cut+r.Unreached > 0, "%v", loses)
 		for i, n := range l.nodes {
-			assert.True(t, n.up && n.dealt, "%v: dispatcher %d", loses, i)
+			assert.True(t, n.up && n.receivesClients, "%v: dispatcher %d", loses, i)
 		}
 		ideal, err := NewIdeal(sc, 5)
 		require.NoError(t, err)
--- a/internal/siteloss/siteloss_test.go
+++ b/internal/siteloss/siteloss_test.go
@@ -11,27 +11,28 @@
 
 const ms = time.Millisecond
 
-// seen is a Judge of a dispatcher in site 0 of three with six hosts each, and what is true of the sites from where it is.
-type seen struct {
+// testSites is a Judge for a dispatcher in site 0, with six hosts per site, and the present time.
+type testSites struct {
 	*Judge
 	now time.Duration
 }
 
-func look(sites int) *seen {
-	s := &seen{Judge: New(Settings{Sites: sites, Own: 0, WarmUp: 10 * time.Second}), now: time.Hour}
+func newTestSites(sites int) *testSites {
+	s := &testSites{Judge: New(Settings{Sites: sites, Own: 0, WarmUp: 10 * time.Second}), now: time.Hour}
 	for id := range uint32(6 * sites) {
 		s.Listed(id, int(id)%sites, false)
 	}
 	return s
 }
 
-// pass lets time pass while every host is asked each 300 ms, and gives the changes. dark tells which sites do not answer.
-func (s *seen) pass(length time.Duration, dark ...int) (all []Change) {
+// run advances the time while every host is asked once per 300 ms, and returns the changes. The hosts of
+// silentSites do not answer.
+func (s *testSites) run(length time.Duration, silentSites ...int) (all []Change) {
 	for end := s.now + length; s.now < end; s.now += 50 * ms {
 		for id, h := range s.hosts {
 			if (s.now/(50*ms)+time.Duration(id))%6 == 0 {
 				answered := true
-				for _, d := range dark {
+				for _, d := range silentSites {
 					answered = answered && h.site != d
 				}
 				s.Heard(s.now, id, answered)
@@ -42,43 +43,43 @@
 	return all
 }
 
-// states are all sites' at once.
-func (s *seen) states() (all []State) {
+// states returns the states of all sites.
+func (s *testSites) states() (all []State) {
 	for n := range s.sites {
 		all = append(all, s.State(n))
 	}
 	return all
 }
 
-// A site that is lost is told from a dispatcher that is cut off, within a second and a half of the first silence; whoever is cut
-// off holds no site for lost, and not its own for bad where that answers.
+// Judge distinguishes a lost site from a dispatcher that is cut off within 1.5 s of the first silence. A dispatcher that is cut off
+// considers no site lost, and its own site stays Serving while its hosts answer.
 func TestLostOrCutOff(t *testing.T) {
 	for _, c := range []struct {
-		sites int
-		dark  []int
-		want  []State
+		sites       int
+		silentSites []int
+		want        []State
 	}{
 		{3, nil, []State{Serving, Serving, Serving}},
 		{3, []int{2}, []State{Serving, Serving, Lost}},
 		{3, []int{1, 2}, []State{Serving, CutOff, CutOff}},
 		{3, []int{0, 1, 2}, []State{CutOff, CutOff, CutOff}},
 		{3, []int{0}, []State{Lost, Serving, Serving}},
-		{3, []int{0, 2}, []State{Lost, Serving, Lost}}, // two rooms at once
-		{2, []int{1}, []State{Serving, Lost}},          // with one other there is nothing to compare with: its own serves on
+		{3, []int{0, 2}, []State{Lost, Serving, Lost}}, // two sites at once
+		{2, []int{1}, []State{Serving, Lost}},          // with one other site, only the own site is left to compare with
 		{4, []int{2, 3}, []State{Serving, Serving, Lost, Lost}},
 	} {
-		s := look(c.sites)
-		require.Empty(t, s.pass(3*time.Second))
-		s.pass(1500*ms, c.dark...)
+		s := newTestSites(c.sites)
+		require.Empty(t, s.run(3*time.Second))
+		s.run(1500*ms, c.silentSites...)
 		assert.Equal(t, c.want, s.states(), "%+v", c)
-		s.pass(5*time.Second, c.dark...)
+		s.run(5*time.Second, c.silentSites...)
 		assert.Equal(t, c.want, s.states(), "%+v, later", c)
 	}
 }
 
-// Half of a site is suspect and not lost; a single host that is silent is no site's matter.
+// A site of which most hosts are silent is suspect and not lost. A single silent host does not change the site's state.
 func TestHalfOfASite(t *testing.T) {
-	s := look(3)
+	s := newTestSites(3)
 	half := func(silent uint32, length time.Duration) {
 		for end := s.now + length; s.now < end; s.now += 100 * ms {
 			for id, h := range s.hosts {
@@ -96,39 +97,38 @@
 	assert.Equal(t, Serving, s.State(2))
 }
 
-// A site that returns is cold for its warm-up; one that falls silent meanwhile is held back longer each time, up to a bound.
+// A site is Returning for its warm-up. Each failed return makes the next one take longer, up to a limit.
 func TestReturnAndFlap(t *testing.T) {
-	s := look(3)
-	s.pass(2*time.Second, 2)
+	s := newTestSites(3)
+	s.run(2*time.Second, 2)
 	require.Equal(t, Lost, s.State(2))
-	s.pass(time.Second)
+	s.run(time.Second)
 	require.Equal(t, Returning, s.State(2))
-	s.pass(8 * time.Second)
+	s.run(8 * time.Second)
 	assert.Equal(t, Returning, s.State(2))
-	s.pass(3 * time.Second)
+	s.run(3 * time.Second)
 	assert.Equal(t, Serving, s.State(2))
 	before := time.Duration(0)
 	for range 6 {
-		s.pass(6*time.Second, 2)
-		s.pass(time.Second)
+		s.run(6*time.Second, 2)
+		s.run(time.Second)
 		require.Equal(t, Returning, s.State(2))
 		from := s.now
-		s.pass(2*time.Second, 2) // in the middle of its return
-		s.pass(6*time.Second, 2)
+		s.run(2*time.Second, 2) // fails during its return
+		s.run(6*time.Second, 2)
 		assert.Equal(t, Lost, s.State(2))
-		assert.GreaterOrEqual(t, s.sites[2].hold, min(2*before, mostOff), from)
-		before = s.sites[2].hold
+		assert.GreaterOrEqual(t, s.sites[2].returnHold, min(2*before, maxReturnHold), from)
+		before = s.sites[2].returnHold
 	}
-	assert.Equal(t, mostOff, before)
-	s.pass(12 * time.Second)
+	assert.Equal(t, maxReturnHold, before)
+	s.run(12 * time.Second)
 	assert.Equal(t, Returning, s.State(2), "held back beyond its warm-up")
 }
 
-// Whatever is heard in whatever order, a dispatcher whose own site answers never holds all other sites for lost at once, where
-// there are two or more of them, and a host that is on no list counts for nothing.
+// For any results in any order, a dispatcher whose own site answers keeps that site Serving. Hosts that are on no list are ignored.
 func TestNeverAllLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := look(3)
+		s := newTestSites(3)
 		for range rapid.IntRange(10, 200).Draw(t, "steps") {
 			s.now += time.Duration(rapid.IntRange(10, 900).Draw(t, "later")) * ms
 			s.Heard(s.now, uint32(rapid.IntRange(0, 40).Draw(t, "host")), rapid.Bool().Draw(t, "answered"))
@@ -137,7 +137,7 @@
 			}
 			s.Step(s.now)
 			if s.State(0) != Serving {
-				t.Fatalf("its own site is %v", s.State(0))
+				t.Fatalf("the own site is %v", s.State(0))
 			}
 		}
 	})
@@ -148,8 +148,8 @@
 		Classes: []Class{{"sale", 0.78, 0.25}, {"plot", 0.22, 0.25}}, Usable: 1, ColdFrom: 0.12, WarmUp: 24 * time.Second}
 }
 
-// What sites take is never more than their spare, what is taken and refused is all, a site's own clients come first, classes are
-// refused from the last on, and no floor is touched before all rests are gone.
+// Sites take no more than their spare capacity, taken and refused work add up to the whole, a site's own clients come first, classes
+// are refused from the last on, and no floor is cut while work above the floors is served.
 func TestPlanSums(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &Fleet{Usable: rapid.Float64Range(0.5, 1).Draw(t, "usable"), ColdFrom: 0.12, WarmUp: 24 * time.Second}
@@ -204,7 +204,7 @@
 	assert.Equal(t, 1.0, f.Back(time.Minute))
 	f = &Fleet{Sites: []Site{{"a", 1, 1, 5e-23}, {"b", 1, 1, 5e-23}}, Classes: []Class{{"x", 2e-302, 1}, {"y", 1, 1}}, Usable: 1, ColdFrom: 1}
 	require.NoError(t, f.Check())
-	assert.Equal(t, []Kept{{"x", 1}, {"y", 1}}, f.Plan()[0].Kept, "figures whose product is no more than nothing")
+	assert.Equal(t, []Kept{{"x", 1}, {"y", 1}}, f.Plan()[0].Kept, "shares whose product underflows to 0")
 	f.Sites = f.Sites[:1]
 	assert.ErrorContains(t, f.Check(), "sites: ")
 }
