--- a/internal/simnet/conn.go
+++ b/internal/simnet/conn.go
@@ -23,10 +23,10 @@
 	in, out *stream
 	cond    *sync.Cond
 
-	closed  bool
-	failure error
-	reading deadline
-	writing deadline
+	closed        bool
+	failure       error
+	readDeadline  deadline
+	writeDeadline deadline
 }
 
 // newPair returns the two ends of a connection.
@@ -45,8 +45,8 @@
 
 func (c *Conn) host() string { return c.local.IP.String() }
 
-// over tells whether the end is of no more use to its process.
-func (c *Conn) over() bool { return c.closed || c.failure != nil }
+// unusable reports whether this end is closed or has failed.
+func (c *Conn) unusable() bool { return c.closed || c.failure != nil }
 
 // LocalAddr implements net.Conn.
 func (c *Conn) LocalAddr() net.Addr { return c.local }
@@ -57,14 +57,14 @@
 // Peer returns the other end, for tests that act in its place.
 func (c *Conn) Peer() *Conn { return c.peer }
 
-// Sent returns how many bytes this end has written that its direction's limit let through.
+// Sent returns the number of bytes written at this end, without those beyond the limit of its direction.
 func (c *Conn) Sent() int64 {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
 	return c.out.written
 }
 
-// Read implements net.Conn. Bytes that came before a reset are still read.
+// Read implements net.Conn. Bytes that arrived before a reset can still be read.
 func (c *Conn) Read(buffer []byte) (int, error) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
@@ -73,7 +73,7 @@
 		switch {
 		case c.closed:
 			return 0, c.wrap("read", net.ErrClosed)
-		case c.reading.passed():
+		case c.readDeadline.passed():
 			return 0, c.wrap("read", os.ErrDeadlineExceeded)
 		case len(c.in.inbox) > 0 || len(buffer) == 0:
 			return c.in.take(buffer), nil
@@ -98,7 +98,7 @@
 			return written, nil
 		case c.closed:
 			return written, c.wrap("write", net.ErrClosed)
-		case c.writing.passed():
+		case c.writeDeadline.passed():
 			return written, c.wrap("write", os.ErrDeadlineExceeded)
 		case c.failure != nil:
 			return written, c.wrap("write", c.failure)
@@ -106,8 +106,8 @@
 			return written, c.wrap("write", errPipe)
 		case len(data) == 0:
 			return 0, nil
-		case c.out.held() < Window:
-			part := data[written:min(len(data), written+Window-c.out.held())]
+		case c.out.unread() < Window:
+			part := data[written:min(len(data), written+Window-c.out.unread())]
 			c.out.write(part)
 			written += len(part)
 			continue
@@ -116,18 +116,18 @@
 	}
 }
 
-// CloseWrite ends the stream to the peer; the other direction stays.
+// CloseWrite ends the stream to the peer; the other direction stays open.
 func (c *Conn) CloseWrite() error {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
-	if c.over() {
+	if c.unusable() {
 		return c.wrap("close", net.ErrClosed)
 	}
 	c.out.finish()
 	return nil
 }
 
-// Close implements net.Conn. What was written still goes out; an end with unread bytes resets the connection instead, as TCP does.
+// Close implements net.Conn. Bytes already written are still delivered; an end with unread bytes resets the connection instead, as TCP does.
 func (c *Conn) Close() error {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
@@ -140,11 +140,11 @@
 	}
 	c.closed = true
 	c.out.finish()
-	c.end()
+	c.wakeEnds()
 	return nil
 }
 
-// Abort closes this end and resets the connection: the peer reads what had been written, then learns of the reset.
+// Abort closes this end and resets the connection: the peer reads the bytes written before, then gets the reset.
 func (c *Conn) Abort() {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
@@ -157,29 +157,29 @@
 	}
 	c.closed = true
 	if c.failure == nil {
-		c.out.send(parcel{reset: true})
+		c.out.send(segment{reset: true})
 	}
-	c.end()
+	c.wakeEnds()
 }
 
-// breakBoth resets both ends at once; what is under way is lost.
-func (c *Conn) breakBoth() {
+// resetBoth resets both ends at once; data in flight is lost.
+func (c *Conn) resetBoth() {
 	c.out.drop()
 	c.in.drop()
 	c.fail(errReset)
 	c.peer.fail(errReset)
 }
 
-// fail is the receipt of a reset; the first failure stays.
+// fail records err as the failure of this end, unless it is closed or has failed already, and wakes both ends.
 func (c *Conn) fail(err error) {
 	if c.failure == nil && !c.closed {
 		c.failure = err
 	}
-	c.end()
+	c.wakeEnds()
 }
 
-// end wakes all that wait at either end.
-func (c *Conn) end() {
+// wakeEnds wakes all calls that wait at either end.
+func (c *Conn) wakeEnds() {
 	c.cond.Broadcast()
 	c.peer.cond.Broadcast()
 }
@@ -195,10 +195,10 @@
 }
 
 // SetReadDeadline implements net.Conn.
-func (c *Conn) SetReadDeadline(t time.Time) error { return c.setDeadline(&c.reading, t) }
+func (c *Conn) SetReadDeadline(t time.Time) error { return c.setDeadline(&c.readDeadline, t) }
 
 // SetWriteDeadline implements net.Conn.
-func (c *Conn) SetWriteDeadline(t time.Time) error { return c.setDeadline(&c.writing, t) }
+func (c *Conn) SetWriteDeadline(t time.Time) error { return c.setDeadline(&c.writeDeadline, t) }
 
 func (c *Conn) setDeadline(d *deadline, t time.Time) error {
 	c.network.mu.Lock()
--- a/internal/simnet/deadline.go
+++ b/internal/simnet/deadline.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// deadline is when calls of one direction end; the zero time is never.
+// deadline is the time at which waiting calls time out; with the zero time they never do.
 type deadline struct {
-	at   time.Time
-	wake *time.Timer
+	at    time.Time
+	timer *time.Timer
 }
 
-// set has those that wait on the condition look again when the time has come.
+// set changes the deadline to t. When t passes, it wakes the calls that wait on the condition, so that they check the deadline.
 func (d *deadline) set(t time.Time, n *Network, waiting *sync.Cond) {
 	d.at = t
-	if d.wake != nil {
-		d.wake.Stop()
-		d.wake = nil
+	if d.timer != nil {
+		d.timer.Stop()
+		d.timer = nil
 	}
 	if left := time.Until(t); !t.IsZero() && left > 0 {
-		d.wake = time.AfterFunc(left, func() {
+		d.timer = time.AfterFunc(left, func() {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			waiting.Broadcast()
--- a/internal/simnet/listen.go
+++ b/internal/simnet/listen.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// ErrAddress is an address that is not an IP address and a port.
+// ErrAddress is returned for an address that is not an IP address and a port.
 var ErrAddress = errors.New("address is not an IP address and a port")
 
 // Listener is a net.Listener of a simulated host.
 type Listener struct {
-	network *Network
-	address *net.TCPAddr
-	cond    *sync.Cond
-	waiting []*Conn
-	closed  bool
-	until   deadline
+	network  *Network
+	address  *net.TCPAddr
+	cond     *sync.Cond
+	backlog  []*Conn
+	closed   bool
+	deadline deadline
 }
 
-// Listen listens at "ip:port"; port 0 takes a free one.
+// Listen listens at "ip:port"; port 0 selects a free port.
 func (n *Network) Listen(address string) (*Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -52,11 +52,11 @@
 		switch {
 		case l.closed:
 			return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.address, Err: net.ErrClosed}
-		case l.until.passed():
+		case l.deadline.passed():
 			return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.address, Err: os.ErrDeadlineExceeded}
-		case len(l.waiting) > 0:
-			first := l.waiting[0]
-			l.waiting = l.waiting[1:]
+		case len(l.backlog) > 0:
+			first := l.backlog[0]
+			l.backlog = l.backlog[1:]
 			return first, nil
 		}
 		l.cond.Wait()
@@ -77,18 +77,18 @@
 func (l *Listener) close() {
 	l.closed = true
 	delete(l.network.listeners, l.address.String())
-	for _, c := range l.waiting {
+	for _, c := range l.backlog {
 		c.abort()
 	}
-	l.waiting = nil
+	l.backlog = nil
 	l.cond.Broadcast()
 }
 
-// SetDeadline bounds Accept, as net.TCPListener's does; the zero time is never.
+// SetDeadline bounds Accept, as net.TCPListener's does; the zero time means no deadline.
 func (l *Listener) SetDeadline(t time.Time) error {
 	l.network.mu.Lock()
 	defer l.network.mu.Unlock()
-	l.until.set(t, l.network, l.cond)
+	l.deadline.set(t, l.network, l.cond)
 	l.cond.Broadcast()
 	return nil
 }
@@ -96,12 +96,12 @@
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.address }
 
-// Dialer returns the host's dial function, in the shape of net.Dialer's DialContext.
+// Dialer returns the host's dial function, with the signature of net.Dialer's DialContext.
 func (n *Network) Dialer(host string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) { return n.Dial(ctx, host, address) }
 }
 
-// Dial connects the host to the address. It is refused where nobody listens, and waits out cuts for as long as the context lets it.
+// Dial connects the host to the address. It is refused where there is no listener, and waits during cuts until the context is done.
 func (n *Network) Dial(ctx context.Context, from, address string) (net.Conn, error) {
 	to, err := parse(address)
 	if err != nil {
@@ -123,13 +123,13 @@
 }
 
 func (n *Network) connect(ctx context.Context, from string, to *net.TCPAddr) (*Conn, error) {
-	if err := n.travel(ctx, from, to.IP.String()); err != nil {
+	if err := n.awaitTransit(ctx, from, to.IP.String()); err != nil {
 		return nil, err
 	}
 	if n.listenerFor(from, to) == nil {
 		return nil, n.refuse(ctx, from, to)
 	}
-	if err := n.travel(ctx, to.IP.String(), from); err != nil {
+	if err := n.awaitTransit(ctx, to.IP.String(), from); err != nil {
 		return nil, err
 	}
 	listener := n.listenerFor(from, to)
@@ -137,29 +137,29 @@
 		return nil, errRefused
 	}
 	c := n.newPair(n.nextAddress(from), to, n.fate(from, to.IP.String()))
-	listener.waiting = append(listener.waiting, c.peer)
+	listener.backlog = append(listener.backlog, c.peer)
 	listener.cond.Broadcast()
 	n.awaitResume(from)
 	return c, nil
 }
 
-// refuse is a refusal's way back.
+// refuse waits for the latency from the listener's host back to the dialer and returns the refusal.
 func (n *Network) refuse(ctx context.Context, from string, to *net.TCPAddr) error {
-	if err := n.travel(ctx, to.IP.String(), from); err != nil {
+	if err := n.awaitTransit(ctx, to.IP.String(), from); err != nil {
 		return err
 	}
 	return errRefused
 }
 
 func (n *Network) listenerFor(from string, to *net.TCPAddr) *Listener {
-	if n.ways[way{from, to.IP.String()}] == wayRefused {
+	if n.routes[route{from, to.IP.String()}] == routeRefused {
 		return nil
 	}
 	return n.listeners[to.String()]
 }
 
-// travel waits until something sent now has come, or the context is done.
-func (n *Network) travel(ctx context.Context, from, to string) error {
+// awaitTransit waits until data sent now has arrived, or the context is done.
+func (n *Network) awaitTransit(ctx context.Context, from, to string) error {
 	due := time.Now().Add(n.delay(from, to))
 	wake := time.AfterFunc(time.Until(due), func() {
 		n.mu.Lock()
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// DefaultLatency is the longest that bytes are under way unless SetLatency says otherwise; the shortest is a tenth of it.
-	DefaultLatency = time.Millisecond
-	shortestPart   = 10
-	// Window is how many bytes one direction of a connection holds that its reader has not read; a writer waits for room.
-	Window         = 256 << 10
-	firstPort      = 40000
-	randomSequence = 0x6e65746d
+	// DefaultLatency is the maximum latency unless SetLatency or SetUsualLatency sets another; the minimum is a tenth of it.
+	DefaultLatency    = time.Millisecond
+	minLatencyDivisor = 10
+	// Window is the maximum number of unread bytes in one direction of a connection; a writer waits while it is full.
+	Window       = 256 << 10
+	firstPort    = 40000
+	randomStream = 0x6e65746d
 )
 
-// way is one direction between two hosts.
-type way struct{ from, to string }
+// route is an ordered pair of hosts: one direction between them.
+type route struct{ from, to string }
 
-// wayState is what happens to what goes one way.
-type wayState uint8
+// routeState is the state of a route.
+type routeState uint8
 
 const (
-	wayOpen wayState = iota
-	// wayCut holds everything.
-	wayCut
-	// wayRefused refuses dials.
-	wayRefused
+	routeOpen routeState = iota
+	// routeCut holds all data and dials.
+	routeCut
+	// routeRefused refuses dials.
+	routeRefused
 )
 
-// latency is the range that delays are drawn from.
-type latency struct{ least, most time.Duration }
+// latencyRange is the range from which latencies are drawn.
+type latencyRange struct{ min, max time.Duration }
 
-// hostState is what a host does.
+// hostState is the state of a host. Its lastPort is the port assigned last.
 type hostState struct {
 	frozen   bool
 	stopped  bool
@@ -46,53 +46,54 @@
 // Network is a set of hosts, named by their IP addresses, and the connections between them. Its methods are safe for concurrent use.
 type Network struct {
 	mu sync.Mutex
-	// changed is told of everything that dials and stopped processes wait for.
-	changed   *sync.Cond
-	random    *rand.Rand
-	usual     latency
-	latencies map[way]latency
-	ways      map[way]wayState
-	hosts     map[string]*hostState
-	listeners map[string]*Listener
-	// conns are the open connections' calling ends, in the order of their dials.
+	// changed is signalled at every change that dials and calls of stopped processes wait for.
+	changed        *sync.Cond
+	random         *rand.Rand
+	defaultLatency latencyRange
+	latencies      map[route]latencyRange
+	routes         map[route]routeState
+	hosts          map[string]*hostState
+	listeners      map[string]*Listener
+	// conns are the dialing ends of the open connections, in the order of their dials.
 	conns []*Conn
 	plan  Plan
-	dials map[way]int
+	dials map[route]int
 }
 
-// New returns a network without listeners whose latencies come from the seed.
+// New returns a network without listeners whose latencies are drawn from a generator with this seed.
 func New(seed uint64) *Network {
 	n := &Network{
-		random:    rand.New(rand.NewPCG(seed, randomSequence)),
-		usual:     latency{DefaultLatency / shortestPart, DefaultLatency},
-		latencies: map[way]latency{},
-		ways:      map[way]wayState{},
-		hosts:     map[string]*hostState{},
-		listeners: map[string]*Listener{},
-		dials:     map[way]int{},
+		random:         rand.New(rand.NewPCG(seed, randomStream)),
+		defaultLatency: latencyRange{DefaultLatency / minLatencyDivisor, DefaultLatency},
+		latencies:      map[route]latencyRange{},
+		routes:         map[route]routeState{},
+		hosts:          map[string]*hostState{},
+		listeners:      map[string]*Listener{},
+		dials:          map[route]int{},
 	}
 	n.changed = sync.NewCond(&n.mu)
 	return n
 }
 
-// SetUsualLatency sets the range of the latency between hosts that SetLatency has not named.
+// SetUsualLatency sets the range of the latency between hosts for which SetLatency was not called.
 func (n *Network) SetUsualLatency(least, most time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.usual = latency{least, max(least, most)}
+	n.defaultLatency = latencyRange{least, max(least, most)}
 }
 
-// SetLatency sets the range of the latency from one host to another. Bytes under way keep theirs, and order stays.
+// SetLatency sets the range of the latency from one host to another. Bytes in flight keep
+// theirs, and the order of bytes is kept.
 func (n *Network) SetLatency(from, to string, least, most time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.latencies[way{from, to}] = latency{least, max(least, most)}
+	n.latencies[route{from, to}] = latencyRange{least, max(least, most)}
 }
 
-// Cut holds what goes from one host to the other, until Heal. The other way stays as it is.
-func (n *Network) Cut(from, to string) { n.setWay(from, to, wayCut) }
+// Cut holds all data from one host to the other until Heal. The other direction stays as it is.
+func (n *Network) Cut(from, to string) { n.setRoute(from, to, routeCut) }
 
-// CutBoth cuts both ways between two hosts.
+// CutBoth cuts both directions between two hosts.
 func (n *Network) CutBoth(one, other string) {
 	n.Cut(one, other)
 	n.Cut(other, one)
@@ -100,39 +101,39 @@
 
 // Refuse resets the connections between the two hosts and refuses dials from the first to the second, until Heal.
 func (n *Network) Refuse(from, to string) {
-	n.setWay(from, to, wayRefused)
+	n.setRoute(from, to, routeRefused)
 	n.Reset(from, to)
 }
 
-// Heal ends cuts and refusals of both ways between two hosts. What was held and is due comes at once.
+// Heal ends cuts and refusals in both directions between two hosts. Held data that is due arrives at once.
 func (n *Network) Heal(one, other string) {
-	n.setWay(one, other, wayOpen)
-	n.setWay(other, one, wayOpen)
+	n.setRoute(one, other, routeOpen)
+	n.setRoute(other, one, routeOpen)
 }
 
 // HealAll ends all cuts and refusals.
 func (n *Network) HealAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.ways)
-	n.stir()
+	clear(n.routes)
+	n.wakeAll()
 }
 
-func (n *Network) setWay(from, to string, state wayState) {
+func (n *Network) setRoute(from, to string, state routeState) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ways[way{from, to}] = state
-	n.stir()
+	n.routes[route{from, to}] = state
+	n.wakeAll()
 }
 
-// Freeze silences a host: nothing leaves it or reaches it until Thaw. Its connections survive.
+// Freeze isolates a host: no data leaves it or reaches it until Thaw. Its connections survive.
 func (n *Network) Freeze(host string) { n.setHost(host, func(h *hostState) { h.frozen = true }) }
 
-// Thaw ends Freeze. What was held and is due comes at once.
+// Thaw ends Freeze. Held data that is due arrives at once.
 func (n *Network) Thaw(host string) { n.setHost(host, func(h *hostState) { h.frozen = false }) }
 
-// Stop makes every call of the host's own ends, dials and listeners wait until Resume, also past its deadline, as those of a stopped
-// process do. The host itself goes on: dials to it succeed and bytes reach its buffers.
+// Stop makes every call on the host's own connections, dials and listeners wait until Resume, also past its deadline, as calls of a
+// stopped process do. The host itself keeps running: dials to it succeed and bytes reach its buffers.
 func (n *Network) Stop(host string) { n.setHost(host, func(h *hostState) { h.stopped = true }) }
 
 // Resume ends Stop.
@@ -142,10 +143,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change(n.host(host))
-	n.stir()
+	n.wakeAll()
 }
 
-// Kill ends a host's process: its listeners close and its connections are reset. A frozen host's peers learn of it after Thaw.
+// Kill ends a host's process: its listeners close and its connections are reset. The peers of a frozen host get
+// the resets after Thaw.
 func (n *Network) Kill(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -163,19 +165,19 @@
 	}
 }
 
-// Reset breaks every connection between two hosts. Both ends see it at once; bytes that were under way are lost.
+// Reset resets every connection between two hosts. Both ends see it at once; bytes in flight are lost.
 func (n *Network) Reset(one, other string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.openConns() {
 		near, far := c.host(), c.peer.host()
 		if near == one && far == other || near == other && far == one {
-			c.breakBoth()
+			c.resetBoth()
 		}
 	}
 }
 
-// Conns returns the calling ends of the connections that are still open at either end, in the order of their dials.
+// Conns returns the dialing ends of the connections that are still open at either end, in the order of their dials.
 func (n *Network) Conns() []*Conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -183,7 +185,7 @@
 }
 
 func (n *Network) openConns() []*Conn {
-	n.conns = slices.DeleteFunc(n.conns, func(c *Conn) bool { return c.over() && c.peer.over() })
+	n.conns = slices.DeleteFunc(n.conns, func(c *Conn) bool { return c.unusable() && c.peer.unusable() })
 	return slices.Clone(n.conns)
 }
 
@@ -203,22 +205,22 @@
 	}
 }
 
-// passable tells whether what goes that way arrives now.
+// passable reports whether data from one host to the other can arrive now.
 func (n *Network) passable(from, to string) bool {
-	return n.ways[way{from, to}] != wayCut && !n.host(from).frozen && !n.host(to).frozen
+	return n.routes[route{from, to}] != routeCut && !n.host(from).frozen && !n.host(to).frozen
 }
 
-// delay draws the time that the next bytes are under way.
+// delay draws the latency of the next bytes from one host to the other.
 func (n *Network) delay(from, to string) time.Duration {
-	span, named := n.latencies[way{from, to}]
+	span, named := n.latencies[route{from, to}]
 	if !named {
-		span = n.usual
+		span = n.defaultLatency
 	}
-	return span.least + time.Duration(n.random.Int64N(int64(span.most-span.least)+1))
+	return span.min + time.Duration(n.random.Int64N(int64(span.max-span.min)+1))
 }
 
-// stir has everything that waits look again.
-func (n *Network) stir() {
+// wakeAll delivers the data that is due and wakes all waiting calls, so that they check the new state.
+func (n *Network) wakeAll() {
 	n.changed.Broadcast()
 	for _, c := range n.openConns() {
 		c.out.deliver()
@@ -231,7 +233,7 @@
 	}
 }
 
-// nextAddress returns a fresh address of the host.
+// nextAddress returns an address of the host with a port that was not used before.
 func (n *Network) nextAddress(host string) *net.TCPAddr {
 	state := n.host(host)
 	state.lastPort++
--- a/internal/simnet/random_test.go
+++ b/internal/simnet/random_test.go
@@ -19,7 +19,7 @@
 	settling     = time.Minute
 )
 
-// trouble is one change of the network after a pause.
+// trouble is one change of the network, applied after a pause.
 type trouble struct {
 	After time.Duration
 	Kind  string
@@ -62,7 +62,7 @@
 	}), 0, 12).Draw(t, "troubles")
 }
 
-// flow is what one direction was given and what its reader got.
+// flow records the bytes written and the bytes read in one direction.
 type flow struct {
 	wrote, got strings.Builder
 	readErr    error
@@ -85,7 +85,7 @@
 
 func (f *flow) read(from *Conn) { _, f.readErr = io.Copy(&f.got, from) }
 
-// converse has both ends write and read at once, under the troubles, and ends all of them at last.
+// converse writes and reads at both ends concurrently while the troubles are applied, and ends all troubles at the end.
 func converse(t *testing.T, seed uint64, parts []int, troubles []trouble) (out, back *flow) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(seed)
--- a/internal/simnet/support_test.go
+++ b/internal/simnet/support_test.go
@@ -18,7 +18,7 @@
 	seed   = 37
 )
 
-// inBubble runs a test with a network of its own.
+// inBubble runs a test in a synctest bubble with a new network.
 func inBubble(t *testing.T, body func(t *testing.T, n *Network)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { body(t, New(seed)) })
@@ -32,7 +32,7 @@
 	return l
 }
 
-// join returns the two ends of a new connection.
+// join dials a new connection and returns both ends.
 func join(t *testing.T, n *Network, l *Listener) (near, far *Conn) {
 	t.Helper()
 	dialed, err := n.Dial(context.Background(), caller, l.Addr().String())
@@ -69,7 +69,7 @@
 	require.Equal(t, text, string(got))
 }
 
-// quietFor requires that nothing comes in that time.
+// quietFor requires that no bytes arrive within span.
 func quietFor(t *testing.T, from net.Conn, span time.Duration) {
 	t.Helper()
 	require.NoError(t, from.SetReadDeadline(time.Now().Add(span)))
