--- a/internal/emulator/await.go
+++ b/internal/emulator/await.go
@@ -9,7 +9,7 @@
 	"gaugeslip/internal/pause"
 )
 
-// Await waits until the dispatcher at addr is up, or ctx ends.
+// Await waits until the dispatcher at addr is up. It returns an error if ctx ends first.
 func Await(ctx context.Context, addr string) error {
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/up", nil)
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// View opens one more address of discovery. Its list has the address that dial gives for each host, by number: whoever asks
-// there comes to the hosts by ways of its own.
+// View opens another discovery server. Its list contains the address that dial returns for each host number, so that its clients
+// reach the hosts through addresses of their own.
 func (f *Fleet) View(dial func(host int) string) (addr string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("emulator: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /discovery/hosts", func(w http.ResponseWriter, r *http.Request) { f.list(w, r, dial) })
+	mux.HandleFunc("GET /discovery/hosts", func(w http.ResponseWriter, r *http.Request) { f.serveList(w, r, dial) })
 	s := &http.Server{Handler: mux}
 	f.mu.Lock()
-	f.disc = append(f.disc, s)
+	f.discoveryServers = append(f.discoveryServers, s)
 	f.mu.Unlock()
-	f.served.Go(func() { s.Serve(ln) })
+	f.serving.Go(func() { s.Serve(ln) })
 	return ln.Addr().String(), nil
 }
 
-// change publishes a change of the list.
-func (f *Fleet) change() {
+// notifyWatches advances the sequence number of the list and wakes all watches.
+func (f *Fleet) notifyWatches() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seq++
@@ -36,30 +36,30 @@
 	f.changed = make(chan struct{})
 }
 
-// Down takes discovery down, or brings it back: its watches end and its calls fail.
+// Down takes discovery down or brings it back up. While it is down, watches end and requests fail.
 func (f *Fleet) Down(down bool) {
 	f.mu.Lock()
-	f.discDown = down
+	f.discoveryDown = down
 	f.mu.Unlock()
-	f.change()
+	f.notifyWatches()
 }
 
-// List is discovery's whole list as it stands, as JSON.
-func (f *Fleet) List() []byte { return f.ListFor(f.own) }
+// List returns the complete current list of discovery as JSON.
+func (f *Fleet) List() []byte { return f.ListFor(f.ownAddr) }
 
-// own is a host's own address.
-func (f *Fleet) own(host int) string { return f.Hosts[host].Addr }
+// ownAddr returns the address on which a host listens.
+func (f *Fleet) ownAddr(host int) string { return f.Hosts[host].Addr }
 
-// ListFor is the list as a View with these addresses tells it.
+// ListFor returns the list as a View with these addresses serves it.
 func (f *Fleet) ListFor(dial func(host int) string) []byte {
 	f.mu.Lock()
 	seq := f.seq
 	f.mu.Unlock()
-	return f.entries(seq, dial)
+	return f.listJSON(seq, dial)
 }
 
-// entries is the whole list as JSON.
-func (f *Fleet) entries(seq uint64, dial func(int) string) []byte {
+// listJSON returns the complete list as JSON, without terminated hosts.
+func (f *Fleet) listJSON(seq uint64, dial func(int) string) []byte {
 	type entry struct {
 		Host   string  `json:"host"`
 		Dial   string  `json:"dial"`
@@ -89,21 +89,21 @@
 	}
 	text, err := json.Marshal(&list)
 	if err != nil {
-		panic(err) // names and figures of our own
+		panic(err) // not reached: the list holds only strings and numbers made in this package
 	}
 	return text
 }
 
-// list serves discovery: the whole list, or a watch that sends it whole at each change, and an empty line every 2 s.
-func (f *Fleet) list(w http.ResponseWriter, r *http.Request, dial func(int) string) {
+// serveList serves discovery: the complete list once, or a watch that sends it at each change and an empty line after 2 s without one.
+func (f *Fleet) serveList(w http.ResponseWriter, r *http.Request, dial func(int) string) {
 	index, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	stream := r.URL.Query().Get("stream") == "1"
 	flush := http.NewResponseController(w)
 	for begun := false; ; begun = true {
 		f.mu.Lock()
-		seq, changed, down := f.seq, f.changed, f.discDown
+		seq, changed, down := f.seq, f.changed, f.discoveryDown
 		f.mu.Unlock()
-		if down && begun { // a watch just ends
+		if down && begun { // a running watch ends without an error status
 			return
 		}
 		if down {
@@ -112,7 +112,7 @@
 		}
 		if seq > index || !stream {
 			index = seq
-			w.Write(append(f.entries(seq, dial), '\n'))
+			w.Write(append(f.listJSON(seq, dial), '\n'))
 		}
 		if !stream || flush.Flush() != nil {
 			return
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -21,13 +21,13 @@
 	"gaugeslip/policy"
 )
 
-// ran keeps what the hosts say they ran.
-type ran struct {
+// runRecorder records the ids of the jobs that the hosts ran.
+type runRecorder struct {
 	mu   sync.Mutex
 	list []string
 }
 
-func (r *ran) see(s Sight) {
+func (r *runRecorder) see(s Sight) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s.Kind == Ran {
@@ -35,47 +35,47 @@
 	}
 }
 
-func (r *ran) ids() []string {
+func (r *runRecorder) ids() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string{}, r.list...)
 }
 
-// start makes a fleet of hosts with one lane each; nothing of it is left after the test.
-func start(t *testing.T, hosts int, p fleet.Params) (*Fleet, *ran) {
+// start starts a fleet of hosts with one lane each. After the test it checks that no goroutine is left.
+func start(t *testing.T, hosts int, p fleet.Params) (*Fleet, *runRecorder) {
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) })
 	specs := make([]Spec, hosts)
 	for i := range specs {
 		specs[i] = Spec{Kind: "k", Room: "z", Lanes: 1, Speed: 1}
 	}
-	r := &ran{}
+	r := &runRecorder{}
 	f, err := Start(specs, p, 1, r.see)
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	return f, r
 }
 
-// ended is the upstream side's watcher: the emulator is met by the real client of game workers.
-type ended struct {
+// jobWatcher records the callbacks of upstream.Pool, the real client of game workers.
+type jobWatcher struct {
 	started, progressed int
-	out                 upstream.Outcome
+	outcome             upstream.Outcome
 }
 
-func (e *ended) Started()                 { e.started++ }
-func (e *ended) Progress(float64)         { e.progressed++ }
-func (e *ended) Ended(o upstream.Outcome) { e.out = o }
+func (e *jobWatcher) Started()                 { e.started++ }
+func (e *jobWatcher) Progress(float64)         { e.progressed++ }
+func (e *jobWatcher) Ended(o upstream.Outcome) { e.outcome = o }
 
-func ask(t *testing.T, p *upstream.Pool, h *Host, id string, work, patience time.Duration) *ended {
+func sendJob(t *testing.T, p *upstream.Pool, h *Host, id string, work, patience time.Duration) *jobWatcher {
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
-	e := &ended{}
+	e := &jobWatcher{}
 	p.Do(ctx, &upstream.Request{Addr: h.Addr, Method: "POST", URI: "/plot-load/x", Host: "h", TraceID: id,
 		Body: fmt.Appendf(nil, `{"work_us":%d}`, work.Microseconds())}, e)
 	return e
 }
 
-// pool ends with the test.
+// pool returns a connection pool that is closed at the end of the test.
 func pool(t *testing.T) *upstream.Pool {
 	p := upstream.NewPool(upstream.Config{ConnectTimeout: nettest.Timeout, ConnIdle: time.Minute, ProbeTimeout: time.Second,
 		MaxConns: 100})
@@ -87,7 +87,7 @@
 	return p
 }
 
-// A game worker as the protocol's table has it: each trouble ends as the outcome that it stands for.
+// Each trouble of a game worker must lead to the outcome that the protocol defines for it.
 func TestOutcomes(t *testing.T) {
 	const short, long = 10 * time.Millisecond, 5 * time.Second
 	for name, c := range map[string]struct {
@@ -112,30 +112,30 @@
 			if c.want == policy.TimedOut {
 				patience = 300 * time.Millisecond
 			}
-			e := ask(t, pool(t), f.Hosts[0], "t1", short, patience)
-			assert.Equal(t, c.want, e.out.Result)
+			e := sendJob(t, pool(t), f.Hosts[0], "t1", short, patience)
+			assert.Equal(t, c.want, e.outcome.Result)
 			assert.Len(t, r.ids(), c.runs)
 			if c.want == policy.OK {
 				assert.Equal(t, 1, e.started)
-				assert.Equal(t, "t1 done by "+f.Hosts[0].Name, string(e.out.Body))
+				assert.Equal(t, "t1 done by "+f.Hosts[0].Name, string(e.outcome.Body))
 			}
 		})
 	}
 }
 
-// A host that is killed while a job runs loses it; started anew at its old address it is cold, and the list tells.
+// A host that is killed loses its running job. After a restart at the same address it is cold, and the list shows the new start.
 func TestKillAndRestart(t *testing.T) {
 	f, r := start(t, 1, fleet.Params{Queue: 4, ColdFrom: 0.5, WarmUp: time.Hour})
 	h, p := f.Hosts[0], pool(t)
-	lost := make(chan *ended)
-	go func() { lost <- ask(t, p, h, "t1", time.Hour, nettest.Timeout) }()
+	lost := make(chan *jobWatcher)
+	go func() { lost <- sendJob(t, p, h, "t1", time.Hour, nettest.Timeout) }()
 	require.Eventually(t, func() bool { return len(r.ids()) == 1 }, nettest.Timeout, time.Millisecond)
 	h.Kill()
-	assert.Equal(t, policy.ConnectionLost, nettest.Wait(t, lost).out.Result)
+	assert.Equal(t, policy.ConnectionLost, nettest.Wait(t, lost).outcome.Result)
 	require.NoError(t, h.Restart())
 	begun := time.Now()
-	assert.Equal(t, policy.OK, ask(t, p, h, "t2", 50*time.Millisecond, nettest.Timeout).out.Result)
-	assert.GreaterOrEqual(t, time.Since(begun), 100*time.Millisecond, "at half of its speed")
+	assert.Equal(t, policy.OK, sendJob(t, p, h, "t2", 50*time.Millisecond, nettest.Timeout).outcome.Result)
+	assert.GreaterOrEqual(t, time.Since(begun), 100*time.Millisecond, "a cold host must run at half its speed")
 	set, err := settings.Parse([]byte(nettest.SettingsJSON))
 	require.NoError(t, err)
 	l, err := cluster.Decode(f.List(), set)
@@ -143,7 +143,7 @@
 	assert.Positive(t, l.Hosts[0].StartedAt)
 }
 
-// Discovery as the platform's: the whole list, changes on a watch, and an end of the watch when it goes down.
+// Discovery sends the complete list, sends changes on a watch, and ends the watch when it goes down.
 func TestDiscovery(t *testing.T) {
 	f, _ := start(t, 2, fleet.Params{Queue: 4})
 	set, err := settings.Parse([]byte(nettest.SettingsJSON))
@@ -158,7 +158,7 @@
 	f.Hosts[0].Drain()
 	assert.Equal(t, policy.Draining, nettest.Wait(t, news).Hosts[0].State)
 	f.Hosts[1].Kill()
-	assert.Len(t, nettest.Wait(t, news).Hosts, 1, "what is not in a whole list is gone")
+	assert.Len(t, nettest.Wait(t, news).Hosts, 1, "a host missing from a complete list is gone")
 	f.Down(true)
 	assert.Error(t, nettest.Wait(t, over))
 	resp, err := http.Get("http://" + f.Discovery + "/discovery/hosts")
@@ -168,13 +168,13 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// A probe tells what the model does.
+// A probe returns the load of the model.
 func TestProbe(t *testing.T) {
 	f, r := start(t, 1, fleet.Params{Queue: 4})
 	p := pool(t)
 	assert.Equal(t, upstream.Report{"queue": 0, "inflight": 0, "x0": 1}, p.Probe(t.Context(), f.Hosts[0].Addr).Load)
-	done := make(chan *ended)
-	go func() { done <- ask(t, p, f.Hosts[0], "t1", 300*time.Millisecond, nettest.Timeout) }()
+	done := make(chan *jobWatcher)
+	go func() { done <- sendJob(t, p, f.Hosts[0], "t1", 300*time.Millisecond, nettest.Timeout) }()
 	require.Eventually(t, func() bool { return len(r.ids()) == 1 }, nettest.Timeout, time.Millisecond)
 	assert.Equal(t, upstream.Report{"queue": 0, "inflight": 1, "x0": 0}, p.Probe(t.Context(), f.Hosts[0].Addr).Load)
 	nettest.Wait(t, done)
@@ -182,7 +182,7 @@
 	assert.Equal(t, policy.TimedOut, p.Probe(t.Context(), f.Hosts[0].Addr).Result)
 }
 
-// An open loop: a host that stalls does not keep jobs from being sent, and their latency counts from when they were meant.
+// The load is an open loop: a stalled host does not delay other jobs, and latency counts from the intended send time.
 func TestLoadIsOpen(t *testing.T) {
 	stall := make(chan struct{})
 	first := true
@@ -204,6 +204,6 @@
 	c := res.Classes["a"]
 	assert.Equal(t, c.Sent, c.Served)
 	assert.Greater(t, c.Served, 50)
-	assert.Greater(t, c.Latency.Max(), int64(300_000), "the one that was stalled is in the figures")
+	assert.Greater(t, c.Latency.Max(), int64(300_000), "the stalled job is missing from the latencies")
 	assert.Zero(t, res.NotSent)
 }
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -10,39 +10,39 @@
 	"gaugeslip/internal/fleet"
 )
 
-// Faults are the shares of requests that meet with one on their connection, each from 0 to 1.
+// Faults holds the share of requests, from 0 to 1, on which each fault is injected.
 type Faults struct {
 	Silent float64 // read, and never answered
 	Reset  float64 // reset once it runs
 	Cut    float64 // cut off in the middle of its last line
 	Slow   float64 // read a byte at a time
-	Full   float64 // turned away, though there is room
-	Idle   bool    // its load reports tell of free lanes and no queue, whatever is true
+	Full   float64 // refused as if the host were full
+	Idle   bool    // load reports always claim free lanes and no queue
 }
 
-// Host is one game worker on a socket.
+// Host is one emulated game worker.
 type Host struct {
 	Name, Addr string
 	model      *fleet.Host
 	number     int
-	owner      *Fleet
+	fleet      *Fleet
 	mu         sync.Mutex
-	jobs       map[uint64]*heldJob
-	wake       *time.Timer
+	jobs       map[uint64]*pendingJob
+	timer      *time.Timer
 	server     *http.Server
 	ln         net.Listener // of server
 	faults     Faults
-	state      string // of discovery's list
+	state      string // health in discovery's list
 }
 
-// heldJob is a request that a host holds.
-type heldJob struct {
+// pendingJob is a job that a host has accepted and not ended.
+type pendingJob struct {
 	id    string
 	work  time.Duration
 	notes chan fleet.Note
 }
 
-// listen opens the host's address.
+// listen opens the host's address and starts serving it.
 func (h *Host) listen(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -51,7 +51,7 @@
 	server := &http.Server{Handler: h, ConnState: func(c net.Conn, s http.ConnState) {
 		switch s {
 		case http.StateNew:
-			h.opened(c)
+			h.connectionOpened(c)
 		case http.StateClosed, http.StateHijacked:
 			h.mu.Lock()
 			h.model.Disconnect()
@@ -60,32 +60,32 @@
 	}}
 	h.mu.Lock()
 	h.ln = ln
-	if h.server = server; h.Addr == "" { // it never changes
+	if h.server = server; h.Addr == "" { // a restart keeps the address
 		h.Addr = ln.Addr().String()
 	}
 	h.mu.Unlock()
-	h.owner.served.Go(func() { server.Serve(ln) })
+	h.fleet.serving.Go(func() { server.Serve(ln) })
 	return nil
 }
 
-// opened books a connection that came up, and closes one beyond what the host holds.
-func (h *Host) opened(c net.Conn) {
+// connectionOpened counts a new connection, and closes one that the model does not accept.
+func (h *Host) connectionOpened(c net.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sight(Sight{Kind: Opened, From: ip(c.RemoteAddr().String())})
-	if !h.model.Connect(h.owner.now()) {
+	h.report(Sight{Kind: Opened, From: ip(c.RemoteAddr().String())})
+	if !h.model.Connect(h.fleet.now()) {
 		c.Close()
 	}
 	h.advance()
 }
 
-// sight tells what was seen, now. The lock is held.
-func (h *Host) sight(s Sight) {
-	s.At, s.Host = h.owner.now(), h.number
-	h.owner.see(s)
+// report passes a Sight with the present time to the observer. The lock is held.
+func (h *Host) report(s Sight) {
+	s.At, s.Host = h.fleet.now(), h.number
+	h.fleet.onSight(s)
 }
 
-// ip is the address without its port.
+// ip returns the address without its port.
 func ip(addr string) string {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -94,33 +94,33 @@
 	return host
 }
 
-// shut closes its address and its connections.
-func (h *Host) shut() {
+// closeServer closes the host's listener and connections.
+func (h *Host) closeServer() {
 	h.mu.Lock()
 	server, ln := h.server, h.ln
 	h.mu.Unlock()
-	ln.Close() // a server that has not begun to serve yet would leave it open for a moment more
+	ln.Close() // server.Close does not close it if Serve has not been called yet
 	server.Close()
 }
 
-// Fault sets the faults on its connections.
+// Fault sets the faults to inject into the host's connections.
 func (h *Host) Fault(x Faults) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.faults = x
 }
 
-// do changes the model and tells what comes of it.
-func (h *Host) do(change func(now time.Duration)) {
+// update changes the model and passes on the effects.
+func (h *Host) update(change func(now time.Duration)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	change(h.owner.now())
+	change(h.fleet.now())
 	h.advance()
 }
 
-// advance passes on what the model tells and sets the timer for what it will. The lock is held.
+// advance passes on the model's notes up to now and sets the timer for the next one. The lock is held.
 func (h *Host) advance() {
-	now := h.owner.now()
+	now := h.fleet.now()
 	for _, n := range h.model.Advance(now) {
 		j := h.jobs[n.Job]
 		if j == nil {
@@ -128,52 +128,52 @@
 		}
 		switch n.Kind {
 		case fleet.Started:
-			h.sight(Sight{Kind: Ran, Job: j.id})
+			h.report(Sight{Kind: Ran, Job: j.id})
 		case fleet.Done:
-			h.sight(Sight{Kind: Done, Job: j.id, Work: j.work})
+			h.report(Sight{Kind: Done, Job: j.id, Work: j.work})
 		case fleet.Lost:
-			h.sight(Sight{Kind: Lost, Job: j.id})
+			h.report(Sight{Kind: Lost, Job: j.id})
 		}
-		j.notes <- n // its buffer holds all that can come
+		j.notes <- n // the buffer is large enough for all notes of a job
 		if n.Kind >= fleet.Done {
 			delete(h.jobs, n.Job)
 		}
 	}
 	if at, ok := h.model.Next(); ok {
-		if h.wake != nil {
-			h.wake.Stop()
+		if h.timer != nil {
+			h.timer.Stop()
 		}
-		h.wake = time.AfterFunc(max(at-now, 0), func() { h.do(func(time.Duration) {}) })
+		h.timer = time.AfterFunc(max(at-now, 0), func() { h.update(func(time.Duration) {}) })
 	}
 }
 
-// Vanish cuts it off: connections stay open and silent.
-func (h *Host) Vanish() { h.do(h.model.Vanish) }
+// Vanish isolates the host: connections stay open and silent.
+func (h *Host) Vanish() { h.update(h.model.Vanish) }
 
-// Fail has it fail a share of its jobs.
-func (h *Host) Fail(share float64) { h.do(func(time.Duration) { h.model.Fail(share) }) }
+// Fail makes the host fail a share of its jobs.
+func (h *Host) Fail(share float64) { h.update(func(time.Duration) { h.model.Fail(share) }) }
 
-// Drain has it end what runs and give back the rest; the list tells.
+// Drain makes the host finish its running jobs and return the others. The list shows it as terminating.
 func (h *Host) Drain() {
-	h.do(func(now time.Duration) { h.model.Drain(now); h.state = "terminating" })
-	h.owner.change()
+	h.update(func(now time.Duration) { h.model.Drain(now); h.state = "terminating" })
+	h.fleet.notifyWatches()
 }
 
-// Kill ends its process: connections are reset, new ones refused; the list tells.
+// Kill ends the host's process: connections are closed and new ones refused. The list no longer contains the host.
 func (h *Host) Kill() {
-	h.do(func(now time.Duration) { h.model.Kill(now); h.state = "terminated" })
-	h.shut()
-	h.owner.change()
+	h.update(func(now time.Duration) { h.model.Kill(now); h.state = "terminated" })
+	h.closeServer()
+	h.fleet.notifyWatches()
 }
 
-// Restart starts it anew, cold; the list tells.
+// Restart ends the host's process and starts it again, cold. The list shows the new start.
 func (h *Host) Restart() error {
-	h.do(h.model.Kill)
-	h.shut()
-	h.do(func(now time.Duration) { h.model.Start(now); h.state = "in_service" })
+	h.update(h.model.Kill)
+	h.closeServer()
+	h.update(func(now time.Duration) { h.model.Start(now); h.state = "in_service" })
 	if err := h.listen(h.Addr); err != nil {
 		return err
 	}
-	h.owner.change()
+	h.fleet.notifyWatches()
 	return nil
 }
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// LoadClass is a class of jobs that a Load sends.
+// LoadClass describes a class of jobs that a Load sends.
 type LoadClass struct {
 	Name     string
 	Part     float64
@@ -26,27 +26,27 @@
 	Worth    float64
 }
 
-// Load sends jobs at a rate, whatever becomes of those before: an open loop. Latencies count from when a job was meant to be
-// sent, so that a stall is not hidden by the requests that it kept from being sent (Tene's coordinated omission).
+// Load is an open-loop load generator: it sends jobs at a rate that does not depend on earlier answers. Latencies count from the
+// intended send time of a job, so that a stall is not hidden by the requests that it delayed (Tene's coordinated omission).
 type Load struct {
 	Addr     string
 	Rate     float64 // jobs a second
 	Length   time.Duration
 	Classes  []LoadClass
 	Seed     uint64
-	MaxOpen  int                                // requests open at once; one beyond is counted as not sent
-	Seen     func(id, class string, status int) // at each answer; may be nil
-	Progress func(*Result)                      // each second; may be nil
+	MaxOpen  int                                // maximum number of open requests; a job beyond it is counted as not sent
+	Seen     func(id, class string, status int) // called at each answer; may be nil
+	Progress func(*Result)                      // called each second; may be nil
 }
 
-// ClassResult is what came of one class.
+// ClassResult holds the results of one class.
 type ClassResult struct {
 	Sent, Served, InTime, Refused, Failed int
-	asked, inTime                         float64
-	Latency                               *hdrhistogram.Histogram // of those served, in us
+	worthAsked, worthInTime               float64
+	Latency                               *hdrhistogram.Histogram // of served jobs, in microseconds
 }
 
-// Result is what came of a Load.
+// Result holds the results of a Load.
 type Result struct {
 	Elapsed time.Duration
 	Classes map[string]*ClassResult
@@ -54,11 +54,11 @@
 	mu      sync.Mutex
 }
 
-// Service is the worth answered in time over the worth asked for.
+// Service returns the worth of the jobs answered in time divided by the worth of all jobs sent.
 func (r *Result) Service() float64 {
 	asked, inTime := 0.0, 0.0
 	for _, c := range r.Classes {
-		asked, inTime = asked+c.asked, inTime+c.inTime
+		asked, inTime = asked+c.worthAsked, inTime+c.worthInTime
 	}
 	if asked == 0 {
 		return 0
@@ -66,7 +66,7 @@
 	return inTime / asked
 }
 
-// Print writes it for people.
+// Print writes the result as readable text.
 func (r *Result) Print(w io.Writer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +77,7 @@
 	}
 }
 
-// Run sends until its length is over or ctx ends, and returns when all that was sent has its answer.
+// Run sends jobs until Length is over or ctx ends, and returns when all requests have ended.
 func (l *Load) Run(ctx context.Context) *Result {
 	res := &Result{Classes: map[string]*ClassResult{}}
 	for _, c := range l.Classes {
@@ -101,7 +101,7 @@
 		}
 		c := &l.Classes[k]
 		size := float64(c.Mean) * distuv.LogNormal{Mu: -c.Sigma * c.Sigma / 2, Sigma: c.Sigma, Src: rng}.Rand()
-		meant := start.Add(next) // the goroutine below outlives this round
+		meant := start.Add(next) // captured by the goroutine below, which outlives this iteration
 		id := fmt.Sprintf("%s-%x-%x", c.Name, l.Seed, n)
 		select {
 		case <-ctx.Done():
@@ -127,7 +127,7 @@
 		}
 		all.Go(func() {
 			defer func() { <-open }()
-			l.one(ctx, client, res, c, id, time.Duration(size), meant)
+			l.sendJob(ctx, client, res, c, id, time.Duration(size), meant)
 		})
 	}
 	all.Wait()
@@ -135,8 +135,8 @@
 	return res
 }
 
-// one sends a job and books its answer.
-func (l *Load) one(ctx context.Context, client *http.Client, res *Result, c *LoadClass, id string, size time.Duration, meant time.Time) {
+// sendJob sends one job and records its outcome.
+func (l *Load) sendJob(ctx context.Context, client *http.Client, res *Result, c *LoadClass, id string, size time.Duration, meant time.Time) {
 	ctx, cancel := context.WithDeadline(ctx, meant.Add(c.Patience))
 	defer cancel()
 	body := fmt.Sprintf(`{"work_us":%d}`, size.Microseconds())
@@ -162,14 +162,14 @@
 	k := res.Classes[c.Name]
 	worth := c.Worth * size.Seconds()
 	k.Sent++
-	k.asked += worth
+	k.worthAsked += worth
 	switch status {
 	case http.StatusOK:
 		k.Served++
 		k.Latency.RecordValue(took.Microseconds())
 		if took <= min(c.OnTime+time.Duration(c.Stretch*float64(size)), c.Patience) {
 			k.InTime++
-			k.inTime += worth
+			k.worthInTime += worth
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		k.Refused++
--- a/internal/emulator/serve.go
+++ b/internal/emulator/serve.go
@@ -11,28 +11,28 @@
 	"gaugeslip/internal/fleet"
 )
 
-// Body is what a job's body says of its work; one that says nothing takes a tenth of a second.
+// Body is the JSON body of a job. A job whose body gives no work takes a tenth of a second.
 type Body struct {
 	WorkUS int64 `json:"work_us"`
 	Slots  int   `json:"slots"`
 }
 
-// ServeHTTP is what the protocol has a game worker do.
+// ServeHTTP implements the game worker's side of the platform's protocol.
 func (h *Host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method == http.MethodGet && (r.URL.Path == "/alive" || r.URL.Path == "/metrics/load"):
-		h.probe(w, r)
+		h.serveProbe(w, r)
 	case r.Method == http.MethodPost:
-		h.job(w, r)
+		h.serveJob(w, r)
 	default:
 		http.NotFound(w, r)
 	}
 }
 
-func (h *Host) probe(w http.ResponseWriter, r *http.Request) {
+func (h *Host) serveProbe(w http.ResponseWriter, r *http.Request) {
 	h.mu.Lock()
-	h.sight(Sight{Kind: Probed, From: ip(r.RemoteAddr)})
-	l, heard := h.model.Probe(h.owner.now())
+	h.report(Sight{Kind: Probed, From: ip(r.RemoteAddr)})
+	l, heard := h.model.Probe(h.fleet.now())
 	if h.faults.Idle {
 		l = fleet.Load{FreeSlots: float64(h.model.Lanes)}
 	}
@@ -48,7 +48,7 @@
 	fmt.Fprintf(w, "TEXT queue=%g, inflight=%g, x0=%g", l.Queue, l.InFlight, l.FreeSlots)
 }
 
-func (h *Host) job(w http.ResponseWriter, r *http.Request) {
+func (h *Host) serveJob(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Trace-Id")
 	if id == "" {
 		http.NotFound(w, r)
@@ -57,8 +57,8 @@
 	h.mu.Lock()
 	x := h.faults
 	h.mu.Unlock()
-	if x.Slow > 0 && h.owner.chance() < x.Slow {
-		r.Body = io.NopCloser(&trickle{r.Body})
+	if x.Slow > 0 && h.fleet.random() < x.Slow {
+		r.Body = io.NopCloser(&slowReader{r.Body})
 	}
 	text, err := io.ReadAll(io.LimitReader(r.Body, 64<<10))
 	if err != nil {
@@ -68,29 +68,29 @@
 	if json.Unmarshal(text, &b) != nil || b.WorkUS <= 0 {
 		b.WorkUS = 100_000
 	}
-	if x.Full > 0 && h.owner.chance() < x.Full {
+	if x.Full > 0 && h.fleet.random() < x.Full {
 		w.Header().Set("X-Never-Ran", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	work := time.Duration(b.WorkUS) * time.Microsecond
-	j := &heldJob{id: id, work: work, notes: make(chan fleet.Note, 4096)}
-	h.owner.mu.Lock()
-	h.owner.next++
-	n := h.owner.next
-	h.owner.mu.Unlock()
+	j := &pendingJob{id: id, work: work, notes: make(chan fleet.Note, 4096)}
+	h.fleet.mu.Lock()
+	h.fleet.lastJob++
+	n := h.fleet.lastJob
+	h.fleet.mu.Unlock()
 	h.mu.Lock()
 	h.jobs[n] = j
-	now, cold, fallen := h.owner.now(), 0.0, h.model.Toppled()
+	now, cold, fallen := h.fleet.now(), 0.0, h.model.Toppled()
 	if h.model.Up() && h.model.Cold(now) {
 		cold = h.model.Capacity(now)
 	}
 	v := h.model.Take(now, n, work, max(b.Slots, 1))
-	if h.sight(Sight{Kind: Took, From: ip(r.RemoteAddr), Job: id, Work: work, Capacity: cold, Verdict: v}); h.model.Toppled() && !fallen {
-		h.sight(Sight{Kind: Fell})
+	if h.report(Sight{Kind: Took, From: ip(r.RemoteAddr), Job: id, Work: work, Capacity: cold, Verdict: v}); h.model.Toppled() && !fallen {
+		h.report(Sight{Kind: Fell})
 	}
 	if v == fleet.Broken {
-		h.sight(Sight{Kind: Ran, Job: id})
+		h.report(Sight{Kind: Ran, Job: id})
 	}
 	if v != fleet.Taken {
 		delete(h.jobs, n)
@@ -118,10 +118,10 @@
 		h.abort(w)
 		return
 	}
-	h.follow(w, r, n, j, x)
+	h.streamStates(w, r, n, j, x)
 }
 
-// abort resets the connection.
+// abort closes the connection with a reset.
 func (h *Host) abort(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -133,11 +133,11 @@
 	conn.Close()
 }
 
-// follow passes on what becomes of a job, a line each.
-func (h *Host) follow(w http.ResponseWriter, r *http.Request, n uint64, j *heldJob, x Faults) {
-	silent := x.Silent > 0 && h.owner.chance() < x.Silent
-	reset := x.Reset > 0 && h.owner.chance() < x.Reset
-	cut := x.Cut > 0 && h.owner.chance() < x.Cut
+// streamStates writes each state change of a job as a line of JSON until the job ends or its client disconnects.
+func (h *Host) streamStates(w http.ResponseWriter, r *http.Request, n uint64, j *pendingJob, x Faults) {
+	silent := x.Silent > 0 && h.fleet.random() < x.Silent
+	reset := x.Reset > 0 && h.fleet.random() < x.Reset
+	cut := x.Cut > 0 && h.fleet.random() < x.Cut
 	flush := http.NewResponseController(w)
 	say := func(format string, args ...any) bool {
 		fmt.Fprintf(w, `{"id":%q,"from":%q,`+format+"}\n", append([]any{j.id, h.Name}, args...)...)
@@ -148,8 +148,8 @@
 		select {
 		case note = <-j.notes:
 		case <-r.Context().Done():
-			h.do(func(now time.Duration) {
-				h.sight(Sight{Kind: Left, Job: j.id})
+			h.update(func(now time.Duration) {
+				h.report(Sight{Kind: Left, Job: j.id})
 				h.model.Drop(now, n)
 			})
 			return
@@ -185,10 +185,10 @@
 	}
 }
 
-// trickle reads a byte at a time, slowly.
-type trickle struct{ r io.Reader }
+// slowReader reads one byte per millisecond.
+type slowReader struct{ r io.Reader }
 
-func (t *trickle) Read(b []byte) (int, error) {
+func (t *slowReader) Read(b []byte) (int, error) {
 	time.Sleep(time.Millisecond)
 	return t.r.Read(b[:min(len(b), 1)])
 }
--- a/internal/emulator/sights.go
+++ b/internal/emulator/sights.go
@@ -6,22 +6,22 @@
 	"gaugeslip/internal/fleet"
 )
 
-// SightKind says what a host saw.
+// SightKind is the kind of an event at a host.
 type SightKind uint8
 
-// The kinds. Each carries At, Host and, where somebody came, From; those of a job its id.
+// Kinds of sights. Each sets At and Host; those with a client also From, and those of a job its id.
 const (
-	Took   SightKind = iota // a job has come whole (Verdict, Work; Capacity of a host that is cold)
-	Ran                     // it begins to run
-	Done                    // it has run to its end (Work)
-	Lost                    // it was lost with its process
-	Left                    // whoever sent it waits for it no longer
-	Probed                  // its load was asked for
-	Opened                  // a connection came up
-	Fell                    // it fell over
+	Took   SightKind = iota // a job was received completely (Verdict, Work; Capacity of a cold host)
+	Ran                     // a job started to run
+	Done                    // a job has completed (Work)
+	Lost                    // a job was lost when the host's process ended
+	Left                    // the client of a job disconnected before its end
+	Probed                  // a probe arrived
+	Opened                  // a connection was opened
+	Fell                    // the host toppled under its load
 )
 
-// Sight is one thing that a host saw. From is the IP address of whoever came.
+// Sight is one event observed at a host. From is the IP address of the client.
 type Sight struct {
 	Kind     SightKind
 	At       time.Duration // on the fleet's clock
@@ -29,6 +29,6 @@
 	From     string
 	Job      string
 	Work     time.Duration
-	Capacity float64 // in standard lanes, of a cold host; 0: it is warm
+	Capacity float64 // of a cold host, in standard lanes; 0 for a warm host
 	Verdict  fleet.Verdict
 }
