--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -183,7 +183,7 @@
 }
 
 // The load is an open loop: a stalled host does not delay other jobs, and latency counts from the intended send time.
-func TestLoadIsOpen(t *testing.T) {
+func TestLoadIsOpenLoop(t *testing.T) {
 	stall := make(chan struct{})
 	first := true
 	var mu sync.Mutex
--- a/internal/simnet/conn_test.go
+++ b/internal/simnet/conn_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBytesComeInOrderAfterTheLatency(t *testing.T) {
+func TestBytesArriveInOrderAfterTheLatency(t *testing.T) {
 	inBubble(t, func(t *testing.T, n *Network) {
 		n.SetLatency(caller, server, 10*time.Millisecond, 20*time.Millisecond)
 		near, far := pair(t, n)
@@ -32,7 +32,7 @@
 	})
 }
 
-func TestAHalfClosedConnectionStillCarriesTheOtherWay(t *testing.T) {
+func TestHalfClosedConnectionCarriesTheOtherDirection(t *testing.T) {
 	inBubble(t, func(t *testing.T, n *Network) {
 		near, far := pair(t, n)
 		write(t, near, "ask")
@@ -59,7 +59,7 @@
 	})
 }
 
-func TestBytesForAClosedEndAreAnsweredWithAReset(t *testing.T) {
+func TestBytesForAClosedEndCauseAReset(t *testing.T) {
 	inBubble(t, func(t *testing.T, n *Network) {
 		near, far := pair(t, n)
 		require.NoError(t, far.Close())
@@ -127,7 +127,7 @@
 	})
 }
 
-func TestADialIsRefusedWhereNobodyListens(t *testing.T) {
+func TestDialWithoutListenerIsRefused(t *testing.T) {
 	inBubble(t, func(t *testing.T, n *Network) {
 		_, err := n.Dial(context.Background(), caller, port)
 		require.ErrorIs(t, err, syscall.ECONNREFUSED)
@@ -143,7 +143,7 @@
 	})
 }
 
-func TestAClosingListenerResetsWhatItHadNotAccepted(t *testing.T) {
+func TestClosingListenerResetsPendingConnections(t *testing.T) {
 	inBubble(t, func(t *testing.T, n *Network) {
 		l := listen(t, n)
 		near, err := n.Dialer(caller)(context.Background(), "tcp", port)
--- a/internal/simnet/faults_test.go
+++ b/internal/simnet/faults_test.go
@@ -24,7 +24,7 @@
 	})
 }
 
-func TestADialWaitsOutACut(t *testing.T) {
+func TestDialWaitsDuringACut(t *testing.T) {
 	inBubble(t, func(t *testing.T, n *Network) {
 		l := listen(t, n)
 		n.CutBoth(caller, server)
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestARefusedWayResetsAndRefuses(t *testing.T) {
+func TestRefuseResetsConnectionsAndRefusesDials(t *testing.T) {
 	inBubble(t, func(t *testing.T, n *Network) {
 		l := listen(t, n)
 		near, far := join(t, n, l)
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestAStoppedProcessStillTakesConnections(t *testing.T) {
+func TestStoppedProcessStillAcceptsConnections(t *testing.T) {
 	inBubble(t, func(t *testing.T, n *Network) {
 		l := listen(t, n)
 		near, far := join(t, n, l)
@@ -112,7 +112,7 @@
 	})
 }
 
-func TestAPlanEndsAConnectionAtItsByte(t *testing.T) {
+func TestPlanEndsConnectionAtExactByte(t *testing.T) {
 	for _, ending := range []Ending{Reset, Finish, Silence} {
 		inBubble(t, func(t *testing.T, n *Network) {
 			n.SetPlan(func(from, to string, nth int) Fate {
--- a/internal/simnet/random_test.go
+++ b/internal/simnet/random_test.go
@@ -125,7 +125,7 @@
 	})
 }
 
-func TestWhatArrivesIsAlwaysABeginningOfWhatWasWritten(t *testing.T) {
+func TestReadBytesAreAPrefixOfWrittenBytes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed, parts := rapid.Uint64().Draw(rt, "seed"), drawParts(rt)
 		out, back := converse(t, seed, parts, drawTroubles(rt, harmful))
