--- a/internal/rig/addresses.go
+++ b/internal/rig/addresses.go
@@ -8,10 +8,10 @@
 	"gaugeslip/internal/freeport"
 )
 
-// ip is an address of dispatcher i's own: 1 is its own, 2 and up are its links'.
+// ip returns a loopback address of dispatcher i: part 1 is its own address, 2 and up are those of its links.
 func ip(i, part int) string { return fmt.Sprintf("127.0.%d.%d", 10+i, part) }
 
-// reserve takes a port at an address until the rig closes.
+// reserve reserves a port at an address until the rig closes.
 func (r *rig) reserve(ip string) (string, error) {
 	port, err := freeport.Reserve()
 	if err != nil {
@@ -21,9 +21,9 @@
 	return net.JoinHostPort(ip, strconv.Itoa(port.Port())), nil
 }
 
-// release gives all reserved ports back.
-func (r *rig) release() {
+// releasePorts releases all reserved ports.
+func (r *rig) releasePorts() {
 	for _, port := range r.reserved {
-		_ = port.Close() // nothing is to be done about a socket that doesn't close
+		_ = port.Close() // an error on close has no remedy
 	}
 }
--- a/internal/rig/configuration.go
+++ b/internal/rig/configuration.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// configure writes a dispatcher's configuration, whole or not at all.
-func (r *rig) configure(n *node, life int) error {
-	disc := n.disc[0]
+// writeConfig writes a dispatcher's configuration file atomically.
+func (r *rig) writeConfig(n *node, incarnation int) error {
+	disc := n.discovery[0]
 	r.mu.Lock()
-	if n.moved {
-		disc = n.disc[1]
+	if n.usesSecondDiscovery {
+		disc = n.discovery[1]
 	}
 	r.mu.Unlock()
 	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", n.number), "listen": n.listen, "discovery": disc.Addr,
-		"seed":   fmt.Sprintf("%x", r.seed<<24+uint64(n.number)<<8+uint64(life)),
+		"seed":   fmt.Sprintf("%x", r.seed<<24+uint64(n.number)<<8+uint64(incarnation)),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"known":  json.RawMessage(r.fleet.ListFor(func(h int) string { return n.hosts[h].Addr })), "settings": r.settings(n.number)})
 	if err != nil {
@@ -30,7 +30,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// settings is what a dispatcher is told, in the platform's form.
+// settings returns a dispatcher's settings in the platform's form.
 func (r *rig) settings(i int) map[string]any {
 	type m = map[string]any
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
@@ -58,7 +58,7 @@
 	p := r.params()
 	return m{"accounts": accounts, "family-info": m{"class-stretch": stretch, "report-x0": "free slots", "tells-start": true, "progress": ms(p.Progress)},
 		"kinds": kinds, "localities": rooms, "locality": room(i % r.sc.Rooms), "ordinal": i, "replicas-of-me": r.sc.Dispatchers,
-		"limits": m{"cancel": true, "conn-idle": 30000.0, "connect-timeout": 250.0, "max-attempts": 6, "max-retry-after": ms(mostAdvice),
+		"limits": m{"cancel": true, "conn-idle": 30000.0, "connect-timeout": 250.0, "max-attempts": 6, "max-retry-after": ms(maxRetryAfter),
 			"most-held": 20000, "probes": true, "retry-after": true},
 		"prices": m{"probe": 0.002, "waste": 0.02, "cross-zone": 0.018}, "profiles": profiles, "registry-mode": "ask",
 		"report": m{"fields": []string{"q", "rif", "x0"}, "how": "pull"}, "value-by": "work",
--- a/internal/rig/dispatchers.go
+++ b/internal/rig/dispatchers.go
@@ -11,19 +11,19 @@
 	"gaugeslip/internal/pause"
 )
 
-// node is one dispatcher: its process and its links.
+// node is one dispatcher with its process and links.
 type node struct {
-	number int
-	listen string
-	proc   *Process
-	client *Link
-	disc   [2]*Link // discovery, and another way to it that a reload moves to
-	hosts  []*Link
-	moved  bool // to the other discovery
+	number              int
+	listen              string
+	proc                *Process
+	client              *Link
+	discovery           [2]*Link // two links to discovery; a reload switches between them
+	hosts               []*Link
+	usesSecondDiscovery bool // the second link to discovery is in use
 }
 
-// add makes dispatcher i with its links, and starts it.
-func (r *rig) add(i int) (err error) {
+// addDispatcher creates dispatcher i with its links and starts it.
+func (r *rig) addDispatcher(i int) (err error) {
 	n := &node{number: i}
 	if n.listen, err = r.reserve(ip(i, 1)); err != nil {
 		return err
@@ -44,15 +44,15 @@
 	if err == nil {
 		var view string
 		if view, err = r.fleet.View(func(h int) string { return n.hosts[h].Addr }); err == nil {
-			n.disc = [2]*Link{link(3, view, ""), link(4, view, "")}
+			n.discovery = [2]*Link{link(3, view, ""), link(4, view, "")}
 		}
 	}
-	n.proc = &Process{keeper: r.keeper, make: func(life int) (*exec.Cmd, error) { return r.command(n, life) }}
-	r.nodes = append(r.nodes, n) // so that what there is of it is closed
+	n.proc = &Process{starter: r.starter, newCommand: func(incarnation int) (*exec.Cmd, error) { return r.command(n, incarnation) }}
+	r.nodes = append(r.nodes, n) // before the check of err, so that close ends what was created
 	if err != nil {
 		return err
 	}
-	r.source[ip(i, 1)] = i
+	r.dispatcherByIP[ip(i, 1)] = i
 	weight := 1.0
 	if i == 0 && r.sc.Uneven > 0 {
 		weight = r.sc.Uneven
@@ -61,20 +61,20 @@
 	return n.proc.Start()
 }
 
-// command is that of one life of a dispatcher, with its configuration written.
-func (r *rig) command(n *node, life int) (*exec.Cmd, error) {
+// command writes a dispatcher's configuration and returns the command of one incarnation.
+func (r *rig) command(n *node, incarnation int) (*exec.Cmd, error) {
 	dir := filepath.Join(r.dir, fmt.Sprint("n", n.number))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	if err := r.configure(n, life); err != nil {
+	if err := r.writeConfig(n, incarnation); err != nil {
 		return nil, err
 	}
 	args := []string{"serve", "--config", filepath.Join(dir, "config.json")}
 	site := r.opt.Site
 	if site == "" {
 		var err error
-		if site, err = r.site(n); err != nil {
+		if site, err = r.writeSiteFile(n); err != nil {
 			return nil, err
 		}
 	}
@@ -86,17 +86,17 @@
 	return c, nil
 }
 
-// awaitUp waits until the front has taken every dispatcher in.
-func (r *rig) awaitUp(ctx context.Context) error {
-	until := time.Now().Add(upWithin)
+// awaitDispatchers waits until the front regards every dispatcher as available.
+func (r *rig) awaitDispatchers(ctx context.Context) error {
+	until := time.Now().Add(startTimeout)
 	for _, m := range r.front.members {
-		for !m.taken() {
+		for !m.isAvailable() {
 			if time.Now().After(until) || pause.For(ctx, 20*time.Millisecond) != nil {
-				var said []string
+				var errorLines []string
 				for _, n := range r.nodes {
-					said = append(said, n.proc.log.lines("level=ERROR", "panic", "gaugeslip: ")...)
+					errorLines = append(errorLines, n.proc.log.lines("level=ERROR", "panic", "gaugeslip: ")...)
 				}
-				return fmt.Errorf("rig: not every dispatcher is up: %q", said)
+				return fmt.Errorf("rig: not every dispatcher is up: %q", errorLines)
 			}
 		}
 	}
--- a/internal/rig/front.go
+++ b/internal/rig/front.go
@@ -18,42 +18,42 @@
 	"gaugeslip/internal/scenario"
 )
 
-// The front's habits, as the platform's pages have them.
+// Times of the front and its clients, as the platform documents them.
 const (
-	pollEvery    = 200 * time.Millisecond
-	pollTimeout  = time.Second
-	noticeLeast  = 1700 * time.Millisecond // until it notices that a dispatcher is gone
-	noticeMost   = 3900 * time.Millisecond
-	clientIdle   = time.Second            // a client's kept connection, shorter than a dispatcher keeps it
-	answerGrace  = 2 * time.Second        // after its deadline a client still listens, to tell late from never
-	bookedWithin = 500 * time.Millisecond // what it heard is in the record, on a machine under load
-	noAdvice     = time.Second            // a client that was told no time waits so long
-	mostAdvice   = 2 * time.Second        // what the settings let a dispatcher tell
-	nobodyThere  = 250 * time.Millisecond // until a client tries again where the front has no dispatcher
+	pollInterval        = 200 * time.Millisecond
+	pollTimeout         = time.Second
+	minRemovalDelay     = 1700 * time.Millisecond // until the front removes a dispatcher that stopped answering: minimum
+	maxRemovalDelay     = 3900 * time.Millisecond
+	clientIdleTimeout   = time.Second            // idle time of a client's connection, shorter than a dispatcher's
+	answerGrace         = 2 * time.Second        // how long a client waits after its deadline, to tell a late answer from none
+	recordDelay         = 500 * time.Millisecond // until an answer is in the record, on a machine under load
+	defaultRetryDelay   = time.Second            // wait of a client before a retry without a Retry-After
+	maxRetryAfter       = 2 * time.Second        // largest Retry-After that the settings allow a dispatcher
+	unreachedRetryDelay = 250 * time.Millisecond // until a client tries again when no dispatcher is available
 )
 
-// member is a dispatcher as the front sees it.
+// member is a dispatcher as seen by the front.
 type member struct {
 	proc   *Process
 	link   *Link
 	room   int
 	weight float64
 
-	mu sync.Mutex
-	in bool
+	mu        sync.Mutex
+	available bool
 }
 
-func (m *member) taken() bool {
+func (m *member) isAvailable() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.in
+	return m.available
 }
 
-// watch takes the dispatcher in once /up says 200, and out some time after it stopped to, until ctx ends.
+// watch makes the dispatcher available once /up returns 200, and unavailable some time after /up has stopped to, until ctx ends.
 func (m *member) watch(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 13))
 	client := &http.Client{Timeout: pollTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	var since time.Time // it does not answer
+	var since time.Time // when it stopped answering
 	notice := time.Duration(0)
 	for {
 		up := false
@@ -66,22 +66,22 @@
 		m.mu.Lock()
 		switch {
 		case up:
-			m.in, since = true, time.Time{}
+			m.available, since = true, time.Time{}
 		case since.IsZero():
-			since, notice = time.Now(), noticeLeast+time.Duration(rng.Int64N(int64(noticeMost-noticeLeast)))
+			since, notice = time.Now(), minRemovalDelay+time.Duration(rng.Int64N(int64(maxRemovalDelay-minRemovalDelay)))
 		case time.Since(since) >= notice:
-			m.in = false
+			m.available = false
 		}
 		m.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// front deals clients out over the dispatchers of their room.
+// front distributes clients over the dispatchers of their room.
 type front struct {
 	sc      *Scenario
 	rec     *recorder
@@ -89,19 +89,19 @@
 	client  *http.Client
 	now     func() time.Duration
 
-	mu   sync.Mutex
-	rng  *rand.Rand // of what each client draws for itself
-	load float64    // at present, against the scenario's
-	open sync.WaitGroup
+	mu      sync.Mutex
+	rng     *rand.Rand // draws the dispatcher of each attempt
+	load    float64    // present factor on the scenario's load
+	clients sync.WaitGroup
 }
 
-// choose gives a dispatcher of the room that is taken in, or of any where it has none; -1: there is none at all.
-func (f *front) choose(room int) int {
+// pickDispatcher returns an available dispatcher of the room, or of any room if it has none; -1 if none is available.
+func (f *front) pickDispatcher(room int) int {
 	for _, same := range []bool{true, false} {
 		total := 0.0
 		var list []int
 		for i, m := range f.members {
-			if (m.room == room || !same) && m.taken() {
+			if (m.room == room || !same) && m.isAvailable() {
 				list = append(list, i)
 				total += m.weight
 			}
@@ -109,7 +109,7 @@
 		if len(list) == 0 {
 			continue
 		}
-		x := f.draw() * total
+		x := f.random() * total
 		for _, i := range list {
 			if x -= f.members[i].weight; x < 0 {
 				return i
@@ -120,14 +120,14 @@
 	return -1
 }
 
-func (f *front) draw() float64 {
+func (f *front) random() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rng.Float64()
 }
 
-// run offers the scenario's load until its length is over, and returns when every client has its answer. Arrivals are drawn by
-// the seed alone: a Poisson process whose rate follows the storms.
+// run offers the scenario's load until its length is over, and returns when all clients have ended. Arrivals depend only on the
+// seed: they are a Poisson process whose rate follows the storms.
 func (f *front) run(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	next := f.now()
@@ -135,11 +135,11 @@
 		f.mu.Lock()
 		load := f.load
 		f.mu.Unlock()
-		next += time.Duration(rng.ExpFloat64() / (f.sc.rate() * f.sc.Load * load) * 1e9)
+		next += time.Duration(rng.ExpFloat64() / (f.sc.baseRate() * f.sc.Load * load) * 1e9)
 		if next >= f.sc.length {
 			break
 		}
-		o := f.wish(rng, n, next)
+		o := f.newOrder(rng, n, next)
 		select {
 		case <-ctx.Done():
 		case <-time.After(next - f.now()):
@@ -147,20 +147,20 @@
 		if ctx.Err() != nil {
 			break
 		}
-		f.rec.asked(o)
+		f.rec.recordOrder(o)
 		ignores, early := rng.Float64() < f.sc.Clients.Ignore, rng.Float64() < f.sc.Clients.Early
-		f.open.Go(func() { f.serve(ctx, o, ignores, early) })
+		f.clients.Go(func() { f.serveClient(ctx, o, ignores, early) })
 	}
-	f.open.Wait()
+	f.clients.Wait()
 }
 
-// wish draws what a client wants.
-func (f *front) wish(rng *rand.Rand, n int, at time.Duration) *order {
+// newOrder draws the order of a client.
+func (f *front) newOrder(rng *rand.Rand, n int, at time.Duration) *order {
 	c := &f.sc.Classes[scenario.Choose(f.sc.Classes, rng.Float64())]
 	size := c.Size(rng)
 	hint := size * distuv.LogNormal{Sigma: f.sc.Clients.Hint, Src: rng}.Rand()
 	o := &order{number: n, class: c, room: rng.IntN(f.sc.Rooms), size: max(time.Duration(size), time.Millisecond),
-		hint: max(time.Duration(hint), time.Millisecond), first: at, patience: c.Wait, tenant: -1}
+		hint: max(time.Duration(hint), time.Millisecond), sendTime: at, patience: c.Wait, tenant: -1}
 	if len(f.sc.Tenants) > 0 {
 		x := rng.Float64()
 		for i, t := range f.sc.Tenants {
@@ -175,38 +175,38 @@
 	return o
 }
 
-// serve makes a client's tries until it is served, gives up or may not try again.
-func (f *front) serve(ctx context.Context, o *order, ignores, early bool) {
+// serveClient makes a client's attempts until it is served, gives up or may not try again.
+func (f *front) serveClient(ctx context.Context, o *order, ignores, early bool) {
 	cl := f.sc.Clients
-	end := o.first + o.patience
+	end := o.sendTime + o.patience
 	if early {
-		end = o.first + o.patience/10
+		end = o.sendTime + o.patience/10
 	}
-	told := false // it comes when it was told to, and that was not just as late as can be
+	followsAdvice := false // the attempt follows a Retry-After below the maximum
 	for {
-		node := f.choose(o.room)
+		node := f.pickDispatcher(o.room)
 		if node < 0 {
 			f.rec.mu.Lock()
 			f.rec.rep.Unreached++
 			f.rec.mu.Unlock()
-			if pause.For(ctx, nobodyThere) != nil || f.now() >= end {
+			if pause.For(ctx, unreachedRetryDelay) != nil || f.now() >= end {
 				return
 			}
 			continue
 		}
-		status, advice := f.try(ctx, o, node, end, early)
-		if told {
-			f.rec.followed(status == http.StatusOK)
+		status, advice := f.sendAttempt(ctx, o, node, end, early)
+		if followsAdvice {
+			f.rec.recordAdvisedRetry(status == http.StatusOK)
 		}
 		harmless := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 		if status == http.StatusOK || o.tries > cl.Retries || cl.After == "" || cl.After == "none" || o.class.Once && !harmless {
 			return
 		}
 		wait := time.Millisecond
-		told = false
+		followsAdvice = false
 		if cl.After == "advice" && !ignores {
-			if wait, told = advice, advice > 0 && advice < mostAdvice; wait == 0 {
-				wait = noAdvice
+			if wait, followsAdvice = advice, advice > 0 && advice < maxRetryAfter; wait == 0 {
+				wait = defaultRetryDelay
 			}
 		}
 		if f.now()+wait >= end || pause.For(ctx, wait) != nil {
@@ -215,18 +215,18 @@
 	}
 }
 
-// try hands a job to a dispatcher and waits for its answer. Status 0: there was none.
-func (f *front) try(ctx context.Context, o *order, node int, end time.Duration, early bool) (status int, advice time.Duration) {
+// sendAttempt sends a job to a dispatcher and waits for the answer. Status 0 means that there was none.
+func (f *front) sendAttempt(ctx context.Context, o *order, node int, end time.Duration, early bool) (status int, advice time.Duration) {
 	m := f.members[node]
 	began, left := time.Now(), end-f.now()
 	if left <= 0 {
 		return 0, 0
 	}
-	listen, said := left+answerGrace, left
-	if early { // nobody was told that it would
-		listen, said = left, o.first+o.patience-f.now()
+	timeout, announced := left+answerGrace, left
+	if early { // the client does not announce that it gives up early
+		timeout, announced = left, o.sendTime+o.patience-f.now()
 	}
-	inner, cancel := context.WithTimeout(ctx, listen)
+	inner, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	id := fmt.Sprintf("%s-%x-%x", o.class.Name, o.number, o.tries)
 	body := strings.NewReader(fmt.Sprintf(`{"work_us":%d}`, o.size.Microseconds()))
@@ -239,14 +239,14 @@
 		req.Header.Set("X-Object", strconv.Itoa(o.number))
 	}
 	req.Header.Set("X-Size-Hint", strconv.FormatInt(o.hint.Microseconds(), 10))
-	req.Header.Set("X-Expires-In-Ms", strconv.FormatInt(max(1, said.Milliseconds()), 10))
+	req.Header.Set("X-Expires-In-Ms", strconv.FormatInt(max(1, announced.Milliseconds()), 10))
 	if o.tenant >= 0 {
 		req.Header.Set("X-Customer", f.sc.Tenants[o.tenant].Name)
 	}
 	if o.tries > 0 {
 		req.Header.Set("X-Second-Try", "1")
 	}
-	t := f.rec.taken(id, o, node, f.now()+left)
+	t := f.rec.recordAttempt(id, o, node, f.now()+left)
 	resp, err := f.client.Do(req)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
@@ -259,15 +259,15 @@
 		}
 	}
 	if err != nil && early && errors.Is(err, context.DeadlineExceeded) {
-		f.rec.gaveUp(id, t)
+		f.rec.recordGiveUp(id, t)
 		return 0, 0
 	}
-	running, touched := m.proc.Running()
-	excused := ctx.Err() != nil || !running || touched.After(began.Add(-touchedFor)) || m.link.Troubled(began.Add(-touchedFor)) ||
-		m.proc.slowedNow()
-	f.rec.answered(id, t, status, time.Since(began), excused)
+	running, lastChange := m.proc.Running()
+	excused := ctx.Err() != nil || !running || lastChange.After(began.Add(-excuseWindow)) || m.link.DisturbedSince(began.Add(-excuseWindow)) ||
+		m.proc.isSlowed()
+	f.rec.recordAnswer(id, t, status, time.Since(began), excused)
 	return status, advice
 }
 
-// touchedFor is how long after something was done to a process or a link its effects excuse what goes wrong.
-const touchedFor = time.Second
+// excuseWindow is how long after a disturbance of a process or a link a missing answer is excused.
+const excuseWindow = time.Second
--- a/internal/rig/link.go
+++ b/internal/rig/link.go
@@ -11,35 +11,35 @@
 	"time"
 )
 
-// Way is a direction on a Link.
-type Way uint8
+// Direction is a set of directions on a Link.
+type Direction uint8
 
-// The directions. Forth is from whoever opened the connection.
+// Directions. Forth is away from the end that opened the connection.
 const (
-	Forth Way = 1 << iota
+	Forth Direction = 1 << iota
 	Back
 	Both = Forth | Back
 )
 
-// Fault is what is wrong with a Link for as long as it is set. The zero value is a sound link.
+// Fault describes a fault of a Link while it is set. The zero value is a link without faults.
 type Fault struct {
-	Silent Way           // what is sent in these directions is held until the fault ends; new connections come up silent
-	Refuse bool          // new connections are refused; those that are open stay
-	Delay  time.Duration // of all that is sent, each way
-	Jitter time.Duration // and up to so much more, evenly drawn; the order is kept
-	Rate   int           // bytes a second in each direction; 0: any number
-	CutAt  int64         // a connection is reset once so many bytes have passed in the direction Cut
-	Cut    Way
-	Lost   float64 // share of what is read at once at which the connection is reset; half of it arrives
+	Silent          Direction     // data in these directions is held until the fault ends; new connections are accepted and held likewise
+	Refuse          bool          // new connections are refused; open ones stay
+	Delay           time.Duration // of all data, in each direction
+	Jitter          time.Duration // upper limit of a uniformly drawn additional delay; the order is kept
+	Rate            int           // bytes per second in each direction; 0: unlimited
+	CutAt           int64         // a connection is reset once this many bytes have passed in the direction Cut
+	Cut             Direction
+	LossProbability float64 // probability that the connection is reset at a chunk; half of the chunk arrives
 }
 
-// merge is what several faults at once come to.
-func merge(all []*Fault) (f Fault) {
+// mergeFaults returns the combined effect of several faults.
+func mergeFaults(all []*Fault) (f Fault) {
 	for _, x := range all {
 		f.Silent |= x.Silent
 		f.Refuse = f.Refuse || x.Refuse
 		f.Delay, f.Jitter = f.Delay+x.Delay, f.Jitter+x.Jitter
-		f.Lost = max(f.Lost, x.Lost)
+		f.LossProbability = max(f.LossProbability, x.LossProbability)
 		if x.Rate > 0 && (f.Rate == 0 || x.Rate < f.Rate) {
 			f.Rate = x.Rate
 		}
@@ -53,41 +53,41 @@
 // chunkSize bounds what a link reads at once, chunks what it holds of a direction.
 const (
 	chunkSize = 16 << 10
-	chunks    = 64
+	maxChunks = 64
 )
 
-// Link is a TCP way from one address to another, on which faults can be put. Its methods may be called from any goroutine.
+// Link is a TCP proxy from one address to another that can inject faults. Its methods are safe for concurrent use.
 type Link struct {
-	Addr string // where it listens
+	Addr string // address on which it listens
 
-	to     string
-	from   net.Addr // what its connections to the far end come from; nil: any
-	mu     sync.Mutex
-	faults []*Fault      // that are on it
-	fault  Fault         // what they come to
-	turned chan struct{} // closed when the fault changes
-	ln     net.Listener
-	pairs  map[*pair]struct{}
-	rng    *rand.Rand
-	work   sync.WaitGroup
-	closed bool
-	faulty time.Time // when a fault was last set or ended, or its far end was not there
+	target        string
+	source        net.Addr // what its connections to the far end come from; nil: any
+	mu            sync.Mutex
+	faults        []*Fault      // faults that are set
+	fault         Fault         // their combined effect
+	changed       chan struct{} // closed when the fault changes
+	ln            net.Listener
+	pairs         map[*pair]struct{}
+	rng           *rand.Rand
+	serving       sync.WaitGroup
+	closed        bool
+	lastDisturbed time.Time // when a fault was last set or ended, connections were broken on purpose, or a dial failed
 }
 
 // pair is a connection through the link.
 type pair struct {
 	near, far net.Conn
 	once      sync.Once
-	over      chan struct{}
-	half      atomic.Bool // the far end is gone, and the near end does not know
+	done      chan struct{}
+	halfOpen  atomic.Bool // the far end is closed, and the near end is not notified
 }
 
-// NewLink opens a link at an address, to another. Connections to the far end come from the IP address source, so that it can
-// tell who they are from; empty: from any. seed draws the jitter.
+// NewLink opens a link from one address to another. Connections to the far end come from the IP address source, so that it can
+// identify their origin; with an empty source, from any address. seed seeds jitter and losses.
 func NewLink(listen, to, source string, seed uint64) (*Link, error) {
-	l := &Link{to: to, turned: make(chan struct{}), pairs: map[*pair]struct{}{}, rng: rand.New(rand.NewPCG(seed, 11))}
+	l := &Link{target: to, changed: make(chan struct{}), pairs: map[*pair]struct{}{}, rng: rand.New(rand.NewPCG(seed, 11))}
 	if source != "" {
-		l.from = &net.TCPAddr{IP: net.ParseIP(source)}
+		l.source = &net.TCPAddr{IP: net.ParseIP(source)}
 	}
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -98,45 +98,45 @@
 	return l, nil
 }
 
-// serve accepts at ln until it is closed. The lock is held, or nobody else has the link yet.
+// serve accepts at ln until it is closed. The lock is held, or the link is not shared yet.
 func (l *Link) serve(ln net.Listener) {
 	l.ln = ln
-	l.work.Go(func() {
+	l.serving.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			l.work.Go(func() { l.carry(c) })
+			l.serving.Go(func() { l.forward(c) })
 		}
 	})
 }
 
-// Put puts a fault on the link beside those that are there, Take takes it away. What was held goes on then.
-func (l *Link) Put(f *Fault) error {
+// AddFault sets a fault in addition to those already set; RemoveFault ends it. Held data is then passed on.
+func (l *Link) AddFault(f *Fault) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = append(l.faults, f)
-	return l.set(merge(l.faults))
+	return l.setFault(mergeFaults(l.faults))
 }
 
-// Take ends a fault that was put.
-func (l *Link) Take(f *Fault) error {
+// RemoveFault ends a fault that AddFault set.
+func (l *Link) RemoveFault(f *Fault) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = slices.DeleteFunc(l.faults, func(x *Fault) bool { return x == f })
-	return l.set(merge(l.faults))
+	return l.setFault(mergeFaults(l.faults))
 }
 
-// set has the lock held.
-func (l *Link) set(f Fault) error {
+// setFault replaces the combined fault. The lock is held.
+func (l *Link) setFault(f Fault) error {
 	if l.closed {
 		return nil
 	}
 	was := l.fault
-	l.fault, l.faulty = f, time.Now()
-	close(l.turned)
-	l.turned = make(chan struct{})
+	l.fault, l.lastDisturbed = f, time.Now()
+	close(l.changed)
+	l.changed = make(chan struct{})
 	switch {
 	case f.Refuse && !was.Refuse:
 		l.ln.Close()
@@ -151,12 +151,12 @@
 }
 
 // Reset ends every connection with a RST to both ends.
-func (l *Link) Reset() { l.each(func(p *pair) { p.end(true) }) }
+func (l *Link) Reset() { l.forEachPair(func(p *pair) { p.close(true) }) }
 
-// HalfOpen takes the far end of every connection away, and leaves the near end open and silent.
+// HalfOpen resets the far end of every connection and leaves the near end open and silent.
 func (l *Link) HalfOpen() {
-	l.each(func(p *pair) {
-		p.half.Store(true)
+	l.forEachPair(func(p *pair) {
+		p.halfOpen.Store(true)
 		if t, ok := p.far.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
@@ -164,9 +164,9 @@
 	})
 }
 
-func (l *Link) each(do func(*pair)) {
+func (l *Link) forEachPair(do func(*pair)) {
 	l.mu.Lock()
-	l.faulty = time.Now()
+	l.lastDisturbed = time.Now()
 	list := make([]*pair, 0, len(l.pairs))
 	for p := range l.pairs {
 		list = append(list, p)
@@ -177,34 +177,34 @@
 	}
 }
 
-// Troubled tells whether a fault is set, or since a time one was set or ended, a connection was broken on purpose, or nobody
-// listened at the far end.
-func (l *Link) Troubled(since time.Time) bool {
+// DisturbedSince reports whether a fault is set, or whether since the given time a fault was set or ended, connections were broken on
+// purpose, or a dial to the far end failed.
+func (l *Link) DisturbedSince(since time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fault != Fault{} || l.faulty.After(since)
+	return l.fault != Fault{} || l.lastDisturbed.After(since)
 }
 
-// Close ends the link and its connections, and returns when nothing of it is left.
+// Close ends the link and its connections, and returns when its goroutines have ended.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
 	l.ln.Close()
 	l.mu.Unlock()
 	l.Reset()
-	l.work.Wait()
+	l.serving.Wait()
 }
 
-// state is the fault, and a channel that is closed when it changes.
+// state returns the combined fault and a channel that is closed when it changes.
 func (l *Link) state() (Fault, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fault, l.turned
+	return l.fault, l.changed
 }
 
-func (p *pair) end(reset bool) {
+func (p *pair) close(reset bool) {
 	p.once.Do(func() {
-		close(p.over)
+		close(p.done)
 		for _, c := range []net.Conn{p.near, p.far} {
 			if t, ok := c.(*net.TCPConn); ok && reset {
 				t.SetLinger(0)
@@ -214,13 +214,13 @@
 	})
 }
 
-// carry serves one connection until it is over.
-func (l *Link) carry(near net.Conn) {
-	d := net.Dialer{LocalAddr: l.from, Timeout: 5 * time.Second}
-	far, err := d.Dial("tcp", l.to)
-	if err != nil { // nobody there: the near end is reset, which is as near to a refusal as a link can come
+// forward serves one connection until it ends.
+func (l *Link) forward(near net.Conn) {
+	d := net.Dialer{LocalAddr: l.source, Timeout: 5 * time.Second}
+	far, err := d.Dial("tcp", l.target)
+	if err != nil { // no listener: the link resets the near end, as it can no longer refuse the connection
 		l.mu.Lock()
-		l.faulty = time.Now()
+		l.lastDisturbed = time.Now()
 		l.mu.Unlock()
 		if t, ok := near.(*net.TCPConn); ok {
 			t.SetLinger(0)
@@ -228,11 +228,11 @@
 		near.Close()
 		return
 	}
-	p := &pair{near: near, far: far, over: make(chan struct{})}
+	p := &pair{near: near, far: far, done: make(chan struct{})}
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
-		p.end(true)
+		p.close(true)
 		return
 	}
 	l.pairs[p] = struct{}{}
@@ -241,21 +241,21 @@
 	both.Go(func() { l.pump(p, near, far, Forth) })
 	both.Go(func() { l.pump(p, far, near, Back) })
 	both.Wait()
-	p.end(false)
+	p.close(false)
 	l.mu.Lock()
 	delete(l.pairs, p)
 	l.mu.Unlock()
 }
 
-// chunk is what was read at once, and when it is due at the other end.
+// chunk is the data of one read and the time at which it is due at the other end.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// pump carries one direction. Its end is passed on as a half-close, a broken connection as a RST.
-func (l *Link) pump(p *pair, from, to net.Conn, way Way) {
-	held := make(chan chunk, chunks)
+// pump copies one direction. It passes an end of the stream on as a half-close and a broken connection as a RST.
+func (l *Link) pump(p *pair, from, to net.Conn, direction Direction) {
+	held := make(chan chunk, maxChunks)
 	var reader sync.WaitGroup
 	reader.Go(func() {
 		defer close(held)
@@ -265,15 +265,15 @@
 			if n > 0 {
 				select {
 				case held <- chunk{b[:n], time.Now().Add(l.delay())}:
-				case <-p.over:
+				case <-p.done:
 					return
 				}
 			}
 			if err != nil {
 				switch {
-				case way == Back && p.half.Load(): // the near end does not hear of it
-				case err != io.EOF, p.half.Load():
-					p.end(true)
+				case direction == Back && p.halfOpen.Load(): // the near end is not notified
+				case err != io.EOF, p.halfOpen.Load():
+					p.close(true)
 				}
 				return
 			}
@@ -282,48 +282,48 @@
 	defer reader.Wait()
 	passed := int64(0)
 	for c := range held {
-		if !l.hold(p, way, c.due) {
+		if !l.awaitPassage(p, direction, c.due) {
 			return
 		}
 		f, _ := l.state()
-		if f.Cut&way != 0 && f.CutAt > 0 && passed+int64(len(c.data)) >= f.CutAt {
+		if f.Cut&direction != 0 && f.CutAt > 0 && passed+int64(len(c.data)) >= f.CutAt {
 			to.Write(c.data[:max(0, f.CutAt-passed)])
-			p.end(true)
+			p.close(true)
 			return
 		}
-		if f.Lost > 0 && l.chance() < f.Lost {
+		if f.LossProbability > 0 && l.random() < f.LossProbability {
 			to.Write(c.data[:len(c.data)/2])
-			p.end(true)
+			p.close(true)
 			return
 		}
 		if f.Rate > 0 && !p.sleep(time.Duration(float64(len(c.data))/float64(f.Rate)*1e9)) {
 			return
 		}
-		if _, err := to.Write(c.data); err != nil && !p.half.Load() {
-			p.end(true)
+		if _, err := to.Write(c.data); err != nil && !p.halfOpen.Load() {
+			p.close(true)
 			return
 		}
 		passed += int64(len(c.data))
 	}
-	if p.half.Load() {
-		<-p.over
-	} else if l.hold(p, way, time.Now()) {
+	if p.halfOpen.Load() {
+		<-p.done
+	} else if l.awaitPassage(p, direction, time.Now()) {
 		if t, ok := to.(*net.TCPConn); ok {
 			t.CloseWrite()
 		}
 	}
 }
 
-func (p *pair) ended() bool {
+func (p *pair) isDone() bool {
 	select {
-	case <-p.over:
+	case <-p.done:
 		return true
 	default:
 		return false
 	}
 }
 
-func (l *Link) chance() float64 {
+func (l *Link) random() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.Float64()
@@ -338,19 +338,19 @@
 	return l.fault.Delay + time.Duration(l.rng.Int64N(int64(l.fault.Jitter)))
 }
 
-// hold waits until due and for as long as the direction is silent. False: the connection is over.
-func (l *Link) hold(p *pair, way Way, due time.Time) bool {
+// awaitPassage waits until due and for as long as the direction is silent. It returns false if the connection has ended.
+func (l *Link) awaitPassage(p *pair, direction Direction, due time.Time) bool {
 	if !p.sleep(time.Until(due)) {
 		return false
 	}
 	for {
 		f, turned := l.state()
-		if f.Silent&way == 0 {
+		if f.Silent&direction == 0 {
 			return true
 		}
 		select {
 		case <-turned:
-		case <-p.over:
+		case <-p.done:
 			return false
 		}
 	}
@@ -358,14 +358,14 @@
 
 func (p *pair) sleep(d time.Duration) bool {
 	if d <= 0 {
-		return !p.ended()
+		return !p.isDone()
 	}
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
 		return true
-	case <-p.over:
+	case <-p.done:
 		return false
 	}
 }
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -13,61 +13,61 @@
 	"time"
 )
 
-// keeper starts children from one thread that lives as long as it does: a child's death signal fires when the thread that
-// started it ends, and Go ends threads as it likes.
-type keeper struct {
-	ask  chan func()
-	done chan struct{}
+// starter starts child processes from one locked thread: a child's parent-death signal fires when the thread that started it
+// ends, and the Go runtime may end threads at any time.
+type starter struct {
+	requests chan func()
+	done     chan struct{}
 }
 
-func newKeeper() *keeper {
-	k := &keeper{ask: make(chan func()), done: make(chan struct{})}
+func newStarter() *starter {
+	k := &starter{requests: make(chan func()), done: make(chan struct{})}
 	go func() {
 		defer close(k.done)
 		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
-		for do := range k.ask {
+		for do := range k.requests {
 			do()
 		}
 	}()
 	return k
 }
 
-// start starts a command so that it dies with this process.
-func (k *keeper) start(c *exec.Cmd) (err error) {
+// start starts a command that is killed when this process ends.
+func (k *starter) start(c *exec.Cmd) (err error) {
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	ran := make(chan struct{})
-	k.ask <- func() { defer close(ran); err = c.Start() }
+	k.requests <- func() { defer close(ran); err = c.Start() }
 	<-ran
 	return err
 }
 
-// close ends the thread. Every child has to be over by then.
-func (k *keeper) close() {
-	close(k.ask)
+// close ends the thread. All children must have ended before.
+func (k *starter) close() {
+	close(k.requests)
 	<-k.done
 }
 
-// logKept is how much of a process's log is kept, from its end.
-const logKept = 64 << 10
+// maxLogBytes is the number of bytes kept from the end of a process's log.
+const maxLogBytes = 64 << 10
 
-// tail keeps the end of what is written to it.
-type tail struct {
+// logTail keeps the last maxLogBytes written to it.
+type logTail struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-func (t *tail) Write(b []byte) (int, error) {
+func (t *logTail) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, b...)
-	if over := len(t.text) - logKept; over > 0 {
+	if over := len(t.text) - maxLogBytes; over > 0 {
 		t.text = append(t.text[:0], t.text[over:]...)
 	}
 	return len(b), nil
 }
 
-// Lines are the kept lines that hold one of some words.
-func (t *tail) lines(words ...string) (all []string) {
+// lines returns the kept lines that contain any of the words.
+func (t *logTail) lines(words ...string) (all []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for line := range bytes.Lines(t.text) {
@@ -81,56 +81,56 @@
 	return all
 }
 
-// Process is one dispatcher's process, over all its lives. Its methods may be called from any goroutine.
+// Process is a dispatcher's process over all its incarnations. Its methods are safe for concurrent use.
 type Process struct {
-	keeper *keeper
-	make   func(life int) (*exec.Cmd, error) // of a life's command, without its outputs
-	log    tail
-
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	life     int
-	exited   chan struct{} // of the present life
-	asked    bool          // it was told to end
-	crashes  int           // lives that ended with nobody asking, or badly
-	touched  time.Time     // when it was last killed, paused, slowed or started
-	stopped  bool          // it stands still
-	slowed   chan struct{} // closed to end the present slowness
-	slowDone chan struct{}
-}
-
-// Start begins a new life. The one before has to be over.
+	starter    *starter
+	newCommand func(incarnation int) (*exec.Cmd, error) // returns the command of an incarnation, without outputs
+	log        logTail
+
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	incarnation   int
+	exited        chan struct{} // closed when the present incarnation ends
+	stopRequested bool          // a signal to end was sent
+	crashes       int           // incarnations that ended without a request or with a failure
+	lastChange    time.Time     // when it was last killed, paused, slowed or started
+	stopped       bool          // SIGSTOP was sent
+	stopSlow      chan struct{} // closed to end the present slow-down
+	slowDone      chan struct{}
+}
+
+// Start starts a new incarnation. The one before must have ended.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		return errors.New("rig: process: it runs")
+		return errors.New("rig: process: already running")
 	}
-	cmd, err := p.make(p.life)
+	cmd, err := p.newCommand(p.incarnation)
 	if err != nil {
 		return err
 	}
 	cmd.Stdout, cmd.Stderr = &p.log, &p.log
-	if err := p.keeper.start(cmd); err != nil {
+	if err := p.starter.start(cmd); err != nil {
 		return fmt.Errorf("rig: process: %w", err)
 	}
-	p.life++
-	p.cmd, p.asked, p.stopped, p.touched, p.exited = cmd, false, false, time.Now(), make(chan struct{})
+	p.incarnation++
+	p.cmd, p.stopRequested, p.stopped, p.lastChange, p.exited = cmd, false, false, time.Now(), make(chan struct{})
 	exited := p.exited
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if !p.asked || err != nil && cmd.ProcessState.ExitCode() != -1 {
-			p.crashes++ // nobody asked, or it ended by itself and badly
+		if !p.stopRequested || err != nil && cmd.ProcessState.ExitCode() != -1 {
+			p.crashes++ // no end was requested, or it exited by itself with an error
 		}
-		p.cmd, p.touched = nil, time.Now()
+		p.cmd, p.lastChange = nil, time.Now()
 		close(exited)
 	}()
 	return nil
 }
 
-// Signal sends it one. Those that end it are remembered as asked for. A process that is over is left alone.
+// Signal sends a signal. SIGKILL and SIGTERM count as a request to end. It does nothing if the process has ended.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,19 +139,19 @@
 	}
 	switch s {
 	case syscall.SIGKILL, syscall.SIGTERM:
-		p.asked = true
+		p.stopRequested = true
 		fallthrough
 	case syscall.SIGSTOP, syscall.SIGCONT:
-		p.touched, p.stopped = time.Now(), s == syscall.SIGSTOP
+		p.lastChange, p.stopped = time.Now(), s == syscall.SIGSTOP
 	}
 	p.cmd.Process.Signal(s) // an error means that it has just ended
 }
 
-// Slow leaves the process a share of each tenth of a second, until share is 1 again.
+// Slow lets the process run for a share of each tenth of a second, until it is called with a share of 1.
 func (p *Process) Slow(share float64) {
 	p.mu.Lock()
-	stop, done := p.slowed, p.slowDone
-	p.slowed, p.slowDone, p.touched = nil, nil, time.Now()
+	stop, done := p.stopSlow, p.slowDone
+	p.stopSlow, p.slowDone, p.lastChange = nil, nil, time.Now()
 	p.mu.Unlock()
 	if stop != nil {
 		close(stop)
@@ -162,7 +162,7 @@
 	}
 	stop, done = make(chan struct{}), make(chan struct{})
 	p.mu.Lock()
-	p.slowed, p.slowDone = stop, done
+	p.stopSlow, p.slowDone = stop, done
 	p.mu.Unlock()
 	const period = 100 * time.Millisecond
 	go func() {
@@ -184,7 +184,7 @@
 	}()
 }
 
-// Await returns when the present life is over, or after a while: false.
+// Await waits for the present incarnation to end. It returns false if that takes longer than within.
 func (p *Process) Await(within time.Duration) bool {
 	p.mu.Lock()
 	exited := p.exited
@@ -200,7 +200,7 @@
 	}
 }
 
-// Stop ends it for good: SIGTERM, and SIGKILL after a while.
+// Stop ends the process with SIGTERM, or with SIGKILL if it takes longer than within.
 func (p *Process) Stop(within time.Duration) {
 	p.Slow(1)
 	p.Signal(syscall.SIGCONT)
@@ -211,25 +211,25 @@
 	}
 }
 
-// Running tells whether it runs, and since when nothing was done to it.
+// Running reports whether the process runs, and when it last started, ended, or was signalled or slowed.
 func (p *Process) Running() (bool, time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.stopped { // for as long as that lasts
+	if p.stopped { // a stop counts as a disturbance while it lasts
 		return p.cmd != nil, time.Now()
 	}
-	return p.cmd != nil, p.touched
+	return p.cmd != nil, p.lastChange
 }
 
-// Crashes is how many of its lives ended though nobody asked, or with an exit code other than 0.
+// Crashes returns the number of incarnations that ended without a request or with an exit code other than 0.
 func (p *Process) Crashes() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.crashes
 }
 
-// program finds the dispatcher's program: the path given, or a build of this module's cmd/gaugeslip in dir.
-func program(path, dir string) (string, error) {
+// findProgram returns the path of the dispatcher's program: the given path, or a build of this module's cmd/gaugeslip in dir.
+func findProgram(path, dir string) (string, error) {
 	if path != "" {
 		return path, nil
 	}
@@ -244,9 +244,9 @@
 	return out, nil
 }
 
-// slowedNow tells whether it has only a share of its core.
-func (p *Process) slowedNow() bool {
+// isSlowed reports whether Slow limits the process.
+func (p *Process) isSlowed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.slowed != nil
+	return p.stopSlow != nil
 }
--- a/internal/rig/record.go
+++ b/internal/rig/record.go
@@ -16,7 +16,7 @@
 	"gaugeslip/internal/scenario"
 )
 
-// Seen is one line of the record: what a host, a client or the rig itself saw. No dispatcher's word is in it.
+// Seen is one line of the record: an observation of a host, a client or the rig itself. It holds nothing that a dispatcher reports.
 type Seen struct {
 	At       float64 `json:"at"` // seconds since the start
 	What     string  `json:"what"`
@@ -30,59 +30,59 @@
 	Note     string  `json:"note,omitempty"`
 }
 
-// order is what a client wants done, over all its tries.
+// order is a job that a client wants done, over all its attempts.
 type order struct {
-	number     int
-	class      *scenario.Class
-	room       int
-	size, hint time.Duration
-	first      time.Duration // when it was meant to be sent
-	patience   time.Duration
-	due        time.Duration
-	worth      float64
-	tries      int
-	over, ran  bool
-	tenant     int // -1: none
+	number            int
+	class             *scenario.Class
+	room              int
+	size, hint        time.Duration
+	sendTime          time.Duration // intended time of the first attempt
+	patience          time.Duration
+	due               time.Duration
+	worth             float64
+	tries             int
+	served, completed bool
+	tenant            int // -1: none
 }
 
-// try is one request of a client.
-type try struct {
-	order  *order
-	node   int
-	number uint64
-	left   bool          // its client waits no longer
-	gave   time.Duration // when it gave up of its own wish, while no host had the job; 0: it did not
-	at     time.Duration
-	taken  bool // it has come to a host
+// attempt is one request of a client.
+type attempt struct {
+	order       *order
+	node        int
+	number      uint64
+	clientGone  bool          // its client has stopped waiting
+	gaveUpAt    time.Duration // when its client gave up by itself before any host had the job; 0: it did not
+	at          time.Duration
+	reachedHost bool // a host has received the job
 }
 
-// recorder takes in what is seen, in one order, feeds the checker and counts.
+// recorder puts all observations into one order, passes them to the checker and counts them.
 type recorder struct {
-	mu     sync.Mutex
-	now    func() time.Duration // since the start
-	out    *json.Encoder        // nil: nobody wants it
-	outErr error
-	rules  check.Rules
-	check  *check.Checker
-	sums   []string
-	tries  map[string]*try
-	next   uint64
-	rep    *Report
-	host   []Use
-	refuse []float64 // ms until a refusal
-	dealt  []int     // tries by dispatcher
-	paid   []paid    // jobs of tenants that came to hosts
-	sc     *Scenario
+	mu           sync.Mutex
+	now          func() time.Duration // since the start
+	out          *json.Encoder        // nil: no record is written
+	outErr       error
+	rules        check.Rules
+	check        *check.Checker
+	boundNames   []string
+	tries        map[string]*attempt
+	lastAttempt  uint64
+	rep          *Report
+	hostUse      []Use
+	refusalTimes []float64     // milliseconds until each refusal
+	dealt        []int         // attempts by dispatcher
+	admitted     []admittedJob // jobs of tenants that reached hosts
+	sc           *Scenario
 }
 
 func newRecorder(sc *Scenario, now func() time.Duration, out io.Writer) *recorder {
-	r := &recorder{sc: sc, now: now, tries: map[string]*try{}, rep: &Report{Scenario: sc.Name, Dispatchers: sc.Dispatchers,
-		Hosts: scenario.Count(sc.Hosts), Seconds: make([]Second, int(sc.length/time.Second)+1)}, host: make([]Use, scenario.Count(sc.Hosts)),
+	r := &recorder{sc: sc, now: now, tries: map[string]*attempt{}, rep: &Report{Scenario: sc.Name, Dispatchers: sc.Dispatchers,
+		Hosts: scenario.Count(sc.Hosts), Seconds: make([]Second, int(sc.length/time.Second)+1)}, hostUse: make([]Use, scenario.Count(sc.Hosts)),
 		dealt: make([]int, sc.Dispatchers)}
-	// A client listens for answerGrace; that it has heard something is booked a little later.
-	rules := check.Rules{AnswerGrace: answerGrace + bookedWithin}
+	// A client waits answerGrace for an answer; the record of the answer follows a little later.
+	rules := check.Rules{AnswerGrace: answerGrace + recordDelay}
 	for _, b := range sc.Bounds {
-		r.sums = append(r.sums, b.What)
+		r.boundNames = append(r.boundNames, b.What)
 		rules.Sums = append(rules.Sums, check.Sum{Name: b.What, Window: b.window, Most: b.Most})
 	}
 	r.rules = rules
@@ -92,8 +92,8 @@
 	return r
 }
 
-// line writes a line of the record. The lock is held.
-func (r *recorder) line(s Seen) {
+// writeLine writes a line of the record. The lock is held.
+func (r *recorder) writeLine(s Seen) {
 	if r.out != nil && r.outErr == nil {
 		s.At = math.Round(s.At*1e6) / 1e6
 		r.outErr = r.out.Encode(&s)
@@ -104,46 +104,46 @@
 func (r *recorder) note(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.line(Seen{At: r.now().Seconds(), What: "trouble", Node: -1, Host: -1, Note: text})
+	r.writeLine(Seen{At: r.now().Seconds(), What: "trouble", Node: -1, Host: -1, Note: text})
 }
 
-// asked books a client's wish.
-func (r *recorder) asked(o *order) {
+// recordOrder records a new order of a client.
+func (r *recorder) recordOrder(o *order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rep.Jobs++
 	r.rep.Asked += o.worth
-	r.second(o).Asked += o.worth
+	r.secondOf(o).Asked += o.worth
 }
 
-func (r *recorder) second(o *order) *Second {
-	return &r.rep.Seconds[min(int(o.first/time.Second), len(r.rep.Seconds)-1)]
+func (r *recorder) secondOf(o *order) *Second {
+	return &r.rep.Seconds[min(int(o.sendTime/time.Second), len(r.rep.Seconds)-1)]
 }
 
-// taken books a try that is handed to a dispatcher.
-func (r *recorder) taken(id string, o *order, node int, deadline time.Duration) *try {
+// recordAttempt records an attempt that is sent to a dispatcher.
+func (r *recorder) recordAttempt(id string, o *order, node int, deadline time.Duration) *attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.next++
+	r.lastAttempt++
 	o.tries++
 	r.rep.Tries++
 	r.dealt[node]++
 	at := r.now()
-	t := &try{order: o, node: node, number: r.next, at: at}
+	t := &attempt{order: o, node: node, number: r.lastAttempt, at: at}
 	r.tries[id] = t
 	r.check.See(check.Event{Kind: check.Taken, At: at, Job: t.number, Node: node, Unsafe: o.class.Once, Deadline: deadline})
-	r.line(Seen{At: at.Seconds(), What: "taken", Job: id, Order: o.number, Node: node, Host: -1})
+	r.writeLine(Seen{At: at.Seconds(), What: "taken", Job: id, Order: o.number, Node: node, Host: -1})
 	return t
 }
 
-// answered books what a client has heard. Status 0: nothing, by an end of its connection or of its patience. excused says
-// that something was done to its dispatcher or its way there: then nothing is owed.
-func (r *recorder) answered(id string, t *try, status int, took time.Duration, excused bool) {
+// recordAnswer records a client's answer. Status 0 means none: the connection or the client's patience ended. excused means
+// that a trouble affected the dispatcher or the link to it: a missing answer is then not an error.
+func (r *recorder) recordAnswer(id string, t *attempt, status int, took time.Duration, excused bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at, o := r.now(), t.order
-	t.left = true
-	r.line(Seen{At: at.Seconds(), What: "answered", Job: id, Order: o.number, Node: t.node, Host: -1, Status: status})
+	t.clientGone = true
+	r.writeLine(Seen{At: at.Seconds(), What: "answered", Job: id, Order: o.number, Node: t.node, Host: -1, Status: status})
 	answer := check.Failed
 	switch {
 	case status == 0 && excused:
@@ -158,24 +158,24 @@
 	case status == 429 || status == 503:
 		answer = check.Refused
 		r.rep.Refused++
-		r.refuse = append(r.refuse, float64(took.Microseconds())/1000)
+		r.refusalTimes = append(r.refusalTimes, float64(took.Microseconds())/1000)
 	default:
 		r.rep.Failed++
 	}
 	r.check.See(check.Event{Kind: check.Answered, At: at, Job: t.number, Answer: answer})
-	if answer != check.Served || o.over {
+	if answer != check.Served || o.served {
 		return
 	}
-	o.over = true
+	o.served = true
 	r.rep.Served++
 	if at <= o.due {
 		r.rep.InTime += o.worth
-		r.second(o).InTime += o.worth
+		r.secondOf(o).InTime += o.worth
 	}
 }
 
-// followed books what a client has got that came when it was told to.
-func (r *recorder) followed(served bool) {
+// recordAdvisedRetry records the result of an attempt that was made at the time given by Retry-After.
+func (r *recorder) recordAdvisedRetry(served bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rep.Followed++
@@ -184,23 +184,23 @@
 	}
 }
 
-// gaveUp books a client that leaves by its own wish.
-func (r *recorder) gaveUp(id string, t *try) {
+// recordGiveUp records that a client gave up by itself.
+func (r *recorder) recordGiveUp(id string, t *attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := r.now()
-	t.left = true
-	if r.rep.GaveUp++; !t.taken {
-		t.gave = at
+	t.clientGone = true
+	if r.rep.GaveUp++; !t.reachedHost {
+		t.gaveUpAt = at
 		r.rep.LeftWaiting++
 	}
 	r.check.See(check.Event{Kind: check.Left, At: at, Job: t.number})
-	r.line(Seen{At: at.Seconds(), What: "left", Job: id, Order: t.order.number, Node: t.node, Host: -1})
+	r.writeLine(Seen{At: at.Seconds(), What: "left", Job: id, Order: t.order.number, Node: t.node, Host: -1})
 }
 
-// use books a use of what the fleet has only so much of. The lock is held.
-func (r *recorder) use(what string, host int, at time.Duration) {
-	for i, name := range r.sums {
+// countUse counts one use of a bounded resource. The lock is held.
+func (r *recorder) countUse(what string, host int, at time.Duration) {
+	for i, name := range r.boundNames {
 		if name == what {
 			r.check.See(check.Event{Kind: check.Used, At: at, Sum: i, Host: host, Amount: 1})
 		}
@@ -210,26 +210,26 @@
 var sightNames = map[emulator.SightKind]string{emulator.Took: "took", emulator.Ran: "ran", emulator.Done: "done",
 	emulator.Lost: "lost", emulator.Left: "dropped", emulator.Probed: "probed", emulator.Opened: "opened", emulator.Fell: "fell"}
 
-// saw books what a host saw. node is whom it is from; -1: nobody.
-func (r *recorder) saw(s emulator.Sight, node int) {
+// recordSight records an observation of a host. node is the dispatcher that caused it; -1: none.
+func (r *recorder) recordSight(s emulator.Sight, node int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := r.now()
-	t, u := r.tries[s.Job], &r.host[s.Host]
+	t, u := r.tries[s.Job], &r.hostUse[s.Host]
 	line := Seen{At: at.Seconds(), What: sightNames[s.Kind], Job: s.Job, Node: node, Host: s.Host,
 		WorkMS: float64(s.Work.Microseconds()) / 1000, Capacity: s.Capacity}
 	if s.Kind != emulator.Probed { // too many
-		r.line(line)
+		r.writeLine(line)
 	}
 	work := s.Work.Seconds()
 	switch s.Kind {
 	case emulator.Probed:
 		u.Probes++
-		r.use("probes", s.Host, at)
+		r.countUse("probes", s.Host, at)
 		return
 	case emulator.Opened:
 		u.Handshakes++
-		r.use("connections", s.Host, at)
+		r.countUse("connections", s.Host, at)
 		return
 	case emulator.Fell:
 		r.rep.Fallen++
@@ -241,14 +241,14 @@
 	switch o := t.order; s.Kind {
 	case emulator.Took:
 		r.rep.Sends++
-		if !t.taken && o.tenant >= 0 {
-			r.paid = append(r.paid, paid{t.at, o.tenant})
+		if !t.reachedHost && o.tenant >= 0 {
+			r.admitted = append(r.admitted, admittedJob{t.at, o.tenant})
 		}
-		if !t.taken && t.gave > 0 && at > t.gave+leaveSeen {
+		if !t.reachedHost && t.gaveUpAt > 0 && at > t.gaveUpAt+cancelGrace {
 			r.rep.SentForNobody++
 		}
-		t.taken = true
-		r.use("sends", s.Host, at)
+		t.reachedHost = true
+		r.countUse("sends", s.Host, at)
 		if s.Verdict == fleet.Full {
 			r.rep.Turned++
 		}
@@ -256,43 +256,43 @@
 		r.check.See(check.Event{Kind: check.Ran, At: at, Job: t.number, Host: s.Host})
 	case emulator.Done:
 		switch {
-		case o.ran:
+		case o.completed:
 			u.Repeated += work
-		case t.left:
+		case t.clientGone:
 			u.Abandoned += work
 		case at <= o.due:
 			u.InTime += work
-			o.ran = true
+			o.completed = true
 		default:
 			u.Late += work
-			o.ran = true
+			o.completed = true
 		}
 	}
 }
 
-// leaveSeen is how long after a client's leave its job may still come to a host for the first time.
-const leaveSeen = 300 * time.Millisecond
+// cancelGrace is how long after a client has left its job may still reach a host for the first time.
+const cancelGrace = 300 * time.Millisecond
 
-// forNobody says where too many jobs went on to hosts after their clients had left: over a fiftieth of those that waited
-// then, and five at least. The operators' own bound is a quarter; a dispatcher that sees no leave at all came to 0.044 here,
-// as it holds few jobs for that long. A few are the fault of a process that stands still or of a link that is late.
-func (r *Report) forNobody() (breach string) {
+// abandonedSends returns a breach if too many jobs were sent to hosts after their clients had left: at least five, and more than a
+// fiftieth of those that were waiting then. The operators' own bound is a quarter; a dispatcher that notices no client leaving
+// reached 0.044 here, as it holds few jobs for that long. A paused process or a slow link causes a few.
+func (r *Report) abandonedSends() (breach string) {
 	if n := r.SentForNobody; n >= 5 && 50*n > r.LeftWaiting {
-		return fmt.Sprintf("of %d jobs whose clients left while they waited, %d were sent on over %v later", r.LeftWaiting, n, leaveSeen)
+		return fmt.Sprintf("of %d jobs whose clients left while they waited, %d were sent on over %v later", r.LeftWaiting, n, cancelGrace)
 	}
 	return ""
 }
 
-// finish ends the day and gives the report.
+// finish ends the checks and returns the report.
 func (r *recorder) finish(length time.Duration, capacity float64) *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := r.now()
-	r.tenants(length)
+	r.checkTenants(length)
 	r.check.End(at + time.Hour)
 	rep, whole := r.rep, capacity*length.Seconds()
-	for i := range r.host {
-		u := &r.host[i]
+	for i := range r.hostUse {
+		u := &r.hostUse[i]
 		rep.Work.add(u)
 	}
 	rep.ProbesASecond = float64(rep.Work.Probes) / float64(rep.Hosts) / length.Seconds()
@@ -301,28 +301,28 @@
 	}
 	rep.Service = rep.InTime / max(rep.Asked, 1e-9)
 	rep.TriesAJob = float64(rep.Sends) / float64(max(rep.Jobs, 1))
-	slices.Sort(r.refuse)
-	if n := len(r.refuse); n > 0 {
-		rep.RefusalP50, rep.RefusalP99 = r.refuse[n/2], r.refuse[min(n-1, n*99/100)]
+	slices.Sort(r.refusalTimes)
+	if n := len(r.refusalTimes); n > 0 {
+		rep.RefusalP50, rep.RefusalP99 = r.refusalTimes[n/2], r.refusalTimes[min(n-1, n*99/100)]
 	}
 	rep.Dealt = r.dealt
 	rep.Checked = r.check.Checked()
 	for _, b := range r.check.Breaches() {
 		rep.Breaches = append(rep.Breaches, b.String())
 	}
-	if b := rep.forNobody(); b != "" {
+	if b := rep.abandonedSends(); b != "" {
 		rep.Breaches = append(rep.Breaches, b)
 	}
 	return rep
 }
 
-// tenants checks the sums over tenants by when their clients handed the jobs over, which a job that was held shows at its host
-// later, and books what was used. The lock is held.
-func (r *recorder) tenants(length time.Duration) {
-	slices.SortFunc(r.paid, func(a, b paid) int { return cmp.Compare(a.at, b.at) })
+// checkTenants checks the bounds over tenants and computes the used quota. It counts a job at the time its client sent it, as a
+// queued job reaches its host later. The lock is held.
+func (r *recorder) checkTenants(length time.Duration) {
+	slices.SortFunc(r.admitted, func(a, b admittedJob) int { return cmp.Compare(a.at, b.at) })
 	c := check.New(r.rules)
-	for _, p := range r.paid {
-		for i, name := range r.sums {
+	for _, p := range r.admitted {
+		for i, name := range r.boundNames {
 			if name == "jobs" {
 				c.See(check.Event{Kind: check.Used, At: p.at, Sum: i, Host: p.tenant, Amount: 1})
 			}
--- a/internal/rig/report.go
+++ b/internal/rig/report.go
@@ -6,13 +6,13 @@
 	"io"
 )
 
-// Use is what came to hosts: seconds of work by what became of it (in a Report: shares of what the hosts could have done),
-// probes, and connections opened.
+// Use counts the load of hosts: seconds of work by outcome (in a Report: shares of the hosts' capacity), probes, and connections
+// opened.
 type Use struct {
 	InTime     float64 `json:"in_time"`
 	Late       float64 `json:"late"`
-	Abandoned  float64 `json:"abandoned"` // nobody waited for it any more
-	Repeated   float64 `json:"repeated"`  // it had run before, elsewhere or in another try
+	Abandoned  float64 `json:"abandoned"` // its client had stopped waiting
+	Repeated   float64 `json:"repeated"`  // the job had run before, elsewhere or in another attempt
 	Probes     int     `json:"probes"`
 	Handshakes int     `json:"handshakes"`
 }
@@ -22,13 +22,13 @@
 	u.Probes, u.Handshakes = u.Probes+x.Probes, u.Handshakes+x.Handshakes
 }
 
-// Second is the worth asked for in one second of the day, and what of it was answered in time.
+// Second is the worth of the jobs that clients sent in one second of the run, and the worth of those answered in time.
 type Second struct {
 	Asked  float64 `json:"asked"`
 	InTime float64 `json:"in_time"`
 }
 
-// Report is what came of a day.
+// Report holds the results of a run.
 type Report struct {
 	Scenario      string   `json:"scenario"`
 	Seed          uint64   `json:"seed"`
@@ -39,28 +39,28 @@
 	InTime        float64  `json:"in_time"`
 	Service       float64  `json:"service"`
 	Served        int      `json:"served"`
-	Tries         int      `json:"tries"` // of clients
+	Tries         int      `json:"tries"` // attempts of clients
 	Refused       int      `json:"refused"`
 	Failed        int      `json:"failed"`
 	GaveUp        int      `json:"gave_up"`
 	LeftWaiting   int      `json:"left_waiting"`    // of these, before any host had their jobs
-	SentForNobody int      `json:"sent_for_nobody"` // of those, sent on over leaveSeen later
-	Followed      int      `json:"followed"`        // tries of clients that came when they were told to
+	SentForNobody int      `json:"sent_for_nobody"` // of those, sent to a host more than cancelGrace later
+	Followed      int      `json:"followed"`        // attempts made after the time given by Retry-After
 	Kept          int      `json:"kept"`            // of these, served
-	Unreached     int      `json:"unreached"`       // no dispatcher was taken in
-	Excused       int      `json:"excused"`         // unanswered, and something was done to the dispatcher or the way there
+	Unreached     int      `json:"unreached"`       // no dispatcher was available
+	Excused       int      `json:"excused"`         // unanswered while a trouble affected the dispatcher or the link to it
 	Lost          int      `json:"lost"`            // unanswered otherwise
-	Sends         int      `json:"sends"`           // that came to hosts
+	Sends         int      `json:"sends"`           // jobs received by hosts
 	Turned        int      `json:"turned_away"`
-	TriesAJob     float64  `json:"tries_a_job"` // sends to hosts for each job
+	TriesAJob     float64  `json:"tries_a_job"` // sends to hosts per job
 	ProbesASecond float64  `json:"probes_a_second"`
 	RefusalP50    float64  `json:"refusal_p50_ms"`
 	RefusalP99    float64  `json:"refusal_p99_ms"`
 	Fallen        int      `json:"fallen"`
 	Crashes       int      `json:"crashes"`
 	Work          Use      `json:"work"`
-	Dealt         []int    `json:"dealt"`          // tries by dispatcher
-	Used          float64  `json:"used,omitempty"` // of the first tenant's quota, over the second half of the day
+	Dealt         []int    `json:"dealt"`          // attempts by dispatcher
+	Used          float64  `json:"used,omitempty"` // share of the first tenant's quota used in the second half of the run
 	Checked       int      `json:"checked"`
 	Breaches      []string `json:"breaches,omitempty"`
 	Seconds       []Second `json:"seconds"`
@@ -70,7 +70,7 @@
 // JSON writes the report as one line.
 func (r *Report) JSON(w io.Writer) error { return json.NewEncoder(w).Encode(r) }
 
-// Print writes it for people.
+// Print writes the report as readable text.
 func (r *Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "%s, seed %d: %d dispatchers, %d hosts\n", r.Scenario, r.Seed, r.Dispatchers, r.Hosts)
 	fmt.Fprintf(w, "  service %.3f; %d jobs in %d tries: %d served, %d refused (p50 %.0f ms, p99 %.0f ms), %d failed, %d left early, %d excused, %d lost, %d unreached\n",
@@ -97,7 +97,7 @@
 	}
 }
 
-// Missed says what of a scenario's expectations was not met, and which rules were broken.
+// Missed returns the scenario's expectations that were not met, and the rules that were broken.
 func (sc *Scenario) Missed(r *Report) (all []string) {
 	if n := len(r.Breaches); n > 0 {
 		all = append(all, fmt.Sprintf("%d rules broken, the first: %s", n, r.Breaches[0]))
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -1,7 +1,7 @@
-// Package rig starts real dispatchers, each a process of its own, before the emulator's hosts and discovery, and throws faults
-// between them: on the links, of which it owns every one, and on the processes. It reads what hosts, clients and links saw, and
-// never what a dispatcher says of itself. Everything is on loopback addresses and bounded in time, and nothing is left when
-// Run returns.
+// Package rig runs real dispatcher processes against the emulator's hosts and discovery and injects faults into the links between
+// them, which are all proxies of the rig, and into the processes. Its results come from observations of hosts, clients and links,
+// never from a dispatcher's own reports. Everything uses loopback addresses and is bounded in time, and no process or file is left
+// when Run returns.
 package rig
 
 import (
@@ -22,62 +22,62 @@
 	"gaugeslip/internal/scenario"
 )
 
-// Options say how a day is played.
+// Options configures a run of a scenario.
 type Options struct {
-	Program  string       // the dispatcher's; empty: it is built from this module
-	Site     string       // a settings file of our own for every dispatcher; empty: none
-	Record   io.Writer    // of what was seen, JSON lines; nil: none
-	Progress func(string) // what happens, line by line, from one goroutine at a time; nil: nobody wants it
+	Program  string       // path of the dispatcher's program; empty: it is built from this module
+	Site     string       // path of a settings file for every dispatcher; empty: the rig writes one if needed
+	Record   io.Writer    // receives the observations as JSON lines; nil: none
+	Progress func(string) // called with each progress line, never concurrently; may be nil
 }
 
-// Times that bound a day beyond its length.
+// Time limits of a run beyond the length of its scenario.
 const (
-	upWithin   = 20 * time.Second // of the first dispatchers' start
-	stopWithin = 15 * time.Second
+	startTimeout = 20 * time.Second // for the first start of all dispatchers
+	stopTimeout  = 15 * time.Second
 )
 
-// warmUp is how long a host is cold: a fifth of the platform's, as the days are shorter.
+// warmUp is how long a host is cold: a fifth of the platform's time, as the scenarios are shorter.
 const warmUp = 5 * time.Second
 
-// rig is one day that is being played.
+// rig is one run of a scenario.
 type rig struct {
-	sc       *Scenario
-	seed     uint64
-	opt      Options
-	dir      string
-	program  string
-	keeper   *keeper
-	fleet    *emulator.Fleet
-	rec      *recorder
-	front    *front
-	nodes    []*node
-	began    time.Time
-	source   map[string]int          // dispatchers by the address that their connections come from
-	reserved []*freeport.Reservation // ports of the dispatchers
-	talk     []string                // where each listens to the others
-	ways     []*way                  // between any two that talk
-	mu       sync.Mutex
+	sc             *Scenario
+	seed           uint64
+	opt            Options
+	dir            string
+	program        string
+	starter        *starter
+	fleet          *emulator.Fleet
+	rec            *recorder
+	front          *front
+	nodes          []*node
+	start          time.Time
+	dispatcherByIP map[string]int          // dispatcher numbers by the IP address from which they connect
+	reserved       []*freeport.Reservation // ports of the dispatchers
+	peerAddrs      []string                // address on which each dispatcher listens to the others
+	peerLinks      []*peerLink             // between every two dispatchers that talk
+	mu             sync.Mutex
 }
 
-// Run plays a day on real processes and reports. It ends early when ctx does. An error is of the rig's own making.
+// Run runs a scenario on real processes and returns its report. It ends early when ctx ends. An error is a failure of the rig itself.
 func Run(ctx context.Context, sc *Scenario, seed uint64, opt Options) (rep *Report, err error) {
-	r := &rig{sc: sc, seed: seed, opt: opt, source: map[string]int{}, keeper: newKeeper(), began: time.Now()}
-	defer r.release()
-	defer r.keeper.close()
+	r := &rig{sc: sc, seed: seed, opt: opt, dispatcherByIP: map[string]int{}, starter: newStarter(), start: time.Now()}
+	defer r.releasePorts()
+	defer r.starter.close()
 	if r.dir, err = os.MkdirTemp("", "gaugeslip-rig"); err != nil {
 		return nil, fmt.Errorf("rig: %w", err)
 	}
 	defer os.RemoveAll(r.dir)
-	if r.program, err = program(opt.Program, r.dir); err != nil {
+	if r.program, err = findProgram(opt.Program, r.dir); err != nil {
 		return nil, err
 	}
 	r.rec = newRecorder(sc, r.now, opt.Record)
-	if r.fleet, err = emulator.Start(r.specs(), r.params(), seed, r.saw); err != nil {
+	if r.fleet, err = emulator.Start(r.specs(), r.params(), seed, r.recordSight); err != nil {
 		return nil, err
 	}
 	defer r.fleet.Close()
 	r.front = &front{sc: sc, rec: r.rec, now: r.now, load: 1, rng: rand.New(rand.NewPCG(seed, 6)),
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: clientIdle}}}
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: clientIdleTimeout}}}
 	defer r.close()
 	if sc.Budgets != nil && sc.Budgets.Way == "talk" {
 		for i := range sc.Dispatchers {
@@ -85,15 +85,15 @@
 			if err != nil {
 				return nil, err
 			}
-			r.talk = append(r.talk, addr)
+			r.peerAddrs = append(r.peerAddrs, addr)
 		}
-		defer r.closeWays()
-		if err := r.openWays(); err != nil {
+		defer r.closePeerLinks()
+		if err := r.openPeerLinks(); err != nil {
 			return nil, err
 		}
 	}
 	for i := range sc.Dispatchers {
-		if err := r.add(i); err != nil {
+		if err := r.addDispatcher(i); err != nil {
 			return nil, err
 		}
 	}
@@ -104,11 +104,11 @@
 	for i, m := range r.front.members {
 		watchers.Go(func() { m.watch(watching, seed<<8+uint64(i)) })
 	}
-	if err := r.awaitUp(ctx); err != nil {
+	if err := r.awaitDispatchers(ctx); err != nil {
 		return nil, err
 	}
 	r.rec.mu.Lock()
-	r.began = time.Now() // the day begins
+	r.start = time.Now() // the scenario's time begins
 	r.rec.mu.Unlock()
 	troubles := r.troubles(ctx)
 	r.front.run(ctx, seed)
@@ -116,22 +116,22 @@
 	halt()
 	var stops sync.WaitGroup
 	for _, n := range r.nodes {
-		stops.Go(func() { n.proc.Stop(stopWithin) })
+		stops.Go(func() { n.proc.Stop(stopTimeout) })
 	}
 	stops.Wait()
 	rep = r.rec.finish(sc.length, scenario.Capacity(sc.Hosts))
 	rep.Seed = seed
 	for _, n := range r.nodes {
 		rep.Crashes += n.proc.Crashes()
-		for _, line := range n.proc.log.lines("panic", "level=ERROR", "DATA RACE", "fatal error", "gaugeslip: ", judged) {
+		for _, line := range n.proc.log.lines("panic", "level=ERROR", "DATA RACE", "fatal error", "gaugeslip: ", siteLogLine) {
 			rep.Log = append(rep.Log, fmt.Sprintf("n%d: %s", n.number, line))
 		}
 	}
 	return rep, errors.Join(ctx.Err(), r.rec.outErr)
 }
 
-// now is the time since the day began.
-func (r *rig) now() time.Duration { return time.Since(r.began) }
+// now returns the time since the scenario began.
+func (r *rig) now() time.Duration { return time.Since(r.start) }
 
 func (r *rig) specs() (all []emulator.Spec) {
 	for _, h := range r.sc.Hosts {
@@ -149,20 +149,20 @@
 		ReportEvery: 50 * time.Millisecond, Progress: time.Second, ProbeWork: 75 * time.Microsecond, HandshakeOf: time.Millisecond}
 }
 
-func (r *rig) saw(s emulator.Sight) {
-	node, ok := r.source[s.From]
+func (r *rig) recordSight(s emulator.Sight) {
+	node, ok := r.dispatcherByIP[s.From]
 	if !ok {
 		node = -1
 	}
-	r.rec.saw(s, node)
+	r.rec.recordSight(s, node)
 }
 
-// close ends what add made.
+// close ends the dispatchers and their links.
 func (r *rig) close() {
 	r.front.client.CloseIdleConnections()
 	for _, n := range r.nodes {
-		n.proc.Stop(stopWithin)
-		for _, l := range append(slices.Clone(n.hosts), n.client, n.disc[0], n.disc[1]) {
+		n.proc.Stop(stopTimeout)
+		for _, l := range append(slices.Clone(n.hosts), n.client, n.discovery[0], n.discovery[1]) {
 			if l != nil {
 				l.Close()
 			}
@@ -170,8 +170,8 @@
 	}
 }
 
-// tell reports progress, and puts it into the record.
-func (r *rig) tell(format string, args ...any) {
+// logf reports a progress line and adds it to the record.
+func (r *rig) logf(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	r.rec.note(text)
 	if r.opt.Progress != nil {
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -22,14 +22,14 @@
 	"gaugeslip/internal/scenario"
 )
 
-const shortDays = "../../scenarios/processes/short.hcl"
+const shortScenarios = "../../scenarios/processes/short.hcl"
 
 var built string // the dispatcher's program
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "gaugeslip-rig-test")
 	if err == nil {
-		built, err = program("", dir)
+		built, err = findProgram("", dir)
 	}
 	if err != nil {
 		fmt.Println(err)
@@ -40,9 +40,9 @@
 	os.Exit(code)
 }
 
-// The short days: real processes, faults between them, and every rule holds. What is printed on a failure replays it.
-func TestShortDays(t *testing.T) {
-	all, err := Load(shortDays)
+// Runs the short scenarios on real processes with faults. Every rule must hold. The output of a failure tells how to replay it.
+func TestShortScenarios(t *testing.T) {
+	all, err := Load(shortScenarios)
 	require.NoError(t, err)
 	for _, sc := range all {
 		t.Run(sc.Name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			const seed = 1
 			rep, err := Run(t.Context(), sc, seed, Options{Program: built, Record: &record})
 			require.NoError(t, err)
-			assert.Empty(t, sc.Missed(rep), "gaugelab processes replay %d %s; log: %q", seed, shortDays, rep.Log)
+			assert.Empty(t, sc.Missed(rep), "gaugelab processes replay %d %s; log: %q", seed, shortScenarios, rep.Log)
 			assert.Greater(t, rep.Checked, 100)
 			assert.Greater(t, rep.Served, 50)
 			took := map[int]bool{}
@@ -61,15 +61,15 @@
 					took[s.Node] = true
 				}
 			}
-			assert.Len(t, took, sc.Dispatchers, "hosts tell every dispatcher's sends apart")
+			assert.Len(t, took, sc.Dispatchers, "hosts must see the sends of every dispatcher under its own address")
 			assert.NotContains(t, took, -1)
 		})
 	}
 }
 
-// What goes on for clients that have left is counted: a few are let pass, over a quarter of those that waited are not.
-func TestSentForNobody(t *testing.T) {
-	all, err := Load(shortDays)
+// Jobs sent on after their clients had left are counted: a few are allowed, more than a quarter of the waiting ones are a breach.
+func TestAbandonedSends(t *testing.T) {
+	all, err := Load(shortScenarios)
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
 		late, inTime, never int
@@ -80,35 +80,35 @@
 		first := &order{class: &scenario.Class{}, tenant: -1}
 		send := func(id string, at time.Duration) {
 			now = at
-			r.saw(emulator.Sight{Kind: emulator.Took, Job: id}, 0)
+			r.recordSight(emulator.Sight{Kind: emulator.Took, Job: id}, 0)
 		}
-		out := r.taken("out", first, 0, time.Minute)
+		out := r.recordAttempt("out", first, 0, time.Minute)
 		send("out", 0)
 		now = time.Second
-		r.gaveUp("out", out)
+		r.recordGiveUp("out", out)
 		n := c.late + c.inTime + c.never
 		for i := range n {
 			id := fmt.Sprint(i)
-			r.gaveUp(id, r.taken(id, first, 0, time.Minute))
+			r.recordGiveUp(id, r.recordAttempt(id, first, 0, time.Minute))
 		}
 		for i := range c.inTime {
-			send(fmt.Sprint(i), time.Second+leaveSeen)
+			send(fmt.Sprint(i), time.Second+cancelGrace)
 		}
 		for i := range c.late {
-			send(fmt.Sprint(c.inTime+i), time.Second+leaveSeen+time.Millisecond)
+			send(fmt.Sprint(c.inTime+i), time.Second+cancelGrace+time.Millisecond)
 		}
-		send("out", 2*time.Second) // a second send of one that had been out is another matter
+		send("out", 2*time.Second) // a second send of a job that a host had before does not count
 		rep := r.finish(5*time.Second, 1)
 		assert.Equal(t, []int{n + 1, n, c.late}, []int{rep.GaveUp, rep.LeftWaiting, rep.SentForNobody}, name)
 		assert.Equal(t, c.broken, len(rep.Breaches) > 0, "%s: %q", name, rep.Breaches)
 	}
 }
 
-// A day that is broken off leaves neither a process nor a file.
-func TestBrokenOff(t *testing.T) {
+// A run that is cancelled leaves neither a process nor a file.
+func TestCancelledRun(t *testing.T) {
 	tmp := t.TempDir()
 	t.Setenv("TMPDIR", tmp)
-	all, err := Load(shortDays)
+	all, err := Load(shortScenarios)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	_, err = Run(ctx, all[0], 1, Options{Program: built, Progress: func(string) { cancel() }}) // at the first trouble
@@ -119,7 +119,7 @@
 	assert.Empty(t, children(t))
 }
 
-// children are this process's.
+// children returns the child processes of this process.
 func children(t *testing.T) (all []string) {
 	found, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", os.Getpid()))
 	require.NoError(t, err)
@@ -134,14 +134,14 @@
 	return all
 }
 
-// A process is killed, paused, slowed and started again, and a life that ends though nobody asked is a crash.
+// A process can be killed, paused, slowed and restarted. An incarnation that ends without a request counts as a crash.
 func TestProcess(t *testing.T) {
-	k := newKeeper()
+	k := newStarter()
 	defer k.close()
 	script := "echo started; while true; do sleep 0.05; done"
-	p := &Process{keeper: k, make: func(int) (*exec.Cmd, error) { return exec.Command("/bin/sh", "-c", script), nil }}
+	p := &Process{starter: k, newCommand: func(int) (*exec.Cmd, error) { return exec.Command("/bin/sh", "-c", script), nil }}
 	require.NoError(t, p.Start())
-	assert.Error(t, p.Start(), "it runs")
+	assert.Error(t, p.Start(), "the process is already running")
 	p.mu.Lock()
 	pid := p.cmd.Process.Pid
 	p.mu.Unlock()
@@ -154,18 +154,18 @@
 	p.Signal(syscall.SIGSTOP)
 	require.Eventually(t, func() bool { return stat() == "T" }, 5*time.Second, time.Millisecond)
 	later := time.Now()
-	_, touched := p.Running()
-	assert.False(t, touched.Before(later), "it still stands")
+	_, lastChange := p.Running()
+	assert.False(t, lastChange.Before(later), "a stopped process counts as disturbed now")
 	p.Signal(syscall.SIGCONT)
 	require.Eventually(t, func() bool { return stat() != "T" }, 5*time.Second, time.Millisecond)
 	p.Slow(0.25)
-	assert.True(t, p.slowedNow())
+	assert.True(t, p.isSlowed())
 	require.Eventually(t, func() bool { return stat() == "T" }, 5*time.Second, time.Millisecond)
 	p.Slow(1)
 	require.Eventually(t, func() bool { return stat() != "T" }, 5*time.Second, time.Millisecond)
 	p.Signal(syscall.SIGKILL)
 	require.True(t, p.Await(5*time.Second))
-	assert.Zero(t, p.Crashes(), "it was asked for")
+	assert.Zero(t, p.Crashes(), "the end was requested")
 	script = "exit 3"
 	require.NoError(t, p.Start())
 	require.True(t, p.Await(5*time.Second))
@@ -174,7 +174,7 @@
 	assert.False(t, running)
 }
 
-// The recorder sees what the rules forbid, and books the hosts' work by what became of it.
+// The recorder reports breaches of the rules and counts the hosts' work by outcome.
 func TestRecorder(t *testing.T) {
 	sc, err := Parse([]byte(`processes "x" {
   length = "10s"
@@ -201,36 +201,38 @@
 	require.NoError(t, err)
 	now := time.Duration(0)
 	r := newRecorder(sc[0], func() time.Duration { return now }, nil)
-	job := func(id string) (*order, *try) {
-		o := &order{class: &sc[0].Classes[0], first: now, patience: 4 * time.Second, due: now + 2*time.Second, worth: 1}
-		r.asked(o)
-		return o, r.taken(id, o, 0, now+4*time.Second)
+	job := func(id string) (*order, *attempt) {
+		o := &order{class: &sc[0].Classes[0], sendTime: now, patience: 4 * time.Second, due: now + 2*time.Second, worth: 1}
+		r.recordOrder(o)
+		return o, r.recordAttempt(id, o, 0, now+4*time.Second)
+	}
+	saw := func(k emulator.SightKind, id string) {
+		r.recordSight(emulator.Sight{Kind: k, Job: id, Work: time.Second}, 0)
 	}
-	saw := func(k emulator.SightKind, id string) { r.saw(emulator.Sight{Kind: k, Job: id, Work: time.Second}, 0) }
 	_, a := job("a")
 	saw(emulator.Took, "a")
 	saw(emulator.Ran, "a")
 	now = time.Second
 	saw(emulator.Done, "a") // in time
-	r.answered("a", a, 200, time.Second, false)
+	r.recordAnswer("a", a, 200, time.Second, false)
 	_, b := job("b")
 	saw(emulator.Ran, "b")
-	r.answered("b", b, 429, 0, false) // it may have run: a rule
+	r.recordAnswer("b", b, 429, 0, false) // refused though it may have run: a breach
 	now += 3 * time.Second
 	saw(emulator.Done, "b") // abandoned
 	_, c := job("c")
 	saw(emulator.Ran, "c")
 	now += 3 * time.Second
 	saw(emulator.Done, "c") // late
-	saw(emulator.Ran, "c")  // twice: a rule
+	saw(emulator.Ran, "c")  // runs twice: a breach
 	saw(emulator.Done, "c") // repeated
-	r.answered("c", c, 500, 0, false)
+	r.recordAnswer("c", c, 500, 0, false)
 	_, d := job("d")
-	r.answered("d", d, 0, 0, true) // excused
+	r.recordAnswer("d", d, 0, 0, true) // excused
 	_, e := job("e")
-	r.answered("e", e, 0, 0, false) // lost: a rule
+	r.recordAnswer("e", e, 0, 0, false) // lost: a breach
 	for range 3 {
-		r.saw(emulator.Sight{Kind: emulator.Probed}, 0) // a sum
+		r.recordSight(emulator.Sight{Kind: emulator.Probed}, 0) // a bounded sum
 	}
 	rep := r.finish(10*time.Second, 1)
 	assert.InDelta(t, 0.1, rep.Work.InTime, 1e-9)
@@ -244,7 +246,7 @@
 }
 
 func TestScenarioFaults(t *testing.T) {
-	text, err := os.ReadFile(shortDays)
+	text, err := os.ReadFile(shortScenarios)
 	require.NoError(t, err)
 	for change, want := range map[string]string{
 		"dispatchers = 6|dispatchers = 60":              "x.hcl:41:1: dispatchers",
--- a/internal/rig/site.go
+++ b/internal/rig/site.go
@@ -7,16 +7,16 @@
 	"gaugeslip/internal/scenario"
 )
 
-// beginSite takes a room: its hosts vanish, its dispatchers die, it has no way to other rooms or to discovery. What ends it gives the
-// room back, its hosts cold and its dispatchers with new seeds.
-func (r *rig) beginSite(t *Trouble) (end func() error) {
+// beginSiteTrouble takes a room down as far as the trouble's loses say: its hosts vanish, its dispatchers are killed, its links to other
+// rooms and to discovery are silent. end restores the room, with cold hosts and with dispatchers that have new seeds.
+func (r *rig) beginSiteTrouble(t *Trouble) (end func() error) {
 	room := t.Room - 1
 	var undo []func() error
 	put := func(l *Link, f *Fault) {
-		if err := l.Put(f); err != nil {
-			r.tell("site: %v", err)
+		if err := l.AddFault(f); err != nil {
+			r.logf("site: %v", err)
 		}
-		undo = append(undo, func() error { return l.Take(f) })
+		undo = append(undo, func() error { return l.RemoveFault(f) })
 	}
 	silent := &Fault{Silent: Both}
 	for _, n := range r.nodes {
@@ -27,13 +27,13 @@
 			}
 		}
 		if mine && scenario.Loses(t.Loses, "discovery") {
-			put(n.disc[0], silent)
-			put(n.disc[1], silent)
+			put(n.discovery[0], silent)
+			put(n.discovery[1], silent)
 		}
 		if mine && scenario.Loses(t.Loses, "dispatchers") {
 			n.proc.Signal(syscall.SIGKILL)
 			undo = append(undo, func() error {
-				n.proc.Await(stopWithin)
+				n.proc.Await(stopTimeout)
 				return n.proc.Start()
 			})
 		}
@@ -52,5 +52,5 @@
 	}
 }
 
-// judged is a line of a dispatcher's log that says what it holds of a site; for people, no rule reads it.
-const judged = "msg=\"site "
+// siteLogLine marks the lines of a dispatcher's log about the state of a site. They are copied for readers; no rule uses them.
+const siteLogLine = "msg=\"site "
--- a/internal/rig/talk.go
+++ b/internal/rig/talk.go
@@ -15,7 +15,7 @@
 	"gaugeslip/internal/scenario"
 )
 
-// Budgets switches the block of that name on at every dispatcher, and with talk the block peers.
+// Budgets enables the settings block of that name at every dispatcher, and with way "talk" the block peers.
 type Budgets struct {
 	Way    string    `hcl:"way"`
 	Floor  float64   `hcl:"floor,optional"`
@@ -24,15 +24,15 @@
 	Range  hcl.Range `hcl:",def_range"`
 }
 
-// Tenant is a part of the clients, with a quota over the whole fleet.
+// Tenant is a group of clients with a quota over the whole fleet.
 type Tenant struct {
 	Name  string    `hcl:"name,label"`
-	Part  float64   `hcl:"part"`  // of the jobs
-	Quota float64   `hcl:"quota"` // jobs a second
+	Part  float64   `hcl:"part"`  // share of the jobs
+	Quota float64   `hcl:"quota"` // jobs per second
 	Range hcl.Range `hcl:",def_range"`
 }
 
-func (s *Scenario) checkShares(c *scenario.Checker) {
+func (s *Scenario) checkTenants(c *scenario.Checker) {
 	parts := 0.0
 	for _, t := range s.Tenants {
 		c.Want(t.Part > 0 && t.Part <= 1, t.Range, "part", "over 0 to 1")
@@ -46,24 +46,24 @@
 	}
 }
 
-// way is how one dispatcher talks to another.
-type way struct {
+// peerLink is the link from one dispatcher to another.
+type peerLink struct {
 	from, to int
 	link     *Link
 }
 
-// openWays opens the ways of talk between all dispatchers. Their own addresses are known by then.
-func (r *rig) openWays() error {
+// openPeerLinks opens the links between all dispatchers. Their listen addresses must be reserved before.
+func (r *rig) openPeerLinks() error {
 	for i := range r.sc.Dispatchers {
 		for j := range r.sc.Dispatchers {
 			if i == j {
 				continue
 			}
 			seed := r.seed<<20 + uint64(i)<<10 + uint64(j)
-			w := &way{from: i, to: j}
-			r.ways = append(r.ways, w)
+			w := &peerLink{from: i, to: j}
+			r.peerLinks = append(r.peerLinks, w)
 			var err error
-			if w.link, err = NewLink(ip(i, 100+j)+":0", r.talk[j], "", seed); err != nil {
+			if w.link, err = NewLink(ip(i, 100+j)+":0", r.peerAddrs[j], "", seed); err != nil {
 				return err
 			}
 		}
@@ -71,16 +71,16 @@
 	return nil
 }
 
-func (r *rig) closeWays() {
-	for _, w := range r.ways {
+func (r *rig) closePeerLinks() {
+	for _, w := range r.peerLinks {
 		if w.link != nil {
 			w.link.Close()
 		}
 	}
 }
 
-// site writes a dispatcher's own settings file, and gives its path; empty: it needs none.
-func (r *rig) site(n *node) (string, error) {
+// writeSiteFile writes a dispatcher's settings file and returns its path, or an empty path if it needs none.
+func (r *rig) writeSiteFile(n *node) (string, error) {
 	var text strings.Builder
 	if r.sc.Overload {
 		text.WriteString("overload {}\n")
@@ -93,9 +93,9 @@
 		if b.Way == "talk" {
 			var members []string
 			for j := range r.sc.Dispatchers {
-				members = append(members, fmt.Sprintf("%q", r.reach(n.number, j)))
+				members = append(members, fmt.Sprintf("%q", r.peerAddr(n.number, j)))
 			}
-			fmt.Fprintf(&text, "peers {\n  listen = %q\n  members = [%s]\n", r.talk[n.number], strings.Join(members, ", "))
+			fmt.Fprintf(&text, "peers {\n  listen = %q\n  members = [%s]\n", r.peerAddrs[n.number], strings.Join(members, ", "))
 			if b.Drift > 0 {
 				fmt.Fprintf(&text, "  drift = %g\n", b.Drift)
 			}
@@ -112,12 +112,12 @@
 	return path, nil
 }
 
-// reach is the address at which dispatcher i finds dispatcher j.
-func (r *rig) reach(i, j int) string {
+// peerAddr returns the address at which dispatcher i reaches dispatcher j.
+func (r *rig) peerAddr(i, j int) string {
 	if i == j {
-		return r.talk[i]
+		return r.peerAddrs[i]
 	}
-	for _, w := range r.ways {
+	for _, w := range r.peerLinks {
 		if w.from == i && w.to == j {
 			return w.link.Addr
 		}
@@ -125,21 +125,21 @@
 	return ""
 }
 
-// talkKinds are the troubles of the ways between dispatchers, beside those of all links with path "peer".
-var talkKinds = map[string]bool{"islands": true, "lossy": true}
+// peerKinds are the troubles of links between dispatchers only. Troubles of all links affect these links with path "peer".
+var peerKinds = map[string]bool{"islands": true, "lossy": true}
 
-// beginTalk puts a trouble on the ways between dispatchers. Those that it strikes are cut off from the others: what they say, what
-// they hear, or both.
-func (r *rig) beginTalk(t *Trouble, nodes []int) func() error {
+// beginPeerTrouble starts a trouble of the links between dispatchers. It affects the data that the given dispatchers send to the
+// others, the data that they receive from them, or both.
+func (r *rig) beginPeerTrouble(t *Trouble, nodes []int) func() error {
 	in := func(i int) bool { return slices.Contains(nodes, i) }
-	hit := func(w *way) bool {
+	hit := func(w *peerLink) bool {
 		switch out := in(w.from) && !in(w.to); {
 		case t.Kind == "lossy" || t.Kind == "delay":
 			return in(w.from) || in(w.to)
 		case out:
-			return t.way&Forth != 0
+			return t.direction&Forth != 0
 		default:
-			return in(w.to) && !in(w.from) && t.way&Back != 0
+			return in(w.to) && !in(w.from) && t.direction&Back != 0
 		}
 	}
 	if t.Kind == "islands" {
@@ -147,38 +147,38 @@
 		for k, i := range rand.New(rand.NewPCG(r.seed, uint64(t.at))).Perm(len(island)) {
 			island[i] = k % max(2, int(t.Times))
 		}
-		hit = func(w *way) bool { return island[w.from] != island[w.to] }
+		hit = func(w *peerLink) bool { return island[w.from] != island[w.to] }
 	}
 	fault := &Fault{Delay: t.delay, Jitter: t.jitter}
 	switch t.Kind {
 	case "lossy":
-		fault.Lost = t.Share
+		fault.LossProbability = t.Share
 	case "silent", "islands":
 		fault.Silent = Both
 	case "refuse":
 		fault.Refuse = true
 	}
-	var on []*way
+	var on []*peerLink
 	var errs error
-	for _, w := range r.ways {
+	for _, w := range r.peerLinks {
 		if hit(w) {
 			on = append(on, w)
-			errs = errors.Join(errs, w.link.Put(fault))
+			errs = errors.Join(errs, w.link.AddFault(fault))
 		}
 	}
 	if errs != nil {
-		r.tell("%s: %v", t.Kind, errs)
+		r.logf("%s: %v", t.Kind, errs)
 	}
 	return func() (err error) {
 		for _, w := range on {
-			err = errors.Join(err, w.link.Take(fault))
+			err = errors.Join(err, w.link.RemoveFault(fault))
 		}
 		return err
 	}
 }
 
-// paid is a job of a tenant that a dispatcher has let in: when its client handed it over.
-type paid struct {
+// admittedJob is a job of a tenant that a dispatcher has admitted, with the time at which its client sent it.
+type admittedJob struct {
 	at     time.Duration
 	tenant int
 }
--- a/internal/rig/troubles.go
+++ b/internal/rig/troubles.go
@@ -13,8 +13,8 @@
 	"gaugeslip/internal/pause"
 )
 
-// some draws a share of n, at least one of them; share 0 is all.
-func some(rng *rand.Rand, n int, share float64) []int {
+// drawShare draws a share of the numbers below n, at least one of them. A share of 0 stands for all.
+func drawShare(rng *rand.Rand, n int, share float64) []int {
 	all := rng.Perm(n)
 	if share > 0 {
 		all = all[:max(1, int(math.Round(share*float64(n))))]
@@ -23,36 +23,36 @@
 	return all
 }
 
-// troubles begins and ends each at its time, until ctx ends.
+// troubles starts goroutines that begin and end each trouble at its time, until ctx ends.
 func (r *rig) troubles(ctx context.Context) *sync.WaitGroup {
 	var all sync.WaitGroup
 	rng := rand.New(rand.NewPCG(r.seed, 7))
 	for i := range r.sc.Trouble {
 		t := &r.sc.Trouble[i]
-		nodes, hosts := some(rng, len(r.nodes), t.Dispatchers), some(rng, len(r.fleet.Hosts), t.Hosts)
+		nodes, hosts := drawShare(rng, len(r.nodes), t.Dispatchers), drawShare(rng, len(r.fleet.Hosts), t.Hosts)
 		all.Go(func() {
 			if pause.For(ctx, t.at-r.now()) != nil {
 				return
 			}
-			r.tell("%s begins, %d dispatchers, %d hosts", t.Kind, len(nodes), len(hosts))
+			r.logf("%s begins, %d dispatchers, %d hosts", t.Kind, len(nodes), len(hosts))
 			end := r.begin(t, nodes, hosts)
 			if end == nil {
 				return
 			}
 			_ = pause.For(ctx, t.length) // the trouble ends either way
 			if err := end(); err != nil {
-				r.tell("%s: %v", t.Kind, err)
+				r.logf("%s: %v", t.Kind, err)
 			}
-			r.tell("%s ends", t.Kind)
+			r.logf("%s ends", t.Kind)
 		})
 	}
 	return &all
 }
 
-// begin has a trouble strike, and gives what ends it; nil: it has no end.
+// begin starts a trouble and returns the function that ends it, or nil if it has no end.
 func (r *rig) begin(t *Trouble, nodes, hosts []int) (end func() error) {
-	if talkKinds[t.Kind] || t.Path == "peer" {
-		return r.beginTalk(t, nodes)
+	if peerKinds[t.Kind] || t.Path == "peer" {
+		return r.beginPeerTrouble(t, nodes)
 	}
 	if linkKinds[t.Kind] {
 		return r.beginLink(t, nodes, hosts)
@@ -69,9 +69,9 @@
 		return each(func(p *Process) error { p.Signal(s); return nil })
 	}
 	restart := each(func(p *Process) error {
-		if !p.Await(stopWithin) {
+		if !p.Await(stopTimeout) {
 			p.Signal(syscall.SIGKILL)
-			p.Await(stopWithin)
+			p.Await(stopTimeout)
 		}
 		return p.Start()
 	})
@@ -96,7 +96,7 @@
 	sound := plain(func(h *emulator.Host) { h.Fault(emulator.Faults{}) })
 	switch t.Kind {
 	case "site":
-		return r.beginSite(t)
+		return r.beginSiteTrouble(t)
 	case "kill", "term":
 		s := syscall.SIGKILL
 		if t.Kind == "term" {
@@ -115,10 +115,10 @@
 	case "reload":
 		for _, i := range nodes {
 			r.mu.Lock()
-			r.nodes[i].moved = !r.nodes[i].moved
+			r.nodes[i].usesSecondDiscovery = !r.nodes[i].usesSecondDiscovery
 			r.mu.Unlock()
-			if err := r.configure(r.nodes[i], 0); err != nil {
-				r.tell("reload: %v", err)
+			if err := r.writeConfig(r.nodes[i], 0); err != nil {
+				r.logf("reload: %v", err)
 			}
 		}
 		signal(syscall.SIGHUP)()
@@ -139,20 +139,20 @@
 		r.fleet.Down(true)
 		return func() error { r.fleet.Down(false); return nil }
 	case "storm":
-		r.front.surge(t.Times)
-		return func() error { r.front.surge(1 / t.Times); return nil }
+		r.front.scaleLoad(t.Times)
+		return func() error { r.front.scaleLoad(1 / t.Times); return nil }
 	}
 	return nil
 }
 
-// surge multiplies the load.
-func (f *front) surge(times float64) {
+// scaleLoad multiplies the load by a factor.
+func (f *front) scaleLoad(times float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.load *= times
 }
 
-// beginLink puts a trouble on links.
+// beginLink starts a trouble of links and returns the function that ends it.
 func (r *rig) beginLink(t *Trouble, nodes, hosts []int) func() error {
 	var links []*Link
 	for _, i := range nodes {
@@ -160,7 +160,7 @@
 		case "client":
 			links = append(links, n.client)
 		case "discovery":
-			links = append(links, n.disc[0], n.disc[1])
+			links = append(links, n.discovery[0], n.discovery[1])
 		case "host":
 			for _, h := range hosts {
 				links = append(links, n.hosts[h])
@@ -170,7 +170,7 @@
 	f := Fault{}
 	switch t.Kind {
 	case "silent":
-		f.Silent = t.way
+		f.Silent = t.direction
 	case "refuse":
 		f.Refuse = true
 	case "delay":
@@ -178,7 +178,7 @@
 	case "trickle":
 		f.Rate = t.Rate
 	case "cut":
-		f.Cut, f.CutAt = t.way, int64(t.Bytes)
+		f.Cut, f.CutAt = t.direction, int64(t.Bytes)
 	case "reset", "half_open":
 		for _, l := range links {
 			if t.Kind == "reset" {
@@ -191,14 +191,14 @@
 	}
 	var errs error
 	for _, l := range links {
-		errs = errors.Join(errs, l.Put(&f))
+		errs = errors.Join(errs, l.AddFault(&f))
 	}
 	if errs != nil {
-		r.tell("%s: %v", t.Kind, errs)
+		r.logf("%s: %v", t.Kind, errs)
 	}
 	return func() (err error) {
 		for _, l := range links {
-			err = errors.Join(err, l.Take(&f))
+			err = errors.Join(err, l.RemoveFault(&f))
 		}
 		return err
 	}
