--- a/internal/net/downstream/answer.go
+++ b/internal/net/downstream/answer.go
@@ -14,15 +14,15 @@
 // reject answers what can't be taken, at once and without waiting for the rest of it, and closes: what follows
 // on the connection may be part of it. It returns the status.
 func (s *Server) reject(w http.ResponseWriter, r *http.Request, err error) int {
-	var f *fault
+	var f *requestError
 	if !errors.As(err, &f) {
-		f = &fault{http.StatusBadRequest, err.Error()}
+		f = &requestError{http.StatusBadRequest, err.Error()}
 	}
 	switch f.status {
 	case http.StatusMethodNotAllowed:
 		w.Header().Set("Allow", http.MethodPost)
 	case http.StatusServiceUnavailable:
-		s.advise(w, s.set.Policy.MaxRetryAfter)
+		s.setRetryAfter(w, s.set.Policy.MaxRetryAfter)
 	}
 	slog.Debug("refused at the door", "status", f.status, "why", f.why, "id", r.Header.Get("X-Trace-Id"))
 	// Else net/http reads the rest of the body before it answers.
@@ -30,20 +30,20 @@
 	w.Header().Set("Connection", "close")
 	s.reply(w, f.status, f.why)
 	if c := clientOf(r); c != nil {
-		c.gate.move(c, parting)
+		c.gate.setPhase(c, closing)
 	}
 	return f.status
 }
 
-// tally counts a final answer.
-func (s *Server) tally(class, status int) {
+// countAnswer counts a final answer.
+func (s *Server) countAnswer(class, status int) {
 	if s.cfg.Tally != nil {
 		s.cfg.Tally.Answered(class, status)
 	}
 }
 
-// up tells the front whether requests can be served here.
-func (s *Server) up(w http.ResponseWriter, r *http.Request) {
+// serveUp tells the front whether requests can be served here.
+func (s *Server) serveUp(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		w.Header().Set("Allow", "GET, HEAD")
 		s.reply(w, http.StatusMethodNotAllowed, "GET only")
@@ -56,31 +56,31 @@
 	s.reply(w, http.StatusServiceUnavailable, "stopping")
 }
 
-// await hands a ticket in and sends its answer.
-func (s *Server) await(w http.ResponseWriter, r *http.Request, t *loop.Ticket, p prefer) {
+// serveJob hands a ticket in and sends its answer.
+func (s *Server) serveJob(w http.ResponseWriter, r *http.Request, t *loop.Ticket, p preference) {
 	class := t.Job.Class
 	t.Forward.Client = r.Context()
 	if err := s.loop.Submit(t); err != nil {
 		if errors.Is(err, loop.ErrOpen) {
-			s.tally(class, s.reject(w, r, &fault{http.StatusConflict, err.Error()}))
+			s.countAnswer(class, s.reject(w, r, &requestError{http.StatusConflict, err.Error()}))
 			return
 		}
 		// A hard limit. Nothing was sent: a repeat is harmless.
-		s.tally(class, s.answer(w, loop.Answer{Refused: true, RetryAfter: s.set.Policy.MaxRetryAfter}))
+		s.countAnswer(class, s.writeAnswer(w, loop.Answer{Refused: true, RetryAfter: s.set.Policy.MaxRetryAfter}))
 		return
 	}
 	left := false
 	defer func() { s.loop.Release(t, left) }()
-	s.hold("waiting", r)
+	s.callTestHook("waiting", r)
 	select {
 	case a := <-t.Answer():
-		s.final(w, r, t, p, a)
+		s.writeJobAnswer(w, r, t, p, a)
 	case <-r.Context().Done():
 		// One that has only ended its sending still reads: net/http's own answer would be that its job was served.
 		w.Header().Set("Connection", "close")
 		select {
 		case a := <-t.Answer(): // decided before the leave was seen
-			s.final(w, r, t, p, a)
+			s.writeJobAnswer(w, r, t, p, a)
 		default:
 			left = true
 			slog.Debug("client left", "id", t.Forward.TraceID)
@@ -89,39 +89,39 @@
 	case <-s.loop.Stopped():
 		select {
 		case a := <-t.Answer(): // decided before the end
-			s.final(w, r, t, p, a)
+			s.writeJobAnswer(w, r, t, p, a)
 		default:
 			s.reply(w, http.StatusInternalServerError, "stopped")
-			s.tally(class, http.StatusInternalServerError)
+			s.countAnswer(class, http.StatusInternalServerError)
 		}
 	}
 }
 
-// hold lets a test hold a request at a point.
-func (s *Server) hold(point string, r *http.Request) {
-	if s.held != nil {
-		s.held(point, r)
+// callTestHook lets a test hold a request at a point.
+func (s *Server) callTestHook(point string, r *http.Request) {
+	if s.testHook != nil {
+		s.testHook(point, r)
 	}
 }
 
-// final sends the loop's answer to a ticket.
-func (s *Server) final(w http.ResponseWriter, r *http.Request, t *loop.Ticket, p prefer, a loop.Answer) {
+// writeJobAnswer sends the loop's answer to a ticket.
+func (s *Server) writeJobAnswer(w http.ResponseWriter, r *http.Request, t *loop.Ticket, p preference, a loop.Answer) {
 	if a.Accepted {
-		s.accepted(w, r, t.Forward.TraceID, p)
+		s.replyAccepted(w, r, t.Forward.TraceID, p)
 		return
 	}
-	s.tally(t.Job.Class, s.answer(w, a))
+	s.countAnswer(t.Job.Class, s.writeAnswer(w, a))
 }
 
-// answer sends a final answer and returns its status.
-func (s *Server) answer(w http.ResponseWriter, a loop.Answer) int {
+// writeAnswer sends a final answer and returns its status.
+func (s *Server) writeAnswer(w http.ResponseWriter, a loop.Answer) int {
 	switch {
 	case a.Served:
 		w.Header().Set("Content-Type", "application/octet-stream")
 		s.write(w, http.StatusOK, a.Body)
 		return http.StatusOK
 	case a.Refused:
-		s.advise(w, a.RetryAfter)
+		s.setRetryAfter(w, a.RetryAfter)
 		status := cmp.Or(a.Status, http.StatusTooManyRequests)
 		s.reply(w, status, cmp.Or(a.Why, "refused"))
 		return status
@@ -134,8 +134,8 @@
 	}
 }
 
-// advise tells a refused client when to come back; 0: no advice.
-func (s *Server) advise(w http.ResponseWriter, after time.Duration) {
+// setRetryAfter tells a refused client when to come back; 0: no advice.
+func (s *Server) setRetryAfter(w http.ResponseWriter, after time.Duration) {
 	if after > 0 && s.set.RetryAfter {
 		w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
 	}
--- a/internal/net/downstream/downstream_test.go
+++ b/internal/net/downstream/downstream_test.go
@@ -57,7 +57,7 @@
 	l.Post(dispatch.HostList{Whole: true, Stale: true,
 		Hosts: []dispatch.Host{{Name: "s-0000000a", Addr: host.Addr, Scale: 1},
 			{Name: "s-0000000b", Addr: host.Addr, Scale: 1}}})
-	s := New(Config{Listen: "127.0.0.1:0", MaxConns: maxConns, MaxBodies: maxBody, AcceptFor: acceptFor,
+	s := New(Config{Listen: "127.0.0.1:0", MaxConns: maxConns, MaxBodies: maxBodyBytes, AcceptFor: acceptFor,
 		KilledAfter: KilledAfter(set), Waiting: room != nil}, set, l)
 	running = l
 	ln, err := s.Listen()
@@ -224,7 +224,7 @@
 func justCome(g *gate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for c := range g.conns[unread] {
+	for c := range g.conns[awaitingHead] {
 		c.since = time.Now()
 	}
 }
@@ -265,9 +265,9 @@
 	hold := make(chan struct{})
 	addr, host, _, _ := dispatcher(t, 0, func(c *nettest.Call) { <-hold; nettest.Serve(c) })
 	first, second := nettest.Dial(t, addr), nettest.Dial(t, addr)
-	first.Post("/harvest-sale", "t1", "", strings.Repeat("x", maxBody))
+	first.Post("/harvest-sale", "t1", "", strings.Repeat("x", maxBodyBytes))
 	nettest.Wait(t, host.Calls)
-	second.Post("/harvest-sale", "t2", "", strings.Repeat("x", maxBody))
+	second.Post("/harvest-sale", "t2", "", strings.Repeat("x", maxBodyBytes))
 	resp, _ := second.Answer()
 	assert.Equal(t, "503 1.5", strconv.Itoa(resp.StatusCode)+" "+resp.Header.Get("Retry-After"))
 	third := nettest.Dial(t, addr)
@@ -280,7 +280,7 @@
 
 func TestLongestBody(t *testing.T) {
 	addr, host, _, _ := dispatcher(t, 0, nettest.Serve)
-	body := strings.Repeat("x", maxBody)
+	body := strings.Repeat("x", maxBodyBytes)
 	c := nettest.Dial(t, addr)
 	c.Post("/harvest-sale", "t1", "", body)
 	_, got := c.Answer()
@@ -305,7 +305,7 @@
 	again, err := decode(r, nettest.Settings(t), time.Now())
 	require.NoError(t, err)
 	assert.Equal(t, k.Job.Key, again.Job.Key, "a client's next try concerns the same")
-	r.Header.Set("X-Object", strings.Repeat("o", maxID+1))
+	r.Header.Set("X-Object", strings.Repeat("o", maxIDLength+1))
 	other, err := decode(r, nettest.Settings(t), time.Now())
 	require.NoError(t, err)
 	assert.False(t, other.Job.Keyed)
@@ -336,7 +336,7 @@
 	l := loop.New(nil, set, nil, nil, loop.NewClock())
 	require.NoError(t, l.Submit(&loop.Ticket{}))
 	w := httptest.NewRecorder()
-	New(Config{}, set, l).await(w, httptest.NewRequest("POST", "/plot-load", nil), &loop.Ticket{}, prefer{})
+	New(Config{}, set, l).serveJob(w, httptest.NewRequest("POST", "/plot-load", nil), &loop.Ticket{}, preference{})
 	assert.Equal(t, "429 1.5", strconv.Itoa(w.Code)+" "+w.Header().Get("Retry-After"))
 }
 
--- a/internal/net/downstream/endings_test.go
+++ b/internal/net/downstream/endings_test.go
@@ -34,12 +34,12 @@
 // further than one byte. Held is what is open; only a leave can end what this host holds.
 func TestLeaveIsSeenBehindMore(t *testing.T) {
 	for name, more := range map[string]string{"a line": "\r\n", "a second request": "POST /plot-load/x HTTP/1.1\r\nHost: h\r\n" +
-		"X-Trace-Id: t2\r\nContent-Length: 0\r\n\r\n", "much": strings.Repeat("x", maxAhead-1),
-		"more than is put aside": strings.Repeat("x", 2*maxAhead)} {
+		"X-Trace-Id: t2\r\nContent-Length: 0\r\n\r\n", "much": strings.Repeat("x", maxPipelined-1),
+		"more than is put aside": strings.Repeat("x", 2*maxPipelined)} {
 		t.Run(name, func(t *testing.T) {
 			var leave func()
 			addr, host, _, _ := dispatcherWith(t, 0, patient, nil, func(s *Server) {
-				s.held = func(point string, r *http.Request) {
+				s.testHook = func(point string, r *http.Request) {
 					if point == "reading" { // before the job is before the loop
 						leave()
 					}
@@ -60,7 +60,7 @@
 			}
 		})
 	}
-	for name, more := range map[string]string{"while it is out": "", "more than is put aside, while it is out": strings.Repeat("x", 2*maxAhead)} {
+	for name, more := range map[string]string{"while it is out": "", "more than is put aside, while it is out": strings.Repeat("x", 2*maxPipelined)} {
 		t.Run(name, func(t *testing.T) {
 			addr, host, _, _ := dispatcher(t, 0, patient)
 			c := nettest.Dial(t, addr)
@@ -78,12 +78,12 @@
 // left, has its answer, and is served what it sent.
 func TestStaysBehindMore(t *testing.T) {
 	c, release := heldFirst(t)
-	c.Post("/harvest-sale/x", "t2", "", strings.Repeat("b", 2*maxAhead)) // what is put aside is full
+	c.Post("/harvest-sale/x", "t2", "", strings.Repeat("b", 2*maxPipelined)) // what is put aside is full
 	require.Never(t, func() bool { return running.Held() == 0 }, 200*time.Millisecond, 10*time.Millisecond)
 	c.Post("/harvest-sale/x", "t3", "", "c") // it is woken, and there is still no end
 	require.Never(t, func() bool { return running.Held() == 0 }, 200*time.Millisecond, 10*time.Millisecond)
 	release()
-	answers(t, c, "a", strings.Repeat("b", 2*maxAhead), "c")
+	answers(t, c, "a", strings.Repeat("b", 2*maxPipelined), "c")
 }
 
 // heldFirst is a client whose job "a" is out at a host that holds it until release.
@@ -113,21 +113,21 @@
 // What a client sends too early, and stays, is its next request.
 func TestEarlyRequestIsKept(t *testing.T) {
 	c, release := heldFirst(t)
-	c.Post("/plot-load/x", "t2", "", strings.Repeat("b", maxAhead/2))
-	c.Post("/plot-load/x", "t3", "", strings.Repeat("c", maxAhead)) // beyond what is put aside
+	c.Post("/plot-load/x", "t2", "", strings.Repeat("b", maxPipelined/2))
+	c.Post("/plot-load/x", "t3", "", strings.Repeat("c", maxPipelined)) // beyond what is put aside
 	release()
-	answers(t, c, "a", strings.Repeat("b", maxAhead/2), strings.Repeat("c", maxAhead))
+	answers(t, c, "a", strings.Repeat("b", maxPipelined/2), strings.Repeat("c", maxPipelined))
 }
 
 // The time limit of a body must not look like a leave: a request without one is held until the limit would have come.
 func TestBodyLimitIsNoLeave(t *testing.T) {
 	t.Parallel()
 	addr, _, _, _ := dispatcherWith(t, 0, nettest.Serve, nil, func(s *Server) {
-		s.held = func(point string, r *http.Request) {
+		s.testHook = func(point string, r *http.Request) {
 			if point == "reading" {
 				select {
 				case <-r.Context().Done(): // the fault
-				case <-time.After(time.Until(bodyBy(clientOf(r), time.Now())) + 100*time.Millisecond):
+				case <-time.After(time.Until(bodyDeadline(clientOf(r), time.Now())) + 100*time.Millisecond):
 				}
 			}
 		}
@@ -185,10 +185,10 @@
 // knows of it yet. Its client sees a close that crosses its request and sends that once more: it must not run here too.
 func TestCloseCrossesRequest(t *testing.T) {
 	for name, end := range map[string]func(*Server){
-		"for the end": func(s *Server) { s.gate.shed(lastWords) },
+		"for the end": func(s *Server) { s.gate.closeIdle(silentConnWait) },
 		"for room": func(s *Server) {
 			s.gate.mu.Lock()
-			s.gate.max = 1
+			s.gate.maxConns = 1
 			s.gate.mu.Unlock()
 			a, _ := net.Pipe()
 			require.NotNil(t, s.gate.admit(a))
@@ -238,23 +238,23 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	for _, begin := range []phase{unread, idle} {
+	for _, begin := range []phase{awaitingHead, idle} {
 		g := newGate(ln, 1)
 		c := nettest.Dial(t, ln.Addr().String())
 		nc, err := g.Accept()
 		require.NoError(t, err)
-		g.move(nc.(*client), begin)
+		g.setPhase(nc.(*client), begin)
 		c.Post("/plot-load/x", "t1", "", "")
 		_, err = io.ReadAtLeast(nc, make([]byte, 4096), len("POST /plot-load/x HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: t1\r\nContent-Length: 0\r\n\r\n"))
 		require.NoError(t, err)
 		g.mu.Lock()
-		assert.Nil(t, g.spare())
+		assert.Nil(t, g.evictionCandidate())
 		g.mu.Unlock()
-		assert.Equal(t, 1, g.shed(0))
-		assert.False(t, nc.(*client).gone())
+		assert.Equal(t, 1, g.closeIdle(0))
+		assert.False(t, nc.(*client).isClosed())
 		nc.Close()
 		nc.Close()
-		assert.Zero(t, g.shed(0), "its place comes back once")
+		assert.Zero(t, g.closeIdle(0), "its place comes back once")
 	}
 }
 
@@ -274,8 +274,8 @@
 			require.NoError(t, err)
 		}
 	}
-	assert.Equal(t, 2, g.shed(time.Hour))
-	assert.Equal(t, 1, g.shed(0))
+	assert.Equal(t, 2, g.closeIdle(time.Hour))
+	assert.Equal(t, 1, g.closeIdle(0))
 	silent.Closed()
 }
 
@@ -311,7 +311,7 @@
 	c.Post("/plot-load/x", "t1", "", "x")
 	stop()
 	nettest.Wait(t, l.ended)
-	time.Sleep(2 * acceptRest) // later than any limit that was set at the end: only the held accept itself is waited for
+	time.Sleep(2 * acceptQueueWait) // later than any limit that was set at the end: only the held accept itself is waited for
 	close(l.go_)
 	resp, _ := c.Answer()
 	assert.Equal(t, 200, resp.StatusCode)
@@ -365,7 +365,7 @@
 			go func() { ended <- l.Run(ctx) }()
 			s := New(Config{}, set, l)
 			r := httptest.NewRequest("POST", "/plot-load", nil)
-			s.held = func(string, *http.Request) { // both are there before the handler looks
+			s.testHook = func(string, *http.Request) { // both are there before the handler looks
 				nettest.Wait(t, answered)
 				if ends == "the loop" {
 					require.NoError(t, nettest.Wait(t, ended))
@@ -377,7 +377,7 @@
 			w := httptest.NewRecorder()
 			k := &loop.Ticket{Arrived: time.Now(), Forward: upstream.Request{TraceID: "t1"},
 				Job: dispatch.JobArrived{Tenant: -1, Budget: 15 * time.Second, Size: 100 * time.Millisecond, Slots: 1}}
-			s.await(w, r, k, prefer{})
+			s.serveJob(w, r, k, preference{})
 			assert.Equal(t, "200 r", strings.TrimSpace(w.Result().Status[:3]+" "+w.Body.String()), ends)
 			assert.Zero(t, l.Held())
 			if halt(); ends == "the client" {
@@ -421,7 +421,7 @@
 	c.Post("/plot-load/x", "t2", "", "x")
 	c.Answer()
 	assert.NotContains(t, nettest.Wait(t, host.Calls).Header, "Idempotency-Key")
-	for _, bad := range []string{strings.Repeat("k", maxKey+1), "a\r\nIdempotency-Key: b"} {
+	for _, bad := range []string{strings.Repeat("k", maxKeyLength+1), "a\r\nIdempotency-Key: b"} {
 		c := nettest.Dial(t, addr)
 		c.Post("/plot-load/x", "t3", "Idempotency-Key: "+bad+"\r\n", "x")
 		resp, _ := c.Answer()
@@ -446,7 +446,7 @@
 		defer f.Close()
 		successor, err = net.FileListener(f)
 		require.NoError(t, err)
-		s.held = func(point string, r *http.Request) {
+		s.testHook = func(point string, r *http.Request) {
 			if point == "reading" && r.Method == http.MethodPost {
 				read <- struct{}{}
 				<-release
@@ -462,8 +462,8 @@
 	require.Eventually(t, func() bool { // the half is read
 		server.gate.mu.Lock()
 		defer server.gate.mu.Unlock()
-		for c := range server.gate.conns[unread] {
-			if c.head.begun() {
+		for c := range server.gate.conns[awaitingHead] {
+			if c.head.started() {
 				return len(server.gate.conns[idle]) == 1
 			}
 		}
--- a/internal/net/downstream/gate.go
+++ b/internal/net/downstream/gate.go
@@ -17,27 +17,27 @@
 type phase int
 
 const (
-	unread  phase = iota // no whole head has come yet: silent, or dribbling
-	parting              // answered with a local reply that closes it
-	idle                 // between requests: a close here costs a client no more than a new connection
-	busy                 // a request is being read or is owed its answer: never closed for others
-	phases
+	awaitingHead phase = iota // no whole head has come yet: silent, or dribbling
+	closing                   // answered with a local reply that closes it
+	idle                      // between requests: a close here costs a client no more than a new connection
+	busy                      // a request is being read or is owed its answer: never closed for others
+	phaseCount
 )
 
 // gate is the listener of the downstream side. It accepts whatever comes, so that nobody waits unseen in the
 // listen queue behind a crowd that says nothing, and keeps to its limit by closing what can be spared.
 type gate struct {
 	net.Listener
-	max    int
-	done   atomic.Bool // no more is to be accepted but what is there
-	rested bool        // Accept's own: it has looked for that
+	maxConns     int
+	stopped      atomic.Bool // no more is to be accepted but what is there
+	queueChecked bool        // Accept's own: it has looked for that
 
 	mu    sync.Mutex
-	conns [phases]map[*client]struct{}
+	conns [phaseCount]map[*client]struct{}
 }
 
 func newGate(ln net.Listener, limit int) *gate {
-	g := &gate{Listener: ln, max: limit}
+	g := &gate{Listener: ln, maxConns: limit}
 	for p := range g.conns {
 		g.conns[p] = map[*client]struct{}{}
 	}
@@ -49,11 +49,11 @@
 func (g *gate) Accept() (net.Conn, error) {
 	for {
 		nc, err := g.Listener.Accept()
-		if err != nil && g.done.Load() {
-			if g.rested || !g.rest() {
-				return nil, errDone // net/http would take a time-out for a reason to go on
+		if err != nil && g.stopped.Load() {
+			if g.queueChecked || !g.setAcceptDeadline() {
+				return nil, errStopped // net/http would take a time-out for a reason to go on
 			}
-			g.rested = true // this once: the limit may have passed before the queue was looked at
+			g.queueChecked = true // this once: the limit may have passed before the queue was looked at
 			continue
 		}
 		if err != nil {
@@ -66,25 +66,25 @@
 	}
 }
 
-// errDone ends net/http's accepting.
-var errDone = errors.New("downstream: no more connections are taken")
+// errStopped ends net/http's accepting.
+var errStopped = errors.New("downstream: no more connections are taken")
 
-// acceptRest is how long what waits in the accept queue of a socket that is about to close is still taken.
-const acceptRest = 20 * time.Millisecond
+// acceptQueueWait is how long what waits in the accept queue of a socket that is about to close is still taken.
+const acceptQueueWait = 20 * time.Millisecond
 
 // stop ends accepting. Of a socket of our own what is in the queue is taken first: to its client it is a connection that
 // stands, and a close would reset it. On a socket that is shared the queue is the successor's.
 func (g *gate) stop(shared bool) {
-	g.done.Store(true)
-	if shared || !g.rest() {
+	g.stopped.Store(true)
+	if shared || !g.setAcceptDeadline() {
 		g.Listener.Close()
 	}
 }
 
-// rest limits the wait for one more connection; the listener is closed with net/http's server. False: it can't be.
-func (g *gate) rest() bool {
+// setAcceptDeadline limits the wait for one more connection; the listener is closed with net/http's server. False: it can't be.
+func (g *gate) setAcceptDeadline() bool {
 	l, ok := g.Listener.(interface{ SetDeadline(time.Time) error })
-	return ok && l.SetDeadline(time.Now().Add(acceptRest)) == nil
+	return ok && l.SetDeadline(time.Now().Add(acceptQueueWait)) == nil
 }
 
 func (g *gate) admit(nc net.Conn) *client {
@@ -94,18 +94,18 @@
 		held += len(set)
 	}
 	var victim *client
-	if held >= g.max {
-		if victim = g.spare(); victim == nil {
+	if held >= g.maxConns {
+		if victim = g.evictionCandidate(); victim == nil {
 			g.mu.Unlock()
 			slog.Debug("a new connection closed: all are owed answers", "held", held)
 			return nil
 		}
 		slog.Debug("a connection closed for a new one", "phase", victim.phase, "for", time.Since(victim.since))
-		g.forget(victim)
+		g.remove(victim)
 	}
 	now := time.Now()
 	c := &client{Conn: nc, gate: g, accepted: now, since: now}
-	g.conns[unread][c] = struct{}{}
+	g.conns[awaitingHead][c] = struct{}{}
 	g.mu.Unlock()
 	if victim != nil {
 		victim.Conn.Close()
@@ -113,26 +113,26 @@
 	return c
 }
 
-// fresh is how long a connection that has sent nothing whole yet counts as a client on its way: a client writes its
+// newConnGrace is how long a connection that has sent nothing whole yet counts as a client on its way: a client writes its
 // head within milliseconds. Until then it is the last to make room, after idle ones, whose close costs a client no more
 // than a new connection; later it is the first, for it is likely one of a crowd that says nothing.
-const fresh = time.Second
+const newConnGrace = time.Second
 
-// spare finds the connection that can best be spared: of the silent ones, of those parting, of the idle ones and last
+// evictionCandidate finds the connection that can best be spared: of the silent ones, of those parting, of the idle ones and last
 // of the fresh ones, the one longest in its phase. One whose request has come and only waits to be read is none: in a
 // crowd that would shed the clients that speak.
-func (g *gate) spare() *client {
+func (g *gate) evictionCandidate() *client {
 	now := time.Now()
 	for _, tier := range []struct {
 		p     phase
 		since time.Duration // in the phase at least
-	}{{unread, fresh}, {parting, 0}, {idle, 0}, {unread, 0}} {
+	}{{awaitingHead, newConnGrace}, {closing, 0}, {idle, 0}, {awaitingHead, 0}} {
 		list := slices.SortedFunc(maps.Keys(g.conns[tier.p]), func(a, b *client) int { return a.since.Compare(b.since) })
 		for _, c := range list {
 			if now.Sub(c.since) < tier.since {
 				break // the rest are younger
 			}
-			if !pending(c.Conn) {
+			if !hasUnreadData(c.Conn) {
 				return c
 			}
 		}
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// pending tells whether a connection has bytes that nobody has read yet.
-func pending(nc net.Conn) bool {
+// hasUnreadData tells whether a connection has bytes that nobody has read yet.
+func hasUnreadData(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
@@ -158,16 +158,16 @@
 	return err == nil && n > 0
 }
 
-// shed closes the connections that have been between requests, or have said nothing yet, for a while, and on which
+// closeIdle closes the connections that have been between requests, or have said nothing yet, for a while, and on which
 // nothing waits to be read: a close there costs their clients a new connection and nothing else. It returns how many
 // connections are left.
-func (g *gate) shed(unreadFor time.Duration) (left int) {
+func (g *gate) closeIdle(unreadFor time.Duration) (left int) {
 	g.mu.Lock()
 	var out []*client
-	for p, least := range map[phase]time.Duration{idle: 0, unread: unreadFor} {
+	for p, least := range map[phase]time.Duration{idle: 0, awaitingHead: unreadFor} {
 		for c := range g.conns[p] {
-			if time.Since(c.since) >= least && !c.head.begun() && !pending(c.Conn) {
-				g.forget(c)
+			if time.Since(c.since) >= least && !c.head.started() && !hasUnreadData(c.Conn) {
+				g.remove(c)
 				out = append(out, c)
 			}
 		}
@@ -182,36 +182,36 @@
 	return left
 }
 
-func (g *gate) forget(c *client) {
+func (g *gate) remove(c *client) {
 	delete(g.conns[c.phase], c)
 	c.closed = true
 }
 
-// move notes what a connection is doing now.
-func (g *gate) move(c *client, p phase) {
+// setPhase notes what a connection is doing now.
+func (g *gate) setPhase(c *client, p phase) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !c.closed {
-		g.place(c, p)
+		g.setPhaseLocked(c, p)
 	}
 }
 
-// place is move under the lock.
-func (g *gate) place(c *client, p phase) {
+// setPhaseLocked is move under the lock.
+func (g *gate) setPhaseLocked(c *client, p phase) {
 	delete(g.conns[c.phase], c)
 	c.phase, c.since = p, time.Now()
 	g.conns[p][c] = struct{}{}
 }
 
-// state follows net/http's own view; a connection is active for it once a whole head has come.
-func (g *gate) state(nc net.Conn, s http.ConnState) {
+// onConnState follows net/http's own view; a connection is active for it once a whole head has come.
+func (g *gate) onConnState(nc net.Conn, s http.ConnState) {
 	if c, ok := nc.(*client); ok {
 		switch s {
 		case http.StateActive:
-			g.move(c, busy)
+			g.setPhase(c, busy)
 		case http.StateIdle:
-			c.nextHead()
-			g.move(c, idle)
+			c.resetHead()
+			g.setPhase(c, idle)
 		}
 	}
 }
--- a/internal/net/downstream/jobs.go
+++ b/internal/net/downstream/jobs.go
@@ -23,23 +23,23 @@
 const Jobs = "/jobs"
 
 const (
-	maxAfter   = 16
-	maxAskWait = 5 * time.Minute
-	maxPage    = 1000
-	maxFar     = 366 * 24 * time.Hour // what a header may name; the settings bound it further
+	maxDependencies = 16
+	maxQueryWait    = 5 * time.Minute
+	maxPageLength   = 1000
+	maxTimeHeader   = 366 * 24 * time.Hour // what a header may name; the settings bound it further
 )
 
-// onceWaiting names the headers of waiting jobs that may stand one time only.
-var onceWaiting = []string{"X-Not-Before-Ms", "X-Due-Ms", "X-After"}
+// singleWaitingHeaders names the headers of waiting jobs that may stand one time only.
+var singleWaitingHeaders = []string{"X-Not-Before-Ms", "X-Due-Ms", "X-After"}
 
-// prefer is what a request's Prefer headers ask for (RFC 7240): of what is defined there, respond-async and wait.
-type prefer struct {
+// preference is what a request's Prefer headers ask for (RFC 7240): of what is defined there, respond-async and wait.
+type preference struct {
 	async bool
 	wait  time.Duration
 }
 
-// preferences reads them. As the RFC has it, what is not understood is passed over, and the first of a name counts.
-func preferences(h http.Header) (p prefer, err error) {
+// parsePreferences reads them. As the RFC has it, what is not understood is passed over, and the first of a name counts.
+func parsePreferences(h http.Header) (p preference, err error) {
 	waits := false
 	for _, part := range strings.Split(strings.Join(h["Prefer"], ","), ",") {
 		part, _, _ = strings.Cut(part, ";") // parameters mean nothing here
@@ -54,22 +54,22 @@
 			waits = true
 			v, err := strconv.ParseUint(strings.Trim(strings.TrimSpace(value), `"`), 10, 31)
 			if err != nil {
-				return p, bad("Prefer: wait: %q is no number of seconds", value)
+				return p, badRequest("Prefer: wait: %q is no number of seconds", value)
 			}
-			p.wait = min(time.Duration(v)*time.Second, maxAskWait)
+			p.wait = min(time.Duration(v)*time.Second, maxQueryWait)
 		}
 	}
 	return p, nil
 }
 
-// decodeWait reads what a job's head asks of the waiting room, into the ticket.
-func decodeWait(r *http.Request, t *loop.Ticket) (p prefer, err error) {
-	for _, name := range onceWaiting {
+// decodeWaiting reads what a job's head asks of the waiting room, into the ticket.
+func decodeWaiting(r *http.Request, t *loop.Ticket) (p preference, err error) {
+	for _, name := range singleWaitingHeaders {
 		if len(r.Header[name]) > 1 {
-			return p, bad("%s: more than one", name)
+			return p, badRequest("%s: more than one", name)
 		}
 	}
-	if p, err = preferences(r.Header); err != nil {
+	if p, err = parsePreferences(r.Header); err != nil {
 		return p, err
 	}
 	if t.Job.Client = r.Header.Get("X-Customer"); t.Job.Client == "" {
@@ -87,25 +87,25 @@
 		}
 		asks = true
 		v, err := strconv.ParseUint(said[0], 10, 63) // takes no sign
-		if err != nil || v > uint64(maxFar/time.Millisecond) {
-			return p, bad("%s: bad value %q", f.name, said[0])
+		if err != nil || v > uint64(maxTimeHeader/time.Millisecond) {
+			return p, badRequest("%s: bad value %q", f.name, said[0])
 		}
 		if *f.to = time.Duration(v) * time.Millisecond; v == 0 && f.to == &w.Due {
-			return p, bad("X-Due-Ms: must be more than 0")
+			return p, badRequest("X-Due-Ms: must be more than 0")
 		}
 	}
 	if said, there := r.Header["X-After"]; there {
 		asks = true
 		for _, id := range strings.Split(said[0], ",") {
-			if id = strings.TrimSpace(id); !token(id, maxID) {
-				return p, bad("X-After: %q is no id", id)
+			if id = strings.TrimSpace(id); !validID(id, maxIDLength) {
+				return p, badRequest("X-After: %q is no id", id)
 			}
 			if !slices.Contains(w.After, id) {
 				w.After = append(w.After, id)
 			}
 		}
-		if len(w.After) > maxAfter {
-			return p, bad("X-After: %d ids, %d at most", len(w.After), maxAfter)
+		if len(w.After) > maxDependencies {
+			return p, badRequest("X-After: %d ids, %d at most", len(w.After), maxDependencies)
 		}
 	}
 	if asks {
@@ -114,29 +114,29 @@
 	return p, nil
 }
 
-// accepted answers the POST of a job that lives on without its connection; a client that prefers to wait a while for
+// replyAccepted answers the POST of a job that lives on without its connection; a client that prefers to wait a while for
 // the end first may have that instead.
-func (s *Server) accepted(w http.ResponseWriter, r *http.Request, id string, p prefer) {
+func (s *Server) replyAccepted(w http.ResponseWriter, r *http.Request, id string, p preference) {
 	if p.wait > 0 {
-		if told, ok := s.ask(r, waiting.Query{Name: id}, p.wait); ok && told.Info != nil && told.Info.State.Final() {
-			s.outcome(w, told.Info)
+		if told, ok := s.queryJobs(r, waiting.Query{Name: id}, p.wait); ok && told.Info != nil && told.Info.State.Final() {
+			s.replyFinished(w, told.Info)
 			return
 		}
 	}
 	w.Header().Set("Location", Jobs+"/"+id)
 	w.Header().Set("Preference-Applied", "respond-async")
-	s.json(w, http.StatusAccepted, &Job{ID: id, State: waiting.Waiting.String()})
+	s.writeJSON(w, http.StatusAccepted, &Job{ID: id, State: waiting.Waiting.String()})
 }
 
-// outcome answers a POST with what has become of its job.
-func (s *Server) outcome(w http.ResponseWriter, i *waiting.Info) {
+// replyFinished answers a POST with what has become of its job.
+func (s *Server) replyFinished(w http.ResponseWriter, i *waiting.Info) {
 	switch i.State {
 	case waiting.Served:
-		s.answer(w, loop.Answer{Served: true, Body: []byte(i.Result)})
+		s.writeAnswer(w, loop.Answer{Served: true, Body: []byte(i.Result)})
 	case waiting.Refused:
-		s.answer(w, loop.Answer{Refused: true, Status: i.Status, Why: i.State.String()})
+		s.writeAnswer(w, loop.Answer{Refused: true, Status: i.Status, Why: i.State.String()})
 	default:
-		s.answer(w, loop.Answer{Status: i.Status, Why: i.State.String()})
+		s.writeAnswer(w, loop.Answer{Status: i.Status, Why: i.State.String()})
 	}
 }
 
@@ -161,7 +161,7 @@
 	Room *waiting.Stats `json:"room"`
 }
 
-func view(i *waiting.Info) *Job {
+func newJob(i *waiting.Info) *Job {
 	j := &Job{ID: i.Name, State: i.State.String(), Class: i.Class, DueMS: i.Due.Milliseconds(),
 		WaitedMS: i.Waited.Milliseconds(), Attempts: i.Attempts, Status: i.Status, Shed: i.ResultShed}
 	if i.State == waiting.Served && !i.ResultShed {
@@ -174,14 +174,14 @@
 	return j
 }
 
-// ask puts a question to the room and waits for its end where wait says so.
-func (s *Server) ask(r *http.Request, q waiting.Query, wait time.Duration) (dispatch.QueryResult, bool) {
+// queryJobs puts a question to the room and waits for its end where wait says so.
+func (s *Server) queryJobs(r *http.Request, q waiting.Query, wait time.Duration) (dispatch.QueryResult, bool) {
 	q.Deadline = s.loop.Clock().Now() + wait
 	return s.loop.Ask(r.Context(), dispatch.JobQuery{Query: q})
 }
 
-// jobs serves what is below Jobs.
-func (s *Server) jobs(w http.ResponseWriter, r *http.Request) {
+// serveJobs serves what is below Jobs.
+func (s *Server) serveJobs(w http.ResponseWriter, r *http.Request) {
 	id := strings.TrimPrefix(strings.TrimPrefix(r.URL.Path, Jobs), "/")
 	q := waiting.Query{Name: id}
 	var wait time.Duration
@@ -189,24 +189,24 @@
 	case id == "" && r.Method == http.MethodGet:
 		query, err := url.ParseQuery(r.URL.RawQuery)
 		if err == nil {
-			q.StartAfter, q.MaxJobs = query.Get("from"), maxPage
+			q.StartAfter, q.MaxJobs = query.Get("from"), maxPageLength
 			if said := query.Get("most"); said != "" {
 				var n uint64
-				if n, err = strconv.ParseUint(said, 10, 16); n < 1 || n > maxPage {
+				if n, err = strconv.ParseUint(said, 10, 16); n < 1 || n > maxPageLength {
 					err = strconv.ErrRange
 				}
 				q.MaxJobs = int(n)
 			}
 		}
 		if err != nil {
-			s.reject(w, r, bad("most: 1 to %d", maxPage))
+			s.reject(w, r, badRequest("most: 1 to %d", maxPageLength))
 			return
 		}
-	case id != "" && !token(id, maxID):
-		s.reject(w, r, &fault{http.StatusNotFound, "no such job"})
+	case id != "" && !validID(id, maxIDLength):
+		s.reject(w, r, &requestError{http.StatusNotFound, "no such job"})
 		return
 	case id != "" && r.Method == http.MethodGet:
-		p, err := preferences(r.Header)
+		p, err := parsePreferences(r.Header)
 		if err != nil {
 			s.reject(w, r, err)
 			return
@@ -219,34 +219,34 @@
 		s.reply(w, http.StatusMethodNotAllowed, "not this method")
 		return
 	}
-	told, ok := s.ask(r, q, wait)
+	told, ok := s.queryJobs(r, q, wait)
 	switch {
 	case !ok && r.Context().Err() != nil:
 	case !ok || told.Status == waiting.StatusFull:
-		s.advise(w, s.set.Policy.MaxRetryAfter)
+		s.setRetryAfter(w, s.set.Policy.MaxRetryAfter)
 		s.reply(w, http.StatusServiceUnavailable, "stopping")
 	case told.Status == waiting.StatusUnknown:
 		s.reply(w, http.StatusNotFound, "no such job")
 	case told.Board != nil:
 		page := Page{Jobs: make([]Job, 0, len(told.Board.Jobs)), Room: &told.Board.Stats}
 		for i := range told.Board.Jobs {
-			j := view(&told.Board.Jobs[i])
+			j := newJob(&told.Board.Jobs[i])
 			j.Result = nil
 			page.Jobs = append(page.Jobs, *j)
 		}
 		if n := len(page.Jobs); n == q.MaxJobs {
 			page.Next = page.Jobs[n-1].ID
 		}
-		s.json(w, http.StatusOK, &page)
+		s.writeJSON(w, http.StatusOK, &page)
 	default:
 		if wait > 0 {
 			w.Header().Set("Preference-Applied", "wait="+strconv.Itoa(int(wait/time.Second)))
 		}
-		s.json(w, told.Status, view(told.Info))
+		s.writeJSON(w, told.Status, newJob(told.Info))
 	}
 }
 
-func (s *Server) json(w http.ResponseWriter, status int, v any) {
+func (s *Server) writeJSON(w http.ResponseWriter, status int, v any) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		s.reply(w, http.StatusInternalServerError, "internal error")
@@ -256,9 +256,9 @@
 	s.write(w, status, append(text, '\n'))
 }
 
-// closing tells the room that the program ends, and when its answers have to be out.
-func (s *Server) closing() {
+// notifyShutdown tells the room that the program ends, and when its answers have to be out.
+func (s *Server) notifyShutdown() {
 	if s.loop != nil {
-		s.loop.Post(dispatch.Shutdown{Deadline: s.loop.Clock().Since(s.answerBy(s.killedAt()))})
+		s.loop.Post(dispatch.Shutdown{Deadline: s.loop.Clock().Since(s.answerDeadline(s.killTime()))})
 	}
 }
--- a/internal/net/downstream/jobs_test.go
+++ b/internal/net/downstream/jobs_test.go
@@ -156,16 +156,16 @@
 // What RFC 7240 says of Prefer: several headers are one list, names in any case, the first of a name counts, and what is
 // not understood is passed over.
 func TestPreferences(t *testing.T) {
-	for text, want := range map[string]prefer{
+	for text, want := range map[string]preference{
 		"":                              {},
 		"respond-async":                 {async: true},
 		"Respond-Async, wait=10":        {async: true, wait: 10 * time.Second},
 		"wait=\"5\"; foo=1|wait=9":      {wait: 5 * time.Second},
 		"return=minimal, handling=lax":  {},
-		"wait=1000000":                  {wait: maxAskWait},
+		"wait=1000000":                  {wait: maxQueryWait},
 		"return=minimal|respond-async ": {async: true},
 	} {
-		p, err := preferences(http.Header{"Prefer": strings.Split(text, "|")})
+		p, err := parsePreferences(http.Header{"Prefer": strings.Split(text, "|")})
 		require.NoError(t, err)
 		assert.Equal(t, want, p, text)
 	}
--- a/internal/net/downstream/listen.go
+++ b/internal/net/downstream/listen.go
@@ -32,8 +32,8 @@
 // killMargin is how long before the platform's kill the last answer is decided; of short deadlines less.
 const killMargin = 300 * time.Millisecond
 
-// answerBy is when all that was taken has to be decided, given when the platform kills the process.
-func (s *Server) answerBy(killed time.Time) time.Time {
+// answerDeadline is when all that was taken has to be decided, given when the platform kills the process.
+func (s *Server) answerDeadline(killed time.Time) time.Time {
 	return killed.Add(-min(killMargin, s.cfg.KilledAfter/4))
 }
 
@@ -78,9 +78,9 @@
 	}
 	// The platform's kill comes only after its SIGTERM, which may come after a handover.
 	if ctx.Err() != nil {
-		s.terminated()
+		s.recordTermination()
 	} else {
-		defer context.AfterFunc(ctx, s.terminated)()
+		defer context.AfterFunc(ctx, s.recordTermination)()
 	}
 	s.stopping.Store(true)
 	if s.cfg.Inherited == 0 {
@@ -93,17 +93,17 @@
 		// The socket is the platform's: whoever comes now waits in its queue for the successor, which is
 		// serving already, and not for a process that ends. Idle connections go now, unless a request is
 		// already on its way on them, so that clients open new ones there.
-		s.gate.shed(lastWords)
+		s.gate.closeIdle(silentConnWait)
 	}
 	s.gate.stop(s.cfg.Inherited != 0)
-	if err := <-failed; !errors.Is(err, errDone) {
+	if err := <-failed; !errors.Is(err, errStopped) {
 		return fmt.Errorf("downstream: %w", err)
 	}
-	s.finish()
+	s.drainConnections()
 	<-ctx.Done() // after a handover the platform still ends the process itself
-	s.terminated()
+	s.recordTermination()
 	if s.cfg.Waiting { // jobs without a connection that are out may still end
-		ctx, cancel := context.WithDeadline(context.Background(), s.answerBy(s.killedAt()))
+		ctx, cancel := context.WithDeadline(context.Background(), s.answerDeadline(s.killTime()))
 		defer cancel()
 		s.loop.Idle(ctx)
 	}
@@ -111,19 +111,19 @@
 }
 
 const (
-	lastWords = 500 * time.Millisecond // how long a connection may say nothing at all at an end
-	lastLook  = 5 * time.Millisecond
-	lastWrite = 100 * time.Millisecond // before the platform's kill: what is not written by then never is
+	silentConnWait    = 500 * time.Millisecond // how long a connection may say nothing at all at an end
+	drainPollInterval = 5 * time.Millisecond
+	killWriteMargin   = 100 * time.Millisecond // before the platform's kill: what is not written by then never is
 )
 
-// finish waits until no connection is owed an answer, or half read, and closes all others; on a socket of our own no
+// drainConnections waits until no connection is owed an answer, or half read, and closes all others; on a socket of our own no
 // later than shortly before the platform's kill. net/http's Shutdown closes connections that it holds for idle though
 // their next request has just been read: such a request would run, and its client send it once more.
-func (s *Server) finish() {
-	tick := time.NewTicker(lastLook)
+func (s *Server) drainConnections() {
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
-	for s.gate.shed(lastWords) > 0 {
-		if at := s.killedAt(); !at.IsZero() && time.Until(at) < lastWrite {
+	for s.gate.closeIdle(silentConnWait) > 0 {
+		if at := s.killTime(); !at.IsZero() && time.Until(at) < killWriteMargin {
 			slog.Warn("connections closed before the platform's kill, all that was taken is answered")
 			break
 		}
@@ -133,18 +133,18 @@
 }
 
 // Handover tells that a successor serves on the inherited socket: see Serve. It may be called more than once.
-func (s *Server) Handover() { s.handing.Do(func() { close(s.handover) }) }
+func (s *Server) Handover() { s.handoverOnce.Do(func() { close(s.handover) }) }
 
-// terminated notes that SIGTERM has come.
-func (s *Server) terminated() {
-	if s.killed.CompareAndSwap(0, time.Now().Add(s.cfg.KilledAfter).UnixNano()) {
-		s.closing()
+// recordTermination notes that SIGTERM has come.
+func (s *Server) recordTermination() {
+	if s.killTimeNanos.CompareAndSwap(0, time.Now().Add(s.cfg.KilledAfter).UnixNano()) {
+		s.notifyShutdown()
 	}
 }
 
-// killedAt is when the platform ends the process; zero: no SIGTERM has come.
-func (s *Server) killedAt() time.Time {
-	if at := s.killed.Load(); at != 0 {
+// killTime is when the platform ends the process; zero: no SIGTERM has come.
+func (s *Server) killTime() time.Time {
+	if at := s.killTimeNanos.Load(); at != 0 {
 		return time.Unix(0, at)
 	}
 	return time.Time{}
--- a/internal/net/downstream/request.go
+++ b/internal/net/downstream/request.go
@@ -14,7 +14,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	from := clientOf(r)
-	if from != nil && from.gone() { // closed for others: its client sends the request once more, elsewhere
+	if from != nil && from.isClosed() { // closed for others: its client sends the request once more, elsewhere
 		panic(http.ErrAbortHandler)
 	}
 	defer func() {
@@ -27,29 +27,29 @@
 	}()
 	control := http.NewResponseController(w)
 	if r.Body != http.NoBody { // else a read waits already for the client to leave, and its time-out would look like that
-		control.SetReadDeadline(bodyBy(from, arrived))
+		control.SetReadDeadline(bodyDeadline(from, arrived))
 	}
-	s.hold("reading", r)
-	if err := framed(r); err != nil {
+	s.callTestHook("reading", r)
+	if err := checkFraming(r); err != nil {
 		s.reject(w, r, err)
 		return
 	}
 	if _, _, job := classOf(r, s.set); r.URL.Path == "/up" && !(job && r.Method == http.MethodPost) {
-		s.up(w, r)
+		s.serveUp(w, r)
 		return
 	}
 	if s.cfg.Waiting && (r.URL.Path == Jobs || strings.HasPrefix(r.URL.Path, Jobs+"/")) {
 		control.SetReadDeadline(time.Time{})
-		s.jobs(w, r)
+		s.serveJobs(w, r)
 		return
 	}
 	t, err := decode(r, s.set, arrived)
-	var p prefer
+	var p preference
 	if err == nil && s.cfg.Waiting {
-		p, err = decodeWait(r, t)
+		p, err = decodeWaiting(r, t)
 	}
 	if err == nil {
-		long := charge(r)
+		long := countedBodyBytes(r)
 		held := s.bodies.Add(long)
 		defer s.bodies.Add(-long)
 		t.Forward.Body, err = readBody(r, held <= s.cfg.MaxBodies)
@@ -57,20 +57,20 @@
 	if err != nil {
 		status := s.reject(w, r, err)
 		if _, class, ok := classOf(r, s.set); ok { // a job of a class, though it could not be taken
-			s.tally(class, status)
+			s.countAnswer(class, status)
 		}
 		return
 	}
 	// Only the body has a limit: one on the connection would end the wait for the answer too.
 	control.SetReadDeadline(time.Time{})
-	if killed := s.killedAt(); !killed.IsZero() {
-		t.Job.Budget = min(t.Job.Budget, max(0, s.answerBy(killed).Sub(arrived)))
+	if killed := s.killTime(); !killed.IsZero() {
+		t.Job.Budget = min(t.Job.Budget, max(0, s.answerDeadline(killed).Sub(arrived)))
 	}
-	s.await(w, r, t, p)
+	s.serveJob(w, r, t, p)
 }
 
-// bodyBy is when the last byte of a request has to be there.
-func bodyBy(c *client, arrived time.Time) time.Time {
+// bodyDeadline is when the last byte of a request has to be there.
+func bodyDeadline(c *client, arrived time.Time) time.Time {
 	by := arrived.Add(bodyTimeout)
 	if c != nil && by.Before(c.accepted.Add(requestTimeout)) {
 		by = c.accepted.Add(requestTimeout)
@@ -78,15 +78,15 @@
 	return by
 }
 
-// freeBody is how long a body may be without being counted: short ones are bounded by the connections.
-const freeBody = 4 << 10
+// uncountedBodyBytes is how long a body may be without being counted: short ones are bounded by the connections.
+const uncountedBodyBytes = 4 << 10
 
-// charge is what a request's body counts for in Config.MaxBodies. One in chunks may be as long as any.
-func charge(r *http.Request) int64 {
+// countedBodyBytes is what a request's body counts for in Config.MaxBodies. One in chunks may be as long as any.
+func countedBodyBytes(r *http.Request) int64 {
 	switch {
 	case r.ContentLength < 0:
-		return maxBody
-	case r.ContentLength <= freeBody:
+		return maxBodyBytes
+	case r.ContentLength <= uncountedBodyBytes:
 		return 0
 	}
 	return r.ContentLength
@@ -94,22 +94,22 @@
 
 // readBody reads a body of known length, or in chunks, where there is room for it.
 func readBody(r *http.Request, room bool) ([]byte, error) {
-	if !room && charge(r) > 0 {
-		return nil, &fault{http.StatusServiceUnavailable, "too many long bodies at once"}
+	if !room && countedBodyBytes(r) > 0 {
+		return nil, &requestError{http.StatusServiceUnavailable, "too many long bodies at once"}
 	}
 	if r.ContentLength < 0 {
-		b, err := io.ReadAll(io.LimitReader(r.Body, maxBody+1))
+		b, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 		switch {
 		case err != nil:
-			return nil, bad("body: %v", err)
-		case len(b) > maxBody:
-			return nil, &fault{http.StatusRequestEntityTooLarge, "a body holds 64 KiB at most"}
+			return nil, badRequest("body: %v", err)
+		case len(b) > maxBodyBytes:
+			return nil, &requestError{http.StatusRequestEntityTooLarge, "a body holds 64 KiB at most"}
 		}
 		return b, nil
 	}
 	b := make([]byte, r.ContentLength)
 	if _, err := io.ReadFull(r.Body, b); err != nil {
-		return nil, bad("body: %v", err)
+		return nil, badRequest("body: %v", err)
 	}
 	return b, nil
 }
--- a/internal/net/downstream/server.go
+++ b/internal/net/downstream/server.go
@@ -43,17 +43,17 @@
 
 // Server is the downstream side.
 type Server struct {
-	cfg      Config
-	set      *settings.Settings
-	loop     *loop.Loop
-	http     *http.Server
-	gate     *gate
-	bodies   atomic.Int64 // see Config.MaxBodies
-	stopping atomic.Bool
-	killed   atomic.Int64 // when the platform ends the process, in Unix nanoseconds; 0: not known yet
-	handover chan struct{}
-	handing  sync.Once
-	held     func(point string, r *http.Request) // called where a test holds a request; nil elsewhere
+	cfg           Config
+	set           *settings.Settings
+	loop          *loop.Loop
+	http          *http.Server
+	gate          *gate
+	bodies        atomic.Int64 // see Config.MaxBodies
+	stopping      atomic.Bool
+	killTimeNanos atomic.Int64 // when the platform ends the process, in Unix nanoseconds; 0: not known yet
+	handover      chan struct{}
+	handoverOnce  sync.Once
+	testHook      func(point string, r *http.Request) // called where a test holds a request; nil elsewhere
 }
 
 // New makes a server that hands its requests to a loop.
@@ -61,7 +61,7 @@
 	s := &Server{cfg: cfg, set: set, loop: l, handover: make(chan struct{})}
 	s.http = &http.Server{Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes, ConnContext: withClient,
-		ConnState: func(nc net.Conn, state http.ConnState) { s.gate.state(nc, state) },
+		ConnState: func(nc net.Conn, state http.ConnState) { s.gate.onConnState(nc, state) },
 		ErrorLog:  slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
 	return s
 }
--- a/internal/net/loop/calls.go
+++ b/internal/net/loop/calls.go
@@ -13,10 +13,10 @@
 // is changed. Once it returns with known, the module has heard of it. False and an error: ctx or the loop has ended
 // first, and the change may yet be made.
 func (l *Loop) Hand(ctx context.Context, name string, out bool) (known bool, err error) {
-	m := dispatch.SetCordon{Request: l.nextHand.Add(1), Name: name, Cordoned: out}
+	m := dispatch.SetCordon{Request: l.nextCordon.Add(1), Name: name, Cordoned: out}
 	handed := make(chan bool, 1)
 	select {
-	case l.urgent <- envelope{msg: m, handed: handed}:
+	case l.urgent <- envelope{msg: m, cordonReply: handed}:
 	case <-ctx.Done():
 		return false, ctx.Err()
 	case <-l.stopped:
@@ -44,16 +44,16 @@
 var ErrStopped = errors.New("loop: stopped")
 
 // Held is how many downstream requests have been submitted and not yet released.
-func (l *Loop) Held() int64 { return l.held.Load() }
+func (l *Loop) Held() int64 { return l.openRequests.Load() }
 
-// countFor is how long Workers waits for the loop.
-const countFor = 250 * time.Millisecond
+// countTimeout is how long Workers waits for the loop.
+const countTimeout = 250 * time.Millisecond
 
 // Workers counts the listed hosts and those of them that are kept away from, by hand or by the module. Counting looks
 // at every host, so it is done when somebody asks and not at each Step; where the loop does not come to it in time, it
 // is the last count.
 func (l *Loop) Workers() (known, excluded int64) {
-	counted, late := make(chan struct{}), time.After(countFor)
+	counted, late := make(chan struct{}), time.After(countTimeout)
 	select {
 	case l.urgent <- envelope{count: counted}:
 		select {
@@ -64,7 +64,7 @@
 	case <-late:
 	case <-l.stopped:
 	}
-	return l.known.Load(), l.excluded.Load()
+	return l.knownHosts.Load(), l.excludedHosts.Load()
 }
 
 // Move puts another source of the list in the old one's place. A watch on it begins at once, after the newest
@@ -80,12 +80,12 @@
 // Submit hands in a downstream request. Its answer comes on t.Answer; when the request is over Release must be
 // called.
 func (l *Loop) Submit(t *Ticket) error {
-	if n := l.held.Add(1); l.set.MostHeld > 0 && n > int64(l.set.MostHeld) {
-		l.held.Add(-1)
+	if n := l.openRequests.Add(1); l.set.MostHeld > 0 && n > int64(l.set.MostHeld) {
+		l.openRequests.Add(-1)
 		return ErrFull
 	}
 	if err := l.claim(t); err != nil {
-		l.held.Add(-1)
+		l.openRequests.Add(-1)
 		return err
 	}
 	t.answer = make(chan Answer, 1)
@@ -110,7 +110,7 @@
 // Release tells that a submitted request is over for the downstream side; with left, the client went
 // before it had its answer.
 func (l *Loop) Release(t *Ticket, left bool) {
-	l.held.Add(-1)
+	l.openRequests.Add(-1)
 	if left {
 		l.Post(dispatch.ClientGone{Job: t.Job.Job})
 	}
@@ -119,9 +119,9 @@
 // Ask asks about waiting jobs. What q waits for is over at its Until, on the loop's clock. False: ctx has ended, or the
 // loop has.
 func (l *Loop) Ask(ctx context.Context, q dispatch.JobQuery) (dispatch.QueryResult, bool) {
-	q.Number = l.nextAsk.Add(1)
+	q.Number = l.nextQuery.Add(1)
 	told := make(chan dispatch.QueryResult, 1)
-	l.post(envelope{msg: q, told: told})
+	l.post(envelope{msg: q, queryReply: told})
 	select {
 	case t := <-told:
 		return t, true
--- a/internal/net/loop/carry.go
+++ b/internal/net/loop/carry.go
@@ -12,17 +12,17 @@
 	"gaugeslip/policy"
 )
 
-// carry does one command.
-func (l *Loop) carry(ctx context.Context, c dispatch.Command) {
+// execute does one command.
+func (l *Loop) execute(ctx context.Context, c dispatch.Command) {
 	switch c := c.(type) {
 	case dispatch.Send:
 		l.send(ctx, c)
 	case dispatch.CancelSend:
-		if out, ok := l.out[c.Key]; ok {
+		if out, ok := l.attempts[c.Key]; ok {
 			out.cancel()
 		}
 	case dispatch.CancelUnsent:
-		if out, ok := l.out[c.Key]; ok {
+		if out, ok := l.attempts[c.Key]; ok {
 			out.unsend()
 		}
 	case dispatch.LocalReply:
@@ -32,23 +32,23 @@
 			if l.set.RetryAfter {
 				a.RetryAfter = c.RetryAfter
 			}
-			t.settle(a)
+			t.deliver(a)
 		}
-		delete(l.parked, c.Job)
+		delete(l.detached, c.Job)
 	case dispatch.Accepted:
 		if t := l.tickets[c.Job]; t != nil {
 			delete(l.tickets, c.Job)
-			l.parked[c.Job] = park(t)
-			t.settle(Answer{Accepted: true})
+			l.detached[c.Job] = newDetachedJob(t)
+			t.deliver(Answer{Accepted: true})
 		}
 	case dispatch.CordonResult:
-		if handed := l.hands[c.Request]; handed != nil {
-			delete(l.hands, c.Request)
+		if handed := l.cordonReplies[c.Request]; handed != nil {
+			delete(l.cordonReplies, c.Request)
 			handed <- c.Known // its buffer holds one
 		}
 	case dispatch.QueryResult:
-		if told := l.asks[c.Query]; told != nil {
-			delete(l.asks, c.Query)
+		if told := l.queryReplies[c.Query]; told != nil {
+			delete(l.queryReplies, c.Query)
 			told <- c // its buffer holds one
 		}
 	case dispatch.Probe:
@@ -57,7 +57,7 @@
 			l.Post(dispatch.ProbeEnded{Worker: c.Worker, Result: o.Result, Took: o.Took, Load: l.load(o.Load)})
 		}, dispatch.ProbeEnded{Worker: c.Worker, Result: policy.AppError})
 	case dispatch.Watch:
-		if l.watch == nil { // else a move has begun one while the module waited to ask
+		if l.cancelWatch == nil { // else a move has begun one while the module waited to ask
 			l.startWatch(ctx, c)
 		}
 	case dispatch.Log:
@@ -74,9 +74,9 @@
 // send starts an upstream request, with a goroutine of its own for as long as it is out.
 func (l *Loop) send(ctx context.Context, c dispatch.Send) {
 	t := l.tickets[c.Job]
-	if p := l.parked[c.Job]; t == nil && p != nil {
-		delete(l.parked, c.Job)
-		t = p.ticket()
+	if p := l.detached[c.Job]; t == nil && p != nil {
+		delete(l.detached, c.Job)
+		t = p.newTicket()
 		l.tickets[c.Job] = t
 	}
 	if t == nil { // the core sends for open jobs only
@@ -89,12 +89,12 @@
 		client = context.Background()
 	}
 	wanted, unsend := context.WithCancel(client) // ends with its client, or when its host is to get nothing new
-	l.out[c.Key] = calls{cancel, unsend}
+	l.attempts[c.Key] = cancelFuncs{cancel, unsend}
 	q.Addr, q.Client = c.Addr, wanted
 	l.spawn(func() {
 		defer cancel()
 		defer unsend()
-		l.upstream.Do(ctx, &q, &follower{l, t, c.Key})
+		l.upstream.Do(ctx, &q, &attemptWatcher{l, t, c.Key})
 	}, dispatch.AttemptEnded{Key: c.Key, Result: policy.ConnectionLost}) // it may have run
 }
 
@@ -112,21 +112,21 @@
 	})
 }
 
-// follower passes on what comes of one upstream request.
-type follower struct {
+// attemptWatcher passes on what comes of one upstream request.
+type attemptWatcher struct {
 	loop   *Loop
 	ticket *Ticket
 	key    dispatch.Key
 }
 
-func (f *follower) Started() { f.loop.Post(dispatch.JobStarted{Key: f.key}) }
+func (f *attemptWatcher) Started() { f.loop.Post(dispatch.JobStarted{Key: f.key}) }
 
-func (f *follower) Progress(s float64) { f.loop.Post(dispatch.JobProgress{Key: f.key, Share: s}) }
+func (f *attemptWatcher) Progress(s float64) { f.loop.Post(dispatch.JobProgress{Key: f.key, Share: s}) }
 
 // Ended passes the first result on to the client at once; a late one only the loop hears of.
-func (f *follower) Ended(o upstream.Outcome) {
+func (f *attemptWatcher) Ended(o upstream.Outcome) {
 	if o.Result == policy.OK {
-		f.ticket.settle(Answer{Served: true, Body: o.Body})
+		f.ticket.deliver(Answer{Served: true, Body: o.Body})
 	}
 	f.loop.Post(dispatch.AttemptEnded{Key: f.key, Result: o.Result, Load: f.loop.load(o.Load), Body: o.Body})
 }
@@ -146,13 +146,13 @@
 // startWatch follows the cluster from a version on, in place of any watch before. Each watch that breaks
 // makes one ListLost.
 func (l *Loop) startWatch(ctx context.Context, c dispatch.Watch) {
-	if l.watch != nil {
-		l.watch()
+	if l.cancelWatch != nil {
+		l.cancelWatch()
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	l.watches++
-	n, source := l.watches, l.source
-	l.watch, l.moved = cancel, false
+	l.watchNumber++
+	n, source := l.watchNumber, l.source
+	l.cancelWatch, l.watchNeeded = cancel, false
 	l.work.Go(func() {
 		defer cancel()
 		defer func() {
--- a/internal/net/loop/loop.go
+++ b/internal/net/loop/loop.go
@@ -28,56 +28,56 @@
 
 // envelope is what waits in the queue.
 type envelope struct {
-	msg    dispatch.Message
-	ticket *Ticket                   // of a new job
-	told   chan dispatch.QueryResult // of an Asked
-	handed chan bool                 // of a Hand
-	idle   chan struct{}             // to be closed when nothing without a connection is out
-	count  chan struct{}             // to be closed when the hosts are counted anew
-	watch  uint64                    // the number of the watch that the message comes from; 0: from none
-	source cluster.Source            // a new source in place of a message
+	msg         dispatch.Message
+	ticket      *Ticket                   // of a new job
+	queryReply  chan dispatch.QueryResult // of an Asked
+	cordonReply chan bool                 // of a Hand
+	idle        chan struct{}             // to be closed when nothing without a connection is out
+	count       chan struct{}             // to be closed when the hosts are counted anew
+	watch       uint64                    // the number of the watch that the message comes from; 0: from none
+	source      cluster.Source            // a new source in place of a message
 }
 
-// calls end an upstream request: cancel at any time, unsend only where its last byte has not been written.
-type calls struct{ cancel, unsend context.CancelFunc }
+// cancelFuncs end an upstream request: cancel at any time, unsend only where its last byte has not been written.
+type cancelFuncs struct{ cancel, unsend context.CancelFunc }
 
 // Loop owns the core. Run is its goroutine.
 type Loop struct {
-	core     *dispatch.Chain
-	set      *settings.Settings
-	upstream Upstream
-	source   cluster.Source
-	clock    Clock
-	queue    chan envelope
-	urgent   chan envelope
-	nextJob  atomic.Uint64
-	nextAsk  atomic.Uint64
-	held     atomic.Int64
-	known    atomic.Int64 // hosts listed, as last counted
-	excluded atomic.Int64 // of those, the ones kept away from
-	nextHand atomic.Uint64
-	ids      ids
-	stopped  chan struct{}
-	work     sync.WaitGroup
+	core          *dispatch.Chain
+	set           *settings.Settings
+	upstream      Upstream
+	source        cluster.Source
+	clock         Clock
+	queue         chan envelope
+	urgent        chan envelope
+	nextJob       atomic.Uint64
+	nextQuery     atomic.Uint64
+	openRequests  atomic.Int64
+	knownHosts    atomic.Int64 // hosts listed, as last counted
+	excludedHosts atomic.Int64 // of those, the ones kept away from
+	nextCordon    atomic.Uint64
+	ids           idTable
+	stopped       chan struct{}
+	work          sync.WaitGroup
 
 	// Owned by Run.
-	tickets map[uint64]*Ticket
-	parked  map[uint64]*parked
-	asks    map[uint64]chan dispatch.QueryResult
-	hands   map[uint64]chan bool
-	idle    []chan struct{}
-	out     map[dispatch.Key]calls
-	watch   context.CancelFunc // ends the watch that is on; nil: none is
-	watches uint64             // watches begun; the last one's number
-	moved   bool               // to a source that is not watched yet
-	renewed []dispatch.Message // for a core that took the place of one that panicked
+	tickets         map[uint64]*Ticket
+	detached        map[uint64]*detachedJob
+	queryReplies    map[uint64]chan dispatch.QueryResult
+	cordonReplies   map[uint64]chan bool
+	idleWaiters     []chan struct{}
+	attempts        map[dispatch.Key]cancelFuncs
+	cancelWatch     context.CancelFunc // ends the watch that is on; nil: none is
+	watchNumber     uint64             // watches begun; the last one's number
+	watchNeeded     bool               // to a source that is not watched yet
+	initialMessages []dispatch.Message // for a core that took the place of one that panicked
 }
 
 // New makes a loop round a core.
 func New(core *dispatch.Chain, set *settings.Settings, up Upstream, source cluster.Source, clock Clock) *Loop {
 	return &Loop{core: core, set: set, upstream: up, source: source, clock: clock,
-		queue: make(chan envelope, queueLen), urgent: make(chan envelope, urgentLen), hands: map[uint64]chan bool{}, ids: ids{until: map[string]time.Time{}}, stopped: make(chan struct{}),
-		asks: map[uint64]chan dispatch.QueryResult{}, parked: map[uint64]*parked{}, tickets: map[uint64]*Ticket{}, out: map[dispatch.Key]calls{}}
+		queue: make(chan envelope, queueLen), urgent: make(chan envelope, urgentLen), cordonReplies: map[uint64]chan bool{}, ids: idTable{expiry: map[string]time.Time{}}, stopped: make(chan struct{}),
+		queryReplies: map[uint64]chan dispatch.QueryResult{}, detached: map[uint64]*detachedJob{}, tickets: map[uint64]*Ticket{}, attempts: map[dispatch.Key]cancelFuncs{}}
 }
 
 // Post puts a message in the queue.
--- a/internal/net/loop/loop_test.go
+++ b/internal/net/loop/loop_test.go
@@ -103,7 +103,7 @@
 	assert.WithinDuration(t, k.Arrived.Add(15*time.Second), at, time.Millisecond, "the deadline counts from arrival")
 	x.end <- upstream.Outcome{Result: policy.OK, Body: []byte("r")}
 	assert.Equal(t, Answer{Served: true, Body: []byte("r")}, nettest.Wait(t, k.Answer()))
-	assert.False(t, k.settle(Answer{Refused: true}))
+	assert.False(t, k.deliver(Answer{Refused: true}))
 	l.Release(k, false)
 	assert.Empty(t, k.Answer())
 }
@@ -152,7 +152,7 @@
 
 // An id is taken until its request's time is up, answered or not, and free again after that.
 func TestIDs(t *testing.T) {
-	s, now := ids{until: map[string]time.Time{}}, time.Now()
+	s, now := idTable{expiry: map[string]time.Time{}}, time.Now()
 	require.NoError(t, s.claim("a", now, time.Second))
 	require.ErrorIs(t, s.claim("a", now.Add(time.Second), time.Second), ErrOpen)
 	require.NoError(t, s.claim("a", now.Add(time.Second+1), time.Hour))
@@ -194,12 +194,12 @@
 
 // What a watch tells after a newer one has begun would set the list back.
 func TestOldWatchIsNotHeard(t *testing.T) {
-	l := &Loop{watches: 2, watch: func() {}}
+	l := &Loop{watchNumber: 2, cancelWatch: func() {}}
 	for watch, want := range []int{1, 0, 1, 0} {
-		assert.Len(t, l.open(nil, envelope{msg: dispatch.HostList{}, watch: uint64(watch)}), want)
+		assert.Len(t, l.receive(nil, envelope{msg: dispatch.HostList{}, watch: uint64(watch)}), want)
 	}
-	assert.Len(t, l.open(nil, envelope{msg: dispatch.ListLost{}, watch: 2}), 1)
-	assert.Empty(t, l.open(nil, envelope{msg: dispatch.ListLost{}, watch: 2}), "one loss a watch")
+	assert.Len(t, l.receive(nil, envelope{msg: dispatch.ListLost{}, watch: 2}), 1)
+	assert.Empty(t, l.receive(nil, envelope{msg: dispatch.ListLost{}, watch: 2}), "one loss a watch")
 }
 
 // A panic in the decisions fails what is open and no more: the loop goes on with a new module that knows
--- a/internal/net/loop/run.go
+++ b/internal/net/loop/run.go
@@ -23,28 +23,28 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	batch := make([]dispatch.Message, 0, batchLen)
-	l.moved = !l.set.Policy.Ask // where lists are pushed the module does not ask for them
+	l.watchNeeded = !l.set.Policy.Ask // where lists are pushed the module does not ask for them
 	for {
-		batch = append(batch[:0], l.renewed...)
-		l.renewed = nil
+		batch = append(batch[:0], l.initialMessages...)
+		l.initialMessages = nil
 		select {
 		case <-ctx.Done():
 			return nil
 		case e := <-l.urgent:
-			batch = l.drain(l.open(batch, e))
+			batch = l.drain(l.receive(batch, e))
 		case e := <-l.queue:
-			batch = l.drain(l.open(batch, e))
+			batch = l.drain(l.receive(batch, e))
 		case <-timer.C:
 			batch = l.drain(batch)
 		}
 		if err := l.step(ctx, batch); err != nil {
 			return err
 		}
-		l.tellIdle()
-		if l.moved && l.renewed == nil { // not before the step: what the old source told last counts
+		l.notifyIdle()
+		if l.watchNeeded && l.initialMessages == nil { // not before the step: what the old source told last counts
 			l.startWatch(ctx, dispatch.Watch{Version: l.core.WatchVersion()})
 		}
-		if l.renewed != nil {
+		if l.initialMessages != nil {
 			timer.Reset(0)
 		} else if at, ok := l.core.Wake(); ok {
 			timer.Reset(max(0, at-l.clock.Now()))
@@ -52,38 +52,38 @@
 	}
 }
 
-// open adds the message of an envelope to a batch. What a watch tells that is over, its end too, is old news: a
+// receive adds the message of an envelope to a batch. What a watch tells that is over, its end too, is old news: a
 // newer watch may have told more already.
-func (l *Loop) open(batch []dispatch.Message, e envelope) []dispatch.Message {
+func (l *Loop) receive(batch []dispatch.Message, e envelope) []dispatch.Message {
 	if e.source != nil {
-		l.source, l.moved = e.source, true
+		l.source, l.watchNeeded = e.source, true
 		return batch
 	}
 	if e.idle != nil {
-		l.idle = append(l.idle, e.idle)
+		l.idleWaiters = append(l.idleWaiters, e.idle)
 		return batch
 	}
 	if e.count != nil {
 		known, excluded := l.core.Workers()
-		l.known.Store(int64(known))
-		l.excluded.Store(int64(excluded))
+		l.knownHosts.Store(int64(known))
+		l.excludedHosts.Store(int64(excluded))
 		close(e.count)
 		return batch
 	}
-	if e.watch != 0 && (e.watch != l.watches || l.watch == nil) {
+	if e.watch != 0 && (e.watch != l.watchNumber || l.cancelWatch == nil) {
 		return batch
 	}
 	switch m := e.msg.(type) {
 	case dispatch.JobArrived:
 		l.tickets[m.Job] = e.ticket
 	case dispatch.JobQuery:
-		l.asks[m.Number] = e.told
+		l.queryReplies[m.Number] = e.queryReply
 	case dispatch.SetCordon:
-		l.hands[m.Request] = e.handed
+		l.cordonReplies[m.Request] = e.cordonReply
 	case dispatch.QueryCancelled:
-		delete(l.asks, m.Query)
+		delete(l.queryReplies, m.Query)
 	case dispatch.ListLost:
-		l.watch = nil
+		l.cancelWatch = nil
 	}
 	return append(batch, e.msg)
 }
@@ -92,13 +92,13 @@
 	for len(batch) < batchLen {
 		select {
 		case e := <-l.urgent:
-			batch = l.open(batch, e)
+			batch = l.receive(batch, e)
 			continue
 		default:
 		}
 		select {
 		case e := <-l.queue:
-			batch = l.open(batch, e)
+			batch = l.receive(batch, e)
 		default:
 			return batch
 		}
@@ -112,20 +112,20 @@
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic in the decisions, starting them anew", "panic", p, "stack", string(debug.Stack()))
-			err = l.renew()
+			err = l.rebuildCore()
 		}
 	}()
 	commands := l.core.Step(l.clock.Now(), batch)
-	l.trace(ctx, batch, commands)
+	l.logStep(ctx, batch, commands)
 	for _, c := range commands {
-		l.carry(ctx, c)
+		l.execute(ctx, c)
 	}
 	for _, m := range batch { // a ticket is of no more use once its job is over
 		switch m := m.(type) {
 		case dispatch.ClientGone:
 			delete(l.tickets, m.Job)
 		case dispatch.AttemptEnded:
-			delete(l.out, m.Key)
+			delete(l.attempts, m.Key)
 			if m.Result == policy.OK {
 				delete(l.tickets, m.Job)
 			}
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// trace logs what came in and what is done about it, for the one who looks into a day; --verbose shows it.
-func (l *Loop) trace(ctx context.Context, in []dispatch.Message, out []dispatch.Command) {
+// logStep logs what came in and what is done about it, for the one who looks into a day; --verbose shows it.
+func (l *Loop) logStep(ctx context.Context, in []dispatch.Message, out []dispatch.Command) {
 	if !slog.Default().Enabled(ctx, slog.LevelDebug) {
 		return
 	}
@@ -159,45 +159,45 @@
 	}
 }
 
-// tellIdle ends the waits for Idle, when it is so.
-func (l *Loop) tellIdle() {
-	if len(l.idle) == 0 || l.core.Detached() > 0 {
+// notifyIdle ends the waits for Idle, when it is so.
+func (l *Loop) notifyIdle() {
+	if len(l.idleWaiters) == 0 || l.core.Detached() > 0 {
 		return
 	}
-	for _, c := range l.idle {
+	for _, c := range l.idleWaiters {
 		close(c)
 	}
-	l.idle = nil
+	l.idleWaiters = nil
 }
 
-// renew answers all that was before the module and puts a new core in the old one's place. What was may have run, so
+// rebuildCore answers all that was before the module and puts a new core in the old one's place. What was may have run, so
 // it has failed and is not refused. What only waits goes on waiting.
-func (l *Loop) renew() error {
+func (l *Loop) rebuildCore() error {
 	core, known, keeps, err := l.core.Rebuild(l.clock.Now())
 	if err != nil {
 		return fmt.Errorf("loop: %w", err)
 	}
 	for job, t := range l.tickets {
 		if !keeps(job) {
-			t.settle(Answer{})
+			t.deliver(Answer{})
 			delete(l.tickets, job)
 		}
 	}
-	for _, out := range l.out {
+	for _, out := range l.attempts {
 		out.cancel()
 	}
-	maps.DeleteFunc(l.parked, func(job uint64, _ *parked) bool { return !keeps(job) })
-	if l.watch != nil {
-		l.watch()
-		l.watch = nil
+	maps.DeleteFunc(l.detached, func(job uint64, _ *detachedJob) bool { return !keeps(job) })
+	if l.cancelWatch != nil {
+		l.cancelWatch()
+		l.cancelWatch = nil
 	}
-	clear(l.out)
-	for _, told := range l.asks { // the askers may ask again
+	clear(l.attempts)
+	for _, told := range l.queryReplies { // the askers may ask again
 		told <- dispatch.QueryResult{Status: waiting.StatusFull}
 	}
-	clear(l.asks)
-	clear(l.hands) // their callers give up by their own deadlines
-	l.core, l.renewed = core, []dispatch.Message{known}
-	l.moved = l.moved || !l.set.Policy.Ask
+	clear(l.queryReplies)
+	clear(l.cordonReplies) // their callers give up by their own deadlines
+	l.core, l.initialMessages = core, []dispatch.Message{known}
+	l.watchNeeded = l.watchNeeded || !l.set.Policy.Ask
 	return nil
 }
--- a/internal/net/loop/ticket.go
+++ b/internal/net/loop/ticket.go
@@ -32,8 +32,8 @@
 // Answer gives the one final answer, which comes exactly once.
 func (t *Ticket) Answer() <-chan Answer { return t.answer }
 
-// settle passes on the first final answer; false: there was one already.
-func (t *Ticket) settle(a Answer) bool {
+// deliver passes on the first final answer; false: there was one already.
+func (t *Ticket) deliver(a Answer) bool {
 	if !t.done.CompareAndSwap(false, true) {
 		return false
 	}
--- a/internal/net/upstream/answer.go
+++ b/internal/net/upstream/answer.go
@@ -12,8 +12,8 @@
 	"gaugeslip/policy"
 )
 
-// line is one object of an answer.
-type line struct {
+// answerLine is one object of an answer.
+type answerLine struct {
 	ID     string          `json:"id"`
 	State  string          `json:"state"`
 	Share  float64         `json:"share"`
@@ -40,7 +40,7 @@
 		if len(bytes.TrimSpace(text)) == 0 {
 			continue
 		}
-		var l line
+		var l answerLine
 		if json.Unmarshal(text, &l) != nil || l.ID != q.TraceID {
 			// Not a line for this request: what became of the job is not known.
 			return Outcome{Result: policy.ConnectionLost}, nil
@@ -68,10 +68,10 @@
 // head reads the head of an answer, of bounded length, and passes over those that only say that one will come: what
 // follows them is still the answer to this request.
 func (c *conn) head(method string) (*http.Response, error) {
-	for range maxEarly {
-		c.in.left = maxHead
+	for range maxInformational {
+		c.in.remaining = maxHead
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
-		if c.in.left = math.MaxInt; err != nil {
+		if c.in.remaining = math.MaxInt; err != nil {
 			return nil, err
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
@@ -85,7 +85,7 @@
 }
 
 // body is the result as bytes: a string's text, any other value as it stands.
-func (l *line) body() []byte {
+func (l *answerLine) body() []byte {
 	var s string
 	if json.Unmarshal(l.Result, &s) == nil {
 		return []byte(s)
--- a/internal/net/upstream/endings_test.go
+++ b/internal/net/upstream/endings_test.go
@@ -53,7 +53,7 @@
 		assert.Equal(t, policy.NeverSent, do(t.Context(), p, q).result(), "it never ran, and not by the host's fault")
 		got, _ := io.ReadAll(nettest.Wait(t, conns))
 		assert.Empty(t, got)
-		assert.Zero(t, p.held)
+		assert.Zero(t, p.connCount)
 	}
 }
 
@@ -71,7 +71,7 @@
 	ended := make(chan *heard, 1)
 	go func() { ended <- do(t.Context(), p, q) }()
 	assert.Equal(t, policy.NeverSent, nettest.Wait(t, ended).result())
-	assert.Zero(t, p.held)
+	assert.Zero(t, p.connCount)
 }
 
 // The settle time before the last byte of a request that must not run twice: the host has all but that byte, and then its
@@ -116,7 +116,7 @@
 			assert.Equal(t, c.want, nettest.Wait(t, ended).result())
 			rest, _ := io.ReadAll(host)
 			assert.Empty(t, rest, "the last byte")
-			assert.Zero(t, p.held)
+			assert.Zero(t, p.connCount)
 		})
 	}
 }
@@ -172,18 +172,18 @@
 			assert.Equal(t, policy.OK, do(t.Context(), p, q).result())
 			assert.Zero(t, nettest.Wait(t, host.Calls).Index)
 		}
-		assert.Equal(t, 2, p.held)
+		assert.Equal(t, 2, p.connCount)
 		p.cfg.Rest = 0
 		c, err := p.get(t.Context(), host.Addr)
 		require.NoError(t, err)
 		p.put(c)
-		assert.Equal(t, 2, p.held, "lent again once it has rested")
+		assert.Equal(t, 2, p.connCount, "lent again once it has rested")
 	}
 	p := pool(time.Minute)
 	p.cfg.Rest = time.Hour
 	assert.Equal(t, policy.OK, p.Probe(t.Context(), host.Addr).Result)
 	assert.Equal(t, policy.OK, p.Probe(t.Context(), host.Addr).Result)
-	assert.Equal(t, 1, p.held)
+	assert.Equal(t, 1, p.connCount)
 }
 
 // Answers of 1xx come before the one that counts: taken for it, they would leave that to the connection's next request.
@@ -196,7 +196,7 @@
 		host := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(text) })
 		p := pool(time.Minute)
 		assert.Equal(t, want, do(t.Context(), p, request(host.Addr)).result())
-		assert.Equal(t, want == policy.OK, p.held == 1, "only a sound connection is kept")
+		assert.Equal(t, want == policy.OK, p.connCount == 1, "only a sound connection is kept")
 	}
 }
 
@@ -215,7 +215,7 @@
 		ended := make(chan *heard, 1)
 		go func() { ended <- do(t.Context(), p, request(host.Addr)) }()
 		assert.Equal(t, policy.ConnectionLost, nettest.Wait(t, ended).result())
-		assert.Zero(t, p.held)
+		assert.Zero(t, p.connCount)
 	}
 }
 
@@ -238,14 +238,14 @@
 	p.Do(ctx, request(host.Addr), h)
 	assert.Equal(t, policy.OK, h.result())
 	assert.Len(t, h.ended, 1)
-	assert.Zero(t, p.held)
+	assert.Zero(t, p.connCount)
 }
 
 // An answer that does not end after its last line holds nothing up for longer than its request may take.
 func TestAnswerWithoutEnd(t *testing.T) {
 	host := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks(done)) })
 	p := pool(time.Minute)
-	p.end = time.Hour
+	p.drainTimeout = time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
 	h := newHeard()
 	p.dial = func(_ context.Context, network, addr string) (net.Conn, error) {
@@ -261,7 +261,7 @@
 	nettest.Wait(t, ended)
 	require.Error(t, ctx.Err(), "the crossing")
 	assert.Equal(t, policy.OK, h.result())
-	assert.Zero(t, p.held)
+	assert.Zero(t, p.connCount)
 }
 
 // reads is a connection that tells before each read.
@@ -280,13 +280,13 @@
 	do(t.Context(), p, request(host.Addr))
 	c := p.takeIdle(host.Addr)
 	require.NotNil(t, c)
-	p.retire(0)
+	p.closeIdle(0)
 	p.cfg.MaxConns = 1
 	assert.False(t, p.reserve(), "one in use makes no room")
 	assert.True(t, alive(c))
-	assert.Equal(t, 1, p.held)
+	assert.Equal(t, 1, p.connCount)
 	p.put(c)
 	assert.True(t, p.reserve(), "an idle one does")
-	assert.Equal(t, 1, p.held)
+	assert.Equal(t, 1, p.connCount)
 	assert.Nil(t, p.takeIdle(host.Addr))
 }
--- a/internal/net/upstream/pool.go
+++ b/internal/net/upstream/pool.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// errBudget says that all descriptors meant for upstream hosts are in use.
-var errBudget = errors.New("upstream: no descriptor left")
+// errNoDescriptor says that all descriptors meant for upstream hosts are in use.
+var errNoDescriptor = errors.New("upstream: no descriptor left")
 
 // Config is what a Pool must keep to.
 type Config struct {
@@ -31,50 +31,50 @@
 // conn is a connection with its reader; both live as long as the connection.
 type conn struct {
 	net.Conn
-	in    *bounded
-	r     *bufio.Reader
-	addr  string
-	since time.Time // idle since; zero: it has carried nothing yet
-	rests bool      // what it carried last was a job's answer, see Config.Rest
+	in           *limitedConn
+	r            *bufio.Reader
+	addr         string
+	idleSince    time.Time // idle since; zero: it has carried nothing yet
+	reuseDelayed bool      // what it carried last was a job's answer, see Config.Rest
 }
 
-// bounded is what a connection's reader reads from, no more than left bytes.
-type bounded struct {
+// limitedConn is what a connection's reader reads from, no more than left bytes.
+type limitedConn struct {
 	net.Conn
-	left int
+	remaining int
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
-	if b.left <= 0 {
-		return 0, errLong
+func (b *limitedConn) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
+		return 0, errHeadTooLong
 	}
-	n, err := b.Conn.Read(p[:min(len(p), b.left)])
-	b.left -= n
+	n, err := b.Conn.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
 	return n, err
 }
 
-// errLong says that the head of an answer does not end.
-var errLong = errors.New("upstream: the head of an answer is too long")
+// errHeadTooLong says that the head of an answer does not end.
+var errHeadTooLong = errors.New("upstream: the head of an answer is too long")
 
 // Pool holds the connections to all upstream hosts.
 type Pool struct {
-	cfg  Config
-	dial func(ctx context.Context, network, addr string) (net.Conn, error) // tests hold it
-	end  time.Duration                                                     // how long the end of an answer may take after its last line
-	mu   sync.Mutex
-	idle map[string][]*conn // by address, the longest idle first
-	held int                // connections open or being opened
+	cfg          Config
+	dial         func(ctx context.Context, network, addr string) (net.Conn, error) // tests hold it
+	drainTimeout time.Duration                                                     // how long the end of an answer may take after its last line
+	mu           sync.Mutex
+	idle         map[string][]*conn // by address, the longest idle first
+	connCount    int                // connections open or being opened
 }
 
 // NewPool makes an empty pool.
 func NewPool(cfg Config) *Pool {
 	d := net.Dialer{Timeout: cfg.ConnectTimeout, KeepAlive: -1}
-	return &Pool{cfg: cfg, dial: d.DialContext, end: drainFor, idle: map[string][]*conn{}}
+	return &Pool{cfg: cfg, dial: d.DialContext, drainTimeout: defaultDrainTimeout, idle: map[string][]*conn{}}
 }
 
-// keepFor is how long a connection may stand idle here: well under the host's limit, since a request written
+// maxIdleTime is how long a connection may stand idle here: well under the host's limit, since a request written
 // as the host closes ends as a reset, which a job that must not run twice can't recover from.
-func (p *Pool) keepFor() time.Duration { return p.cfg.ConnIdle * 2 / 3 }
+func (p *Pool) maxIdleTime() time.Duration { return p.cfg.ConnIdle * 2 / 3 }
 
 // get takes an idle connection that is known to be alive, or opens one.
 func (p *Pool) get(ctx context.Context, addr string) (*conn, error) {
@@ -83,20 +83,20 @@
 		if c == nil {
 			break
 		}
-		if time.Since(c.since) < p.keepFor() && alive(c) {
+		if time.Since(c.idleSince) < p.maxIdleTime() && alive(c) {
 			return c, nil
 		}
-		p.drop(c)
+		p.discard(c)
 	}
 	if !p.reserve() {
-		return nil, errBudget
+		return nil, errNoDescriptor
 	}
 	nc, err := p.dial(ctx, "tcp", addr)
 	if err != nil {
 		p.release()
 		return nil, err
 	}
-	in := &bounded{nc, math.MaxInt}
+	in := &limitedConn{nc, math.MaxInt}
 	return &conn{Conn: nc, in: in, r: bufio.NewReaderSize(in, 4096), addr: addr}, nil
 }
 
@@ -107,7 +107,7 @@
 	defer p.mu.Unlock()
 	list := p.idle[addr]
 	for i, c := range slices.Backward(list) {
-		if c.rests && time.Since(c.since) < p.cfg.Rest {
+		if c.reuseDelayed && time.Since(c.idleSince) < p.cfg.Rest {
 			continue
 		}
 		if p.idle[addr] = slices.Delete(list, i, i+1); len(list) == 1 {
@@ -123,31 +123,31 @@
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.held >= p.cfg.MaxConns {
+	if p.connCount >= p.cfg.MaxConns {
 		for addr, list := range p.idle {
 			list[0].Close()
-			p.held--
+			p.connCount--
 			if p.idle[addr] = list[1:]; len(list) == 1 {
 				delete(p.idle, addr)
 			}
 			break
 		}
 	}
-	if p.held >= p.cfg.MaxConns {
+	if p.connCount >= p.cfg.MaxConns {
 		return false
 	}
-	p.held++
+	p.connCount++
 	return true
 }
 
 func (p *Pool) release() {
 	p.mu.Lock()
-	p.held--
+	p.connCount--
 	p.mu.Unlock()
 }
 
-// drop closes a connection for good.
-func (p *Pool) drop(c *conn) {
+// discard closes a connection for good.
+func (p *Pool) discard(c *conn) {
 	c.Close()
 	p.release()
 }
@@ -155,10 +155,10 @@
 // put gives back a connection on which nothing more is to come.
 func (p *Pool) put(c *conn) {
 	if c.r.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
-		p.drop(c)
+		p.discard(c)
 		return
 	}
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 	p.mu.Unlock()
@@ -166,29 +166,29 @@
 
 // Sweep closes connections that have stood idle for long, until ctx ends; then it closes all idle ones.
 func (p *Pool) Sweep(ctx context.Context) {
-	t := time.NewTicker(max(p.keepFor()/4, 10*time.Millisecond))
+	t := time.NewTicker(max(p.maxIdleTime()/4, 10*time.Millisecond))
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			p.retire(0)
+			p.closeIdle(0)
 			return
 		case <-t.C:
-			p.retire(p.keepFor())
+			p.closeIdle(p.maxIdleTime())
 		}
 	}
 }
 
-func (p *Pool) retire(after time.Duration) {
+func (p *Pool) closeIdle(after time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, list := range p.idle {
 		n := 0
-		for n < len(list) && time.Since(list[n].since) >= after {
+		for n < len(list) && time.Since(list[n].idleSince) >= after {
 			list[n].Close()
 			n++
 		}
-		p.held -= n
+		p.connCount -= n
 		if p.idle[addr] = list[n:]; n == len(list) {
 			delete(p.idle, addr)
 		}
--- a/internal/net/upstream/probe.go
+++ b/internal/net/upstream/probe.go
@@ -40,7 +40,7 @@
 		}
 	}
 	if err != nil {
-		p.drop(c)
+		p.discard(c)
 		return o
 	}
 	p.recycle(ctx, c, resp, stop, false)
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	maxLine  = 128 << 10 // a line of an answer: a body of 64 KiB, escaped
-	maxHead  = 32 << 10
-	maxEarly = 4 // answers of 1xx before the one that counts
-	maxProbe = 4 << 10
-	drainFor = time.Second // see Pool.end
+	maxLine             = 128 << 10 // a line of an answer: a body of 64 KiB, escaped
+	maxHead             = 32 << 10
+	maxInformational    = 4 // answers of 1xx before the one that counts
+	maxProbe            = 4 << 10
+	defaultDrainTimeout = time.Second // see Pool.end
 )
 
 // Request is one upstream request. Its deadline is that of the context it is sent with.
@@ -65,15 +65,15 @@
 	}
 	c, err := p.get(sending, q.Addr)
 	if err != nil {
-		end(Outcome{Result: notSent(sending, err)})
+		end(Outcome{Result: unsentResult(sending, err)})
 		return
 	}
 	whole, err := p.write(sending, c, q)
 	q.Body = nil // not held for as long as the job runs
 	if !whole {
-		p.drop(c) // the last byte was not written: the protocol's proof that the job never ran
-		result := notSent(sending, err)
-		if !c.since.IsZero() { // a kept connection that breaks tells nothing of its host
+		p.discard(c) // the last byte was not written: the protocol's proof that the job never ran
+		result := unsentResult(sending, err)
+		if !c.idleSince.IsZero() { // a kept connection that breaks tells nothing of its host
 			result = policy.NeverSent
 		}
 		end(Outcome{Result: result})
@@ -86,7 +86,7 @@
 	defer stop()
 	o, resp := q.read(c, w)
 	if o.Result == policy.ConnectionLost && ctx.Err() != nil {
-		o = Outcome{Result: gaveUp(ctx)}
+		o = Outcome{Result: abortedResult(ctx)}
 	}
 	end(o)
 	p.recycle(ctx, c, resp, stop, true)
@@ -120,7 +120,7 @@
 // has the whole request is as unfit: what it says is not for this request.
 func (q *Request) write(ctx context.Context, c *conn, settle time.Duration) (whole bool, err error) {
 	msg := q.encode(ctx)
-	if err := q.over(ctx); err != nil {
+	if err := q.sendCancelled(ctx); err != nil {
 		return false, err
 	}
 	if q.Once {
@@ -130,11 +130,11 @@
 			_, err = c.r.Peek(1)
 			c.SetReadDeadline(time.Time{})
 		}
-		if p := q.over(ctx); p != nil { // its interruption may have been undone just now
+		if p := q.sendCancelled(ctx); p != nil { // its interruption may have been undone just now
 			return false, p
 		}
 		if err == nil {
-			return false, errSpeaks
+			return false, errEarlyResponse
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return false, err
@@ -145,16 +145,16 @@
 	return n == len(msg), err
 }
 
-// over tells whether a request is to be sent no more. An interruption by its client's leave may not have come through yet.
-func (q *Request) over(ctx context.Context) error {
+// sendCancelled tells whether a request is to be sent no more. An interruption by its client's leave may not have come through yet.
+func (q *Request) sendCancelled(ctx context.Context) error {
 	if q.Client != nil && q.Client.Err() != nil {
 		return context.Canceled
 	}
 	return ctx.Err()
 }
 
-// errSpeaks says that a host spoke before it had a request.
-var errSpeaks = errors.New("upstream: the host speaks before it has the request")
+// errEarlyResponse says that a host spoke before it had a request.
+var errEarlyResponse = errors.New("upstream: the host speaks before it has the request")
 
 // interrupt ends reads and writes of c when ctx does; the function it returns calls that off.
 func (p *Pool) interrupt(ctx context.Context, c *conn) func() bool {
@@ -166,35 +166,35 @@
 // one to a job, and a second one may come.
 func (p *Pool) recycle(ctx context.Context, c *conn, resp *http.Response, stop func() bool, job bool) {
 	if resp == nil || resp.Close {
-		p.drop(c)
+		p.discard(c)
 		return
 	}
-	c.SetReadDeadline(time.Now().Add(p.end))
+	c.SetReadDeadline(time.Now().Add(p.drainTimeout))
 	if ctx.Err() != nil { // its interruption may have been undone just now
-		p.drop(c)
+		p.discard(c)
 		return
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxLine))
 	if err != nil || n == maxLine || !stop() {
-		p.drop(c)
+		p.discard(c)
 		return
 	}
-	c.rests = job
+	c.reuseDelayed = job
 	p.put(c)
 }
 
-// gaveUp is the outcome of a request that was written and then given up.
-func gaveUp(ctx context.Context) policy.Result {
+// abortedResult is the outcome of a request that was written and then given up.
+func abortedResult(ctx context.Context) policy.Result {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return policy.TimedOut
 	}
 	return policy.Cancelled
 }
 
-// notSent is the outcome of a request that found no connection: the host is to blame unless the time ran
+// unsentResult is the outcome of a request that found no connection: the host is to blame unless the time ran
 // out, the request was called off or no descriptor was left.
-func notSent(ctx context.Context, err error) policy.Result {
-	if ctx.Err() != nil || errors.Is(err, errBudget) || errors.Is(err, context.Canceled) {
+func unsentResult(ctx context.Context, err error) policy.Result {
+	if ctx.Err() != nil || errors.Is(err, errNoDescriptor) || errors.Is(err, context.Canceled) {
 		return policy.NeverSent
 	}
 	return policy.ConnectFailed
--- a/internal/net/upstream/upstream_test.go
+++ b/internal/net/upstream/upstream_test.go
@@ -162,7 +162,7 @@
 		}
 		q.Once = c.once
 		assert.Equal(t, c.want, do(t.Context(), p, q).result())
-		assert.Zero(t, p.held)
+		assert.Zero(t, p.connCount)
 	}
 }
 
@@ -197,7 +197,7 @@
 		}()
 		p := pool(time.Minute)
 		assert.Equal(t, want, do(ctx, p, request(host.Addr)).result(), name)
-		assert.Zero(t, p.held, name)
+		assert.Zero(t, p.connCount, name)
 		cancel()
 	}
 }
@@ -221,7 +221,7 @@
 		assert.Equal(t, policy.OK, do(t.Context(), p, request(host.Addr)).result())
 		assert.Equal(t, nth, nettest.Wait(t, host.Calls).Index)
 	}
-	assert.Equal(t, 1, p.held)
+	assert.Equal(t, 1, p.connCount)
 }
 
 // A connection that its host has closed while it stood idle must not carry a request: that would end as a
@@ -233,7 +233,7 @@
 	host.Hangup()
 	require.Eventually(t, func() bool { return !alive(p.idle[host.Addr][0]) }, nettest.Timeout, time.Millisecond)
 	assert.Equal(t, policy.OK, do(t.Context(), p, request(host.Addr)).result())
-	assert.Equal(t, 1, p.held)
+	assert.Equal(t, 1, p.connCount)
 }
 
 // Idle connections are closed well before the host would, and at the end all of them are.
@@ -244,7 +244,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	swept := make(chan struct{})
 	go func() { defer close(swept); p.Sweep(ctx) }()
-	held := func() int { p.mu.Lock(); defer p.mu.Unlock(); return p.held }
+	held := func() int { p.mu.Lock(); defer p.mu.Unlock(); return p.connCount }
 	require.Eventually(t, func() bool { return held() == 0 }, nettest.Timeout, time.Millisecond)
 	p.cfg.ConnIdle = time.Minute
 	do(t.Context(), p, request(host.Addr))
@@ -263,8 +263,8 @@
 	c, err := p.get(t.Context(), b.Addr)
 	require.NoError(t, err)
 	assert.Equal(t, policy.NeverSent, do(t.Context(), p, request(a.Addr)).result())
-	p.drop(c)
-	assert.Zero(t, p.held)
+	p.discard(c)
+	assert.Zero(t, p.connCount)
 }
 
 func TestProbe(t *testing.T) {
--- a/internal/node/budgets.go
+++ b/internal/node/budgets.go
@@ -22,15 +22,15 @@
 
 // budgets are this process's shares of what belongs to the fleet.
 type budgets struct {
-	ledger *budget.Ledger
-	gate   *dispatch.BudgetGate
-	lists  int // account of calls for the list; -1: there is no bound on them
-	now    func() time.Duration
-	path   string       // of the lock
-	peers  *peers.Peers // nil: no talk
-	equal  budget.Share // without talk
-	stop   func()       // ends the hold on the shares
-	done   chan struct{}
+	ledger     *budget.Ledger
+	gate       *dispatch.BudgetGate
+	lists      int // account of calls for the list; -1: there is no bound on them
+	now        func() time.Duration
+	path       string       // of the lock
+	peers      *peers.Peers // nil: no talk
+	equalShare budget.Share // without talk
+	stop       func()       // ends the hold on the shares
+	done       chan struct{}
 }
 
 // newBudgets makes them as the settings want; nil: there are none. Nothing is owned yet.
@@ -45,7 +45,7 @@
 	}
 	accounts, gate, lists := dispatch.BudgetAccounts(own.Budgets, policy)
 	b := &budgets{ledger: budget.NewLedger(accounts, drift), lists: lists, now: now, done: make(chan struct{}),
-		path: operators.StateFilePath(os.TempDir(), cfg.Name, "share"), equal: budget.EqualShare(members)}
+		path: operators.StateFilePath(os.TempDir(), cfg.Name, "share"), equalShare: budget.EqualShare(members)}
 	b.gate = gate(b.ledger)
 	if own.Budgets.Way == budget.LeasedShares {
 		b.peers = peers.New(peers.Config{Limits: *own.Peers, Self: policy.Ordinal, Floor: own.Budgets.FloorUnits(members), Ledger: b.ledger,
@@ -83,7 +83,7 @@
 			}
 			return
 		}
-		free, err := lock(ctx, b.path)
+		free, err := lockFile(ctx, b.path)
 		if err != nil {
 			slog.Error("no lock on the shares: this process owns none", "error", err)
 			return
@@ -91,14 +91,14 @@
 		if free == nil {
 			return
 		}
-		b.own(b.equal)
+		b.setShares(b.equalShare)
 		<-ctx.Done()
-		b.own(budget.Share{})
+		b.setShares(budget.Share{})
 		free()
 	}()
 }
 
-func (b *budgets) own(s budget.Share) {
+func (b *budgets) setShares(s budget.Share) {
 	for i := range b.ledger.Accounts() {
 		b.ledger.SetShare(b.now(), i, s)
 	}
@@ -110,10 +110,10 @@
 	<-b.done
 }
 
-const lockEvery = 50 * time.Millisecond
+const lockRetryInterval = 50 * time.Millisecond
 
-// lock waits for the lock on a file and gives what frees it; nil: ctx has ended.
-func lock(ctx context.Context, path string) (free func(), err error) {
+// lockFile waits for the lock on a file and gives what frees it; nil: ctx has ended.
+func lockFile(ctx context.Context, path string) (free func(), err error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("lock: %w", err)
@@ -130,15 +130,15 @@
 			said = true
 			slog.Info("another process of this dispatcher owns its shares: waiting for it")
 		}
-		if pause.For(ctx, lockEvery) != nil {
+		if pause.For(ctx, lockRetryInterval) != nil {
 			f.Close()
 			return nil, nil
 		}
 	}
 }
 
-// listTurn waits until there is room for a call for the list.
-func (b *budgets) listTurn(ctx context.Context) error {
+// waitListBudget waits until there is room for a call for the list.
+func (b *budgets) waitListBudget(ctx context.Context) error {
 	for {
 		ok, after := b.ledger.Take(b.now(), b.lists, 0)
 		if ok {
@@ -153,15 +153,15 @@
 	}
 }
 
-// bounded is a source whose calls wait for room in the fleet's budget.
-type bounded struct {
+// budgetedSource is a source whose calls wait for room in the fleet's budget.
+type budgetedSource struct {
 	cluster.Source
 	budgets *budgets
 }
 
 // Watch waits its turn, then watches.
-func (s *bounded) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
-	if err := s.budgets.listTurn(ctx); err != nil {
+func (s *budgetedSource) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
+	if err := s.budgets.waitListBudget(ctx); err != nil {
 		return err
 	}
 	return s.Source.Watch(ctx, after, each)
@@ -172,7 +172,7 @@
 	if b == nil || b.lists < 0 {
 		return s
 	}
-	return &bounded{Source: s, budgets: b}
+	return &budgetedSource{Source: s, budgets: b}
 }
 
 // views adds what the operators' door shows of budgets and members.
--- a/internal/node/gates.go
+++ b/internal/node/gates.go
@@ -11,8 +11,8 @@
 	"gaugeslip/policy"
 )
 
-// shedding makes the gate that refuses jobs at the door in overload, with its figures; nil: none is set.
-func shedding(l *overload.Limits, cfg *policy.Config, figures *operators.Metrics) (*dispatch.ShedGate, error) {
+// newShedGate makes the gate that refuses jobs at the door in overload, with its figures; nil: none is set.
+func newShedGate(l *overload.Limits, cfg *policy.Config, figures *operators.Metrics) (*dispatch.ShedGate, error) {
 	if l == nil || !l.Shed {
 		return nil, nil
 	}
@@ -28,8 +28,8 @@
 	return g, nil
 }
 
-// judging makes the gate that judges sites, with its figures; nil: none is set.
-func judging(own *operatorsettings.Settings, cfg *config.Config, decisions *policy.Config, figures *operators.Metrics) (*dispatch.SitesGate, error) {
+// newSitesGate makes the gate that judges sites, with its figures; nil: none is set.
+func newSitesGate(own *operatorsettings.Settings, cfg *config.Config, decisions *policy.Config, figures *operators.Metrics) (*dispatch.SitesGate, error) {
 	if own.Sites == nil {
 		return nil, nil
 	}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -53,7 +53,7 @@
 			at = newer.Discovery
 			moved := *cfg // what is fixed stays
 			moved.Discovery = at
-			l.Move(watched(&moved, shares, false))
+			l.Move(hostSource(&moved, shares, false))
 		}
 	}
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -25,8 +25,8 @@
 	downstreamParts = 5  // of nine: a request holds a connection on each side, downstream some more
 	upstreamParts   = 4
 	probeTimeout    = 500 * time.Millisecond
-	settle          = 5 * time.Millisecond  // some round trips between server rooms
-	rest            = 25 * time.Millisecond // a second answer to a job comes some milliseconds late
+	lastByteDelay   = 5 * time.Millisecond  // some round trips between server rooms
+	reuseDelay      = 25 * time.Millisecond // a second answer to a job comes some milliseconds late
 )
 
 // Budget shares the descriptors out.
@@ -82,18 +82,18 @@
 		figures.Gauge("refused_share", "Share of refusals among the answers of the last seconds.", level.share)
 		tally = level
 	}
-	shed, err := shedding(own.Overload, &decisions, figures)
+	shed, err := newShedGate(own.Overload, &decisions, figures)
 	if err != nil {
 		return err
 	}
 	pool := upstream.NewPool(upstream.Config{ConnectTimeout: cfg.Settings.Policy.ConnectTimeout,
-		ConnIdle: cfg.Settings.ConnIdle, ProbeTimeout: probeTimeout, Settle: settle, Rest: rest, MaxConns: up,
+		ConnIdle: cfg.Settings.ConnIdle, ProbeTimeout: probeTimeout, Settle: lastByteDelay, Rest: reuseDelay, MaxConns: up,
 		Written: figures.Attempt})
 	gates := dispatch.Gates{Shed: shed}
 	if own.Waiting != nil {
 		gates.Waiting = dispatch.NewWaitingGate(*own.Waiting, cfg.Settings.Policy)
 	}
-	rooms, err := judging(own, cfg, &decisions, figures)
+	rooms, err := newSitesGate(own, cfg, &decisions, figures)
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 	if shares != nil {
 		gates.Budget = shares.gate
 	}
-	l = loop.New(dispatch.NewChain(core, gates), cfg.Settings, pool, watched(cfg, shares, true), clock)
+	l = loop.New(dispatch.NewChain(core, gates), cfg.Settings, pool, hostSource(cfg, shares, true), clock)
 	l.Post(known)
 	server := downstream.New(downstream.Config{Listen: cfg.Listen, Inherited: cfg.Inherited, MaxConns: down,
 		MaxBodies: cfg.Limits.BodyBytes(), AcceptFor: downstream.AcceptFor,
@@ -137,7 +137,7 @@
 	}
 	handed := make(chan struct{})
 	if cfg.Inherited != 0 {
-		path, me := servingFile(os.TempDir(), cfg.Name), serving{PID: os.Getpid(), Since: started.UnixNano()}
+		path, me := servingFile(os.TempDir(), cfg.Name), servingRecord{PID: os.Getpid(), Since: started.UnixNano()}
 		if err := announce(path, me); err != nil {
 			slog.Error("a successor will not know that this process serves", "error", err)
 		}
--- a/internal/node/successor.go
+++ b/internal/node/successor.go
@@ -15,11 +15,11 @@
 // it takes no more connections and answers what it has, before its SIGTERM comes, so that long jobs are not cut
 // off by the SIGKILL that follows it.
 
-// lookEvery is how often the old process looks for a successor.
-const lookEvery = 100 * time.Millisecond
+// successorPollInterval is how often the old process looks for a successor.
+const successorPollInterval = 100 * time.Millisecond
 
-// serving is the form of the file.
-type serving struct {
+// servingRecord is the form of the file.
+type servingRecord struct {
 	PID   int   `json:"pid"`
 	Since int64 `json:"since"` // the process's start, Unix nanoseconds
 }
@@ -28,7 +28,7 @@
 func servingFile(dir, name string) string { return operators.StateFilePath(dir, name, "serving") }
 
 // announce writes that this process serves now.
-func announce(path string, me serving) error {
+func announce(path string, me servingRecord) error {
 	text, _ := json.Marshal(me)
 	if err := operators.WriteFileAtomically(path, text, false); err != nil {
 		return fmt.Errorf("serving: %w", err)
@@ -36,13 +36,13 @@
 	return nil
 }
 
-// successor tells whether the file names a process that started after this one.
-func successor(path string, me serving) bool {
+// successorServes tells whether the file names a process that started after this one.
+func successorServes(path string, me servingRecord) bool {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return false
 	}
-	var other serving
+	var other servingRecord
 	if json.Unmarshal(text, &other) != nil {
 		return false
 	}
@@ -50,15 +50,15 @@
 }
 
 // awaitSuccessor calls handover once a successor has announced itself, or returns when ctx ends.
-func awaitSuccessor(ctx context.Context, path string, me serving, handover func()) {
-	tick := time.NewTicker(lookEvery)
+func awaitSuccessor(ctx context.Context, path string, me servingRecord, handover func()) {
+	tick := time.NewTicker(successorPollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			if successor(path, me) {
+			if successorServes(path, me) {
 				handover()
 				return
 			}
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -42,9 +42,9 @@
 	return v
 }
 
-// watched is where the list comes from: at a start, when many dispatchers may start together, its calls are paced; a reload
+// hostSource is where the list comes from: at a start, when many dispatchers may start together, its calls are paced; a reload
 // moves to one that has to be asked at once. Where lists are pushed nobody waits.
-func watched(cfg *config.Config, shares *budgets, start bool) cluster.Source {
+func hostSource(cfg *config.Config, shares *budgets, start bool) cluster.Source {
 	p := &cfg.Settings.Policy
 	var s cluster.Source = &cluster.Discovery{Addr: cfg.Discovery, StallTimeout: cluster.StallTimeout, Settings: cfg.Settings}
 	switch {
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -17,45 +17,45 @@
 	"gaugeslip/policy"
 )
 
-// lists is how many numbered worker lists the wire keeps.
-const lists = 16
+// maxLists is how many numbered worker lists the wire keeps.
+const maxLists = 16
 
-// entry is one line of a numbered list, its names not yet resolved for an instance.
-type entry struct {
+// listEntry is one line of a numbered list, its names not yet resolved for an instance.
+type listEntry struct {
 	worker     policy.Worker
 	zone, kind string
 }
 
 type instance struct {
-	id     int
-	names  *settings.Settings
-	d      *policy.Dispatcher
-	events []policy.Event
-	queued bool
+	id       int
+	settings *settings.Settings
+	d        *policy.Dispatcher
+	events   []policy.Event
+	queued   bool
 }
 
 // Host hosts the instances of one process.
 type Host struct {
-	in      *bufio.Reader
-	out     *bufio.Writer
-	now     time.Duration
-	about   *instance
-	all     map[int]*instance
-	batch   []*instance
-	lists   [lists][]entry
-	known   [lists]bool
-	pending int // ITEM lines still to come, for list number filling
-	filling int
-	actions []policy.Action
-	parts   []string
-	buf     []byte
-	long    []byte
-	open    bool // between SYNC and OVER_TO_YOU
+	in          *bufio.Reader
+	out         *bufio.Writer
+	now         time.Duration
+	current     *instance
+	instances   map[int]*instance
+	batch       []*instance
+	lists       [maxLists][]listEntry
+	listKnown   [maxLists]bool
+	itemsLeft   int // ITEM lines still to come, for list number filling
+	currentList int
+	actions     []policy.Action
+	parts       []string
+	buf         []byte
+	longLine    []byte
+	inBatch     bool // between SYNC and OVER_TO_YOU
 }
 
 // NewHost makes a host that reads batches from r and writes replies to w.
 func NewHost(r io.Reader, w io.Writer) *Host {
-	return &Host{in: bufio.NewReaderSize(r, 1<<16), out: bufio.NewWriterSize(w, 1<<16), all: map[int]*instance{}}
+	return &Host{in: bufio.NewReaderSize(r, 1<<16), out: bufio.NewWriterSize(w, 1<<16), instances: map[int]*instance{}}
 }
 
 // Run answers batches until the end of input. A message that breaks the wire is an error, and nothing
@@ -63,11 +63,11 @@
 func (h *Host) Run() error {
 	for {
 		line, err := h.line()
-		if err == io.EOF && line == "" && !h.open {
+		if err == io.EOF && line == "" && !h.inBatch {
 			return nil
 		}
 		if err == io.EOF {
-			return fmt.Errorf("wire: input ends within a batch, at %q", clip(line))
+			return fmt.Errorf("wire: input ends within a batch, at %q", truncate(line))
 		}
 		if err != nil {
 			return fmt.Errorf("wire: %v", err)
@@ -86,45 +86,45 @@
 
 // line reads one line of any length, without its end.
 func (h *Host) line() (string, error) {
-	h.long = h.long[:0]
+	h.longLine = h.longLine[:0]
 	for {
 		part, err := h.in.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
-			h.long = append(h.long, part...)
+			h.longLine = append(h.longLine, part...)
 			continue
 		}
 		if err == nil {
 			part = part[:len(part)-1]
 		}
-		if len(h.long) > 0 {
-			part = append(h.long, part...)
+		if len(h.longLine) > 0 {
+			part = append(h.longLine, part...)
 		}
 		return string(part), err
 	}
 }
 
-// clip keeps an error to one short plain line.
-func clip(s string) string {
+// truncate keeps an error to one short plain line.
+func truncate(s string) string {
 	if len(s) > 60 {
 		return s[:60] + "..."
 	}
 	return s
 }
 
-// fields reads the values of one message; the first bad one stays as the error.
-type fields struct {
+// messageFields reads the values of one message; the first bad one stays as the error.
+type messageFields struct {
 	name  string
 	parts []string
 	err   error
 }
 
-func (f *fields) bad(field, value string) {
+func (f *messageFields) bad(field, value string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s: %s: bad value %q", f.name, field, clip(value))
+		f.err = fmt.Errorf("%s: %s: bad value %q", f.name, field, truncate(value))
 	}
 }
 
-func (f *fields) uint(i int, field string, most uint64) uint64 {
+func (f *messageFields) uint(i int, field string, most uint64) uint64 {
 	v, err := strconv.ParseUint(f.parts[i], 10, 64)
 	if err != nil || v > most {
 		f.bad(field, f.parts[i])
@@ -133,7 +133,7 @@
 }
 
 // num reads a number; an absent one is def.
-func (f *fields) num(i int, field string, def float64) float64 {
+func (f *messageFields) num(i int, field string, def float64) float64 {
 	s := f.parts[i]
 	if s == "-" {
 		return def
@@ -146,9 +146,11 @@
 	return v
 }
 
-func (f *fields) ms(i int, field string) time.Duration { return settings.Millis(f.num(i, field, 0)) }
+func (f *messageFields) ms(i int, field string) time.Duration {
+	return settings.Millis(f.num(i, field, 0))
+}
 
-func (f *fields) bool(i int, field string) bool {
+func (f *messageFields) bool(i int, field string) bool {
 	switch f.parts[i] {
 	case "1":
 		return true
@@ -159,8 +161,8 @@
 	return false
 }
 
-// pick finds a name; an absent one is def.
-func pick[T any](f *fields, i int, field string, m map[string]T, def T) T {
+// lookup finds a name; an absent one is def.
+func lookup[T any](f *messageFields, i int, field string, m map[string]T, def T) T {
 	if f.parts[i] == "-" {
 		return def
 	}
@@ -171,8 +173,8 @@
 	return v
 }
 
-// arity is how many values each message has.
-var arity = map[string]int{"SYNC": 1, "OVER_TO_YOU": 0, "ABOUT": 1, "INIT": 2, "MANIFEST": 2, "ITEM": 7,
+// valueCounts is how many values each message has.
+var valueCounts = map[string]int{"SYNC": 1, "OVER_TO_YOU": 0, "ABOUT": 1, "INIT": 2, "MANIFEST": 2, "ITEM": 7,
 	"MEMBERS": 3, "SUBMIT": 11, "TIMED_OUT_CLIENT": 1, "REPLY": 8, "NOTICE": 5, "FIRST": 4, "SHUTDOWN": 0,
 	"INBOX": 2, "HEALTH": 4, "ALARM": 1}
 
@@ -187,9 +189,9 @@
 // message takes in one line; true ends the batch.
 func (h *Host) message(line string) (bool, error) {
 	name, rest, some := strings.Cut(line, "\t")
-	want, ok := arity[name]
+	want, ok := valueCounts[name]
 	if !ok {
-		return false, fmt.Errorf("unknown message %q", clip(name))
+		return false, fmt.Errorf("unknown message %q", truncate(name))
 	}
 	parts := h.parts[:0]
 	for some && len(parts) < want-1 {
@@ -202,45 +204,45 @@
 		parts = append(parts, rest)
 	}
 	if h.parts = parts; len(parts) != want || want == 0 && some {
-		return false, fmt.Errorf("%s: %d values where %d belong, in %q", name, len(parts), want, clip(line))
+		return false, fmt.Errorf("%s: %d values where %d belong, in %q", name, len(parts), want, truncate(line))
 	}
-	f := &fields{name: name, parts: parts}
-	if (h.pending > 0) != (name == "ITEM") {
-		return false, fmt.Errorf("%s: hosts: %d list entries are missing or too many", name, h.pending)
+	f := &messageFields{name: name, parts: parts}
+	if (h.itemsLeft > 0) != (name == "ITEM") {
+		return false, fmt.Errorf("%s: hosts: %d list entries are missing or too many", name, h.itemsLeft)
 	}
-	if h.open == (name == "SYNC") {
-		return false, fmt.Errorf("%s: not in its place, in %q", name, clip(line))
+	if h.inBatch == (name == "SYNC") {
+		return false, fmt.Errorf("%s: not in its place, in %q", name, truncate(line))
 	}
 	switch name {
 	case "SYNC":
-		h.now, h.open, h.about = f.ms(0, "clock"), true, nil
+		h.now, h.inBatch, h.current = f.ms(0, "clock"), true, nil
 		return false, f.err
 	case "OVER_TO_YOU":
-		h.open = false
+		h.inBatch = false
 		return true, nil
 	case "ABOUT":
 		id := int(f.uint(0, "scheduler-id", maxWorker))
-		if h.about = h.all[id]; h.about == nil && f.err == nil {
-			h.about = &instance{id: id}
-			h.all[id] = h.about
+		if h.current = h.instances[id]; h.current == nil && f.err == nil {
+			h.current = &instance{id: id}
+			h.instances[id] = h.current
 		}
 		return false, f.err
 	case "MANIFEST":
-		h.filling = int(f.uint(0, "set-id", lists-1))
-		if h.pending = int(f.uint(1, "hosts", 1<<20)); f.err == nil {
-			h.lists[h.filling], h.known[h.filling] = nil, true
+		h.currentList = int(f.uint(0, "set-id", maxLists-1))
+		if h.itemsLeft = int(f.uint(1, "hosts", 1<<20)); f.err == nil {
+			h.lists[h.currentList], h.listKnown[h.currentList] = nil, true
 		}
 		return false, f.err
 	case "ITEM":
-		h.pending--
-		e := entry{zone: parts[1], kind: parts[6]}
+		h.itemsLeft--
+		e := listEntry{zone: parts[1], kind: parts[6]}
 		e.worker = policy.Worker{Since: f.ms(0, "up-since"), ID: uint32(f.uint(2, "worker", maxWorker)),
-			State: pick(f, 3, "state", states, policy.Ready), Cell: int(f.num(4, "group", 0)),
+			State: lookup(f, 3, "state", states, policy.Ready), Cell: int(f.num(4, "group", 0)),
 			Scale: f.num(5, "scale", 0)}
-		h.lists[h.filling] = append(h.lists[h.filling], e)
+		h.lists[h.currentList] = append(h.lists[h.currentList], e)
 		return false, f.err
 	}
-	in := h.about
+	in := h.current
 	if in == nil {
 		return false, fmt.Errorf("%s: no instance named before it", name)
 	}
@@ -256,7 +258,7 @@
 		seed := f.uint(0, "entropy", math.MaxUint64)
 		n, err := settings.Parse([]byte(parts[1]))
 		if err == nil {
-			in.names = n
+			in.settings = n
 			in.d, err = policy.New(n.Policy, seed)
 		}
 		if err != nil && f.err == nil {
@@ -277,15 +279,15 @@
 }
 
 // event turns a message about an instance into the module's event.
-func (h *Host) event(in *instance, f *fields) (e policy.Event, use bool, err error) {
-	n := in.names
+func (h *Host) event(in *instance, f *messageFields) (e policy.Event, use bool, err error) {
+	n := in.settings
 	switch f.name {
 	case "SUBMIT":
 		e = policy.Event{Kind: policy.JobArrived, Job: f.uint(0, "xid", maxID), Tenant: -1,
-			Class: pick(f, 1, "qos", n.Classes, -1), Budget: f.ms(4, "budget"), Size: f.ms(5, "estimate"),
+			Class: lookup(f, 1, "qos", n.Classes, -1), Budget: f.ms(4, "budget"), Size: f.ms(5, "estimate"),
 			Slots: int(f.num(6, "cores-needed", 1)), Retry: f.bool(8, "retry")}
 		if f.parts[2] != "0" {
-			e.Tenant = pick(f, 2, "realm", n.Tenants, -1)
+			e.Tenant = lookup(f, 2, "realm", n.Tenants, -1)
 		}
 		if e.Class < 0 {
 			f.bad("qos", "-")
@@ -298,7 +300,7 @@
 	case "REPLY":
 		e = policy.Event{Kind: policy.AttemptEnded, Job: f.uint(0, "xid", maxID),
 			Attempt: int(f.uint(2, "n", maxWorker)), Finished: f.bool(3, "last"),
-			Result: pick(f, 4, "outcome", outcomes, policy.AppError), Took: f.ms(5, "wait-time"),
+			Result: lookup(f, 4, "outcome", outcomes, policy.AppError), Took: f.ms(5, "wait-time"),
 			Worker: uint32(f.uint(6, "worker", maxWorker))}
 		e.HasLoad, e.Load = load(n, f, 7)
 	case "NOTICE":
@@ -317,7 +319,7 @@
 			Took: f.ms(3, "wait-time")}
 	case "HEALTH":
 		e = policy.Event{Kind: policy.ProbeEnded, Worker: uint32(f.uint(0, "worker", maxWorker)),
-			Result: pick(f, 1, "outcome", outcomes, policy.AppError), Took: f.ms(2, "wait-time")}
+			Result: lookup(f, 1, "outcome", outcomes, policy.AppError), Took: f.ms(2, "wait-time")}
 		e.HasLoad, e.Load = load(n, f, 3)
 	case "ALARM":
 		e = policy.Event{Kind: policy.TimerFired, Timer: f.uint(0, "cookie", math.MaxUint64)}
@@ -339,8 +341,8 @@
 		default:
 			f.bad("kind", kind)
 		}
-		set := f.uint(1, "set-id", lists-1)
-		if f.err != nil || !h.known[set] {
+		set := f.uint(1, "set-id", maxLists-1)
+		if f.err != nil || !h.listKnown[set] {
 			f.bad("set-id", f.parts[1])
 			return e, false, f.err
 		}
@@ -355,7 +357,7 @@
 }
 
 // load reads a load report by the order of the settings' fields.
-func load(n *settings.Settings, f *fields, i int) (bool, policy.Load) {
+func load(n *settings.Settings, f *messageFields, i int) (bool, policy.Load) {
 	l := settings.NoLoad()
 	rest := f.parts[i]
 	if rest == "-" || rest == "" {
@@ -406,7 +408,7 @@
 	defer func() {
 		if p := recover(); p != nil { // the day ends here, by the wire's own word
 			text := strings.Map(func(r rune) rune { return max(r, ' ') }, fmt.Sprint(p))
-			res = append(b[:start], "EXCEPTION\t"+clip(text)+"\n"...)
+			res = append(b[:start], "EXCEPTION\t"+truncate(text)+"\n"...)
 		}
 	}()
 	h.actions = in.d.Step(h.now, in.events, h.actions[:0])
