--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,4 @@
-// Command wirehost lets the decision module decide over the text wire on standard input and output.
+// Command wirehost runs the decision module over the simulator's text protocol on standard input and output.
 package main
 
 import (
--- a/internal/net/downstream/answer.go
+++ b/internal/net/downstream/answer.go
@@ -11,8 +11,8 @@
 	"gaugeslip/internal/net/loop"
 )
 
-// reject answers what can't be taken, at once and without waiting for the rest of it, and closes: what follows
-// on the connection may be part of it. It returns the status.
+// reject answers a request that cannot be accepted and closes the connection. It answers at once, without reading the
+// rest of the request: what follows on the connection may be part of it. It returns the status.
 func (s *Server) reject(w http.ResponseWriter, r *http.Request, err error) int {
 	var f *requestError
 	if !errors.As(err, &f) {
@@ -24,8 +24,8 @@
 	case http.StatusServiceUnavailable:
 		s.setRetryAfter(w, s.set.Policy.MaxRetryAfter)
 	}
-	slog.Debug("refused at the door", "status", f.status, "why", f.why, "id", r.Header.Get("X-Trace-Id"))
-	// Else net/http reads the rest of the body before it answers.
+	slog.Debug("request rejected", "status", f.status, "why", f.why, "id", r.Header.Get("X-Trace-Id"))
+	// Otherwise net/http reads the rest of the body before it answers.
 	http.NewResponseController(w).EnableFullDuplex()
 	w.Header().Set("Connection", "close")
 	s.reply(w, f.status, f.why)
@@ -35,14 +35,14 @@
 	return f.status
 }
 
-// countAnswer counts a final answer.
+// countAnswer counts a final answer to a job.
 func (s *Server) countAnswer(class, status int) {
 	if s.cfg.Tally != nil {
 		s.cfg.Tally.Answered(class, status)
 	}
 }
 
-// serveUp tells the front whether requests can be served here.
+// serveUp answers the health check on /up: whether this server accepts requests.
 func (s *Server) serveUp(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		w.Header().Set("Allow", "GET, HEAD")
@@ -56,7 +56,7 @@
 	s.reply(w, http.StatusServiceUnavailable, "stopping")
 }
 
-// serveJob hands a ticket in and sends its answer.
+// serveJob submits a ticket to the loop, waits for its final answer and sends it.
 func (s *Server) serveJob(w http.ResponseWriter, r *http.Request, t *loop.Ticket, p preference) {
 	class := t.Job.Class
 	t.Forward.Client = r.Context()
@@ -65,7 +65,7 @@
 			s.countAnswer(class, s.reject(w, r, &requestError{http.StatusConflict, err.Error()}))
 			return
 		}
-		// A hard limit. Nothing was sent: a repeat is harmless.
+		// A hard limit was reached. Nothing was sent to a host, so a retry is harmless.
 		s.countAnswer(class, s.writeAnswer(w, loop.Answer{Refused: true, RetryAfter: s.set.Policy.MaxRetryAfter}))
 		return
 	}
@@ -76,10 +76,10 @@
 	case a := <-t.Answer():
 		s.writeJobAnswer(w, r, t, p, a)
 	case <-r.Context().Done():
-		// One that has only ended its sending still reads: net/http's own answer would be that its job was served.
+		// A client that has only closed its sending side still reads. Without this answer net/http would send 200.
 		w.Header().Set("Connection", "close")
 		select {
-		case a := <-t.Answer(): // decided before the leave was seen
+		case a := <-t.Answer(): // decided before the disconnect was seen
 			s.writeJobAnswer(w, r, t, p, a)
 		default:
 			left = true
@@ -88,7 +88,7 @@
 		}
 	case <-s.loop.Stopped():
 		select {
-		case a := <-t.Answer(): // decided before the end
+		case a := <-t.Answer(): // decided before the loop stopped
 			s.writeJobAnswer(w, r, t, p, a)
 		default:
 			s.reply(w, http.StatusInternalServerError, "stopped")
@@ -97,7 +97,7 @@
 	}
 }
 
-// callTestHook lets a test hold a request at a point.
+// callTestHook calls the test hook, which may block the request at a named point.
 func (s *Server) callTestHook(point string, r *http.Request) {
 	if s.testHook != nil {
 		s.testHook(point, r)
@@ -134,14 +134,14 @@
 	}
 }
 
-// setRetryAfter tells a refused client when to come back; 0: no advice.
+// setRetryAfter sets the Retry-After header of a refusal; 0 sets none.
 func (s *Server) setRetryAfter(w http.ResponseWriter, after time.Duration) {
 	if after > 0 && s.set.RetryAfter {
 		w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
 	}
 }
 
-// reply sends a local reply.
+// reply sends a plain-text answer that the dispatcher generates itself.
 func (s *Server) reply(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	s.write(w, status, []byte(text+"\n"))
@@ -152,7 +152,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	// A client that does not read must not hold its descriptor, or a shutdown, for ever.
+	// A client that does not read must not hold its descriptor or block a shutdown forever.
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.WriteHeader(status)
 	w.Write(body)
--- a/internal/net/downstream/client.go
+++ b/internal/net/downstream/client.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// client is one connection of the gate. Its fields belong to the gate's lock, but head, which net/http's reads and
-// handlers of the connection use one at a time, and ahead, which its reads alone use.
+// client is one connection of the gate. The gate's lock guards its fields, except head and pipelined. net/http's
+// reads and handlers of the connection use head one at a time; only its reads use pipelined.
 type client struct {
 	net.Conn
 	gate      *gate
@@ -22,25 +22,26 @@
 	since     time.Time // in this phase
 	closed    bool
 	head      requestHead
-	pipelined []byte // came while the request before it was owed its answer; at most maxPipelined
+	pipelined []byte // received while the previous request awaits its answer; at most maxPipelined
 }
 
-// maxPipelined is how much of what a client sends beyond its request is kept while that is owed its answer.
+// maxPipelined is how many bytes beyond the current request are buffered while that request awaits its answer.
 const maxPipelined = 16 << 10
 
-// requestHead keeps the first bytes of the request that is being read on a connection, from the end of the one before:
-// net/http drops a Content-Length that stands beside a Transfer-Encoding before any handler sees it.
+// requestHead keeps the first bytes of the request that is being read on a connection, starting at the end of the
+// previous request. It is needed because net/http drops a Content-Length that stands beside a Transfer-Encoding
+// before any handler sees it.
 type requestHead struct {
 	mu       sync.Mutex
 	text     []byte // at most maxHeaderBytes and a line
-	complete bool   // its end is in text: the body is not kept
+	complete bool   // text has the end of the head; the body is not kept
 }
 
-// headEnd ends a head.
+// headEnd terminates a request's head.
 const headEnd = "\r\n\r\n"
 
-// Read keeps what it reads of a request's head, and what comes too early. What has been read is not given away once the
-// connection has been closed to make room: its client sends that request once more, and it must not run here as well.
+// Read records what it reads of a request's head and buffers pipelined data. After the connection was closed to make
+// room, Read returns no more data: the client will retry that request elsewhere, so it must not run here too.
 func (c *client) Read(b []byte) (n int, err error) {
 	if len(b) == 1 && c.isBusy() {
 		if err := c.waitForClose(); err != nil {
@@ -60,10 +61,11 @@
 	return n, err
 }
 
-// waitForClose is the read with which net/http waits for its client to leave while a request is owed its answer: of one byte,
-// where all others have room for many. With that byte net/http would stop to look, though a client that has sent more
-// may leave as well; so what comes is put aside, up to maxPipelined, and only the end of the connection ends the read. What
-// comes beyond stays with the system, and the end is looked for behind it. Nil: it can't be, and the read goes on.
+// waitForClose handles the one-byte read with which net/http watches for a client's disconnect while a request awaits
+// its answer (all its other reads have larger buffers). net/http would stop watching at the first byte, although a
+// client that has sent more may still disconnect. So waitForClose buffers incoming data, up to maxPipelined, and
+// returns only at the end of the connection. Data beyond that stays in the kernel's buffer, and the end is detected
+// behind it. It returns nil if the end cannot be detected; the read then goes on.
 func (c *client) waitForClose() error {
 	for more := [512]byte{}; len(c.pipelined) < maxPipelined; {
 		n, err := c.Conn.Read(more[:min(len(more), maxPipelined-len(c.pipelined))])
@@ -74,8 +76,8 @@
 	return waitPeerClosed(c.Conn)
 }
 
-// waitPeerClosed waits for the other side to end its sending, behind whatever it has sent that nobody has read. An error says
-// that it has, or that the wait was called off; nil that nothing can be told here.
+// waitPeerClosed waits for the peer to close its sending side, even behind unread data. It returns an error if the
+// peer has closed or the wait was interrupted, and nil if this cannot be detected on the connection.
 func waitPeerClosed(nc net.Conn) error {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -86,7 +88,7 @@
 		return err
 	}
 	ended := false
-	err = raw.Read(func(fd uintptr) bool { // asked again each time that something comes, the end too
+	err = raw.Read(func(fd uintptr) bool { // called again on each event, including the close
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		_, err := unix.Poll(p, 0)
 		ended = err == nil && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
@@ -98,14 +100,14 @@
 	return err
 }
 
-// isBusy tells whether a request of this connection is being read or answered.
+// isBusy reports whether a request of this connection is being read or answered.
 func (c *client) isBusy() bool {
 	c.gate.mu.Lock()
 	defer c.gate.mu.Unlock()
 	return c.phase == busy
 }
 
-// recordHead adds to the copy of a request's head, and tells whether the head is whole.
+// recordHead adds bytes to the copy of a request's head and reports whether the head is complete.
 func (c *client) recordHead(b []byte) (whole bool) {
 	c.head.mu.Lock()
 	defer c.head.mu.Unlock()
@@ -117,8 +119,8 @@
 	return c.head.complete
 }
 
-// markRead notes that bytes have been read: one whose head is whole is owed an answer from here on, not only when net/http
-// says so. False: the connection was closed for others before.
+// markRead records that bytes have been read. Once the head is complete the connection counts as busy, without
+// waiting for net/http to report it active. It returns false if the connection has already been closed to make room.
 func (c *client) markRead(whole bool) bool {
 	c.gate.mu.Lock()
 	defer c.gate.mu.Unlock()
@@ -133,7 +135,7 @@
 	return true
 }
 
-// hasContentLength tells whether the head of the request in hand has a Content-Length line too.
+// hasContentLength reports whether the head of the current request has a Content-Length line.
 func (c *client) hasContentLength() bool {
 	c.head.mu.Lock()
 	defer c.head.mu.Unlock()
@@ -150,28 +152,28 @@
 	return false
 }
 
-// resetHead begins the head of the next request.
+// resetHead starts the record of the next request's head.
 func (c *client) resetHead() {
 	c.head.mu.Lock()
 	c.head.text, c.head.complete = c.head.text[:0], false
 	c.head.mu.Unlock()
 }
 
-// started tells whether any of the request in hand has been read.
+// started reports whether any byte of the current request has been read.
 func (h *requestHead) started() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.text) > 0
 }
 
-// isClosed tells whether the connection has been closed.
+// isClosed reports whether the connection has been closed.
 func (c *client) isClosed() bool {
 	c.gate.mu.Lock()
 	defer c.gate.mu.Unlock()
 	return c.closed
 }
 
-// Close frees the connection's place.
+// Close closes the connection and removes it from the gate.
 func (c *client) Close() error {
 	err := c.Conn.Close()
 	c.gate.mu.Lock()
@@ -180,8 +182,8 @@
 	return err
 }
 
-// CloseWrite lets net/http end its sending before it closes, so that an answer is not lost with what the
-// client still sends.
+// CloseWrite lets net/http close the sending side first, so that an answer is not lost when the client is still
+// sending.
 func (c *client) CloseWrite() error {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		return t.CloseWrite()
--- a/internal/net/downstream/decode.go
+++ b/internal/net/downstream/decode.go
@@ -23,7 +23,7 @@
 	maxKeyLength = 256
 )
 
-// requestError is a request that can't be taken: the status of the local reply and why.
+// requestError is the reason why a request cannot be accepted: the status and the text of the answer.
 type requestError struct {
 	status int
 	why    string
@@ -35,13 +35,13 @@
 	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// singleHeaders names the headers that a job may carry one time only: with two, the host might read the other one.
+// singleHeaders names the headers that a job may carry only once: of two, the host might read the other one.
 var singleHeaders = []string{"X-Trace-Id", "X-Qos", "X-Expires-In-Ms", "X-Size-Hint", "X-Props", "X-Customer",
 	"Idempotency-Key"}
 
-// checkFraming takes a body of one length, or in chunks, and refuses one that has both a Content-Length and a
-// Transfer-Encoding: it may hide another request, to be served as if a client had sent it. net/http drops such a
-// Content-Length before a handler sees it, so the connection's own copy of the head tells.
+// checkFraming rejects a request that has both a Content-Length and a Transfer-Encoding: it may smuggle in a second
+// request that the host would serve as a client's own. net/http drops such a Content-Length before a handler sees it,
+// so the check uses the connection's own copy of the head.
 func checkFraming(r *http.Request) error {
 	if len(r.TransferEncoding) == 0 {
 		return nil
@@ -52,14 +52,14 @@
 	return nil
 }
 
-// classOf is the class that a request's path names, by name and number.
+// classOf returns the class that a request's path names, by name and by number.
 func classOf(r *http.Request, s *settings.Settings) (name string, class int, ok bool) {
 	name, _, _ = strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class, ok = s.Classes[name]
 	return name, class, ok
 }
 
-// decode reads a request's head into a ticket, once. Every error is a *fault.
+// decode parses a request's head into a ticket. Every error is a *requestError.
 func decode(r *http.Request, s *settings.Settings, arrived time.Time) (*loop.Ticket, error) {
 	name, class, ok := classOf(r, s)
 	if !ok {
@@ -99,11 +99,11 @@
 	}
 	j.Retry = r.Header.Get("X-Second-Try") == "1"
 	object := r.Header.Get("X-Object")
-	if j.Keyed = object != "" && len(object) <= maxIDLength; !j.Keyed { // a longer one counts as none
+	if j.Keyed = object != "" && len(object) <= maxIDLength; !j.Keyed { // an object name that is too long counts as none
 		object = t.Forward.TraceID
 	}
 	j.Key = xxhash.Sum64String(object)
-	j.Budget = s.Policy.Classes[class].Deadline // where none is said
+	j.Budget = s.Policy.Classes[class].Deadline // the default without a header
 	var err error
 	if said := r.Header["X-Expires-In-Ms"]; len(said) > 0 {
 		if j.Budget, err = parseMilliseconds(said[0]); err != nil {
@@ -119,7 +119,7 @@
 	return t, nil
 }
 
-// validID tells whether an id is 1 to n letters, digits, dashes, dots or underscores: what any host can read.
+// validID reports whether s has 1 to n letters, digits, dashes, dots or underscores, which every host can parse.
 func validID(s string, n int) bool {
 	for _, b := range []byte(s) {
 		if !('a' <= b && b <= 'z' || 'A' <= b && b <= 'Z' || '0' <= b && b <= '9' ||
@@ -130,7 +130,8 @@
 	return len(s) > 0 && len(s) <= n
 }
 
-// printableASCII tells whether a request target is ASCII that can be seen: a host closes on what it can't read.
+// printableASCII reports whether s has only printable ASCII characters without spaces. A host closes the connection
+// on a request target that it cannot parse.
 func printableASCII(s string) bool {
 	for _, b := range []byte(s) {
 		if b <= ' ' || b > '~' {
@@ -140,17 +141,17 @@
 	return true
 }
 
-// parseMilliseconds reads whole milliseconds, an hour's worth at most: digits alone, where ParseFloat would take a sign,
-// an exponent, hex figures or NaN too.
+// parseMilliseconds parses whole milliseconds, at most an hour's worth. It accepts digits only; ParseFloat would also
+// accept a sign, an exponent, hexadecimal digits or NaN.
 func parseMilliseconds(s string) (time.Duration, error) {
-	v, err := strconv.ParseUint(s, 10, 32) // takes no sign
+	v, err := strconv.ParseUint(s, 10, 32) // accepts no sign
 	if err != nil || v > uint64(time.Hour/time.Millisecond) {
 		return 0, strconv.ErrRange
 	}
 	return time.Duration(v) * time.Millisecond, nil
 }
 
-// requestTarget is the path and query as the client wrote them, without the authority of an absolute form.
+// requestTarget returns the path and query as the client wrote them, without the authority of an absolute form.
 func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -158,7 +159,7 @@
 	return r.URL.RequestURI()
 }
 
-// parseDurationHeader reads a header that holds a count of units, an hour's worth at most; absent: 0.
+// parseDurationHeader parses a header that holds a count of units, at most an hour's worth. An absent header gives 0.
 func parseDurationHeader(r *http.Request, name string, unit time.Duration) (time.Duration, error) {
 	s := r.Header.Get(name)
 	if s == "" {
@@ -171,7 +172,7 @@
 	return time.Duration(v * float64(unit)), nil
 }
 
-// parseSlots finds the slots that a job takes among its other figures, "name=value,name=value".
+// parseSlots finds the number of slots that a job takes in its properties, "name=value,name=value". The default is 1.
 func parseSlots(props string) (int, error) {
 	for _, p := range strings.Split(props, ",") {
 		if k, v, ok := strings.Cut(strings.TrimSpace(p), "="); ok && k == "slots" {
--- a/internal/net/downstream/gate.go
+++ b/internal/net/downstream/gate.go
@@ -13,24 +13,24 @@
 	"time"
 )
 
-// phase says what a connection is doing, in the order in which connections have to make room for new ones.
+// phase is the state of a connection. Connections are evicted for new ones by phase, see evictionCandidate.
 type phase int
 
 const (
-	awaitingHead phase = iota // no whole head has come yet: silent, or dribbling
-	closing                   // answered with a local reply that closes it
-	idle                      // between requests: a close here costs a client no more than a new connection
-	busy                      // a request is being read or is owed its answer: never closed for others
+	awaitingHead phase = iota // no complete head has been received yet: silent or slow
+	closing                   // answered with a local reply that closes the connection
+	idle                      // between requests: a close costs the client only a new connection
+	busy                      // a request is being read or awaits its answer: never evicted
 	phaseCount
 )
 
-// gate is the listener of the downstream side. It accepts whatever comes, so that nobody waits unseen in the
-// listen queue behind a crowd that says nothing, and keeps to its limit by closing what can be spared.
+// gate is the listener of the downstream side. It accepts every connection, so that no client waits in the listen
+// queue behind many silent ones, and enforces its limit by closing the connections that can be spared.
 type gate struct {
 	net.Listener
 	maxConns     int
-	stopped      atomic.Bool // no more is to be accepted but what is there
-	queueChecked bool        // Accept's own: it has looked for that
+	stopped      atomic.Bool // accept only what is already in the queue
+	queueChecked bool        // used by Accept only: the queue has been checked
 
 	mu    sync.Mutex
 	conns [phaseCount]map[*client]struct{}
@@ -44,16 +44,16 @@
 	return g
 }
 
-// Accept takes the next connection. At the limit the one that can best be spared is closed for it; where
-// every other is owed an answer it is the new one.
+// Accept returns the next connection. At the limit it evicts the connection that can best be spared. If every
+// connection awaits an answer, it closes the new one.
 func (g *gate) Accept() (net.Conn, error) {
 	for {
 		nc, err := g.Listener.Accept()
 		if err != nil && g.stopped.Load() {
 			if g.queueChecked || !g.setAcceptDeadline() {
-				return nil, errStopped // net/http would take a time-out for a reason to go on
+				return nil, errStopped // net/http would continue after a time-out error
 			}
-			g.queueChecked = true // this once: the limit may have passed before the queue was looked at
+			g.queueChecked = true // retry once: the deadline may have passed before the queue was checked
 			continue
 		}
 		if err != nil {
@@ -66,14 +66,15 @@
 	}
 }
 
-// errStopped ends net/http's accepting.
+// errStopped makes net/http stop accepting.
 var errStopped = errors.New("downstream: no more connections are taken")
 
-// acceptQueueWait is how long what waits in the accept queue of a socket that is about to close is still taken.
+// acceptQueueWait is how long connections in the accept queue of a socket that is about to close are still accepted.
 const acceptQueueWait = 20 * time.Millisecond
 
-// stop ends accepting. Of a socket of our own what is in the queue is taken first: to its client it is a connection that
-// stands, and a close would reset it. On a socket that is shared the queue is the successor's.
+// stop ends accepting. On a socket of our own the connections in the accept queue are accepted first: for their
+// clients they are established, and closing the socket would reset them. On a shared socket the queue belongs to the
+// successor.
 func (g *gate) stop(shared bool) {
 	g.stopped.Store(true)
 	if shared || !g.setAcceptDeadline() {
@@ -81,7 +82,8 @@
 	}
 }
 
-// setAcceptDeadline limits the wait for one more connection; the listener is closed with net/http's server. False: it can't be.
+// setAcceptDeadline limits the wait for one more connection; net/http's server closes the listener later. It returns
+// false if the listener has no deadline.
 func (g *gate) setAcceptDeadline() bool {
 	l, ok := g.Listener.(interface{ SetDeadline(time.Time) error })
 	return ok && l.SetDeadline(time.Now().Add(acceptQueueWait)) == nil
@@ -97,10 +99,10 @@
 	if held >= g.maxConns {
 		if victim = g.evictionCandidate(); victim == nil {
 			g.mu.Unlock()
-			slog.Debug("a new connection closed: all are owed answers", "held", held)
+			slog.Debug("new connection closed: all others await answers", "held", held)
 			return nil
 		}
-		slog.Debug("a connection closed for a new one", "phase", victim.phase, "for", time.Since(victim.since))
+		slog.Debug("connection evicted for a new one", "phase", victim.phase, "for", time.Since(victim.since))
 		g.remove(victim)
 	}
 	now := time.Now()
@@ -113,19 +115,19 @@
 	return c
 }
 
-// newConnGrace is how long a connection that has sent nothing whole yet counts as a client on its way: a client writes its
-// head within milliseconds. Until then it is the last to make room, after idle ones, whose close costs a client no more
-// than a new connection; later it is the first, for it is likely one of a crowd that says nothing.
+// newConnGrace is how long a connection without a complete head counts as a new client, since a client writes its
+// head within milliseconds. Until then it is evicted last, after idle connections, whose close costs the client only
+// a new connection. Later it is evicted first, as likely one of many silent connections.
 const newConnGrace = time.Second
 
-// evictionCandidate finds the connection that can best be spared: of the silent ones, of those parting, of the idle ones and last
-// of the fresh ones, the one longest in its phase. One whose request has come and only waits to be read is none: in a
-// crowd that would shed the clients that speak.
+// evictionCandidate returns the connection that can best be spared: first silent ones, then those in phase closing,
+// then idle ones and last new ones; in each group the one longest in its phase. Connections with unread data are
+// skipped: under a flood of connections evicting them would drop the clients that do send requests.
 func (g *gate) evictionCandidate() *client {
 	now := time.Now()
 	for _, tier := range []struct {
 		p     phase
-		since time.Duration // in the phase at least
+		since time.Duration // minimum time in the phase
 	}{{awaitingHead, newConnGrace}, {closing, 0}, {idle, 0}, {awaitingHead, 0}} {
 		list := slices.SortedFunc(maps.Keys(g.conns[tier.p]), func(a, b *client) int { return a.since.Compare(b.since) })
 		for _, c := range list {
@@ -140,7 +142,7 @@
 	return nil
 }
 
-// hasUnreadData tells whether a connection has bytes that nobody has read yet.
+// hasUnreadData reports whether a connection has received bytes that have not been read yet.
 func hasUnreadData(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -158,9 +160,8 @@
 	return err == nil && n > 0
 }
 
-// closeIdle closes the connections that have been between requests, or have said nothing yet, for a while, and on which
-// nothing waits to be read: a close there costs their clients a new connection and nothing else. It returns how many
-// connections are left.
+// closeIdle closes the connections that are between requests, or have sent nothing for unreadFor, and that have no
+// unread data: the close costs their clients only a new connection. It returns the number of connections left.
 func (g *gate) closeIdle(unreadFor time.Duration) (left int) {
 	g.mu.Lock()
 	var out []*client
@@ -187,7 +188,7 @@
 	c.closed = true
 }
 
-// setPhase notes what a connection is doing now.
+// setPhase records the new phase of a connection.
 func (g *gate) setPhase(c *client, p phase) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -196,14 +197,15 @@
 	}
 }
 
-// setPhaseLocked is move under the lock.
+// setPhaseLocked is setPhase for callers that hold the lock.
 func (g *gate) setPhaseLocked(c *client, p phase) {
 	delete(g.conns[c.phase], c)
 	c.phase, c.since = p, time.Now()
 	g.conns[p][c] = struct{}{}
 }
 
-// onConnState follows net/http's own view; a connection is active for it once a whole head has come.
+// onConnState follows net/http's connection states. net/http reports a connection active once a complete head has
+// been read.
 func (g *gate) onConnState(nc net.Conn, s http.ConnState) {
 	if c, ok := nc.(*client); ok {
 		switch s {
--- a/internal/net/downstream/jobs.go
+++ b/internal/net/downstream/jobs.go
@@ -16,33 +16,35 @@
 	"gaugeslip/internal/waiting"
 )
 
-// The clients' side of waiting jobs: headers on a job's POST, and /jobs to look and call off. Both are off unless
+// The clients' API for waiting jobs: headers on a job's POST, and /jobs to query and cancel jobs. Both are off unless
 // Config.Waiting is set.
 
-// Jobs is the path below which waiting jobs are found by their ids.
+// Jobs is the path below which waiting jobs are addressed by their ids.
 const Jobs = "/jobs"
 
 const (
 	maxDependencies = 16
 	maxQueryWait    = 5 * time.Minute
 	maxPageLength   = 1000
-	maxTimeHeader   = 366 * 24 * time.Hour // what a header may name; the settings bound it further
+	maxTimeHeader   = 366 * 24 * time.Hour // limit of a time in a header; the settings limit it further
 )
 
-// singleWaitingHeaders names the headers of waiting jobs that may stand one time only.
+// singleWaitingHeaders names the headers of waiting jobs that may occur only once.
 var singleWaitingHeaders = []string{"X-Not-Before-Ms", "X-Due-Ms", "X-After"}
 
-// preference is what a request's Prefer headers ask for (RFC 7240): of what is defined there, respond-async and wait.
+// preference is what a request's Prefer headers ask for (RFC 7240). Of the defined preferences it supports
+// respond-async and wait.
 type preference struct {
 	async bool
 	wait  time.Duration
 }
 
-// parsePreferences reads them. As the RFC has it, what is not understood is passed over, and the first of a name counts.
+// parsePreferences parses the Prefer headers. As the RFC requires, unknown preferences are ignored and the first one
+// of a name counts.
 func parsePreferences(h http.Header) (p preference, err error) {
 	waits := false
 	for _, part := range strings.Split(strings.Join(h["Prefer"], ","), ",") {
-		part, _, _ = strings.Cut(part, ";") // parameters mean nothing here
+		part, _, _ = strings.Cut(part, ";") // parameters are ignored
 		name, value, _ := strings.Cut(part, "=")
 		switch strings.ToLower(strings.TrimSpace(name)) {
 		case "respond-async":
@@ -62,7 +64,7 @@
 	return p, nil
 }
 
-// decodeWaiting reads what a job's head asks of the waiting room, into the ticket.
+// decodeWaiting parses the headers of a waiting job into the ticket.
 func decodeWaiting(r *http.Request, t *loop.Ticket) (p preference, err error) {
 	for _, name := range singleWaitingHeaders {
 		if len(r.Header[name]) > 1 {
@@ -86,7 +88,7 @@
 			continue
 		}
 		asks = true
-		v, err := strconv.ParseUint(said[0], 10, 63) // takes no sign
+		v, err := strconv.ParseUint(said[0], 10, 63) // accepts no sign
 		if err != nil || v > uint64(maxTimeHeader/time.Millisecond) {
 			return p, badRequest("%s: bad value %q", f.name, said[0])
 		}
@@ -114,8 +116,8 @@
 	return p, nil
 }
 
-// replyAccepted answers the POST of a job that lives on without its connection; a client that prefers to wait a while for
-// the end first may have that instead.
+// replyAccepted answers the POST of a job that continues without its connection. If the client prefers to wait first
+// and the job ends in that time, it sends the job's final state instead.
 func (s *Server) replyAccepted(w http.ResponseWriter, r *http.Request, id string, p preference) {
 	if p.wait > 0 {
 		if told, ok := s.queryJobs(r, waiting.Query{Name: id}, p.wait); ok && told.Info != nil && told.Info.State.Final() {
@@ -128,7 +130,7 @@
 	s.writeJSON(w, http.StatusAccepted, &Job{ID: id, State: waiting.Waiting.String()})
 }
 
-// replyFinished answers a POST with what has become of its job.
+// replyFinished answers a POST with the final state of its job.
 func (s *Server) replyFinished(w http.ResponseWriter, i *waiting.Info) {
 	switch i.State {
 	case waiting.Served:
@@ -140,7 +142,7 @@
 	}
 }
 
-// Job is what is told of a job, as JSON.
+// Job is the description of a job that clients get, as JSON.
 type Job struct {
 	ID       string  `json:"id"`
 	State    string  `json:"state"`
@@ -148,16 +150,16 @@
 	DueMS    int64   `json:"due_ms,omitempty"`
 	WaitedMS int64   `json:"waited_ms,omitempty"`
 	Attempts int     `json:"attempts"`
-	Status   int     `json:"status,omitempty"` // of a final one
-	Result   *string `json:"result,omitempty"` // of a served one
+	Status   int     `json:"status,omitempty"` // of a final job
+	Result   *string `json:"result,omitempty"` // of a served job
 	Binary   []byte  `json:"result_base64,omitempty"`
-	Shed     bool    `json:"result_shed,omitempty"` // there was a result; room for it was needed
+	Shed     bool    `json:"result_shed,omitempty"` // the result was dropped to free memory
 }
 
 // Page is one page of the list of jobs, as JSON.
 type Page struct {
 	Jobs []Job          `json:"jobs"`
-	Next string         `json:"next,omitempty"` // the next page's "from"
+	Next string         `json:"next,omitempty"` // "from" of the next page
 	Room *waiting.Stats `json:"room"`
 }
 
@@ -174,13 +176,13 @@
 	return j
 }
 
-// queryJobs puts a question to the room and waits for its end where wait says so.
+// queryJobs sends a query to the waiting queue. With a wait it returns when the job ends or the wait is over.
 func (s *Server) queryJobs(r *http.Request, q waiting.Query, wait time.Duration) (dispatch.QueryResult, bool) {
 	q.Deadline = s.loop.Clock().Now() + wait
 	return s.loop.Ask(r.Context(), dispatch.JobQuery{Query: q})
 }
 
-// serveJobs serves what is below Jobs.
+// serveJobs serves the paths below Jobs.
 func (s *Server) serveJobs(w http.ResponseWriter, r *http.Request) {
 	id := strings.TrimPrefix(strings.TrimPrefix(r.URL.Path, Jobs), "/")
 	q := waiting.Query{Name: id}
@@ -256,7 +258,7 @@
 	s.write(w, status, append(text, '\n'))
 }
 
-// notifyShutdown tells the room that the program ends, and when its answers have to be out.
+// notifyShutdown tells the core that the process is ending and by when its answers must be sent.
 func (s *Server) notifyShutdown() {
 	if s.loop != nil {
 		s.loop.Post(dispatch.Shutdown{Deadline: s.loop.Clock().Since(s.answerDeadline(s.killTime()))})
--- a/internal/net/downstream/request.go
+++ b/internal/net/downstream/request.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// ServeHTTP serves one request. Whatever goes wrong in it, the client gets an answer: what panics may have
-// run, so the answer is a failure and not a refusal.
+// ServeHTTP serves one request. After a panic the client still gets an answer. The job may have run, so that answer
+// is a failure and not a refusal.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	from := clientOf(r)
-	if from != nil && from.isClosed() { // closed for others: its client sends the request once more, elsewhere
+	if from != nil && from.isClosed() { // evicted: its client sends the request again, elsewhere
 		panic(http.ErrAbortHandler)
 	}
 	defer func() {
@@ -26,7 +26,7 @@
 		}
 	}()
 	control := http.NewResponseController(w)
-	if r.Body != http.NoBody { // else a read waits already for the client to leave, and its time-out would look like that
+	if r.Body != http.NoBody { // otherwise a read already waits for a disconnect, and its time-out would look like one
 		control.SetReadDeadline(bodyDeadline(from, arrived))
 	}
 	s.callTestHook("reading", r)
@@ -56,12 +56,12 @@
 	}
 	if err != nil {
 		status := s.reject(w, r, err)
-		if _, class, ok := classOf(r, s.set); ok { // a job of a class, though it could not be taken
+		if _, class, ok := classOf(r, s.set); ok { // counts as a job of its class although it was rejected
 			s.countAnswer(class, status)
 		}
 		return
 	}
-	// Only the body has a limit: one on the connection would end the wait for the answer too.
+	// The deadline is for the body only: left on the connection it would end the wait for the answer too.
 	control.SetReadDeadline(time.Time{})
 	if killed := s.killTime(); !killed.IsZero() {
 		t.Job.Budget = min(t.Job.Budget, max(0, s.answerDeadline(killed).Sub(arrived)))
@@ -69,7 +69,7 @@
 	s.serveJob(w, r, t, p)
 }
 
-// bodyDeadline is when the last byte of a request has to be there.
+// bodyDeadline is the time by which the last byte of a request must arrive.
 func bodyDeadline(c *client, arrived time.Time) time.Time {
 	by := arrived.Add(bodyTimeout)
 	if c != nil && by.Before(c.accepted.Add(requestTimeout)) {
@@ -78,10 +78,12 @@
 	return by
 }
 
-// uncountedBodyBytes is how long a body may be without being counted: short ones are bounded by the connections.
+// uncountedBodyBytes is the length up to which a body does not count towards Config.MaxBodies: the number of
+// connections already limits the short ones.
 const uncountedBodyBytes = 4 << 10
 
-// countedBodyBytes is what a request's body counts for in Config.MaxBodies. One in chunks may be as long as any.
+// countedBodyBytes is what a request's body counts for in Config.MaxBodies. A chunked body counts as the longest
+// allowed.
 func countedBodyBytes(r *http.Request) int64 {
 	switch {
 	case r.ContentLength < 0:
@@ -92,7 +94,7 @@
 	return r.ContentLength
 }
 
-// readBody reads a body of known length, or in chunks, where there is room for it.
+// readBody reads a body of known length or in chunks. Without room it rejects long bodies.
 func readBody(r *http.Request, room bool) ([]byte, error) {
 	if !room && countedBodyBytes(r) > 0 {
 		return nil, &requestError{http.StatusServiceUnavailable, "too many long bodies at once"}
--- a/internal/net/downstream/server.go
+++ b/internal/net/downstream/server.go
@@ -1,5 +1,5 @@
-// Package downstream serves the clients' side: it decodes each request once, waits for its final answer and
-// encodes that answer, or a local reply, once.
+// Package downstream serves the clients' side of the dispatcher: it decodes each request, waits for its final answer
+// and encodes that answer or a local reply.
 package downstream
 
 import (
@@ -15,33 +15,33 @@
 	"gaugeslip/internal/settings"
 )
 
-// A client that cannot be understood is owed an error or a close within 3 s of connecting.
+// A client whose request cannot be parsed must get an error or a close within 3 s of connecting.
 const (
-	headTimeout    = 2 * time.Second         // from the accept, or from a later request's first byte
-	requestTimeout = 2500 * time.Millisecond // from the accept to the last byte of the first request
-	bodyTimeout    = 700 * time.Millisecond  // what a body has at least, after its head
+	headTimeout    = 2 * time.Second         // from accept, or from the first byte of a later request
+	requestTimeout = 2500 * time.Millisecond // from accept to the last byte of the first request
+	bodyTimeout    = 700 * time.Millisecond  // minimum time for a body after its head
 	writeTimeout   = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 8 << 10
 )
 
-// Config is what a Server must keep to.
+// Config holds the options and limits of a Server.
 type Config struct {
 	Listen    string
-	Inherited int           // the descriptor of a listening socket to take over in place of opening Listen; 0: none
-	MaxConns  int           // connections at once; beyond, the one that can best be spared is closed
-	MaxBodies int64         // bytes of long bodies held at once; a request beyond that is refused
-	AcceptFor time.Duration // see the constant
+	Inherited int           // descriptor of a listening socket to use instead of opening Listen; 0: none
+	MaxConns  int           // connections at once; beyond that, see gate.evictionCandidate
+	MaxBodies int64         // bytes of long bodies in memory at once; requests beyond that are refused
+	AcceptFor time.Duration // see the constant AcceptFor
 
-	KilledAfter time.Duration // see the function
-	Waiting     bool          // the loop has a waiting room
+	KilledAfter time.Duration // see the function KilledAfter
+	Waiting     bool          // the loop has a queue of waiting jobs
 	Tally       Tally         // counts final answers; nil: none
 }
 
-// Tally counts the final answers to jobs where they are written, by class and by their status as the client sees it.
+// Tally counts the final answers to jobs as they are written, by class and by the status that the client gets.
 type Tally interface{ Answered(class, status int) }
 
-// Server is the downstream side.
+// Server is the HTTP server of the downstream side.
 type Server struct {
 	cfg           Config
 	set           *settings.Settings
@@ -50,13 +50,13 @@
 	gate          *gate
 	bodies        atomic.Int64 // see Config.MaxBodies
 	stopping      atomic.Bool
-	killTimeNanos atomic.Int64 // when the platform ends the process, in Unix nanoseconds; 0: not known yet
+	killTimeNanos atomic.Int64 // when the platform kills the process, in Unix nanoseconds; 0: not known yet
 	handover      chan struct{}
 	handoverOnce  sync.Once
-	testHook      func(point string, r *http.Request) // called where a test holds a request; nil elsewhere
+	testHook      func(point string, r *http.Request) // set by tests to block a request at a point; else nil
 }
 
-// New makes a server that hands its requests to a loop.
+// New returns a server that submits its requests to a loop.
 func New(cfg Config, set *settings.Settings, l *loop.Loop) *Server {
 	s := &Server{cfg: cfg, set: set, loop: l, handover: make(chan struct{})}
 	s.http = &http.Server{Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout,
@@ -66,20 +66,20 @@
 	return s
 }
 
-// clientKey finds a request's connection in its context.
+// clientKey is the context key of a request's connection.
 type clientKey struct{}
 
 func withClient(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, clientKey{}, nc)
 }
 
-// clientOf is the connection that a request came on; nil: it came on none of the gate's.
+// clientOf returns the connection of a request; nil if it is not one of the gate's.
 func clientOf(r *http.Request) *client {
 	c, _ := r.Context().Value(clientKey{}).(*client)
 	return c
 }
 
-// Serving tells whether requests can be served here: the loop runs and no shutdown has begun.
+// Serving reports whether requests can be served: the loop runs and no shutdown has begun.
 func (s *Server) Serving() bool {
 	select {
 	case <-s.loop.Stopped():
--- a/internal/net/loop/calls.go
+++ b/internal/net/loop/calls.go
@@ -9,9 +9,9 @@
 	"gaugeslip/internal/net/cluster"
 )
 
-// Hand takes a host out by hand, or puts it back. Known: a host of that name is listed or out by hand; else nothing
-// is changed. Once it returns with known, the module has heard of it. False and an error: ctx or the loop has ended
-// first, and the change may yet be made.
+// Hand cordons a host (out) or uncordons it. known reports whether a host of that name is listed or cordoned; if not,
+// nothing changes. When it returns with known set, the core has processed the change. It returns an error if ctx or
+// the loop has ended first; the change may still take effect.
 func (l *Loop) Hand(ctx context.Context, name string, out bool) (known bool, err error) {
 	m := dispatch.SetCordon{Request: l.nextCordon.Add(1), Name: name, Cordoned: out}
 	handed := make(chan bool, 1)
@@ -32,7 +32,7 @@
 	}
 }
 
-// HandSet makes the set of hosts out by hand the one given, as it is kept outside the process.
+// HandSet replaces the set of cordoned hosts with the given one, which is stored outside the process.
 func (l *Loop) HandSet(names []string) {
 	select {
 	case l.urgent <- envelope{msg: dispatch.CordonSet{Names: names}}:
@@ -40,18 +40,18 @@
 	}
 }
 
-// ErrStopped says that the loop has ended.
+// ErrStopped reports that the loop has ended.
 var ErrStopped = errors.New("loop: stopped")
 
-// Held is how many downstream requests have been submitted and not yet released.
+// Held returns the number of downstream requests that have been submitted and not yet released.
 func (l *Loop) Held() int64 { return l.openRequests.Load() }
 
 // countTimeout is how long Workers waits for the loop.
 const countTimeout = 250 * time.Millisecond
 
-// Workers counts the listed hosts and those of them that are kept away from, by hand or by the module. Counting looks
-// at every host, so it is done when somebody asks and not at each Step; where the loop does not come to it in time, it
-// is the last count.
+// Workers returns the number of listed hosts and how many of them are excluded, by an operator or by the core.
+// Counting visits every host, so it happens on request and not at each Step. If the loop does not answer in time,
+// Workers returns the last count.
 func (l *Loop) Workers() (known, excluded int64) {
 	counted, late := make(chan struct{}), time.After(countTimeout)
 	select {
@@ -67,18 +67,18 @@
 	return l.knownHosts.Load(), l.excludedHosts.Load()
 }
 
-// Move puts another source of the list in the old one's place. A watch on it begins at once, after the newest
-// version that is known, whether the module waits to ask or not.
+// Move replaces the source of the host list. The watch on the new source starts at once, after the newest known
+// version, even if the core is waiting before it asks again.
 func (l *Loop) Move(source cluster.Source) { l.post(envelope{source: source}) }
 
-// ErrFull says that the dispatcher holds as many requests as it may.
+// ErrFull reports that the dispatcher holds as many requests as it may.
 var ErrFull = errors.New("loop: as many requests are held as may be")
 
-// ErrOpen says that a request's id is that of one which is open, or whose upstream requests may still be.
+// ErrOpen reports that another request with the same id is open or may still have upstream requests.
 var ErrOpen = errors.New("loop: a request with this id is already open")
 
-// Submit hands in a downstream request. Its answer comes on t.Answer; when the request is over Release must be
-// called.
+// Submit submits a downstream request. Its answer arrives on t.Answer. The caller must call Release when the request
+// is over.
 func (l *Loop) Submit(t *Ticket) error {
 	if n := l.openRequests.Add(1); l.set.MostHeld > 0 && n > int64(l.set.MostHeld) {
 		l.openRequests.Add(-1)
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// claim sees to it that no other request has a ticket's id. The ids of jobs that wait the waiting room keeps, for as long
-// as it knows them: here they would fill the table.
+// claim ensures that no other open request has the ticket's id. The waiting queue tracks the ids of waiting jobs
+// itself, for as long as it knows them; here they would fill the table.
 func (l *Loop) claim(t *Ticket) error {
 	if t.Job.Wait == nil {
 		return l.ids.claim(t.Forward.TraceID, t.Arrived, t.Job.Budget)
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// Release tells that a submitted request is over for the downstream side; with left, the client went
+// Release reports that the downstream side has finished with a submitted request. left: the client disconnected
 // before it had its answer.
 func (l *Loop) Release(t *Ticket, left bool) {
 	l.openRequests.Add(-1)
@@ -116,8 +116,8 @@
 	}
 }
 
-// Ask asks about waiting jobs. What q waits for is over at its Until, on the loop's clock. False: ctx has ended, or the
-// loop has.
+// Ask sends a query about waiting jobs. A query that waits ends at its Deadline, on the loop's clock. It returns
+// false if ctx or the loop has ended.
 func (l *Loop) Ask(ctx context.Context, q dispatch.JobQuery) (dispatch.QueryResult, bool) {
 	q.Number = l.nextQuery.Add(1)
 	told := make(chan dispatch.QueryResult, 1)
@@ -132,7 +132,7 @@
 	return dispatch.QueryResult{}, false
 }
 
-// Idle waits until no job that lives on without its connection is before the module or at a host, or until ctx ends.
+// Idle waits until no job without a connection is pending in the core or at a host, or until ctx ends.
 func (l *Loop) Idle(ctx context.Context) {
 	idle := make(chan struct{})
 	l.post(envelope{idle: idle})
--- a/internal/net/loop/carry.go
+++ b/internal/net/loop/carry.go
@@ -12,7 +12,7 @@
 	"gaugeslip/policy"
 )
 
-// execute does one command.
+// execute carries out one command of the core.
 func (l *Loop) execute(ctx context.Context, c dispatch.Command) {
 	switch c := c.(type) {
 	case dispatch.Send:
@@ -44,12 +44,12 @@
 	case dispatch.CordonResult:
 		if handed := l.cordonReplies[c.Request]; handed != nil {
 			delete(l.cordonReplies, c.Request)
-			handed <- c.Known // its buffer holds one
+			handed <- c.Known // buffered: does not block
 		}
 	case dispatch.QueryResult:
 		if told := l.queryReplies[c.Query]; told != nil {
 			delete(l.queryReplies, c.Query)
-			told <- c // its buffer holds one
+			told <- c // buffered: does not block
 		}
 	case dispatch.Probe:
 		l.spawn(func() {
@@ -57,7 +57,7 @@
 			l.Post(dispatch.ProbeEnded{Worker: c.Worker, Result: o.Result, Took: o.Took, Load: l.load(o.Load)})
 		}, dispatch.ProbeEnded{Worker: c.Worker, Result: policy.AppError})
 	case dispatch.Watch:
-		if l.cancelWatch == nil { // else a move has begun one while the module waited to ask
+		if l.cancelWatch == nil { // otherwise Move has started one in the meantime
 			l.startWatch(ctx, c)
 		}
 	case dispatch.Log:
@@ -71,7 +71,7 @@
 	}
 }
 
-// send starts an upstream request, with a goroutine of its own for as long as it is out.
+// send starts an upstream request in a goroutine of its own.
 func (l *Loop) send(ctx context.Context, c dispatch.Send) {
 	t := l.tickets[c.Job]
 	if p := l.detached[c.Job]; t == nil && p != nil {
@@ -79,8 +79,8 @@
 		t = p.newTicket()
 		l.tickets[c.Job] = t
 	}
-	if t == nil { // the core sends for open jobs only
-		panic(fmt.Sprintf("loop: a request for job %d, which is over", c.Job))
+	if t == nil { // the core sends open jobs only
+		panic(fmt.Sprintf("loop: send for job %d, which has ended", c.Job))
 	}
 	q := t.Forward
 	ctx, cancel := context.WithDeadline(ctx, l.clock.Time(c.Deadline))
@@ -88,18 +88,18 @@
 	if client == nil {
 		client = context.Background()
 	}
-	wanted, unsend := context.WithCancel(client) // ends with its client, or when its host is to get nothing new
+	wanted, unsend := context.WithCancel(client) // ends when the client disconnects, or on CancelUnsent
 	l.attempts[c.Key] = cancelFuncs{cancel, unsend}
 	q.Addr, q.Client = c.Addr, wanted
 	l.spawn(func() {
 		defer cancel()
 		defer unsend()
 		l.upstream.Do(ctx, &q, &attemptWatcher{l, t, c.Key})
-	}, dispatch.AttemptEnded{Key: c.Key, Result: policy.ConnectionLost}) // it may have run
+	}, dispatch.AttemptEnded{Key: c.Key, Result: policy.ConnectionLost}) // the job may have run
 }
 
-// spawn starts work that the loop waits for at its end. A panic there must neither end the process nor leave
-// the module waiting: broken is what it hears instead.
+// spawn starts work that Run waits for when it ends. A panic in it must neither end the process nor leave the core
+// waiting: the core then gets the message broken.
 func (l *Loop) spawn(work func(), broken dispatch.Message) {
 	l.work.Go(func() {
 		defer func() {
@@ -112,7 +112,7 @@
 	})
 }
 
-// attemptWatcher passes on what comes of one upstream request.
+// attemptWatcher forwards the events of one upstream request to the loop and its client.
 type attemptWatcher struct {
 	loop   *Loop
 	ticket *Ticket
@@ -123,7 +123,8 @@
 
 func (f *attemptWatcher) Progress(s float64) { f.loop.Post(dispatch.JobProgress{Key: f.key, Share: s}) }
 
-// Ended passes the first result on to the client at once; a late one only the loop hears of.
+// Ended sends a successful result to the client at once, unless the client already has an answer, and reports the
+// outcome to the loop.
 func (f *attemptWatcher) Ended(o upstream.Outcome) {
 	if o.Result == policy.OK {
 		f.ticket.deliver(Answer{Served: true, Body: o.Body})
@@ -131,7 +132,7 @@
 	f.loop.Post(dispatch.AttemptEnded{Key: f.key, Result: o.Result, Load: f.loop.load(o.Load), Body: o.Body})
 }
 
-// load turns a report by names into the module's.
+// load converts a load report by names into the core's form.
 func (l *Loop) load(r upstream.Report) *policy.Load {
 	if r == nil {
 		return nil
@@ -143,8 +144,8 @@
 	return &out
 }
 
-// startWatch follows the cluster from a version on, in place of any watch before. Each watch that breaks
-// makes one ListLost.
+// startWatch watches the host list from a version on and replaces any earlier watch. Each watch that breaks causes
+// one ListLost.
 func (l *Loop) startWatch(ctx context.Context, c dispatch.Watch) {
 	if l.cancelWatch != nil {
 		l.cancelWatch()
@@ -157,7 +158,7 @@
 		defer cancel()
 		defer func() {
 			if p := recover(); p != nil {
-				slog.Error("panic in the watch", "panic", p, "stack", string(debug.Stack()))
+				slog.Error("panic in the watch of the host list", "panic", p, "stack", string(debug.Stack()))
 			}
 			l.post(envelope{msg: dispatch.ListLost{}, watch: n})
 		}()
--- a/internal/net/loop/clock.go
+++ b/internal/net/loop/clock.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Clock maps the machine's clock onto the one that the core and its module live by: Unix time as it was at
-// the start, monotonic from then on. Deadlines and the cluster's starts (born_ms) share it.
+// Clock maps the machine's clock to the clock of the core: Unix time at the start of the process, monotonic from then
+// on. Deadlines and the start times of hosts (born_ms) share it.
 type Clock struct{ start time.Time }
 
-// NewClock starts a clock.
+// NewClock returns a clock that starts now.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now is the time on this clock.
+// Now returns the present time on this clock.
 func (c Clock) Now() time.Duration { return c.Since(time.Now()) }
 
-// Since is a time, taken since the start, on this clock.
+// Since converts a time that was taken after the start to this clock.
 func (c Clock) Since(t time.Time) time.Duration {
 	return time.Duration(c.start.UnixNano()) + t.Sub(c.start)
 }
 
-// Time is the time at which this clock shows d.
+// Time returns the time at which this clock shows d.
 func (c Clock) Time(d time.Duration) time.Time {
 	return c.start.Add(d - time.Duration(c.start.UnixNano()))
 }
--- a/internal/net/loop/ids.go
+++ b/internal/net/loop/ids.go
@@ -8,15 +8,15 @@
 
 const maxIDs = 16 << 10
 
-// idTable remembers the ids of the requests that were taken, each until its time is up. Upstream hosts know a job by
-// its id alone: a second request with the same one would meddle with the first, answered or not.
+// idTable remembers the ids of accepted requests, each until its budget is used up. Upstream hosts identify a job by
+// its id alone: a second request with the same id would interfere with the first, answered or not.
 type idTable struct {
 	mu     sync.Mutex
 	expiry map[string]time.Time
 	swept  time.Time
 }
 
-// taken tells whether an id is.
+// taken reports whether an id is in use.
 func (s *idTable) taken(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,7 +24,7 @@
 	return ok && !until.Before(now)
 }
 
-// claim takes an id for a request that arrived at now and has budget left.
+// claim reserves an id for a request that arrived at now with the given budget.
 func (s *idTable) claim(id string, now time.Time, budget time.Duration) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/net/loop/parked.go
+++ b/internal/net/loop/parked.go
@@ -6,8 +6,8 @@
 	"gaugeslip/internal/net/upstream"
 )
 
-// detachedJob is what is kept of a ticket while its job waits without a connection: there may be a million of them, and most
-// have their heads in common.
+// detachedJob is the compact form of a ticket while its job waits without a connection. There may be a million of
+// them, and most have the same head.
 type detachedJob struct {
 	uri, id string
 	key     string // Idempotency-Key
@@ -15,7 +15,7 @@
 	body    []byte
 }
 
-// sharedHead is the part of a request that many have alike.
+// sharedHead is the part of a request that is the same for many requests.
 type sharedHead struct {
 	method, host string
 	once         bool
@@ -26,7 +26,7 @@
 	return &detachedJob{uri: q.URI, id: q.TraceID, key: q.IdempotencyKey, head: unique.Make(sharedHead{q.Method, q.Host, q.Once}), body: q.Body}
 }
 
-// newTicket is a ticket again, one whose client had its answer with the promise.
+// newTicket makes a ticket again, marked as answered: its client already got the 202.
 func (p *detachedJob) newTicket() *Ticket {
 	h := p.head.Value()
 	t := &Ticket{Forward: upstream.Request{Method: h.method, Host: h.host, Once: h.once, URI: p.uri, TraceID: p.id,
--- a/internal/net/loop/run.go
+++ b/internal/net/loop/run.go
@@ -14,7 +14,7 @@
 	"gaugeslip/policy"
 )
 
-// Run drains the queue until ctx ends. It returns when all that it started has ended.
+// Run processes the queue until ctx ends. It returns when all goroutines that it started have ended.
 func (l *Loop) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer l.work.Wait()
@@ -23,7 +23,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	batch := make([]dispatch.Message, 0, batchLen)
-	l.watchNeeded = !l.set.Policy.Ask // where lists are pushed the module does not ask for them
+	l.watchNeeded = !l.set.Policy.Ask // the core does not ask for lists that are pushed
 	for {
 		batch = append(batch[:0], l.initialMessages...)
 		l.initialMessages = nil
@@ -41,7 +41,7 @@
 			return err
 		}
 		l.notifyIdle()
-		if l.watchNeeded && l.initialMessages == nil { // not before the step: what the old source told last counts
+		if l.watchNeeded && l.initialMessages == nil { // after the step, so that the last messages of the old source are included
 			l.startWatch(ctx, dispatch.Watch{Version: l.core.WatchVersion()})
 		}
 		if l.initialMessages != nil {
@@ -52,8 +52,8 @@
 	}
 }
 
-// receive adds the message of an envelope to a batch. What a watch tells that is over, its end too, is old news: a
-// newer watch may have told more already.
+// receive adds the message of an envelope to a batch. It drops messages of a watch that is over, its end included: a
+// newer watch may already have sent newer ones.
 func (l *Loop) receive(batch []dispatch.Message, e envelope) []dispatch.Message {
 	if e.source != nil {
 		l.source, l.watchNeeded = e.source, true
@@ -106,12 +106,12 @@
 	return batch
 }
 
-// step lets the core decide and carries out what it says. A panic in the decisions must not end the process,
-// which would drop all that it has taken.
+// step lets the core decide and executes its commands. A panic in the core must not end the process, which would drop
+// every accepted request.
 func (l *Loop) step(ctx context.Context, batch []dispatch.Message) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			slog.Error("panic in the decisions, starting them anew", "panic", p, "stack", string(debug.Stack()))
+			slog.Error("panic in the core, rebuilding it", "panic", p, "stack", string(debug.Stack()))
 			err = l.rebuildCore()
 		}
 	}()
@@ -120,7 +120,7 @@
 	for _, c := range commands {
 		l.execute(ctx, c)
 	}
-	for _, m := range batch { // a ticket is of no more use once its job is over
+	for _, m := range batch { // drop the tickets of jobs that have ended
 		switch m := m.(type) {
 		case dispatch.ClientGone:
 			delete(l.tickets, m.Job)
@@ -134,7 +134,8 @@
 	return nil
 }
 
-// logStep logs what came in and what is done about it, for the one who looks into a day; --verbose shows it.
+// logStep logs the messages and commands of a step at debug level, for operators who investigate a past decision
+// (--verbose).
 func (l *Loop) logStep(ctx context.Context, in []dispatch.Message, out []dispatch.Command) {
 	if !slog.Default().Enabled(ctx, slog.LevelDebug) {
 		return
@@ -159,7 +160,7 @@
 	}
 }
 
-// notifyIdle ends the waits for Idle, when it is so.
+// notifyIdle ends the waits of Idle once no job without a connection is pending.
 func (l *Loop) notifyIdle() {
 	if len(l.idleWaiters) == 0 || l.core.Detached() > 0 {
 		return
@@ -170,8 +171,8 @@
 	l.idleWaiters = nil
 }
 
-// rebuildCore answers all that was before the module and puts a new core in the old one's place. What was may have run, so
-// it has failed and is not refused. What only waits goes on waiting.
+// rebuildCore fails all requests that the core was handling and replaces it by a new core. They may have run, so they
+// fail and are not refused. Jobs that only wait stay in the queue.
 func (l *Loop) rebuildCore() error {
 	core, known, keeps, err := l.core.Rebuild(l.clock.Now())
 	if err != nil {
@@ -192,11 +193,11 @@
 		l.cancelWatch = nil
 	}
 	clear(l.attempts)
-	for _, told := range l.queryReplies { // the askers may ask again
+	for _, told := range l.queryReplies { // the callers may ask again
 		told <- dispatch.QueryResult{Status: waiting.StatusFull}
 	}
 	clear(l.queryReplies)
-	clear(l.cordonReplies) // their callers give up by their own deadlines
+	clear(l.cordonReplies) // their callers time out by themselves
 	l.core, l.initialMessages = core, []dispatch.Message{known}
 	l.watchNeeded = l.watchNeeded || !l.set.Policy.Ask
 	return nil
--- a/internal/net/loop/ticket.go
+++ b/internal/net/loop/ticket.go
@@ -11,12 +11,12 @@
 // Answer is the final answer to one downstream request.
 type Answer struct {
 	Served     bool
-	Refused    bool          // not Served: a repeat is harmless
-	Body       []byte        // of Served
-	RetryAfter time.Duration // of Refused; 0: no advice
-	Accepted   bool          // no answer to the job but the promise that it lives on without its connection
-	Status     int           // of a local reply, where it has one of its own; else 0
-	Why        string        // in words, with Status
+	Refused    bool          // not run: a retry is harmless
+	Body       []byte        // if Served
+	RetryAfter time.Duration // if Refused; 0: none
+	Accepted   bool          // the job was accepted and continues without its connection
+	Status     int           // status of a local reply if it is not the default; else 0
+	Why        string        // the text that goes with Status
 }
 
 // Ticket is one downstream request on its way through the dispatcher.
@@ -29,14 +29,14 @@
 	answer chan Answer
 }
 
-// Answer gives the one final answer, which comes exactly once.
+// Answer returns the channel of the final answer, which arrives exactly once.
 func (t *Ticket) Answer() <-chan Answer { return t.answer }
 
-// deliver passes on the first final answer; false: there was one already.
+// deliver delivers the first final answer; it returns false if there already was one.
 func (t *Ticket) deliver(a Answer) bool {
 	if !t.done.CompareAndSwap(false, true) {
 		return false
 	}
-	t.answer <- a // its buffer holds one
+	t.answer <- a // buffered: does not block
 	return true
 }
--- a/internal/net/upstream/answer.go
+++ b/internal/net/upstream/answer.go
@@ -12,7 +12,7 @@
 	"gaugeslip/policy"
 )
 
-// answerLine is one object of an answer.
+// answerLine is one JSON line of a host's answer.
 type answerLine struct {
 	ID     string          `json:"id"`
 	State  string          `json:"state"`
@@ -21,7 +21,7 @@
 	Load   json.RawMessage `json:"load"`
 }
 
-// read follows an answer to the line that ends it. The response is nil where the connection is of no more use.
+// read reads an answer up to the line that ends it. The response is nil if the connection cannot be reused.
 func (q *Request) read(c *conn, w Watcher) (Outcome, *http.Response) {
 	resp, err := c.head(q.Method)
 	if err != nil {
@@ -42,7 +42,7 @@
 		}
 		var l answerLine
 		if json.Unmarshal(text, &l) != nil || l.ID != q.TraceID {
-			// Not a line for this request: what became of the job is not known.
+			// The line is not for this request: the outcome of the job is unknown.
 			return Outcome{Result: policy.ConnectionLost}, nil
 		}
 		if l.Load != nil {
@@ -65,8 +65,8 @@
 	}
 }
 
-// head reads the head of an answer, of bounded length, and passes over those that only say that one will come: what
-// follows them is still the answer to this request.
+// head reads the head of an answer, of bounded length, and skips informational (1xx) answers: the final answer to
+// this request follows them.
 func (c *conn) head(method string) (*http.Response, error) {
 	for range maxInformational {
 		c.in.remaining = maxHead
@@ -84,7 +84,7 @@
 	return nil, errors.New("upstream: no answer but 1xx")
 }
 
-// body is the result as bytes: a string's text, any other value as it stands.
+// body returns the result as bytes: the text of a JSON string, any other value as it stands.
 func (l *answerLine) body() []byte {
 	var s string
 	if json.Unmarshal(l.Result, &s) == nil {
@@ -113,8 +113,8 @@
 	}
 }
 
-// statusResult is what an answer without lines means: only a 503 or 504 that says so proves that the job
-// never ran.
+// statusResult maps the status of an answer without lines to a result. Only a 503 or 504 with X-Never-Ran proves that
+// the job never ran.
 func statusResult(resp *http.Response) policy.Result {
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -122,7 +122,7 @@
 			return policy.Full
 		}
 	}
-	if resp.StatusCode/100 == 4 { // the request's fault: no word against the host
+	if resp.StatusCode/100 == 4 { // the fault of the request, not of the host
 		return policy.Rejected
 	}
 	return policy.AppError
--- a/internal/net/upstream/pool.go
+++ b/internal/net/upstream/pool.go
@@ -1,5 +1,5 @@
-// Package upstream makes upstream requests and probes: HTTP/1.1 written on net.Conn, one request at a time on
-// a connection, over a pool of idle connections for each upstream host. It never sends a request twice.
+// Package upstream sends upstream requests and probes: HTTP/1.1 written on net.Conn, one request at a time on a
+// connection, with a pool of idle connections for each upstream host. It never sends a request twice.
 package upstream
 
 import (
@@ -14,31 +14,31 @@
 	"time"
 )
 
-// errNoDescriptor says that all descriptors meant for upstream hosts are in use.
+// errNoDescriptor reports that all descriptors for upstream hosts are in use.
 var errNoDescriptor = errors.New("upstream: no descriptor left")
 
-// Config is what a Pool must keep to.
+// Config holds the options and limits of a Pool.
 type Config struct {
 	ConnectTimeout time.Duration
-	ConnIdle       time.Duration // an upstream host closes a connection that has stood idle this long
+	ConnIdle       time.Duration // an upstream host closes a connection that has been idle this long
 	ProbeTimeout   time.Duration
-	Settle         time.Duration // how long the last byte of a request that must not run twice waits, see write
-	Rest           time.Duration // how long a connection is left alone after a job's answer: a second one may come late
+	Settle         time.Duration // how long the last byte of a request that must not run twice is held back, see write
+	Rest           time.Duration // how long a connection is not reused after a job's answer: a second answer may come late
 	MaxConns       int           // connections at once, idle ones included
 	Written        func()        // called for each upstream request whose last byte has been written; nil: none
 }
 
-// conn is a connection with its reader; both live as long as the connection.
+// conn is a connection with its reader, which is kept for as long as the connection.
 type conn struct {
 	net.Conn
 	in           *limitedConn
 	r            *bufio.Reader
 	addr         string
-	idleSince    time.Time // idle since; zero: it has carried nothing yet
-	reuseDelayed bool      // what it carried last was a job's answer, see Config.Rest
+	idleSince    time.Time // zero: it has carried no request yet
+	reuseDelayed bool      // its last request was a job, see Config.Rest
 }
 
-// limitedConn is what a connection's reader reads from, no more than left bytes.
+// limitedConn limits how many bytes a connection's reader may read.
 type limitedConn struct {
 	net.Conn
 	remaining int
@@ -53,30 +53,30 @@
 	return n, err
 }
 
-// errHeadTooLong says that the head of an answer does not end.
+// errHeadTooLong reports that the head of an answer exceeds its limit.
 var errHeadTooLong = errors.New("upstream: the head of an answer is too long")
 
 // Pool holds the connections to all upstream hosts.
 type Pool struct {
 	cfg          Config
-	dial         func(ctx context.Context, network, addr string) (net.Conn, error) // tests hold it
+	dial         func(ctx context.Context, network, addr string) (net.Conn, error) // replaced by tests
 	drainTimeout time.Duration                                                     // how long the end of an answer may take after its last line
 	mu           sync.Mutex
 	idle         map[string][]*conn // by address, the longest idle first
 	connCount    int                // connections open or being opened
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(cfg Config) *Pool {
 	d := net.Dialer{Timeout: cfg.ConnectTimeout, KeepAlive: -1}
 	return &Pool{cfg: cfg, dial: d.DialContext, drainTimeout: defaultDrainTimeout, idle: map[string][]*conn{}}
 }
 
-// maxIdleTime is how long a connection may stand idle here: well under the host's limit, since a request written
-// as the host closes ends as a reset, which a job that must not run twice can't recover from.
+// maxIdleTime is how long a connection may stay idle in the pool. It is well below the host's own limit: a request
+// written as the host closes the connection ends as a reset, from which a job that must not run twice cannot recover.
 func (p *Pool) maxIdleTime() time.Duration { return p.cfg.ConnIdle * 2 / 3 }
 
-// get takes an idle connection that is known to be alive, or opens one.
+// get returns an idle connection that is still open, or opens a new one.
 func (p *Pool) get(ctx context.Context, addr string) (*conn, error) {
 	for {
 		c := p.takeIdle(addr)
@@ -100,8 +100,7 @@
 	return &conn{Conn: nc, in: in, r: bufio.NewReaderSize(in, 4096), addr: addr}, nil
 }
 
-// takeIdle takes the connection that was used last of those that need no rest.
-
+// takeIdle takes the most recently used connection whose reuse delay (Config.Rest) is over.
 func (p *Pool) takeIdle(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,8 +117,7 @@
 	return nil
 }
 
-// reserve books a descriptor for a new connection; where all are in use, an idle connection to any host
-// makes room.
+// reserve reserves a descriptor for a new connection. If all are in use, it closes an idle connection to any host.
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,13 +144,13 @@
 	p.mu.Unlock()
 }
 
-// discard closes a connection for good.
+// discard closes a connection and releases its descriptor.
 func (p *Pool) discard(c *conn) {
 	c.Close()
 	p.release()
 }
 
-// put gives back a connection on which nothing more is to come.
+// put returns a connection to the pool. Nothing more may be expected on it.
 func (p *Pool) put(c *conn) {
 	if c.r.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
 		p.discard(c)
@@ -164,7 +162,7 @@
 	p.mu.Unlock()
 }
 
-// Sweep closes connections that have stood idle for long, until ctx ends; then it closes all idle ones.
+// Sweep closes connections that have been idle for too long, until ctx ends; then it closes all idle ones.
 func (p *Pool) Sweep(ctx context.Context) {
 	t := time.NewTicker(max(p.maxIdleTime()/4, 10*time.Millisecond))
 	defer t.Stop()
@@ -195,8 +193,8 @@
 	}
 }
 
-// alive tells whether an idle connection is still open and silent: its host may have died or closed it, and
-// a request written to it then could not be told from one that ran.
+// alive reports whether an idle connection is still open and has no data to read. If the host has died or closed it,
+// a request written to it could not be told from one that ran.
 func alive(c *conn) bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/net/upstream/probe.go
+++ b/internal/net/upstream/probe.go
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// ParseLoad reads a load report, "TEXT name=value, name=value" or "JSON {...}"; the first word may be
-// missing. A value that is no number is skipped; where none is left the report is nil.
+// ParseLoad parses a load report, "TEXT name=value, name=value" or "JSON {...}"; the first word is optional. It skips
+// values that are not numbers and returns nil if none is left.
 func ParseLoad(s string) Report {
 	s = strings.TrimSpace(s)
 	s = strings.TrimSpace(strings.TrimPrefix(strings.TrimPrefix(s, "TEXT "), "JSON "))
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -17,41 +17,41 @@
 const (
 	maxLine             = 128 << 10 // a line of an answer: a body of 64 KiB, escaped
 	maxHead             = 32 << 10
-	maxInformational    = 4 // answers of 1xx before the one that counts
+	maxInformational    = 4 // informational (1xx) answers before the final one
 	maxProbe            = 4 << 10
 	defaultDrainTimeout = time.Second // see Pool.end
 )
 
-// Request is one upstream request. Its deadline is that of the context it is sent with.
+// Request is one upstream request. The context it is sent with holds its deadline.
 type Request struct {
 	Addr                       string
 	Method, URI, Host, TraceID string
-	IdempotencyKey             string // by which hosts know a repeat of a keyed class; empty: none
+	IdempotencyKey             string // identifies retries of a keyed class to hosts; empty: none
 	Body                       []byte
-	Once                       bool            // it must not run twice
-	Client                     context.Context // ends when its client has left or its host drains: nothing is sent then; nil: never
+	Once                       bool            // the job must not run twice
+	Client                     context.Context // ends when the client disconnects or the host drains: nothing is sent after that; nil: never ends
 }
 
 // Report is a load report: values by name.
 type Report map[string]float64
 
-// Outcome is how an upstream request or a probe ended.
+// Outcome is the result of an upstream request or a probe.
 type Outcome struct {
 	Result policy.Result
-	Body   []byte // of OK
-	Load   Report // nil: none came along
+	Body   []byte // if Result is OK
+	Load   Report // nil: no report received
 	Took   time.Duration
 }
 
-// Watcher hears of an upstream request while it is out. Ended comes once, last, before the connection is
-// given back.
+// Watcher receives the events of an upstream request. Ended is called once, last, before the connection returns to
+// the pool.
 type Watcher interface {
 	Started()
 	Progress(share float64)
 	Ended(Outcome)
 }
 
-// Do sends a request and tells w what comes of it. It returns after w.Ended.
+// Do sends a request and reports its events to w. It returns after w.Ended.
 func (p *Pool) Do(ctx context.Context, q *Request, w Watcher) {
 	start := time.Now()
 	end := func(o Outcome) {
@@ -69,11 +69,11 @@
 		return
 	}
 	whole, err := p.write(sending, c, q)
-	q.Body = nil // not held for as long as the job runs
+	q.Body = nil // frees the memory while the job runs
 	if !whole {
-		p.discard(c) // the last byte was not written: the protocol's proof that the job never ran
+		p.discard(c) // the last byte was not written, which proves that the job never ran
 		result := unsentResult(sending, err)
-		if !c.idleSince.IsZero() { // a kept connection that breaks tells nothing of its host
+		if !c.idleSince.IsZero() { // a failed reused connection is no evidence against its host
 			result = policy.NeverSent
 		}
 		end(Outcome{Result: result})
@@ -92,8 +92,8 @@
 	p.recycle(ctx, c, resp, stop, true)
 }
 
-// write is Request.write, to be given up when ctx ends. Where that comes as the last byte goes out, the request has been
-// sent, and the connection is as good as before.
+// write calls Request.write and interrupts it when ctx ends. If ctx ends as the last byte is written, the request has
+// been sent and the connection stays usable.
 func (p *Pool) write(ctx context.Context, c *conn, q *Request) (whole bool, err error) {
 	var mu sync.Mutex
 	done := false
@@ -114,10 +114,11 @@
 	return whole, err
 }
 
-// write sends the request and tells whether its last byte was written. Where it must not run twice that byte waits
-// until the connection has taken the rest in silence: one that the host closes as the request comes, or has closed
-// unheard, then breaks while the job has provably not run and may go elsewhere. One on which the host speaks before it
-// has the whole request is as unfit: what it says is not for this request.
+// write sends the request and reports whether its last byte was written. If the job must not run twice, the last byte
+// is held back until the host has been silent for the settle time after the rest was written. A connection that the
+// host closes on receiving the request, or had already closed, then breaks while the job has provably not run, and
+// the job may go to another host. A connection on which the host sends data before it has the complete request is
+// unusable as well: that data is not for this request.
 func (q *Request) write(ctx context.Context, c *conn, settle time.Duration) (whole bool, err error) {
 	msg := q.encode(ctx)
 	if err := q.sendCancelled(ctx); err != nil {
@@ -130,7 +131,7 @@
 			_, err = c.r.Peek(1)
 			c.SetReadDeadline(time.Time{})
 		}
-		if p := q.sendCancelled(ctx); p != nil { // its interruption may have been undone just now
+		if p := q.sendCancelled(ctx); p != nil { // SetReadDeadline above may have undone the interruption
 			return false, p
 		}
 		if err == nil {
@@ -145,7 +146,8 @@
 	return n == len(msg), err
 }
 
-// sendCancelled tells whether a request is to be sent no more. An interruption by its client's leave may not have come through yet.
+// sendCancelled returns an error if the request must not be sent any more. It also checks the client's context, since
+// the interruption by a disconnect may not have been delivered yet.
 func (q *Request) sendCancelled(ctx context.Context) error {
 	if q.Client != nil && q.Client.Err() != nil {
 		return context.Canceled
@@ -153,24 +155,24 @@
 	return ctx.Err()
 }
 
-// errEarlyResponse says that a host spoke before it had a request.
-var errEarlyResponse = errors.New("upstream: the host speaks before it has the request")
+// errEarlyResponse reports that a host sent data before it had the request.
+var errEarlyResponse = errors.New("upstream: host sent data before it had the request")
 
-// interrupt ends reads and writes of c when ctx does; the function it returns calls that off.
+// interrupt ends reads and writes of c when ctx ends; the returned function cancels that.
 func (p *Pool) interrupt(ctx context.Context, c *conn) func() bool {
 	return context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 }
 
-// recycle gives back a connection whose answer has been read to its very end, and closes any other. The
-// interruption is called off first: one that came later would hit the connection's next request. job: the answer was
-// one to a job, and a second one may come.
+// recycle returns a connection whose answer has been read to its end to the pool, and closes any other. It cancels
+// the interruption first, which could otherwise hit the connection's next request. With job set the answer was one to
+// a job, and a second one may follow.
 func (p *Pool) recycle(ctx context.Context, c *conn, resp *http.Response, stop func() bool, job bool) {
 	if resp == nil || resp.Close {
 		p.discard(c)
 		return
 	}
 	c.SetReadDeadline(time.Now().Add(p.drainTimeout))
-	if ctx.Err() != nil { // its interruption may have been undone just now
+	if ctx.Err() != nil { // SetReadDeadline above may have undone the interruption
 		p.discard(c)
 		return
 	}
@@ -183,7 +185,7 @@
 	p.put(c)
 }
 
-// abortedResult is the outcome of a request that was written and then given up.
+// abortedResult is the result of a request that was written and then aborted.
 func abortedResult(ctx context.Context) policy.Result {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return policy.TimedOut
@@ -191,8 +193,8 @@
 	return policy.Cancelled
 }
 
-// unsentResult is the outcome of a request that found no connection: the host is to blame unless the time ran
-// out, the request was called off or no descriptor was left.
+// unsentResult is the result of a request that got no connection. The host is at fault unless the time ran out, the
+// request was cancelled or no descriptor was free.
 func unsentResult(ctx context.Context, err error) policy.Result {
 	if ctx.Err() != nil || errors.Is(err, errNoDescriptor) || errors.Is(err, context.Canceled) {
 		return policy.NeverSent
@@ -200,7 +202,7 @@
 	return policy.ConnectFailed
 }
 
-// encode writes the request once, as one message.
+// encode returns the request as one message.
 func (q *Request) encode(ctx context.Context) []byte {
 	b := bytes.NewBuffer(make([]byte, 0, 256+len(q.URI)+len(q.Body)))
 	for _, s := range []string{q.Method, " ", q.URI, " HTTP/1.1\r\nHost: ", q.Host, "\r\nX-Trace-Id: ", q.TraceID} {
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -1,6 +1,5 @@
-// Package wire carries events and actions between the text wire and the decision module. It decides
-// nothing. Many instances live in one Host; they share nothing but the numbered worker lists, which
-// the wire sends once for all.
+// Package wire translates between the simulator's text protocol and the decision module. It decides nothing. One Host
+// serves many instances; they share only the numbered worker lists, which the protocol sends once for all.
 package wire
 
 import (
@@ -17,10 +16,10 @@
 	"gaugeslip/policy"
 )
 
-// maxLists is how many numbered worker lists the wire keeps.
+// maxLists is the number of worker lists that the protocol can number.
 const maxLists = 16
 
-// listEntry is one line of a numbered list, its names not yet resolved for an instance.
+// listEntry is one line of a numbered list. Its zone and kind names are not yet resolved for an instance.
 type listEntry struct {
 	worker     policy.Worker
 	zone, kind string
@@ -34,7 +33,7 @@
 	queued   bool
 }
 
-// Host hosts the instances of one process.
+// Host serves the instances of one process.
 type Host struct {
 	in          *bufio.Reader
 	out         *bufio.Writer
@@ -44,7 +43,7 @@
 	batch       []*instance
 	lists       [maxLists][]listEntry
 	listKnown   [maxLists]bool
-	itemsLeft   int // ITEM lines still to come, for list number filling
+	itemsLeft   int // ITEM lines still expected, for the list currentList
 	currentList int
 	actions     []policy.Action
 	parts       []string
@@ -53,13 +52,13 @@
 	inBatch     bool // between SYNC and OVER_TO_YOU
 }
 
-// NewHost makes a host that reads batches from r and writes replies to w.
+// NewHost returns a host that reads batches from r and writes replies to w.
 func NewHost(r io.Reader, w io.Writer) *Host {
 	return &Host{in: bufio.NewReaderSize(r, 1<<16), out: bufio.NewWriterSize(w, 1<<16), instances: map[int]*instance{}}
 }
 
-// Run answers batches until the end of input. A message that breaks the wire is an error, and nothing
-// of its batch is answered.
+// Run answers batches until the end of input. A message that violates the protocol is an error, and nothing of its
+// batch is answered.
 func (h *Host) Run() error {
 	for {
 		line, err := h.line()
@@ -84,7 +83,7 @@
 	}
 }
 
-// line reads one line of any length, without its end.
+// line reads one line of any length and returns it without its newline.
 func (h *Host) line() (string, error) {
 	h.longLine = h.longLine[:0]
 	for {
@@ -103,7 +102,7 @@
 	}
 }
 
-// truncate keeps an error to one short plain line.
+// truncate shortens a text for use in an error message.
 func truncate(s string) string {
 	if len(s) > 60 {
 		return s[:60] + "..."
@@ -111,7 +110,7 @@
 	return s
 }
 
-// messageFields reads the values of one message; the first bad one stays as the error.
+// messageFields parses the values of one message and keeps the first error.
 type messageFields struct {
 	name  string
 	parts []string
@@ -132,7 +131,7 @@
 	return v
 }
 
-// num reads a number; an absent one is def.
+// num parses a number; an absent one is def.
 func (f *messageFields) num(i int, field string, def float64) float64 {
 	s := f.parts[i]
 	if s == "-" {
@@ -161,7 +160,7 @@
 	return false
 }
 
-// lookup finds a name; an absent one is def.
+// lookup maps a name to its value; an absent name is def.
 func lookup[T any](f *messageFields, i int, field string, m map[string]T, def T) T {
 	if f.parts[i] == "-" {
 		return def
@@ -173,7 +172,7 @@
 	return v
 }
 
-// valueCounts is how many values each message has.
+// valueCounts is the number of values of each message.
 var valueCounts = map[string]int{"SYNC": 1, "OVER_TO_YOU": 0, "ABOUT": 1, "INIT": 2, "MANIFEST": 2, "ITEM": 7,
 	"MEMBERS": 3, "SUBMIT": 11, "TIMED_OUT_CLIENT": 1, "REPLY": 8, "NOTICE": 5, "FIRST": 4, "SHUTDOWN": 0,
 	"INBOX": 2, "HEALTH": 4, "ALARM": 1}
@@ -186,7 +185,7 @@
 
 const maxID, maxWorker = 1<<52 - 1, 1<<32 - 1
 
-// message takes in one line; true ends the batch.
+// message processes one line; true ends the batch.
 func (h *Host) message(line string) (bool, error) {
 	name, rest, some := strings.Cut(line, "\t")
 	want, ok := valueCounts[name]
@@ -278,7 +277,7 @@
 	return false, f.err
 }
 
-// event turns a message about an instance into the module's event.
+// event converts a message about an instance into a policy event.
 func (h *Host) event(in *instance, f *messageFields) (e policy.Event, use bool, err error) {
 	n := in.settings
 	switch f.name {
@@ -311,7 +310,7 @@
 		case 2:
 			e.Kind, e.Share = policy.JobProgress, f.num(4, "level", 0)
 		default:
-			return e, false, f.err // a kind of notice that is not known
+			return e, false, f.err // unknown notices are ignored
 		}
 	case "FIRST":
 		e = policy.Event{Kind: policy.AnswerBegun, Job: f.uint(0, "xid", maxID),
@@ -323,7 +322,7 @@
 		e.HasLoad, e.Load = load(n, f, 3)
 	case "ALARM":
 		e = policy.Event{Kind: policy.TimerFired, Timer: f.uint(0, "cookie", math.MaxUint64)}
-	case "INBOX": // peers share nothing here
+	case "INBOX": // instances share nothing
 		f.uint(0, "author", maxWorker)
 		return e, false, f.err
 	case "MEMBERS":
@@ -356,7 +355,7 @@
 	return e, true, f.err
 }
 
-// load reads a load report by the order of the settings' fields.
+// load parses a load report, whose values have the order of the settings' fields.
 func load(n *settings.Settings, f *messageFields, i int) (bool, policy.Load) {
 	l := settings.NoLoad()
 	rest := f.parts[i]
@@ -381,7 +380,7 @@
 	return true, l
 }
 
-// reply lets each instance with an event decide, and writes what it does.
+// reply lets each instance with events decide and writes the actions.
 func (h *Host) reply() error {
 	b := h.buf[:0]
 	for _, in := range h.batch {
@@ -406,7 +405,7 @@
 	b = append(strconv.AppendInt(b, int64(in.id), 10), '\n')
 	start := len(b)
 	defer func() {
-		if p := recover(); p != nil { // the day ends here, by the wire's own word
+		if p := recover(); p != nil { // reported as the protocol's EXCEPTION
 			text := strings.Map(func(r rune) rune { return max(r, ' ') }, fmt.Sprint(p))
 			res = append(b[:start], "EXCEPTION\t"+truncate(text)+"\n"...)
 		}
@@ -453,7 +452,7 @@
 	case policy.Log:
 		b = append(append(b, "SAY_LOG\t"...), a.Text...)
 	default:
-		panic(errors.New("wire: an action without a word: " + strconv.Itoa(int(a.Kind))))
+		panic(errors.New("wire: action without a protocol message: " + strconv.Itoa(int(a.Kind))))
 	}
 	return append(b, '\n')
 }
