--- a/internal/net/downstream/downstream_test.go
+++ b/internal/net/downstream/downstream_test.go
@@ -21,28 +21,28 @@
 	"gaugeslip/internal/waiting"
 )
 
-// none is a cluster of which nothing is heard.
-type none struct{}
+// silentCluster is a source of the host list that never sends anything.
+type silentCluster struct{}
 
-func (none) Watch(ctx context.Context, _ uint64, _ func(dispatch.HostList)) error {
+func (silentCluster) Watch(ctx context.Context, _ uint64, _ func(dispatch.HostList)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
 const maxConns = 30
 
-// dispatcher runs a whole downstream side over one upstream host, listed twice; stop begins its shutdown, and ended
-// closes when that is over.
-func dispatcher(t *testing.T, acceptFor time.Duration, script func(*nettest.Call)) (
+// startDispatcher starts a complete downstream side over one upstream host, which is listed twice. stop begins its
+// shutdown; ended is closed when the shutdown is complete.
+func startDispatcher(t *testing.T, acceptFor time.Duration, script func(*nettest.Call)) (
 	addr string, host *nettest.Peer, stop func(), ended chan struct{}) {
-	return dispatcherWith(t, acceptFor, script, nil)
+	return startDispatcherWith(t, acceptFor, script, nil)
 }
 
-// running is the loop of the dispatcher that the test has started last.
-var running *loop.Loop
+// lastLoop is the loop of the dispatcher that the test started last.
+var lastLoop *loop.Loop
 
-// dispatcherWith has a waiting room where lim says so. What tunes it sees the server before it serves.
-func dispatcherWith(t *testing.T, acceptFor time.Duration, script func(*nettest.Call), lim *waiting.Limits, tunes ...func(*Server)) (
+// startDispatcherWith also has a waiting queue if lim is set. The tunes may change the server before it serves.
+func startDispatcherWith(t *testing.T, acceptFor time.Duration, script func(*nettest.Call), lim *waiting.Limits, tunes ...func(*Server)) (
 	addr string, host *nettest.Peer, stop func(), ended chan struct{}) {
 	host = nettest.Listen(t, script)
 	set := nettest.Settings(t)
@@ -53,13 +53,13 @@
 	if lim != nil {
 		room = dispatch.NewWaitingGate(*lim, set.Policy)
 	}
-	l := loop.New(dispatch.NewChain(core, dispatch.Gates{Waiting: room}), set, pool, none{}, loop.NewClock())
+	l := loop.New(dispatch.NewChain(core, dispatch.Gates{Waiting: room}), set, pool, silentCluster{}, loop.NewClock())
 	l.Post(dispatch.HostList{Whole: true, Stale: true,
 		Hosts: []dispatch.Host{{Name: "s-0000000a", Addr: host.Addr, Scale: 1},
 			{Name: "s-0000000b", Addr: host.Addr, Scale: 1}}})
 	s := New(Config{Listen: "127.0.0.1:0", MaxConns: maxConns, MaxBodies: maxBodyBytes, AcceptFor: acceptFor,
 		KilledAfter: KilledAfter(set), Waiting: room != nil}, set, l)
-	running = l
+	lastLoop = l
 	ln, err := s.Listen()
 	require.NoError(t, err)
 	for _, tune := range tunes {
@@ -72,7 +72,7 @@
 	go func() { defer close(ended); assert.NoError(t, s.Serve(outer, ln)) }()
 	t.Cleanup(func() {
 		stop()
-		host.Close() // ends what is still out
+		host.Close() // ends pending upstream requests
 		nettest.Wait(t, ended)
 		halt()
 		nettest.Wait(t, looped)
@@ -80,10 +80,10 @@
 	return ln.Addr().String(), host, stop, ended
 }
 
-// A body may come in chunks, and in pieces: it goes on whole, with its length, and its answer comes back. Whatever
-// came on the connection before does not count for the next request's head.
+// A chunked body that arrives in pieces is forwarded complete, with its length, and its answer comes back. Earlier
+// requests on the connection do not affect the check of the next request's head.
 func TestServesChunks(t *testing.T) {
-	addr, host, _, _ := dispatcher(t, 0, nettest.Serve)
+	addr, host, _, _ := startDispatcher(t, 0, nettest.Serve)
 	c := nettest.Dial(t, addr)
 	for i, pieces := range [][]string{{"3\r\nabc\r\n", "2\r\nde\r\n0\r\n\r\n"}, {"1\r\nf\r\n0\r\n\r\n"}} {
 		head := "POST /plot-load/x HTTP/1.1\r\nHost: h\r\nX-Trace-Id: c" + strconv.Itoa(i) +
@@ -99,7 +99,7 @@
 		call := nettest.Wait(t, host.Calls)
 		assert.Equal(t, int64(len(got)), call.ContentLength, "passed on with its length")
 		assert.Empty(t, call.TransferEncoding)
-		// The next request of the connection has a length: the head before does not make it look framed twice.
+		// The next request on the connection has a length: the previous head does not make it look framed twice.
 		c.Post("/plot-load/x", "l"+strconv.Itoa(i), "X-Expires-In-Ms: 15000\r\n", "g")
 		resp, got = c.Answer()
 		assert.Equal(t, "200 g", strconv.Itoa(resp.StatusCode)+" "+got)
@@ -108,9 +108,9 @@
 }
 
 func TestServes(t *testing.T) {
-	addr, _, _, _ := dispatcher(t, 0, nettest.Serve)
+	addr, _, _, _ := startDispatcher(t, 0, nettest.Serve)
 	c := nettest.Dial(t, addr)
-	for _, body := range []string{"a", "", "b"} { // one connection carries one request after the other
+	for _, body := range []string{"a", "", "b"} { // several requests on one connection
 		c.Post("/plot-load/x", "t"+body, "X-Expires-In-Ms: 15000\r\nX-Size-Hint: 1000\r\nX-Qos: plot-load\r\n", body)
 		resp, got := c.Answer()
 		assert.Equal(t, 200, resp.StatusCode)
@@ -118,9 +118,9 @@
 	}
 }
 
-// Bad input gets its own status, never one that promises anything about a job.
+// Each kind of bad input gets its own status, never one that could be taken for the outcome of a job.
 func TestBadInput(t *testing.T) {
-	addr, host, _, _ := dispatcher(t, 0, nettest.Serve)
+	addr, host, _, _ := startDispatcher(t, 0, nettest.Serve)
 	post := func(path, headers string) string {
 		return "POST " + path + " HTTP/1.1\r\nHost: h\r\n" + headers + "Content-Length: 0\r\n\r\n"
 	}
@@ -163,9 +163,10 @@
 	assert.Empty(t, host.Calls)
 }
 
-// A request with both Content-Length and Transfer-Encoding hides another: neither goes on, whichever path it names.
-func TestHiddenRequest(t *testing.T) {
-	addr, host, _, _ := dispatcher(t, 0, nettest.Serve)
+// A request with both Content-Length and Transfer-Encoding may hide another. Neither is forwarded, whichever path it
+// names.
+func TestRequestSmuggling(t *testing.T) {
+	addr, host, _, _ := startDispatcher(t, 0, nettest.Serve)
 	hidden := "0\r\n\r\nPOST /plot-load HTTP/1.1\r\nHost: h\r\nX-Trace-Id: b\r\nContent-Length: 0\r\n\r\n"
 	for _, line := range []string{"POST /plot-load", "GET /up"} {
 		c := nettest.Dial(t, addr)
@@ -178,10 +179,10 @@
 	assert.Empty(t, host.Calls)
 }
 
-// The id of an open request gets an error, and the open one its own answer.
-func TestOpenID(t *testing.T) {
+// A request with the id of an open one gets an error, and the open one gets its own answer.
+func TestDuplicateID(t *testing.T) {
 	hold := make(chan struct{})
-	addr, host, _, _ := dispatcher(t, 0, func(c *nettest.Call) { <-hold; nettest.Serve(c) })
+	addr, host, _, _ := startDispatcher(t, 0, func(c *nettest.Call) { <-hold; nettest.Serve(c) })
 	first, second := nettest.Dial(t, addr), nettest.Dial(t, addr)
 	first.Post("/harvest-sale", "t1", "", "one")
 	nettest.Wait(t, host.Calls)
@@ -194,11 +195,12 @@
 	assert.Empty(t, host.Calls)
 }
 
-// A crowd that connects and says nothing makes room for clients that speak, and is closed in time. An idle connection
-// makes room before a fresh one, which may be a client on its way: its client only connects anew.
-func TestSilentCrowd(t *testing.T) {
+// Many silent connections make room for clients that send requests, and are closed in time. An idle connection is
+// evicted before a new one, whose client may be about to send its request; the idle one's client only has to
+// reconnect.
+func TestSilentConnectionsMakeRoom(t *testing.T) {
 	var g *gate
-	addr, _, _, _ := dispatcherWith(t, 0, nettest.Serve, nil, func(s *Server) { g = s.gate })
+	addr, _, _, _ := startDispatcherWith(t, 0, nettest.Serve, nil, func(s *Server) { g = s.gate })
 	usual, begun := nettest.Dial(t, addr), time.Now()
 	ask := func(c *nettest.Client, id string) {
 		c.Post("/plot-load", id, "", id)
@@ -210,18 +212,18 @@
 	for range 3 * maxConns {
 		crowd = append(crowd, nettest.Dial(t, addr))
 	}
-	justCome(g)
+	markJustConnected(g)
 	ask(nettest.Dial(t, addr), "t2")
 	usual.Closed()
 	ask(nettest.Dial(t, addr), "t3")
 	for _, c := range crowd {
 		c.Closed()
 	}
-	assert.Less(t, time.Since(begun), 8*time.Second) // 3 s are owed; a slow machine has more
+	assert.Less(t, time.Since(begun), 8*time.Second) // the limit is 3 s; allow more on a slow machine
 }
 
-// justCome has all silent connections have come just now, however long this machine took to let them in.
-func justCome(g *gate) {
+// markJustConnected makes all silent connections look new, however long the machine took to accept them.
+func markJustConnected(g *gate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for c := range g.conns[awaitingHead] {
@@ -229,10 +231,10 @@
 	}
 }
 
-// At the limit, a client that has just connected keeps its place: an idle connection goes for the next newcomer, not
-// one that is on its way to send its request.
-func TestFreshClientKeepsItsPlace(t *testing.T) {
-	addr, _, _, _ := dispatcher(t, 0, nettest.Serve)
+// At the limit, a client that has just connected keeps its connection: an idle connection is evicted for the next
+// client, not one that is about to send its request.
+func TestNewClientIsNotEvicted(t *testing.T) {
+	addr, _, _, _ := startDispatcher(t, 0, nettest.Serve)
 	idle := make([]*nettest.Client, maxConns)
 	for i := range idle {
 		idle[i] = nettest.Dial(t, addr)
@@ -248,9 +250,9 @@
 			}
 		}()
 	}
-	slow := nettest.Dial(t, addr) // accepted in the place of the oldest idle one
+	slow := nettest.Dial(t, addr) // evicts the oldest idle one
 	nettest.Wait(t, closed)
-	newcomer := nettest.Dial(t, addr) // and this one in the place of the next idle one, not of slow
+	newcomer := nettest.Dial(t, addr) // evicts the next idle one, not slow
 	nettest.Wait(t, closed)
 	slow.Post("/plot-load", "slow", "", "slow")
 	resp, got := slow.Answer()
@@ -260,10 +262,10 @@
 	assert.Equal(t, "200 new", fmt.Sprint(resp.StatusCode, " ", got))
 }
 
-// A long body beyond what bodies may take together is refused at once; short ones still pass.
+// A long body beyond the limit for all bodies together is refused at once; short ones still pass.
 func TestBodiesAreBounded(t *testing.T) {
 	hold := make(chan struct{})
-	addr, host, _, _ := dispatcher(t, 0, func(c *nettest.Call) { <-hold; nettest.Serve(c) })
+	addr, host, _, _ := startDispatcher(t, 0, func(c *nettest.Call) { <-hold; nettest.Serve(c) })
 	first, second := nettest.Dial(t, addr), nettest.Dial(t, addr)
 	first.Post("/harvest-sale", "t1", "", strings.Repeat("x", maxBodyBytes))
 	nettest.Wait(t, host.Calls)
@@ -279,7 +281,7 @@
 }
 
 func TestLongestBody(t *testing.T) {
-	addr, host, _, _ := dispatcher(t, 0, nettest.Serve)
+	addr, host, _, _ := startDispatcher(t, 0, nettest.Serve)
 	body := strings.Repeat("x", maxBodyBytes)
 	c := nettest.Dial(t, addr)
 	c.Post("/harvest-sale", "t1", "", body)
@@ -288,8 +290,8 @@
 	assert.Equal(t, body, nettest.Wait(t, host.Calls).Text)
 }
 
-// Where the figures lie: a job's slots among its other ones, its time in whole milliseconds.
-func TestDecodeFigures(t *testing.T) {
+// Checks the numbers in the headers: a job's slots among its other properties, its time in whole milliseconds.
+func TestDecodeNumbers(t *testing.T) {
 	r, err := http.NewRequest("POST", "http://h/harvest-sale/9?q=1", strings.NewReader("b"))
 	require.NoError(t, err)
 	r.RequestURI = r.URL.String() // the absolute form
@@ -313,8 +315,7 @@
 	assert.Equal(t, "/harvest-sale/9?q=1", k.Forward.URI)
 }
 
-// A request with no time left is not worth sending, and one that does not say how long it waits has the
-// class's own time.
+// A request with no time left is not sent. One without a time has its class's default.
 func TestExpiry(t *testing.T) {
 	for headers, want := range map[string]time.Duration{"0": 0, "-": 20 * time.Second, "480": 480 * time.Millisecond} {
 		r, err := http.NewRequest("POST", "/plot-load", strings.NewReader(""))
@@ -329,8 +330,8 @@
 	}
 }
 
-// Beyond the hard limit a request is refused, with advice when to come back.
-func TestMostHeld(t *testing.T) {
+// Beyond the hard limit a request is refused, with a Retry-After.
+func TestMaxOpenRequests(t *testing.T) {
 	set := nettest.Settings(t)
 	set.MostHeld = 1
 	l := loop.New(nil, set, nil, nil, loop.NewClock())
@@ -340,7 +341,8 @@
 	assert.Equal(t, "429 1.5", strconv.Itoa(w.Code)+" "+w.Header().Get("Retry-After"))
 }
 
-// A refusal says that a repeat is harmless: never of a job that may have run, which goes to no host again.
+// A refusal promises that a retry is harmless, so a job that may have run is never refused, and it is sent to no
+// other host.
 func TestAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		class, expires string
@@ -352,7 +354,7 @@
 		"unsafe, reset":  {"harvest-sale", "15000", (*nettest.Call).Reset, 500},
 		"unsafe, silent": {"harvest-sale", "1000", func(*nettest.Call) {}, 500},
 	} {
-		addr, host, _, _ := dispatcher(t, 0, c.script)
+		addr, host, _, _ := startDispatcher(t, 0, c.script)
 		cl := nettest.Dial(t, addr)
 		cl.Post("/"+c.class, "t1", "X-Expires-In-Ms: "+c.expires+"\r\n", "")
 		resp, _ := cl.Answer()
@@ -368,7 +370,7 @@
 
 // A handler that panics still answers, and not with a refusal.
 func TestPanic(t *testing.T) {
-	s := New(Config{Listen: "127.0.0.1:0", MaxConns: 9}, nil, nil) // no settings: decode panics
+	s := New(Config{Listen: "127.0.0.1:0", MaxConns: 9}, nil, nil) // without settings decode panics
 	ln, err := s.Listen()
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
@@ -383,9 +385,9 @@
 }
 
 // During a shutdown a job that the platform's kill would cut off is refused at once; a short one is still served.
-func TestTooLongForAShutdown(t *testing.T) {
+func TestLongJobDuringShutdown(t *testing.T) {
 	for hint, want := range map[string]int{"50000": 200, "9000000": 429} {
-		addr, _, stop, _ := dispatcher(t, 3*time.Second, nettest.Serve)
+		addr, _, stop, _ := startDispatcher(t, 3*time.Second, nettest.Serve)
 		stop()
 		for status := 200; status != 503; {
 			up := nettest.Dial(t, addr)
@@ -400,18 +402,18 @@
 	}
 }
 
-// A shutdown: /up says no, what comes is still served, each answer asks to close, and what was taken
-// before is waited for.
+// During a shutdown /up reports 503, new requests are still served, each answer asks to close the connection, and
+// requests accepted before are waited for.
 func TestShutdown(t *testing.T) {
 	hold := make(chan struct{})
-	addr, host, stop, ended := dispatcherWith(t, 3*time.Second, func(c *nettest.Call) { // a slow machine has that long
+	addr, host, stop, ended := startDispatcherWith(t, 3*time.Second, func(c *nettest.Call) { // allows for a slow machine
 		if c.Text == "slow" {
 			<-hold
 		}
 		nettest.Serve(c)
-	}, nil, func(s *Server) { s.cfg.KilledAfter = nettest.Timeout }) // else slow may have failed by then
+	}, nil, func(s *Server) { s.cfg.KilledAfter = nettest.Timeout }) // otherwise the slow job may have failed by then
 	release := sync.OnceFunc(func() { close(hold) })
-	t.Cleanup(release) // before the host ends, which waits for its script
+	t.Cleanup(release) // runs before the host is closed, which waits for its script
 	slow, idle := nettest.Dial(t, addr), nettest.Dial(t, addr)
 	up := func(c *nettest.Client) int {
 		c.Send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -431,10 +433,10 @@
 	assert.Equal(t, 200, resp.StatusCode)
 	assert.True(t, resp.Close)
 	late.Closed()
-	idle.Closed() // nothing is accepted from here on
+	idle.Closed() // nothing more is accepted after this
 	select {
 	case <-ended:
-		t.Error("ended with a request unanswered")
+		t.Error("shutdown ended with an unanswered request")
 	default:
 	}
 	release()
--- a/internal/net/downstream/endings_test.go
+++ b/internal/net/downstream/endings_test.go
@@ -24,72 +24,73 @@
 	"gaugeslip/policy"
 )
 
-// The instants at which a client, its connection or the dispatcher ends while something is still owed. In each one side
-// is held at the instant.
+// Races in which a client, its connection or the dispatcher ends while an answer is pending. Each test blocks one side at
+// that instant.
 
-// patient is a host's script that leaves jobs unanswered for as long as their connections last.
-func patient(c *nettest.Call) { io.Copy(io.Discard, c.Conn) }
+// neverAnswers is a host's script that leaves jobs unanswered until their connections close.
+func neverAnswers(c *nettest.Call) { io.Copy(io.Discard, c.Conn) }
 
-// A client that has sent more than its request leaves: that is seen, whatever came before the end. net/http looks no
-// further than one byte. Held is what is open; only a leave can end what this host holds.
-func TestLeaveIsSeenBehindMore(t *testing.T) {
+// A client that has sent more than its request disconnects: the disconnect is noticed whatever data precedes it,
+// although net/http itself looks only one byte ahead. This host never answers, so that only a disconnect can bring
+// the number of open requests (Held) to 0.
+func TestDisconnectBehindPipelinedData(t *testing.T) {
 	for name, more := range map[string]string{"a line": "\r\n", "a second request": "POST /plot-load/x HTTP/1.1\r\nHost: h\r\n" +
 		"X-Trace-Id: t2\r\nContent-Length: 0\r\n\r\n", "much": strings.Repeat("x", maxPipelined-1),
-		"more than is put aside": strings.Repeat("x", 2*maxPipelined)} {
+		"more than is buffered": strings.Repeat("x", 2*maxPipelined)} {
 		t.Run(name, func(t *testing.T) {
 			var leave func()
-			addr, host, _, _ := dispatcherWith(t, 0, patient, nil, func(s *Server) {
+			addr, host, _, _ := startDispatcherWith(t, 0, neverAnswers, nil, func(s *Server) {
 				s.testHook = func(point string, r *http.Request) {
-					if point == "reading" { // before the job is before the loop
+					if point == "reading" { // before the job is submitted to the loop
 						leave()
 					}
 				}
 			})
 			c := nettest.Dial(t, addr)
 			left := make(chan struct{})
-			leave = func() { // the request is read: now comes more, and the end
+			leave = func() { // the request has been read: send more data, then close
 				c.Send(more)
 				c.Conn.Close()
 				close(left)
 			}
 			c.Send("POST /harvest-sale/x HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t1\r\nX-Not-Yet: 1\r\nContent-Length: 0\r\n\r\n")
 			nettest.Wait(t, left)
-			require.Eventually(t, func() bool { return running.Held() == 0 }, nettest.Timeout, time.Millisecond)
-			for len(host.Calls) > 0 { // t1 may have gone out before the leave was seen, what came behind it never
+			require.Eventually(t, func() bool { return lastLoop.Held() == 0 }, nettest.Timeout, time.Millisecond)
+			for len(host.Calls) > 0 { // t1 may have been sent before the disconnect was noticed, the data behind it never
 				assert.Equal(t, "t1", (<-host.Calls).Header.Get("X-Trace-Id"))
 			}
 		})
 	}
-	for name, more := range map[string]string{"while it is out": "", "more than is put aside, while it is out": strings.Repeat("x", 2*maxPipelined)} {
+	for name, more := range map[string]string{"while it is at a host": "", "more than is buffered, while it is at a host": strings.Repeat("x", 2*maxPipelined)} {
 		t.Run(name, func(t *testing.T) {
-			addr, host, _, _ := dispatcher(t, 0, patient)
+			addr, host, _, _ := startDispatcher(t, 0, neverAnswers)
 			c := nettest.Dial(t, addr)
 			c.Post("/harvest-sale/x", "t1", "", "")
 			nettest.Wait(t, host.Calls)
 			c.Post("/harvest-sale/x", "t2", "", more)
 			c.Conn.Close()
-			require.Eventually(t, func() bool { return running.Held() == 0 }, nettest.Timeout, time.Millisecond)
-			assert.Empty(t, host.Calls, "a request that came too early and whose client left is not sent on")
+			require.Eventually(t, func() bool { return lastLoop.Held() == 0 }, nettest.Timeout, time.Millisecond)
+			assert.Empty(t, host.Calls, "a pipelined request is not forwarded once its client has disconnected")
 		})
 	}
 }
 
-// A client that has sent much more than its request, which nobody reads for now, and stays: it is not taken for one that
-// left, has its answer, and is served what it sent.
-func TestStaysBehindMore(t *testing.T) {
-	c, release := heldFirst(t)
-	c.Post("/harvest-sale/x", "t2", "", strings.Repeat("b", 2*maxPipelined)) // what is put aside is full
-	require.Never(t, func() bool { return running.Held() == 0 }, 200*time.Millisecond, 10*time.Millisecond)
-	c.Post("/harvest-sale/x", "t3", "", "c") // it is woken, and there is still no end
-	require.Never(t, func() bool { return running.Held() == 0 }, 200*time.Millisecond, 10*time.Millisecond)
+// A client that has sent much more than its request, unread so far, and stays connected is not taken for
+// disconnected: it gets its answer, and the further requests are served.
+func TestPipelinedDataIsNoDisconnect(t *testing.T) {
+	c, release := clientWithOpenJob(t)
+	c.Post("/harvest-sale/x", "t2", "", strings.Repeat("b", 2*maxPipelined)) // fills the buffer
+	require.Never(t, func() bool { return lastLoop.Held() == 0 }, 200*time.Millisecond, 10*time.Millisecond)
+	c.Post("/harvest-sale/x", "t3", "", "c") // wakes the wait, and the connection has still not ended
+	require.Never(t, func() bool { return lastLoop.Held() == 0 }, 200*time.Millisecond, 10*time.Millisecond)
 	release()
-	answers(t, c, "a", strings.Repeat("b", 2*maxPipelined), "c")
+	expectServed(t, c, "a", strings.Repeat("b", 2*maxPipelined), "c")
 }
 
-// heldFirst is a client whose job "a" is out at a host that holds it until release.
-func heldFirst(t *testing.T) (c *nettest.Client, release func()) {
+// clientWithOpenJob returns a client whose job "a" is at a host that blocks it until release.
+func clientWithOpenJob(t *testing.T) (c *nettest.Client, release func()) {
 	released := make(chan struct{})
-	addr, host, _, _ := dispatcher(t, 0, func(c *nettest.Call) {
+	addr, host, _, _ := startDispatcher(t, 0, func(c *nettest.Call) {
 		if c.Text == "a" {
 			<-released
 		}
@@ -101,8 +102,8 @@
 	return c, func() { close(released) }
 }
 
-// answers are a client's next ones, each that of a job served.
-func answers(t *testing.T, c *nettest.Client, wants ...string) {
+// expectServed checks that a client's next answers are those of served jobs.
+func expectServed(t *testing.T, c *nettest.Client, wants ...string) {
 	for _, want := range wants {
 		resp, got := c.Answer()
 		assert.Equal(t, 200, resp.StatusCode)
@@ -110,23 +111,24 @@
 	}
 }
 
-// What a client sends too early, and stays, is its next request.
-func TestEarlyRequestIsKept(t *testing.T) {
-	c, release := heldFirst(t)
+// Data that a client sends too early is its next request if it stays connected.
+func TestPipelinedRequestIsServed(t *testing.T) {
+	c, release := clientWithOpenJob(t)
 	c.Post("/plot-load/x", "t2", "", strings.Repeat("b", maxPipelined/2))
-	c.Post("/plot-load/x", "t3", "", strings.Repeat("c", maxPipelined)) // beyond what is put aside
+	c.Post("/plot-load/x", "t3", "", strings.Repeat("c", maxPipelined)) // exceeds the buffer
 	release()
-	answers(t, c, "a", strings.Repeat("b", maxPipelined/2), strings.Repeat("c", maxPipelined))
+	expectServed(t, c, "a", strings.Repeat("b", maxPipelined/2), strings.Repeat("c", maxPipelined))
 }
 
-// The time limit of a body must not look like a leave: a request without one is held until the limit would have come.
-func TestBodyLimitIsNoLeave(t *testing.T) {
+// The read deadline of a body must not look like a disconnect: a request without a body is held until that deadline
+// would have passed.
+func TestBodyDeadlineIsNoDisconnect(t *testing.T) {
 	t.Parallel()
-	addr, _, _, _ := dispatcherWith(t, 0, nettest.Serve, nil, func(s *Server) {
+	addr, _, _, _ := startDispatcherWith(t, 0, nettest.Serve, nil, func(s *Server) {
 		s.testHook = func(point string, r *http.Request) {
 			if point == "reading" {
 				select {
-				case <-r.Context().Done(): // the fault
+				case <-r.Context().Done(): // the fault that this test guards against
 				case <-time.After(time.Until(bodyDeadline(clientOf(r), time.Now())) + 100*time.Millisecond):
 				}
 			}
@@ -139,9 +141,10 @@
 	assert.NotEmpty(t, resp.Header.Get("Content-Type"), "an answer of ours, not net/http's for a handler that wrote none")
 }
 
-// A client that ends its sending has left; if it reads all the same it is not told that its job was served.
+// A client that closes its sending side counts as disconnected. If it still reads, it is not told that its job was
+// served.
 func TestHalfClosed(t *testing.T) {
-	addr, host, _, _ := dispatcher(t, 0, patient)
+	addr, host, _, _ := startDispatcher(t, 0, neverAnswers)
 	c := nettest.Dial(t, addr)
 	c.Post("/harvest-sale/x", "t1", "", "x")
 	nettest.Wait(t, host.Calls)
@@ -151,38 +154,38 @@
 	c.Closed()
 }
 
-// held is a connection on which each read is held once its bytes are there.
-type held struct {
+// blockingConn is a connection on which each read blocks once it has its bytes.
+type blockingConn struct {
 	net.Conn
 	after *func(n int)
 }
 
-func (h held) Read(b []byte) (int, error) {
+func (h blockingConn) Read(b []byte) (int, error) {
 	n, err := h.Conn.Read(b)
 	(*h.after)(n)
 	return n, err
 }
 
-// listener hands out held connections.
-type listener struct {
+// blockingListener returns blockingConns.
+type blockingListener struct {
 	net.Listener
 	after *func(n int)
 }
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *blockingListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return held{nc, l.after}, nil
+	return blockingConn{nc, l.after}, nil
 }
 
-func (l *listener) SetDeadline(at time.Time) error {
+func (l *blockingListener) SetDeadline(at time.Time) error {
 	return l.Listener.(*net.TCPListener).SetDeadline(at)
 }
 
-// A connection is closed, for the end or for room, at the instant at which its next request has been read but nobody
-// knows of it yet. Its client sees a close that crosses its request and sends that once more: it must not run here too.
+// A connection is closed, for a shutdown or an eviction, at the instant at which its next request has been read but
+// is not yet recorded. Its client sees a close that crosses its request and sends it again: it must not run here too.
 func TestCloseCrossesRequest(t *testing.T) {
 	for name, end := range map[string]func(*Server){
 		"for the end": func(s *Server) { s.gate.closeIdle(silentConnWait) },
@@ -197,8 +200,8 @@
 		t.Run(name, func(t *testing.T) {
 			var server *Server
 			after, calls := func(int) {}, atomic.Int64{}
-			addr, _, _, _ := dispatcherWith(t, 0, func(c *nettest.Call) { calls.Add(1); nettest.Serve(c) }, nil, func(s *Server) {
-				server, s.gate.Listener = s, &listener{s.gate.Listener, &after}
+			addr, _, _, _ := startDispatcherWith(t, 0, func(c *nettest.Call) { calls.Add(1); nettest.Serve(c) }, nil, func(s *Server) {
+				server, s.gate.Listener = s, &blockingListener{s.gate.Listener, &after}
 			})
 			c := nettest.Dial(t, addr)
 			c.Post("/plot-load/x", "t1", "", "x")
@@ -209,7 +212,7 @@
 				return len(server.gate.conns[idle]) == 1
 			}, nettest.Timeout, time.Millisecond)
 			var crossing atomic.Bool
-			once := sync.OnceFunc(func() { crossing.Store(true); end(server) }) // its client may see the end at once
+			once := sync.OnceFunc(func() { crossing.Store(true); end(server) }) // its client may see the close at once
 			crossed := func(n int) {
 				if n > 0 {
 					once()
@@ -218,13 +221,13 @@
 			server.gate.mu.Lock() // orders the write for the reader
 			after = crossed
 			server.gate.mu.Unlock()
-			c.Post("/harvest-sale/x", "t2", "", "x") // the read that waits since before has the old hook's address
+			c.Post("/harvest-sale/x", "t2", "", "x") // the read that is already waiting has the old hook's address
 			c.SetReadDeadline(time.Now().Add(nettest.Timeout))
 			_, err := c.Conn.Read(make([]byte, 1))
 			require.Error(t, err, "closed with no answer")
 			require.False(t, errors.Is(err, os.ErrDeadlineExceeded))
 			assert.True(t, crossing.Load())
-			fresh := nettest.Dial(t, addr) // a round trip later nothing has been sent on
+			fresh := nettest.Dial(t, addr) // one round trip later nothing has been forwarded
 			fresh.Send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n")
 			fresh.Answer()
 			assert.Equal(t, int64(1), calls.Load())
@@ -232,9 +235,9 @@
 	}
 }
 
-// A request whose head has been read is owed its answer from that instant on, before net/http calls its connection
-// active: nothing closes it for others.
-func TestReadRequestKeepsItsPlace(t *testing.T) {
+// A connection counts as busy once a request's head has been read, before net/http reports it active: it is not
+// evicted.
+func TestReadRequestIsNotEvicted(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -254,12 +257,12 @@
 		assert.False(t, nc.(*client).isClosed())
 		nc.Close()
 		nc.Close()
-		assert.Zero(t, g.closeIdle(0), "its place comes back once")
+		assert.Zero(t, g.closeIdle(0), "its place is released once")
 	}
 }
 
-// Half a request is not closed for the end before it had its time to come whole, and a connection that says nothing is.
-func TestHalfReadAtTheEnd(t *testing.T) {
+// A partly read request is not closed in a shutdown before it had its time to arrive, but a silent connection is.
+func TestPartialRequestAtShutdown(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -279,7 +282,7 @@
 	silent.Closed()
 }
 
-// slowListener is held before it takes a connection, and tells when its accepting is ended.
+// slowListener blocks before it accepts a connection and signals when its accepting is ended.
 type slowListener struct {
 	*net.TCPListener
 	go_, ended chan struct{}
@@ -301,27 +304,29 @@
 	return l.TCPListener.Close()
 }
 
-// A connection that waits in the accept queue as the listener closes stands for its client: it is served and not reset.
-func TestAcceptQueueAtTheEnd(t *testing.T) {
+// A connection in the accept queue when the listener closes is established for its client: it is served and not
+// reset.
+func TestAcceptQueueAtShutdown(t *testing.T) {
 	l := &slowListener{go_: make(chan struct{}), ended: make(chan struct{})}
-	addr, _, stop, ended := dispatcherWith(t, 0, nettest.Serve, nil, func(s *Server) {
+	addr, _, stop, ended := startDispatcherWith(t, 0, nettest.Serve, nil, func(s *Server) {
 		l.TCPListener, s.gate.Listener = s.gate.Listener.(*net.TCPListener), l
 	})
 	c := nettest.Dial(t, addr)
 	c.Post("/plot-load/x", "t1", "", "x")
 	stop()
 	nettest.Wait(t, l.ended)
-	time.Sleep(2 * acceptQueueWait) // later than any limit that was set at the end: only the held accept itself is waited for
+	time.Sleep(2 * acceptQueueWait) // longer than any deadline set at shutdown: only the blocked accept itself is waited for
 	close(l.go_)
 	resp, _ := c.Answer()
 	assert.Equal(t, 200, resp.StatusCode)
 	nettest.Wait(t, ended)
 }
 
-// What was taken before SIGTERM and would be open at the platform's kill has its answer before that: a failure where it
-// may have run, a refusal where it never ran or a repeat is harmless. Idle and half read connections hold nothing up.
+// A request that was accepted before SIGTERM and would be open at the platform's kill is answered before it: with a
+// failure if the job may have run, with a refusal if it never ran or a retry is harmless. Idle and partly read
+// connections delay nothing.
 func TestAnsweredBeforeTheKill(t *testing.T) {
-	addr, host, stop, ended := dispatcherWith(t, 0, patient, nil, func(s *Server) { s.cfg.KilledAfter = 2 * time.Second })
+	addr, host, stop, ended := startDispatcherWith(t, 0, neverAnswers, nil, func(s *Server) { s.cfg.KilledAfter = 2 * time.Second })
 	unsafe, safe, half := nettest.Dial(t, addr), nettest.Dial(t, addr), nettest.Dial(t, addr)
 	unsafe.Post("/harvest-sale/x", "t1", "", "x")
 	safe.Post("/plot-load/x", "t2", "", "x")
@@ -340,17 +345,17 @@
 	assert.Empty(t, host.Calls)
 }
 
-// An answer that was decided as the loop ended, or as its client left, is the one that counts, also where the end is seen at
-// the same time.
-func TestAnswerAtTheEnd(t *testing.T) {
+// An answer that was decided as the loop ended, or as its client disconnected, is the one sent, even if the end is
+// noticed at the same time.
+func TestAnswerAtLoopStop(t *testing.T) {
 	for _, ends := range []string{"the loop", "the client"} {
-		for range 40 { // a random choice between the two would pass this with chance 2^-40
+		for range 40 { // a random choice between the two would pass with probability 2^-40
 			set := nettest.Settings(t)
 			core, err := dispatch.New(set.Policy, 1)
 			require.NoError(t, err)
 			answered := make(chan struct{})
-			up := &ending{}
-			l := loop.New(dispatch.NewChain(core, dispatch.Gates{}), set, up, none{}, loop.NewClock())
+			up := &stoppingUpstream{}
+			l := loop.New(dispatch.NewChain(core, dispatch.Gates{}), set, up, silentCluster{}, loop.NewClock())
 			l.Post(dispatch.HostList{Whole: true, Stale: true, Hosts: []dispatch.Host{{Name: "s-0000000a", Addr: "127.0.0.1:1", Scale: 1}}})
 			ctx, halt := context.WithCancel(t.Context())
 			client, leave := context.WithCancel(t.Context())
@@ -365,7 +370,7 @@
 			go func() { ended <- l.Run(ctx) }()
 			s := New(Config{}, set, l)
 			r := httptest.NewRequest("POST", "/plot-load", nil)
-			s.testHook = func(string, *http.Request) { // both are there before the handler looks
+			s.testHook = func(string, *http.Request) { // both are ready before the handler's select
 				nettest.Wait(t, answered)
 				if ends == "the loop" {
 					require.NoError(t, nettest.Wait(t, ended))
@@ -387,19 +392,19 @@
 	}
 }
 
-// ending is an upstream side whose answer ends the loop.
-type ending struct{ halt func() }
+// stoppingUpstream is an upstream side whose answer ends the loop.
+type stoppingUpstream struct{ halt func() }
 
-func (e *ending) Do(_ context.Context, _ *upstream.Request, w upstream.Watcher) {
+func (e *stoppingUpstream) Do(_ context.Context, _ *upstream.Request, w upstream.Watcher) {
 	w.Ended(upstream.Outcome{Result: policy.OK, Body: []byte("r")})
 	e.halt()
 }
 
-func (e *ending) Probe(context.Context, string) upstream.Outcome { return upstream.Outcome{} }
+func (e *stoppingUpstream) Probe(context.Context, string) upstream.Outcome { return upstream.Outcome{} }
 
-// A class may have any name that the settings give it, that of our own path too.
+// A class may have any name in the settings, also that of the dispatcher's own path /up.
 func TestClassNamedUp(t *testing.T) {
-	addr, _, _, _ := dispatcherWith(t, 0, nettest.Serve, nil, func(s *Server) { s.set.Classes["up"] = 0 })
+	addr, _, _, _ := startDispatcherWith(t, 0, nettest.Serve, nil, func(s *Server) { s.set.Classes["up"] = 0 })
 	c := nettest.Dial(t, addr)
 	c.Post("/up", "t1", "X-Qos: up\r\n", "x")
 	resp, got := c.Answer()
@@ -410,10 +415,10 @@
 	assert.Equal(t, 200, resp.StatusCode)
 }
 
-// Hosts know the repeat of a keyed class by the client's Idempotency-Key: it goes on as it came, and one that can't be
-// read one way alone does not.
+// Hosts identify retries of a keyed class by the client's Idempotency-Key: it is forwarded unchanged, and an
+// ambiguous one is rejected.
 func TestIdempotencyKey(t *testing.T) {
-	addr, host, _, _ := dispatcher(t, 0, nettest.Serve)
+	addr, host, _, _ := startDispatcher(t, 0, nettest.Serve)
 	c := nettest.Dial(t, addr)
 	c.Post("/plot-load/x", "t1", "idempotency-key: \"4021~ 06\"\r\n", "x")
 	c.Answer()
@@ -430,15 +435,16 @@
 	assert.Empty(t, host.Calls)
 }
 
-// A successor serves on the inherited socket just as one request has been read, another is half there and a connection
-// rests: the first two are answered here, the third is closed, and who comes now waits in the queue for the successor.
+// A successor serves on the inherited socket just as one request has been read, another is partly read and a
+// connection is idle: the first two are answered here, the third is closed, and new clients wait in the queue for the
+// successor.
 func TestHandoverCrossesRequests(t *testing.T) {
 	l := &slowListener{go_: make(chan struct{}), ended: make(chan struct{})}
 	close(l.go_)
 	read, release := make(chan struct{}, 9), make(chan struct{})
 	var server *Server
 	var successor net.Listener
-	addr, host, stop, ended := dispatcherWith(t, 0, nettest.Serve, nil, func(s *Server) {
+	addr, host, stop, ended := startDispatcherWith(t, 0, nettest.Serve, nil, func(s *Server) {
 		server, s.cfg.Inherited = s, 1
 		l.TCPListener, s.gate.Listener = s.gate.Listener.(*net.TCPListener), l
 		f, err := l.File()
@@ -459,7 +465,7 @@
 	rests.Answer()
 	half := nettest.Dial(t, addr)
 	half.Send("POST /harvest-sale/x HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t2\r\n")
-	require.Eventually(t, func() bool { // the half is read
+	require.Eventually(t, func() bool { // the partial request has been read
 		server.gate.mu.Lock()
 		defer server.gate.mu.Unlock()
 		for c := range server.gate.conns[awaitingHead] {
--- a/internal/net/downstream/jobs_test.go
+++ b/internal/net/downstream/jobs_test.go
@@ -17,18 +17,18 @@
 	"gaugeslip/internal/waiting"
 )
 
-// waitingRoom is a dispatcher with a waiting room.
-func waitingRoom(t *testing.T, script func(*nettest.Call), change func(*waiting.Limits)) (addr string, host *nettest.Peer,
+// startWithWaiting starts a dispatcher with a waiting queue.
+func startWithWaiting(t *testing.T, script func(*nettest.Call), change func(*waiting.Limits)) (addr string, host *nettest.Peer,
 	stop func(), ended chan struct{}) {
 	lim := waiting.Defaults()
 	if change != nil {
 		change(&lim)
 	}
-	return dispatcherWith(t, 0, script, &lim)
+	return startDispatcherWith(t, 0, script, &lim)
 }
 
-// job asks about a job until it is final, or once.
-func job(t *testing.T, addr, id, prefer string) (Job, *http.Response) {
+// getJob queries a job until it is final, or once.
+func getJob(t *testing.T, addr, id, prefer string) (Job, *http.Response) {
 	c := nettest.Dial(t, addr)
 	c.Send("GET /jobs/" + id + " HTTP/1.1\r\nHost: h\r\n" + prefer + "\r\n")
 	resp, text := c.Answer()
@@ -41,9 +41,10 @@
 
 const async = "Prefer: respond-async\r\n"
 
-// A job that lives on without its connection: promised, found by its id, told once it ends, its result kept.
-func TestLivesOn(t *testing.T) {
-	addr, host, _, _ := waitingRoom(t, nettest.Serve, nil)
+// A job that continues without its connection is accepted, found by its id, reported when it ends, and its result is
+// kept.
+func TestDetachedJob(t *testing.T) {
+	addr, host, _, _ := startWithWaiting(t, nettest.Serve, nil)
 	c := nettest.Dial(t, addr)
 	c.Post("/harvest-sale/7?q=1", "t1", async+"X-Not-Before-Ms: 100\r\nX-Due-Ms: 15000\r\n", "body")
 	resp, text := c.Answer()
@@ -51,21 +52,21 @@
 		resp.Header.Get("Preference-Applied")))
 	assert.JSONEq(t, `{"id":"t1","state":"waiting","attempts":0}`, text)
 	c.Close()
-	j, resp := job(t, addr, "t1", "Prefer: wait=20\r\n")
+	j, resp := getJob(t, addr, "t1", "Prefer: wait=20\r\n")
 	assert.Equal(t, "wait=20", resp.Header.Get("Preference-Applied"))
 	require.NotNil(t, j.Result)
 	assert.Equal(t, "served 200 harvest-sale 15000 1 body", fmt.Sprint(j.State, " ", j.Status, " ", j.Class, " ", j.DueMS,
 		" ", j.Attempts, " ", *j.Result))
-	again, _ := job(t, addr, "t1", "")
+	again, _ := getJob(t, addr, "t1", "")
 	assert.Equal(t, j, again, "one final state, however often it is asked for")
 	call := nettest.Wait(t, host.Calls)
 	assert.Equal(t, "/harvest-sale/7?q=1 t1 body", call.RequestURI+" "+call.Header.Get("X-Trace-Id")+" "+call.Text)
 	assert.Empty(t, host.Calls)
 }
 
-// A client that stays on the line has the host's answer there; one that prefers to wait a while first, too.
+// A client that keeps its connection gets the host's answer there; so does one that prefers to wait a while first.
 func TestAttachedWaits(t *testing.T) {
-	addr, _, _, _ := waitingRoom(t, nettest.Serve, nil)
+	addr, _, _, _ := startWithWaiting(t, nettest.Serve, nil)
 	for id, headers := range map[string]string{"t1": "X-Not-Before-Ms: 50\r\nX-Expires-In-Ms: 15000\r\n",
 		"t2": "Prefer: respond-async, wait=20\r\nX-Not-Before-Ms: 50\r\n"} {
 		c := nettest.Dial(t, addr)
@@ -79,10 +80,11 @@
 	assert.Equal(t, 429, resp.StatusCode, "a wait that can't fit")
 }
 
-// One job after another, and what becomes of those after one that fails; a fresh job can be waited for too.
-func TestAfter(t *testing.T) {
+// Jobs run after the jobs they depend on; checks what becomes of those that follow a failed job. A job that is not
+// waiting can be a dependency too.
+func TestDependencies(t *testing.T) {
 	order := make(chan string, 10)
-	addr, _, _, _ := waitingRoom(t, func(c *nettest.Call) {
+	addr, _, _, _ := startWithWaiting(t, func(c *nettest.Call) {
 		id := c.Header.Get("X-Trace-Id")
 		order <- id
 		if id == "bad" {
@@ -107,7 +109,7 @@
 	assert.Equal(t, 424, say("late", async+"X-After: bad\r\n"))
 	assert.Equal(t, 200, say("fresh", ""))
 	assert.Equal(t, 200, say("next", "X-After: third,fresh\r\nX-Expires-In-Ms: 20000\r\n"))
-	j, _ := job(t, addr, "stays", "")
+	j, _ := getJob(t, addr, "stays", "")
 	assert.Equal(t, "failed 424", fmt.Sprint(j.State, " ", j.Status))
 	close(order)
 	var all []string
@@ -118,9 +120,9 @@
 	assert.Less(t, strings.Index(fmt.Sprint(all), "first"), strings.Index(fmt.Sprint(all), "third"))
 }
 
-// Strict values, each error with its header; nothing is taken.
-func TestWaitHeaders(t *testing.T) {
-	addr, host, _, _ := waitingRoom(t, nettest.Serve, nil)
+// Header values are parsed strictly; each error names its header, and no job is accepted.
+func TestWaitingHeaders(t *testing.T) {
+	addr, host, _, _ := startWithWaiting(t, nettest.Serve, nil)
 	many := strings.Repeat("a,", 5) + "b,c,d,e,f,g,h,i,j,k,l,m,n,o,p,q"
 	n := 0
 	for headers, want := range map[string]string{
@@ -153,8 +155,8 @@
 	assert.Empty(t, host.Calls)
 }
 
-// What RFC 7240 says of Prefer: several headers are one list, names in any case, the first of a name counts, and what is
-// not understood is passed over.
+// RFC 7240 on Prefer: several headers form one list, names are case-insensitive, the first of a name counts, and
+// unknown ones are ignored.
 func TestPreferences(t *testing.T) {
 	for text, want := range map[string]preference{
 		"":                              {},
@@ -171,10 +173,10 @@
 	}
 }
 
-// Looking, calling off and listing: each status, by the book.
+// Checks each status of querying, cancelling and listing jobs.
 func TestJobsInterface(t *testing.T) {
 	hold := make(chan struct{})
-	addr, host, _, _ := waitingRoom(t, func(c *nettest.Call) { <-hold; nettest.Serve(c) }, nil)
+	addr, host, _, _ := startWithWaiting(t, func(c *nettest.Call) { <-hold; nettest.Serve(c) }, nil)
 	ask := func(line string) string {
 		c := nettest.Dial(t, addr)
 		c.Send(line + " HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -199,17 +201,17 @@
 		assert.Contains(t, ask(x.line), x.want, x.line)
 	}
 	close(hold)
-	j, _ := job(t, addr, "out", "Prefer: wait=20\r\n")
+	j, _ := getJob(t, addr, "out", "Prefer: wait=20\r\n")
 	assert.Equal(t, "served", j.State)
 }
 
-// A client that leaves while its job waits has called it off; nothing goes out.
+// A client that disconnects while its job waits cancels it; nothing is sent.
 func TestLeavesWhileWaiting(t *testing.T) {
-	addr, host, _, _ := waitingRoom(t, nettest.Serve, nil)
+	addr, host, _, _ := startWithWaiting(t, nettest.Serve, nil)
 	c := nettest.Dial(t, addr)
 	c.Post("/harvest-sale", "t1", "X-Not-Before-Ms: 10000\r\nX-Expires-In-Ms: 20000\r\n", "")
 	known := func(state string) func() bool {
-		return func() bool { j, _ := job(t, addr, "t1", ""); return j.State == state }
+		return func() bool { j, _ := getJob(t, addr, "t1", ""); return j.State == state }
 	}
 	require.Eventually(t, known("waiting"), nettest.Timeout, time.Millisecond)
 	c.Close()
@@ -217,9 +219,9 @@
 	assert.Empty(t, host.Calls)
 }
 
-// A full room says so, with advice.
-func TestRoomIsFull(t *testing.T) {
-	addr, _, _, _ := waitingRoom(t, nettest.Serve, func(l *waiting.Limits) { l.MaxJobs, l.ClientShare = 2, 1 })
+// A full queue refuses jobs with a Retry-After.
+func TestQueueIsFull(t *testing.T) {
+	addr, _, _, _ := startWithWaiting(t, nettest.Serve, func(l *waiting.Limits) { l.MaxJobs, l.ClientShare = 2, 1 })
 	c := nettest.Dial(t, addr)
 	status := func(id string) string {
 		c.Post("/plot-load", id, async+"X-Not-Before-Ms: 60000\r\n", "")
@@ -231,13 +233,13 @@
 	assert.Regexp(t, `^503 \d+`, status("c"))
 }
 
-// SIGTERM: who is on the line has an answer, who asks has one, and a job that is out may end.
+// After SIGTERM connected clients and pending queries get an answer, and a job at a host may end.
 func TestStopsWithWaitingJobs(t *testing.T) {
 	before := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // the last of all
+	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // runs after all other cleanups
 	hold := make(chan struct{})
 	lim := waiting.Defaults()
-	addr, host, stop, ended := dispatcherWith(t, 0, func(c *nettest.Call) { <-hold; nettest.Serve(c) }, &lim)
+	addr, host, stop, ended := startDispatcherWith(t, 0, func(c *nettest.Call) { <-hold; nettest.Serve(c) }, &lim)
 	line, asks, out := nettest.Dial(t, addr), nettest.Dial(t, addr), nettest.Dial(t, addr)
 	line.Post("/plot-load", "line", "X-Not-Before-Ms: 15000\r\nX-Expires-In-Ms: 20000\r\n", "")
 	out.Post("/harvest-sale", "out", async, "")
@@ -245,7 +247,7 @@
 	assert.Equal(t, 202, resp.StatusCode)
 	nettest.Wait(t, host.Calls)
 	asks.Send("GET /jobs/out HTTP/1.1\r\nHost: h\r\nPrefer: wait=60\r\n\r\n")
-	require.Eventually(t, func() bool { j, _ := job(t, addr, "line", ""); return j.State == "waiting" }, nettest.Timeout,
+	require.Eventually(t, func() bool { j, _ := getJob(t, addr, "line", ""); return j.State == "waiting" }, nettest.Timeout,
 		time.Millisecond)
 	stop()
 	resp, _ = line.Answer()
@@ -261,18 +263,18 @@
 	nettest.Wait(t, ended)
 }
 
-// A panic in the decisions fails what was before the module; what only waits goes on.
-func TestPanicLeavesTheRoom(t *testing.T) {
-	addr, host, _, _ := waitingRoom(t, nettest.Serve, nil)
+// A panic in the core fails the jobs that it was handling; jobs that only wait stay in the queue.
+func TestPanicKeepsWaitingJobs(t *testing.T) {
+	addr, host, _, _ := startWithWaiting(t, nettest.Serve, nil)
 	c := nettest.Dial(t, addr)
 	c.Post("/plot-load", "waits", async+"X-Not-Before-Ms: 1000\r\n", "body")
 	resp, _ := c.Answer()
 	assert.Equal(t, 202, resp.StatusCode)
 	wrong := &loop.Ticket{Arrived: time.Now()}
 	wrong.Job.Class, wrong.Job.Budget, wrong.Forward.TraceID = 99, time.Second, "wrong"
-	require.NoError(t, running.Submit(wrong)) // no such class: it panics
+	require.NoError(t, lastLoop.Submit(wrong)) // an unknown class makes the core panic
 	assert.Equal(t, loop.Answer{}, nettest.Wait(t, wrong.Answer()))
-	j, _ := job(t, addr, "waits", "Prefer: wait=20\r\n")
+	j, _ := getJob(t, addr, "waits", "Prefer: wait=20\r\n")
 	assert.Equal(t, "served", j.State)
 	nettest.Wait(t, host.Calls)
 }
--- a/internal/net/loop/endings_test.go
+++ b/internal/net/loop/endings_test.go
@@ -17,19 +17,19 @@
 	"gaugeslip/policy"
 )
 
-// A host drains while a request for it still waits for its connection: the request is told so, and goes to another host as
-// one that never ran. Its client stays, and hears of none of this.
+// A host drains while a request for it is still connecting: the request is cancelled and goes to another host as one
+// that never ran. Its client stays connected and does not notice.
 func TestDrainWhileConnecting(t *testing.T) {
-	l, s := run(t)
+	l, s := startTestLoop(t)
 	k := submit(t, l, 1, 15*time.Second)
-	x := nettest.Wait(t, s.sends) // held in its connect
+	x := nettest.Wait(t, s.sends) // blocked in its connect
 	require.NoError(t, x.Client.Err())
 	drains, other := host, dispatch.Host{Name: "s-0000000b", Addr: "127.0.0.1:2", Scale: 1}
 	drains.State = policy.Draining
 	l.Post(dispatch.HostList{Version: 6, Hosts: []dispatch.Host{drains, other}})
 	nettest.Wait(t, x.Client.Done())
 	require.NoError(t, x.ctx.Err(), "one that has been written goes on")
-	x.end <- upstream.Outcome{Result: policy.Full} // NeverSent stands for a panic at this side
+	x.end <- upstream.Outcome{Result: policy.Full} // this fake panics on NeverSent
 	next := nettest.Wait(t, s.sends)
 	assert.Equal(t, other.Addr, next.Addr)
 	require.NoError(t, next.Client.Err())
@@ -37,10 +37,10 @@
 	assert.True(t, nettest.Wait(t, k.Answer()).Served)
 }
 
-// Discovery goes down and comes back with a drain at once: nothing is sent to that host, whether its news come while the
-// module still waits to ask or on the new watch.
-func TestDrainAtDiscoverysReturn(t *testing.T) {
-	l, s := run(t)
+// Discovery fails and returns with a drain at once: nothing is sent to that host, whether the list arrives while the
+// core waits before it asks again or on the new watch.
+func TestDrainWhenDiscoveryReturns(t *testing.T) {
+	l, s := startTestLoop(t)
 	assert.Equal(t, uint64(5), nettest.Wait(t, s.watches))
 	s.breaks <- errors.New("down")
 	assert.Equal(t, uint64(5), nettest.Wait(t, s.watches), "it asks again")
@@ -51,14 +51,14 @@
 	assert.Empty(t, s.sends)
 }
 
-// A client leaves while a full queue still keeps its handler, which can't tell the loop: the loop decides to send its job,
-// and yet nothing goes out. The loop is held back until the client has left; what came behind the job is served.
-func TestLeavesBeforeTheQueue(t *testing.T) {
+// A client disconnects while a full queue blocks its handler, which cannot report it: the loop decides to send its
+// job, but nothing is sent. The loop is not started until the client has disconnected; the job behind it is served.
+func TestDisconnectBeforeQueue(t *testing.T) {
 	peer := nettest.Listen(t, nettest.Serve)
 	set := nettest.Settings(t)
 	core, err := dispatch.New(set.Policy, 1)
 	require.NoError(t, err)
-	s := &side{make(chan *sent, 9), make(chan uint64, 9), make(chan error)}
+	s := &fakeUpstream{make(chan *pendingSend, 9), make(chan uint64, 9), make(chan error)}
 	pool := upstream.NewPool(upstream.Config{ConnectTimeout: time.Second, ConnIdle: time.Minute, Settle: time.Millisecond, MaxConns: 9})
 	l := New(dispatch.NewChain(core, dispatch.Gates{}), set, pool, s, NewClock())
 	at := host
@@ -80,24 +80,24 @@
 		require.Eventually(t, func() bool { return l.Held() == int64(i+1) }, nettest.Timeout, time.Millisecond)
 	}
 	leave()
-	end := start(t, l)
+	end := startLoop(t, l)
 	require.NoError(t, nettest.Wait(t, in))
 	require.NoError(t, nettest.Wait(t, in))
 	assert.True(t, nettest.Wait(t, stays.Answer()).Served)
-	assert.False(t, nettest.Wait(t, left.Answer()).Served, "its handler has not said yet that it left")
+	assert.False(t, nettest.Wait(t, left.Answer()).Served, "its handler has not reported the disconnect yet")
 	l.Release(left, true)
 	end()
 	require.Len(t, peer.Calls, 1)
 	assert.Equal(t, "t1", (<-peer.Calls).Header.Get("X-Trace-Id"))
 }
 
-// Discovery comes back having begun its versions anew, with a host gone that it does not name: nothing more is sent there,
-// and the next watch goes on from the version that it told, not from one that it has yet to reach.
-func TestDiscoveryBeginsAnew(t *testing.T) {
+// Discovery returns with its versions restarted and no longer names one host: nothing more is sent to that host, and
+// the next watch continues from the new version, not from the old, higher one.
+func TestDiscoveryRestartsVersions(t *testing.T) {
 	entry := func(id string) string {
 		return fmt.Sprintf(`{"host":"s-%s","dial":"127.0.0.1:1%s","health":"in_service","share":1}`, id, id[6:])
 	}
-	next := make(chan string) // the list that a watch tells; empty: it ends
+	next := make(chan string) // the list that a watch sends; empty: the watch ends
 	discovery := nettest.Listen(t, func(c *nettest.Call) {
 		c.WriteText(nettest.Chunks())
 		for text := range next {
@@ -112,10 +112,10 @@
 	set := nettest.Settings(t)
 	core, err := dispatch.New(set.Policy, 1)
 	require.NoError(t, err)
-	s := &side{make(chan *sent, 9), nil, nil}
+	s := &fakeUpstream{make(chan *pendingSend, 9), nil, nil}
 	l := New(dispatch.NewChain(core, dispatch.Gates{}), set, s, &cluster.Discovery{Addr: discovery.Addr, StallTimeout: time.Minute, Settings: set}, NewClock())
 	l.Post(dispatch.HostList{Version: 41, Whole: true, Stale: true, Hosts: []dispatch.Host{{Name: "s-0000000a", Addr: "127.0.0.1:10a", Scale: 1}}})
-	defer start(t, l)()
+	defer startLoop(t, l)()
 	assert.Equal(t, "41", nettest.Wait(t, discovery.Calls).URL.Query().Get("index"))
 	next <- ""
 	assert.Equal(t, "41", nettest.Wait(t, discovery.Calls).URL.Query().Get("index"))
@@ -138,17 +138,17 @@
 	assert.True(t, nettest.Wait(t, k.Answer()).Refused, "the one that is left has gone")
 }
 
-// Where lists are pushed the loop watches without being asked, from the newest list that it begins with on, and once more
-// when a panic has ended the watch with the module.
+// If lists are pushed, the loop watches without a request of the core, starting after the newest list that it knows,
+// and again when a panic has ended the watch together with the core.
 func TestPushedIsWatched(t *testing.T) {
-	s := &side{make(chan *sent, 9), make(chan uint64, 9), make(chan error)}
+	s := &fakeUpstream{make(chan *pendingSend, 9), make(chan uint64, 9), make(chan error)}
 	set := nettest.Settings(t)
 	set.Policy.Ask = false
 	core, err := dispatch.New(set.Policy, 1)
 	require.NoError(t, err)
 	l := New(dispatch.NewChain(core, dispatch.Gates{}), set, s, s, NewClock())
 	l.Post(dispatch.HostList{Version: 5, Whole: true, Stale: true, Hosts: []dispatch.Host{host}})
-	end := start(t, l)
+	end := startLoop(t, l)
 	assert.Equal(t, uint64(5), nettest.Wait(t, s.watches))
 	assert.Equal(t, Answer{}, nettest.Wait(t, submit(t, l, 99, 15*time.Second).Answer()), "no such class: it panics")
 	assert.Equal(t, uint64(5), nettest.Wait(t, s.watches))
--- a/internal/net/loop/loop_test.go
+++ b/internal/net/loop/loop_test.go
@@ -17,23 +17,23 @@
 	"gaugeslip/policy"
 )
 
-// sent is an upstream request that the fake upstream side holds until the test ends it.
-type sent struct {
+// pendingSend is an upstream request that the fake upstream side holds until the test ends it.
+type pendingSend struct {
 	upstream.Watcher
 	*upstream.Request
 	ctx context.Context
 	end chan upstream.Outcome
 }
 
-// side stands for the upstream side and the cluster.
-type side struct {
-	sends   chan *sent
+// fakeUpstream stands for the upstream side and the cluster.
+type fakeUpstream struct {
+	sends   chan *pendingSend
 	watches chan uint64
 	breaks  chan error
 }
 
-func (s *side) Do(ctx context.Context, q *upstream.Request, w upstream.Watcher) {
-	x := &sent{w, q, ctx, make(chan upstream.Outcome)}
+func (s *fakeUpstream) Do(ctx context.Context, q *upstream.Request, w upstream.Watcher) {
+	x := &pendingSend{w, q, ctx, make(chan upstream.Outcome)}
 	s.sends <- x
 	select {
 	case o := <-x.end:
@@ -46,9 +46,9 @@
 	}
 }
 
-func (s *side) Probe(context.Context, string) upstream.Outcome { return upstream.Outcome{} }
+func (s *fakeUpstream) Probe(context.Context, string) upstream.Outcome { return upstream.Outcome{} }
 
-func (s *side) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
+func (s *fakeUpstream) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
 	s.watches <- after
 	select {
 	case err := <-s.breaks:
@@ -60,20 +60,20 @@
 
 var host = dispatch.Host{Name: "s-0000000a", Addr: "127.0.0.1:1", Scale: 1}
 
-// run starts a loop with one known host; it must end with the test and leave nothing behind.
-func run(t *testing.T) (*Loop, *side) {
-	s := &side{make(chan *sent, 9), make(chan uint64, 9), make(chan error)}
+// startTestLoop starts a loop with one known host. The loop must end with the test and leave no goroutine behind.
+func startTestLoop(t *testing.T) (*Loop, *fakeUpstream) {
+	s := &fakeUpstream{make(chan *pendingSend, 9), make(chan uint64, 9), make(chan error)}
 	set := nettest.Settings(t)
 	core, err := dispatch.New(set.Policy, 1)
 	require.NoError(t, err)
 	l := New(dispatch.NewChain(core, dispatch.Gates{}), set, s, s, NewClock())
 	l.Post(dispatch.HostList{Version: 5, Whole: true, Stale: true, Hosts: []dispatch.Host{host}})
-	start(t, l)
+	startLoop(t, l)
 	return l, s
 }
 
-// start runs a loop until end is called or the test ends; it must leave nothing behind.
-func start(t testing.TB, l *Loop) (end func()) {
+// startLoop runs a loop until end is called or the test ends. The loop must leave no goroutine behind.
+func startLoop(t testing.TB, l *Loop) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- l.Run(ctx) }()
@@ -92,9 +92,9 @@
 	return k
 }
 
-// The first result reaches the client as it comes, and nothing that comes after it.
-func TestServesOnce(t *testing.T) {
-	l, s := run(t)
+// The first result reaches the client at once; later ones are dropped.
+func TestOneAnswerPerJob(t *testing.T) {
+	l, s := startTestLoop(t)
 	k := submit(t, l, 0, 15*time.Second)
 	x := nettest.Wait(t, s.sends)
 	assert.Equal(t, host.Addr+" t1", x.Addr+" "+x.TraceID)
@@ -108,9 +108,9 @@
 	assert.Empty(t, k.Answer())
 }
 
-// What may have run has failed; what can be repeated is refused with the module's advice, at once.
+// A job that may have run fails; one that can be retried is refused at once, with the core's Retry-After.
 func TestLocalReplies(t *testing.T) {
-	l, s := run(t)
+	l, s := startTestLoop(t)
 	for class, want := range []Answer{{Refused: true, RetryAfter: 1500 * time.Millisecond}, {}} {
 		k := submit(t, l, class, 15*time.Second)
 		for range l.set.Policy.MaxAttempts {
@@ -123,13 +123,13 @@
 		}
 		assert.Equal(t, want, nettest.Wait(t, k.Answer()))
 	}
-	k := submit(t, l, 1, time.Millisecond) // too little time to be worth anything: it never ran
+	k := submit(t, l, 1, time.Millisecond) // too little time to be sent: it never ran
 	assert.True(t, nettest.Wait(t, k.Answer()).Refused)
 }
 
-// An upstream request goes on when its client has left: the module counts on its outcome.
+// An upstream request continues after its client has disconnected: the core needs its outcome.
 func TestClientLeaves(t *testing.T) {
-	l, s := run(t)
+	l, s := startTestLoop(t)
 	k := submit(t, l, 0, 15*time.Second)
 	x := nettest.Wait(t, s.sends)
 	l.Release(k, true)
@@ -140,9 +140,9 @@
 	assert.True(t, nettest.Wait(t, next.Answer()).Served)
 }
 
-// As many requests as the settings allow are held, and room comes back.
-func TestMostHeld(t *testing.T) {
-	l, _ := run(t)
+// No more requests are held than the settings allow, and released ones make room.
+func TestMaxOpenRequests(t *testing.T) {
+	l, _ := startTestLoop(t)
 	l.set.MostHeld = 1
 	k := submit(t, l, 0, 15*time.Second)
 	require.ErrorIs(t, l.Submit(&Ticket{}), ErrFull)
@@ -150,7 +150,7 @@
 	submit(t, l, 0, 15*time.Second)
 }
 
-// An id is taken until its request's time is up, answered or not, and free again after that.
+// An id is reserved until its request's budget is used up, answered or not, and free again after that.
 func TestIDs(t *testing.T) {
 	s, now := idTable{expiry: map[string]time.Time{}}, time.Now()
 	require.NoError(t, s.claim("a", now, time.Second))
@@ -163,37 +163,37 @@
 	require.NoError(t, s.claim("b", now.Add(4*time.Second), time.Second))
 }
 
-// Each broken watch makes one loss, and the module asks again after the version it has.
+// Each broken watch causes one ListLost, and the core asks again after the version that it has.
 func TestWatchesAgain(t *testing.T) {
-	l, s := run(t)
+	l, s := startTestLoop(t)
 	assert.Equal(t, uint64(5), nettest.Wait(t, s.watches))
 	l.Post(dispatch.HostList{Version: 6})
 	s.breaks <- errors.New("broken")
 	assert.Equal(t, uint64(6), nettest.Wait(t, s.watches))
 }
 
-// A move begins a watch on the new source at once, after the newest version, and the end of the old watch is no
-// loss. So it does while the module waits to ask again.
+// Move starts a watch on the new source at once, after the newest version, and the end of the old watch causes no
+// ListLost. This also holds while the core waits before it asks again.
 func TestMove(t *testing.T) {
-	l, s := run(t)
+	l, s := startTestLoop(t)
 	assert.Equal(t, uint64(5), nettest.Wait(t, s.watches))
 	l.Post(dispatch.HostList{Version: 7})
-	next := &side{watches: make(chan uint64, 9), breaks: make(chan error)}
+	next := &fakeUpstream{watches: make(chan uint64, 9), breaks: make(chan error)}
 	l.Move(next)
 	assert.Equal(t, uint64(7), nettest.Wait(t, next.watches))
-	third := &side{watches: make(chan uint64, 9), breaks: make(chan error)}
+	third := &fakeUpstream{watches: make(chan uint64, 9), breaks: make(chan error)}
 	next.breaks <- errors.New("broken")
 	l.Move(third)
 	nettest.Wait(t, third.watches)
 	assert.Empty(t, s.watches)
 
-	k := submit(t, l, 0, time.Millisecond) // the loop has taken in what came before its answer
+	k := submit(t, l, 0, time.Millisecond) // its answer shows that the loop has processed everything before
 	nettest.Wait(t, k.Answer())
 	assert.Empty(t, third.watches)
 }
 
-// What a watch tells after a newer one has begun would set the list back.
-func TestOldWatchIsNotHeard(t *testing.T) {
+// Messages of a watch that arrive after a newer one has started would set the list back.
+func TestOldWatchIsIgnored(t *testing.T) {
 	l := &Loop{watchNumber: 2, cancelWatch: func() {}}
 	for watch, want := range []int{1, 0, 1, 0} {
 		assert.Len(t, l.receive(nil, envelope{msg: dispatch.HostList{}, watch: uint64(watch)}), want)
@@ -202,13 +202,12 @@
 	assert.Empty(t, l.receive(nil, envelope{msg: dispatch.ListLost{}, watch: 2}), "one loss a watch")
 }
 
-// A panic in the decisions fails what is open and no more: the loop goes on with a new module that knows
-// the hosts.
+// A panic in the core fails the open jobs only: the loop continues with a new core that knows the hosts.
 func TestPanicInDecisions(t *testing.T) {
-	l, s := run(t)
+	l, s := startTestLoop(t)
 	k := submit(t, l, 1, 15*time.Second)
 	x := nettest.Wait(t, s.sends)
-	wrong := submit(t, l, 99, 15*time.Second) // no such class: it panics
+	wrong := submit(t, l, 99, 15*time.Second) // an unknown class makes the core panic
 	assert.Equal(t, Answer{}, nettest.Wait(t, k.Answer()))
 	assert.Equal(t, Answer{}, nettest.Wait(t, wrong.Answer()))
 	nettest.Wait(t, x.ctx.Done())
@@ -217,15 +216,15 @@
 	assert.True(t, nettest.Wait(t, next.Answer()).Served)
 }
 
-// A panic in socket code is a lost connection to the module, and the client gets its answer.
+// A panic in socket code counts as a lost connection, and the client gets its answer.
 func TestPanicInSocketCode(t *testing.T) {
-	l, s := run(t)
+	l, s := startTestLoop(t)
 	k := submit(t, l, 1, 15*time.Second)
-	nettest.Wait(t, s.sends).end <- upstream.Outcome{Result: policy.NeverSent} // it panics instead
+	nettest.Wait(t, s.sends).end <- upstream.Outcome{Result: policy.NeverSent} // the fake panics on NeverSent
 	assert.Equal(t, Answer{}, nettest.Wait(t, k.Answer()))
 }
 
-// Starts that the cluster tells in Unix time and deadlines share one mapping.
+// The start times of hosts (Unix time) and the deadlines share one mapping.
 func TestClock(t *testing.T) {
 	c := NewClock()
 	now := time.Now()
--- a/internal/net/upstream/endings_test.go
+++ b/internal/net/upstream/endings_test.go
@@ -16,11 +16,11 @@
 	"gaugeslip/policy"
 )
 
-// The instants at which an upstream request or its connection ends while something is still owed. In each one side is
-// held at the instant.
+// Races in which an upstream request or its connection ends while an outcome is pending. Each test blocks one side at that
+// instant.
 
-// raw is a host that hands each connection to the test, which plays it by hand.
-func raw(t *testing.T) (addr string, conns <-chan net.Conn) {
+// listenRaw starts a host that hands each connection to the test, which plays the host's side.
+func listenRaw(t *testing.T) (addr string, conns <-chan net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	c := make(chan net.Conn, 9)
@@ -37,15 +37,16 @@
 	return ln.Addr().String(), c
 }
 
-// A connection to a host may come up late, after the client has left: nothing is sent on it, and its place comes back.
+// The connect to a host may succeed after the client has disconnected: nothing is sent on the connection, and its
+// place in the pool is released.
 func TestClientLeavesDuringConnect(t *testing.T) {
-	addr, conns := raw(t)
+	addr, conns := listenRaw(t)
 	for _, once := range []bool{false, true} {
 		p := pool(time.Minute)
 		p.cfg.Settle = time.Millisecond
 		client, leave := context.WithCancel(t.Context())
 		p.dial = func(_ context.Context, network, addr string) (net.Conn, error) {
-			leave() // and comes up all the same
+			leave() // the connect still succeeds
 			return net.Dial(network, addr)
 		}
 		q := request(addr)
@@ -57,7 +58,7 @@
 	}
 }
 
-// The connect itself ends when the client leaves.
+// The connect itself ends when the client disconnects.
 func TestConnectEndsWithItsClient(t *testing.T) {
 	p := pool(time.Minute)
 	client, leave := context.WithCancel(t.Context())
@@ -68,15 +69,16 @@
 	}
 	q := request("127.0.0.1:1")
 	q.Client = client
-	ended := make(chan *heard, 1)
+	ended := make(chan *recorder, 1)
 	go func() { ended <- do(t.Context(), p, q) }()
 	assert.Equal(t, policy.NeverSent, nettest.Wait(t, ended).result())
 	assert.Zero(t, p.connCount)
 }
 
-// The settle time before the last byte of a request that must not run twice: the host has all but that byte, and then its
-// client leaves, or it speaks as if it had the whole request, which can only be for another. The last byte never comes.
-func TestSettleBreaks(t *testing.T) {
+// During the settle time the host has all but the last byte of a request that must not run twice. Then its client
+// disconnects, or the host sends data as if it had the complete request, which can only be for another one. The last
+// byte is never sent.
+func TestSettleTimeInterrupted(t *testing.T) {
 	for name, c := range map[string]struct {
 		kept bool
 		say  string
@@ -89,7 +91,7 @@
 		"a late refusal for another, kept": {true, status("503 No", "X-Never-Ran: 1\r\n"), policy.NeverSent},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, conns := raw(t)
+			addr, conns := listenRaw(t)
 			p := pool(time.Minute)
 			var host net.Conn
 			if c.kept {
@@ -99,12 +101,12 @@
 				io.WriteString(host, nettest.Chunked(done))
 				require.Eventually(t, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(p.idle[addr]) == 1 }, nettest.Timeout, time.Millisecond)
 			}
-			p.cfg.Settle = 2 * time.Second // all of it only where the fault is there
+			p.cfg.Settle = 2 * time.Second // used up only if the fault is present
 			client, leave := context.WithCancel(t.Context())
 			defer leave()
 			q := request(addr)
 			q.Once, q.Client = true, client
-			ended := make(chan *heard, 1)
+			ended := make(chan *recorder, 1)
 			go func() { ended <- do(t.Context(), p, q) }()
 			if host == nil {
 				host = nettest.Wait(t, conns)
@@ -121,7 +123,7 @@
 	}
 }
 
-// readBody reads a request from a host's side up to the given part of its body.
+// readBody reads a request on the host's side up to the first n bytes of its body.
 func readBody(t *testing.T, host net.Conn, n int) {
 	t.Helper()
 	host.SetReadDeadline(time.Now().Add(nettest.Timeout))
@@ -132,15 +134,16 @@
 	}
 }
 
-// A client that leaves after the last byte changes nothing for the request: it is out, and its outcome is heard.
+// A client that disconnects after the last byte changes nothing for the request: it continues, and its outcome is
+// reported.
 func TestClientLeavesAfterLastByte(t *testing.T) {
-	addr, conns := raw(t)
+	addr, conns := listenRaw(t)
 	p := pool(time.Minute)
 	client, leave := context.WithCancel(t.Context())
 	p.cfg.Written = leave
 	q := request(addr)
 	q.Client = client
-	ended := make(chan *heard, 1)
+	ended := make(chan *recorder, 1)
 	go func() { ended <- do(t.Context(), p, q) }()
 	host := nettest.Wait(t, conns)
 	readBody(t, host, 4)
@@ -149,12 +152,12 @@
 	assert.Len(t, p.idle[addr], 1, "the connection is as good as before")
 }
 
-// A second answer comes when its connection has been lent again: it must not pass for an answer to the next job, least of
-// all as proof that this one never ran. A connection rests after a job's answer; another is opened meanwhile. Probes,
-// whose answers come once, leave it ready at once.
+// A second answer to a job may arrive after its connection has been reused. It must not be taken for an answer to the
+// next job, least of all as proof that this one never ran. So a connection is not reused for a while after a job's
+// answer, and another one is opened meanwhile. After a probe, which has only one answer, it is reused at once.
 func TestLateSecondAnswer(t *testing.T) {
 	host := nettest.Listen(t, func(c *nettest.Call) {
-		if c.Index > 0 && c.Method == http.MethodPost { // held back until the connection is lent again
+		if c.Index > 0 && c.Method == http.MethodPost { // held back until the connection is reused
 			c.WriteText(status("503 No", "X-Never-Ran: 1\r\n"))
 		}
 		if c.Method == http.MethodGet {
@@ -186,8 +189,9 @@
 	assert.Equal(t, 1, p.connCount)
 }
 
-// Answers of 1xx come before the one that counts: taken for it, they would leave that to the connection's next request.
-func TestEarlyAnswers(t *testing.T) {
+// Informational (1xx) answers precede the final one. If one were taken as final, the connection's next request would
+// get the real answer.
+func TestInformationalAnswers(t *testing.T) {
 	for text, want := range map[string]policy.Result{
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + nettest.Chunked(done): policy.OK,
 		strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 50):                                              policy.ConnectionLost,
@@ -200,7 +204,7 @@
 	}
 }
 
-// A head without end is given up when it is too long, not when the memory or the client's time is used up.
+// A head without end is aborted when it is too long, not when the memory or the client's time is used up.
 func TestEndlessHead(t *testing.T) {
 	for _, text := range []string{"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 4<<10),
 		"HTTP/1.1 200 " + strings.Repeat("x", 4<<10)} {
@@ -212,46 +216,47 @@
 			}
 		})
 		p := pool(time.Minute)
-		ended := make(chan *heard, 1)
+		ended := make(chan *recorder, 1)
 		go func() { ended <- do(t.Context(), p, request(host.Addr)) }()
 		assert.Equal(t, policy.ConnectionLost, nettest.Wait(t, ended).result())
 		assert.Zero(t, p.connCount)
 	}
 }
 
-// leaver ends a context as the answer's last line but one is heard, with the last line read already.
-type leaver struct {
-	*heard
+// cancelOnProgress ends a context at the line before the last one of an answer, when the last line has already been
+// read.
+type cancelOnProgress struct {
+	*recorder
 	end func()
 }
 
-func (l *leaver) Progress(float64) { l.end() }
+func (l *cancelOnProgress) Progress(float64) { l.end() }
 
-// The time runs out as the last line arrives: the answer that is there counts, and the connection goes.
+// The deadline passes as the last line arrives: the answer counts, and the connection is closed.
 func TestTimeOutAtLastLine(t *testing.T) {
 	host := nettest.Listen(t, func(c *nettest.Call) {
 		c.WriteText(nettest.Chunked(`{"id":"t1","state":"running","share":0.9}`, done))
 	})
 	p := pool(time.Minute)
 	ctx, cancel := context.WithCancel(t.Context())
-	h := &leaver{newHeard(), cancel}
+	h := &cancelOnProgress{newRecorder(), cancel}
 	p.Do(ctx, request(host.Addr), h)
 	assert.Equal(t, policy.OK, h.result())
 	assert.Len(t, h.ended, 1)
 	assert.Zero(t, p.connCount)
 }
 
-// An answer that does not end after its last line holds nothing up for longer than its request may take.
+// An answer that does not end after its last line delays nothing for longer than its request's deadline.
 func TestAnswerWithoutEnd(t *testing.T) {
 	host := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks(done)) })
 	p := pool(time.Minute)
 	p.drainTimeout = time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
-	h := newHeard()
+	h := newRecorder()
 	p.dial = func(_ context.Context, network, addr string) (net.Conn, error) {
 		nc, err := net.Dial(network, addr)
-		return &reads{nc, func() {
-			if len(h.ended) > 0 { // the read for the answer's end begins
+		return &readHookConn{nc, func() {
+			if len(h.ended) > 0 { // the read for the end of the answer begins
 				cancel()
 			}
 		}}, err
@@ -264,17 +269,17 @@
 	assert.Zero(t, p.connCount)
 }
 
-// reads is a connection that tells before each read.
-type reads struct {
+// readHookConn is a connection that calls a hook before each read.
+type readHookConn struct {
 	net.Conn
 	before func()
 }
 
-func (r *reads) Read(b []byte) (int, error) { r.before(); return r.Conn.Read(b) }
+func (r *readHookConn) Read(b []byte) (int, error) { r.before(); return r.Conn.Read(b) }
 
-// An idle connection that is taken while others are retired, or evicted for room, is one or the other, and its place
-// comes back once.
-func TestTakenIsNotRetired(t *testing.T) {
+// An idle connection that is taken from the pool while others are closed as idle or evicted is either taken or
+// closed, and its place is released once.
+func TestTakenConnectionIsNotClosed(t *testing.T) {
 	host := nettest.Listen(t, answer)
 	p := pool(time.Minute)
 	do(t.Context(), p, request(host.Addr))
--- a/internal/net/upstream/upstream_test.go
+++ b/internal/net/upstream/upstream_test.go
@@ -18,18 +18,18 @@
 	"gaugeslip/policy"
 )
 
-// heard is a Watcher that keeps what it hears.
-type heard struct {
+// recorder is a Watcher that records its events.
+type recorder struct {
 	started  chan struct{}
 	progress []float64
 	ended    []Outcome
 }
 
-func newHeard() *heard                 { return &heard{started: make(chan struct{}, 9)} }
-func (h *heard) Started()              { h.started <- struct{}{} }
-func (h *heard) Progress(s float64)    { h.progress = append(h.progress, s) }
-func (h *heard) Ended(o Outcome)       { h.ended = append(h.ended, o) }
-func (h *heard) result() policy.Result { return h.ended[0].Result }
+func newRecorder() *recorder              { return &recorder{started: make(chan struct{}, 9)} }
+func (h *recorder) Started()              { h.started <- struct{}{} }
+func (h *recorder) Progress(s float64)    { h.progress = append(h.progress, s) }
+func (h *recorder) Ended(o Outcome)       { h.ended = append(h.ended, o) }
+func (h *recorder) result() policy.Result { return h.ended[0].Result }
 
 func pool(idle time.Duration) *Pool {
 	return NewPool(Config{ConnectTimeout: nettest.Timeout, ConnIdle: idle, ProbeTimeout: nettest.Timeout, MaxConns: 4})
@@ -40,24 +40,24 @@
 		Body: []byte("body")}
 }
 
-func do(ctx context.Context, p *Pool, q *Request) *heard {
-	h := newHeard()
+func do(ctx context.Context, p *Pool, q *Request) *recorder {
+	h := newRecorder()
 	p.Do(ctx, q, h)
 	return h
 }
 
-// status is an answer without a body.
+// status returns an answer without a body.
 func status(line, headers string) string {
 	return "HTTP/1.1 " + line + "\r\n" + headers + "Content-Length: 0\r\n\r\n"
 }
 
 const done = `{"id":"t1","from":"h","state":"done","result":"r\u00e9s"}`
 
-// The protocol's table: what each answer proves.
+// Checks the result for each kind of answer in the protocol.
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		say  string
-		then string // what the host does after it: close, or nothing
+		then string // what the host does after the answer: close, or nothing
 		want policy.Result
 	}{
 		"done":               {nettest.Chunked(done), "", policy.OK},
@@ -96,7 +96,7 @@
 	}
 }
 
-// What is passed on: method, path, query, body and id as they are, and the time that is left.
+// Method, path, query, body and id are forwarded unchanged, with the remaining time.
 func TestForwards(t *testing.T) {
 	host := nettest.Listen(t, func(c *nettest.Call) {
 		c.WriteText(nettest.Chunked(`{"id":"t1","state":"started"}`, `{"id":"t1","state":"running","share":0.5}`,
@@ -116,19 +116,19 @@
 	assert.Equal(t, Report{"queue": 2}, h.ended[0].Load)
 }
 
-// A connection that can't be had proves that the job never ran.
+// A refused connection proves that the job never ran.
 func TestRefusedConnection(t *testing.T) {
 	h := do(t.Context(), pool(time.Minute), request(freeporttest.Address(t)))
 	assert.Equal(t, policy.ConnectFailed, h.result())
 }
 
-// A connection that breaks as the request comes: where a job must not run twice its last byte was held back, so that
-// it provably never ran. A kept connection's break is no word against the host.
-func TestBreaksAsTheRequestComes(t *testing.T) {
+// A connection breaks while the request is being sent. If the job must not run twice, its last byte was held back, so
+// that it provably never ran. The break of a reused connection is no evidence against its host.
+func TestConnectionBreaksDuringRequest(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	answers := make(chan int, 9) // how many requests a connection answers before it breaks at the next one's first byte
+	answers := make(chan int, 9) // number of requests a connection answers before it breaks at the next one's first byte
 	go func() {
 		for n := range answers {
 			c, err := ln.Accept()
@@ -166,7 +166,7 @@
 	}
 }
 
-// The byte that was held back follows where nothing breaks, and not where the time has run out meanwhile.
+// The held-back byte is sent if nothing breaks, and not if the deadline has passed meanwhile.
 func TestLastByteFollows(t *testing.T) {
 	host := nettest.Listen(t, answer)
 	p, q := pool(time.Minute), request(host.Addr)
@@ -181,8 +181,8 @@
 	assert.Empty(t, host.Calls)
 }
 
-// A silent host: the request is given up at its deadline, by closing its connection, and may have run.
-func TestSilence(t *testing.T) {
+// A request to a silent host is aborted at its deadline by closing the connection; it may have run.
+func TestSilentHost(t *testing.T) {
 	for name, want := range map[string]policy.Result{"deadline": policy.TimedOut, "cancel": policy.Cancelled} {
 		read := make(chan struct{}, 1)
 		host := nettest.Listen(t, func(*nettest.Call) { read <- struct{}{} })
@@ -202,8 +202,8 @@
 	}
 }
 
-// A request whose time ended before it was written has never been sent.
-func TestDeadBeforeSent(t *testing.T) {
+// A request whose deadline passed before it was written has never been sent.
+func TestExpiredBeforeSent(t *testing.T) {
 	host := nettest.Listen(t, func(*nettest.Call) {})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -213,7 +213,7 @@
 
 func answer(c *nettest.Call) { c.WriteText(nettest.Chunked(done)) }
 
-// Connections are kept and used again, one request at a time.
+// Connections are kept and reused, one request at a time.
 func TestReuse(t *testing.T) {
 	host := nettest.Listen(t, answer)
 	p := pool(time.Minute)
@@ -224,8 +224,8 @@
 	assert.Equal(t, 1, p.connCount)
 }
 
-// A connection that its host has closed while it stood idle must not carry a request: that would end as a
-// reset, which is fatal for a job that must not run twice.
+// A connection that its host closed while it was idle must not carry a request: that would end as a reset, which is
+// fatal for a job that must not run twice.
 func TestClosedIdleIsNotUsed(t *testing.T) {
 	host := nettest.Listen(t, answer)
 	p := pool(time.Minute)
@@ -236,8 +236,8 @@
 	assert.Equal(t, 1, p.connCount)
 }
 
-// Idle connections are closed well before the host would, and at the end all of them are.
-func TestIdleRetires(t *testing.T) {
+// Idle connections are closed well before the host would close them, and at the end all of them are.
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	host := nettest.Listen(t, answer)
 	p := pool(60 * time.Millisecond)
 	do(t.Context(), p, request(host.Addr))
@@ -253,8 +253,8 @@
 	assert.Zero(t, held())
 }
 
-// The descriptors are bounded: an idle connection makes room, one in use does not.
-func TestBudget(t *testing.T) {
+// The number of connections is limited: an idle one makes room, one in use does not.
+func TestMaxConns(t *testing.T) {
 	a, b := nettest.Listen(t, answer), nettest.Listen(t, answer)
 	p := pool(time.Minute)
 	p.cfg.MaxConns = 1
--- a/internal/wire/host_test.go
+++ b/internal/wire/host_test.go
@@ -29,7 +29,7 @@
 		"SYNC\t1004.0\nABOUT\t3\nSUBMIT\t9\tc\t-\t91f03b7c55d20a64\t5000.0\t100.0\t1\t-\t0\t0\t0\nOVER_TO_YOU\n" +
 		"SYNC\t1006.5\nABOUT\t3\nNOTICE\t9\t0\t77\t1\t0\nOVER_TO_YOU\n" +
 		"SYNC\t1100.0\nABOUT\t3\nREPLY\t9\t-\t0\t1\tdelivered\t96.0\t77\t2\nOVER_TO_YOU\n" +
-		// too late for its aim: on time 150 + 2 x 100, and 4000 of its 5000 are gone
+		// too late to be on time: 150 + 2 x 100, and 4000 of its 5000 ms have passed
 		"SYNC\t1200.0\nABOUT\t3\nSUBMIT\t10\tc\t-\t-\t1000.0\t100.0\t1\t-\t1\t0\t0\nOVER_TO_YOU\n"
 	out, err := play(t, in)
 	if err != nil {
@@ -45,7 +45,7 @@
 		rest = rest[i+len(w):]
 	}
 	if strings.Count(out, "NEXT\n") != 6 {
-		t.Fatalf("six batches want six replies:\n%s", out)
+		t.Fatalf("six batches need six replies:\n%s", out)
 	}
 }
 
@@ -72,7 +72,7 @@
 	}
 }
 
-// Two instances in one process act as each would alone.
+// Two instances in one process behave as each would alone.
 func TestIsolation(t *testing.T) {
 	one, err := play(t, opening+"SYNC\t1004\nABOUT\t3\nSUBMIT\t9\tc\t-\t-\t5000\t100\t1\t-\t0\t0\t0\nOVER_TO_YOU\n")
 	if err != nil {
@@ -98,7 +98,7 @@
 		var out bytes.Buffer
 		err := NewHost(strings.NewReader(in), &out).Run()
 		if s := out.String(); s != "" && !strings.HasSuffix(s, "NEXT\n") {
-			t.Fatalf("half a reply %q, error %v", s, err)
+			t.Fatalf("partial reply %q, error %v", s, err)
 		}
 		if strings.Contains(out.String(), "EXCEPTION") {
 			t.Fatalf("the module panicked: %q", out.String())
@@ -106,7 +106,7 @@
 	})
 }
 
-// A panic in the decision code becomes the wire's own word, for that instance, and the reply stays whole.
+// A panic in the decision code is reported as EXCEPTION for that instance, and the reply stays complete.
 func TestPanicBecomesException(t *testing.T) {
 	var out bytes.Buffer
 	h := NewHost(strings.NewReader(""), &out)
