--- a/internal/node/budgets.go
+++ b/internal/node/budgets.go
@@ -20,20 +20,20 @@
 	"gaugeslip/internal/pause"
 )
 
-// budgets are this process's shares of what belongs to the fleet.
+// budgets holds this process's shares of the budgets of the whole fleet.
 type budgets struct {
 	ledger     *budget.Ledger
 	gate       *dispatch.BudgetGate
-	lists      int // account of calls for the list; -1: there is no bound on them
+	lists      int // account of calls for the host list; -1: they are not limited
 	now        func() time.Duration
-	path       string       // of the lock
-	peers      *peers.Peers // nil: no talk
-	equalShare budget.Share // without talk
-	stop       func()       // ends the hold on the shares
+	path       string       // of the lock file
+	peers      *peers.Peers // nil: shares are not leased
+	equalShare budget.Share // share of each member if shares are not leased
+	stop       func()       // ends hold
 	done       chan struct{}
 }
 
-// newBudgets makes them as the settings want; nil: there are none. Nothing is owned yet.
+// newBudgets creates the budgets that the settings ask for; nil if there are none. No share is owned yet.
 func newBudgets(cfg *config.Config, own *operatorsettings.Settings, now func() time.Duration, figures *operators.Metrics) *budgets {
 	if own.Budgets == nil {
 		return nil
@@ -51,7 +51,7 @@
 		b.peers = peers.New(peers.Config{Limits: *own.Peers, Self: policy.Ordinal, Floor: own.Budgets.FloorUnits(members), Ledger: b.ledger,
 			Now: now, Life: rand.Uint64() | 1})
 		for _, state := range []string{"alive", "silent", "left"} {
-			figures.LabelledFunc("members", "Dispatchers by what membership has of them.", "state", state, func() float64 { return b.peers.Count(state) })
+			figures.LabelledFunc("members", "Dispatchers by membership state.", "state", state, func() float64 { return b.peers.Count(state) })
 		}
 	}
 	for i, f := range b.ledger.Status(now()) {
@@ -59,11 +59,11 @@
 			help string
 			of   func(budget.AccountStatus) float64
 		}{
-			"budget_whole":         {"What the whole fleet may use a second.", func(f budget.AccountStatus) float64 { return f.Whole }},
-			"budget_owned":         {"Share of the whole that this process owns.", func(f budget.AccountStatus) float64 { return f.Owned }},
+			"budget_whole":         {"Uses per second allowed to the whole fleet.", func(f budget.AccountStatus) float64 { return f.Whole }},
+			"budget_owned":         {"Part of the fleet's budget that this process owns.", func(f budget.AccountStatus) float64 { return f.Owned }},
 			"budget_used_total":    {"Uses by this process, since the start.", func(f budget.AccountStatus) float64 { return float64(f.Used) }},
-			"budget_refused_total": {"Uses refused for want of a share, since the start.", func(f budget.AccountStatus) float64 { return float64(f.Refused) }},
-			"budget_epoch":         {"Rises with each change of the share.", func(f budget.AccountStatus) float64 { return float64(f.Epoch) }},
+			"budget_refused_total": {"Uses refused because the share was used up, since the start.", func(f budget.AccountStatus) float64 { return float64(f.Refused) }},
+			"budget_epoch":         {"Increases with each change of the share.", func(f budget.AccountStatus) float64 { return float64(f.Epoch) }},
 		} {
 			figures.LabelledFunc(name, x.help, "budget", f.Name, func() float64 { return x.of(b.ledger.Status(b.now())[i]) })
 		}
@@ -71,21 +71,22 @@
 	return b
 }
 
-// hold holds this member's shares until ctx or release ends it. Of two processes of one dispatcher one alone owns them: whoever has
-// the lock in $TMPDIR, or with talk the address. The lock goes with its process, however that ends.
+// hold owns this member's shares until ctx ends or release is called. Of two processes of one dispatcher only one
+// owns them: the one that holds the lock in $TMPDIR, or with leased shares the one that holds the peer address. The
+// lock is released when its process ends, however that happens.
 func (b *budgets) hold(ctx context.Context) {
 	ctx, b.stop = context.WithCancel(ctx)
 	go func() {
 		defer close(b.done)
 		if b.peers != nil {
 			if err := b.peers.Run(ctx); err != nil {
-				slog.Error("no talk with the other dispatchers: this one owns no share", "error", err)
+				slog.Error("peer communication failed: this dispatcher owns no share", "error", err)
 			}
 			return
 		}
 		free, err := lockFile(ctx, b.path)
 		if err != nil {
-			slog.Error("no lock on the shares: this process owns none", "error", err)
+			slog.Error("locking the shares failed: this process owns none", "error", err)
 			return
 		}
 		if free == nil {
@@ -104,7 +105,7 @@
 	}
 }
 
-// release gives the shares up, to a successor of this process. It returns when that is done.
+// release gives the shares up to a successor of this process. It returns when that is done.
 func (b *budgets) release() {
 	b.stop()
 	<-b.done
@@ -112,7 +113,7 @@
 
 const lockRetryInterval = 50 * time.Millisecond
 
-// lockFile waits for the lock on a file and gives what frees it; nil: ctx has ended.
+// lockFile waits for the lock on a file and returns the function that releases it; nil if ctx has ended.
 func lockFile(ctx context.Context, path string) (free func(), err error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -128,7 +129,7 @@
 			return nil, fmt.Errorf("lock: %w", err)
 		case !said:
 			said = true
-			slog.Info("another process of this dispatcher owns its shares: waiting for it")
+			slog.Info("another process of this dispatcher owns its shares: waiting for the lock")
 		}
 		if pause.For(ctx, lockRetryInterval) != nil {
 			f.Close()
@@ -137,14 +138,14 @@
 	}
 }
 
-// waitListBudget waits until there is room for a call for the list.
+// waitListBudget waits until the budget permits a call for the host list.
 func (b *budgets) waitListBudget(ctx context.Context) error {
 	for {
 		ok, after := b.ledger.Take(b.now(), b.lists, 0)
 		if ok {
 			return nil
 		}
-		if after < 0 || after > time.Second { // the share may change
+		if after < 0 || after > time.Second { // retry at least each second: the share may change
 			after = time.Second
 		}
 		if err := pause.For(ctx, max(after, 10*time.Millisecond)); err != nil {
@@ -153,13 +154,13 @@
 	}
 }
 
-// budgetedSource is a source whose calls wait for room in the fleet's budget.
+// budgetedSource is a source of the host list whose calls wait for the fleet's budget.
 type budgetedSource struct {
 	cluster.Source
 	budgets *budgets
 }
 
-// Watch waits its turn, then watches.
+// Watch waits for the budget, then watches.
 func (s *budgetedSource) Watch(ctx context.Context, after uint64, each func(dispatch.HostList)) error {
 	if err := s.budgets.waitListBudget(ctx); err != nil {
 		return err
@@ -167,7 +168,7 @@
 	return s.Source.Watch(ctx, after, each)
 }
 
-// bound makes a source wait for room in the fleet's budget, where there is one.
+// bound makes the calls of a source wait for the fleet's budget, if there is one.
 func (b *budgets) bound(s cluster.Source) cluster.Source {
 	if b == nil || b.lists < 0 {
 		return s
@@ -175,7 +176,7 @@
 	return &budgetedSource{Source: s, budgets: b}
 }
 
-// views adds what the operators' door shows of budgets and members.
+// views adds the budgets and members to the views of the operators' endpoint.
 func (b *budgets) views(v map[string]func() any) {
 	if b == nil {
 		return
--- a/internal/node/gates.go
+++ b/internal/node/gates.go
@@ -11,7 +11,7 @@
 	"gaugeslip/policy"
 )
 
-// newShedGate makes the gate that refuses jobs at the door in overload, with its figures; nil: none is set.
+// newShedGate creates the gate that refuses jobs in overload, with its metrics; nil if shedding is off.
 func newShedGate(l *overload.Limits, cfg *policy.Config, figures *operators.Metrics) (*dispatch.ShedGate, error) {
 	if l == nil || !l.Shed {
 		return nil, nil
@@ -21,14 +21,14 @@
 		return nil, fmt.Errorf("site: overload.%w", err)
 	}
 	for i, c := range cfg.Classes {
-		figures.LabelledFunc("shed_total", "Jobs of a class refused at the door for overload, since the start; refused_total has them too.",
+		figures.LabelledFunc("shed_total", "Jobs of a class refused on arrival because of overload, since the start; also counted in refused_total.",
 			"class", c.Name, func() float64 { return g.RefusedJobs(i) })
 	}
-	figures.Gauge("admitted_share", "Share of the work asked for that the door lets in.", g.AdmittedShare)
+	figures.Gauge("admitted_share", "Share of the offered work that is admitted.", g.AdmittedShare)
 	return g, nil
 }
 
-// newSitesGate makes the gate that judges sites, with its figures; nil: none is set.
+// newSitesGate creates the gate that judges sites, with its metrics; nil if it is off.
 func newSitesGate(own *operatorsettings.Settings, cfg *config.Config, decisions *policy.Config, figures *operators.Metrics) (*dispatch.SitesGate, error) {
 	if own.Sites == nil {
 		return nil, nil
--- a/internal/node/level.go
+++ b/internal/node/level.go
@@ -11,8 +11,8 @@
 	"gaugeslip/internal/overload"
 )
 
-// level feeds overload.Level with the answers that clients get, and writes one log line when it turns. Its methods may be
-// called from any goroutine.
+// level feeds the answers that clients get to overload.Level and logs one line each time the level changes. Its
+// methods may be called from any goroutine.
 type level struct {
 	next    downstream.Tally
 	started time.Time
@@ -24,7 +24,7 @@
 	return &level{next: next, started: started, level: overload.NewLevel(l)}
 }
 
-// Answered is downstream.Tally's.
+// Answered implements downstream.Tally.
 func (v *level) Answered(class, status int) {
 	v.next.Answered(class, status)
 	v.mu.Lock()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The shares of the descriptors leave room for what is neither downstream nor upstream.
+// The division of the descriptors leaves some for uses other than downstream and upstream.
 func TestBudget(t *testing.T) {
 	for _, sockets := range []int{64, 1024} {
 		down, up := Budget(sockets)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -12,8 +12,8 @@
 	"gaugeslip/internal/operatorsettings"
 )
 
-// reload reads the configuration and our own settings again at each signal until ctx ends, and moves the watch to where
-// discovery is now. A fault in either file changes nothing.
+// reload reads the configuration and our own settings again at each signal until ctx ends, and moves the watch if the
+// discovery address has changed. An error in either file changes nothing.
 func reload(ctx context.Context, cfg *config.Config, own *operatorsettings.Settings, f *Files, hup <-chan os.Signal, l *loop.Loop, shares *budgets) {
 	at := cfg.Discovery
 	for {
@@ -28,7 +28,7 @@
 			settings, err = operatorsettings.Load(os.Getenv, f.Site)
 		}
 		if err != nil {
-			slog.Error("configuration not reloaded, the old one holds", "error", err)
+			slog.Error("configuration not reloaded, the old one stays in force", "error", err)
 			continue
 		}
 		keys := cfg.KeysNeedingRestart(newer)
@@ -46,12 +46,12 @@
 			}
 		}
 		if len(keys) > 0 {
-			slog.Warn("changes that count from the next start on", "keys", keys)
+			slog.Warn("changes take effect only after a restart", "keys", keys)
 		}
 		slog.Info("configuration reloaded", "discovery", newer.Discovery)
 		if newer.Discovery != at {
 			at = newer.Discovery
-			moved := *cfg // what is fixed stays
+			moved := *cfg // keep all settings that need a restart
 			moved.Discovery = at
 			l.Move(hostSource(&moved, shares, false))
 		}
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -18,27 +18,28 @@
 	"gaugeslip/internal/operatorsettings"
 )
 
-// The budget of descriptors: what is not downstream's or upstream's is for discovery, standard streams, the
+// Division of the descriptors: the rest, beside downstream and upstream, is for discovery, standard streams, the
 // listener, the poller and a margin.
 const (
 	reserveShare    = 10 // one part in ten
-	downstreamParts = 5  // of nine: a request holds a connection on each side, downstream some more
+	downstreamParts = 5  // of nine: a request uses a connection on each side, and downstream has some more
 	upstreamParts   = 4
 	probeTimeout    = 500 * time.Millisecond
-	lastByteDelay   = 5 * time.Millisecond  // some round trips between server rooms
-	reuseDelay      = 25 * time.Millisecond // a second answer to a job comes some milliseconds late
+	lastByteDelay   = 5 * time.Millisecond  // several round trips between server rooms
+	reuseDelay      = 25 * time.Millisecond // a second answer to a job may come some milliseconds late
 )
 
-// Budget shares the descriptors out.
+// Budget divides the descriptors between the downstream and the upstream side.
 func Budget(sockets int) (down, up int) {
 	part := (sockets - sockets/reserveShare) / (downstreamParts + upstreamParts)
 	return part * downstreamParts, part * upstreamParts
 }
 
-// OpsConns is how many connections the operators' door holds at once, out of the clients' share of descriptors.
+// OpsConns is the maximum number of connections of the operators' endpoint, taken from the downstream share of
+// descriptors.
 func OpsConns(sockets int) int { return min(max(sockets/32, 4), 32) }
 
-// classes are the names of the settings' classes, by number.
+// classes returns the names of the settings' classes, by number.
 func classes(cfg *config.Config) []string {
 	names := make([]string, len(cfg.Settings.Policy.Classes))
 	for i, c := range cfg.Settings.Policy.Classes {
@@ -47,10 +48,11 @@
 	return names
 }
 
-// Run wires the parts together and runs them until ctx ends and all that was taken is answered. Each signal on hup makes it read its configuration again.
+// Run assembles the dispatcher and runs it until ctx ends and every accepted request is answered. Each signal on hup
+// makes it read its configuration again.
 func Run(ctx context.Context, cfg *config.Config, own *operatorsettings.Settings, f *Files, hup <-chan os.Signal) error {
 	started := time.Now()
-	decisions := cfg.Settings.Policy // a copy: what a reload is compared with stays as it was read
+	decisions := cfg.Settings.Policy // a copy: a reload is compared with the settings as they were read
 	if own.Overload != nil {
 		own.Overload.Apply(&decisions)
 	}
@@ -78,7 +80,7 @@
 	var tally downstream.Tally = figures
 	if own.Overload != nil {
 		level := newLevel(*own.Overload, figures, started)
-		figures.Gauge("overloaded", "1 while refusals are more than the settings' share of the answers.", level.on)
+		figures.Gauge("overloaded", "1 while the share of refusals among the answers exceeds the limit in the settings.", level.on)
 		figures.Gauge("refused_share", "Share of refusals among the answers of the last seconds.", level.share)
 		tally = level
 	}
@@ -121,11 +123,11 @@
 			ln.Close()
 			return err
 		}
-		operatorsServer.Restore() // before the loop's first Step: what is out stays out from the first send on
+		operatorsServer.Restore() // before the loop's first Step, so that cordoned hosts get no job from the start
 	}
 	slog.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "ops", cfg.Ops, "hosts", len(known.Hosts))
 
-	// The loop and the pool outlive the downstream side, which needs them for what it still owes.
+	// The loop and the pool outlive the downstream side, which needs them for its pending answers.
 	inner, halt := context.WithCancel(context.Background())
 	outer, stop := context.WithCancel(ctx)
 	defer stop()
@@ -139,14 +141,14 @@
 	if cfg.Inherited != 0 {
 		path, me := servingFile(os.TempDir(), cfg.Name), servingRecord{PID: os.Getpid(), Since: started.UnixNano()}
 		if err := announce(path, me); err != nil {
-			slog.Error("a successor will not know that this process serves", "error", err)
+			slog.Error("a predecessor will not see that this process serves", "error", err)
 		}
 		go func() {
 			defer close(handed)
 			awaitSuccessor(outer, path, me, func() {
 				slog.Info("a successor serves: handing over")
 				server.Handover()
-				if shares != nil { // what comes now is the successor's
+				if shares != nil { // new requests go to the successor
 					shares.release()
 				}
 			})
@@ -158,7 +160,7 @@
 		defer close(opened)
 		if operatorsServer != nil {
 			if err := operatorsServer.Serve(inner, opsLn); err != nil {
-				slog.Error("the operators' door is shut", "error", err)
+				slog.Error("operators' endpoint failed", "error", err)
 			}
 		}
 	}()
@@ -176,9 +178,9 @@
 	if lerr := <-looped; lerr != nil {
 		return lerr
 	}
-	if gates.Waiting != nil { // the loop has ended: nobody else looks at it
+	if gates.Waiting != nil { // the loop has ended, so nothing else accesses it
 		if n := gates.Waiting.Room().Held(); n > 0 {
-			slog.Warn("waiting jobs are lost with the process, which keeps them in memory alone", "jobs", n)
+			slog.Warn("waiting jobs are lost with the process, which keeps them only in memory", "jobs", n)
 		}
 	}
 	if err == nil {
--- a/internal/node/successor.go
+++ b/internal/node/successor.go
@@ -10,24 +10,24 @@
 	"gaugeslip/internal/net/operators"
 )
 
-// On a socket that the platform keeps, a new process of the same dispatcher accepts beside the old one. The one that
-// serves writes so in a file of $TMPDIR, which both share; the old one sees a newer writer there and hands over:
-// it takes no more connections and answers what it has, before its SIGTERM comes, so that long jobs are not cut
-// off by the SIGKILL that follows it.
+// On a socket that the platform holds, a new process of the same dispatcher accepts beside the old one. A process that
+// serves announces itself in a file in $TMPDIR, which both share. When the old process finds a newer one there, it hands
+// over: it accepts no more connections and answers its open requests. It starts this before its SIGTERM, so that long
+// jobs are not cut off by the SIGKILL that follows.
 
-// successorPollInterval is how often the old process looks for a successor.
+// successorPollInterval is how often the old process checks for a successor.
 const successorPollInterval = 100 * time.Millisecond
 
-// servingRecord is the form of the file.
+// servingRecord is the content of the file.
 type servingRecord struct {
 	PID   int   `json:"pid"`
-	Since int64 `json:"since"` // the process's start, Unix nanoseconds
+	Since int64 `json:"since"` // start of the process, Unix nanoseconds
 }
 
-// servingFile is where the processes of a dispatcher tell which of them serves.
+// servingFile is the path of the file in which the processes of a dispatcher announce that they serve.
 func servingFile(dir, name string) string { return operators.StateFilePath(dir, name, "serving") }
 
-// announce writes that this process serves now.
+// announce records that this process serves now.
 func announce(path string, me servingRecord) error {
 	text, _ := json.Marshal(me)
 	if err := operators.WriteFileAtomically(path, text, false); err != nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// successorServes tells whether the file names a process that started after this one.
+// successorServes reports whether the file names a process that started after this one.
 func successorServes(path string, me servingRecord) bool {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return other.PID != me.PID && other.Since > me.Since
 }
 
-// awaitSuccessor calls handover once a successor has announced itself, or returns when ctx ends.
+// awaitSuccessor calls handover once a successor has announced itself. It returns after that or when ctx ends.
 func awaitSuccessor(ctx context.Context, path string, me servingRecord, handover func()) {
 	tick := time.NewTicker(successorPollInterval)
 	defer tick.Stop()
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -7,7 +7,7 @@
 	"gaugeslip/internal/siteloss"
 )
 
-// Rooms are the names of the settings' zones, by number.
+// Rooms returns the names of the settings' zones, by number.
 func Rooms(cfg *config.Config) []string {
 	names := make([]string, len(cfg.Settings.Zones))
 	for name, i := range cfg.Settings.Zones {
@@ -16,14 +16,14 @@
 	return names
 }
 
-// Planned is what the operators' door shows of a plan.
+// Planned is the plan for the loss of sites that the operators' endpoint shows.
 type Planned struct {
 	Fleet  *siteloss.Fleet   `json:"fleet"`
 	States map[string]string `json:"states,omitempty"`
 	Losses []siteloss.Loss   `json:"losses"`
 }
 
-// views are what the operators' door shows beside its own calls.
+// views returns the views that the operators' endpoint shows beside its own calls.
 func views(shares *budgets, rooms *dispatch.SitesGate) map[string]func() any {
 	v := map[string]func() any{}
 	shares.views(v)
@@ -42,8 +42,8 @@
 	return v
 }
 
-// hostSource is where the list comes from: at a start, when many dispatchers may start together, its calls are paced; a reload
-// moves to one that has to be asked at once. Where lists are pushed nobody waits.
+// hostSource returns the source of the host list. At a start its calls are paced, since many dispatchers may start at
+// the same time; after a reload the new source is asked at once. Pushed lists are not paced.
 func hostSource(cfg *config.Config, shares *budgets, start bool) cluster.Source {
 	p := &cfg.Settings.Policy
 	var s cluster.Source = &cluster.Discovery{Addr: cfg.Discovery, StallTimeout: cluster.StallTimeout, Settings: cfg.Settings}
