--- a/cmd/gaugeslip/endings_test.go
+++ b/cmd/gaugeslip/endings_test.go
@@ -19,40 +19,40 @@
 	"gaugeslip/internal/net/nettest"
 )
 
-// SIGTERM while the configuration is still being read is a planned end like any other. A configuration that is a pipe
-// holds the start at that instant.
+// SIGTERM while the configuration is being read is a regular end like any other. A configuration file that is a pipe
+// blocks the start at that instant.
 func TestTerminatedDuringStart(t *testing.T) {
 	pipe := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, syscall.Mkfifo(pipe, 0o600))
 	addr := freeporttest.Address(t)
-	cmd, log := launch(t, launching{config: pipe})
+	cmd, log := launch(t, launchOptions{config: pipe})
 	opened := make(chan *os.File, 1)
 	go func() {
-		f, err := os.OpenFile(pipe, os.O_WRONLY, 0) // waits for the program to read
+		f, err := os.OpenFile(pipe, os.O_WRONLY, 0) // blocks until the program opens it
 		assert.NoError(t, err)
 		opened <- f
 	}()
 	f := nettest.Wait(t, opened)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	fmt.Fprintf(f, `{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1","limits":{"cores":1.0,"memory_mb":192,`+
-		`"sockets":1024},"known":%s,"settings":%s}`, addr, list(1, true), nettest.SettingsJSON)
+		`"sockets":1024},"known":%s,"settings":%s}`, addr, hostList(1, true), nettest.SettingsJSON)
 	f.Close()
 	require.NoError(t, cmd.Wait(), log)
 	assert.Contains(t, log.String(), "stopped")
 }
 
-// SIGTERM twice, with a job at a host that hangs just then and has longer than the platform leaves the program: the job is
-// answered before the kill, as failed, and the exit code is 0.
+// SIGTERM arrives twice while a job is at a hanging host and has more time left than the platform leaves the program:
+// the job is answered as failed before the kill, and the exit code is 0.
 func TestTerminatedTwice(t *testing.T) {
 	host := nettest.Listen(t, func(*nettest.Call) {})
 	discovery := nettest.Listen(t, func(*nettest.Call) {})
-	addr, cmd, log := program(t, list(1, true, entry("s-0000000a", host.Addr, "in_service", 0)), discovery.Addr)
+	addr, cmd, log := startProgram(t, hostList(1, true, hostEntry("s-0000000a", host.Addr, "in_service", 0)), discovery.Addr)
 	c := nettest.Dial(t, addr)
 	c.Post("/harvest-sale/7", "t1", "X-Expires-In-Ms: 19000\r\n", "body")
 	nettest.Wait(t, host.Calls)
 	begun := time.Now()
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
-	for status := 200; status != 503; { // the first has been taken
+	for status := 200; status != 503; { // the first signal has been received
 		up := nettest.Dial(t, addr)
 		up.Send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n")
 		resp, _ := up.Answer()
@@ -65,18 +65,18 @@
 	require.NoError(t, cmd.Wait(), log)
 }
 
-// Where lists are pushed a dispatcher follows them from its start on, though its module asks for none, and again at once when
-// they break: what the service has counts as told whether or not a watch is open.
+// If lists are pushed, a dispatcher follows them from its start on, although its core asks for none, and again at
+// once after the connection breaks: discovery counts a list as delivered whether or not a watch is open.
 func TestPushedLists(t *testing.T) {
 	a, b := nettest.Listen(t, nettest.Serve), nettest.Listen(t, nettest.Serve)
 	lists := make(chan string, 1)
 	discovery := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks(<-lists)) })
 	t.Cleanup(func() { close(lists) })
 	at := func(health ...string) []string {
-		return []string{entry("s-0000000a", a.Addr, health[0], 0), entry("s-0000000b", b.Addr, health[1], 0)}
+		return []string{hostEntry("s-0000000a", a.Addr, health[0], 0), hostEntry("s-0000000b", b.Addr, health[1], 0)}
 	}
 	settings := strings.Replace(nettest.SettingsJSON, `"registry-mode":"ask"`, `"registry-mode":"push"`, 1)
-	addr, _, _ := programWith(t, settings, list(1, true, at("in_service", "in_service")...), discovery.Addr)
+	addr, _, _ := startProgramWith(t, settings, hostList(1, true, at("in_service", "in_service")...), discovery.Addr)
 	for i, health := range [][]string{{"terminating", "in_service"}, {"in_service", "terminated"}, {"terminated", "in_service"}} {
 		assert.Equal(t, []string{"1", "2", "3"}[i], nettest.Wait(t, discovery.Calls).URL.Query().Get("index"))
 		host, other := a, b
@@ -84,12 +84,12 @@
 			host, other = b, a
 		}
 		hosts := at(health...)
-		for h := range hosts { // what drained has started anew
+		for h := range hosts { // the draining host has restarted
 			hosts[h] = strings.Replace(hosts[h], `"born_ms":0`, fmt.Sprintf(`"born_ms":%d`, i), 1)
 		}
-		lists <- list(i+2, i%2 == 0, hosts...)
+		lists <- hostList(i+2, i%2 == 0, hosts...)
 		n := 0
-		goesTo := func() (calls [2]int) { // where the next job goes
+		goesTo := func() (calls [2]int) { // the host that gets the next job
 			c := nettest.Dial(t, addr)
 			c.Post("/harvest-sale/7", fmt.Sprint("t", i, "-", n), "", "x")
 			c.Answer()
@@ -109,8 +109,8 @@
 	}
 }
 
-// Nothing in the program, the module or the deploy file is fitted to one deployment: neither the names of those that it
-// is tried on stand there, nor the figures by which they can be told.
+// The program, the module and the deploy file are fitted to no particular deployment: they hold neither the names of
+// known deployments nor the numbers that identify them.
 func TestFittedToNoDeployment(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	require.NoError(t, err)
@@ -130,7 +130,7 @@
 	for _, path := range files {
 		require.NoError(t, filepath.WalkDir(filepath.Join("../..", path), func(path string, e fs.DirEntry, err error) error {
 			if err != nil || e.IsDir() {
-				if err == nil && e.Name() == "nettest" { // helps tests, and is in no program
+				if err == nil && e.Name() == "nettest" { // a test helper, part of no program
 					return fs.SkipDir
 				}
 				return err
@@ -153,7 +153,8 @@
 	assert.Greater(t, seen, 30)
 }
 
-// The list of tests that are known to fail: CI passes over those alone, and says what is wrong with a bad list.
+// Checks the list of tests that are known to fail: CI passes over those alone and reports what is wrong with an
+// invalid list.
 func TestKnownRed(t *testing.T) {
 	module := t.TempDir()
 	write := func(name, text string) {
@@ -169,7 +170,7 @@
 		redToo = "TestRedToo | go test -run TestRedToo . | another fault | 27\n"
 	)
 	for name, c := range map[string]struct {
-		file, want string // file "-": there is none
+		file, want string // file "-": no file
 		code       int
 	}{
 		"none, and a test fails": {"-", "--- FAIL: TestRed", 1},
--- a/cmd/gaugeslip/info.go
+++ b/cmd/gaugeslip/info.go
@@ -11,9 +11,9 @@
 	"gaugeslip/internal/node"
 )
 
-// versionCommand prints what this program was built from.
+// versionCommand prints the version and revision that this program was built from.
 func versionCommand(stdout io.Writer) *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Print the version", Args: none,
+	return &cobra.Command{Use: "version", Short: "Print the version", Args: noArgs,
 		Run: func(*cobra.Command, []string) {
 			revision := "unknown revision"
 			info, ok := debug.ReadBuildInfo()
@@ -30,19 +30,19 @@
 		}}
 }
 
-// addFiles adds the flags that name what the program is told.
-func addFiles(c *cobra.Command, f *node.Files) {
-	c.Flags().StringVar(&f.Config, "config", "", "configuration file, in place of the one that NODE_CONFIG names")
-	c.Flags().StringVar(&f.Site, "site", "", "settings file of our own (HCL), in place of the one that NODE_SITE names")
+// addFileFlags adds the flags that name the settings files.
+func addFileFlags(c *cobra.Command, f *node.Files) {
+	c.Flags().StringVar(&f.Config, "config", "", "configuration file (default: the one that NODE_CONFIG names)")
+	c.Flags().StringVar(&f.Site, "site", "", "the dispatcher's own settings file, HCL (default: the one that NODE_SITE names)")
 }
 
-// checkCommand reads the configuration as serve does, and prints what serve would work with.
+// checkCommand reads the configuration as serve does and prints the settings that serve would use.
 func checkCommand(stdout io.Writer) *cobra.Command {
 	var f node.Files
-	c := &cobra.Command{Use: "check-config", Args: none,
-		Short: "Read the configuration, say what is wrong with it or what it holds",
+	c := &cobra.Command{Use: "check-config", Args: noArgs,
+		Short: "Read the configuration and print its errors or its content",
 		RunE:  func(*cobra.Command, []string) error { return checkConfig(&f, stdout) }}
-	addFiles(c, &f)
+	addFileFlags(c, &f)
 	return c
 }
 
--- a/cmd/gaugeslip/jobs.go
+++ b/cmd/gaugeslip/jobs.go
@@ -23,18 +23,18 @@
 )
 
 const (
-	callTimeout = 10 * time.Second // of one call, beyond what it asks the dispatcher to wait
-	askWait     = 20 * time.Second // that one call of `jobs wait` asks for
+	callTimeout = 10 * time.Second // of one call, in addition to the time that it asks the dispatcher to wait
+	waitPerCall = 20 * time.Second // the wait that one call of `jobs wait` asks for
 )
 
-// jobsClient speaks to a dispatcher as any client does.
+// jobsClient is an HTTP client of a dispatcher.
 type jobsClient struct {
 	addr string
 	json bool
 	out  io.Writer
 }
 
-// statusError is an answer that says no.
+// statusError is an answer with an error status.
 type statusError struct {
 	status int
 	text   string
@@ -49,7 +49,7 @@
 	return text
 }
 
-// call makes one exchange and returns the answer's body.
+// call makes one request and returns the status and body of the answer.
 func (c *jobsClient) call(ctx context.Context, method, path string, head map[string]string, body []byte, wait time.Duration) (
 	status int, text []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
@@ -100,30 +100,30 @@
 	return &j, nil
 }
 
-// jobsCommand is the client of waiting jobs.
+// jobsCommand is the command for waiting jobs.
 func jobsCommand(stdout io.Writer) *cobra.Command {
 	c := &jobsClient{out: stdout}
-	top := &cobra.Command{Use: "jobs", Short: "Hand in waiting jobs, look at them and call them off", Args: none,
+	top := &cobra.Command{Use: "jobs", Short: "Submit, show and cancel waiting jobs", Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return usageError{errors.New("jobs: submit, show, wait, cancel or list is wanted")}
 		}}
 	top.PersistentFlags().StringVar(&c.addr, "addr", os.Getenv("NODE_LISTEN"), "address of the dispatcher")
-	top.PersistentFlags().BoolVar(&c.json, "json", false, "print JSON as it comes")
-	top.AddCommand(c.submitCommand(), c.oneCommand("show", "Show a job", c.look), c.waitCommand(),
-		c.oneCommand("cancel", "Call off a job that has not gone out", c.cancel), c.listCommand())
+	top.PersistentFlags().BoolVar(&c.json, "json", false, "print the JSON answer unchanged")
+	top.AddCommand(c.submitCommand(), c.idCommand("show", "Show a job", c.get), c.waitCommand(),
+		c.idCommand("cancel", "Cancel a job that has not been sent to a host", c.cancel), c.listCommand())
 	return top
 }
 
-// oneCommand is a command that takes one id.
-func (c *jobsClient) oneCommand(name, short string, do func(context.Context, string) error) *cobra.Command {
-	return &cobra.Command{Use: name + " ID", Short: short, Args: arity(1, 1),
+// idCommand is a command whose argument is one job's id.
+func (c *jobsClient) idCommand(name, short string, do func(context.Context, string) error) *cobra.Command {
+	return &cobra.Command{Use: name + " ID", Short: short, Args: argCount(1, 1),
 		RunE: func(cmd *cobra.Command, args []string) error { return do(cmd.Context(), args[0]) }}
 }
 
-func path(id string) string { return downstream.Jobs + "/" + url.PathEscape(id) }
+func jobPath(id string) string { return downstream.Jobs + "/" + url.PathEscape(id) }
 
-func (c *jobsClient) look(ctx context.Context, id string) error {
-	_, text, err := c.call(ctx, http.MethodGet, path(id), nil, nil, 0)
+func (c *jobsClient) get(ctx context.Context, id string) error {
+	_, text, err := c.call(ctx, http.MethodGet, jobPath(id), nil, nil, 0)
 	if err == nil {
 		_, err = c.show(text)
 	}
@@ -131,7 +131,7 @@
 }
 
 func (c *jobsClient) cancel(ctx context.Context, id string) error {
-	status, text, err := c.call(ctx, http.MethodDelete, path(id), nil, nil, 0)
+	status, text, err := c.call(ctx, http.MethodDelete, jobPath(id), nil, nil, 0)
 	if err == nil {
 		_, err = c.show(text)
 	}
@@ -143,14 +143,14 @@
 
 func (c *jobsClient) waitCommand() *cobra.Command {
 	atMost := time.Duration(0)
-	cmd := c.oneCommand("wait", "Wait for a job's end; exit code 1 unless it was served", nil)
+	cmd := c.idCommand("wait", "Wait for a job's end; exit code 1 unless it was served", nil)
 	cmd.Flags().DurationVar(&atMost, "at-most", time.Hour, "how long to wait")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		for end := time.Now().Add(atMost); ; {
-			left := min(time.Until(end), askWait)
+			left := min(time.Until(end), waitPerCall)
 			seconds := max(int(left/time.Second), 0)
-			_, text, err := c.call(cmd.Context(), http.MethodGet, path(args[0]),
-				map[string]string{"Prefer": "wait=" + strconv.Itoa(seconds)}, nil, askWait)
+			_, text, err := c.call(cmd.Context(), http.MethodGet, jobPath(args[0]),
+				map[string]string{"Prefer": "wait=" + strconv.Itoa(seconds)}, nil, waitPerCall)
 			if err != nil {
 				return err
 			}
@@ -176,8 +176,8 @@
 		after          []string
 		delay, due     time.Duration
 	)
-	cmd := &cobra.Command{Use: "submit PATH", Args: arity(1, 1),
-		Short: "Hand in a job that lives on without its connection; PATH begins with its class",
+	cmd := &cobra.Command{Use: "submit PATH", Args: argCount(1, 1),
+		Short: "Submit a job that continues without its connection; PATH begins with its class",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			body := []byte(data)
 			if name, ok := strings.CutPrefix(data, "@"); ok {
@@ -211,17 +211,17 @@
 			return err
 		}}
 	f := cmd.Flags()
-	f.StringVar(&id, "id", "", "its id; made up where none is given")
-	f.StringVar(&data, "data", "", "its body, or @FILE")
-	f.StringVar(&hint, "size-hint", "", "its work, in microseconds")
-	f.StringSliceVar(&after, "after", nil, "ids of the jobs that it waits for")
-	f.DurationVar(&delay, "in", 0, "when it may run, from now")
-	f.DurationVar(&due, "due", 0, "how long it may wait once it may run")
+	f.StringVar(&id, "id", "", "id of the job (default: random)")
+	f.StringVar(&data, "data", "", "body of the job, or @FILE")
+	f.StringVar(&hint, "size-hint", "", "size of the job, in microseconds")
+	f.StringSliceVar(&after, "after", nil, "ids of the jobs that must end before it")
+	f.DurationVar(&delay, "in", 0, "delay before it may run")
+	f.DurationVar(&due, "due", 0, "how long it may wait after that delay")
 	return cmd
 }
 
 func (c *jobsClient) listCommand() *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "List the jobs that wait or have waited", Args: none,
+	return &cobra.Command{Use: "list", Short: "List the waiting jobs and the finished ones that are kept", Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 			for from := ""; ; {
--- a/cmd/gaugeslip/jobs_test.go
+++ b/cmd/gaugeslip/jobs_test.go
@@ -20,16 +20,16 @@
 	"gaugeslip/internal/net/nettest"
 )
 
-// siteFile writes a settings file of our own and returns the variable that names it.
+// siteFile writes a settings file and returns its path and the environment variable that names it.
 func siteFile(t *testing.T, text string) (path, env string) {
 	path = filepath.Join(t.TempDir(), "site.hcl")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path, "NODE_SITE=" + path
 }
 
-// lanes is a host that runs one job at a time on each lane and turns away what it can't queue. It keeps how often each
-// id has run.
-type lanes struct {
+// laneHost is a host that runs one job at a time on each lane and refuses what it cannot queue. It counts how often
+// each id has run.
+type laneHost struct {
 	free  chan struct{}
 	queue atomic.Int32
 	work  time.Duration
@@ -37,7 +37,7 @@
 	ran   map[string]int
 }
 
-func (l *lanes) run(c *nettest.Call) {
+func (l *laneHost) run(c *nettest.Call) {
 	if l.queue.Add(1) > int32(4*cap(l.free)) {
 		l.queue.Add(-1)
 		c.WriteText("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
@@ -55,35 +55,35 @@
 	c.WriteText(nettest.Chunk(`{"id":"`+id+`","state":"done","result":"`+c.Text+`"}`) + "0\r\n\r\n")
 }
 
-// jobs runs one command of the client.
+// jobs runs one `jobs` command of the program.
 func jobs(addr string, args ...string) (code int, out string) {
 	var b bytes.Buffer
 	code = run(append([]string{"jobs", "--addr", addr}, args...), &b, &b)
 	return code, b.String()
 }
 
-// The whole program under a flood of fresh jobs, a third more than its hosts can do: each waiting job has one final
-// state, none has waited longer than twice its due time, no sale has run twice, and the fresh ones go on being served.
+// Runs the whole program under a flood of ordinary jobs, a third more than its hosts can do. Each waiting job gets
+// one final state, none waits longer than twice its due time, no sale runs twice, and ordinary jobs are still served.
 func TestWaitingUnderFlood(t *testing.T) {
 	const work, count, due, hosts, clients = 20 * time.Millisecond, 120, 4 * time.Second, 4, 24
 	ran, mu := map[string]int{}, &sync.Mutex{}
 	var entries []string
 	for i := range hosts {
-		l := &lanes{free: make(chan struct{}, 1), work: work, mu: mu, ran: ran}
+		l := &laneHost{free: make(chan struct{}, 1), work: work, mu: mu, ran: ran}
 		h := nettest.Listen(t, l.run)
-		entries = append(entries, entry(fmt.Sprintf("s-%08x", i+1), h.Addr, "in_service", 0))
+		entries = append(entries, hostEntry(fmt.Sprintf("s-%08x", i+1), h.Addr, "in_service", 0))
 	}
 	discovery := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks()) })
 	_, env := siteFile(t, `waiting { default_due = "4s" }`)
 	settings := strings.NewReplacer(`"on-time":15000.0`, `"on-time":100.0`, `"most-held":100`, `"most-held":1000`,
 		`"max-attempts":3`, `"max-attempts":6`).Replace(nettest.SettingsJSON)
-	addr, _, log := programWith(t, settings, list(1, true, entries...), discovery.Addr, env)
+	addr, _, log := startProgramWith(t, settings, hostList(1, true, entries...), discovery.Addr, env)
 
 	var n, served, refused, failed atomic.Int64
 	stop := make(chan struct{})
 	var flood sync.WaitGroup
-	// Each client sends the next when it has the answer, at the pace of its share of the flood or as soon after as
-	// it can.
+	// Each client sends its next job after the answer to the last one, at its share of the flood's rate or as soon after
+	// as it can.
 	gap := work * clients * 3 / (hosts * 4)
 	for i := range clients {
 		flood.Go(func() {
@@ -158,12 +158,12 @@
 	}
 }
 
-// The client's commands against the real program, and a reload that makes the bounds smaller.
+// Runs the client's commands against the real program, and a reload that lowers the limits.
 func TestJobsCommands(t *testing.T) {
 	host := nettest.Listen(t, served)
 	discovery := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks()) })
 	path, env := siteFile(t, "waiting {}")
-	addr, cmd, log := program(t, list(1, true, entry("s-0000000a", host.Addr, "in_service", 0)), discovery.Addr, env)
+	addr, cmd, log := startProgram(t, hostList(1, true, hostEntry("s-0000000a", host.Addr, "in_service", 0)), discovery.Addr, env)
 	body := filepath.Join(t.TempDir(), "body")
 	require.NoError(t, os.WriteFile(body, []byte("from a file"), 0o600))
 	for _, c := range []struct {
--- a/cmd/gaugeslip/link_test.go
+++ b/cmd/gaugeslip/link_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The platform may load a library of its own into the dispatcher, which takes a program that is linked dynamically against
+// The platform may preload a library into the dispatcher, which needs a program that is linked dynamically against
 // the C library. GAUGESLIP_NEED_CC, which .ci/run sets, makes a missing C compiler a failure.
 func TestDeployedProgramIsLinkedDynamically(t *testing.T) {
 	out, err := exec.Command("go", "env", "CC").Output()
@@ -43,7 +43,7 @@
 	assert.Regexp(t, `(?m)^run = ".*exec bin/gaugeslip serve"$`, string(deploy), "run ends in one process")
 }
 
-// The dispatcher has to start in 32 MB: it links nothing of the model, the rig or the plots.
+// The dispatcher has to start in 32 MB, so it links nothing of the model, the rig or the plots.
 func TestDispatcherLinksNoLab(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	require.NoError(t, err)
--- a/cmd/gaugeslip/main.go
+++ b/cmd/gaugeslip/main.go
@@ -21,12 +21,12 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// usageError is a command line that can't be carried out.
+// usageError is an error in the command line.
 type usageError struct{ error }
 
-// run carries out one command line and returns the exit code.
+// run executes one command line and returns the exit code.
 func run(args []string, stdout, stderr io.Writer) int {
-	root := command(stdout, stderr)
+	root := rootCommand(stdout, stderr)
 	root.SetArgs(args)
 	root.SetOut(stdout)
 	root.SetErr(stderr)
@@ -40,18 +40,18 @@
 		return exitOK
 	}
 	fmt.Fprintln(stderr, "gaugeslip:", err)
-	// Cobra has no type of its own for a command that it does not know.
+	// Cobra has no error type for an unknown command.
 	if errors.As(err, &usageError{}) || strings.HasPrefix(err.Error(), "unknown command") {
 		return exitUsage
 	}
 	return exitFailed
 }
 
-// command is the whole tree of commands.
-func command(stdout, stderr io.Writer) *cobra.Command {
+// rootCommand returns the root command with all its subcommands.
+func rootCommand(stdout, stderr io.Writer) *cobra.Command {
 	root := &cobra.Command{Use: "gaugeslip", Short: "A job dispatcher", SilenceErrors: true, SilenceUsage: true,
 		Long: "gaugeslip serves jobs from downstream clients over a cluster of upstream hosts.\n" +
-			"Exit codes: 0 for a planned end, 1 for a failure, 2 for a command line that can't be read."}
+			"Exit codes: 0 for a regular end, 1 for a failure, 2 for an invalid command line."}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.SetUsageTemplate(strings.Replace(root.UsageTemplate(), "Usage:", "usage:", 1))
 	root.AddCommand(serveCommand(stderr), checkCommand(stdout), versionCommand(stdout), jobsCommand(stdout), budgetsCommand(stdout),
@@ -59,11 +59,11 @@
 	return root
 }
 
-// none is cobra.NoArgs with our kind of error.
-func none(c *cobra.Command, args []string) error { return arity(0, 0)(c, args) }
+// noArgs is cobra.NoArgs with a usageError.
+func noArgs(c *cobra.Command, args []string) error { return argCount(0, 0)(c, args) }
 
-// arity wants from least to most arguments.
-func arity(least, most int) cobra.PositionalArgs {
+// argCount requires from least to most arguments.
+func argCount(least, most int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		switch {
 		case len(args) > most:
--- a/cmd/gaugeslip/main_test.go
+++ b/cmd/gaugeslip/main_test.go
@@ -22,7 +22,7 @@
 	"gaugeslip/internal/net/nettest"
 )
 
-// TestMain lets the test binary be the program, so that the tests start the real thing.
+// TestMain lets the test binary act as the program, so that the tests start the real thing.
 func TestMain(m *testing.M) {
 	if os.Getenv("GAUGESLIP_TEST_PROGRAM") != "" {
 		main()
@@ -30,35 +30,35 @@
 	os.Exit(m.Run())
 }
 
-// entry is one host as discovery lists it.
-func entry(name, addr, health string, born int64) string {
+// hostEntry is one host in discovery's list.
+func hostEntry(name, addr, health string, born int64) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","class":"k","health":%q,"share":1,"born_ms":%d}`,
 		name, addr, health, born)
 }
 
-func list(seq int, whole bool, entries ...string) string {
+func hostList(seq int, whole bool, entries ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(entries, ","))
 }
 
-// program starts a dispatcher that knows a list and has a discovery, and waits until it is up.
-func program(t *testing.T, known, discovery string, env ...string) (addr string, cmd *exec.Cmd, log *logged) {
-	return programWith(t, nettest.SettingsJSON, known, discovery, env...)
+// startProgram starts a dispatcher with a known host list and a discovery service, and waits until it is up.
+func startProgram(t *testing.T, known, discovery string, env ...string) (addr string, cmd *exec.Cmd, log *logBuffer) {
+	return startProgramWith(t, nettest.SettingsJSON, known, discovery, env...)
 }
 
 func decodeJSON(text string, to any) error { return json.Unmarshal([]byte(text), to) }
 
-// programWith has settings of its own.
-func programWith(t *testing.T, settings, known, discovery string, env ...string) (addr string, cmd *exec.Cmd, log *logged) {
-	return programAt(t, settings, freeporttest.Address(t), known, discovery, env...)
+// startProgramWith also takes the settings.
+func startProgramWith(t *testing.T, settings, known, discovery string, env ...string) (addr string, cmd *exec.Cmd, log *logBuffer) {
+	return startProgramAt(t, settings, freeporttest.Address(t), known, discovery, env...)
 }
 
-// programOn starts a dispatcher on an address of an earlier one, as a restart does.
-func programOn(t *testing.T, addr, known, discovery string, env ...string) (string, *exec.Cmd, *logged) {
-	return programAt(t, nettest.SettingsJSON, addr, known, discovery, env...)
+// startProgramOn starts a dispatcher on the address of an earlier one, as a restart does.
+func startProgramOn(t *testing.T, addr, known, discovery string, env ...string) (string, *exec.Cmd, *logBuffer) {
+	return startProgramAt(t, nettest.SettingsJSON, addr, known, discovery, env...)
 }
 
-func programAt(t *testing.T, settings, addr, known, discovery string, env ...string) (string, *exec.Cmd, *logged) {
-	cmd, log := launch(t, launching{settings: settings, known: known, discovery: discovery, listen: addr, env: env})
+func startProgramAt(t *testing.T, settings, addr, known, discovery string, env ...string) (string, *exec.Cmd, *logBuffer) {
+	cmd, log := launch(t, launchOptions{settings: settings, known: known, discovery: discovery, listen: addr, env: env})
 	require.Eventually(t, func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
@@ -66,12 +66,12 @@
 		}
 		return err == nil
 	}, nettest.Timeout, 5*time.Millisecond)
-	awaitDoor(t, env)
+	awaitOperatorsEndpoint(t, env)
 	return addr, cmd, log
 }
 
-// awaitDoor waits for the operators' door, where there is one: it opens after the clients' socket.
-func awaitDoor(t *testing.T, env []string) {
+// awaitOperatorsEndpoint waits for the operators' endpoint if there is one: it opens after the clients' socket.
+func awaitOperatorsEndpoint(t *testing.T, env []string) {
 	for _, variable := range env {
 		if door, found := strings.CutPrefix(variable, "NODE_OPS="); found {
 			require.Eventually(t, func() bool { return healthy(door) }, nettest.Timeout, 5*time.Millisecond)
@@ -79,16 +79,16 @@
 	}
 }
 
-// launching is what a dispatcher is started with.
-type launching struct {
+// launchOptions are the environment and files that a dispatcher is started with.
+type launchOptions struct {
 	settings, known, discovery, listen string
 	env                                []string
-	files                              []*os.File // descriptors 3 and on
-	config                             string     // the configuration's path; empty: a new one
+	files                              []*os.File // descriptors 3 and up
+	config                             string     // path of the configuration; empty: a new file
 }
 
-// launch starts a dispatcher as the platform does, and kills it at the end of the test if it is still there.
-func launch(t *testing.T, l launching) (cmd *exec.Cmd, log *logged) {
+// launch starts a dispatcher as the platform does and kills it at the end of the test if it still runs.
+func launch(t *testing.T, l launchOptions) (cmd *exec.Cmd, log *logBuffer) {
 	path := l.config
 	if path == "" {
 		config, err := json.Marshal(map[string]any{"name": "n0", "listen": l.listen, "discovery": l.discovery,
@@ -102,7 +102,7 @@
 	require.NoError(t, err)
 	run := regexp.MustCompile(`(?m)^run = "(.*)bin/gaugeslip serve"$`).FindStringSubmatch(string(deploy))
 	require.NotNil(t, run, "the platform's command")
-	cmd, log = exec.Command("/bin/sh", "-c", run[1]+`"$0" serve`, os.Args[0]), &logged{}
+	cmd, log = exec.Command("/bin/sh", "-c", run[1]+`"$0" serve`, os.Args[0]), &logBuffer{}
 	cmd.Env = append(append(os.Environ(), "GAUGESLIP_TEST_PROGRAM=1", "NODE_CONFIG="+path), l.env...)
 	cmd.Stderr, cmd.ExtraFiles = log, l.files
 	require.NoError(t, cmd.Start())
@@ -115,32 +115,32 @@
 		`{"id":"`+c.Header.Get("X-Trace-Id")+`","state":"done","result":"`+c.Text+`"}`))
 }
 
-// logged is a log that is still being written.
-type logged struct {
+// logBuffer collects the log of a running process.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *logged) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// SIGHUP: a faulty file is named by its key and changes nothing; a sound one moves the watch at once to where the
-// file says that discovery is, though NODE_DISCOVERY was set at the start. SIGTERM may follow.
+// On SIGHUP an invalid file is reported with its key and changes nothing. A valid one moves the watch at once to the
+// discovery address in the file, although NODE_DISCOVERY was set at the start. SIGTERM may follow.
 func TestReloads(t *testing.T) {
 	host := nettest.Listen(t, served)
 	news := make(chan string, 1)
-	old := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks(list(3, false))) })
+	old := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks(hostList(3, false))) })
 	moved := nettest.Listen(t, func(c *nettest.Call) { c.WriteText(nettest.Chunks(<-news)) })
-	addr, cmd, log := program(t, list(1, true), old.Addr, "NODE_DISCOVERY="+old.Addr)
+	addr, cmd, log := startProgram(t, hostList(1, true), old.Addr, "NODE_DISCOVERY="+old.Addr)
 	nettest.Wait(t, old.Calls)
 	path := ""
 	for _, v := range cmd.Env {
@@ -159,7 +159,7 @@
 		nettest.Timeout, time.Millisecond)
 	replace(moved.Addr)
 	assert.Contains(t, nettest.Wait(t, moved.Calls).RequestURI, "index=")
-	news <- list(4, false, entry("s-0000000a", host.Addr, "in_service", 0))
+	news <- hostList(4, false, hostEntry("s-0000000a", host.Addr, "in_service", 0))
 	c := nettest.Dial(t, addr)
 	for status := 0; status != 200; time.Sleep(time.Millisecond) {
 		c.Post("/plot-load/7", fmt.Sprint("t", time.Now().UnixNano()), "X-Expires-In-Ms: 15000\r\n", "body")
@@ -172,8 +172,8 @@
 	require.NoError(t, cmd.Wait(), log)
 }
 
-// The program follows discovery's list: it spares a host that has just started, serves over one that is warm,
-// and stops sending once the list says that the host drains.
+// The program follows discovery's list: it spares a host that has just started, sends jobs to a warm one, and stops
+// sending once the list reports that the host drains.
 func TestFollowsTheCluster(t *testing.T) {
 	host, cold := nettest.Listen(t, served), nettest.Listen(t, served)
 	news := make(chan string)
@@ -184,7 +184,7 @@
 		}
 	})
 	defer close(news)
-	addr, _, _ := program(t, list(1, true), discovery.Addr)
+	addr, _, _ := startProgram(t, hostList(1, true), discovery.Addr)
 	assert.Equal(t, "/discovery/hosts?stream=1&index=1", nettest.Wait(t, discovery.Calls).RequestURI)
 	c, n := nettest.Dial(t, addr), 0
 	until := func(status int) {
@@ -197,12 +197,12 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	until(429) // no host: a refusal
-	// A second's work is too much at once for a host that starts at 12 parts in 100.
-	news <- list(2, false, entry("s-0000000c", cold.Addr, "in_service", time.Now().UnixMilli()))
-	news <- list(3, false, entry("s-0000000a", host.Addr, "in_service", 0))
+	until(429) // refused: there is no host
+	// A second of work is too much at once for a host that starts at 12 % of its capacity.
+	news <- hostList(2, false, hostEntry("s-0000000c", cold.Addr, "in_service", time.Now().UnixMilli()))
+	news <- hostList(3, false, hostEntry("s-0000000a", host.Addr, "in_service", 0))
 	until(200)
-	news <- list(4, false, entry("s-0000000a", host.Addr, "terminating", 0))
+	news <- hostList(4, false, hostEntry("s-0000000a", host.Addr, "terminating", 0))
 	until(429)
 	calls := len(host.Calls)
 	until(429)
@@ -210,19 +210,19 @@
 	assert.Empty(t, cold.Calls)
 }
 
-// SIGTERM: what was taken is answered, and the exit code is 0.
+// After SIGTERM every accepted request is answered, and the exit code is 0.
 func TestTerminates(t *testing.T) {
 	hold := make(chan struct{})
 	host := nettest.Listen(t, func(c *nettest.Call) { <-hold; served(c) })
 	discovery := nettest.Listen(t, func(*nettest.Call) {})
 	release := sync.OnceFunc(func() { close(hold) })
-	t.Cleanup(release) // before the host ends, which waits for its script
-	addr, cmd, log := program(t, list(1, true, entry("s-0000000a", host.Addr, "in_service", 0)), discovery.Addr)
+	t.Cleanup(release) // runs before the host is closed, which waits for its script
+	addr, cmd, log := startProgram(t, hostList(1, true, hostEntry("s-0000000a", host.Addr, "in_service", 0)), discovery.Addr)
 	c := nettest.Dial(t, addr)
 	c.Post("/harvest-sale/7", "t1", "X-Expires-In-Ms: 15000\r\n", "body")
 	nettest.Wait(t, host.Calls)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
-	require.Eventually(t, func() bool { // it stops accepting
+	require.Eventually(t, func() bool { // until it stops accepting
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			c.Close()
@@ -265,7 +265,7 @@
 func TestCheckConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
 	text := `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","known":` +
-		list(1, true, entry("a", "127.0.0.1:3", "in_service", 0)) + `,"settings":` + nettest.SettingsJSON + `}`
+		hostList(1, true, hostEntry("a", "127.0.0.1:3", "in_service", 0)) + `,"settings":` + nettest.SettingsJSON + `}`
 	for text, want := range map[string]struct {
 		code int
 		say  string
--- a/cmd/gaugeslip/plan.go
+++ b/cmd/gaugeslip/plan.go
@@ -18,7 +18,7 @@
 	"gaugeslip/internal/siteloss"
 )
 
-// planOptions are what `plan` is asked.
+// planOptions are the flags of `plan`.
 type planOptions struct {
 	files node.Files
 	ops   string
@@ -28,13 +28,13 @@
 	json  bool
 }
 
-// planCommand prints what is planned for the loss of each site: of a running dispatcher, or from the configuration and loads that are
-// given.
+// planCommand prints the plan for the loss of each site: that of a running dispatcher, or one computed from the
+// configuration and the given loads.
 func planCommand(stdout io.Writer) *cobra.Command {
 	var o planOptions
-	c := &cobra.Command{Use: "plan", Args: none, Short: "Say where the load of a server room goes when it is lost, and what is refused",
+	c := &cobra.Command{Use: "plan", Args: noArgs, Short: "Show where the load of a server room goes if the room is lost, and what is refused",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			p, err := o.planned(cmd)
+			p, err := o.plan(cmd)
 			if err != nil {
 				return err
 			}
@@ -54,16 +54,16 @@
 			}
 			return printPlan(stdout, p)
 		}}
-	addFiles(c, &o.files)
-	c.Flags().StringVar(&o.ops, "ops", "", "ask the running dispatcher whose operators' door this is, with the load that it sees")
-	c.Flags().StringVar(&o.lost, "lost", "", "the loss of this room alone")
-	c.Flags().Float64Var(&o.load, "load", 0.7, "work that the clients of each room ask for, of what its game workers can do")
-	c.Flags().StringVar(&o.loads, "loads", "", "of single rooms, as ROOM=LOAD,...")
+	addFileFlags(c, &o.files)
+	c.Flags().StringVar(&o.ops, "ops", "", "address of a running dispatcher's operators' endpoint: show its plan, with the load that it measures")
+	c.Flags().StringVar(&o.lost, "lost", "", "show only the loss of this room")
+	c.Flags().Float64Var(&o.load, "load", 0.7, "load of each room, as a fraction of the capacity of its game workers")
+	c.Flags().StringVar(&o.loads, "loads", "", "load of single rooms, as ROOM=LOAD,...")
 	c.Flags().BoolVar(&o.json, "json", false, "print JSON")
 	return c
 }
 
-func (o *planOptions) planned(cmd *cobra.Command) (*node.Planned, error) {
+func (o *planOptions) plan(cmd *cobra.Command) (*node.Planned, error) {
 	if o.ops != "" {
 		client := &jobsClient{addr: o.ops}
 		_, text, err := client.call(cmd.Context(), http.MethodGet, "/plan", nil, nil, 0)
@@ -89,7 +89,7 @@
 	return &node.Planned{Fleet: f, Losses: f.Plan()}, nil
 }
 
-// fleet is that of the configuration, with the loads given.
+// fleet returns the fleet of the configuration, with the given loads.
 func (o *planOptions) fleet() (*siteloss.Fleet, error) {
 	c, own, err := o.files.Load()
 	if err != nil {
@@ -140,7 +140,7 @@
 		}
 		s.Load = load * s.Capacity
 	}
-	// How much of the work each class asks for is not in the settings: a running dispatcher sees it; here all are alike.
+	// The settings don't hold each class's share of the load, which a running dispatcher measures; assume equal shares.
 	for _, i := range order {
 		f.Classes = append(f.Classes, siteloss.Class{Name: cfg.Classes[i].Name, Share: 1 / float64(len(order)), Floor: shed.Floor})
 	}
@@ -150,7 +150,7 @@
 	return f, nil
 }
 
-// printPlan writes a plan for people.
+// printPlan prints a plan as tables.
 func printPlan(w io.Writer, p *node.Planned) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "site\thosts\tcan do\tis asked for\tof it\tstate")
--- a/cmd/gaugeslip/shares.go
+++ b/cmd/gaugeslip/shares.go
@@ -15,10 +15,11 @@
 	"gaugeslip/internal/net/peers"
 )
 
-// viewCommand reads one view of a running dispatcher's operators' door and prints it as a table, or as it comes.
+// viewCommand reads one view from the operators' endpoint of a running dispatcher and prints it as a table or as
+// JSON.
 func viewCommand[T any](name, short string, stdout io.Writer, table func(w io.Writer, v T)) *cobra.Command {
 	c := &jobsClient{out: stdout}
-	cmd := &cobra.Command{Use: name, Short: short, Args: none, RunE: func(cmd *cobra.Command, _ []string) error {
+	cmd := &cobra.Command{Use: name, Short: short, Args: noArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		if c.addr == "" {
 			return usageError{fmt.Errorf("%s: --ops, or NODE_OPS, is wanted", name)}
 		}
@@ -41,14 +42,14 @@
 		table(w, v)
 		return w.Flush()
 	}}
-	cmd.Flags().StringVar(&c.addr, "ops", os.Getenv("NODE_OPS"), "address of the dispatcher's operators' door")
-	cmd.Flags().BoolVar(&c.json, "json", false, "print JSON as it comes")
+	cmd.Flags().StringVar(&c.addr, "ops", os.Getenv("NODE_OPS"), "address of the dispatcher's operators' endpoint")
+	cmd.Flags().BoolVar(&c.json, "json", false, "print the JSON answer unchanged")
 	return cmd
 }
 
-// budgetsCommand shows the fleet-wide budgets as one dispatcher has them.
+// budgetsCommand shows the fleet-wide budgets as one dispatcher sees them.
 func budgetsCommand(stdout io.Writer) *cobra.Command {
-	return viewCommand("budgets", "Show what a running dispatcher owns of the fleet's budgets", stdout, func(w io.Writer, all []budget.AccountStatus) {
+	return viewCommand("budgets", "Show which shares of the fleet's budgets a running dispatcher owns", stdout, func(w io.Writer, all []budget.AccountStatus) {
 		fmt.Fprintln(w, "budget\twhole a second\tfloor\towned\tfor\tepoch\tused\trefused")
 		for _, f := range all {
 			ends := "good"
@@ -60,7 +61,7 @@
 	})
 }
 
-// membersCommand shows the other dispatchers as one has them.
+// membersCommand shows the other dispatchers as one dispatcher sees them.
 func membersCommand(stdout io.Writer) *cobra.Command {
 	return viewCommand("members", "Show the other dispatchers as a running one sees them", stdout, func(w io.Writer, v peers.View) {
 		fmt.Fprintln(w, "number\tstate\t")
