--- a/cmd/gaugeslip/jobs.go
+++ b/cmd/gaugeslip/jobs.go
@@ -120,7 +120,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error { return do(cmd.Context(), args[0]) }}
 }
 
-func jobPath(id string) string { return downstream.Jobs + "/" + url.PathEscape(id) }
+func jobPath(id string) string { return downstream.JobsPath + "/" + url.PathEscape(id) }
 
 func (c *jobsClient) get(ctx context.Context, id string) error {
 	_, text, err := c.call(ctx, http.MethodGet, jobPath(id), nil, nil, 0)
@@ -225,7 +225,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 			for from := ""; ; {
-				_, text, err := c.call(cmd.Context(), http.MethodGet, downstream.Jobs+"?from="+url.QueryEscape(from), nil,
+				_, text, err := c.call(cmd.Context(), http.MethodGet, downstream.JobsPath+"?from="+url.QueryEscape(from), nil,
 					nil, 0)
 				if err != nil {
 					return err
--- a/cmd/gaugeslip/main.go
+++ b/cmd/gaugeslip/main.go
@@ -63,13 +63,13 @@
 func noArgs(c *cobra.Command, args []string) error { return argCount(0, 0)(c, args) }
 
 // argCount requires from least to most arguments.
-func argCount(least, most int) cobra.PositionalArgs {
+func argCount(minArgs, maxArgs int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		switch {
-		case len(args) > most:
-			return usageError{fmt.Errorf("%s: unexpected argument %q", c.CommandPath(), args[most])}
-		case len(args) < least:
-			return usageError{fmt.Errorf("%s: %d arguments, %d wanted", c.CommandPath(), len(args), least)}
+		case len(args) > maxArgs:
+			return usageError{fmt.Errorf("%s: unexpected argument %q", c.CommandPath(), args[maxArgs])}
+		case len(args) < minArgs:
+			return usageError{fmt.Errorf("%s: %d arguments, %d wanted", c.CommandPath(), len(args), minArgs)}
 		}
 		return nil
 	}
--- a/cmd/gaugeslip/plan.go
+++ b/cmd/gaugeslip/plan.go
@@ -63,7 +63,7 @@
 	return c
 }
 
-func (o *planOptions) plan(cmd *cobra.Command) (*node.Planned, error) {
+func (o *planOptions) plan(cmd *cobra.Command) (*node.SitePlan, error) {
 	if o.ops != "" {
 		client := &jobsClient{addr: o.ops}
 		_, text, err := client.call(cmd.Context(), http.MethodGet, "/plan", nil, nil, 0)
@@ -73,7 +73,7 @@
 		if err != nil {
 			return nil, err
 		}
-		var p node.Planned
+		var p node.SitePlan
 		if err := json.Unmarshal(text, &p); err != nil {
 			return nil, fmt.Errorf("not what a dispatcher answers: %w", err)
 		}
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &node.Planned{Fleet: f, Losses: f.Plan()}, nil
+	return &node.SitePlan{Fleet: f, Losses: f.Plan()}, nil
 }
 
 // fleet returns the fleet of the configuration, with the given loads.
@@ -115,7 +115,7 @@
 	if f.ColdFrom == 0 {
 		f.ColdFrom = 1
 	}
-	for _, name := range node.Rooms(c) {
+	for _, name := range node.ZoneNames(c) {
 		f.Sites = append(f.Sites, siteloss.Site{Name: name})
 	}
 	for _, h := range known.Hosts {
@@ -151,7 +151,7 @@
 }
 
 // printPlan prints a plan as tables.
-func printPlan(w io.Writer, p *node.Planned) error {
+func printPlan(w io.Writer, p *node.SitePlan) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "site\thosts\tcan do\tis asked for\tof it\tstate")
 	for _, s := range p.Fleet.Sites {
--- a/internal/net/downstream/answer.go
+++ b/internal/net/downstream/answer.go
@@ -37,8 +37,8 @@
 
 // countAnswer counts a final answer to a job.
 func (s *Server) countAnswer(class, status int) {
-	if s.cfg.Tally != nil {
-		s.cfg.Tally.Answered(class, status)
+	if s.cfg.AnswerCounter != nil {
+		s.cfg.AnswerCounter.Answered(class, status)
 	}
 }
 
@@ -61,7 +61,7 @@
 	class := t.Job.Class
 	t.Forward.Client = r.Context()
 	if err := s.loop.Submit(t); err != nil {
-		if errors.Is(err, loop.ErrOpen) {
+		if errors.Is(err, loop.ErrDuplicateID) {
 			s.countAnswer(class, s.reject(w, r, &requestError{http.StatusConflict, err.Error()}))
 			return
 		}
@@ -123,10 +123,10 @@
 	case a.Refused:
 		s.setRetryAfter(w, a.RetryAfter)
 		status := cmp.Or(a.Status, http.StatusTooManyRequests)
-		s.reply(w, status, cmp.Or(a.Why, "refused"))
+		s.reply(w, status, cmp.Or(a.Text, "refused"))
 		return status
 	case a.Status != 0:
-		s.reply(w, a.Status, a.Why)
+		s.reply(w, a.Status, a.Text)
 		return a.Status
 	default:
 		s.reply(w, http.StatusInternalServerError, "failed")
--- a/internal/net/downstream/decode.go
+++ b/internal/net/downstream/decode.go
@@ -105,9 +105,9 @@
 	j.Key = xxhash.Sum64String(object)
 	j.Budget = s.Policy.Classes[class].Deadline // the default without a header
 	var err error
-	if said := r.Header["X-Expires-In-Ms"]; len(said) > 0 {
-		if j.Budget, err = parseMilliseconds(said[0]); err != nil {
-			return nil, badRequest("X-Expires-In-Ms: bad value %q", said[0])
+	if values := r.Header["X-Expires-In-Ms"]; len(values) > 0 {
+		if j.Budget, err = parseMilliseconds(values[0]); err != nil {
+			return nil, badRequest("X-Expires-In-Ms: bad value %q", values[0])
 		}
 	}
 	if j.Size, err = parseDurationHeader(r, "X-Size-Hint", time.Microsecond); err != nil {
--- a/internal/net/downstream/gate.go
+++ b/internal/net/downstream/gate.go
@@ -91,15 +91,15 @@
 
 func (g *gate) admit(nc net.Conn) *client {
 	g.mu.Lock()
-	held := 0
+	open := 0
 	for _, set := range g.conns {
-		held += len(set)
+		open += len(set)
 	}
 	var victim *client
-	if held >= g.maxConns {
+	if open >= g.maxConns {
 		if victim = g.evictionCandidate(); victim == nil {
 			g.mu.Unlock()
-			slog.Debug("new connection closed: all others await answers", "held", held)
+			slog.Debug("new connection closed: all others await answers", "held", open)
 			return nil
 		}
 		slog.Debug("connection evicted for a new one", "phase", victim.phase, "for", time.Since(victim.since))
@@ -164,12 +164,12 @@
 // unread data: the close costs their clients only a new connection. It returns the number of connections left.
 func (g *gate) closeIdle(unreadFor time.Duration) (left int) {
 	g.mu.Lock()
-	var out []*client
+	var victims []*client
 	for p, least := range map[phase]time.Duration{idle: 0, awaitingHead: unreadFor} {
 		for c := range g.conns[p] {
 			if time.Since(c.since) >= least && !c.head.started() && !hasUnreadData(c.Conn) {
 				g.remove(c)
-				out = append(out, c)
+				victims = append(victims, c)
 			}
 		}
 	}
@@ -177,7 +177,7 @@
 		left += len(set)
 	}
 	g.mu.Unlock()
-	for _, c := range out {
+	for _, c := range victims {
 		c.Conn.Close()
 	}
 	return left
--- a/internal/net/downstream/jobs.go
+++ b/internal/net/downstream/jobs.go
@@ -19,8 +19,8 @@
 // The clients' API for waiting jobs: headers on a job's POST, and /jobs to query and cancel jobs. Both are off unless
 // Config.Waiting is set.
 
-// Jobs is the path below which waiting jobs are addressed by their ids.
-const Jobs = "/jobs"
+// JobsPath is the path below which waiting jobs are addressed by their ids.
+const JobsPath = "/jobs"
 
 const (
 	maxDependencies = 16
@@ -42,7 +42,7 @@
 // parsePreferences parses the Prefer headers. As the RFC requires, unknown preferences are ignored and the first one
 // of a name counts.
 func parsePreferences(h http.Header) (p preference, err error) {
-	waits := false
+	waitSeen := false
 	for _, part := range strings.Split(strings.Join(h["Prefer"], ","), ",") {
 		part, _, _ = strings.Cut(part, ";") // parameters are ignored
 		name, value, _ := strings.Cut(part, "=")
@@ -50,10 +50,10 @@
 		case "respond-async":
 			p.async = true
 		case "wait":
-			if waits {
+			if waitSeen {
 				continue
 			}
-			waits = true
+			waitSeen = true
 			v, err := strconv.ParseUint(strings.Trim(strings.TrimSpace(value), `"`), 10, 31)
 			if err != nil {
 				return p, badRequest("Prefer: wait: %q is no number of seconds", value)
@@ -78,27 +78,27 @@
 		t.Job.Client, _, _ = net.SplitHostPort(r.RemoteAddr)
 	}
 	w := dispatch.Wait{Detached: p.async}
-	asks := p.async
+	waits := p.async
 	for _, f := range []struct {
 		name string
 		to   *time.Duration
 	}{{"X-Not-Before-Ms", &w.NotBefore}, {"X-Due-Ms", &w.Due}} {
-		said, there := r.Header[f.name]
+		values, there := r.Header[f.name]
 		if !there {
 			continue
 		}
-		asks = true
-		v, err := strconv.ParseUint(said[0], 10, 63) // accepts no sign
+		waits = true
+		v, err := strconv.ParseUint(values[0], 10, 63) // accepts no sign
 		if err != nil || v > uint64(maxTimeHeader/time.Millisecond) {
-			return p, badRequest("%s: bad value %q", f.name, said[0])
+			return p, badRequest("%s: bad value %q", f.name, values[0])
 		}
 		if *f.to = time.Duration(v) * time.Millisecond; v == 0 && f.to == &w.Due {
 			return p, badRequest("X-Due-Ms: must be more than 0")
 		}
 	}
-	if said, there := r.Header["X-After"]; there {
-		asks = true
-		for _, id := range strings.Split(said[0], ",") {
+	if values, there := r.Header["X-After"]; there {
+		waits = true
+		for _, id := range strings.Split(values[0], ",") {
 			if id = strings.TrimSpace(id); !validID(id, maxIDLength) {
 				return p, badRequest("X-After: %q is no id", id)
 			}
@@ -110,7 +110,7 @@
 			return p, badRequest("X-After: %d ids, %d at most", len(w.After), maxDependencies)
 		}
 	}
-	if asks {
+	if waits {
 		t.Job.Wait = &w
 	}
 	return p, nil
@@ -120,12 +120,12 @@
 // and the job ends in that time, it sends the job's final state instead.
 func (s *Server) replyAccepted(w http.ResponseWriter, r *http.Request, id string, p preference) {
 	if p.wait > 0 {
-		if told, ok := s.queryJobs(r, waiting.Query{Name: id}, p.wait); ok && told.Info != nil && told.Info.State.Final() {
-			s.replyFinished(w, told.Info)
+		if result, ok := s.queryJobs(r, waiting.Query{Name: id}, p.wait); ok && result.Info != nil && result.Info.State.Final() {
+			s.replyFinished(w, result.Info)
 			return
 		}
 	}
-	w.Header().Set("Location", Jobs+"/"+id)
+	w.Header().Set("Location", JobsPath+"/"+id)
 	w.Header().Set("Preference-Applied", "respond-async")
 	s.writeJSON(w, http.StatusAccepted, &Job{ID: id, State: waiting.Waiting.String()})
 }
@@ -136,9 +136,9 @@
 	case waiting.Served:
 		s.writeAnswer(w, loop.Answer{Served: true, Body: []byte(i.Result)})
 	case waiting.Refused:
-		s.writeAnswer(w, loop.Answer{Refused: true, Status: i.Status, Why: i.State.String()})
+		s.writeAnswer(w, loop.Answer{Refused: true, Status: i.Status, Text: i.State.String()})
 	default:
-		s.writeAnswer(w, loop.Answer{Status: i.Status, Why: i.State.String()})
+		s.writeAnswer(w, loop.Answer{Status: i.Status, Text: i.State.String()})
 	}
 }
 
@@ -179,12 +179,12 @@
 // queryJobs sends a query to the waiting queue. With a wait it returns when the job ends or the wait is over.
 func (s *Server) queryJobs(r *http.Request, q waiting.Query, wait time.Duration) (dispatch.QueryResult, bool) {
 	q.Deadline = s.loop.Clock().Now() + wait
-	return s.loop.Ask(r.Context(), dispatch.JobQuery{Query: q})
+	return s.loop.QueryJobs(r.Context(), dispatch.JobQuery{Query: q})
 }
 
 // serveJobs serves the paths below Jobs.
 func (s *Server) serveJobs(w http.ResponseWriter, r *http.Request) {
-	id := strings.TrimPrefix(strings.TrimPrefix(r.URL.Path, Jobs), "/")
+	id := strings.TrimPrefix(strings.TrimPrefix(r.URL.Path, JobsPath), "/")
 	q := waiting.Query{Name: id}
 	var wait time.Duration
 	switch {
@@ -192,9 +192,9 @@
 		query, err := url.ParseQuery(r.URL.RawQuery)
 		if err == nil {
 			q.StartAfter, q.MaxJobs = query.Get("from"), maxPageLength
-			if said := query.Get("most"); said != "" {
+			if text := query.Get("most"); text != "" {
 				var n uint64
-				if n, err = strconv.ParseUint(said, 10, 16); n < 1 || n > maxPageLength {
+				if n, err = strconv.ParseUint(text, 10, 16); n < 1 || n > maxPageLength {
 					err = strconv.ErrRange
 				}
 				q.MaxJobs = int(n)
@@ -221,18 +221,18 @@
 		s.reply(w, http.StatusMethodNotAllowed, "not this method")
 		return
 	}
-	told, ok := s.queryJobs(r, q, wait)
+	result, ok := s.queryJobs(r, q, wait)
 	switch {
 	case !ok && r.Context().Err() != nil:
-	case !ok || told.Status == waiting.StatusFull:
+	case !ok || result.Status == waiting.StatusFull:
 		s.setRetryAfter(w, s.set.Policy.MaxRetryAfter)
 		s.reply(w, http.StatusServiceUnavailable, "stopping")
-	case told.Status == waiting.StatusUnknown:
+	case result.Status == waiting.StatusUnknown:
 		s.reply(w, http.StatusNotFound, "no such job")
-	case told.Board != nil:
-		page := Page{Jobs: make([]Job, 0, len(told.Board.Jobs)), Room: &told.Board.Stats}
-		for i := range told.Board.Jobs {
-			j := newJob(&told.Board.Jobs[i])
+	case result.Board != nil:
+		page := Page{Jobs: make([]Job, 0, len(result.Board.Jobs)), Room: &result.Board.Stats}
+		for i := range result.Board.Jobs {
+			j := newJob(&result.Board.Jobs[i])
 			j.Result = nil
 			page.Jobs = append(page.Jobs, *j)
 		}
@@ -244,7 +244,7 @@
 		if wait > 0 {
 			w.Header().Set("Preference-Applied", "wait="+strconv.Itoa(int(wait/time.Second)))
 		}
-		s.writeJSON(w, told.Status, newJob(told.Info))
+		s.writeJSON(w, result.Status, newJob(result.Info))
 	}
 }
 
--- a/internal/net/downstream/request.go
+++ b/internal/net/downstream/request.go
@@ -38,7 +38,7 @@
 		s.serveUp(w, r)
 		return
 	}
-	if s.cfg.Waiting && (r.URL.Path == Jobs || strings.HasPrefix(r.URL.Path, Jobs+"/")) {
+	if s.cfg.Waiting && (r.URL.Path == JobsPath || strings.HasPrefix(r.URL.Path, JobsPath+"/")) {
 		control.SetReadDeadline(time.Time{})
 		s.serveJobs(w, r)
 		return
@@ -49,10 +49,10 @@
 		p, err = decodeWaiting(r, t)
 	}
 	if err == nil {
-		long := countedBodyBytes(r)
-		held := s.bodies.Add(long)
-		defer s.bodies.Add(-long)
-		t.Forward.Body, err = readBody(r, held <= s.cfg.MaxBodies)
+		counted := countedBodyBytes(r)
+		bodyBytes := s.bodies.Add(counted)
+		defer s.bodies.Add(-counted)
+		t.Forward.Body, err = readBody(r, bodyBytes <= s.cfg.MaxBodies)
 	}
 	if err != nil {
 		status := s.reject(w, r, err)
--- a/internal/net/downstream/server.go
+++ b/internal/net/downstream/server.go
@@ -33,13 +33,13 @@
 	MaxBodies int64         // bytes of long bodies in memory at once; requests beyond that are refused
 	AcceptFor time.Duration // see the constant AcceptFor
 
-	KilledAfter time.Duration // see the function KilledAfter
-	Waiting     bool          // the loop has a queue of waiting jobs
-	Tally       Tally         // counts final answers; nil: none
+	KilledAfter   time.Duration // see the function KilledAfter
+	Waiting       bool          // the loop has a queue of waiting jobs
+	AnswerCounter AnswerCounter // counts final answers; nil: none
 }
 
-// Tally counts the final answers to jobs as they are written, by class and by the status that the client gets.
-type Tally interface{ Answered(class, status int) }
+// AnswerCounter counts the final answers to jobs as they are written, by class and by the status that the client gets.
+type AnswerCounter interface{ Answered(class, status int) }
 
 // Server is the HTTP server of the downstream side.
 type Server struct {
--- a/internal/net/loop/calls.go
+++ b/internal/net/loop/calls.go
@@ -14,16 +14,16 @@
 // the loop has ended first; the change may still take effect.
 func (l *Loop) Hand(ctx context.Context, name string, out bool) (known bool, err error) {
 	m := dispatch.SetCordon{Request: l.nextCordon.Add(1), Name: name, Cordoned: out}
-	handed := make(chan bool, 1)
+	cordonReply := make(chan bool, 1)
 	select {
-	case l.urgent <- envelope{msg: m, cordonReply: handed}:
+	case l.urgent <- envelope{msg: m, cordonReply: cordonReply}:
 	case <-ctx.Done():
 		return false, ctx.Err()
 	case <-l.stopped:
 		return false, ErrStopped
 	}
 	select {
-	case known = <-handed:
+	case known = <-cordonReply:
 		return known, nil
 	case <-ctx.Done():
 		return false, ctx.Err()
@@ -67,15 +67,15 @@
 	return l.knownHosts.Load(), l.excludedHosts.Load()
 }
 
-// Move replaces the source of the host list. The watch on the new source starts at once, after the newest known
+// SetSource replaces the source of the host list. The watch on the new source starts at once, after the newest known
 // version, even if the core is waiting before it asks again.
-func (l *Loop) Move(source cluster.Source) { l.post(envelope{source: source}) }
+func (l *Loop) SetSource(source cluster.Source) { l.post(envelope{source: source}) }
 
 // ErrFull reports that the dispatcher holds as many requests as it may.
 var ErrFull = errors.New("loop: as many requests are held as may be")
 
-// ErrOpen reports that another request with the same id is open or may still have upstream requests.
-var ErrOpen = errors.New("loop: a request with this id is already open")
+// ErrDuplicateID reports that another request with the same id is open or may still have upstream requests.
+var ErrDuplicateID = errors.New("loop: a request with this id is already open")
 
 // Submit submits a downstream request. Its answer arrives on t.Answer. The caller must call Release when the request
 // is over.
@@ -102,7 +102,7 @@
 		return l.ids.claim(t.Forward.TraceID, t.Arrived, t.Job.Budget)
 	}
 	if l.ids.taken(t.Forward.TraceID, t.Arrived) {
-		return ErrOpen
+		return ErrDuplicateID
 	}
 	return nil
 }
@@ -116,14 +116,14 @@
 	}
 }
 
-// Ask sends a query about waiting jobs. A query that waits ends at its Deadline, on the loop's clock. It returns
+// QueryJobs sends a query about waiting jobs. A query that waits ends at its Deadline, on the loop's clock. It returns
 // false if ctx or the loop has ended.
-func (l *Loop) Ask(ctx context.Context, q dispatch.JobQuery) (dispatch.QueryResult, bool) {
+func (l *Loop) QueryJobs(ctx context.Context, q dispatch.JobQuery) (dispatch.QueryResult, bool) {
 	q.Number = l.nextQuery.Add(1)
-	told := make(chan dispatch.QueryResult, 1)
-	l.post(envelope{msg: q, queryReply: told})
+	reply := make(chan dispatch.QueryResult, 1)
+	l.post(envelope{msg: q, queryReply: reply})
 	select {
-	case t := <-told:
+	case t := <-reply:
 		return t, true
 	case <-ctx.Done():
 		l.Post(dispatch.QueryCancelled{Query: q.Number})
--- a/internal/net/loop/carry.go
+++ b/internal/net/loop/carry.go
@@ -28,7 +28,7 @@
 	case dispatch.LocalReply:
 		if t := l.tickets[c.Job]; t != nil {
 			delete(l.tickets, c.Job)
-			a := Answer{Refused: c.Refused, Status: c.Status, Why: c.Reason}
+			a := Answer{Refused: c.Refused, Status: c.Status, Text: c.Reason}
 			if l.set.RetryAfter {
 				a.RetryAfter = c.RetryAfter
 			}
@@ -42,14 +42,14 @@
 			t.deliver(Answer{Accepted: true})
 		}
 	case dispatch.CordonResult:
-		if handed := l.cordonReplies[c.Request]; handed != nil {
+		if reply := l.cordonReplies[c.Request]; reply != nil {
 			delete(l.cordonReplies, c.Request)
-			handed <- c.Known // buffered: does not block
+			reply <- c.Known // buffered: does not block
 		}
 	case dispatch.QueryResult:
-		if told := l.queryReplies[c.Query]; told != nil {
+		if reply := l.queryReplies[c.Query]; reply != nil {
 			delete(l.queryReplies, c.Query)
-			told <- c // buffered: does not block
+			reply <- c // buffered: does not block
 		}
 	case dispatch.Probe:
 		l.spawn(func() {
@@ -88,9 +88,9 @@
 	if client == nil {
 		client = context.Background()
 	}
-	wanted, unsend := context.WithCancel(client) // ends when the client disconnects, or on CancelUnsent
+	sendCtx, unsend := context.WithCancel(client) // ends when the client disconnects, or on CancelUnsent
 	l.attempts[c.Key] = cancelFuncs{cancel, unsend}
-	q.Addr, q.Client = c.Addr, wanted
+	q.Addr, q.Client = c.Addr, sendCtx
 	l.spawn(func() {
 		defer cancel()
 		defer unsend()
@@ -100,12 +100,12 @@
 
 // spawn starts work that Run waits for when it ends. A panic in it must neither end the process nor leave the core
 // waiting: the core then gets the message broken.
-func (l *Loop) spawn(work func(), broken dispatch.Message) {
+func (l *Loop) spawn(work func(), onPanic dispatch.Message) {
 	l.work.Go(func() {
 		defer func() {
 			if p := recover(); p != nil {
 				slog.Error("panic in socket code", "panic", p, "stack", string(debug.Stack()))
-				l.Post(broken)
+				l.Post(onPanic)
 			}
 		}()
 		work()
--- a/internal/net/loop/ids.go
+++ b/internal/net/loop/ids.go
@@ -33,7 +33,7 @@
 		maps.DeleteFunc(s.expiry, func(_ string, until time.Time) bool { return until.Before(now) })
 	}
 	if until, ok := s.expiry[id]; ok && !until.Before(now) {
-		return ErrOpen
+		return ErrDuplicateID
 	}
 	if len(s.expiry) >= maxIDs {
 		return ErrFull
--- a/internal/net/loop/loop_test.go
+++ b/internal/net/loop/loop_test.go
@@ -154,7 +154,7 @@
 func TestIDs(t *testing.T) {
 	s, now := idTable{expiry: map[string]time.Time{}}, time.Now()
 	require.NoError(t, s.claim("a", now, time.Second))
-	require.ErrorIs(t, s.claim("a", now.Add(time.Second), time.Second), ErrOpen)
+	require.ErrorIs(t, s.claim("a", now.Add(time.Second), time.Second), ErrDuplicateID)
 	require.NoError(t, s.claim("a", now.Add(time.Second+1), time.Hour))
 	for n := range maxIDs - 1 {
 		require.NoError(t, s.claim(fmt.Sprint(n), now.Add(2*time.Second), time.Second))
@@ -179,11 +179,11 @@
 	assert.Equal(t, uint64(5), nettest.Wait(t, s.watches))
 	l.Post(dispatch.HostList{Version: 7})
 	next := &fakeUpstream{watches: make(chan uint64, 9), breaks: make(chan error)}
-	l.Move(next)
+	l.SetSource(next)
 	assert.Equal(t, uint64(7), nettest.Wait(t, next.watches))
 	third := &fakeUpstream{watches: make(chan uint64, 9), breaks: make(chan error)}
 	next.breaks <- errors.New("broken")
-	l.Move(third)
+	l.SetSource(third)
 	nettest.Wait(t, third.watches)
 	assert.Empty(t, s.watches)
 
--- a/internal/net/loop/run.go
+++ b/internal/net/loop/run.go
@@ -174,12 +174,12 @@
 // rebuildCore fails all requests that the core was handling and replaces it by a new core. They may have run, so they
 // fail and are not refused. Jobs that only wait stay in the queue.
 func (l *Loop) rebuildCore() error {
-	core, known, keeps, err := l.core.Rebuild(l.clock.Now())
+	core, known, owns, err := l.core.Rebuild(l.clock.Now())
 	if err != nil {
 		return fmt.Errorf("loop: %w", err)
 	}
 	for job, t := range l.tickets {
-		if !keeps(job) {
+		if !owns(job) {
 			t.deliver(Answer{})
 			delete(l.tickets, job)
 		}
@@ -187,14 +187,14 @@
 	for _, out := range l.attempts {
 		out.cancel()
 	}
-	maps.DeleteFunc(l.detached, func(job uint64, _ *detachedJob) bool { return !keeps(job) })
+	maps.DeleteFunc(l.detached, func(job uint64, _ *detachedJob) bool { return !owns(job) })
 	if l.cancelWatch != nil {
 		l.cancelWatch()
 		l.cancelWatch = nil
 	}
 	clear(l.attempts)
-	for _, told := range l.queryReplies { // the callers may ask again
-		told <- dispatch.QueryResult{Status: waiting.StatusFull}
+	for _, reply := range l.queryReplies { // the callers may ask again
+		reply <- dispatch.QueryResult{Status: waiting.StatusFull}
 	}
 	clear(l.queryReplies)
 	clear(l.cordonReplies) // their callers time out by themselves
--- a/internal/net/loop/ticket.go
+++ b/internal/net/loop/ticket.go
@@ -16,7 +16,7 @@
 	RetryAfter time.Duration // if Refused; 0: none
 	Accepted   bool          // the job was accepted and continues without its connection
 	Status     int           // status of a local reply if it is not the default; else 0
-	Why        string        // the text that goes with Status
+	Text       string        // the text that goes with Status
 }
 
 // Ticket is one downstream request on its way through the dispatcher.
--- a/internal/net/loop/waiting_test.go
+++ b/internal/net/loop/waiting_test.go
@@ -42,7 +42,7 @@
 	lim.MaxJobs, lim.ClientShare = 100_000, 1
 	l, _ := startWithWaiting(t, lim)
 	open := submit(t, l, 0, 15*time.Second)
-	require.ErrorIs(t, l.Submit(newDetachedTicket(open.Forward.TraceID, dispatch.Wait{})), ErrOpen)
+	require.ErrorIs(t, l.Submit(newDetachedTicket(open.Forward.TraceID, dispatch.Wait{})), ErrDuplicateID)
 	for i := range maxIDs + 100 {
 		k := newDetachedTicket(fmt.Sprint("w", i), dispatch.Wait{NotBefore: time.Hour})
 		require.NoError(t, l.Submit(k))
--- a/internal/node/budgets.go
+++ b/internal/node/budgets.go
@@ -34,7 +34,7 @@
 }
 
 // newBudgets creates the budgets that the settings ask for; nil if there are none. No share is owned yet.
-func newBudgets(cfg *config.Config, own *operatorsettings.Settings, now func() time.Duration, figures *operators.Metrics) *budgets {
+func newBudgets(cfg *config.Config, own *operatorsettings.Settings, now func() time.Duration, metrics *operators.Metrics) *budgets {
 	if own.Budgets == nil {
 		return nil
 	}
@@ -51,7 +51,7 @@
 		b.peers = peers.New(peers.Config{Limits: *own.Peers, Self: policy.Ordinal, Floor: own.Budgets.FloorUnits(members), Ledger: b.ledger,
 			Now: now, Life: rand.Uint64() | 1})
 		for _, state := range []string{"alive", "silent", "left"} {
-			figures.LabelledFunc("members", "Dispatchers by membership state.", "state", state, func() float64 { return b.peers.Count(state) })
+			metrics.LabelledFunc("members", "Dispatchers by membership state.", "state", state, func() float64 { return b.peers.Count(state) })
 		}
 	}
 	for i, f := range b.ledger.Status(now()) {
@@ -65,7 +65,7 @@
 			"budget_refused_total": {"Uses refused because the share was used up, since the start.", func(f budget.AccountStatus) float64 { return float64(f.Refused) }},
 			"budget_epoch":         {"Increases with each change of the share.", func(f budget.AccountStatus) float64 { return float64(f.Epoch) }},
 		} {
-			figures.LabelledFunc(name, x.help, "budget", f.Name, func() float64 { return x.of(b.ledger.Status(b.now())[i]) })
+			metrics.LabelledFunc(name, x.help, "budget", f.Name, func() float64 { return x.of(b.ledger.Status(b.now())[i]) })
 		}
 	}
 	return b
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("lock: %w", err)
 	}
-	for said := false; ; {
+	for logged := false; ; {
 		err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		switch {
 		case err == nil:
@@ -127,8 +127,8 @@
 		case !errors.Is(err, syscall.EWOULDBLOCK) && !errors.Is(err, syscall.EINTR):
 			f.Close()
 			return nil, fmt.Errorf("lock: %w", err)
-		case !said:
-			said = true
+		case !logged:
+			logged = true
 			slog.Info("another process of this dispatcher owns its shares: waiting for the lock")
 		}
 		if pause.For(ctx, lockRetryInterval) != nil {
--- a/internal/node/gates.go
+++ b/internal/node/gates.go
@@ -12,7 +12,7 @@
 )
 
 // newShedGate creates the gate that refuses jobs in overload, with its metrics; nil if shedding is off.
-func newShedGate(l *overload.Limits, cfg *policy.Config, figures *operators.Metrics) (*dispatch.ShedGate, error) {
+func newShedGate(l *overload.Limits, cfg *policy.Config, metrics *operators.Metrics) (*dispatch.ShedGate, error) {
 	if l == nil || !l.Shed {
 		return nil, nil
 	}
@@ -21,15 +21,15 @@
 		return nil, fmt.Errorf("site: overload.%w", err)
 	}
 	for i, c := range cfg.Classes {
-		figures.LabelledFunc("shed_total", "Jobs of a class refused on arrival because of overload, since the start; also counted in refused_total.",
+		metrics.LabelledFunc("shed_total", "Jobs of a class refused on arrival because of overload, since the start; also counted in refused_total.",
 			"class", c.Name, func() float64 { return g.RefusedJobs(i) })
 	}
-	figures.Gauge("admitted_share", "Share of the offered work that is admitted.", g.AdmittedShare)
+	metrics.Gauge("admitted_share", "Share of the offered work that is admitted.", g.AdmittedShare)
 	return g, nil
 }
 
 // newSitesGate creates the gate that judges sites, with its metrics; nil if it is off.
-func newSitesGate(own *operatorsettings.Settings, cfg *config.Config, decisions *policy.Config, figures *operators.Metrics) (*dispatch.SitesGate, error) {
+func newSitesGate(own *operatorsettings.Settings, cfg *config.Config, decisions *policy.Config, metrics *operators.Metrics) (*dispatch.SitesGate, error) {
 	if own.Sites == nil {
 		return nil, nil
 	}
@@ -41,10 +41,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("site: overload.%w", err)
 	}
-	names := Rooms(cfg)
+	names := ZoneNames(cfg)
 	g := dispatch.NewSitesGate(*own.Sites, *decisions, names, order, shed.Floor)
 	for i, name := range names {
-		figures.LabelledFunc("site_state", "0: serving, 1: suspect, 2: lost, 3: cut off from here, 4: returning.", "site", name,
+		metrics.LabelledFunc("site_state", "0: serving, 1: suspect, 2: lost, 3: cut off from here, 4: returning.", "site", name,
 			func() float64 { return float64(g.State(i)) })
 	}
 	return g, nil
--- a/internal/node/level.go
+++ b/internal/node/level.go
@@ -14,17 +14,17 @@
 // level feeds the answers that clients get to overload.Level and logs one line each time the level changes. Its
 // methods may be called from any goroutine.
 type level struct {
-	next    downstream.Tally
+	next    downstream.AnswerCounter
 	started time.Time
 	mu      sync.Mutex
 	level   *overload.Level
 }
 
-func newLevel(l overload.Limits, next downstream.Tally, started time.Time) *level {
+func newLevel(l overload.Limits, next downstream.AnswerCounter, started time.Time) *level {
 	return &level{next: next, started: started, level: overload.NewLevel(l)}
 }
 
-// Answered implements downstream.Tally.
+// Answered implements downstream.AnswerCounter.
 func (v *level) Answered(class, status int) {
 	v.next.Answered(class, status)
 	v.mu.Lock()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -15,7 +15,7 @@
 // reload reads the configuration and our own settings again at each signal until ctx ends, and moves the watch if the
 // discovery address has changed. An error in either file changes nothing.
 func reload(ctx context.Context, cfg *config.Config, own *operatorsettings.Settings, f *Files, hup <-chan os.Signal, l *loop.Loop, shares *budgets) {
-	at := cfg.Discovery
+	discovery := cfg.Discovery
 	for {
 		select {
 		case <-ctx.Done():
@@ -49,11 +49,11 @@
 			slog.Warn("changes take effect only after a restart", "keys", keys)
 		}
 		slog.Info("configuration reloaded", "discovery", newer.Discovery)
-		if newer.Discovery != at {
-			at = newer.Discovery
+		if newer.Discovery != discovery {
+			discovery = newer.Discovery
 			moved := *cfg // keep all settings that need a restart
-			moved.Discovery = at
-			l.Move(hostSource(&moved, shares, false))
+			moved.Discovery = discovery
+			l.SetSource(hostSource(&moved, shares, false))
 		}
 	}
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -65,43 +65,43 @@
 		return err
 	}
 	down, up := Budget(cfg.Limits.Sockets)
-	door := 0
+	opsConns := 0
 	if cfg.Ops != "" {
-		door = OpsConns(cfg.Limits.Sockets)
-		down -= door
+		opsConns = OpsConns(cfg.Limits.Sockets)
+		down -= opsConns
 	}
 	var l *loop.Loop
-	figures := operators.NewMetrics(classes(cfg), operators.Gauges{
+	metrics := operators.NewMetrics(classes(cfg), operators.Gauges{
 		InFlight: func() float64 { return float64(l.Held()) },
 		Workers: func() (float64, float64) {
 			known, excluded := l.Workers()
 			return float64(known), float64(excluded)
 		}})
-	var tally downstream.Tally = figures
+	var tally downstream.AnswerCounter = metrics
 	if own.Overload != nil {
-		level := newLevel(*own.Overload, figures, started)
-		figures.Gauge("overloaded", "1 while the share of refusals among the answers exceeds the limit in the settings.", level.on)
-		figures.Gauge("refused_share", "Share of refusals among the answers of the last seconds.", level.share)
+		level := newLevel(*own.Overload, metrics, started)
+		metrics.Gauge("overloaded", "1 while the share of refusals among the answers exceeds the limit in the settings.", level.on)
+		metrics.Gauge("refused_share", "Share of refusals among the answers of the last seconds.", level.share)
 		tally = level
 	}
-	shed, err := newShedGate(own.Overload, &decisions, figures)
+	shed, err := newShedGate(own.Overload, &decisions, metrics)
 	if err != nil {
 		return err
 	}
 	pool := upstream.NewPool(upstream.Config{ConnectTimeout: cfg.Settings.Policy.ConnectTimeout,
 		ConnIdle: cfg.Settings.ConnIdle, ProbeTimeout: probeTimeout, Settle: lastByteDelay, Rest: reuseDelay, MaxConns: up,
-		Written: figures.Attempt})
+		Written: metrics.Attempt})
 	gates := dispatch.Gates{Shed: shed}
 	if own.Waiting != nil {
 		gates.Waiting = dispatch.NewWaitingGate(*own.Waiting, cfg.Settings.Policy)
 	}
-	rooms, err := newSitesGate(own, cfg, &decisions, figures)
+	sitesGate, err := newSitesGate(own, cfg, &decisions, metrics)
 	if err != nil {
 		return err
 	}
-	gates.Sites = rooms
+	gates.Sites = sitesGate
 	clock := loop.NewClock()
-	shares := newBudgets(cfg, own, clock.Now, figures)
+	shares := newBudgets(cfg, own, clock.Now, metrics)
 	if shares != nil {
 		gates.Budget = shares.gate
 	}
@@ -109,7 +109,7 @@
 	l.Post(known)
 	server := downstream.New(downstream.Config{Listen: cfg.Listen, Inherited: cfg.Inherited, MaxConns: down,
 		MaxBodies: cfg.Limits.BodyBytes(), AcceptFor: downstream.AcceptFor,
-		KilledAfter: downstream.KilledAfter(cfg.Settings), Waiting: gates.Waiting != nil, Tally: tally}, cfg.Settings, l)
+		KilledAfter: downstream.KilledAfter(cfg.Settings), Waiting: gates.Waiting != nil, AnswerCounter: tally}, cfg.Settings, l)
 	ln, err := server.Listen()
 	if err != nil {
 		return err
@@ -117,8 +117,8 @@
 	var operatorsServer *operators.Server
 	var opsLn net.Listener
 	if cfg.Ops != "" {
-		operatorsServer = operators.NewServer(operators.Config{Addr: cfg.Ops, MaxConns: door, Ready: server.Serving, Metrics: figures,
-			Core: l, Store: operators.NewStore(os.TempDir(), cfg.Name), Views: views(shares, rooms)})
+		operatorsServer = operators.NewServer(operators.Config{Addr: cfg.Ops, MaxConns: opsConns, Ready: server.Serving, Metrics: metrics,
+			Core: l, Store: operators.NewStore(os.TempDir(), cfg.Name), Views: views(shares, sitesGate)})
 		if opsLn, err = operatorsServer.Listen(); err != nil {
 			ln.Close()
 			return err
@@ -131,20 +131,20 @@
 	inner, halt := context.WithCancel(context.Background())
 	outer, stop := context.WithCancel(ctx)
 	defer stop()
-	swept, looped := make(chan struct{}), make(chan error, 1)
-	reloaded, opened := make(chan struct{}), make(chan struct{})
-	go func() { defer close(swept); pool.Sweep(inner) }()
+	sweepDone, loopDone := make(chan struct{}), make(chan error, 1)
+	reloadDone, opsDone := make(chan struct{}), make(chan struct{})
+	go func() { defer close(sweepDone); pool.Sweep(inner) }()
 	if shares != nil {
 		shares.hold(inner)
 	}
-	handed := make(chan struct{})
+	handoverDone := make(chan struct{})
 	if cfg.Inherited != 0 {
 		path, me := servingFile(os.TempDir(), cfg.Name), servingRecord{PID: os.Getpid(), Since: started.UnixNano()}
 		if err := announce(path, me); err != nil {
 			slog.Error("a predecessor will not see that this process serves", "error", err)
 		}
 		go func() {
-			defer close(handed)
+			defer close(handoverDone)
 			awaitSuccessor(outer, path, me, func() {
 				slog.Info("a successor serves: handing over")
 				server.Handover()
@@ -154,28 +154,28 @@
 			})
 		}()
 	} else {
-		close(handed)
+		close(handoverDone)
 	}
 	go func() {
-		defer close(opened)
+		defer close(opsDone)
 		if operatorsServer != nil {
 			if err := operatorsServer.Serve(inner, opsLn); err != nil {
 				slog.Error("operators' endpoint failed", "error", err)
 			}
 		}
 	}()
-	go func() { defer close(reloaded); reload(inner, cfg, own, f, hup, l, shares) }()
-	go func() { looped <- l.Run(inner); stop() }()
+	go func() { defer close(reloadDone); reload(inner, cfg, own, f, hup, l, shares) }()
+	go func() { loopDone <- l.Run(inner); stop() }()
 	err = server.Serve(outer, ln)
 	halt()
-	<-handed
-	<-swept
-	<-reloaded
-	<-opened
+	<-handoverDone
+	<-sweepDone
+	<-reloadDone
+	<-opsDone
 	if shares != nil {
 		shares.release()
 	}
-	if lerr := <-looped; lerr != nil {
+	if lerr := <-loopDone; lerr != nil {
 		return lerr
 	}
 	if gates.Waiting != nil { // the loop has ended, so nothing else accesses it
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -7,8 +7,8 @@
 	"gaugeslip/internal/siteloss"
 )
 
-// Rooms returns the names of the settings' zones, by number.
-func Rooms(cfg *config.Config) []string {
+// ZoneNames returns the names of the settings' zones, by number.
+func ZoneNames(cfg *config.Config) []string {
 	names := make([]string, len(cfg.Settings.Zones))
 	for name, i := range cfg.Settings.Zones {
 		names[i] = name
@@ -16,24 +16,24 @@
 	return names
 }
 
-// Planned is the plan for the loss of sites that the operators' endpoint shows.
-type Planned struct {
+// SitePlan is the plan for the loss of sites that the operators' endpoint shows.
+type SitePlan struct {
 	Fleet  *siteloss.Fleet   `json:"fleet"`
 	States map[string]string `json:"states,omitempty"`
 	Losses []siteloss.Loss   `json:"losses"`
 }
 
 // views returns the views that the operators' endpoint shows beside its own calls.
-func views(shares *budgets, rooms *dispatch.SitesGate) map[string]func() any {
+func views(shares *budgets, sitesGate *dispatch.SitesGate) map[string]func() any {
 	v := map[string]func() any{}
 	shares.views(v)
-	if rooms != nil {
+	if sitesGate != nil {
 		v["plan"] = func() any {
-			p := Planned{Fleet: rooms.Fleet(), States: map[string]string{}}
+			p := SitePlan{Fleet: sitesGate.Fleet(), States: map[string]string{}}
 			if p.Fleet != nil && p.Fleet.Check() == nil {
 				p.Losses = p.Fleet.Plan()
 				for i, s := range p.Fleet.Sites {
-					p.States[s.Name] = rooms.State(i).String()
+					p.States[s.Name] = sitesGate.State(i).String()
 				}
 			}
 			return p
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -123,9 +123,9 @@
 	}
 }
 
-func (f *messageFields) uint(i int, field string, most uint64) uint64 {
+func (f *messageFields) uint(i int, field string, limit uint64) uint64 {
 	v, err := strconv.ParseUint(f.parts[i], 10, 64)
-	if err != nil || v > most {
+	if err != nil || v > limit {
 		f.bad(field, f.parts[i])
 	}
 	return v
@@ -187,22 +187,22 @@
 
 // message processes one line; true ends the batch.
 func (h *Host) message(line string) (bool, error) {
-	name, rest, some := strings.Cut(line, "\t")
+	name, rest, more := strings.Cut(line, "\t")
 	want, ok := valueCounts[name]
 	if !ok {
 		return false, fmt.Errorf("unknown message %q", truncate(name))
 	}
 	parts := h.parts[:0]
-	for some && len(parts) < want-1 {
+	for more && len(parts) < want-1 {
 		var part string
-		if part, rest, some = strings.Cut(rest, "\t"); true {
+		if part, rest, more = strings.Cut(rest, "\t"); true {
 			parts = append(parts, part)
 		}
 	}
-	if some {
+	if more {
 		parts = append(parts, rest)
 	}
-	if h.parts = parts; len(parts) != want || want == 0 && some {
+	if h.parts = parts; len(parts) != want || want == 0 && more {
 		return false, fmt.Errorf("%s: %d values where %d belong, in %q", name, len(parts), want, truncate(line))
 	}
 	f := &messageFields{name: name, parts: parts}
@@ -400,7 +400,7 @@
 }
 
 func (h *Host) step(b []byte, in *instance) (res []byte) {
-	mark := len(b)
+	batchStart := len(b)
 	b = append(b, "AT\t"...)
 	b = append(strconv.AppendInt(b, int64(in.id), 10), '\n')
 	start := len(b)
@@ -412,7 +412,7 @@
 	}()
 	h.actions = in.d.Step(h.now, in.events, h.actions[:0])
 	if len(h.actions) == 0 {
-		return b[:mark]
+		return b[:batchStart]
 	}
 	for i := range h.actions {
 		b = appendAction(b, &h.actions[i])
