--- a/internal/net/downstream/decode.go
+++ b/internal/net/downstream/decode.go
@@ -78,7 +78,7 @@
 	}
 	t := &loop.Ticket{Arrived: arrived, Job: dispatch.JobArrived{Class: class, Tenant: -1, Slots: 1},
 		Forward: upstream.Request{Method: r.Method, URI: requestTarget(r), Host: r.Host,
-			TraceID: r.Header.Get("X-Trace-Id"), Once: s.Policy.Classes[class].Effect != policy.Repeatable}}
+			TraceID: r.Header.Get("X-Trace-Id"), NonRepeatable: s.Policy.Classes[class].Effect != policy.Repeatable}}
 	j := &t.Job
 	if !validID(t.Forward.TraceID, maxIDLength) {
 		return nil, badRequest("X-Trace-Id: missing or malformed")
--- a/internal/net/loop/carry.go
+++ b/internal/net/loop/carry.go
@@ -57,7 +57,7 @@
 			l.Post(dispatch.ProbeEnded{Worker: c.Worker, Result: o.Result, Took: o.Took, Load: l.load(o.Load)})
 		}, dispatch.ProbeEnded{Worker: c.Worker, Result: policy.AppError})
 	case dispatch.Watch:
-		if l.cancelWatch == nil { // otherwise Move has started one in the meantime
+		if l.cancelWatch == nil { // otherwise SetSource has started one in the meantime
 			l.startWatch(ctx, c)
 		}
 	case dispatch.Log:
--- a/internal/net/loop/endings_test.go
+++ b/internal/net/loop/endings_test.go
@@ -59,7 +59,7 @@
 	core, err := dispatch.New(set.Policy, 1)
 	require.NoError(t, err)
 	s := &fakeUpstream{make(chan *pendingSend, 9), make(chan uint64, 9), make(chan error)}
-	pool := upstream.NewPool(upstream.Config{ConnectTimeout: time.Second, ConnIdle: time.Minute, Settle: time.Millisecond, MaxConns: 9})
+	pool := upstream.NewPool(upstream.Config{ConnectTimeout: time.Second, ConnIdle: time.Minute, LastByteDelay: time.Millisecond, MaxConns: 9})
 	l := New(dispatch.NewChain(core, dispatch.Gates{}), set, pool, s, NewClock())
 	at := host
 	at.Addr = peer.Addr
@@ -72,7 +72,7 @@
 	in := make(chan error, 2)
 	for i, k := range []*Ticket{left, stays} {
 		k.Arrived, k.Job = time.Now(), dispatch.JobArrived{Class: 1, Tenant: -1, Budget: 15 * time.Second, Size: 100 * time.Millisecond, Slots: 1}
-		k.Forward = upstream.Request{Method: "POST", URI: "/harvest-sale/x", Host: "h", TraceID: fmt.Sprint("t", i), Once: true}
+		k.Forward = upstream.Request{Method: "POST", URI: "/harvest-sale/x", Host: "h", TraceID: fmt.Sprint("t", i), NonRepeatable: true}
 		if k == left {
 			k.Forward.Client = client
 		}
--- a/internal/net/loop/loop_test.go
+++ b/internal/net/loop/loop_test.go
@@ -172,7 +172,7 @@
 	assert.Equal(t, uint64(6), nettest.Wait(t, s.watches))
 }
 
-// Move starts a watch on the new source at once, after the newest version, and the end of the old watch causes no
+// SetSource starts a watch on the new source at once, after the newest version, and the end of the old watch causes no
 // ListLost. This also holds while the core waits before it asks again.
 func TestMove(t *testing.T) {
 	l, s := startTestLoop(t)
--- a/internal/net/loop/parked.go
+++ b/internal/net/loop/parked.go
@@ -23,13 +23,13 @@
 
 func newDetachedJob(t *Ticket) *detachedJob {
 	q := &t.Forward
-	return &detachedJob{uri: q.URI, traceID: q.TraceID, idempotencyKey: q.IdempotencyKey, head: unique.Make(sharedHead{q.Method, q.Host, q.Once}), body: q.Body}
+	return &detachedJob{uri: q.URI, traceID: q.TraceID, idempotencyKey: q.IdempotencyKey, head: unique.Make(sharedHead{q.Method, q.Host, q.NonRepeatable}), body: q.Body}
 }
 
 // newTicket makes a ticket again, marked as answered: its client already got the 202.
 func (p *detachedJob) newTicket() *Ticket {
 	h := p.head.Value()
-	t := &Ticket{Forward: upstream.Request{Method: h.method, Host: h.host, Once: h.nonRepeatable, URI: p.uri, TraceID: p.traceID,
+	t := &Ticket{Forward: upstream.Request{Method: h.method, Host: h.host, NonRepeatable: h.nonRepeatable, URI: p.uri, TraceID: p.traceID,
 		IdempotencyKey: p.idempotencyKey,
 		Body:           p.body}}
 	t.done.Store(true)
--- a/internal/net/upstream/endings_test.go
+++ b/internal/net/upstream/endings_test.go
@@ -43,14 +43,14 @@
 	addr, conns := listenRaw(t)
 	for _, once := range []bool{false, true} {
 		p := pool(time.Minute)
-		p.cfg.Settle = time.Millisecond
+		p.cfg.LastByteDelay = time.Millisecond
 		client, leave := context.WithCancel(t.Context())
 		p.dial = func(_ context.Context, network, addr string) (net.Conn, error) {
 			leave() // the connect still succeeds
 			return net.Dial(network, addr)
 		}
 		q := request(addr)
-		q.Client, q.Once = client, once
+		q.Client, q.NonRepeatable = client, once
 		assert.Equal(t, policy.NeverSent, do(t.Context(), p, q).result(), "it never ran, and not by the host's fault")
 		got, _ := io.ReadAll(nettest.Wait(t, conns))
 		assert.Empty(t, got)
@@ -101,11 +101,11 @@
 				io.WriteString(host, nettest.Chunked(done))
 				require.Eventually(t, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(p.idle[addr]) == 1 }, nettest.Timeout, time.Millisecond)
 			}
-			p.cfg.Settle = 2 * time.Second // used up only if the fault is present
+			p.cfg.LastByteDelay = 2 * time.Second // used up only if the fault is present
 			client, leave := context.WithCancel(t.Context())
 			defer leave()
 			q := request(addr)
-			q.Once, q.Client = true, client
+			q.NonRepeatable, q.Client = true, client
 			ended := make(chan *recorder, 1)
 			go func() { ended <- do(t.Context(), p, q) }()
 			if host == nil {
@@ -140,7 +140,7 @@
 	addr, conns := listenRaw(t)
 	p := pool(time.Minute)
 	client, leave := context.WithCancel(t.Context())
-	p.cfg.Written = leave
+	p.cfg.OnWritten = leave
 	q := request(addr)
 	q.Client = client
 	ended := make(chan *recorder, 1)
@@ -168,22 +168,22 @@
 	})
 	for _, once := range []bool{false, true} {
 		p := pool(time.Minute)
-		p.cfg.Rest, p.cfg.Settle = time.Hour, time.Millisecond
+		p.cfg.ReuseDelay, p.cfg.LastByteDelay = time.Hour, time.Millisecond
 		for range 2 {
 			q := request(host.Addr)
-			q.Once = once
+			q.NonRepeatable = once
 			assert.Equal(t, policy.OK, do(t.Context(), p, q).result())
 			assert.Zero(t, nettest.Wait(t, host.Calls).Index)
 		}
 		assert.Equal(t, 2, p.connCount)
-		p.cfg.Rest = 0
+		p.cfg.ReuseDelay = 0
 		c, err := p.get(t.Context(), host.Addr)
 		require.NoError(t, err)
 		p.put(c)
 		assert.Equal(t, 2, p.connCount, "lent again once it has rested")
 	}
 	p := pool(time.Minute)
-	p.cfg.Rest = time.Hour
+	p.cfg.ReuseDelay = time.Hour
 	assert.Equal(t, policy.OK, p.Probe(t.Context(), host.Addr).Result)
 	assert.Equal(t, policy.OK, p.Probe(t.Context(), host.Addr).Result)
 	assert.Equal(t, 1, p.connCount)
--- a/internal/net/upstream/pool.go
+++ b/internal/net/upstream/pool.go
@@ -22,10 +22,10 @@
 	ConnectTimeout time.Duration
 	ConnIdle       time.Duration // an upstream host closes a connection that has been idle this long
 	ProbeTimeout   time.Duration
-	Settle         time.Duration // how long the last byte of a request that must not run twice is held back, see write
-	Rest           time.Duration // how long a connection is not reused after a job's answer: a second answer may come late
+	LastByteDelay  time.Duration // how long the last byte of a request that must not run twice is held back, see write
+	ReuseDelay     time.Duration // how long a connection is not reused after a job's answer: a second answer may come late
 	MaxConns       int           // connections at once, idle ones included
-	Written        func()        // called for each upstream request whose last byte has been written; nil: none
+	OnWritten      func()        // called for each upstream request whose last byte has been written; nil: none
 }
 
 // conn is a connection with its reader, which is kept for as long as the connection.
@@ -106,7 +106,7 @@
 	defer p.mu.Unlock()
 	list := p.idle[addr]
 	for i, c := range slices.Backward(list) {
-		if c.reuseDelayed && time.Since(c.idleSince) < p.cfg.Rest {
+		if c.reuseDelayed && time.Since(c.idleSince) < p.cfg.ReuseDelay {
 			continue
 		}
 		if p.idle[addr] = slices.Delete(list, i, i+1); len(list) == 1 {
--- a/internal/net/upstream/request.go
+++ b/internal/net/upstream/request.go
@@ -28,7 +28,7 @@
 	Method, URI, Host, TraceID string
 	IdempotencyKey             string // identifies retries of a keyed class to hosts; empty: none
 	Body                       []byte
-	Once                       bool            // the job must not run twice
+	NonRepeatable              bool            // the job must not run twice
 	Client                     context.Context // ends when the client disconnects or the host drains: nothing is sent after that; nil: never ends
 }
 
@@ -79,8 +79,8 @@
 		end(Outcome{Result: result})
 		return
 	}
-	if p.cfg.Written != nil {
-		p.cfg.Written()
+	if p.cfg.OnWritten != nil {
+		p.cfg.OnWritten()
 	}
 	stop := p.interrupt(ctx, c)
 	defer stop()
@@ -104,7 +104,7 @@
 			c.SetDeadline(time.Unix(1, 0))
 		}
 	})
-	whole, err = q.write(ctx, c, p.cfg.Settle)
+	whole, err = q.write(ctx, c, p.cfg.LastByteDelay)
 	mu.Lock()
 	done = true
 	mu.Unlock()
@@ -124,7 +124,7 @@
 	if err := q.sendCancelled(ctx); err != nil {
 		return false, err
 	}
-	if q.Once {
+	if q.NonRepeatable {
 		n, err := c.Write(msg[:len(msg)-1])
 		if err == nil {
 			c.SetReadDeadline(time.Now().Add(settle))
--- a/internal/net/upstream/upstream_test.go
+++ b/internal/net/upstream/upstream_test.go
@@ -154,13 +154,13 @@
 		want policy.Result
 	}{{false, 0, policy.ConnectionLost}, {true, 0, policy.ConnectFailed}, {true, 1, policy.NeverSent}} {
 		p := pool(time.Minute)
-		p.cfg.Settle = nettest.Timeout
+		p.cfg.LastByteDelay = nettest.Timeout
 		q := request(ln.Addr().String())
 		answers <- c.kept
 		for range c.kept {
 			require.Equal(t, policy.OK, do(t.Context(), p, request(q.Addr)).result())
 		}
-		q.Once = c.once
+		q.NonRepeatable = c.once
 		assert.Equal(t, c.want, do(t.Context(), p, q).result())
 		assert.Zero(t, p.connCount)
 	}
@@ -170,11 +170,11 @@
 func TestLastByteFollows(t *testing.T) {
 	host := nettest.Listen(t, answer)
 	p, q := pool(time.Minute), request(host.Addr)
-	q.Once, p.cfg.Settle = true, time.Millisecond
+	q.NonRepeatable, p.cfg.LastByteDelay = true, time.Millisecond
 	assert.Equal(t, policy.OK, do(t.Context(), p, q).result())
 	assert.Equal(t, "body", nettest.Wait(t, host.Calls).Text)
-	q, p.cfg.Settle = request(host.Addr), nettest.Timeout
-	q.Once = true
+	q, p.cfg.LastByteDelay = request(host.Addr), nettest.Timeout
+	q.NonRepeatable = true
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	assert.Equal(t, policy.NeverSent, do(ctx, p, q).result())
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -89,8 +89,8 @@
 		return err
 	}
 	pool := upstream.NewPool(upstream.Config{ConnectTimeout: cfg.Settings.Policy.ConnectTimeout,
-		ConnIdle: cfg.Settings.ConnIdle, ProbeTimeout: probeTimeout, Settle: lastByteDelay, Rest: reuseDelay, MaxConns: up,
-		Written: metrics.Attempt})
+		ConnIdle: cfg.Settings.ConnIdle, ProbeTimeout: probeTimeout, LastByteDelay: lastByteDelay, ReuseDelay: reuseDelay, MaxConns: up,
+		OnWritten: metrics.Attempt})
 	gates := dispatch.Gates{Shed: shed}
 	if own.Waiting != nil {
 		gates.Waiting = dispatch.NewWaitingGate(*own.Waiting, cfg.Settings.Policy)
