--- a/internal/net/upstream/pool.go
+++ b/internal/net/upstream/pool.go
@@ -35,7 +35,7 @@
 	r            *bufio.Reader
 	addr         string
 	idleSince    time.Time // zero: it has carried no request yet
-	reuseDelayed bool      // its last request was a job, see Config.Rest
+	reuseDelayed bool      // its last request was a job, see Config.ReuseDelay
 }
 
 // limitedConn limits how many bytes a connection's reader may read.
@@ -100,7 +100,7 @@
 	return &conn{Conn: nc, in: in, r: bufio.NewReaderSize(in, 4096), addr: addr}, nil
 }
 
-// takeIdle takes the most recently used connection whose reuse delay (Config.Rest) is over.
+// takeIdle takes the most recently used connection whose reuse delay (Config.ReuseDelay) is over.
 func (p *Pool) takeIdle(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
