--- a/internal/net/loop/carry.go
+++ b/internal/net/loop/carry.go
@@ -12,44 +12,44 @@
 	"gaugeslip/policy"
 )
 
-// carry does one command.
-func (l *Loop) carry(ctx context.Context, c dispatch.Command) {
+// execute carries out one command of the core.
+func (l *Loop) execute(ctx context.Context, c dispatch.Command) {
 	switch c := c.(type) {
 	case dispatch.Send:
 		l.send(ctx, c)
 	case dispatch.CancelSend:
-		if out, ok := l.out[c.Key]; ok {
+		if out, ok := l.attempts[c.Key]; ok {
 			out.cancel()
 		}
 	case dispatch.CancelUnsent:
-		if out, ok := l.out[c.Key]; ok {
+		if out, ok := l.attempts[c.Key]; ok {
 			out.unsend()
 		}
 	case dispatch.LocalReply:
 		if t := l.tickets[c.Job]; t != nil {
 			delete(l.tickets, c.Job)
-			a := Answer{Refused: c.Refused, Status: c.Status, Why: c.Reason}
+			a := Answer{Refused: c.Refused, Status: c.Status, Text: c.Reason}
 			if l.set.RetryAfter {
 				a.RetryAfter = c.RetryAfter
 			}
-			t.settle(a)
+			t.deliver(a)
 		}
-		delete(l.parked, c.Job)
+		delete(l.detached, c.Job)
 	case dispatch.Accepted:
 		if t := l.tickets[c.Job]; t != nil {
 			delete(l.tickets, c.Job)
-			l.parked[c.Job] = park(t)
-			t.settle(Answer{Accepted: true})
+			l.detached[c.Job] = newDetachedJob(t)
+			t.deliver(Answer{Accepted: true})
 		}
 	case dispatch.CordonResult:
-		if handed := l.hands[c.Request]; handed != nil {
-			delete(l.hands, c.Request)
-			handed <- c.Known // its buffer holds one
+		if reply := l.cordonReplies[c.Request]; reply != nil {
+			delete(l.cordonReplies, c.Request)
+			reply <- c.Known // buffered: does not block
 		}
 	case dispatch.QueryResult:
-		if told := l.asks[c.Query]; told != nil {
-			delete(l.asks, c.Query)
-			told <- c // its buffer holds one
+		if reply := l.queryReplies[c.Query]; reply != nil {
+			delete(l.queryReplies, c.Query)
+			reply <- c // buffered: does not block
 		}
 	case dispatch.Probe:
 		l.spawn(func() {
@@ -57,7 +57,7 @@
 			l.Post(dispatch.ProbeEnded{Worker: c.Worker, Result: o.Result, Took: o.Took, Load: l.load(o.Load)})
 		}, dispatch.ProbeEnded{Worker: c.Worker, Result: policy.AppError})
 	case dispatch.Watch:
-		if l.watch == nil { // else a move has begun one while the module waited to ask
+		if l.cancelWatch == nil { // otherwise SetSource has started one in the meantime
 			l.startWatch(ctx, c)
 		}
 	case dispatch.Log:
@@ -71,16 +71,16 @@
 	}
 }
 
-// send starts an upstream request, with a goroutine of its own for as long as it is out.
+// send starts an upstream request in a goroutine of its own.
 func (l *Loop) send(ctx context.Context, c dispatch.Send) {
 	t := l.tickets[c.Job]
-	if p := l.parked[c.Job]; t == nil && p != nil {
-		delete(l.parked, c.Job)
-		t = p.ticket()
+	if p := l.detached[c.Job]; t == nil && p != nil {
+		delete(l.detached, c.Job)
+		t = p.newTicket()
 		l.tickets[c.Job] = t
 	}
-	if t == nil { // the core sends for open jobs only
-		panic(fmt.Sprintf("loop: a request for job %d, which is over", c.Job))
+	if t == nil { // the core sends open jobs only
+		panic(fmt.Sprintf("loop: send for job %d, which has ended", c.Job))
 	}
 	q := t.Forward
 	ctx, cancel := context.WithDeadline(ctx, l.clock.Time(c.Deadline))
@@ -88,50 +88,51 @@
 	if client == nil {
 		client = context.Background()
 	}
-	wanted, unsend := context.WithCancel(client) // ends with its client, or when its host is to get nothing new
-	l.out[c.Key] = calls{cancel, unsend}
-	q.Addr, q.Client = c.Addr, wanted
+	sendCtx, unsend := context.WithCancel(client) // ends when the client disconnects, or on CancelUnsent
+	l.attempts[c.Key] = cancelFuncs{cancel, unsend}
+	q.Addr, q.Client = c.Addr, sendCtx
 	l.spawn(func() {
 		defer cancel()
 		defer unsend()
-		l.upstream.Do(ctx, &q, &follower{l, t, c.Key})
-	}, dispatch.AttemptEnded{Key: c.Key, Result: policy.ConnectionLost}) // it may have run
+		l.upstream.Do(ctx, &q, &attemptWatcher{l, t, c.Key})
+	}, dispatch.AttemptEnded{Key: c.Key, Result: policy.ConnectionLost}) // the job may have run
 }
 
-// spawn starts work that the loop waits for at its end. A panic there must neither end the process nor leave
-// the module waiting: broken is what it hears instead.
-func (l *Loop) spawn(work func(), broken dispatch.Message) {
+// spawn starts work that Run waits for when it ends. A panic in it must neither end the process nor leave the core
+// waiting: the core then gets the message broken.
+func (l *Loop) spawn(work func(), onPanic dispatch.Message) {
 	l.work.Go(func() {
 		defer func() {
 			if p := recover(); p != nil {
 				slog.Error("panic in socket code", "panic", p, "stack", string(debug.Stack()))
-				l.Post(broken)
+				l.Post(onPanic)
 			}
 		}()
 		work()
 	})
 }
 
-// follower passes on what comes of one upstream request.
-type follower struct {
+// attemptWatcher forwards the events of one upstream request to the loop and its client.
+type attemptWatcher struct {
 	loop   *Loop
 	ticket *Ticket
 	key    dispatch.Key
 }
 
-func (f *follower) Started() { f.loop.Post(dispatch.JobStarted{Key: f.key}) }
+func (f *attemptWatcher) Started() { f.loop.Post(dispatch.JobStarted{Key: f.key}) }
 
-func (f *follower) Progress(s float64) { f.loop.Post(dispatch.JobProgress{Key: f.key, Share: s}) }
+func (f *attemptWatcher) Progress(s float64) { f.loop.Post(dispatch.JobProgress{Key: f.key, Share: s}) }
 
-// Ended passes the first result on to the client at once; a late one only the loop hears of.
-func (f *follower) Ended(o upstream.Outcome) {
+// Ended sends a successful result to the client at once, unless the client already has an answer, and reports the
+// outcome to the loop.
+func (f *attemptWatcher) Ended(o upstream.Outcome) {
 	if o.Result == policy.OK {
-		f.ticket.settle(Answer{Served: true, Body: o.Body})
+		f.ticket.deliver(Answer{Served: true, Body: o.Body})
 	}
 	f.loop.Post(dispatch.AttemptEnded{Key: f.key, Result: o.Result, Load: f.loop.load(o.Load), Body: o.Body})
 }
 
-// load turns a report by names into the module's.
+// load converts a load report by names into the core's form.
 func (l *Loop) load(r upstream.Report) *policy.Load {
 	if r == nil {
 		return nil
@@ -143,21 +144,21 @@
 	return &out
 }
 
-// startWatch follows the cluster from a version on, in place of any watch before. Each watch that breaks
-// makes one ListLost.
+// startWatch watches the host list from a version on and replaces any earlier watch. Each watch that breaks causes
+// one ListLost.
 func (l *Loop) startWatch(ctx context.Context, c dispatch.Watch) {
-	if l.watch != nil {
-		l.watch()
+	if l.cancelWatch != nil {
+		l.cancelWatch()
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	l.watches++
-	n, source := l.watches, l.source
-	l.watch, l.moved = cancel, false
+	l.watchNumber++
+	n, source := l.watchNumber, l.source
+	l.cancelWatch, l.watchNeeded = cancel, false
 	l.work.Go(func() {
 		defer cancel()
 		defer func() {
 			if p := recover(); p != nil {
-				slog.Error("panic in the watch", "panic", p, "stack", string(debug.Stack()))
+				slog.Error("panic in the watch of the host list", "panic", p, "stack", string(debug.Stack()))
 			}
 			l.post(envelope{msg: dispatch.ListLost{}, watch: n})
 		}()
--- a/internal/net/loop/parked.go
+++ b/internal/net/loop/parked.go
@@ -6,31 +6,31 @@
 	"gaugeslip/internal/net/upstream"
 )
 
-// parked is what is kept of a ticket while its job waits without a connection: there may be a million of them, and most
-// have their heads in common.
-type parked struct {
-	uri, id string
-	key     string // Idempotency-Key
-	head    unique.Handle[head]
-	body    []byte
+// detachedJob is the compact form of a ticket while its job waits without a connection. There may be a million of
+// them, and most have the same head.
+type detachedJob struct {
+	uri, traceID   string
+	idempotencyKey string // Idempotency-Key
+	head           unique.Handle[sharedHead]
+	body           []byte
 }
 
-// head is the part of a request that many have alike.
-type head struct {
-	method, host string
-	once         bool
+// sharedHead is the part of a request that is the same for many requests.
+type sharedHead struct {
+	method, host  string
+	nonRepeatable bool
 }
 
-func park(t *Ticket) *parked {
+func newDetachedJob(t *Ticket) *detachedJob {
 	q := &t.Forward
-	return &parked{uri: q.URI, id: q.TraceID, key: q.IdempotencyKey, head: unique.Make(head{q.Method, q.Host, q.Once}), body: q.Body}
+	return &detachedJob{uri: q.URI, traceID: q.TraceID, idempotencyKey: q.IdempotencyKey, head: unique.Make(sharedHead{q.Method, q.Host, q.NonRepeatable}), body: q.Body}
 }
 
-// ticket is a ticket again, one whose client had its answer with the promise.
-func (p *parked) ticket() *Ticket {
+// newTicket makes a ticket again, marked as answered: its client already got the 202.
+func (p *detachedJob) newTicket() *Ticket {
 	h := p.head.Value()
-	t := &Ticket{Forward: upstream.Request{Method: h.method, Host: h.host, Once: h.once, URI: p.uri, TraceID: p.id,
-		IdempotencyKey: p.key,
+	t := &Ticket{Forward: upstream.Request{Method: h.method, Host: h.host, NonRepeatable: h.nonRepeatable, URI: p.uri, TraceID: p.traceID,
+		IdempotencyKey: p.idempotencyKey,
 		Body:           p.body}}
 	t.done.Store(true)
 	return t
