--- a/internal/net/loop/calls.go
+++ b/internal/net/loop/calls.go
@@ -9,10 +9,10 @@
 	"gaugeslip/internal/net/cluster"
 )
 
-// Hand cordons a host (out) or uncordons it. known reports whether a host of that name is listed or cordoned; if not,
+// SetCordon cordons a host (out) or uncordons it. known reports whether a host of that name is listed or cordoned; if not,
 // nothing changes. When it returns with known set, the core has processed the change. It returns an error if ctx or
 // the loop has ended first; the change may still take effect.
-func (l *Loop) Hand(ctx context.Context, name string, out bool) (known bool, err error) {
+func (l *Loop) SetCordon(ctx context.Context, name string, out bool) (known bool, err error) {
 	m := dispatch.SetCordon{Request: l.nextCordon.Add(1), Name: name, Cordoned: out}
 	cordonReply := make(chan bool, 1)
 	select {
@@ -32,8 +32,8 @@
 	}
 }
 
-// HandSet replaces the set of cordoned hosts with the given one, which is stored outside the process.
-func (l *Loop) HandSet(names []string) {
+// ReplaceCordons replaces the set of cordoned hosts with the given one, which is stored outside the process.
+func (l *Loop) ReplaceCordons(names []string) {
 	select {
 	case l.urgent <- envelope{msg: dispatch.CordonSet{Names: names}}:
 	case <-l.stopped:
--- a/internal/net/operators/server.go
+++ b/internal/net/operators/server.go
@@ -26,11 +26,11 @@
 
 // Core is the part of the dispatcher's loop that the server uses.
 type Core interface {
-	// Hand takes a host out by hand or puts it back. known is false if the host is neither listed nor out by hand. When
-	// Hand returns, the decision module has been notified.
-	Hand(ctx context.Context, name string, out bool) (known bool, err error)
-	// HandSet replaces the set of hosts that are out by hand.
-	HandSet(names []string)
+	// SetCordon takes a host out by hand or puts it back. known is false if the host is neither listed nor out by hand. When
+	// SetCordon returns, the decision module has been notified.
+	SetCordon(ctx context.Context, name string, out bool) (known bool, err error)
+	// ReplaceCordons replaces the set of hosts that are out by hand.
+	ReplaceCordons(names []string)
 }
 
 // Config configures a Server.
@@ -106,7 +106,7 @@
 	if len(names) > 0 {
 		slog.Info("hosts out by hand, as kept", "hosts", names)
 	}
-	s.cfg.Core.HandSet(names)
+	s.cfg.Core.ReplaceCordons(names)
 }
 
 // Serve answers requests until ctx ends, and applies changes that another process makes to the store.
@@ -145,7 +145,7 @@
 		slog.Error("hosts out by hand: cannot read the file; the set stays unchanged", "error", err)
 		return
 	}
-	s.cfg.Core.HandSet(names)
+	s.cfg.Core.ReplaceCordons(names)
 }
 
 // checkFraming rejects requests with a Transfer-Encoding or with too long a body, before any handler runs.
@@ -184,7 +184,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), coreTimeout)
 	defer cancel()
-	known, err := s.cfg.Core.Hand(ctx, name, out)
+	known, err := s.cfg.Core.SetCordon(ctx, name, out)
 	switch {
 	case err != nil:
 		writeText(w, http.StatusServiceUnavailable, "not taken in time; ask again")
--- a/internal/net/operators/server_test.go
+++ b/internal/net/operators/server_test.go
@@ -27,7 +27,7 @@
 	stuck bool
 }
 
-func (c *fakeCore) Hand(ctx context.Context, name string, out bool) (bool, error) {
+func (c *fakeCore) SetCordon(ctx context.Context, name string, out bool) (bool, error) {
 	if c.stuck {
 		<-ctx.Done()
 		return false, ctx.Err()
@@ -41,7 +41,7 @@
 	return true, nil
 }
 
-func (c *fakeCore) HandSet(names []string) {
+func (c *fakeCore) ReplaceCordons(names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sets = append(c.sets, names)
