--- a/internal/system/hollow/audit.go
+++ b/internal/system/hollow/audit.go
@@ -35,8 +35,8 @@
 	return done
 }
 
-// JobHopeless reports whether a task of the job has failed as often as its queue allows, so that the job may be shown as failed.
-func (world *World) JobHopeless(id string) bool {
+// JobRetriesExhausted reports whether a task of the job has failed as often as its queue allows, so that the job may be shown as failed.
+func (world *World) JobRetriesExhausted(id string) bool {
 	world.lock()
 	defer world.unlock()
 	job := world.jobs[id]
--- a/internal/system/hollow/checker_test.go
+++ b/internal/system/hollow/checker_test.go
@@ -170,7 +170,7 @@
 	require.Equal(t, TaskName(testJob, 0, 1, 0), lost[0].Task)
 }
 
-// A cancelled run may continue for the time set by SetTrouble, and no longer.
+// A cancelled run may continue for the time set by SetCancelAllowance, and no longer.
 func TestCancelAllowanceLetsACancelledRunContinue(t *testing.T) {
 	for _, test := range []struct {
 		longer time.Duration
@@ -178,7 +178,7 @@
 	}{{0, 1}, {10 * time.Second, 0}} {
 		world := newTestWorld(t)
 		world.job(oneTask(5 * time.Second))
-		world.SetTrouble(test.longer)
+		world.SetCancelAllowance(test.longer)
 		start(t, world.worker(), 0, 0, 1)
 		world.CancelJob(testJob)
 		world.clock.Advance(20 * time.Second)
--- a/internal/system/hollow/world.go
+++ b/internal/system/hollow/world.go
@@ -171,9 +171,9 @@
 	world.after(world.settings.Cancel+world.settings.Stop+world.cancelAllowance, func() { world.checkCancelled(job) })
 }
 
-// SetTrouble sets how much longer than usual a run may continue after a cancellation from now on. During faults a run may continue until
+// SetCancelAllowance sets how much longer than usual a run may continue after a cancellation from now on. During faults a run may continue until
 // its hold lapses.
-func (world *World) SetTrouble(longer time.Duration) {
+func (world *World) SetCancelAllowance(longer time.Duration) {
 	world.lock()
 	defer world.unlock()
 	world.cancelAllowance = longer
--- a/internal/system/localcluster/soak_jobs.go
+++ b/internal/system/localcluster/soak_jobs.go
@@ -231,7 +231,7 @@
 		c.soak.addFinding("MIXED", "job %s is shown as %q", job.id, state)
 	case state == "completed" && !world.JobDone(job.id):
 		c.soak.addFinding("MIXED", "job %s is shown as completed, and it isn't", job.id)
-	case state == "failed" && !world.JobHopeless(job.id):
+	case state == "failed" && !world.JobRetriesExhausted(job.id):
 		c.soak.addFinding("LOST", "job %s is shown as failed without cause", job.id)
 	case state == "cancelled" && !job.cancelRequested:
 		c.soak.addFinding("LOST", "job %s is shown as cancelled, and nobody cancelled it", job.id)
