--- a/internal/node/budgets.go
+++ b/internal/node/budgets.go
@@ -51,7 +51,7 @@
 		b.peers = peers.New(peers.Config{Limits: *own.Peers, Self: policy.Ordinal, Floor: own.Budgets.FloorUnits(members), Ledger: b.ledger,
 			Now: now, Life: rand.Uint64() | 1})
 		for _, state := range []string{"alive", "silent", "left"} {
-			metrics.LabelledFunc("members", "Dispatchers by membership state.", "state", state, func() float64 { return b.peers.Count(state) })
+			metrics.LabelledFunc("members", "Dispatchers by what membership has of them.", "state", state, func() float64 { return b.peers.Count(state) })
 		}
 	}
 	for i, f := range b.ledger.Status(now()) {
@@ -59,11 +59,11 @@
 			help string
 			of   func(budget.AccountStatus) float64
 		}{
-			"budget_whole":         {"Uses per second allowed to the whole fleet.", func(f budget.AccountStatus) float64 { return f.Whole }},
-			"budget_owned":         {"Part of the fleet's budget that this process owns.", func(f budget.AccountStatus) float64 { return f.Owned }},
+			"budget_whole":         {"What the whole fleet may use a second.", func(f budget.AccountStatus) float64 { return f.Whole }},
+			"budget_owned":         {"Share of the whole that this process owns.", func(f budget.AccountStatus) float64 { return f.Owned }},
 			"budget_used_total":    {"Uses by this process, since the start.", func(f budget.AccountStatus) float64 { return float64(f.Used) }},
-			"budget_refused_total": {"Uses refused because the share was used up, since the start.", func(f budget.AccountStatus) float64 { return float64(f.Refused) }},
-			"budget_epoch":         {"Increases with each change of the share.", func(f budget.AccountStatus) float64 { return float64(f.Epoch) }},
+			"budget_refused_total": {"Uses refused for want of a share, since the start.", func(f budget.AccountStatus) float64 { return float64(f.Refused) }},
+			"budget_epoch":         {"Rises with each change of the share.", func(f budget.AccountStatus) float64 { return float64(f.Epoch) }},
 		} {
 			metrics.LabelledFunc(name, x.help, "budget", f.Name, func() float64 { return x.of(b.ledger.Status(b.now())[i]) })
 		}
--- a/internal/node/gates.go
+++ b/internal/node/gates.go
@@ -21,10 +21,10 @@
 		return nil, fmt.Errorf("site: overload.%w", err)
 	}
 	for i, c := range cfg.Classes {
-		metrics.LabelledFunc("shed_total", "Jobs of a class refused on arrival because of overload, since the start; also counted in refused_total.",
+		metrics.LabelledFunc("shed_total", "Jobs of a class refused at the door for overload, since the start; refused_total has them too.",
 			"class", c.Name, func() float64 { return g.RefusedJobs(i) })
 	}
-	metrics.Gauge("admitted_share", "Share of the offered work that is admitted.", g.AdmittedShare)
+	metrics.Gauge("admitted_share", "Share of the work asked for that the door lets in.", g.AdmittedShare)
 	return g, nil
 }
 
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -80,7 +80,7 @@
 	var tally downstream.AnswerCounter = metrics
 	if own.Overload != nil {
 		level := newLevel(*own.Overload, metrics, started)
-		metrics.Gauge("overloaded", "1 while the share of refusals among the answers exceeds the limit in the settings.", level.on)
+		metrics.Gauge("overloaded", "1 while refusals are more than the settings' share of the answers.", level.on)
 		metrics.Gauge("refused_share", "Share of refusals among the answers of the last seconds.", level.share)
 		tally = level
 	}
